--- a/benches/leases.rs
+++ b/benches/leases.rs
@@ -15,13 +15,27 @@
 use support::{ask, read, Node};
 
 fn ask_for(task: u64, epoch: u64) -> ToKeeper {
-    let who = Holder { node: format!("n{task}"), incarnation: 1 };
-    ToKeeper::Ask { task: format!("task-{}", task % 500), who, epoch, round: epoch, length: 5_000_000 }
+    let who = Holder {
+        node: format!("n{task}"),
+        incarnation: 1,
+    };
+    ToKeeper::Ask {
+        task: format!("task-{}", task % 500),
+        who,
+        epoch,
+        round: epoch,
+        length: 5_000_000,
+    }
 }
 
 /// Grants a second of one keeper, `group` of them behind one sync; without any at `usize::MAX`.
 fn grants(group: usize, span: Duration) -> f64 {
-    let rules = Rules { keepers: 1, me: 0, longest: 5_000_000, trust: true };
+    let rules = Rules {
+        keepers: 1,
+        me: 0,
+        longest: 5_000_000,
+        trust: true,
+    };
     let mut keeper = Keeper::new(rules, 1, &[Record::Whole(Vec::new())], 0);
     let folder = std::env::temp_dir().join(format!("bench-leases-{}", std::process::id()));
     let (mut log, _) = Log::open(Files::open(&folder).expect("folder")).expect("log");
@@ -34,7 +48,8 @@
             let done = keeper.handle(now, ask_for(count, count));
             assert!(matches!(done.answer, Some(ToNode::Granted { .. })));
             for record in done.write {
-                log.append(&postcard::to_stdvec(&record).expect("bytes")).expect("append");
+                log.append(&postcard::to_stdvec(&record).expect("bytes"))
+                    .expect("append");
             }
             if group == 1 {
                 log.sync().expect("sync");
@@ -51,7 +66,9 @@
 
 fn port() -> SocketAddr {
     loop {
-        let addr = UdpSocket::bind("127.0.0.1:0").and_then(|s| s.local_addr()).expect("port");
+        let addr = UdpSocket::bind("127.0.0.1:0")
+            .and_then(|s| s.local_addr())
+            .expect("port");
         if TcpListener::bind(addr).is_ok() {
             return addr;
         }
@@ -60,13 +77,17 @@
 
 fn admin(node: &Node) -> Option<SocketAddr> {
     let log = node.log.lock().ok()?;
-    let text = log.iter().find_map(|l| l.split("operators call at ").nth(1).map(String::from))?;
+    let text = log
+        .iter()
+        .find_map(|l| l.split("operators call at ").nth(1).map(String::from))?;
     text.split('"').next()?.parse().ok()
 }
 
 fn status(at: SocketAddr) -> Option<Value> {
     let mut stream = TcpStream::connect(at).ok()?;
-    stream.write_all(b"GET /api/fleet HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n").ok()?;
+    stream
+        .write_all(b"GET /api/fleet HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n")
+        .ok()?;
     let mut text = String::new();
     stream.read_to_string(&mut text).ok()?;
     serde_json::from_str(text.split_once("\r\n\r\n")?.1).ok()
@@ -91,21 +112,41 @@
     let sent = || -> Vec<(f64, f64)> {
         let all = nodes.iter().filter_map(|n| status(admin(n)?));
         let figure = |s: &Value, key: &str| s["messages"][key].as_f64().unwrap_or(0.0);
-        all.map(|s| (figure(&s, "sent"), figure(&s, "sent_bytes"))).collect()
+        all.map(|s| (figure(&s, "sent"), figure(&s, "sent_bytes")))
+            .collect()
     };
     let (before, span) = (sent(), 10.0);
     std::thread::sleep(Duration::from_secs_f64(span));
-    let rates: Vec<(f64, f64)> =
-        sent().iter().zip(&before).map(|(a, b)| ((a.0 - b.0) / span, (a.1 - b.1) / span)).collect();
+    let rates: Vec<(f64, f64)> = sent()
+        .iter()
+        .zip(&before)
+        .map(|(a, b)| ((a.0 - b.0) / span, (a.1 - b.1) / span))
+        .collect();
     let mean = |all: &[(f64, f64)]| {
         let n = all.len().max(1) as f64;
-        (all.iter().map(|r| r.0).sum::<f64>() / n, all.iter().map(|r| r.1).sum::<f64>() / n)
+        (
+            all.iter().map(|r| r.0).sum::<f64>() / n,
+            all.iter().map(|r| r.1).sum::<f64>() / n,
+        )
     };
-    let (all, keeper) =
-        (mean(&rates), rates[..3].iter().fold((0.0f64, 0.0f64), |a, b| (a.0.max(b.0), a.1.max(b.1))));
-    println!("nine nodes, three keepers, 5 s leases, 1 s probes, {} answered:", rates.len());
-    println!("  a node sends {:.1} messages and {:.0} bytes a second", all.0, all.1);
-    println!("  the busiest keeper {:.1} messages and {:.0} bytes a second", keeper.0, keeper.1);
+    let (all, keeper) = (
+        mean(&rates),
+        rates[..3]
+            .iter()
+            .fold((0.0f64, 0.0f64), |a, b| (a.0.max(b.0), a.1.max(b.1))),
+    );
+    println!(
+        "nine nodes, three keepers, 5 s leases, 1 s probes, {} answered:",
+        rates.len()
+    );
+    println!(
+        "  a node sends {:.1} messages and {:.0} bytes a second",
+        all.0, all.1
+    );
+    println!(
+        "  the busiest keeper {:.1} messages and {:.0} bytes a second",
+        keeper.0, keeper.1
+    );
     drop(nodes);
     let _ = std::fs::remove_dir_all(folder);
 }
@@ -127,13 +168,20 @@
 fn main() {
     let span = Duration::from_secs(3);
     println!("grants a second of one keeper:");
-    for (name, group) in
-        [("a sync each", 1), ("a sync for 64", 64), ("a sync for 512", 512), ("no sync", usize::MAX)]
-    {
+    for (name, group) in [
+        ("a sync each", 1),
+        ("a sync for 64", 64),
+        ("a sync for 512", 512),
+        ("no sync", usize::MAX),
+    ] {
         let rate = grants(group, span);
         println!("  {name:<14} {rate:>10.0}");
     }
-    let servers = Standin::start(vec![Script { tokens: 3, ..Script::default() }]).expect("stand-in");
+    let servers = Standin::start(vec![Script {
+        tokens: 3,
+        ..Script::default()
+    }])
+    .expect("stand-in");
     messages(servers.addrs());
     let folder = std::env::temp_dir().join(format!("bench-node-{}", std::process::id()));
     let at = port();
@@ -142,8 +190,10 @@
          [fleet.report]\nto = \"127.0.0.1:1\"\nevery = \"50ms\"\n",
         folder.display().to_string()
     );
-    let (without, with) =
-        (Node::named("n0", "off", servers.addrs(), ""), Node::named("n0", "on", servers.addrs(), &operator));
+    let (without, with) = (
+        Node::named("n0", "off", servers.addrs(), ""),
+        Node::named("n0", "on", servers.addrs(), &operator),
+    );
     println!("milliseconds to a whole answer, p50 p90 p99, by turns:");
     for _ in 0..4 {
         for (name, node) in [("without", &without), ("with", &with)] {
--- a/benches/membership.rs
+++ b/benches/membership.rs
@@ -15,7 +15,10 @@
 const SERVICE: &str = "_s._t";
 
 fn main() {
-    let parts: Vec<String> = std::env::args().skip(1).filter(|a| !a.starts_with('-')).collect();
+    let parts: Vec<String> = std::env::args()
+        .skip(1)
+        .filter(|a| !a.starts_with('-'))
+        .collect();
     let wanted = |name: &str| parts.is_empty() || parts.iter().any(|p| p == name);
     let cores = thread::available_parallelism().map_or(0, usize::from);
     println!("machine: {cores} cores");
@@ -88,7 +91,10 @@
 
 impl Discovery {
     fn start() -> (Discovery, SocketAddr) {
-        let own = Discovery(Arc::new((Mutex::new((1, "[]".to_string())), Condvar::new())));
+        let own = Discovery(Arc::new((
+            Mutex::new((1, "[]".to_string())),
+            Condvar::new(),
+        )));
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let (addr, shared) = (listener.local_addr().unwrap(), own.clone());
         thread::spawn(move || {
@@ -112,17 +118,30 @@
                 return Ok(());
             }
             if let Some(rest) = line.split("since=").nth(1) {
-                since = rest.split('&').next().and_then(|n| n.parse().ok()).unwrap_or(0);
+                since = rest
+                    .split('&')
+                    .next()
+                    .and_then(|n| n.parse().ok())
+                    .unwrap_or(0);
             }
             if line == "\r\n" {
                 let (lock, changed) = &*self.0;
                 let limit = Duration::from_secs(15);
                 let state = lock.lock().unwrap();
-                let (state, _) = changed.wait_timeout_while(state, limit, |s| s.0 <= since).unwrap();
+                let (state, _) = changed
+                    .wait_timeout_while(state, limit, |s| s.0 <= since)
+                    .unwrap();
                 let full = since == 0;
-                let body = format!(r#"{{"version":{},"full":{full},"servers":{}}}"#, state.0, state.1);
+                let body = format!(
+                    r#"{{"version":{},"full":{full},"servers":{}}}"#,
+                    state.0, state.1
+                );
                 drop(state);
-                write!(write, "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len())?;
+                write!(
+                    write,
+                    "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
+                    body.len()
+                )?;
             }
         }
     }
@@ -156,7 +175,9 @@
         };
         let config = include_str!("../tests/exchanges/config.json");
         let known = config.find("\"known\"").unwrap()..config.find("\"settings\"").unwrap();
-        let config = config.replace(&config[known], "").replace("DISCOVERY", &discovery.to_string());
+        let config = config
+            .replace(&config[known], "")
+            .replace("DISCOVERY", &discovery.to_string());
         let mut files = vec![file("config.json", config)];
         let mut command = Command::new(env!("CARGO_BIN_EXE_poppykeel"));
         command.args(["serve", "--config"]).arg(&files[0]);
@@ -165,11 +186,21 @@
             command.arg("--operator").arg(&files[1]);
         }
         let mut child = command.stderr(Stdio::piped()).spawn().unwrap();
-        let mut log = BufReader::new(child.stderr.take().unwrap()).lines().map_while(Result::ok);
+        let mut log = BufReader::new(child.stderr.take().unwrap())
+            .lines()
+            .map_while(Result::ok);
         let line = log.find(|l| l.contains("serving on")).unwrap();
         thread::spawn(move || log.for_each(drop));
-        let addr = line.split("serving on ").nth(1).and_then(|l| l.split(' ').next()).unwrap();
-        Node { child, addr: addr.parse().unwrap(), files }
+        let addr = line
+            .split("serving on ")
+            .nth(1)
+            .and_then(|l| l.split(' ').next())
+            .unwrap();
+        Node {
+            child,
+            addr: addr.parse().unwrap(),
+            files,
+        }
     }
 
     /// Processor time used so far, in seconds, and the most memory held, in MB.
@@ -179,11 +210,17 @@
         };
         let stat = read("stat");
         let after = stat.rsplit(')').next().unwrap_or_default();
-        let ticks: f64 =
-            after.split_whitespace().skip(11).take(2).filter_map(|t| t.parse::<f64>().ok()).sum();
+        let ticks: f64 = after
+            .split_whitespace()
+            .skip(11)
+            .take(2)
+            .filter_map(|t| t.parse::<f64>().ok())
+            .sum();
         let status = read("status");
         let peak = status.lines().find_map(|l| l.strip_prefix("VmHWM:"));
-        let peak = peak.and_then(|l| l.split_whitespace().next()).and_then(|n| n.parse::<f64>().ok());
+        let peak = peak
+            .and_then(|l| l.split_whitespace().next())
+            .and_then(|n| n.parse::<f64>().ok());
         (ticks / 100.0, peak.unwrap_or(f64::NAN) / 1024.0)
     }
 }
@@ -192,7 +229,9 @@
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
-        self.files.iter().for_each(|f| drop(std::fs::remove_file(f)));
+        self.files
+            .iter()
+            .for_each(|f| drop(std::fs::remove_file(f)));
     }
 }
 
@@ -213,7 +252,9 @@
                 let mut times = Vec::new();
                 let mut stream = TcpStream::connect(node).unwrap();
                 stream.set_nodelay(true).unwrap();
-                stream.set_read_timeout(Some(Duration::from_secs(30))).unwrap();
+                stream
+                    .set_read_timeout(Some(Duration::from_secs(30)))
+                    .unwrap();
                 let mut held = [0; 4096];
                 while !stop.load(Ordering::Relaxed) {
                     let id = IDS.fetch_add(1, Ordering::Relaxed);
@@ -245,7 +286,10 @@
 
     fn stop(self) -> Vec<f64> {
         self.stop.store(true, Ordering::Relaxed);
-        self.threads.into_iter().flat_map(|t| t.join().unwrap()).collect()
+        self.threads
+            .into_iter()
+            .flat_map(|t| t.join().unwrap())
+            .collect()
     }
 }
 
@@ -266,7 +310,11 @@
     let replicas: Vec<Replica> = (0..4).map(|_| Replica::start()).collect();
     let addrs: Vec<SocketAddr> = replicas.iter().map(|r| r.addr).collect();
     let (discovery, place) = Discovery::start();
-    let all: Vec<String> = addrs.iter().enumerate().map(|(n, a)| server(n, *a, "up")).collect();
+    let all: Vec<String> = addrs
+        .iter()
+        .enumerate()
+        .map(|(n, a)| server(n, *a, "up"))
+        .collect();
     discovery.set(format!("[{}]", all.join(",")));
     let dns = standin(Script::service(SERVICE, 0, &addrs));
     let node = Node::start(place, Some(operator(&dns, "[\"list\", \"srv\"]", "50ms")));
@@ -315,7 +363,9 @@
             thread::sleep(Duration::from_millis(37 * (n as u64 % 17)));
             let told = Instant::now();
             dns.set(Script::service(SERVICE, ttl, &addrs));
-            while replicas[1].last.lock().unwrap().is_none_or(|l| l < told) && told.elapsed().as_secs() < 9 {
+            while replicas[1].last.lock().unwrap().is_none_or(|l| l < told)
+                && told.elapsed().as_secs() < 9
+            {
                 thread::sleep(Duration::from_millis(1));
             }
             times.push(told.elapsed().as_secs_f64() * 1e3);
@@ -334,15 +384,41 @@
 
 /// 2,000 records with short names, so that they fit into one message; `turn` of them are others each time.
 fn many(round: usize, change: usize, addr: SocketAddr) -> Script {
-    let mut script = Script { chase: true, ..Script::default() };
+    let mut script = Script {
+        chase: true,
+        ..Script::default()
+    };
     for n in 0..2000_usize {
         // The last ones change: a new target with a new address.
-        let name = if n < change { format!("{}.t", 2000 + round * change + n) } else { format!("{n}.t") };
-        let number = if n < change { 2000 + (round * change + n) % 30_000 } else { n };
-        let ip = format!("127.{}.{}.{}", 2 + number / 40_000, number / 200 % 200 + 1, number % 200 + 1);
+        let name = if n < change {
+            format!("{}.t", 2000 + round * change + n)
+        } else {
+            format!("{n}.t")
+        };
+        let number = if n < change {
+            2000 + (round * change + n) % 30_000
+        } else {
+            n
+        };
+        let ip = format!(
+            "127.{}.{}.{}",
+            2 + number / 40_000,
+            number / 200 % 200 + 1,
+            number % 200 + 1
+        );
         let data = format!("10 1 {} {name}", addr.port());
-        script.record.push(Record { name: SERVICE.into(), kind: "SRV".into(), ttl: 1, data });
-        script.record.push(Record { name, kind: "A".into(), ttl: 300, data: ip });
+        script.record.push(Record {
+            name: SERVICE.into(),
+            kind: "SRV".into(),
+            ttl: 1,
+            data,
+        });
+        script.record.push(Record {
+            name,
+            kind: "A".into(),
+            ttl: 300,
+            data: ip,
+        });
     }
     script
 }
@@ -379,17 +455,27 @@
     let replicas: Vec<Replica> = (0..4).map(|_| Replica::start()).collect();
     let addrs: Vec<SocketAddr> = replicas.iter().map(|r| r.addr).collect();
     let (discovery, place) = Discovery::start();
-    let all: Vec<String> = addrs.iter().enumerate().map(|(n, a)| server(n, *a, "up")).collect();
+    let all: Vec<String> = addrs
+        .iter()
+        .enumerate()
+        .map(|(n, a)| server(n, *a, "up"))
+        .collect();
     discovery.set(format!("[{}]", all.join(",")));
     let (small, large) = (Script::service(SERVICE, 1, &addrs), many(0, 0, addrs[0]));
     // The large zone's servers are not there: the list's are, and only those may be asked.
     let (small_dns, large_dns) = (standin(small), standin(large));
     let small = operator(&small_dns, "[\"list\", \"srv\"]", "1s");
-    let large = operator(&large_dns, "[\"list\", \"srv\"]", "1s").replacen("hold", "standby = true\nhold", 1);
+    let large = operator(&large_dns, "[\"list\", \"srv\"]", "1s").replacen(
+        "hold",
+        "standby = true\nhold",
+        1,
+    );
     for _ in 0..2 {
-        for (what, text) in
-            [("list", None), ("list and 4 records", Some(&small)), ("list and 2,000", Some(&large))]
-        {
+        for (what, text) in [
+            ("list", None),
+            ("list and 4 records", Some(&small)),
+            ("list and 2,000", Some(&large)),
+        ] {
             let node = Node::start(place, text.cloned());
             thread::sleep(Duration::from_secs(3));
             let clients = Clients::start(node.addr, 4, Duration::from_millis(2));
--- a/benches/streams.rs
+++ b/benches/streams.rs
@@ -12,9 +12,15 @@
 use support::Node;
 
 fn main() {
-    let parts: Vec<String> = std::env::args().skip(1).filter(|a| !a.starts_with('-')).collect();
+    let parts: Vec<String> = std::env::args()
+        .skip(1)
+        .filter(|a| !a.starts_with('-'))
+        .collect();
     let wanted = |name: &str| parts.is_empty() || parts.iter().any(|p| p == name);
-    println!("machine: {} cores", std::thread::available_parallelism().map_or(0, usize::from));
+    println!(
+        "machine: {} cores",
+        std::thread::available_parallelism().map_or(0, usize::from)
+    );
     if wanted("seen") {
         seen();
     }
@@ -37,19 +43,46 @@
 }
 
 fn script(rules: Vec<Rule>) -> Script {
-    Script { first_ms: 5, gap_ms: 20, tokens: 12, rule: rules }
+    Script {
+        first_ms: 5,
+        gap_ms: 20,
+        tokens: 12,
+        rule: rules,
+    }
 }
 
 fn rule(every: u64, continued: Option<bool>, fault: Fault) -> Rule {
-    Rule { prompt: None, continued, every, once: false, most: None, fault }
+    Rule {
+        prompt: None,
+        continued,
+        every,
+        once: false,
+        most: None,
+        fault,
+    }
 }
 
 /// 200 streams over three servers, one of which cuts or silences every stream of its own; platform's settings.
 fn seen() {
     let faults = [
-        ("cuts after 6 of 12 events", Fault::CutBytes { after: 1000, reset: false }),
-        ("is silent for 3 s in every stream", Fault::Stall { after: 6, ms: 3050 }),
-        ("is silent for 20 s in every stream", Fault::Stall { after: 6, ms: 20_000 }),
+        (
+            "cuts after 6 of 12 events",
+            Fault::CutBytes {
+                after: 1000,
+                reset: false,
+            },
+        ),
+        (
+            "is silent for 3 s in every stream",
+            Fault::Stall { after: 6, ms: 3050 },
+        ),
+        (
+            "is silent for 20 s in every stream",
+            Fault::Stall {
+                after: 6,
+                ms: 20_000,
+            },
+        ),
     ];
     for (what, fault) in faults {
         let faulty = script(vec![rule(1, None, fault)]);
@@ -72,15 +105,37 @@
 fn recovery() {
     let faults = || {
         vec![
-            rule(40, Some(false), Fault::CutBytes { after: 1000, reset: true }),
-            rule(39, Some(false), Fault::Stall { after: 6, ms: 60_000 }),
+            rule(
+                40,
+                Some(false),
+                Fault::CutBytes {
+                    after: 1000,
+                    reset: true,
+                },
+            ),
+            rule(
+                39,
+                Some(false),
+                Fault::Stall {
+                    after: 6,
+                    ms: 60_000,
+                },
+            ),
         ]
     };
     let on = "[streams]\ncontinue = true\nshare = 0.2\n";
     for (what, operator) in [("off", ""), ("on", on)] {
-        let script = Script { gap_ms: 2, ..script(faults()) };
+        let script = Script {
+            gap_ms: 2,
+            ..script(faults())
+        };
         let servers = Standin::start(vec![script; 4]).unwrap();
-        let node = Node::start(&format!("recovery-{what}"), servers.addrs(), operator, "safe");
+        let node = Node::start(
+            &format!("recovery-{what}"),
+            servers.addrs(),
+            operator,
+            "safe",
+        );
         let times: Mutex<Vec<(Outcome, f64)>> = Mutex::new(Vec::new());
         let count = 10_000;
         let next = std::sync::atomic::AtomicUsize::new(0);
@@ -96,12 +151,18 @@
                     let (prompt, begun) = (format!("recovery {n}"), Instant::now());
                     let (id, mut stream) = support::ask(&node, &prompt, 12);
                     let one = support::read(id, &prompt, 12, &mut stream);
-                    times.lock().unwrap().push((one.outcome, begun.elapsed().as_secs_f64()));
+                    times
+                        .lock()
+                        .unwrap()
+                        .push((one.outcome, begun.elapsed().as_secs_f64()));
                     seen.push(one);
                 }
             };
             let threads: Vec<_> = (0..64).map(|_| scope.spawn(work)).collect();
-            threads.into_iter().flat_map(|t| t.join().unwrap()).collect()
+            threads
+                .into_iter()
+                .flat_map(|t| t.join().unwrap())
+                .collect()
         });
         let verdict = check(&seen, &servers.records());
         let times = times.into_inner().unwrap();
@@ -132,22 +193,42 @@
 fn detection() {
     let rules = [
         ("the rule", Limits::default()),
-        ("fixed 3 s", Limits { least: 3_000_000, most: 3_000_000, ..Limits::default() }),
-        ("fixed 4.6 s", Limits { least: 4_600_000, most: 4_600_000, ..Limits::default() }),
+        (
+            "fixed 3 s",
+            Limits {
+                least: 3_000_000,
+                most: 3_000_000,
+                ..Limits::default()
+            },
+        ),
+        (
+            "fixed 4.6 s",
+            Limits {
+                least: 4_600_000,
+                most: 4_600_000,
+                ..Limits::default()
+            },
+        ),
     ];
     // Of a slow replica's streams of 100 gaps, so many long pauses of this many seconds.
-    for (what, chance, most) in
-        [("fast", 0.0, 0.0), ("slow, pauses to 3.5 s", 0.02, 3.5), ("slow, to 4.4 s", 0.02, 4.4)]
-    {
+    for (what, chance, most) in [
+        ("fast", 0.0, 0.0),
+        ("slow, pauses to 3.5 s", 0.02, 3.5),
+        ("slow, to 4.4 s", 0.02, 4.4),
+    ] {
         for (name, limits) in &rules {
-            let (mut rng, mut gaps, mut lost, mut found) = (Rand64::new(7), Gaps::default(), 0, Vec::new());
+            let (mut rng, mut gaps, mut lost, mut found) =
+                (Rand64::new(7), Gaps::default(), 0, Vec::new());
             let streams = 2000;
             for _ in 0..streams {
                 let limit = gaps.limit(None, limits);
                 for _ in 0..100 {
                     let pause = rng.rand_float() < chance;
-                    let gap =
-                        if pause { 0.5 + (most - 0.5) * rng.rand_float() } else { 0.08 * rng.rand_float() };
+                    let gap = if pause {
+                        0.5 + (most - 0.5) * rng.rand_float()
+                    } else {
+                        0.08 * rng.rand_float()
+                    };
                     let gap = (gap * 1e6) as u64;
                     if gap >= limit {
                         gaps.gave_up(limit);
@@ -177,7 +258,10 @@
             gaps.add(gap);
         }
     }
-    println!("cost: {:.0} ns an event for its gap", start.elapsed().as_nanos() as f64 / events as f64);
+    println!(
+        "cost: {:.0} ns an event for its gap",
+        start.elapsed().as_nanos() as f64 / events as f64
+    );
     let event = b"data: {\"id\":\"x\",\"choices\":[{\"index\":0,\"delta\":{\"content\":\"abc \"},\"finish_reason\":null}]}\n\n";
     let mut story = Story::default();
     let start = Instant::now();
--- a/crates/dns-standin/src/main.rs
+++ b/crates/dns-standin/src/main.rs
@@ -8,7 +8,11 @@
 use std::time::Duration;
 
 #[derive(Parser)]
-#[command(name = "poppykeel-dns-standin", version, about = "A name server on loopback that lies by a script")]
+#[command(
+    name = "poppykeel-dns-standin",
+    version,
+    about = "A name server on loopback that lies by a script"
+)]
 struct Cli {
     /// The script, as TOML: records and rules
     #[arg(long, value_name = "FILE")]
@@ -28,14 +32,21 @@
 
 fn run(cli: &Cli) -> Result<(), String> {
     let standin = Standin::start(cli.listen, read(&cli.script)?).map_err(|e| e.to_string())?;
-    println!("listening on {}; a line with a file's name reads another script", standin.addr());
+    println!(
+        "listening on {}; a line with a file's name reads another script",
+        standin.addr()
+    );
     let span = Duration::from_secs(cli.span);
     std::thread::spawn(move || {
         std::thread::sleep(span);
         std::process::exit(0);
     });
     for line in std::io::stdin().lines().map_while(Result::ok) {
-        let path = if line.trim().is_empty() { cli.script.clone() } else { PathBuf::from(line.trim()) };
+        let path = if line.trim().is_empty() {
+            cli.script.clone()
+        } else {
+            PathBuf::from(line.trim())
+        };
         match read(&path) {
             Ok(script) => {
                 standin.set(script);
--- a/crates/dns-standin/src/script.rs
+++ b/crates/dns-standin/src/script.rs
@@ -109,27 +109,49 @@
     pub fn read(text: &str) -> Result<Script, String> {
         let script: Script = toml::from_str(text).map_err(|e| e.to_string())?;
         for record in &script.record {
-            record.data().map_err(|e| format!("record of {}: {e}", record.name))?;
+            record
+                .data()
+                .map_err(|e| format!("record of {}: {e}", record.name))?;
         }
         Ok(script)
     }
 
     /// A service with targets at these addresses, all named in one way, each record with this lifetime.
     pub fn service(name: &str, ttl: u32, servers: &[std::net::SocketAddr]) -> Script {
-        let mut script = Script { additional: true, chase: true, ..Script::default() };
+        let mut script = Script {
+            additional: true,
+            chase: true,
+            ..Script::default()
+        };
         for (n, addr) in servers.iter().enumerate() {
             let target = format!("s{n}.example.test");
             let data = format!("10 10 {} {target}", addr.port());
-            script.record.push(Record { name: name.into(), kind: "SRV".into(), ttl, data });
+            script.record.push(Record {
+                name: name.into(),
+                kind: "SRV".into(),
+                ttl,
+                data,
+            });
             let kind = if addr.is_ipv4() { "A" } else { "AAAA" };
-            script.record.push(Record { name: target, kind: kind.into(), ttl, data: addr.ip().to_string() });
+            script.record.push(Record {
+                name: target,
+                kind: kind.into(),
+                ttl,
+                data: addr.ip().to_string(),
+            });
         }
         script
     }
 
     /// The same with one more rule for all questions.
     pub fn lying(mut self, lie: Lie) -> Script {
-        self.rule.push(Rule { name: None, kind: None, from: 0, to: None, lie });
+        self.rule.push(Rule {
+            name: None,
+            kind: None,
+            from: 0,
+            to: None,
+            lie,
+        });
         self
     }
 }
@@ -145,20 +167,27 @@
                 let (Some(priority), Some(weight), Some(port)) = numbers else {
                     return Err(bad("PRIORITY WEIGHT PORT TARGET"));
                 };
-                let target = parts.next().ok_or_else(|| bad("PRIORITY WEIGHT PORT TARGET"))?;
+                let target = parts
+                    .next()
+                    .ok_or_else(|| bad("PRIORITY WEIGHT PORT TARGET"))?;
                 RData::SRV(SRV::new(priority, weight, port, name(target)?))
             }
             "A" => RData::A(A(self.data.parse().map_err(|_| bad("an IPv4 address"))?)),
             "AAAA" => RData::AAAA(AAAA(self.data.parse().map_err(|_| bad("an IPv6 address"))?)),
             "CNAME" => RData::CNAME(CNAME(name(&self.data)?)),
             "NS" => RData::NS(NS(name(&self.data)?)),
-            kind => return Err(format!("type: expected SRV, A, AAAA, CNAME or NS, not '{kind}'")),
+            kind => {
+                return Err(format!(
+                    "type: expected SRV, A, AAAA, CNAME or NS, not '{kind}'"
+                ))
+            }
         })
     }
 }
 
 pub(crate) fn name(text: &str) -> Result<Name, String> {
-    let mut name = Name::from_str(text).map_err(|e| format!("expected a name, not '{text}' ({e})"))?;
+    let mut name =
+        Name::from_str(text).map_err(|e| format!("expected a name, not '{text}' ({e})"))?;
     name.set_fqdn(true);
     Ok(name)
 }
--- a/crates/dns-standin/src/server.rs
+++ b/crates/dns-standin/src/server.rs
@@ -62,7 +62,12 @@
     /// A server that goes by this script.
     pub fn new(script: Script) -> Self {
         let (zone, fits, asked) = Default::default();
-        let mut server = Server { script: Script::default(), zone, fits, asked };
+        let mut server = Server {
+            script: Script::default(),
+            zone,
+            fits,
+            asked,
+        };
         server.set(script);
         server
     }
@@ -82,11 +87,18 @@
 
     /// What is replied to these bytes.
     pub fn answer(&mut self, bytes: &[u8], over: Over) -> Vec<Reply> {
-        let Ok(question) = Message::from_vec(bytes) else { return Vec::new() };
-        let Some(query) = question.queries.first().cloned() else { return Vec::new() };
+        let Ok(question) = Message::from_vec(bytes) else {
+            return Vec::new();
+        };
+        let Some(query) = question.queries.first().cloned() else {
+            return Vec::new();
+        };
         let text = query.name().to_lowercase().to_ascii();
         let kind = query.query_type();
-        *self.asked.entry(format!("{} {kind}", text.trim_end_matches('.'))).or_default() += 1;
+        *self
+            .asked
+            .entry(format!("{} {kind}", text.trim_end_matches('.')))
+            .or_default() += 1;
         let lies = self.lies(text.trim_end_matches('.'), &kind.to_string());
         let has = |lie: &Lie| lies.contains(lie);
         if has(&Lie::Silent) {
@@ -100,7 +112,11 @@
             distort(&mut message, lie, over);
         }
         let most = match over {
-            Over::Udp => question.edns.as_ref().map_or(SMALL, |e| usize::from(e.max_payload())).max(SMALL),
+            Over::Udp => question
+                .edns
+                .as_ref()
+                .map_or(SMALL, |e| usize::from(e.max_payload()))
+                .max(SMALL),
             Over::Tcp => usize::from(u16::MAX),
         };
         let mut out = message.to_vec().unwrap_or_default();
@@ -115,14 +131,24 @@
             out.extend_from_slice(&[0xff; 9]);
         }
         let half = (has(&Lie::HalfTcp) && over == Over::Tcp).then_some(2 + out.len() / 2);
-        let late = lies.iter().find_map(|l| if let Lie::Late(ms) = l { Some(*ms) } else { None });
+        let late = lies.iter().find_map(|l| {
+            if let Lie::Late(ms) = l {
+                Some(*ms)
+            } else {
+                None
+            }
+        });
         let reply = Reply {
             after: Duration::from_millis(late.unwrap_or(0)),
             bytes: out,
             other_port: has(&Lie::OtherPort),
             drip: has(&Lie::Drip),
             cut: half,
-            then: if half.is_some() { Then::Silence } else { Then::Stay },
+            then: if half.is_some() {
+                Then::Silence
+            } else {
+                Then::Stay
+            },
         };
         let times = if has(&Lie::Twice) { 2 } else { 1 };
         vec![reply; times]
@@ -131,7 +157,8 @@
     fn lies(&mut self, text: &str, kind: &str) -> Vec<Lie> {
         let fits = |rule: &Rule| {
             let same = |own: &Option<String>, other: &str| {
-                own.as_deref().is_none_or(|o| o.trim_end_matches('.').eq_ignore_ascii_case(other))
+                own.as_deref()
+                    .is_none_or(|o| o.trim_end_matches('.').eq_ignore_ascii_case(other))
             };
             same(&rule.name, text) && same(&rule.kind, kind)
         };
@@ -158,7 +185,9 @@
                 message.add_answers(records.into_iter().filter(|r| kind(&r)));
                 break;
             }
-            let alias = records.into_iter().find(|r| r.data.record_type() == RecordType::CNAME);
+            let alias = records
+                .into_iter()
+                .find(|r| r.data.record_type() == RecordType::CNAME);
             let Some(alias) = alias else { break };
             if let RData::CNAME(CNAME(to)) = &alias.data {
                 owner = to.to_lowercase();
@@ -168,7 +197,10 @@
                 break;
             }
         }
-        let found = message.answers.iter().any(|r| r.data.record_type() == query.query_type());
+        let found = message
+            .answers
+            .iter()
+            .any(|r| r.data.record_type() == query.query_type());
         if !found && (message.answers.is_empty() || self.script.chase) {
             if !exists {
                 message.metadata.response_code = ResponseCode::NXDomain;
@@ -183,7 +215,9 @@
             for to in targets {
                 let addrs = self.records(&to.to_lowercase());
                 message.add_additionals(
-                    addrs.filter(|r| matches!(r.data.record_type(), RecordType::A | RecordType::AAAA)),
+                    addrs.filter(|r| {
+                        matches!(r.data.record_type(), RecordType::A | RecordType::AAAA)
+                    }),
                 );
             }
         }
@@ -217,13 +251,19 @@
             bare(message);
         }
         Lie::OtherQuestion => {
-            if let (Some(query), Ok(other)) = (message.queries.first_mut(), name("other.example.test")) {
+            if let (Some(query), Ok(other)) =
+                (message.queries.first_mut(), name("other.example.test"))
+            {
                 query.set_name(other);
             }
         }
         Lie::WrongId => message.metadata.id = message.metadata.id.wrapping_add(1),
         Lie::Ttl(ttl) => {
-            message.answers.iter_mut().chain(&mut message.additionals).for_each(|r| r.ttl = *ttl);
+            message
+                .answers
+                .iter_mut()
+                .chain(&mut message.additionals)
+                .for_each(|r| r.ttl = *ttl);
         }
         Lie::Empty => bare(message),
         Lie::NxDomain => {
@@ -236,7 +276,9 @@
         }
         Lie::Loop => {
             bare(message);
-            let (Some(own), Ok(other)) = (message.queries.first().cloned(), name("loop.example.test")) else {
+            let (Some(own), Ok(other)) =
+                (message.queries.first().cloned(), name("loop.example.test"))
+            else {
                 return;
             };
             let own = own.name().clone();
--- a/crates/dns-standin/src/sockets.rs
+++ b/crates/dns-standin/src/sockets.rs
@@ -31,7 +31,9 @@
     /// Listens on a loopback address; port 0 takes a free one.
     pub fn start(listen: SocketAddr, script: Script) -> Result<Standin, Error> {
         if !listen.ip().is_loopback() {
-            return Err(Error::other("a stand-in listens on loopback addresses only"));
+            return Err(Error::other(
+                "a stand-in listens on loopback addresses only",
+            ));
         }
         let listener = TcpListener::bind(listen)?;
         let addr = listener.local_addr()?;
@@ -40,7 +42,11 @@
         listener.set_nonblocking(true)?;
         let server = Mutex::new(Server::new(script));
         let (ended, threads) = (AtomicBool::new(false), AtomicUsize::new(0));
-        let shared = Arc::new(Shared { server, ended, threads });
+        let shared = Arc::new(Shared {
+            server,
+            ended,
+            threads,
+        });
         let (udp, tcp) = (shared.clone(), shared.clone());
         thread::spawn(move || datagrams(&udp, &socket));
         thread::spawn(move || connections(&tcp, &listener));
@@ -93,10 +99,14 @@
 fn datagrams(shared: &Arc<Shared>, socket: &UdpSocket) {
     let mut held = [0; 4096];
     while !shared.ended() {
-        let Ok((size, from)) = socket.recv_from(&mut held) else { continue };
+        let Ok((size, from)) = socket.recv_from(&mut held) else {
+            continue;
+        };
         let replies = shared.server().answer(&held[..size], Over::Udp);
         for reply in replies {
-            let Ok(own) = socket.try_clone() else { continue };
+            let Ok(own) = socket.try_clone() else {
+                continue;
+            };
             let send = move |reply: &Reply| {
                 if reply.other_port {
                     let other = UdpSocket::bind(SocketAddr::new(from.ip(), 0));
@@ -137,7 +147,12 @@
         match stream.read(&mut piece) {
             Ok(0) => return Ok(()),
             Ok(size) => held.extend_from_slice(&piece[..size]),
-            Err(e) if matches!(e.kind(), std::io::ErrorKind::WouldBlock | std::io::ErrorKind::TimedOut) => {
+            Err(e)
+                if matches!(
+                    e.kind(),
+                    std::io::ErrorKind::WouldBlock | std::io::ErrorKind::TimedOut
+                ) =>
+            {
                 continue
             }
             Err(e) => return Err(e),
--- a/crates/dns/src/cache.rs
+++ b/crates/dns/src/cache.rs
@@ -78,26 +78,53 @@
         if let (Question::Srv(_), Meaning::Records(records)) = (question, &meaning) {
             self.additional(now, answer, records, lifetimes);
         }
-        self.kept.insert(question.clone(), Kept { meaning, until: now.saturating_add(span) });
+        self.kept.insert(
+            question.clone(),
+            Kept {
+                meaning,
+                until: now.saturating_add(span),
+            },
+        );
         Ok(())
     }
 
     /// Addresses in the additional section are taken where they are those of a target in this very answer, and
     /// where nothing fresh is known that was asked for (RFC 2181, section 5.4.1).
-    fn additional(&mut self, now: Micros, answer: &Answer, records: &[Data], lifetimes: &Lifetimes) {
-        if !answer.additionals.iter().any(|r| matches!(r.data, Data::Addr(_))) {
+    fn additional(
+        &mut self,
+        now: Micros,
+        answer: &Answer,
+        records: &[Data],
+        lifetimes: &Lifetimes,
+    ) {
+        if !answer
+            .additionals
+            .iter()
+            .any(|r| matches!(r.data, Data::Addr(_)))
+        {
             return;
         }
         let mut sets: BTreeMap<Question, (Vec<Data>, u32)> = BTreeMap::new();
         for target in records {
-            let Data::Srv { target, .. } = target else { continue };
+            let Data::Srv { target, .. } = target else {
+                continue;
+            };
             for family in [Family::V4, Family::V6] {
-                sets.insert(Question::Addr(target.clone(), family), (Vec::new(), u32::MAX));
+                sets.insert(
+                    Question::Addr(target.clone(), family),
+                    (Vec::new(), u32::MAX),
+                );
             }
         }
         for record in &answer.additionals {
-            let Data::Addr(addr) = record.data else { continue };
-            let family = if addr.is_ipv4() { Family::V4 } else { Family::V6 };
+            let Data::Addr(addr) = record.data else {
+                continue;
+            };
+            let family = if addr.is_ipv4() {
+                Family::V4
+            } else {
+                Family::V6
+            };
             if let Some(set) = sets.get_mut(&Question::Addr(record.owner.clone(), family)) {
                 set.0.push(record.data.clone());
                 set.1 = set.1.min(record.ttl);
@@ -106,7 +133,13 @@
         for (question, (records, ttl)) in sets {
             if !records.is_empty() && self.fresh(&question, now).is_none() {
                 let until = now.saturating_add(lifetimes.of(ttl));
-                self.kept.insert(question, Kept { meaning: Meaning::Records(records), until });
+                self.kept.insert(
+                    question,
+                    Kept {
+                        meaning: Meaning::Records(records),
+                        until,
+                    },
+                );
             }
         }
     }
@@ -120,7 +153,10 @@
         let wanted: Vec<_> = own.clone().filter(|r| question.wants(&r.data)).collect();
         if !wanted.is_empty() {
             let ttl = wanted.iter().map(|r| r.ttl).fold(ttl, u32::min);
-            return Ok((Meaning::Records(wanted.into_iter().map(|r| r.data.clone()).collect()), ttl));
+            return Ok((
+                Meaning::Records(wanted.into_iter().map(|r| r.data.clone()).collect()),
+                ttl,
+            ));
         }
         let alias = own.clone().find_map(|r| match &r.data {
             Data::Alias(to) => Some((to.clone(), r.ttl)),
@@ -133,7 +169,10 @@
             return Err(format!("{name}: its aliases go round in a circle"));
         }
         if seen.len() > MOST_ALIASES {
-            return Err(format!("{}: more than {MOST_ALIASES} aliases", question.name()));
+            return Err(format!(
+                "{}: more than {MOST_ALIASES} aliases",
+                question.name()
+            ));
         }
     }
     let minimum = answer.authorities.iter().find_map(|r| match r.data {
@@ -141,15 +180,25 @@
         _ => None,
     });
     if answer.code == code::NX_DOMAIN {
-        return Ok((Meaning::Nothing("there is no such name"), ttl.min(minimum.unwrap_or(0))));
+        return Ok((
+            Meaning::Nothing("there is no such name"),
+            ttl.min(minimum.unwrap_or(0)),
+        ));
     }
     if !seen.is_empty() && minimum.is_none() {
         return Ok((Meaning::Alias(name), ttl));
     }
-    Ok((Meaning::Nothing("the name has no such records"), ttl.min(minimum.unwrap_or(0))))
+    Ok((
+        Meaning::Nothing("the name has no such records"),
+        ttl.min(minimum.unwrap_or(0)),
+    ))
 }
 
 /// Whether a name is a zone's own or below it.
 fn inside(name: &str, zone: &str) -> bool {
-    zone.is_empty() || name == zone || name.strip_suffix(zone).is_some_and(|rest| rest.ends_with('.'))
+    zone.is_empty()
+        || name == zone
+        || name
+            .strip_suffix(zone)
+            .is_some_and(|rest| rest.ends_with('.'))
 }
--- a/crates/dns/src/config.rs
+++ b/crates/dns/src/config.rs
@@ -73,6 +73,10 @@
 
 impl Default for Lifetimes {
     fn default() -> Self {
-        Lifetimes { floor: 1_000_000, ceiling: 300_000_000, negative: 30_000_000 }
+        Lifetimes {
+            floor: 1_000_000,
+            ceiling: 300_000_000,
+            negative: 30_000_000,
+        }
     }
 }
--- a/crates/dns/src/driver.rs
+++ b/crates/dns/src/driver.rs
@@ -142,7 +142,12 @@
     let mut held = vec![0; PIECE];
     loop {
         let size = socket.read(&mut held).await?;
-        if size == 0 || tell.send(Heard::Bytes(key, held[..size].to_vec())).await.is_err() {
+        if size == 0
+            || tell
+                .send(Heard::Bytes(key, held[..size].to_vec()))
+                .await
+                .is_err()
+        {
             return Ok(());
         }
     }
--- a/crates/dns/src/exchange.rs
+++ b/crates/dns/src/exchange.rs
@@ -104,7 +104,14 @@
         means: &mut Means<'_, R>,
     ) -> Self {
         let (tries, why) = (Vec::new(), String::new());
-        let mut exchange = Exchange { question, tries, made: 0, due: now, first, why };
+        let mut exchange = Exchange {
+            question,
+            tries,
+            made: 0,
+            due: now,
+            first,
+            why,
+        };
         exchange.next(now, means);
         exchange
     }
@@ -138,9 +145,22 @@
     ) {
         let (key, id) = (means.key(), means.rng.random::<u16>());
         let payload = edns.then_some(means.config.payload);
-        means.out.push(Asked::Udp(key, server, message::write(id, &self.question, payload)));
+        means.out.push(Asked::Udp(
+            key,
+            server,
+            message::write(id, &self.question, payload),
+        ));
         means.counts.udp += 1;
-        self.open(Try { key, server, id, tcp: None, edns }, means);
+        self.open(
+            Try {
+                key,
+                server,
+                id,
+                tcp: None,
+                edns,
+            },
+            means,
+        );
         let limit = means.config.timeout.saturating_mul(1 << round.min(6));
         self.due = now.saturating_add(jitter(limit, means.rng));
     }
@@ -152,7 +172,16 @@
         framed.extend_from_slice(&bytes);
         means.out.push(Asked::Tcp(key, server, framed));
         means.counts.tcp += 1;
-        self.open(Try { key, server, id, tcp: Some(Vec::new()), edns: true }, means);
+        self.open(
+            Try {
+                key,
+                server,
+                id,
+                tcp: Some(Vec::new()),
+                edns: true,
+            },
+            means,
+        );
         // Connecting, asking and a long answer: more than one datagram each way.
         let limit = means.config.timeout.saturating_mul(4);
         self.due = now.saturating_add(jitter(limit, means.rng));
@@ -166,7 +195,9 @@
     }
 
     fn end<R>(&mut self, ends: Ends, means: &mut Means<'_, R>) -> Ends {
-        means.out.extend(self.tries.drain(..).map(|t| Asked::Close(t.key)));
+        means
+            .out
+            .extend(self.tries.drain(..).map(|t| Asked::Close(t.key)));
         ends
     }
 
@@ -177,7 +208,11 @@
         }
         means.counts.late += 1;
         if let Some(last) = self.tries.last() {
-            let how = if last.tcp.is_some() { "over TCP" } else { "over UDP" };
+            let how = if last.tcp.is_some() {
+                "over TCP"
+            } else {
+                "over UDP"
+            };
             self.why = format!("{}: no answer in time {how}", last.server);
         }
         self.next(now, means)
@@ -192,7 +227,10 @@
         bytes: &[u8],
         means: &mut Means<'_, R>,
     ) -> Option<Ends> {
-        let found = self.tries.iter().position(|t| t.key == key && t.tcp.is_none())?;
+        let found = self
+            .tries
+            .iter()
+            .position(|t| t.key == key && t.tcp.is_none())?;
         if self.tries[found].server != from {
             means.counts.strange += 1;
             return None;
@@ -259,8 +297,11 @@
         bytes: &[u8],
         means: &mut Means<'_, R>,
     ) -> Option<Ends> {
-        let (id, server, tcp) =
-            (self.tries[found].id, self.tries[found].server, self.tries[found].tcp.is_some());
+        let (id, server, tcp) = (
+            self.tries[found].id,
+            self.tries[found].server,
+            self.tries[found].tcp.is_some(),
+        );
         let answer = match message::read(bytes) {
             Ok(answer) => answer,
             Err(e) => {
@@ -275,12 +316,19 @@
             }
         };
         // A truncated or refusing answer may lack the question; one with another question is not ours.
-        let other = answer.question.as_ref().is_some_and(|q| *q != self.question);
+        let other = answer
+            .question
+            .as_ref()
+            .is_some_and(|q| *q != self.question);
         let lacking = answer.question.is_none() && answer.code == code::NO_ERROR;
         if answer.id != id || other || (lacking && !answer.truncated) {
             means.counts.strange += 1;
             // Over TCP nobody else can speak: the server is out of step.
-            return if tcp { self.fail(now, found, "answer to another question", means) } else { None };
+            return if tcp {
+                self.fail(now, found, "answer to another question", means)
+            } else {
+                None
+            };
         }
         if answer.truncated {
             means.counts.truncated += 1;
--- a/crates/dns/src/lookup.rs
+++ b/crates/dns/src/lookup.rs
@@ -82,14 +82,22 @@
                 (None, Some(why), None) => return Way::Failed(why.clone()),
             };
             until = until.min(kept.until);
-            let Meaning::Alias(to) = &kept.meaning else { return Way::Kept(kept, until, stale) };
+            let Meaning::Alias(to) = &kept.meaning else {
+                return Way::Kept(kept, until, stale);
+            };
             let next = question.of(to.clone());
             seen.push(std::mem::replace(&mut question, next));
             if seen.contains(&question) {
-                return Way::Failed(format!("{}: its aliases go round in a circle", question.name()));
+                return Way::Failed(format!(
+                    "{}: its aliases go round in a circle",
+                    question.name()
+                ));
             }
             if seen.len() > MOST_ALIASES {
-                return Way::Failed(format!("{}: more than {MOST_ALIASES} aliases", seen[0].name()));
+                return Way::Failed(format!(
+                    "{}: more than {MOST_ALIASES} aliases",
+                    seen[0].name()
+                ));
             }
         }
     }
@@ -102,7 +110,12 @@
     now: Micros,
     failed: &BTreeMap<Question, String>,
 ) -> Survey {
-    let mut walk = Walk { cache, now, failed, used: Vec::new() };
+    let mut walk = Walk {
+        cache,
+        now,
+        failed,
+        used: Vec::new(),
+    };
     let (kept, until, old) = match walk.follow(service.clone()) {
         Way::Kept(kept, until, stale) => (kept, until, stale),
         Way::Ask(question) => return Survey::Needs(vec![question]),
@@ -112,7 +125,10 @@
         // What was listed stands, but it has not been said again.
         return Survey::Failed(failed.values().next().cloned().unwrap_or_default());
     }
-    let mut found = Found { expires: until, ..Found::default() };
+    let mut found = Found {
+        expires: until,
+        ..Found::default()
+    };
     let records = match &kept.meaning {
         Meaning::Records(records) => &records[..],
         Meaning::Nothing(why) => {
@@ -123,8 +139,17 @@
     };
     let mut targets: BTreeMap<&str, Vec<(u16, u16, u16)>> = BTreeMap::new();
     for record in records {
-        if let Data::Srv { priority, weight, port, target } = record {
-            targets.entry(target).or_default().push((*priority, *weight, *port));
+        if let Data::Srv {
+            priority,
+            weight,
+            port,
+            target,
+        } = record
+        {
+            targets
+                .entry(target)
+                .or_default()
+                .push((*priority, *weight, *port));
         }
     }
     if targets.remove("").is_some() && targets.is_empty() {
@@ -149,14 +174,24 @@
                 let expires = until.min(addr_until);
                 found.expires = found.expires.min(addr_until);
                 if stale {
-                    let why = "its addresses cannot be asked anew; the last ones are used".to_string();
+                    let why =
+                        "its addresses cannot be asked anew; the last ones are used".to_string();
                     found.unresolved.push((target.to_string(), why));
                 }
-                let Meaning::Records(addrs) = &kept.meaning else { continue };
+                let Meaning::Records(addrs) = &kept.meaning else {
+                    continue;
+                };
                 for addr in addrs.iter().filter_map(ip) {
                     for (priority, weight, port) in places.iter().copied() {
                         let (addr, target) = (SocketAddr::new(addr, port), target.to_string());
-                        found.endpoints.push(Endpoint { target, addr, priority, weight, expires, stale });
+                        found.endpoints.push(Endpoint {
+                            target,
+                            addr,
+                            priority,
+                            weight,
+                            expires,
+                            stale,
+                        });
                     }
                 }
             }
@@ -169,7 +204,9 @@
         return Survey::Needs(needs);
     }
     found.endpoints.sort();
-    found.endpoints.dedup_by(|a, b| (&a.target, a.addr) == (&b.target, b.addr));
+    found
+        .endpoints
+        .dedup_by(|a, b| (&a.target, a.addr) == (&b.target, b.addr));
     Survey::Complete(found, walk.used)
 }
 
--- a/crates/dns/src/message.rs
+++ b/crates/dns/src/message.rs
@@ -119,7 +119,10 @@
     /// for a stub, which asks servers that do that themselves.
     pub fn refers(&self) -> bool {
         let has = |data: &Data| self.authorities.iter().any(|r| r.data == *data);
-        let denied = self.authorities.iter().any(|r| matches!(r.data, Data::Minimum(_)));
+        let denied = self
+            .authorities
+            .iter()
+            .any(|r| matches!(r.data, Data::Minimum(_)));
         self.code == code::NO_ERROR && self.answers.is_empty() && !denied && has(&Data::Others)
     }
 }
@@ -163,7 +166,9 @@
 
 /// The bytes of a question. `payload` is the size that is announced by EDNS (RFC 6891); none sends none.
 pub(crate) fn write(id: u16, question: &Question, payload: Option<u16>) -> Vec<u8> {
-    let Ok(name) = name(question.name()) else { return Vec::new() };
+    let Ok(name) = name(question.name()) else {
+        return Vec::new();
+    };
     let mut message = Message::new(id, MessageType::Query, OpCode::Query);
     message.metadata.recursion_desired = true;
     message.add_query(Query::query(name, question.kind()));
@@ -193,7 +198,8 @@
         }
         _ => None,
     };
-    let section = |records: &[hickory_proto::rr::Record]| records.iter().filter_map(record).collect();
+    let section =
+        |records: &[hickory_proto::rr::Record]| records.iter().filter_map(record).collect();
     Ok(Answer {
         id: message.metadata.id,
         question,
@@ -228,5 +234,9 @@
         _ => return None,
     };
     let ttl = if record.ttl > MOST_TTL { 0 } else { record.ttl };
-    Some(Record { owner: plain(&record.name), ttl, data })
+    Some(Record {
+        owner: plain(&record.name),
+        ttl,
+        data,
+    })
 }
--- a/crates/dns/src/resolver.rs
+++ b/crates/dns/src/resolver.rs
@@ -133,8 +133,12 @@
             (self.passing, self.surveys) = (true, 0);
             self.failed.clear();
         }
-        let due: Vec<Question> =
-            self.exchanges.iter().filter(|(_, e)| e.due <= now).map(|(q, _)| q.clone()).collect();
+        let due: Vec<Question> = self
+            .exchanges
+            .iter()
+            .filter(|(_, e)| e.due <= now)
+            .map(|(q, _)| q.clone())
+            .collect();
         for question in due {
             self.with(now, &question, |exchange, means| exchange.turn(now, means));
         }
@@ -144,7 +148,9 @@
     /// A datagram has come on this socket, from there.
     pub fn datagram(&mut self, now: Micros, key: Key, from: SocketAddr, bytes: &[u8]) {
         if let Some(question) = self.owner(key) {
-            self.with(now, &question, |exchange, means| exchange.datagram(now, key, from, bytes, means));
+            self.with(now, &question, |exchange, means| {
+                exchange.datagram(now, key, from, bytes, means)
+            });
             self.go_on(now);
         }
     }
@@ -152,7 +158,9 @@
     /// Bytes of this connection.
     pub fn bytes(&mut self, now: Micros, key: Key, bytes: &[u8]) {
         if let Some(question) = self.owner(key) {
-            self.with(now, &question, |exchange, means| exchange.bytes(now, key, bytes, means));
+            self.with(now, &question, |exchange, means| {
+                exchange.bytes(now, key, bytes, means)
+            });
             self.go_on(now);
         }
     }
@@ -160,13 +168,18 @@
     /// This socket or connection has failed or ended.
     pub fn closed(&mut self, now: Micros, key: Key, why: &str) {
         if let Some(question) = self.owner(key) {
-            self.with(now, &question, |exchange, means| exchange.closed(now, key, why, means));
+            self.with(now, &question, |exchange, means| {
+                exchange.closed(now, key, why, means)
+            });
             self.go_on(now);
         }
     }
 
     fn owner(&self, key: Key) -> Option<Question> {
-        self.exchanges.iter().find(|(_, e)| e.owns(key)).map(|(q, _)| q.clone())
+        self.exchanges
+            .iter()
+            .find(|(_, e)| e.owns(key))
+            .map(|(q, _)| q.clone())
     }
 
     /// Lets one exchange act, and takes its end over.
@@ -176,7 +189,9 @@
         question: &Question,
         act: impl FnOnce(&mut Exchange, &mut Means<'_, StdRng>) -> Option<Ends>,
     ) {
-        let Some(exchange) = self.exchanges.get_mut(question) else { return };
+        let Some(exchange) = self.exchanges.get_mut(question) else {
+            return;
+        };
         let mut out = Vec::new();
         let mut means = Means {
             config: &self.config,
@@ -191,7 +206,10 @@
         self.exchanges.remove(question);
         match ends {
             Ends::Answered(answer) => {
-                if let Err(why) = self.cache.take(now, question, &answer, &self.config.lifetimes) {
+                if let Err(why) = self
+                    .cache
+                    .take(now, question, &answer, &self.config.lifetimes)
+                {
                     self.failed.insert(question.clone(), why);
                 }
             }
@@ -206,7 +224,9 @@
     fn go_on(&mut self, now: Micros) {
         while self.passing {
             while self.exchanges.len() < self.config.most_questions {
-                let Some(question) = self.waiting.pop_front() else { break };
+                let Some(question) = self.waiting.pop_front() else {
+                    break;
+                };
                 let mut out = Vec::new();
                 let mut means = Means {
                     config: &self.config,
@@ -224,8 +244,12 @@
             }
             self.surveys += 1;
             match survey(&self.config, &self.service, &self.cache, now, &self.failed) {
-                Survey::Needs(questions) if self.surveys <= MOST_SURVEYS => self.waiting.extend(questions),
-                Survey::Needs(_) => self.fail(now, "the answers lead on without an end".to_string()),
+                Survey::Needs(questions) if self.surveys <= MOST_SURVEYS => {
+                    self.waiting.extend(questions)
+                }
+                Survey::Needs(_) => {
+                    self.fail(now, "the answers lead on without an end".to_string())
+                }
                 Survey::Failed(why) => self.fail(now, why),
                 Survey::Complete(found, used) => {
                     self.cache.retain(&used);
@@ -235,7 +259,11 @@
                         self.next = found.expires.max(now + 1);
                     } else {
                         let again = self.again(now);
-                        self.next = if found.expires > now { found.expires.min(again) } else { again };
+                        self.next = if found.expires > now {
+                            found.expires.min(again)
+                        } else {
+                            again
+                        };
                     }
                     self.events.push_back(Event::Listed(found));
                 }
@@ -244,7 +272,11 @@
     }
 
     fn again(&mut self, now: Micros) -> Micros {
-        let span = self.config.retry.saturating_mul(1 << self.failures.min(20)).min(self.config.retry_most);
+        let span = self
+            .config
+            .retry
+            .saturating_mul(1 << self.failures.min(20))
+            .min(self.config.retry_most);
         self.failures = self.failures.saturating_add(1);
         now.saturating_add(jitter(span, &mut self.rng).max(1))
     }
@@ -252,6 +284,9 @@
     fn fail(&mut self, now: Micros, why: String) {
         self.passing = false;
         self.next = self.again(now);
-        self.events.push_back(Event::Failed { why, again: self.next });
+        self.events.push_back(Event::Failed {
+            why,
+            again: self.next,
+        });
     }
 }
--- a/crates/dns/tests/resolver.rs
+++ b/crates/dns/tests/resolver.rs
@@ -39,7 +39,10 @@
 
 fn service(ttl: u32, count: u16) -> Script {
     let servers: Vec<SocketAddr> = (0..count).map(server).collect();
-    Script { minimum: Some(7), ..Script::service(SERVICE, ttl, &servers) }
+    Script {
+        minimum: Some(7),
+        ..Script::service(SERVICE, ttl, &servers)
+    }
 }
 
 impl Net {
@@ -49,10 +52,22 @@
     }
 
     fn with(config: Config, scripts: Vec<Script>) -> Net {
-        let servers = scripts.into_iter().enumerate().map(|(n, s)| (ns(n as u16), Server::new(s))).collect();
+        let servers = scripts
+            .into_iter()
+            .enumerate()
+            .map(|(n, s)| (ns(n as u16), Server::new(s)))
+            .collect();
         let resolver = Resolver::new(config, StdRng::seed_from_u64(7), 0).unwrap();
         let (coming, open, made, events) = Default::default();
-        Net { now: 0, servers, coming, open, made, resolver, events }
+        Net {
+            now: 0,
+            servers,
+            coming,
+            open,
+            made,
+            resolver,
+            events,
+        }
     }
 
     fn later(&mut self, after: Micros, comes: Comes) {
@@ -72,7 +87,9 @@
             };
             self.open.insert(key);
             assert!(self.open.len() <= 64 * 4, "sockets are bounded");
-            let Some(server) = self.servers.get_mut(&to) else { continue };
+            let Some(server) = self.servers.get_mut(&to) else {
+                continue;
+            };
             for reply in server.answer(&bytes, over) {
                 let after = SECOND / 1000 + reply.after.as_micros() as Micros;
                 if over == Over::Udp {
@@ -109,7 +126,9 @@
             self.now = self.now.max(next);
             match self.coming.first_key_value() {
                 Some((at, _)) if at.0 <= self.now => match self.coming.pop_first().unwrap().1 {
-                    Comes::Datagram(key, from, bytes) => self.resolver.datagram(self.now, key, from, &bytes),
+                    Comes::Datagram(key, from, bytes) => {
+                        self.resolver.datagram(self.now, key, from, &bytes)
+                    }
                     Comes::Bytes(key, bytes) => self.resolver.bytes(self.now, key, &bytes),
                     Comes::Closed(key) => self.resolver.closed(self.now, key, "closed"),
                 },
@@ -122,7 +141,13 @@
     fn lists(&self) -> Vec<(Micros, &Found)> {
         self.events
             .iter()
-            .filter_map(|(at, e)| if let Event::Listed(f) = e { Some((*at, f)) } else { None })
+            .filter_map(|(at, e)| {
+                if let Event::Listed(f) = e {
+                    Some((*at, f))
+                } else {
+                    None
+                }
+            })
             .collect()
     }
 
@@ -131,12 +156,19 @@
     }
 
     fn failures(&self) -> usize {
-        self.events.iter().filter(|(_, e)| matches!(e, Event::Failed { .. })).count()
+        self.events
+            .iter()
+            .filter(|(_, e)| matches!(e, Event::Failed { .. }))
+            .count()
     }
 }
 
 fn addrs(found: &Found) -> Vec<u16> {
-    found.endpoints.iter().map(|e| e.addr.port() - 8000).collect()
+    found
+        .endpoints
+        .iter()
+        .map(|e| e.addr.port() - 8000)
+        .collect()
 }
 
 #[test]
@@ -145,22 +177,44 @@
     net.run(95 * SECOND);
     assert_eq!(addrs(net.last()), [0, 1, 2]);
     let first = &net.last().endpoints[0];
-    assert_eq!((first.target.as_str(), first.priority, first.weight), ("s0.example.test", 10, 10));
+    assert_eq!(
+        (first.target.as_str(), first.priority, first.weight),
+        ("s0.example.test", 10, 10)
+    );
     let times: Vec<Micros> = net.lists().iter().map(|l| l.0 / SECOND).collect();
     assert_eq!(times, [0, 30, 60, 90]);
     // The addresses came along: nothing else was asked.
-    assert_eq!(net.servers[&ns(0)].asked.len(), 1, "{:?}", net.servers[&ns(0)].asked);
+    assert_eq!(
+        net.servers[&ns(0)].asked.len(),
+        1,
+        "{:?}",
+        net.servers[&ns(0)].asked
+    );
 }
 
 #[test]
 fn addresses_that_did_not_come_along_are_asked_for_and_the_second_family_only_without_the_first() {
-    let mut script = Script { additional: false, ..service(30, 2) };
-    script.record[3] = Record { kind: "AAAA".into(), data: "::1".into(), ..script.record[3].clone() };
+    let mut script = Script {
+        additional: false,
+        ..service(30, 2)
+    };
+    script.record[3] = Record {
+        kind: "AAAA".into(),
+        data: "::1".into(),
+        ..script.record[3].clone()
+    };
     let mut net = Net::new(vec![script]);
     net.run(SECOND);
-    let found: Vec<String> = net.last().endpoints.iter().map(|e| e.addr.to_string()).collect();
+    let found: Vec<String> = net
+        .last()
+        .endpoints
+        .iter()
+        .map(|e| e.addr.to_string())
+        .collect();
     assert_eq!(found, ["127.0.1.1:8000", "[::1]:8001"]);
-    assert!(!net.servers[&ns(0)].asked.contains_key("s0.example.test AAAA"));
+    assert!(!net.servers[&ns(0)]
+        .asked
+        .contains_key("s0.example.test AAAA"));
     // That there is no A record is believed no longer than the zone says.
     assert_eq!(net.last().expires / SECOND, 7);
 }
@@ -178,17 +232,30 @@
     let mut net = Net::new(vec![script]);
     net.run(SECOND);
     assert_eq!(addrs(net.last()), [0]);
-    assert!(net.last().endpoints.iter().all(|e| e.addr.ip().to_string() != "127.0.0.66"));
+    assert!(net
+        .last()
+        .endpoints
+        .iter()
+        .all(|e| e.addr.ip().to_string() != "127.0.0.66"));
 }
 
 #[test]
 fn lifetimes_are_the_least_of_the_chain_within_floor_and_ceiling() {
-    for (ttl, after) in [(0, 1), (u32::MAX, 1), (1 << 31, 1), (i32::MAX as u32, 300), (20, 20)] {
+    for (ttl, after) in [
+        (0, 1),
+        (u32::MAX, 1),
+        (1 << 31, 1),
+        (i32::MAX as u32, 300),
+        (20, 20),
+    ] {
         let mut net = Net::new(vec![service(9, 1).lying(Lie::Ttl(ttl))]);
         net.run(SECOND / 2);
         assert_eq!(net.last().expires / SECOND, after, "ttl {ttl}");
     }
-    let mut script = Script { additional: false, ..service(50, 1) };
+    let mut script = Script {
+        additional: false,
+        ..service(50, 1)
+    };
     let record = |name: &str, kind: &str, ttl, data: &str| Record {
         name: name.into(),
         kind: kind.into(),
@@ -196,9 +263,14 @@
         data: data.into(),
     };
     script.record[1] = record("s0.example.test", "CNAME", 40, "real.example.test");
-    script.record.push(record("real.example.test", "A", 60, "127.0.1.1"));
+    script
+        .record
+        .push(record("real.example.test", "A", 60, "127.0.1.1"));
     for chase in [true, false] {
-        let mut net = Net::new(vec![Script { chase, ..script.clone() }]);
+        let mut net = Net::new(vec![Script {
+            chase,
+            ..script.clone()
+        }]);
         net.run(SECOND);
         assert_eq!(addrs(net.last()), [0]);
         assert_eq!(net.last().expires / SECOND, 40, "chase {chase}");
@@ -258,7 +330,13 @@
 #[test]
 fn a_server_that_does_not_know_edns_is_asked_without() {
     let mut script = service(30, 2);
-    script.rule.push(Rule { name: None, kind: None, from: 0, to: Some(1), lie: Lie::Code(1) });
+    script.rule.push(Rule {
+        name: None,
+        kind: None,
+        from: 0,
+        to: Some(1),
+        lie: Lie::Code(1),
+    });
     let mut net = Net::new(vec![script]);
     net.run(SECOND / 10);
     assert_eq!(addrs(net.last()), [0, 1]);
@@ -268,7 +346,10 @@
 fn aliases_that_go_round_are_a_failure_and_not_an_empty_list() {
     let mut net = Net::new(vec![service(2, 2)]);
     net.run(SECOND);
-    net.servers.get_mut(&ns(0)).unwrap().set(service(2, 2).lying(Lie::Loop));
+    net.servers
+        .get_mut(&ns(0))
+        .unwrap()
+        .set(service(2, 2).lying(Lie::Loop));
     net.run(60 * SECOND);
     assert_eq!((net.lists().len(), addrs(net.last())), (1, vec![0, 1]));
     assert!(net.failures() > 2);
@@ -281,25 +362,46 @@
         net.run(SECOND);
         assert!(net.last().endpoints.is_empty() && net.last().nothing.is_some());
     }
-    let mut net = Net::new(vec![Script { minimum: Some(7), additional: true, ..Script::default() }]);
+    let mut net = Net::new(vec![Script {
+        minimum: Some(7),
+        additional: true,
+        ..Script::default()
+    }]);
     net.run(SECOND);
     assert_eq!(net.last().expires / SECOND, 7);
-    let none = Record { name: SERVICE.into(), kind: "SRV".into(), ttl: 30, data: "0 0 0 .".into() };
-    let mut net = Net::new(vec![Script { record: vec![none], ..Script::default() }]);
+    let none = Record {
+        name: SERVICE.into(),
+        kind: "SRV".into(),
+        ttl: 30,
+        data: "0 0 0 .".into(),
+    };
+    let mut net = Net::new(vec![Script {
+        record: vec![none],
+        ..Script::default()
+    }]);
     net.run(SECOND);
-    assert!(net.last().nothing.as_ref().is_some_and(|n| n.contains("\".\"")));
+    assert!(net
+        .last()
+        .nothing
+        .as_ref()
+        .is_some_and(|n| n.contains("\".\"")));
 }
 
 #[test]
 fn silent_for_an_hour_and_back_with_another_list() {
     let mut net = Net::new(vec![service(10, 2), service(10, 2)]);
     net.run(SECOND);
-    net.servers.values_mut().for_each(|s| s.set(service(10, 2).lying(Lie::Silent)));
+    net.servers
+        .values_mut()
+        .for_each(|s| s.set(service(10, 2).lying(Lie::Silent)));
     net.run(3600 * SECOND);
     assert_eq!(net.lists().len(), 1);
     let (asked, failures) = (net.resolver.counts().udp, net.failures() as u64);
     // It is asked on, but not hammered.
-    assert!((60..400).contains(&failures) && asked <= 4 * failures + 4, "{asked} {failures}");
+    assert!(
+        (60..400).contains(&failures) && asked <= 4 * failures + 4,
+        "{asked} {failures}"
+    );
     net.servers.values_mut().for_each(|s| s.set(service(10, 5)));
     net.run(3660 * SECOND);
     assert_eq!(addrs(net.last()), [0, 1, 2, 3, 4]);
@@ -307,11 +409,19 @@
 
 #[test]
 fn a_target_that_cannot_be_asked_for_keeps_its_last_address() {
-    let mut script = Script { additional: false, ..service(5, 3) };
+    let mut script = Script {
+        additional: false,
+        ..service(5, 3)
+    };
     let mut net = Net::new(vec![script.clone()]);
     net.run(SECOND);
-    let silent =
-        |name: &str| Rule { name: Some(name.into()), kind: None, from: 0, to: None, lie: Lie::Silent };
+    let silent = |name: &str| Rule {
+        name: Some(name.into()),
+        kind: None,
+        from: 0,
+        to: None,
+        lie: Lie::Silent,
+    };
     script.rule = vec![silent("s1.example.test")];
     net.servers.get_mut(&ns(0)).unwrap().set(script);
     net.run(100 * SECOND);
@@ -323,15 +433,36 @@
 #[test]
 fn two_thousand_records_come_whole_over_tcp() {
     // Short names, so that the answer fits into the 65,535 bytes of a message.
-    let mut script = Script { additional: false, ..Script::service("_s._t", 30, &[]) };
+    let mut script = Script {
+        additional: false,
+        ..Script::service("_s._t", 30, &[])
+    };
     for n in 0..2000_u16 {
-        let (name, addr) = (format!("{n}.t"), format!("127.1.{}.{}", n / 250, n % 250 + 1));
+        let (name, addr) = (
+            format!("{n}.t"),
+            format!("127.1.{}.{}", n / 250, n % 250 + 1),
+        );
         let data = format!("0 1 8000 {name}");
-        script.record.push(Record { name: "_s._t".into(), kind: "SRV".into(), ttl: 30, data });
-        script.record.push(Record { name, kind: "A".into(), ttl: 30, data: addr });
+        script.record.push(Record {
+            name: "_s._t".into(),
+            kind: "SRV".into(),
+            ttl: 30,
+            data,
+        });
+        script.record.push(Record {
+            name,
+            kind: "A".into(),
+            ttl: 30,
+            data: addr,
+        });
     }
-    let mut net =
-        Net::with(Config { families: vec![Family::V4], ..Config::new("_s._t", vec![ns(0)]) }, vec![script]);
+    let mut net = Net::with(
+        Config {
+            families: vec![Family::V4],
+            ..Config::new("_s._t", vec![ns(0)])
+        },
+        vec![script],
+    );
     net.run(5 * SECOND);
     assert_eq!(net.last().endpoints.len(), 2000);
 }
--- a/crates/fault-shim/src/lib.rs
+++ b/crates/fault-shim/src/lib.rs
@@ -25,9 +25,13 @@
     static LOADED: OnceLock<Plan> = OnceLock::new();
     let load = || {
         let text = std::env::var_os(PLAN).and_then(|path| std::fs::read_to_string(path).ok());
-        text.map_or_else(Plan::default, |text| Plan::read(&text).expect("the plan of faults reads"))
+        text.map_or_else(Plan::default, |text| {
+            Plan::read(&text).expect("the plan of faults reads")
+        })
     };
-    LOADED.get_or_init(load).draw(call, CALLS.fetch_add(1, Ordering::Relaxed))
+    LOADED
+        .get_or_init(load)
+        .draw(call, CALLS.fetch_add(1, Ordering::Relaxed))
 }
 
 /// The C library's own function.
@@ -84,7 +88,12 @@
 /// # Safety
 /// As recv(2).
 #[no_mangle]
-pub unsafe extern "C" fn recv(fd: c_int, buffer: *mut c_void, length: size_t, flags: c_int) -> ssize_t {
+pub unsafe extern "C" fn recv(
+    fd: c_int,
+    buffer: *mut c_void,
+    length: size_t,
+    flags: c_int,
+) -> ssize_t {
     static REAL: OnceLock<Recv> = OnceLock::new();
     let real = next(&REAL, c"recv");
     match fault(Call::Read) {
@@ -102,7 +111,12 @@
 /// # Safety
 /// As send(2).
 #[no_mangle]
-pub unsafe extern "C" fn send(fd: c_int, buffer: *const c_void, length: size_t, flags: c_int) -> ssize_t {
+pub unsafe extern "C" fn send(
+    fd: c_int,
+    buffer: *const c_void,
+    length: size_t,
+    flags: c_int,
+) -> ssize_t {
     static REAL: OnceLock<Send> = OnceLock::new();
     let real = next(&REAL, c"send");
     match fault(Call::Write) {
--- a/crates/fault-shim/src/plan.rs
+++ b/crates/fault-shim/src/plan.rs
@@ -94,12 +94,18 @@
 
     /// What becomes of the call with this number, if anything but success.
     pub fn draw(&self, call: Call, number: u64) -> Option<Fault> {
-        let mut rules = self.rule.iter().enumerate().filter(|(_, rule)| rule.call == call);
+        let mut rules = self
+            .rule
+            .iter()
+            .enumerate()
+            .filter(|(_, rule)| rule.call == call);
         let drawn = |place: usize, rule: &Rule| {
             let key = self.seed ^ number.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ (place as u64) << 56;
             mix(key).is_multiple_of(rule.one_in.max(1))
         };
-        rules.find(|(place, rule)| drawn(*place, rule)).map(|(_, rule)| rule.fault)
+        rules
+            .find(|(place, rule)| drawn(*place, rule))
+            .map(|(_, rule)| rule.fault)
     }
 }
 
--- a/crates/fleet/src/budget/divider.rs
+++ b/crates/fleet/src/budget/divider.rs
@@ -30,7 +30,9 @@
     /// What it may be spending of a budget: the most of what was given and may still hold.
     fn counted(&self, budget: &str, now: Micros) -> u64 {
         let live = self.given.iter().filter(|g| now < g.until);
-        live.map(|g| g.rates.get(budget).copied().unwrap_or(0)).max().unwrap_or(0)
+        live.map(|g| g.rates.get(budget).copied().unwrap_or(0))
+            .max()
+            .unwrap_or(0)
     }
 }
 
@@ -57,7 +59,15 @@
         now: Micros,
     ) -> Divider {
         let open_at = now.saturating_add(length);
-        Divider { epoch, shares: 0, length, drift, open_at, wholes, nodes: BTreeMap::new() }
+        Divider {
+            epoch,
+            shares: 0,
+            length,
+            drift,
+            open_at,
+            wholes,
+            nodes: BTreeMap::new(),
+        }
     }
 
     /// Its epoch.
@@ -72,7 +82,17 @@
 
     /// Answers a question.
     pub fn asked(&mut self, message: Message, now: Micros) -> Option<Message> {
-        let Message::Ask { who, epoch, number, have, rates, wants } = message else { return None };
+        let Message::Ask {
+            who,
+            epoch,
+            number,
+            have,
+            rates,
+            wants,
+        } = message
+        else {
+            return None;
+        };
         if epoch != self.epoch {
             // What a node says to have counts only if it says so to this epoch: then no divider before this one
             // can have given it to somebody else.
@@ -85,7 +105,9 @@
         let fresh = !self.nodes.contains_key(&who);
         let known = self.nodes.entry(who.clone()).or_default();
         (known.heard, known.wants) = (now, wants.into_iter().take(MOST_BUDGETS).collect());
-        let shown = have.filter(|have| have.0 == self.epoch).map_or(0, |have| have.1);
+        let shown = have
+            .filter(|have| have.0 == self.epoch)
+            .map_or(0, |have| have.1);
         known.given.retain(|g| now < g.until && g.share >= shown);
         if known.given.len() >= MOST_GIVEN {
             return None;
@@ -97,7 +119,10 @@
             let others: u64 = others.map(|(_, known)| known.counted(budget, now)).sum();
             let free = divided.saturating_sub(others);
             let own = self.nodes[&who].counted(budget, now);
-            let had = rates.get(budget).copied().filter(|_| have.is_some_and(|have| have.0 < self.epoch));
+            let had = rates
+                .get(budget)
+                .copied()
+                .filter(|_| have.is_some_and(|have| have.0 < self.epoch));
             let most = match (now < self.open_at, fresh) {
                 (false, _) => free,
                 // Of an earlier divider's shares only what a node has may go on.
@@ -107,7 +132,9 @@
             let wants: BTreeMap<&Holder, Want> = self
                 .nodes
                 .iter()
-                .map(|(holder, known)| (holder, known.wants.get(budget).copied().unwrap_or_default()))
+                .map(|(holder, known)| {
+                    (holder, known.wants.get(budget).copied().unwrap_or_default())
+                })
                 .collect();
             let target = divide(divided, &wants).get(&who).copied().unwrap_or(0);
             let steady = own > 0 && target.abs_diff(own) < own / DAMPING;
@@ -115,7 +142,11 @@
         }
         self.shares += 1;
         let until = now.saturating_add(self.length);
-        let given = Given { share: self.shares, until, rates: share.clone() };
+        let given = Given {
+            share: self.shares,
+            until,
+            rates: share.clone(),
+        };
         if let Some(known) = self.nodes.get_mut(&who) {
             known.given.push(given);
         }
@@ -132,7 +163,9 @@
     /// What is divided of a whole. Where more nodes speak than floors were planned for, theirs are taken out, too.
     fn divided(&self, whole: &Whole) -> u64 {
         let unplanned = (self.nodes.len() as u64).saturating_sub(u64::from(whole.most_nodes));
-        whole.divided(self.drift).saturating_sub(unplanned.saturating_mul(whole.floor))
+        whole
+            .divided(self.drift)
+            .saturating_sub(unplanned.saturating_mul(whole.floor))
     }
 
     fn forget(&mut self, now: Micros) {
@@ -152,10 +185,19 @@
                 .map(|(holder, known)| (holder.clone(), known.counted(budget, now)))
                 .collect();
             let (given, divided) = (nodes.iter().map(|n| n.1).sum(), self.divided(whole));
-            let ends = self.nodes.values().flat_map(|known| known.given.iter().map(|g| g.until));
+            let ends = self
+                .nodes
+                .values()
+                .flat_map(|known| known.given.iter().map(|g| g.until));
             let last = ends.max().unwrap_or(now).saturating_sub(now);
             let lowered_in = if given > divided { last } else { 0 };
-            Row { budget: budget.clone(), divided, given, lowered_in, nodes }
+            Row {
+                budget: budget.clone(),
+                divided,
+                given,
+                lowered_in,
+                nodes,
+            }
         };
         self.wholes.iter().map(row).collect()
     }
--- a/crates/fleet/src/budget/mod.rs
+++ b/crates/fleet/src/budget/mod.rs
@@ -59,7 +59,10 @@
     pub fn check(&self, drift: u32) -> Result<(), (&'static str, String)> {
         let nodes = u64::from(self.most_nodes);
         if self.floor.saturating_mul(nodes) > hold(self.rate, drift) {
-            return Err(("floor", format!("expected floors of {nodes} nodes to come to at most the whole")));
+            return Err((
+                "floor",
+                format!("expected floors of {nodes} nodes to come to at most the whole"),
+            ));
         }
         if self.floor_burst.saturating_mul(nodes) > self.burst {
             return Err((
@@ -72,7 +75,9 @@
 }
 
 /// What a node wants of a budget, and what that is worth.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
+)]
 pub struct Want {
     /// In thousandths of a unit a second.
     pub rate: u64,
--- a/crates/fleet/src/budget/party.rs
+++ b/crates/fleet/src/budget/party.rs
@@ -49,7 +49,14 @@
     pub fn new(me: Holder, settings: Settings) -> Party {
         let shares = Shares::new(me, settings.drift);
         let (counted, wants) = Default::default();
-        Party { settings, shares, divider: None, counted, counted_at: None, wants }
+        Party {
+            settings,
+            shares,
+            divider: None,
+            counted,
+            counted_at: None,
+            wants,
+        }
     }
 
     /// The time between two questions, in microseconds.
@@ -72,16 +79,28 @@
 
     /// What is wanted now: what was wanted since the last question, or half of what was before.
     fn count(&mut self, counted: BTreeMap<String, Count>, now: Micros) {
-        let span = self.counted_at.map_or(self.step(), |at| now.saturating_sub(at)).max(1);
+        let span = self
+            .counted_at
+            .map_or(self.step(), |at| now.saturating_sub(at))
+            .max(1);
         let wants = self.settings.wholes.keys().map(|name| {
             let count = counted.get(name).copied().unwrap_or_default();
             let before = self.counted.get(name).copied().unwrap_or_default();
             let units = count.units.saturating_sub(before.units);
             let rate = u128::from(units) * 1_000_000 / u128::from(span);
-            let last = self.wants.get(name).copied().unwrap_or(Want { rate: 0, worth: WORTH as u32 });
+            let last = self.wants.get(name).copied().unwrap_or(Want {
+                rate: 0,
+                worth: WORTH as u32,
+            });
             let worth = (count.worth - before.worth) / units.max(1) as f64 * 1e3;
-            let worth = if units > 0 { ((worth * WORTH) as u32).max(1) } else { last.worth };
-            let rate = u64::try_from(rate).unwrap_or(u64::MAX).max(last.rate.saturating_mul(MEMORY) / 100);
+            let worth = if units > 0 {
+                ((worth * WORTH) as u32).max(1)
+            } else {
+                last.worth
+            };
+            let rate = u64::try_from(rate)
+                .unwrap_or(u64::MAX)
+                .max(last.rate.saturating_mul(MEMORY) / 100);
             (name.clone(), Want { rate, worth })
         });
         self.wants = wants.collect();
@@ -89,26 +108,42 @@
     }
 
     /// The next question, each [`Party::step`]; `epoch` is that under which this process may divide, if it may.
-    pub fn ask(&mut self, counted: BTreeMap<String, Count>, epoch: Option<u64>, now: Micros) -> Message {
+    pub fn ask(
+        &mut self,
+        counted: BTreeMap<String, Count>,
+        epoch: Option<u64>,
+        now: Micros,
+    ) -> Message {
         self.take_charge(epoch, now);
         self.count(counted, now);
         self.shares.ask(self.wants.clone(), now)
     }
 
     /// Takes a message, and returns what goes back to whoever sent it.
-    pub fn receive(&mut self, message: Message, epoch: Option<u64>, now: Micros) -> Option<Message> {
+    pub fn receive(
+        &mut self,
+        message: Message,
+        epoch: Option<u64>,
+        now: Micros,
+    ) -> Option<Message> {
         if let Message::Ask { .. } = message {
             self.take_charge(epoch, now);
             // The look before the act: shares are given under the lease's epoch or not at all.
-            return self.divider.as_mut().and_then(|divider| divider.asked(message, now));
+            return self
+                .divider
+                .as_mut()
+                .and_then(|divider| divider.asked(message, now));
         }
-        self.shares.told(&message, now).then(|| self.shares.ask(self.wants.clone(), now))
+        self.shares
+            .told(&message, now)
+            .then(|| self.shares.ask(self.wants.clone(), now))
     }
 
     fn take_charge(&mut self, epoch: Option<u64>, now: Micros) {
         if self.divider.as_ref().map(Divider::epoch) != epoch {
             let s = &self.settings;
-            self.divider = epoch.map(|epoch| Divider::new(epoch, s.wholes.clone(), s.share, s.drift, now));
+            self.divider =
+                epoch.map(|epoch| Divider::new(epoch, s.wholes.clone(), s.share, s.drift, now));
         }
     }
 
@@ -117,7 +152,11 @@
     pub fn share(&self, budget: &str, now: Micros) -> (u64, u64, Micros) {
         let (rate, until) = self.shares.share(budget, now);
         let whole = self.settings.wholes.get(budget);
-        (rate, whole.map_or(0, |whole| whole.burst_of(rate, self.settings.drift)), until)
+        (
+            rate,
+            whole.map_or(0, |whole| whole.burst_of(rate, self.settings.drift)),
+            until,
+        )
     }
 
     /// What is wanted of a budget, as last asked for.
@@ -127,6 +166,8 @@
 
     /// While this process divides: its epoch and each budget as it is divided.
     pub fn table(&self, now: Micros) -> Option<(u64, Vec<Row>)> {
-        self.divider.as_ref().map(|divider| (divider.epoch(), divider.table(now)))
+        self.divider
+            .as_ref()
+            .map(|divider| (divider.epoch(), divider.table(now)))
     }
 }
--- a/crates/fleet/src/budget/shares.rs
+++ b/crates/fleet/src/budget/shares.rs
@@ -31,7 +31,14 @@
 impl Shares {
     /// None yet.
     pub fn new(me: Holder, drift: u32) -> Shares {
-        Shares { me, drift, epoch: 0, numbers: 0, asked: VecDeque::new(), current: None }
+        Shares {
+            me,
+            drift,
+            epoch: 0,
+            numbers: 0,
+            asked: VecDeque::new(),
+            current: None,
+        }
     }
 
     /// The next question.
@@ -46,7 +53,14 @@
             Some(current) => (Some(current.id), current.rates.clone()),
             None => (None, Rates::new()),
         };
-        Message::Ask { who: self.me.clone(), epoch: self.epoch, number: self.numbers, have, rates, wants }
+        Message::Ask {
+            who: self.me.clone(),
+            epoch: self.epoch,
+            number: self.numbers,
+            have,
+            rates,
+            wants,
+        }
     }
 
     /// Takes an answer; true where another question is due at once.
@@ -58,16 +72,36 @@
                 newer
             }
             Message::Share { who, .. } if *who != self.me.incarnation => false,
-            Message::Share { epoch, share, number, length, rates, .. } => {
+            Message::Share {
+                epoch,
+                share,
+                number,
+                length,
+                rates,
+                ..
+            } => {
                 let asked = self.asked.iter().find(|a| a.0 == *number).map(|a| a.1);
-                let newer = self.current.as_ref().is_none_or(|c| c.id < (*epoch, *share));
-                let Some(asked) = asked.filter(|_| newer && *epoch >= self.epoch) else { return false };
+                let newer = self
+                    .current
+                    .as_ref()
+                    .is_none_or(|c| c.id < (*epoch, *share));
+                let Some(asked) = asked.filter(|_| newer && *epoch >= self.epoch) else {
+                    return false;
+                };
                 // Counted from the question, as a lease is.
                 let until = asked.saturating_add(hold(*length, self.drift));
                 if now < until {
                     self.epoch = *epoch;
-                    let rates = rates.iter().take(MOST_BUDGETS).map(|(b, r)| (b.clone(), *r)).collect();
-                    self.current = Some(Current { id: (*epoch, *share), until, rates });
+                    let rates = rates
+                        .iter()
+                        .take(MOST_BUDGETS)
+                        .map(|(b, r)| (b.clone(), *r))
+                        .collect();
+                    self.current = Some(Current {
+                        id: (*epoch, *share),
+                        until,
+                        rates,
+                    });
                 }
                 false
             }
@@ -78,6 +112,8 @@
     /// What may be spent of a budget beyond the floor, and until when.
     pub fn share(&self, budget: &str, now: Micros) -> (u64, Micros) {
         let current = self.current.as_ref().filter(|current| now < current.until);
-        current.map_or((0, now), |c| (c.rates.get(budget).copied().unwrap_or(0), c.until))
+        current.map_or((0, now), |c| {
+            (c.rates.get(budget).copied().unwrap_or(0), c.until)
+        })
     }
 }
--- a/crates/fleet/src/budget/tests.rs
+++ b/crates/fleet/src/budget/tests.rs
@@ -16,7 +16,13 @@
 const LENGTH: u64 = 4;
 const BUDGET: &str = "b";
 /// Of 24 with the drift's margin 12 are left, and 10 without the floors of both nodes.
-const WHOLE: Whole = Whole { rate: 24, burst: 0, floor: 1, floor_burst: 0, most_nodes: NODES as u32 };
+const WHOLE: Whole = Whole {
+    rate: 24,
+    burst: 0,
+    floor: 1,
+    floor_burst: 0,
+    most_nodes: NODES as u32,
+};
 /// States that a run of the tests looks at, with those met again.
 const MOST: usize = 1_500_000;
 
@@ -50,7 +56,15 @@
 
 impl Fleet {
     fn new(without: Without) -> Fleet {
-        Fleet { without, ticks: 4, asks: 3, repeats: 0, restarts: 0, follows: 0, rates: (FAST, SLOW) }
+        Fleet {
+            without,
+            ticks: 4,
+            asks: 3,
+            repeats: 0,
+            restarts: 0,
+            follows: 0,
+            rates: (FAST, SLOW),
+        }
     }
     fn drift(&self) -> u32 {
         if self.without == Without::Drift {
@@ -60,8 +74,18 @@
         }
     }
     fn divider(&self, epoch: u64, now: u64) -> Divider {
-        let began = if self.without == Without::Wait { now.saturating_sub(LENGTH) } else { now };
-        Divider::new(epoch, [(BUDGET.to_string(), WHOLE)].into(), LENGTH, DRIFT, began)
+        let began = if self.without == Without::Wait {
+            now.saturating_sub(LENGTH)
+        } else {
+            now
+        };
+        Divider::new(
+            epoch,
+            [(BUDGET.to_string(), WHOLE)].into(),
+            LENGTH,
+            DRIFT,
+            began,
+        )
     }
 }
 
@@ -98,7 +122,10 @@
 }
 
 fn holder(node: usize, incarnation: u64) -> Holder {
-    Holder { node: format!("{node}"), incarnation }
+    Holder {
+        node: format!("{node}"),
+        incarnation,
+    }
 }
 
 fn want() -> BTreeMap<String, Want> {
@@ -112,21 +139,65 @@
 
     fn spend(&self, world: &World) -> u64 {
         let now = self.node_now(world);
-        world.nodes.iter().map(|(_, shares)| shares.share(BUDGET, now).0).sum()
+        world
+            .nodes
+            .iter()
+            .map(|(_, shares)| shares.share(BUDGET, now).0)
+            .sum()
     }
 
     fn deliver(&self, world: &mut World, packet: Packet) {
         match packet {
             Packet::Ask(node, message) => {
                 let message = match (self.without, message) {
-                    (Without::Shown, Message::Ask { who, epoch, number, rates, wants, .. }) => {
+                    (
+                        Without::Shown,
+                        Message::Ask {
+                            who,
+                            epoch,
+                            number,
+                            rates,
+                            wants,
+                            ..
+                        },
+                    ) => {
                         let have = Some((epoch, u64::MAX));
-                        Message::Ask { who, epoch, number, have, rates, wants }
+                        Message::Ask {
+                            who,
+                            epoch,
+                            number,
+                            have,
+                            rates,
+                            wants,
+                        }
                     }
                     // One name is one node, whatever process speaks.
-                    (Without::Restart, Message::Ask { who, epoch, number, rates, wants, .. }) => {
-                        let (who, have) = (Holder { incarnation: 0, ..who }, Some((epoch, u64::MAX)));
-                        Message::Ask { who, epoch, number, have, rates, wants }
+                    (
+                        Without::Restart,
+                        Message::Ask {
+                            who,
+                            epoch,
+                            number,
+                            rates,
+                            wants,
+                            ..
+                        },
+                    ) => {
+                        let (who, have) = (
+                            Holder {
+                                incarnation: 0,
+                                ..who
+                            },
+                            Some((epoch, u64::MAX)),
+                        );
+                        Message::Ask {
+                            who,
+                            epoch,
+                            number,
+                            have,
+                            rates,
+                            wants,
+                        }
                     }
                     (_, message) => message,
                 };
@@ -141,8 +212,22 @@
                 let message = match (self.without, message) {
                     (
                         Without::Name | Without::Restart,
-                        Message::Share { epoch, share, number, length, rates, .. },
-                    ) => Message::Share { who: *incarnation, epoch, share, number, length, rates },
+                        Message::Share {
+                            epoch,
+                            share,
+                            number,
+                            length,
+                            rates,
+                            ..
+                        },
+                    ) => Message::Share {
+                        who: *incarnation,
+                        epoch,
+                        share,
+                        number,
+                        length,
+                        rates,
+                    },
                     (_, message) => message,
                 };
                 if shares.told(&message, now) {
@@ -186,7 +271,11 @@
             steps.push(Step::Tick);
         }
         // Whoever asks first has it all, and is lowered once the other one asks.
-        steps.extend((0..NODES).filter(|node| world.asks[*node] > 0).map(Step::Ask));
+        steps.extend(
+            (0..NODES)
+                .filter(|node| world.asks[*node] > 0)
+                .map(Step::Ask),
+        );
         for packet in &world.net {
             steps.push(Step::Deliver(packet.clone()));
             if world.repeats > 0 {
@@ -238,13 +327,18 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("never more than the whole", |fleet: &Fleet, world: &World| {
-                fleet.spend(world) <= WHOLE.divided(DRIFT)
-            }),
+            Property::always(
+                "never more than the whole",
+                |fleet: &Fleet, world: &World| fleet.spend(world) <= WHOLE.divided(DRIFT),
+            ),
             Property::sometimes("all of it is in use", |_, world: &World| world.used),
-            Property::sometimes("a divider that follows gives", |fleet: &Fleet, world: &World| {
-                fleet.follows == 0 || (world.follows == 0 && world.epoch > 1 && fleet.spend(world) > 0)
-            }),
+            Property::sometimes(
+                "a divider that follows gives",
+                |fleet: &Fleet, world: &World| {
+                    fleet.follows == 0
+                        || (world.follows == 0 && world.epoch > 1 && fleet.spend(world) > 0)
+                },
+            ),
         ]
     }
 
@@ -258,7 +352,13 @@
     let began = Instant::now();
     let never = "never more than the whole";
     let found = HasDiscoveries::AnyOf([never].into_iter().collect());
-    let checker = fleet.checker().threads(4).finish_when(found).target_state_count(most).spawn_bfs().join();
+    let checker = fleet
+        .checker()
+        .threads(4)
+        .finish_when(found)
+        .target_state_count(most)
+        .spawn_bfs()
+        .join();
     let wrong = checker.discovery(never);
     let whole = checker.is_done() && checker.state_count() < most;
     println!(
@@ -266,12 +366,23 @@
         checker.unique_state_count(),
         checker.max_depth(),
         began.elapsed().as_secs_f64(),
-        if whole { "all within bounds" } else { "the first of more" },
-        if wrong.is_some() { "exceeded" } else { "no fault" },
+        if whole {
+            "all within bounds"
+        } else {
+            "the first of more"
+        },
+        if wrong.is_some() {
+            "exceeded"
+        } else {
+            "no fault"
+        },
     );
     if whole && wrong.is_none() {
         assert!(checker.discovery("all of it is in use").is_some(), "{name}");
-        assert!(checker.discovery("a divider that follows gives").is_some(), "{name}");
+        assert!(
+            checker.discovery("a divider that follows gives").is_some(),
+            "{name}"
+        );
     }
     for step in wrong.iter().flat_map(|path| path.clone().into_actions()) {
         println!("    {step:?}");
@@ -284,11 +395,50 @@
     assert_eq!(hold(WHOLE.rate, DRIFT) - 2, WHOLE.divided(DRIFT));
     let plain = || Fleet::new(Without::Nothing);
     let lists = [
-        ("two questions each", Fleet { asks: 2, ticks: 2, ..plain() }),
-        ("nodes fast", Fleet { asks: 2, ticks: 2, rates: (SLOW, FAST), ..plain() }),
-        ("one message repeated", Fleet { asks: 1, ticks: 2, repeats: 1, ..plain() }),
-        ("a node starts again", Fleet { asks: 1, ticks: 3, restarts: 1, ..plain() }),
-        ("a divider follows", Fleet { asks: 1, ticks: 3, follows: 1, ..plain() }),
+        (
+            "two questions each",
+            Fleet {
+                asks: 2,
+                ticks: 2,
+                ..plain()
+            },
+        ),
+        (
+            "nodes fast",
+            Fleet {
+                asks: 2,
+                ticks: 2,
+                rates: (SLOW, FAST),
+                ..plain()
+            },
+        ),
+        (
+            "one message repeated",
+            Fleet {
+                asks: 1,
+                ticks: 2,
+                repeats: 1,
+                ..plain()
+            },
+        ),
+        (
+            "a node starts again",
+            Fleet {
+                asks: 1,
+                ticks: 3,
+                restarts: 1,
+                ..plain()
+            },
+        ),
+        (
+            "a divider follows",
+            Fleet {
+                asks: 1,
+                ticks: 3,
+                follows: 1,
+                ..plain()
+            },
+        ),
     ];
     for (name, fleet) in lists {
         assert!(!explore(name, fleet, MOST), "{name}");
@@ -297,13 +447,36 @@
 
 #[test]
 fn each_safeguard_taken_out_is_found_by_exploring() {
-    let without = |without| Fleet { asks: 2, ..Fleet::new(without) };
+    let without = |without| Fleet {
+        asks: 2,
+        ..Fleet::new(without)
+    };
     let lists = [
-        ("no wait after another divider", Fleet { follows: 1, ..without(Without::Wait) }),
+        (
+            "no wait after another divider",
+            Fleet {
+                follows: 1,
+                ..without(Without::Wait)
+            },
+        ),
         ("not counted until shown", without(Without::Shown)),
         ("expiry without drift", without(Without::Drift)),
-        ("shares of the process before", Fleet { asks: 1, restarts: 1, ..without(Without::Name) }),
-        ("old share forgotten at a restart", Fleet { asks: 1, restarts: 1, ..without(Without::Restart) }),
+        (
+            "shares of the process before",
+            Fleet {
+                asks: 1,
+                restarts: 1,
+                ..without(Without::Name)
+            },
+        ),
+        (
+            "old share forgotten at a restart",
+            Fleet {
+                asks: 1,
+                restarts: 1,
+                ..without(Without::Restart)
+            },
+        ),
     ];
     for (name, fleet) in lists {
         assert!(explore(name, fleet, MOST), "{name}");
@@ -316,12 +489,51 @@
 fn explores_shares_further() {
     let plain = || Fleet::new(Without::Nothing);
     let lists = [
-        ("three questions each", Fleet { ticks: 5, ..plain() }),
-        ("one message repeated", Fleet { asks: 2, repeats: 1, ..plain() }),
-        ("two restarts", Fleet { asks: 2, restarts: 2, ..plain() }),
-        ("two dividers follow", Fleet { asks: 2, ticks: 6, follows: 2, ..plain() }),
-        ("a restart and a divider that follows", Fleet { asks: 2, restarts: 1, follows: 1, ..plain() }),
+        (
+            "three questions each",
+            Fleet {
+                ticks: 5,
+                ..plain()
+            },
+        ),
+        (
+            "one message repeated",
+            Fleet {
+                asks: 2,
+                repeats: 1,
+                ..plain()
+            },
+        ),
+        (
+            "two restarts",
+            Fleet {
+                asks: 2,
+                restarts: 2,
+                ..plain()
+            },
+        ),
+        (
+            "two dividers follow",
+            Fleet {
+                asks: 2,
+                ticks: 6,
+                follows: 2,
+                ..plain()
+            },
+        ),
+        (
+            "a restart and a divider that follows",
+            Fleet {
+                asks: 2,
+                restarts: 1,
+                follows: 1,
+                ..plain()
+            },
+        ),
     ];
-    let found: Vec<bool> = lists.into_iter().map(|(name, fleet)| explore(name, fleet, 20_000_000)).collect();
+    let found: Vec<bool> = lists
+        .into_iter()
+        .map(|(name, fleet)| explore(name, fleet, 20_000_000))
+        .collect();
     assert!(found.iter().all(|exceeded| !exceeded));
 }
--- a/crates/fleet/src/envelope.rs
+++ b/crates/fleet/src/envelope.rs
@@ -90,7 +90,10 @@
 /// # Errors
 /// Says why it is none.
 pub fn read(bytes: &[u8], fleet: &str, me: &str) -> Result<Envelope, Dropped> {
-    let body = bytes.strip_prefix(&MAGIC).filter(|b| b.len() <= MOST).ok_or(Dropped::Garbled)?;
+    let body = bytes
+        .strip_prefix(&MAGIC)
+        .filter(|b| b.len() <= MOST)
+        .ok_or(Dropped::Garbled)?;
     let (sum, body) = body.split_at_checked(4).ok_or(Dropped::Garbled)?;
     if crc32fast::hash(body).to_le_bytes() != sum {
         return Err(Dropped::Garbled);
--- a/crates/fleet/src/lease/claim.rs
+++ b/crates/fleet/src/lease/claim.rs
@@ -58,8 +58,11 @@
     /// two processes of one name must not both be counted, one for each of two holders.
     fn superseded(&self) -> BTreeMap<usize, u64> {
         let known = self.granted.values().flat_map(|granter| &granter.starts);
-        let newer = known
-            .filter(|(keeper, start)| self.granted.get(keeper).is_some_and(|granter| granter.start < *start));
+        let newer = known.filter(|(keeper, start)| {
+            self.granted
+                .get(keeper)
+                .is_some_and(|granter| granter.start < *start)
+        });
         newer.copied().collect()
     }
 }
@@ -144,9 +147,11 @@
             State::Free(_) if !self.wanted => None,
             State::Free(at) => Some(*at),
             State::Asking(round) => Some(round.asked.saturating_add(self.terms.patience)),
-            State::Held { until, round: Some(round), .. } => {
-                Some(round.asked.saturating_add(self.terms.patience).min(*until))
-            }
+            State::Held {
+                until,
+                round: Some(round),
+                ..
+            } => Some(round.asked.saturating_add(self.terms.patience).min(*until)),
             State::Held { until, renew, .. } => Some(*renew.min(until)),
         }
     }
@@ -162,18 +167,26 @@
                 self.state = State::Free(now);
                 self.turn(now, jitter)
             }
-            State::Held { round: Some(round), .. }
-                if now >= round.asked.saturating_add(self.terms.patience) =>
-            {
+            State::Held {
+                round: Some(round), ..
+            } if now >= round.asked.saturating_add(self.terms.patience) => {
                 self.renew(now).into_iter().collect()
             }
-            State::Held { renew, round: None, .. } if now >= *renew => self.renew(now).into_iter().collect(),
+            State::Held {
+                renew, round: None, ..
+            } if now >= *renew => self.renew(now).into_iter().collect(),
             _ => Vec::new(),
         }
     }
 
     /// Takes a keeper's answer.
-    pub fn heard(&mut self, now: Micros, keeper: usize, answer: &ToNode, jitter: u64) -> Vec<ToKeeper> {
+    pub fn heard(
+        &mut self,
+        now: Micros,
+        keeper: usize,
+        answer: &ToNode,
+        jitter: u64,
+    ) -> Vec<ToKeeper> {
         if answer.who() != self.me.incarnation {
             // It answers another process of this name, or the one that was here before.
             return Vec::new();
@@ -184,16 +197,28 @@
         };
         if let ToNode::Refused { epoch, holder, .. } = answer {
             self.known = self.known.max(*epoch);
-            self.other = holder.clone().filter(|h| *h != self.me).or(self.other.take());
+            self.other = holder
+                .clone()
+                .filter(|h| *h != self.me)
+                .or(self.other.take());
         }
         let majority = self.terms.keepers / 2 + 1;
         let round = match &mut self.state {
-            State::Asking(round) | State::Held { round: Some(round), .. } if round.number == number => round,
+            State::Asking(round)
+            | State::Held {
+                round: Some(round), ..
+            } if round.number == number => round,
             _ => return Vec::new(),
         };
         if let (ToNode::Granted { start, starts, .. }, true) = (answer, granted) {
-            let newer = round.granted.get(&keeper).is_none_or(|known| known.start <= *start);
-            let granter = Granter { start: *start, starts: starts.clone() };
+            let newer = round
+                .granted
+                .get(&keeper)
+                .is_none_or(|known| known.start <= *start);
+            let granter = Granter {
+                start: *start,
+                starts: starts.clone(),
+            };
             newer.then(|| round.granted.insert(keeper, granter));
         } else {
             round.refused.insert(keeper);
@@ -205,19 +230,28 @@
             let until = asked.saturating_add(hold(self.terms.length, self.terms.drift));
             let renew = asked.saturating_add(self.terms.length / 3);
             if now < until {
-                self.state = State::Held { until, renew, round: None };
+                self.state = State::Held {
+                    until,
+                    renew,
+                    round: None,
+                };
                 (self.clashes, self.other) = (0, None);
             }
             return Vec::new();
         }
-        if round.refused.len() > self.terms.keepers - majority && matches!(self.state, State::Asking(_)) {
+        if round.refused.len() > self.terms.keepers - majority
+            && matches!(self.state, State::Asking(_))
+        {
             let left = match answer {
                 ToNode::Refused { left, .. } => *left,
                 ToNode::Granted { .. } => 0,
             };
             return self.give_up(now, jitter, left);
         }
-        superseded.into_iter().map(|(keeper, start)| ToKeeper::Superseded { keeper, start }).collect()
+        superseded
+            .into_iter()
+            .map(|(keeper, start)| ToKeeper::Superseded { keeper, start })
+            .collect()
     }
 
     /// Acts no more and gives the task back.
@@ -255,16 +289,31 @@
 
     fn round(&mut self, now: Micros) -> Round {
         self.rounds += 1;
-        Round { number: self.rounds, asked: now, granted: BTreeMap::new(), refused: BTreeSet::new() }
+        Round {
+            number: self.rounds,
+            asked: now,
+            granted: BTreeMap::new(),
+            refused: BTreeSet::new(),
+        }
     }
 
     fn question(&self, round: u64) -> ToKeeper {
         let (task, who, length) = (self.task.clone(), self.me.clone(), self.terms.length);
-        ToKeeper::Ask { task, who, epoch: self.epoch, round, length }
+        ToKeeper::Ask {
+            task,
+            who,
+            epoch: self.epoch,
+            round,
+            length,
+        }
     }
 
     fn given_back(&self) -> ToKeeper {
-        ToKeeper::Release { task: self.task.clone(), who: self.me.clone(), epoch: self.epoch }
+        ToKeeper::Release {
+            task: self.task.clone(),
+            who: self.me.clone(),
+            epoch: self.epoch,
+        }
     }
 
     /// Frees what a lost round may have got. Whoever clashes waits longer each time; whoever is told that somebody
@@ -272,8 +321,15 @@
     fn give_up(&mut self, now: Micros, jitter: u64, left: Micros) -> Vec<ToKeeper> {
         let back = self.given_back();
         self.clashes = (self.clashes + 1).min(5);
-        let most = self.terms.pause << if left > self.terms.pause { 2 } else { self.clashes };
-        let wait = left.min(self.terms.length).saturating_add(self.terms.pause / 2 + jitter % most.max(1));
+        let most = self.terms.pause
+            << if left > self.terms.pause {
+                2
+            } else {
+                self.clashes
+            };
+        let wait = left
+            .min(self.terms.length)
+            .saturating_add(self.terms.pause / 2 + jitter % most.max(1));
         self.state = State::Free(now.saturating_add(wait));
         vec![back]
     }
--- a/crates/fleet/src/lease/claim/tests.rs
+++ b/crates/fleet/src/lease/claim/tests.rs
@@ -72,20 +72,46 @@
     fn rules(&self, me: usize) -> Rules {
         let trust = self.trust || self.without == Without::Doubt;
         // Where nobody asks the others their places don't matter, and keepers alike are one.
-        Rules { keepers: KEEPERS, me: if trust { 0 } else { me }, longest: LENGTH, trust }
+        Rules {
+            keepers: KEEPERS,
+            me: if trust { 0 } else { me },
+            longest: LENGTH,
+            trust,
+        }
     }
 
     fn terms(&self) -> Terms {
-        let drift = if self.without == Without::Margin { 0 } else { DRIFT };
-        Terms { keepers: KEEPERS, length: LENGTH, drift, patience: 2, pause: 1 }
+        let drift = if self.without == Without::Margin {
+            0
+        } else {
+            DRIFT
+        };
+        Terms {
+            keepers: KEEPERS,
+            length: LENGTH,
+            drift,
+            patience: 2,
+            pause: 1,
+        }
     }
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 enum Packet {
-    Ask { from: usize, to: usize, what: ToKeeper },
-    Answer { from: usize, to: usize, what: ToNode },
-    Among { to: usize, what: ToKeeper },
+    Ask {
+        from: usize,
+        to: usize,
+        what: ToKeeper,
+    },
+    Answer {
+        from: usize,
+        to: usize,
+        what: ToNode,
+    },
+    Among {
+        to: usize,
+        what: ToKeeper,
+    },
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -134,8 +160,13 @@
             Packet::Answer { from, to, what } => {
                 let now = self.claim_now(world, *to);
                 let claim = &mut world.claims[*to];
-                if let (Without::Question, Own::Asking(round) | Own::Held { round: Some(round), .. }) =
-                    (self.without, &mut claim.state)
+                if let (
+                    Without::Question,
+                    Own::Asking(round)
+                    | Own::Held {
+                        round: Some(round), ..
+                    },
+                ) = (self.without, &mut claim.state)
                 {
                     round.asked = now;
                 }
@@ -147,7 +178,11 @@
 
     fn to_keeper(&self, world: &mut World, k: usize, claim: Option<usize>, what: &ToKeeper) {
         let now = self.keeper_now(world, k);
-        let Done { write, answer, memory } = world.keepers[k].handle(now, what.clone());
+        let Done {
+            write,
+            answer,
+            memory,
+        } = world.keepers[k].handle(now, what.clone());
         if self.without != Without::Sync {
             world.disks[k].extend(write);
         }
@@ -162,7 +197,11 @@
     fn to_all(&self, world: &mut World, from: usize, out: Vec<ToKeeper>) {
         for what in out {
             for to in 0..KEEPERS {
-                world.net.insert(Packet::Ask { from, to, what: what.clone() });
+                world.net.insert(Packet::Ask {
+                    from,
+                    to,
+                    what: what.clone(),
+                });
             }
         }
     }
@@ -174,7 +213,10 @@
             Packet::Answer { to, what, .. } => {
                 let claim = &claims[*to];
                 let current = match &claim.state {
-                    Own::Asking(round) | Own::Held { round: Some(round), .. } => round.number,
+                    Own::Asking(round)
+                    | Own::Held {
+                        round: Some(round), ..
+                    } => round.number,
                     _ => 0,
                 };
                 match what {
@@ -184,10 +226,15 @@
                     }
                 }
             }
-            Packet::Ask { to, what: ToKeeper::Release { epoch, .. }, .. } => {
-                keepers[*to].rows(0).all(|row| row.epoch <= *epoch)
-            }
-            Packet::Among { to, what: ToKeeper::Memory { start, .. } } => keepers[*to]
+            Packet::Ask {
+                to,
+                what: ToKeeper::Release { epoch, .. },
+                ..
+            } => keepers[*to].rows(0).all(|row| row.epoch <= *epoch),
+            Packet::Among {
+                to,
+                what: ToKeeper::Memory { start, .. },
+            } => keepers[*to]
                 .recall()
                 .is_some_and(|r| matches!(r, ToKeeper::Recall { start: now, .. } if now == *start)),
             _ => true,
@@ -207,7 +254,10 @@
             return;
         }
         let round = |claim: &Claim| match &claim.state {
-            Own::Asking(round) | Own::Held { round: Some(round), .. } => Some(round.clone()),
+            Own::Asking(round)
+            | Own::Held {
+                round: Some(round), ..
+            } => Some(round.clone()),
             _ => None,
         };
         let rounds: Vec<Option<Round>> = world.claims.iter().map(round).collect();
@@ -217,7 +267,9 @@
                 .iter()
                 .filter_map(|packet| match packet {
                     Packet::Ask { from, to, what } if *to == k => Some((*from, Some(what), None)),
-                    Packet::Answer { from, to, what } if *from == k => Some((*to, None, Some(what))),
+                    Packet::Answer { from, to, what } if *from == k => {
+                        Some((*to, None, Some(what)))
+                    }
                     _ => None,
                 })
                 .collect();
@@ -238,15 +290,30 @@
         world.net = std::mem::take(&mut world.net)
             .into_iter()
             .map(|packet| match packet {
-                Packet::Ask { from, to, what } => Packet::Ask { from, to: place(to), what },
-                Packet::Answer { from, to, what } => Packet::Answer { from: place(from), to, what },
+                Packet::Ask { from, to, what } => Packet::Ask {
+                    from,
+                    to: place(to),
+                    what,
+                },
+                Packet::Answer { from, to, what } => Packet::Answer {
+                    from: place(from),
+                    to,
+                    what,
+                },
                 other => other,
             })
             .collect();
         for claim in &mut world.claims {
-            if let Own::Asking(round) | Own::Held { round: Some(round), .. } = &mut claim.state {
-                round.granted =
-                    round.granted.iter().map(|(k, granter)| (place(*k), granter.clone())).collect();
+            if let Own::Asking(round)
+            | Own::Held {
+                round: Some(round), ..
+            } = &mut claim.state
+            {
+                round.granted = round
+                    .granted
+                    .iter()
+                    .map(|(k, granter)| (place(*k), granter.clone()))
+                    .collect();
                 round.refused = round.refused.iter().map(|k| place(*k)).collect();
             }
         }
@@ -263,7 +330,10 @@
 
     fn init_states(&self) -> Vec<World> {
         let claim = |n: usize| {
-            let me = Holder { node: format!("{n}"), incarnation: 0 };
+            let me = Holder {
+                node: format!("{n}"),
+                incarnation: 0,
+            };
             let mut claim = Claim::new("t", me, self.terms(), 0);
             claim.known = if self.ahead { n as u64 } else { 0 };
             claim
@@ -271,7 +341,10 @@
         let disk = vec![Record::Whole(Vec::new())];
         // The fleet is in service: its keepers have been granting for long.
         let keeper = |k| {
-            let rules = Rules { trust: true, ..self.rules(k) };
+            let rules = Rules {
+                trust: true,
+                ..self.rules(k)
+            };
             Keeper::new(rules, 0, &disk, 0)
         };
         vec![World {
@@ -295,7 +368,9 @@
         }
         for c in 0..CLAIMS {
             let claim = &world.claims[c];
-            if claim.due().is_some_and(|at| at <= self.claim_now(world, c)) && claim.rounds < self.rounds {
+            if claim.due().is_some_and(|at| at <= self.claim_now(world, c))
+                && claim.rounds < self.rounds
+            {
                 steps.push(Step::Turn(c));
             }
             if world.ready[c].is_none() {
@@ -363,7 +438,10 @@
             Step::Recall(k) => {
                 let ask = last.keepers[k].recall()?;
                 for to in (0..KEEPERS).filter(|to| *to != k) {
-                    world.net.insert(Packet::Among { to, what: ask.clone() });
+                    world.net.insert(Packet::Among {
+                        to,
+                        what: ask.clone(),
+                    });
                 }
             }
         }
@@ -397,11 +475,17 @@
             Property::sometimes("both have acted in turn", |_, world: &World| {
                 world.acted.0 > 1 && world.claims.iter().all(|c| c.rounds > 0)
             }),
-            Property::sometimes("a restarted keeper grants", |fleet: &Fleet, world: &World| {
-                fleet.restarts == 0
-                    || (world.restarts == 0
-                        && world.keepers.iter().all(|k| *k.standing() == Standing::Granting))
-            }),
+            Property::sometimes(
+                "a restarted keeper grants",
+                |fleet: &Fleet, world: &World| {
+                    fleet.restarts == 0
+                        || (world.restarts == 0
+                            && world
+                                .keepers
+                                .iter()
+                                .all(|k| *k.standing() == Standing::Granting))
+                },
+            ),
         ]
     }
 
@@ -415,7 +499,13 @@
     let began = Instant::now();
     let never = ["never two holders", "epochs never fall"];
     let found = HasDiscoveries::AnyOf(never.into_iter().collect());
-    let checker = fleet.checker().threads(4).finish_when(found).target_state_count(most).spawn_dfs().join();
+    let checker = fleet
+        .checker()
+        .threads(4)
+        .finish_when(found)
+        .target_state_count(most)
+        .spawn_dfs()
+        .join();
     let wrong = never.into_iter().find(|n| checker.discovery(n).is_some());
     let whole = checker.is_done() && checker.state_count() < most;
     println!(
@@ -423,16 +513,26 @@
         checker.unique_state_count(),
         checker.max_depth(),
         began.elapsed().as_secs_f64(),
-        if whole { "all within bounds" } else { "the first of more" },
+        if whole {
+            "all within bounds"
+        } else {
+            "the first of more"
+        },
         wrong.unwrap_or("no fault"),
     );
     if let Some(wrong) = wrong {
-        let path = checker.discovery(wrong).map(|p| p.into_actions()).unwrap_or_default();
+        let path = checker
+            .discovery(wrong)
+            .map(|p| p.into_actions())
+            .unwrap_or_default();
         path.iter().for_each(|step| println!("    {step:?}"));
     }
     let reached = |what: &'static str| checker.discovery(what).is_some();
     if whole && wrong.is_none() {
-        assert!(reached("somebody holds") && reached("a restarted keeper grants"), "{name}");
+        assert!(
+            reached("somebody holds") && reached("a restarted keeper grants"),
+            "{name}"
+        );
     }
     wrong
 }
@@ -443,11 +543,52 @@
 fn no_two_holders_within_bounds() {
     let plain = || Fleet::new(Without::Nothing);
     let lists = [
-        ("one round each, keepers fast", Fleet { rounds: 1, ticks: 3, ..plain() }),
-        ("keepers slow", Fleet { rounds: 1, ticks: 3, rates: ([SLOW; 3], [FAST; 2]), ..plain() }),
-        ("one epoch ahead", Fleet { rounds: 1, ticks: 3, ahead: true, ..plain() }),
-        ("two keepers restart", Fleet { rounds: 1, ticks: 0, restarts: 2, ..plain() }),
-        ("an old disk", Fleet { rounds: 1, ticks: 1, restarts: 1, old_disk: true, trust: false, ..plain() }),
+        (
+            "one round each, keepers fast",
+            Fleet {
+                rounds: 1,
+                ticks: 3,
+                ..plain()
+            },
+        ),
+        (
+            "keepers slow",
+            Fleet {
+                rounds: 1,
+                ticks: 3,
+                rates: ([SLOW; 3], [FAST; 2]),
+                ..plain()
+            },
+        ),
+        (
+            "one epoch ahead",
+            Fleet {
+                rounds: 1,
+                ticks: 3,
+                ahead: true,
+                ..plain()
+            },
+        ),
+        (
+            "two keepers restart",
+            Fleet {
+                rounds: 1,
+                ticks: 0,
+                restarts: 2,
+                ..plain()
+            },
+        ),
+        (
+            "an old disk",
+            Fleet {
+                rounds: 1,
+                ticks: 1,
+                restarts: 1,
+                old_disk: true,
+                trust: false,
+                ..plain()
+            },
+        ),
     ];
     for (name, fleet) in lists {
         assert_eq!(explore(name, fleet, MOST), None, "{name}");
@@ -456,14 +597,41 @@
 
 #[test]
 fn each_safeguard_taken_out_is_found() {
-    let without = |without| Fleet { rounds: 1, ticks: 2, ahead: true, ..Fleet::new(without) };
+    let without = |without| Fleet {
+        rounds: 1,
+        ticks: 2,
+        ahead: true,
+        ..Fleet::new(without)
+    };
     let lists = [
         ("no margin for drift", without(Without::Margin)),
-        ("no look at the lease before the act", without(Without::Check)),
-        ("grants not synced", Fleet { restarts: 2, ticks: 1, ahead: false, ..without(Without::Sync) }),
-        ("no look at the epoch by what is acted upon", without(Without::Fence)),
+        (
+            "no look at the lease before the act",
+            without(Without::Check),
+        ),
+        (
+            "grants not synced",
+            Fleet {
+                restarts: 2,
+                ticks: 1,
+                ahead: false,
+                ..without(Without::Sync)
+            },
+        ),
+        (
+            "no look at the epoch by what is acted upon",
+            without(Without::Fence),
+        ),
         ("counted from the answer", without(Without::Question)),
-        ("an old disk believed", Fleet { restarts: 1, ticks: 1, old_disk: true, ..without(Without::Doubt) }),
+        (
+            "an old disk believed",
+            Fleet {
+                restarts: 1,
+                ticks: 1,
+                old_disk: true,
+                ..without(Without::Doubt)
+            },
+        ),
     ];
     for (name, fleet) in lists {
         assert!(explore(name, fleet, MOST).is_some(), "{name}");
@@ -477,16 +645,62 @@
     let plain = || Fleet::new(Without::Nothing);
     let mixed = ([FAST, SLOW, FAST], [FAST, SLOW]);
     let lists = [
-        ("one round each, four ticks", Fleet { rounds: 1, ..plain() }),
-        ("mixed clocks", Fleet { rounds: 1, rates: mixed, ..plain() }),
-        ("one message repeated", Fleet { rounds: 1, ticks: 3, repeats: 1, ..plain() }),
-        ("two rounds each", Fleet { ticks: 3, ..plain() }),
-        ("two keepers restart", Fleet { rounds: 1, ticks: 3, restarts: 2, ahead: true, ..plain() }),
+        (
+            "one round each, four ticks",
+            Fleet {
+                rounds: 1,
+                ..plain()
+            },
+        ),
+        (
+            "mixed clocks",
+            Fleet {
+                rounds: 1,
+                rates: mixed,
+                ..plain()
+            },
+        ),
+        (
+            "one message repeated",
+            Fleet {
+                rounds: 1,
+                ticks: 3,
+                repeats: 1,
+                ..plain()
+            },
+        ),
+        (
+            "two rounds each",
+            Fleet {
+                ticks: 3,
+                ..plain()
+            },
+        ),
+        (
+            "two keepers restart",
+            Fleet {
+                rounds: 1,
+                ticks: 3,
+                restarts: 2,
+                ahead: true,
+                ..plain()
+            },
+        ),
         (
             "an old disk",
-            Fleet { rounds: 1, restarts: 1, old_disk: true, trust: false, ahead: true, ..plain() },
+            Fleet {
+                rounds: 1,
+                restarts: 1,
+                old_disk: true,
+                trust: false,
+                ahead: true,
+                ..plain()
+            },
         ),
     ];
-    let found: Vec<_> = lists.into_iter().map(|(name, fleet)| explore(name, fleet, 40_000_000)).collect();
+    let found: Vec<_> = lists
+        .into_iter()
+        .map(|(name, fleet)| explore(name, fleet, 40_000_000))
+        .collect();
     assert!(found.iter().all(Option::is_none));
 }
--- a/crates/fleet/src/lease/keeper.rs
+++ b/crates/fleet/src/lease/keeper.rs
@@ -9,7 +9,9 @@
 
 /// A start above another one, with the random part of a third.
 fn above(start: u64, random: u64) -> u64 {
-    let generation = (start >> RANDOM_BITS).saturating_add(1).min(u64::MAX >> RANDOM_BITS);
+    let generation = (start >> RANDOM_BITS)
+        .saturating_add(1)
+        .min(u64::MAX >> RANDOM_BITS);
     generation << RANDOM_BITS | random & ((1 << RANDOM_BITS) - 1)
 }
 
@@ -115,17 +117,31 @@
             Record::Entry(entry) => Some(entry.clone()),
             Record::Whole(_) | Record::Start(..) => None,
         });
-        for Entry { task, epoch, holder, length } in entries {
+        for Entry {
+            task,
+            epoch,
+            holder,
+            length,
+        } in entries
+        {
             // How much of it has run out nobody knows: all of it may be ahead.
             let until = holder.as_ref().map_or(now, |_| now.saturating_add(length));
-            let grant = Grant { epoch, holder, length, until };
+            let grant = Grant {
+                epoch,
+                holder,
+                length,
+                until,
+            };
             if table.get(&task).is_none_or(|known| known.epoch <= epoch) {
                 table.insert(task, grant);
             }
         }
         let standing = match rules.trust && !blank {
             true => Standing::Granting,
-            false => Standing::Recalling { heard: BTreeSet::new(), blank: BTreeMap::new() },
+            false => Standing::Recalling {
+                heard: BTreeSet::new(),
+                blank: BTreeMap::new(),
+            },
         };
         let known = kept.iter().filter_map(|record| match record {
             Record::Start(keeper, start) => Some((*keeper, *start)),
@@ -135,7 +151,16 @@
         known.for_each(|(keeper, start)| raise(&mut starts, keeper, start));
         let own = starts.remove(&rules.me).filter(|own| *own >= start);
         let start = own.map_or(start, |own| above(own, start));
-        Keeper { rules, start, blank, founders, founded: false, table, starts, standing }
+        Keeper {
+            rules,
+            start,
+            blank,
+            founders,
+            founded: false,
+            table,
+            starts,
+            standing,
+        }
     }
 
     /// Another list of keepers holds from now on; this one goes on with what it knows.
@@ -174,10 +199,14 @@
             // a fleet's first start.
             let first = self.blank && heard.is_empty() && blank.len() == others;
             if first {
-                self.founders = blank.iter().map(|(keeper, start)| (*keeper, *start)).collect();
+                self.founders = blank
+                    .iter()
+                    .map(|(keeper, start)| (*keeper, *start))
+                    .collect();
             }
             // All that answered know this start by now, and no newer one.
-            let founded = self.founded && self.blank && heard.len() + blank.len() >= majority.min(others);
+            let founded =
+                self.founded && self.blank && heard.len() + blank.len() >= majority.min(others);
             if heard.len() >= majority.min(others) || first || founded {
                 whole = self.counts_from_here(now);
             }
@@ -202,8 +231,13 @@
 
     /// What to ask the other keepers, again and again until it grants.
     pub fn recall(&self) -> Option<ToKeeper> {
-        let Standing::Recalling { .. } = self.standing else { return None };
-        Some(ToKeeper::Recall { keeper: self.rules.me, start: self.start })
+        let Standing::Recalling { .. } = self.standing else {
+            return None;
+        };
+        Some(ToKeeper::Recall {
+            keeper: self.rules.me,
+            start: self.start,
+        })
     }
 
     /// Takes a message.
@@ -216,9 +250,13 @@
 
     fn take(&mut self, now: Micros, message: ToKeeper) -> Done {
         match message {
-            ToKeeper::Ask { task, who, epoch, round, length } => {
-                self.ask(now, task, who, epoch, round, length)
-            }
+            ToKeeper::Ask {
+                task,
+                who,
+                epoch,
+                round,
+                length,
+            } => self.ask(now, task, who, epoch, round, length),
             ToKeeper::Release { task, who, epoch } => {
                 if let Some(grant) = self.table.get_mut(&task) {
                     // A release that comes late must not free what was granted since. It need not be durable: a
@@ -229,27 +267,57 @@
                 }
                 Done::default()
             }
-            ToKeeper::Recall { keeper, .. } if keeper == self.rules.me || keeper >= self.rules.keepers => {
+            ToKeeper::Recall { keeper, .. }
+                if keeper == self.rules.me || keeper >= self.rules.keepers =>
+            {
                 Done::default()
             }
             ToKeeper::Recall { keeper, start } => {
                 let write: Vec<Record> = self.learn_start(keeper, start).into_iter().collect();
                 let newest = self.starts.get(&keeper).copied().unwrap_or(start);
                 let starts = self.known_starts();
-                let epochs = self.table.iter().map(|(task, g)| (task.clone(), g.epoch)).collect();
+                let epochs = self
+                    .table
+                    .iter()
+                    .map(|(task, g)| (task.clone(), g.epoch))
+                    .collect();
                 let together = self.founders.contains(&(keeper, start));
                 let (me, own, blank) = (self.rules.me, self.start, self.blank);
-                let memory =
-                    ToKeeper::Memory { keeper: me, start, own, blank, together, epochs, newest, starts };
-                Done { write, memory: Some((keeper, memory)), ..Done::default() }
+                let memory = ToKeeper::Memory {
+                    keeper: me,
+                    start,
+                    own,
+                    blank,
+                    together,
+                    epochs,
+                    newest,
+                    starts,
+                };
+                Done {
+                    write,
+                    memory: Some((keeper, memory)),
+                    ..Done::default()
+                }
             }
             ToKeeper::Superseded { keeper, start } => {
-                if keeper == self.rules.me && start > self.start && self.standing == Standing::Granting {
+                if keeper == self.rules.me
+                    && start > self.start
+                    && self.standing == Standing::Granting
+                {
                     self.begin_anew(start);
                 }
                 Done::default()
             }
-            ToKeeper::Memory { keeper, start, own, blank, together, epochs, newest, starts } => {
+            ToKeeper::Memory {
+                keeper,
+                start,
+                own,
+                blank,
+                together,
+                epochs,
+                newest,
+                starts,
+            } => {
                 if start != self.start || keeper == self.rules.me || keeper >= self.rules.keepers {
                     return Done::default();
                 }
@@ -262,12 +330,22 @@
                     return Done::default();
                 }
                 let me = self.rules.me;
-                let told = starts.into_iter().filter(|(of, _)| *of != me).chain([(keeper, own)]);
+                let told = starts
+                    .into_iter()
+                    .filter(|(of, _)| *of != me)
+                    .chain([(keeper, own)]);
                 let mut write: Vec<Record> = Vec::new();
-                for (of, start) in told.filter(|(of, _)| *of < self.rules.keepers).collect::<Vec<_>>() {
+                for (of, start) in told
+                    .filter(|(of, _)| *of < self.rules.keepers)
+                    .collect::<Vec<_>>()
+                {
                     write.extend(self.learn_start(of, start));
                 }
-                let Standing::Recalling { heard, blank: blanks } = &mut self.standing else {
+                let Standing::Recalling {
+                    heard,
+                    blank: blanks,
+                } = &mut self.standing
+                else {
                     return Done::default();
                 };
                 if blank {
@@ -276,7 +354,9 @@
                     heard.insert(keeper);
                     blanks.remove(&keeper);
                 }
-                let learned = epochs.into_iter().filter_map(|(task, epoch)| self.learn(task, epoch));
+                let learned = epochs
+                    .into_iter()
+                    .filter_map(|(task, epoch)| self.learn(task, epoch));
                 write.extend(learned.map(Record::Entry).collect::<Vec<_>>());
                 // Another keeper found all blank, this very start among them, before this one did.
                 self.founded |= together;
@@ -284,7 +364,10 @@
                 if !matches!(self.standing, Standing::Recalling { .. }) {
                     write.push(Record::Start(self.rules.me, self.start));
                 }
-                Done { write, ..Done::default() }
+                Done {
+                    write,
+                    ..Done::default()
+                }
             }
         }
     }
@@ -293,7 +376,10 @@
     fn begin_anew(&mut self, newest: u64) {
         self.start = above(newest, self.start);
         self.founded = false;
-        self.standing = Standing::Recalling { heard: BTreeSet::new(), blank: BTreeMap::new() };
+        self.standing = Standing::Recalling {
+            heard: BTreeSet::new(),
+            blank: BTreeMap::new(),
+        };
     }
 
     /// Takes a start of another keeper in, if it is the newest known of that one.
@@ -304,7 +390,10 @@
     }
 
     fn known_starts(&self) -> Vec<(usize, u64)> {
-        self.starts.iter().map(|(keeper, start)| (*keeper, *start)).collect()
+        self.starts
+            .iter()
+            .map(|(keeper, start)| (*keeper, *start))
+            .collect()
     }
 
     fn learn(&mut self, task: String, epoch: u64) -> Option<Entry> {
@@ -312,8 +401,21 @@
         if epoch <= known || (known == 0 && self.table.len() >= MOST_TASKS) {
             return None;
         }
-        self.table.insert(task.clone(), Grant { epoch, holder: None, length: 0, until: 0 });
-        Some(Entry { task, epoch, holder: None, length: 0 })
+        self.table.insert(
+            task.clone(),
+            Grant {
+                epoch,
+                holder: None,
+                length: 0,
+                until: 0,
+            },
+        );
+        Some(Entry {
+            task,
+            epoch,
+            holder: None,
+            length: 0,
+        })
     }
 
     fn ask(
@@ -343,19 +445,54 @@
         let higher = epoch > known.map_or(0, |g| g.epoch);
         let bounded = known.is_some() || self.table.len() < MOST_TASKS;
         if !(free && bounded && (again || higher)) || length == 0 || length > self.rules.longest {
-            return Done { answer: Some(refused(known)), ..Done::default() };
+            return Done {
+                answer: Some(refused(known)),
+                ..Done::default()
+            };
         }
         // Going on with a grant changes nothing that a restart would need: it takes all of `length` as ahead.
         let lasting = again && known.is_some_and(|g| g.length >= length);
         let until = now.saturating_add(length);
-        let until = if again { until.max(known.map_or(0, |g| g.until)) } else { until };
-        let entry = Entry { task: task.clone(), epoch, holder: Some(who.clone()), length };
+        let until = if again {
+            until.max(known.map_or(0, |g| g.until))
+        } else {
+            until
+        };
+        let entry = Entry {
+            task: task.clone(),
+            epoch,
+            holder: Some(who.clone()),
+            length,
+        };
         let asked = who.incarnation;
-        self.table.insert(task.clone(), Grant { epoch, holder: Some(who), length, until });
-        let write = if lasting { Vec::new() } else { vec![Record::Entry(entry)] };
+        self.table.insert(
+            task.clone(),
+            Grant {
+                epoch,
+                holder: Some(who),
+                length,
+                until,
+            },
+        );
+        let write = if lasting {
+            Vec::new()
+        } else {
+            vec![Record::Entry(entry)]
+        };
         let (start, starts) = (self.start, self.known_starts());
-        let granted = ToNode::Granted { task, who: asked, round, epoch, start, starts };
-        Done { write, answer: Some(granted), memory: None }
+        let granted = ToNode::Granted {
+            task,
+            who: asked,
+            round,
+            epoch,
+            start,
+            starts,
+        };
+        Done {
+            write,
+            answer: Some(granted),
+            memory: None,
+        }
     }
 
     /// The table.
@@ -363,7 +500,12 @@
         self.table.iter().map(move |(task, g)| {
             let left = g.until.saturating_sub(now);
             let holder = g.holder.clone().filter(|_| left > 0);
-            Row { task: task.clone(), epoch: g.epoch, holder, left }
+            Row {
+                task: task.clone(),
+                epoch: g.epoch,
+                holder,
+                left,
+            }
         })
     }
 }
--- a/crates/fleet/src/members.rs
+++ b/crates/fleet/src/members.rs
@@ -4,7 +4,8 @@
 use crate::Micros;
 use bytes::Bytes;
 use foca::{
-    AccumulatingRuntime, Config, Foca, Identity, NoCustomBroadcast, PeriodicParams, PostcardCodec, Timer,
+    AccumulatingRuntime, Config, Foca, Identity, NoCustomBroadcast, PeriodicParams, PostcardCodec,
+    Timer,
 };
 use rand::rngs::StdRng;
 use rand::SeedableRng;
@@ -35,7 +36,10 @@
 impl Identity for Member {
     type Addr = String;
     fn renew(&self) -> Option<Self> {
-        Some(Member { generation: self.generation + 1, ..self.clone() })
+        Some(Member {
+            generation: self.generation + 1,
+            ..self.clone()
+        })
     }
     fn addr(&self) -> String {
         self.name.clone()
@@ -59,8 +63,12 @@
     /// An account that begins now with this node alone. `probe` is the time between two probes, in microseconds.
     pub fn new(me: Member, probe: Micros, seed: u64) -> Members {
         let probe = Duration::from_micros(probe.max(10));
-        let few =
-            |frequency| Some(PeriodicParams { frequency, num_members: NonZeroUsize::MIN.saturating_add(1) });
+        let few = |frequency| {
+            Some(PeriodicParams {
+                frequency,
+                num_members: NonZeroUsize::MIN.saturating_add(1),
+            })
+        };
         let config = Config {
             probe_period: probe,
             probe_rtt: probe / 2,
@@ -76,7 +84,13 @@
         };
         let foca = Foca::new(me, config, StdRng::seed_from_u64(seed), PostcardCodec);
         let (runtime, timers) = (AccumulatingRuntime::new(), BTreeMap::new());
-        Members { foca, runtime, timers, next: 0, garbled: 0 }
+        Members {
+            foca,
+            runtime,
+            timers,
+            next: 0,
+            garbled: 0,
+        }
     }
 
     /// This node as the others know it.
--- a/crates/fleet/src/node.rs
+++ b/crates/fleet/src/node.rs
@@ -91,11 +91,25 @@
 
 impl Kept {
     fn new(settings: &Settings, incarnation: u64, disk: &[Record], now: Micros) -> Option<Kept> {
-        let me = settings.keepers.keys().position(|name| *name == settings.me)?;
+        let me = settings
+            .keepers
+            .keys()
+            .position(|name| *name == settings.me)?;
         let (keepers, longest) = (settings.keepers.len(), settings.lease);
-        let rules = Rules { keepers, me, longest, trust: settings.trust_disk };
+        let rules = Rules {
+            keepers,
+            me,
+            longest,
+            trust: settings.trust_disk,
+        };
         let keeper = Keeper::new(rules, incarnation, disk, now);
-        Some(Kept { keeper, writes: (0, 0), waiting: VecDeque::new(), broken: false, ask_at: now })
+        Some(Kept {
+            keeper,
+            writes: (0, 0),
+            waiting: VecDeque::new(),
+            broken: false,
+            ask_at: now,
+        })
     }
 }
 
@@ -117,8 +131,18 @@
 
 impl Node {
     /// A part that begins now. `incarnation` is a fresh random number; `disk` is what a keeper's disk holds.
-    pub fn new(settings: Settings, incarnation: u64, disk: Option<Vec<Record>>, now: Micros) -> Node {
-        let me = Member { name: settings.me.clone(), addr: settings.addr, incarnation, generation: 0 };
+    pub fn new(
+        settings: Settings,
+        incarnation: u64,
+        disk: Option<Vec<Record>>,
+        now: Micros,
+    ) -> Node {
+        let me = Member {
+            name: settings.me.clone(),
+            addr: settings.addr,
+            incarnation,
+            generation: 0,
+        };
         let kept = disk.and_then(|disk| Kept::new(&settings, incarnation, &disk, now));
         let members = Members::new(me, settings.probe, incarnation);
         let (rng, counts) = (StdRng::seed_from_u64(incarnation), Counts::default());
@@ -161,7 +185,11 @@
     ) {
         (self.settings.keepers, self.settings.keepers_number) = (keepers, number);
         let (count, incarnation) = (self.settings.keepers.len(), self.members.me().incarnation);
-        let place = self.settings.keepers.keys().position(|name| *name == self.settings.me);
+        let place = self
+            .settings
+            .keepers
+            .keys()
+            .position(|name| *name == self.settings.me);
         match (place, &mut self.kept) {
             (Some(place), Some(kept)) => kept.keeper.among(place, count),
             (Some(_), None) => {
@@ -169,13 +197,18 @@
             }
             (None, _) => self.kept = None,
         }
-        self.claims.values_mut().for_each(|claim| claim.among(count, now));
+        self.claims
+            .values_mut()
+            .for_each(|claim| claim.among(count, now));
     }
 
     /// This process as a holder.
     pub fn me(&self) -> Holder {
         let me = self.members.me();
-        Holder { node: me.name.clone(), incarnation: me.incarnation }
+        Holder {
+            node: me.name.clone(),
+            incarnation: me.incarnation,
+        }
     }
 
     /// The others that are there, as far as is known.
@@ -195,13 +228,20 @@
             patience: self.settings.patience,
             pause: (self.settings.patience / 4).max(1),
         };
-        self.claims.insert(task.into(), Claim::new(task, self.me(), terms, now));
+        self.claims
+            .insert(task.into(), Claim::new(task, self.me(), terms, now));
     }
 
     /// Gives a task back, or no longer asks for it.
     pub fn release(&mut self, task: &str, now: Micros) -> Vec<Out> {
-        let back = self.claims.get_mut(task).map(|claim| claim.release(now)).unwrap_or_default();
-        back.into_iter().flat_map(|message| self.ask_keepers(message)).collect()
+        let back = self
+            .claims
+            .get_mut(task)
+            .map(|claim| claim.release(now))
+            .unwrap_or_default();
+        back.into_iter()
+            .flat_map(|message| self.ask_keepers(message))
+            .collect()
     }
 
     /// The epoch under which this process may act at this moment. Ask this before every act.
@@ -217,13 +257,19 @@
 
     /// Which other node holds a task, as last heard.
     pub fn status_of(&self, task: &str) -> Option<String> {
-        self.claims.get(task)?.other().map(|holder| holder.node.clone())
+        self.claims
+            .get(task)?
+            .other()
+            .map(|holder| holder.node.clone())
     }
 
     /// Gives all tasks back and leaves the fleet in order.
     pub fn leave(&mut self, now: Micros) -> Vec<Out> {
         let tasks: Vec<String> = self.claims.keys().cloned().collect();
-        let mut out: Vec<Out> = tasks.iter().flat_map(|task| self.release(task, now)).collect();
+        let mut out: Vec<Out> = tasks
+            .iter()
+            .flat_map(|task| self.release(task, now))
+            .collect();
         self.left = true;
         let gossip = self.members.leave(now);
         out.extend(self.gossip(gossip));
@@ -238,7 +284,11 @@
             kept.keeper.due().into_iter().chain(ask)
         });
         let announce = (!self.left).then_some(self.announce_at);
-        claims.chain(kept).chain(self.members.due()).chain(announce).min()
+        claims
+            .chain(kept)
+            .chain(self.members.due())
+            .chain(announce)
+            .min()
     }
 
     /// Does what is due.
@@ -247,13 +297,23 @@
         let mut out = self.gossip(gossip);
         if now >= self.announce_at && !self.left {
             // Alone, a node asks often; in company, once in a while, so that two parts of a fleet find each other.
-            let wait = if self.members.others().next().is_some() { 20 } else { 1 };
-            self.announce_at =
-                now + self.settings.probe * wait + self.rng.random_range(0..self.settings.probe.max(1));
+            let wait = if self.members.others().next().is_some() {
+                20
+            } else {
+                1
+            };
+            self.announce_at = now
+                + self.settings.probe * wait
+                + self.rng.random_range(0..self.settings.probe.max(1));
             let seeds = self.settings.seeds.iter().chain(&self.settings.keepers);
             let seeds: Vec<Member> = seeds
                 .filter(|(name, _)| **name != self.settings.me)
-                .map(|(name, addr)| Member { name: name.clone(), addr: *addr, incarnation: 0, generation: 0 })
+                .map(|(name, addr)| Member {
+                    name: name.clone(),
+                    addr: *addr,
+                    incarnation: 0,
+                    generation: 0,
+                })
                 .collect();
             if !seeds.is_empty() {
                 let seed = seeds[self.rng.random_range(0..seeds.len())].clone();
@@ -262,14 +322,22 @@
             }
         }
         let jitter = self.rng.random::<u32>().into();
-        let asks: Vec<_> = self.claims.values_mut().flat_map(|claim| claim.turn(now, jitter)).collect();
+        let asks: Vec<_> = self
+            .claims
+            .values_mut()
+            .flat_map(|claim| claim.turn(now, jitter))
+            .collect();
         for ask in asks {
             out.extend(self.ask_keepers(ask));
         }
         if let Some(kept) = &mut self.kept {
             let whole = kept.keeper.advance(now);
             let ask = kept.keeper.recall().filter(|_| now >= kept.ask_at);
-            kept.ask_at = if ask.is_some() { now + self.settings.patience } else { kept.ask_at };
+            kept.ask_at = if ask.is_some() {
+                now + self.settings.patience
+            } else {
+                kept.ask_at
+            };
             if let Some(record) = whole {
                 kept.writes.0 += 1;
                 out.push(Out::Write(kept.writes.0, vec![record]));
@@ -292,7 +360,9 @@
     pub fn receive(&mut self, envelope: Envelope, now: Micros) -> Vec<Out> {
         self.spoke(&envelope);
         self.counts.taken += 1;
-        if envelope.keepers != self.settings.keepers_number && !matches!(envelope.body, Body::Gossip(_)) {
+        if envelope.keepers != self.settings.keepers_number
+            && !matches!(envelope.body, Body::Gossip(_))
+        {
             self.counts.other_keepers += 1;
             return Vec::new();
         }
@@ -302,8 +372,14 @@
                 self.gossip(gossip)
             }
             Body::Keeper(message) => {
-                let Some(kept) = self.kept.as_mut().filter(|kept| !kept.broken) else { return Vec::new() };
-                let Done { write, answer, memory } = kept.keeper.handle(now, message);
+                let Some(kept) = self.kept.as_mut().filter(|kept| !kept.broken) else {
+                    return Vec::new();
+                };
+                let Done {
+                    write,
+                    answer,
+                    memory,
+                } = kept.keeper.handle(now, message);
                 match &answer {
                     Some(ToNode::Granted { .. }) => self.counts.granted += 1,
                     Some(ToNode::Refused { .. }) => self.counts.refused += 1,
@@ -314,8 +390,12 @@
                     kept.writes.0 += 1;
                     out.push(Out::Write(kept.writes.0, write));
                 }
-                let to = memory.as_ref().and_then(|(keeper, _)| self.settings.keepers.keys().nth(*keeper));
-                let memory = to.cloned().zip(memory.map(|(_, message)| Body::Keeper(message)));
+                let to = memory
+                    .as_ref()
+                    .and_then(|(keeper, _)| self.settings.keepers.keys().nth(*keeper));
+                let memory = to
+                    .cloned()
+                    .zip(memory.map(|(_, message)| Body::Keeper(message)));
                 let answer = answer.map(|answer| (envelope.from.0, Body::Node(answer)));
                 for (to, body) in answer.into_iter().chain(memory) {
                     out.extend(self.behind_writes(to, body));
@@ -323,11 +403,17 @@
                 out
             }
             // What tasks say to each other is their drivers'.
-            Body::AskFigures(_) | Body::Figures(..) | Body::Roll(_) | Body::Trials(_) | Body::Budget(_) => {
-                Vec::new()
-            }
+            Body::AskFigures(_)
+            | Body::Figures(..)
+            | Body::Roll(_)
+            | Body::Trials(_)
+            | Body::Budget(_) => Vec::new(),
             Body::Node(answer) => {
-                let keeper = self.settings.keepers.keys().position(|name| *name == envelope.from.0);
+                let keeper = self
+                    .settings
+                    .keepers
+                    .keys()
+                    .position(|name| *name == envelope.from.0);
                 let task = match &answer {
                     ToNode::Granted { task, .. } | ToNode::Refused { task, .. } => task,
                 };
@@ -336,18 +422,29 @@
                 };
                 let jitter = self.rng.random::<u32>().into();
                 let back = claim.heard(now, keeper, &answer, jitter);
-                back.into_iter().flat_map(|message| self.ask_keepers(message)).collect()
+                back.into_iter()
+                    .flat_map(|message| self.ask_keepers(message))
+                    .collect()
             }
         }
     }
 
     /// The write of this number, and all before it, are durable.
     pub fn written(&mut self, number: u64) -> Vec<Out> {
-        let Some(kept) = &mut self.kept else { return Vec::new() };
+        let Some(kept) = &mut self.kept else {
+            return Vec::new();
+        };
         kept.writes.1 = kept.writes.1.max(number);
-        let ready = kept.waiting.iter().take_while(|(behind, _)| *behind <= kept.writes.1).count();
-        let ready: Vec<Out> =
-            kept.waiting.drain(..ready).map(|(_, envelope)| Out::Send(Box::new(envelope), None)).collect();
+        let ready = kept
+            .waiting
+            .iter()
+            .take_while(|(behind, _)| *behind <= kept.writes.1)
+            .count();
+        let ready: Vec<Out> = kept
+            .waiting
+            .drain(..ready)
+            .map(|(_, envelope)| Out::Send(Box::new(envelope), None))
+            .collect();
         self.counts.sent += ready.len() as u64;
         ready
     }
@@ -367,8 +464,18 @@
 
     /// What operators are shown.
     pub fn status(&self, now: Micros) -> Status {
-        let claim = |c: &Claim| (c.task().into(), c.may_act(now), c.left(now), c.other().cloned());
-        let keeper = self.kept.as_ref().map(|k| (k.keeper.standing().clone(), k.keeper.rows(now).collect()));
+        let claim = |c: &Claim| {
+            (
+                c.task().into(),
+                c.may_act(now),
+                c.left(now),
+                c.other().cloned(),
+            )
+        };
+        let keeper = self
+            .kept
+            .as_ref()
+            .map(|k| (k.keeper.standing().clone(), k.keeper.rows(now).collect()));
         Status {
             me: self.members.me().clone(),
             others: self.others(),
@@ -381,7 +488,14 @@
     fn envelope(&self, to: String, body: Body) -> Envelope {
         let (fleet, keepers) = (self.settings.fleet.clone(), self.settings.keepers_number);
         let me = self.members.me();
-        Envelope { fleet, keepers, from: (me.name.clone(), me.incarnation), at: me.addr, to, body }
+        Envelope {
+            fleet,
+            keepers,
+            from: (me.name.clone(), me.incarnation),
+            at: me.addr,
+            to,
+            body,
+        }
     }
 
     /// A message of a task's own to a node.
@@ -411,7 +525,9 @@
         let recall = matches!(message, crate::lease::ToKeeper::Recall { .. });
         let (all, me) = (self.settings.keepers.keys(), &self.settings.me);
         let to: Vec<String> = all.filter(|name| !recall || *name != me).cloned().collect();
-        to.into_iter().map(|name| self.send(name, None, Body::Keeper(message.clone()))).collect()
+        to.into_iter()
+            .map(|name| self.send(name, None, Body::Keeper(message.clone())))
+            .collect()
     }
 
     fn gossip(&mut self, messages: Vec<(Member, bytes::Bytes)>) -> Vec<Out> {
@@ -425,7 +541,14 @@
     pub fn addr(&self, name: &str) -> Option<SocketAddr> {
         let s = &self.settings;
         let known = s.keepers.get(name).or(s.seeds.get(name)).copied();
-        let member = || self.members.others().find(|m| m.name == name).map(|m| m.addr);
-        known.or_else(member).or_else(|| self.spoke.get(name).copied())
+        let member = || {
+            self.members
+                .others()
+                .find(|m| m.name == name)
+                .map(|m| m.addr)
+        };
+        known
+            .or_else(member)
+            .or_else(|| self.spoke.get(name).copied())
     }
 }
--- a/crates/fleet/src/roll.rs
+++ b/crates/fleet/src/roll.rs
@@ -90,7 +90,10 @@
 
     /// Learns of an order; a newer one takes the older one's place.
     pub fn learn(&mut self, order: Order) {
-        let newer = self.order.as_ref().is_none_or(|known| known.id() < order.id());
+        let newer = self
+            .order
+            .as_ref()
+            .is_none_or(|known| known.id() < order.id());
         if newer && order.nodes.len() <= MOST_NODES {
             (self.order, self.done, self.over) = (Some(order), false, false);
         }
@@ -98,7 +101,10 @@
 
     /// The order is carried out, as the one in charge says.
     pub fn over(&mut self, number: u64, by: &str) {
-        self.over |= self.order.as_ref().is_some_and(|order| order.id() == (number, by));
+        self.over |= self
+            .order
+            .as_ref()
+            .is_some_and(|order| order.id() == (number, by));
     }
 
     /// The newest order known here, unless it is carried out.
@@ -177,9 +183,26 @@
 impl Charge {
     /// Takes charge.
     pub fn new(epoch: u64, order: Order, keepers: Vec<String>, drift: u32, now: Micros) -> Charge {
-        let unheard = Seen { part: Part::Out, idle: false, at: now, time: 0, idle_since: None };
-        let seen = order.nodes.iter().map(|name| (name.clone(), unheard.clone())).collect();
-        Charge { epoch, order, keepers, drift, time: 0, seen }
+        let unheard = Seen {
+            part: Part::Out,
+            idle: false,
+            at: now,
+            time: 0,
+            idle_since: None,
+        };
+        let seen = order
+            .nodes
+            .iter()
+            .map(|name| (name.clone(), unheard.clone()))
+            .collect();
+        Charge {
+            epoch,
+            order,
+            keepers,
+            drift,
+            time: 0,
+            seen,
+        }
     }
 
     /// Under which epoch, for which order.
@@ -190,22 +213,39 @@
     /// The next question to every node of the order.
     pub fn ask(&mut self) -> Message {
         self.time += 1;
-        Message::Ask(self.epoch, self.time, (self.order.number, self.order.by.clone()))
+        Message::Ask(
+            self.epoch,
+            self.time,
+            (self.order.number, self.order.by.clone()),
+        )
     }
 
     /// Takes an answer.
     pub fn told(&mut self, from: &str, epoch: u64, time: u64, part: Part, idle: bool, now: Micros) {
-        let Some(seen) = self.seen.get_mut(from).filter(|s| epoch == self.epoch && time > s.time) else {
+        let Some(seen) = self
+            .seen
+            .get_mut(from)
+            .filter(|s| epoch == self.epoch && time > s.time)
+        else {
             return;
         };
         let since = seen.idle_since.filter(|_| part == Part::Out && idle);
         let idle_since = since.or((part == Part::Out && idle).then_some(now));
-        *seen = Seen { part, idle, at: now, time, idle_since };
+        *seen = Seen {
+            part,
+            idle,
+            at: now,
+            time,
+            idle_since,
+        };
     }
 
     /// How many are out, or may be.
     pub fn out(&self, now: Micros) -> usize {
-        self.seen.values().filter(|seen| self.counts(seen, now)).count()
+        self.seen
+            .values()
+            .filter(|seen| self.counts(seen, now))
+            .count()
     }
 
     /// Out, or nothing heard since the last question, and not yet back by itself for sure.
@@ -217,14 +257,29 @@
 
     /// How many have been out and are back, how many wait, and how many are not heard of.
     pub fn progress(&self, now: Micros) -> (usize, usize, usize) {
-        let count = |part| self.seen.values().filter(|s| s.time > 0 && s.part == part).count();
+        let count = |part| {
+            self.seen
+                .values()
+                .filter(|s| s.time > 0 && s.part == part)
+                .count()
+        };
         let gone = |s: &&Seen| s.time != self.time && !self.counts(s, now);
-        (count(Part::Done), count(Part::Waiting), self.seen.values().filter(gone).count())
+        (
+            count(Part::Done),
+            count(Part::Waiting),
+            self.seen.values().filter(gone).count(),
+        )
     }
 
     /// Whether no node waits or is out any more, as far as any is heard of.
     pub fn finished(&self, now: Micros) -> bool {
-        let open = |s: &Seen| if s.time == self.time { s.part != Part::Done } else { self.counts(s, now) };
+        let open = |s: &Seen| {
+            if s.time == self.time {
+                s.part != Part::Done
+            } else {
+                self.counts(s, now)
+            }
+        };
         self.time > 0 && !self.seen.values().any(open)
     }
 
@@ -233,7 +288,9 @@
     pub fn acts(&mut self, now: Micros) -> Vec<(String, Message)> {
         let mut acts = Vec::new();
         for (name, seen) in &mut self.seen {
-            let rested = seen.idle_since.is_some_and(|since| now >= since.saturating_add(self.order.hold));
+            let rested = seen
+                .idle_since
+                .is_some_and(|since| now >= since.saturating_add(self.order.hold));
             if seen.time == self.time && seen.part == Part::Out && rested {
                 acts.push((name.clone(), Message::Act(self.epoch, self.time, false)));
             }
@@ -241,12 +298,19 @@
         let majority = self.keepers.len() / 2 + 1;
         while self.out(now) < self.order.out as usize {
             let serving = |s: &Seen| s.time == self.time && s.part != Part::Out;
-            let keepers = self.keepers.iter().filter(|k| self.seen.get(*k).is_some_and(serving)).count();
+            let keepers = self
+                .keepers
+                .iter()
+                .filter(|k| self.seen.get(*k).is_some_and(serving))
+                .count();
             let may = |name: &String| !self.keepers.contains(name) || keepers > majority;
             let waits = |s: &Seen| s.time == self.time && s.part == Part::Waiting;
             // Keepers last: the fewer changes among them, the better.
             let next = self.seen.iter().filter(|(name, s)| waits(s) && may(name));
-            let Some(next) = next.map(|(name, _)| (self.keepers.contains(name), name.clone())).min() else {
+            let Some(next) = next
+                .map(|(name, _)| (self.keepers.contains(name), name.clone()))
+                .min()
+            else {
                 break;
             };
             acts.push((next.1.clone(), Message::Act(self.epoch, self.time, true)));
--- a/crates/fleet/src/trials.rs
+++ b/crates/fleet/src/trials.rs
@@ -58,7 +58,11 @@
         self.doubted.retain(|_, until| now < *until);
         self.believed.retain(|_, at| now < at.saturating_add(doubt));
         let mut advice = Vec::new();
-        for (name, well) in verdicts.into_iter().take(MOST_NAMES).filter(|(name, _)| ejected(name)) {
+        for (name, well) in verdicts
+            .into_iter()
+            .take(MOST_NAMES)
+            .filter(|(name, _)| ejected(name))
+        {
             if self.believed.contains_key(&name) && self.doubted.len() < MOST_SERVERS {
                 // It was told to be well, and failed here again.
                 self.believed.remove(&name);
@@ -87,7 +91,10 @@
 impl Charge {
     /// Takes charge.
     pub fn new(epoch: u64) -> Charge {
-        Charge { epoch, reported: BTreeMap::new() }
+        Charge {
+            epoch,
+            reported: BTreeMap::new(),
+        }
     }
 
     /// Under which epoch.
@@ -113,7 +120,8 @@
         now: Micros,
         forget: Micros,
     ) -> Message {
-        self.reported.retain(|_, (_, last)| now < last.saturating_add(forget));
+        self.reported
+            .retain(|_, (_, last)| now < last.saturating_add(forget));
         let verdict = |(name, (since, _)): (&String, &(Micros, Micros))| {
             let standing = standing(name)?;
             let well = standing.well_since.is_some_and(|at| at > *since);
@@ -123,6 +131,13 @@
                 (false, false) => None,
             }
         };
-        Message::Verdicts(self.epoch, self.reported.iter().filter_map(verdict).take(MOST_NAMES).collect())
+        Message::Verdicts(
+            self.epoch,
+            self.reported
+                .iter()
+                .filter_map(verdict)
+                .take(MOST_NAMES)
+                .collect(),
+        )
     }
 }
--- a/crates/fleet/tests/budget.rs
+++ b/crates/fleet/tests/budget.rs
@@ -11,7 +11,13 @@
 const NODES: usize = 6;
 const LENGTH: u64 = 2_000_000;
 const DRIFT: u32 = 50_000;
-const WHOLE: Whole = Whole { rate: 100_000, burst: 50_000, floor: 1_000, floor_burst: 500, most_nodes: 8 };
+const WHOLE: Whole = Whole {
+    rate: 100_000,
+    burst: 50_000,
+    floor: 1_000,
+    floor_burst: 500,
+    most_nodes: 8,
+};
 
 #[derive(Clone, Debug)]
 enum Step {
@@ -107,7 +113,10 @@
         }
     }
     fn holder(n: usize, incarnation: u64) -> Holder {
-        Holder { node: format!("n{n}"), incarnation }
+        Holder {
+            node: format!("n{n}"),
+            incarnation,
+        }
     }
     fn whole(without: Without) -> Whole {
         match without {
@@ -117,7 +126,11 @@
     }
     fn divide(without: Without, epoch: u64, now: u64) -> Divider {
         let wholes = [("b".to_string(), World::whole(without))].into();
-        let began = if without == Without::Wait { now.saturating_sub(2 * LENGTH) } else { now };
+        let began = if without == Without::Wait {
+            now.saturating_sub(2 * LENGTH)
+        } else {
+            now
+        };
         Divider::new(epoch, wholes, LENGTH, World::drift(without), began)
     }
     /// The divider's clock is fast and those of nodes are slow: the worst there may be.
@@ -129,7 +142,11 @@
     }
     fn spend(&self) -> u64 {
         let now = self.node_now();
-        let shares: u64 = self.nodes.iter().map(|(_, shares)| shares.share("b", now).0).sum();
+        let shares: u64 = self
+            .nodes
+            .iter()
+            .map(|(_, shares)| shares.share("b", now).0)
+            .sum();
         let extra: u64 = self.extra.iter().filter(|e| now < e.2).map(|e| e.1).sum();
         let all = shares + extra + u64::from(WHOLE.most_nodes) * WHOLE.floor;
         // Buckets may be filled by fast clocks.
@@ -141,9 +158,26 @@
                 let now = self.divider_now();
                 let message = match (self.without, message) {
                     // As if whatever was given last had been shown.
-                    (Without::Shown, Message::Ask { who, epoch, number, rates, wants, .. }) => {
+                    (
+                        Without::Shown,
+                        Message::Ask {
+                            who,
+                            epoch,
+                            number,
+                            rates,
+                            wants,
+                            ..
+                        },
+                    ) => {
                         let have = Some((epoch, u64::MAX));
-                        Message::Ask { who, epoch, number, have, rates, wants }
+                        Message::Ask {
+                            who,
+                            epoch,
+                            number,
+                            have,
+                            rates,
+                            wants,
+                        }
                     }
                     (_, message) => message,
                 };
@@ -154,9 +188,26 @@
             Item::ToNode(node, message) => {
                 let now = self.node_now();
                 let message = match (self.without, message) {
-                    (Without::Name, Message::Share { epoch, share, number, length, rates, .. }) => {
+                    (
+                        Without::Name,
+                        Message::Share {
+                            epoch,
+                            share,
+                            number,
+                            length,
+                            rates,
+                            ..
+                        },
+                    ) => {
                         let who = self.nodes[node].0;
-                        Message::Share { who, epoch, share, number, length, rates }
+                        Message::Share {
+                            who,
+                            epoch,
+                            share,
+                            number,
+                            length,
+                            rates,
+                        }
                     }
                     (_, message) => message,
                 };
@@ -185,7 +236,11 @@
             Step::Ask { node, want } => self.ask(node, want),
             Step::Deliver { which, stays } if !self.wire.is_empty() => {
                 let which = which % self.wire.len();
-                let item = if stays { self.wire[which].clone() } else { self.wire.remove(which) };
+                let item = if stays {
+                    self.wire[which].clone()
+                } else {
+                    self.wire.remove(which)
+                };
                 self.deliver(item);
             }
             Step::Lose { which } if !self.wire.is_empty() => {
@@ -194,7 +249,8 @@
             }
             Step::Restart { node } => {
                 let incarnation = self.nodes[node].0 + 1;
-                let shares = Shares::new(World::holder(node, incarnation), World::drift(self.without));
+                let shares =
+                    Shares::new(World::holder(node, incarnation), World::drift(self.without));
                 self.nodes[node] = (incarnation, shares);
             }
             Step::Follow => {
@@ -235,7 +291,12 @@
         world
     }
     fn check_invariants(world: &World, _: &Any) {
-        assert!(world.spend() <= WHOLE.rate, "{} at {}", world.spend(), world.now);
+        assert!(
+            world.spend() <= WHOLE.rate,
+            "{} at {}",
+            world.spend(),
+            world.now
+        );
     }
     /// Quiet: all ask, and within one share's time nothing of the whole is lost.
     fn teardown(mut world: World, state: Any) {
@@ -249,7 +310,11 @@
         }
         let divided = WHOLE.divided(DRIFT);
         let floors = WHOLE.floor * u64::from(WHOLE.most_nodes);
-        assert!(world.spend() - floors >= divided * 9 / 10, "{} of {divided}", world.spend());
+        assert!(
+            world.spend() - floors >= divided * 9 / 10,
+            "{} of {divided}",
+            world.spend()
+        );
     }
 }
 
@@ -292,7 +357,10 @@
     use proptest::test_runner::{Config, RngSeed, TestRunner};
     use Without::*;
     for without in [Wait, Drift, Shown, Again, Name, Floor] {
-        let mut runner = TestRunner::new(Config { rng_seed: RngSeed::Fixed(7), ..Config::default() });
+        let mut runner = TestRunner::new(Config {
+            rng_seed: RngSeed::Fixed(7),
+            ..Config::default()
+        });
         let steps = proptest::collection::vec(step(), 20..160);
         let found = (0..20_000).find(|_| {
             let mut world = World::new(without);
@@ -340,21 +408,56 @@
                 world.deliver(item);
             }
         }
-        (0..3).map(|n| world.nodes[n].1.share("b", world.node_now()).0).collect()
+        (0..3)
+            .map(|n| world.nodes[n].1.share("b", world.node_now()).0)
+            .collect()
     };
     let first = turn([100_000, 10_000, 10_000], 8);
     assert!(first[0] > 55_000 && first[1] >= 10_000, "{first:?}");
-    assert_eq!(turn([101_000, 10_100, 9_900], 8), first, "by less than a tenth");
+    assert_eq!(
+        turn([101_000, 10_100, 9_900], 8),
+        first,
+        "by less than a tenth"
+    );
     let moved = turn([10_000, 100_000, 10_000], 8);
-    assert!(moved[1] > 55_000 && moved[0] >= 10_000 && moved[0] < 30_000, "{moved:?}");
+    assert!(
+        moved[1] > 55_000 && moved[0] >= 10_000 && moved[0] < 30_000,
+        "{moved:?}"
+    );
 }
 
 #[test]
 fn floors_that_do_not_add_up_are_refused_by_name() {
     WHOLE.check(DRIFT).unwrap();
-    assert_eq!(Whole { floor: 20_000, ..WHOLE }.check(DRIFT).unwrap_err().0, "floor");
-    assert_eq!(Whole { floor_burst: 20_000, ..WHOLE }.check(DRIFT).unwrap_err().0, "floor_burst");
-    assert_eq!(Whole { rate: 0, floor: 0, ..WHOLE }.divided(DRIFT), 0);
+    assert_eq!(
+        Whole {
+            floor: 20_000,
+            ..WHOLE
+        }
+        .check(DRIFT)
+        .unwrap_err()
+        .0,
+        "floor"
+    );
+    assert_eq!(
+        Whole {
+            floor_burst: 20_000,
+            ..WHOLE
+        }
+        .check(DRIFT)
+        .unwrap_err()
+        .0,
+        "floor_burst"
+    );
+    assert_eq!(
+        Whole {
+            rate: 0,
+            floor: 0,
+            ..WHOLE
+        }
+        .divided(DRIFT),
+        0
+    );
 }
 
 /// A whole that operators lower holds one share's time later, and one set to zero leaves the floors alone.
@@ -369,17 +472,27 @@
                 world.deliver(item);
             }
         }
-        (0..NODES).map(|n| world.nodes[n].1.share("b", world.node_now()).0).sum::<u64>()
+        (0..NODES)
+            .map(|n| world.nodes[n].1.share("b", world.node_now()).0)
+            .sum::<u64>()
     };
     assert!(turn(&mut world, 8) > 70_000);
     for rate in [30_000, 8_000 * 11 / 10, 0] {
         let floor = if rate == 0 { 0 } else { WHOLE.floor };
-        let whole = Whole { rate, floor, ..WHOLE };
+        let whole = Whole {
+            rate,
+            floor,
+            ..WHOLE
+        };
         world.divider.set([("b".to_string(), whole)].into());
         // Operators are told by when it is reached.
         let row = world.divider.table(world.divider_now()).remove(0);
         let lowered = row.given > row.divided;
-        assert_eq!(lowered, (1..=LENGTH).contains(&row.lowered_in), "{rate}: {row:?}");
+        assert_eq!(
+            lowered,
+            (1..=LENGTH).contains(&row.lowered_in),
+            "{rate}: {row:?}"
+        );
         assert!(lowered || rate < 30_000, "{row:?}");
         assert!(turn(&mut world, 5) <= whole.divided(DRIFT), "{rate}");
     }
--- a/crates/fleet/tests/budget_cases.rs
+++ b/crates/fleet/tests/budget_cases.rs
@@ -11,7 +11,13 @@
 const B: &str = "b";
 
 fn whole(rate: u64, burst: u64, floor: u64, most_nodes: u32) -> Whole {
-    Whole { rate, burst, floor, floor_burst: 1_000, most_nodes }
+    Whole {
+        rate,
+        burst,
+        floor,
+        floor_burst: 1_000,
+        most_nodes,
+    }
 }
 
 struct Part {
@@ -41,8 +47,18 @@
 }
 
 fn party(n: usize, incarnation: u64, whole: Whole) -> Party {
-    let settings = Settings { share: SHARE, drift: DRIFT, wholes: [(B.to_string(), whole)].into() };
-    Party::new(Holder { node: format!("n{n}"), incarnation }, settings)
+    let settings = Settings {
+        share: SHARE,
+        drift: DRIFT,
+        wholes: [(B.to_string(), whole)].into(),
+    };
+    Party::new(
+        Holder {
+            node: format!("n{n}"),
+            incarnation,
+        },
+        settings,
+    )
 }
 
 impl World {
@@ -59,7 +75,14 @@
             asks_at: 0,
         };
         let parts = (0..nodes).map(part).collect();
-        World { now: 0, whole, parts, chief: Some((0, 1)), wire: BTreeMap::new(), number: 0 }
+        World {
+            now: 0,
+            whole,
+            parts,
+            chief: Some((0, 1)),
+            wire: BTreeMap::new(),
+            number: 0,
+        }
     }
     fn epoch(&self, n: usize) -> Option<u64> {
         self.chief.filter(|chief| chief.0 == n).map(|chief| chief.1)
@@ -67,7 +90,8 @@
     fn send(&mut self, from: usize, to: usize, message: Message) {
         self.number += 1;
         let wait = 1 + self.number % 4;
-        self.wire.insert((self.now + wait * MS, self.number), (from, to, message));
+        self.wire
+            .insert((self.now + wait * MS, self.number), (from, to, message));
     }
     /// What all may spend a second together, floors of all planned nodes and of any beyond included.
     fn sum(&self) -> u64 {
@@ -81,7 +105,10 @@
         while let Some(entry) = self.wire.first_entry().filter(|e| e.key().0 <= self.now) {
             let (from, to, message) = entry.remove();
             let (epoch, now) = (self.epoch(to), self.now);
-            let back = self.parts[to].party.receive(message, epoch, now).filter(|_| self.parts[to].up);
+            let back = self.parts[to]
+                .party
+                .receive(message, epoch, now)
+                .filter(|_| self.parts[to].up);
             back.into_iter().for_each(|back| self.send(to, from, back));
         }
         for n in 0..self.parts.len() {
@@ -99,7 +126,10 @@
             (p.left, p.spent) = (p.left - spent, p.spent + spent);
             if now >= p.asks_at {
                 p.asks_at = now + p.party.step();
-                let count = Count { units: p.units as u64, worth: p.units / 1e3 * p.worth };
+                let count = Count {
+                    units: p.units as u64,
+                    worth: p.units / 1e3 * p.worth,
+                };
                 let counted = [(B.to_string(), count)].into();
                 let ask = p.party.ask(counted, epoch, now);
                 if let Some((chief, _)) = self.chief {
@@ -111,7 +141,13 @@
     fn run(&mut self, ms: u64) {
         for _ in 0..ms {
             self.step();
-            assert!(self.sum() <= self.whole.rate, "{} of {} at {}", self.sum(), self.whole.rate, self.now);
+            assert!(
+                self.sum() <= self.whole.rate,
+                "{} of {} at {}",
+                self.sum(),
+                self.whole.rate,
+                self.now
+            );
         }
     }
     fn spent(&self) -> f64 {
@@ -138,7 +174,12 @@
 fn three_hundred_nodes_that_ask_at_one_instant_have_their_parts_after_two_questions() {
     let mut world = World::new(300, whole(3_000_000, 900_000, 100, 300), 9_000);
     world.run(SHARE / MS + 600);
-    let least = world.parts.iter().map(|p| p.party.share(B, world.now).0).min().unwrap();
+    let least = world
+        .parts
+        .iter()
+        .map(|p| p.party.share(B, world.now).0)
+        .min()
+        .unwrap();
     assert!(least >= 8_500, "{least}");
 }
 
@@ -153,7 +194,11 @@
     // Back all at once, as other holders: what they had has run out, and they get their parts.
     (10..20).for_each(|n| world.start(n));
     world.run(SHARE / MS + 1_000);
-    let shares: Vec<u64> = world.parts.iter().map(|p| p.party.share(B, world.now).0).collect();
+    let shares: Vec<u64> = world
+        .parts
+        .iter()
+        .map(|p| p.party.share(B, world.now).0)
+        .collect();
     assert!(shares.iter().all(|share| *share > 8_000), "{shares:?}");
 }
 
@@ -189,7 +234,10 @@
         after += 10;
         assert!(after < 5_000, "{after}");
     }
-    println!("a dead node's part is used by others after {after} ms, shares of {} ms", SHARE / MS);
+    println!(
+        "a dead node's part is used by others after {after} ms, shares of {} ms",
+        SHARE / MS
+    );
     assert!(after <= SHARE / MS + 500, "{after}");
     world.start(5);
     world.run(1_000);
@@ -211,9 +259,16 @@
 #[test]
 fn demand_of_ten_to_one_that_moves_uses_nine_tenths_of_what_a_central_limiter_does() {
     let (nodes, rate) = (9u64, 144_000);
-    let wants = |n: u64, now: u64| if n == now / (10_000 * MS) % nodes { 100_000 } else { 10_000 };
+    let wants = |n: u64, now: u64| {
+        if n == now / (10_000 * MS) % nodes {
+            100_000
+        } else {
+            10_000
+        }
+    };
     let mut world = World::new(nodes as usize, whole(rate, 36_000, 200, nodes as u32), 0);
-    let (mut central, mut left, mut equal, mut buckets) = (0.0, 0.0f64, 0.0, vec![0.0f64; nodes as usize]);
+    let (mut central, mut left, mut equal, mut buckets) =
+        (0.0, 0.0f64, 0.0, vec![0.0f64; nodes as usize]);
     for ms in 0..120_000 {
         for n in 0..nodes {
             let wanted = wants(n, world.now);
@@ -226,7 +281,10 @@
         left = (left + rate as f64 / 1e3).min(36_000.0);
         let wanted: u64 = (0..nodes).map(|n| wants(n, world.now)).sum();
         let spent = left.min(wanted as f64 / 1e3);
-        (left, central) = (left - spent, central + if ms >= 5_000 { spent } else { 0.0 });
+        (left, central) = (
+            left - spent,
+            central + if ms >= 5_000 { spent } else { 0.0 },
+        );
         if ms == 5_000 {
             world.parts.iter_mut().for_each(|p| p.spent = 0.0);
         }
--- a/crates/fleet/tests/keepers.rs
+++ b/crates/fleet/tests/keepers.rs
@@ -1,21 +1,37 @@
 //! Keepers among themselves and with claims, by fed time: starts, lost memories, and what each hard case must not do.
 
-use poppykeel_fleet::lease::{hold, Claim, Holder, Keeper, Record, Rules, Standing, Terms, ToKeeper, ToNode};
+use poppykeel_fleet::lease::{
+    hold, Claim, Holder, Keeper, Record, Rules, Standing, Terms, ToKeeper, ToNode,
+};
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 
 const LONGEST: u64 = 1_000_000;
 
 fn rules(me: usize, keepers: usize, trust: bool) -> Rules {
-    Rules { keepers, me, longest: LONGEST, trust }
+    Rules {
+        keepers,
+        me,
+        longest: LONGEST,
+        trust,
+    }
 }
 
 fn who(node: &str, incarnation: u64) -> Holder {
-    Holder { node: node.into(), incarnation }
+    Holder {
+        node: node.into(),
+        incarnation,
+    }
 }
 
 fn ask(who: &Holder, epoch: u64, round: u64) -> ToKeeper {
-    ToKeeper::Ask { task: "t".into(), who: who.clone(), epoch, round, length: LONGEST }
+    ToKeeper::Ask {
+        task: "t".into(),
+        who: who.clone(),
+        epoch,
+        round,
+        length: LONGEST,
+    }
 }
 
 /// Keepers that grant, with their disks.
@@ -29,7 +45,11 @@
     fn first_start(count: usize, trust: bool) -> Table {
         let keeper = |me| Keeper::new(rules(me, count, trust), me as u64, &[], 0);
         let keepers = (0..count).map(keeper).collect();
-        Table { keepers, disks: vec![Vec::new(); count], trust }
+        Table {
+            keepers,
+            disks: vec![Vec::new(); count],
+            trust,
+        }
     }
     /// Keepers that have come to grant at the time `LONGEST`.
     fn in_service(count: usize, trust: bool) -> Table {
@@ -57,7 +77,9 @@
     fn settle(&mut self, now: u64) {
         for _ in 0..2 {
             for from in 0..self.keepers.len() {
-                (0..self.keepers.len()).filter(|to| *to != from).for_each(|to| self.recall(from, to, now));
+                (0..self.keepers.len())
+                    .filter(|to| *to != from)
+                    .for_each(|to| self.recall(from, to, now));
             }
         }
         (0..self.keepers.len()).for_each(|k| drop(self.keepers[k].advance(now)));
@@ -67,7 +89,10 @@
         self.keepers[k] = Keeper::new(rules, start, &self.disks[k], now);
     }
     fn granting(&self) -> usize {
-        self.keepers.iter().filter(|k| *k.standing() == Standing::Granting).count()
+        self.keepers
+            .iter()
+            .filter(|k| *k.standing() == Standing::Granting)
+            .count()
     }
 }
 
@@ -129,7 +154,10 @@
         // The holder may have been told at the last moment before the loss.
         assert!(!granted(table.tell(0, back + LONGEST - 1, ask(&b, 2, 1))));
         table.settle(back + LONGEST);
-        assert!(granted(table.tell(0, back + LONGEST, ask(&b, 2, 2))), "{trust}");
+        assert!(
+            granted(table.tell(0, back + LONGEST, ask(&b, 2, 2))),
+            "{trust}"
+        );
     }
 }
 
@@ -159,7 +187,11 @@
 fn a_release_that_comes_late_frees_nothing_of_the_next_holder() {
     let mut table = Table::in_service(1, false);
     let (a, b) = (who("a", 1), who("b", 2));
-    let back = |who: &Holder, epoch| ToKeeper::Release { task: "t".into(), who: who.clone(), epoch };
+    let back = |who: &Holder, epoch| ToKeeper::Release {
+        task: "t".into(),
+        who: who.clone(),
+        epoch,
+    };
     assert!(granted(table.tell(0, LONGEST, ask(&a, 1, 1))));
     table.tell(0, LONGEST, back(&a, 1));
     assert!(granted(table.tell(0, LONGEST, ask(&b, 2, 1))));
@@ -172,8 +204,17 @@
 fn lengths_that_are_none_or_too_long_are_refused() {
     let mut table = Table::in_service(1, false);
     for length in [0, LONGEST + 1] {
-        let ask = ToKeeper::Ask { task: "t".into(), who: who("a", 1), epoch: 1, round: 1, length };
-        assert!(matches!(table.tell(0, LONGEST, ask), Some(ToNode::Refused { .. })));
+        let ask = ToKeeper::Ask {
+            task: "t".into(),
+            who: who("a", 1),
+            epoch: 1,
+            round: 1,
+            length,
+        };
+        assert!(matches!(
+            table.tell(0, LONGEST, ask),
+            Some(ToNode::Refused { .. })
+        ));
     }
 }
 
@@ -191,14 +232,23 @@
 #[allow(clippy::type_complexity)] // by the time of arrival: claim, keeper, and the question or the answer
 fn three_hundred_contenders_at_one_instant_end_with_one_holder() {
     let mut table = Table::in_service(3, false);
-    let terms = Terms { keepers: 3, length: LONGEST, drift: 1000, patience: 100_000, pause: 25_000 };
-    let mut claims: Vec<Claim> =
-        (0..300).map(|n| Claim::new("t", who(&format!("n{n}"), n), terms, LONGEST)).collect();
+    let terms = Terms {
+        keepers: 3,
+        length: LONGEST,
+        drift: 1000,
+        patience: 100_000,
+        pause: 25_000,
+    };
+    let mut claims: Vec<Claim> = (0..300)
+        .map(|n| Claim::new("t", who(&format!("n{n}"), n), terms, LONGEST))
+        .collect();
     // Each message takes its own time, so that contenders meet the keepers in different orders.
     let mut wire: BTreeMap<(u64, u64), (usize, usize, Result<ToKeeper, ToNode>)> = BTreeMap::new();
     let (mut now, mut number, mut random) = (LONGEST, 0u64, 7u64);
     let mut draw = move || {
-        random = random.wrapping_mul(6364136223846793005).wrapping_add(1442695040888963407);
+        random = random
+            .wrapping_mul(6364136223846793005)
+            .wrapping_add(1442695040888963407);
         random >> 33
     };
     let mut held_at = None;
@@ -208,7 +258,10 @@
                 for message in claim.turn(now, draw()) {
                     for k in 0..3 {
                         number += 1;
-                        wire.insert((now + 100 + draw() % 2000, number), (c, k, Ok(message.clone())));
+                        wire.insert(
+                            (now + 100 + draw() % 2000, number),
+                            (c, k, Ok(message.clone())),
+                        );
                     }
                 }
             }
@@ -225,7 +278,10 @@
             }
             for (message, k) in to_all.iter().flat_map(|m| (0..3).map(move |k| (m, k))) {
                 number += 1;
-                wire.insert((now + 100 + draw() % 2000, number), (c, k, Ok(message.clone())));
+                wire.insert(
+                    (now + 100 + draw() % 2000, number),
+                    (c, k, Ok(message.clone())),
+                );
             }
         }
         let holders = claims.iter().filter(|c| c.may_act(now).is_some()).count();
@@ -243,10 +299,16 @@
 fn leases_made_shorter_do_not_shorten_the_wait_for_those_granted_before() {
     let mut table = Table::in_service(3, false);
     assert!(granted(table.tell(0, LONGEST, ask(&who("a", 1), 1, 1))));
-    let shorter = Rules { longest: LONGEST / 10, ..rules(0, 3, false) };
+    let shorter = Rules {
+        longest: LONGEST / 10,
+        ..rules(0, 3, false)
+    };
     table.keepers[0] = Keeper::new(shorter, 9, &table.disks[0], LONGEST + 1);
     table.settle(LONGEST + 1);
-    assert_eq!(*table.keepers[0].standing(), Standing::Waiting(2 * LONGEST + 1));
+    assert_eq!(
+        *table.keepers[0].standing(),
+        Standing::Waiting(2 * LONGEST + 1)
+    );
 }
 
 proptest! {
