--- a/crates/fleet/tests/nodes.rs
+++ b/crates/fleet/tests/nodes.rs
@@ -61,7 +61,12 @@
 
 impl World {
     fn new(all: Vec<Settings>) -> World {
-        let machine = |settings| Machine { node: None, settings, disk: Vec::new(), disk_us: Some(500) };
+        let machine = |settings| Machine {
+            node: None,
+            settings,
+            disk: Vec::new(),
+            disk_us: Some(500),
+        };
         let machines: Vec<Machine> = all.into_iter().map(machine).collect();
         let count = machines.len();
         let wire = BTreeMap::new();
@@ -81,7 +86,12 @@
     fn start(&mut self, n: usize) {
         self.starts += 1;
         let m = &mut self.machines[n];
-        let mut node = Node::new(m.settings.clone(), 1000 + self.starts, Some(m.disk.clone()), self.now);
+        let mut node = Node::new(
+            m.settings.clone(),
+            1000 + self.starts,
+            Some(m.disk.clone()),
+            self.now,
+        );
         node.want("t", self.now);
         m.node = Some(node);
     }
@@ -98,12 +108,23 @@
                     }
                 }
                 Out::Send(envelope, hint) => {
-                    let known = self.machines[from].node.as_ref().and_then(|n| n.addr(&envelope.to)).or(hint);
-                    let to = known.map(|a| a.port() as usize - 9000).filter(|to| *to < self.machines.len());
-                    let Some(to) = to.filter(|to| !self.cut.contains(&(from, *to))) else { continue };
+                    let known = self.machines[from]
+                        .node
+                        .as_ref()
+                        .and_then(|n| n.addr(&envelope.to))
+                        .or(hint);
+                    let to = known
+                        .map(|a| a.port() as usize - 9000)
+                        .filter(|to| *to < self.machines.len());
+                    let Some(to) = to.filter(|to| !self.cut.contains(&(from, *to))) else {
+                        continue;
+                    };
                     let wait = 300 + self.number % 7 * 200;
                     let bytes = envelope::write(&envelope);
-                    self.sent[from] = (self.sent[from].0 + 1, self.sent[from].1 + bytes.len() as u64);
+                    self.sent[from] = (
+                        self.sent[from].0 + 1,
+                        self.sent[from].1 + bytes.len() as u64,
+                    );
                     self.push(wait, Item::Message(to, bytes));
                 }
             }
@@ -137,20 +158,36 @@
             }
             for n in 0..self.machines.len() {
                 let now = self.now;
-                let due =
-                    self.machines[n].node.as_mut().filter(|node| node.due().is_some_and(|at| at <= now));
+                let due = self.machines[n]
+                    .node
+                    .as_mut()
+                    .filter(|node| node.due().is_some_and(|at| at <= now));
                 let out = due.map(|node| node.turn(now)).unwrap_or_default();
                 self.carry_out(n, out);
             }
-            assert!(self.holders().len() < 2, "{:?} at {}", self.holders(), self.now);
+            assert!(
+                self.holders().len() < 2,
+                "{:?} at {}",
+                self.holders(),
+                self.now
+            );
         }
     }
     fn holders(&self) -> Vec<usize> {
-        let holds = |m: &Machine| m.node.as_ref().is_some_and(|node| node.may_act("t", self.now).is_some());
-        (0..self.machines.len()).filter(|n| holds(&self.machines[*n])).collect()
+        let holds = |m: &Machine| {
+            m.node
+                .as_ref()
+                .is_some_and(|node| node.may_act("t", self.now).is_some())
+        };
+        (0..self.machines.len())
+            .filter(|n| holds(&self.machines[*n]))
+            .collect()
     }
     fn others(&self, n: usize) -> usize {
-        self.machines[n].node.as_ref().map_or(0, |node| node.others().len())
+        self.machines[n]
+            .node
+            .as_ref()
+            .map_or(0, |node| node.others().len())
     }
     fn seconds(&mut self, seconds: u64) {
         self.run(seconds * 1000 * MS);
@@ -200,7 +237,11 @@
     let out = world.machines[holder].node.as_mut().unwrap().leave(now);
     world.carry_out(holder, out);
     world.run(LEASE / 2);
-    assert!(world.holders().first().is_some_and(|n| *n != holder), "{:?}", world.holders());
+    assert!(
+        world.holders().first().is_some_and(|n| *n != holder),
+        "{:?}",
+        world.holders()
+    );
 }
 
 #[test]
@@ -221,9 +262,16 @@
     let mut world = nine();
     for side in [vec![0], vec![0, 1, 3, 5], vec![1, 2, 4, 6, 8]] {
         let apart = |from: &usize, to: &usize| side.contains(from) != side.contains(to);
-        world.cut = (0..9).flat_map(|f| (0..9).map(move |t| (f, t))).filter(|(f, t)| apart(f, t)).collect();
+        world.cut = (0..9)
+            .flat_map(|f| (0..9).map(move |t| (f, t)))
+            .filter(|(f, t)| apart(f, t))
+            .collect();
         world.seconds(4);
-        assert_eq!(world.holders().len(), 1, "a majority of keepers is on one side");
+        assert_eq!(
+            world.holders().len(),
+            1,
+            "a majority of keepers is on one side"
+        );
         world.cut.clear();
         world.seconds(4);
     }
@@ -251,7 +299,11 @@
     let status = world.machines[0].node.as_ref().unwrap().status(now);
     assert!(status.broken);
     let holder = world.holders()[0];
-    let out = world.machines[holder].node.as_mut().unwrap().release("t", now);
+    let out = world.machines[holder]
+        .node
+        .as_mut()
+        .unwrap()
+        .release("t", now);
     world.carry_out(holder, out);
     world.seconds(3);
     assert_eq!(world.holders().len(), 1);
@@ -272,7 +324,11 @@
         ..settings(n)
     };
     let all = (0..3).map(settings).chain((3..6).map(other)).collect();
-    let mut world = World { machines: Vec::new(), sent: vec![(0, 0); 6], ..World::new(Vec::new()) };
+    let mut world = World {
+        machines: Vec::new(),
+        sent: vec![(0, 0); 6],
+        ..World::new(Vec::new())
+    };
     let World { machines, .. } = &mut world;
     let fill: Vec<Settings> = all;
     machines.extend(fill.into_iter().map(|settings| Machine {
@@ -310,7 +366,11 @@
         let (now, disk) = (world.now, (n == 3).then(Vec::new));
         world.machines[n].settings.keepers = named(&fresh);
         world.machines[n].settings.keepers_number = 2;
-        world.machines[n].node.as_mut().unwrap().set_keepers(named(&fresh), 2, disk, now);
+        world.machines[n]
+            .node
+            .as_mut()
+            .unwrap()
+            .set_keepers(named(&fresh), 2, disk, now);
         world.run(400 * MS);
     }
     world.seconds(6);
@@ -326,8 +386,12 @@
 #[test]
 #[ignore = "a measurement; docs/leases.md has its figures"]
 fn three_hundred_nodes_at_rest() {
-    let all =
-        (0..300).map(|n| Settings { lease: 5_000 * MS, probe: 1000 * MS, patience: 500 * MS, ..settings(n) });
+    let all = (0..300).map(|n| Settings {
+        lease: 5_000 * MS,
+        probe: 1000 * MS,
+        patience: 500 * MS,
+        ..settings(n)
+    });
     let mut world = World::new(all.collect());
     world.seconds(30);
     assert_eq!(world.holders().len(), 1);
@@ -335,8 +399,12 @@
     let before: Vec<(u64, u64)> = world.sent.clone();
     let seconds = 20;
     world.seconds(seconds);
-    let rates: Vec<(u64, u64)> =
-        world.sent.iter().zip(&before).map(|(a, b)| ((a.0 - b.0) / seconds, (a.1 - b.1) / seconds)).collect();
+    let rates: Vec<(u64, u64)> = world
+        .sent
+        .iter()
+        .zip(&before)
+        .map(|(a, b)| ((a.0 - b.0) / seconds, (a.1 - b.1) / seconds))
+        .collect();
     let sum = rates.iter().fold((0, 0), |a, b| (a.0 + b.0, a.1 + b.1));
     let keeper = rates[..3].iter().max().unwrap();
     println!(
@@ -353,10 +421,26 @@
 
 #[test]
 fn messages_that_are_none_are_dropped_whatever_byte_is_wrong() {
-    let who = Holder { node: "n1".into(), incarnation: 7 };
-    let ask = ToKeeper::Ask { task: "t".into(), who, epoch: 1, round: 1, length: LEASE };
+    let who = Holder {
+        node: "n1".into(),
+        incarnation: 7,
+    };
+    let ask = ToKeeper::Ask {
+        task: "t".into(),
+        who,
+        epoch: 1,
+        round: 1,
+        length: LEASE,
+    };
     let (from, to) = (("n1".to_string(), 7), "n0".to_string());
-    let whole = Envelope { fleet: "f".into(), keepers: 1, from, at: addr(1), to, body: Body::Keeper(ask) };
+    let whole = Envelope {
+        fleet: "f".into(),
+        keepers: 1,
+        from,
+        at: addr(1),
+        to,
+        body: Body::Keeper(ask),
+    };
     let bytes = envelope::write(&whole);
     assert_eq!(envelope::read(&bytes, "f", "n0").as_ref(), Ok(&whole));
     assert_eq!(envelope::read(&bytes, "g", "n0"), Err(Dropped::Foreign));
@@ -364,7 +448,15 @@
     for at in 0..bytes.len() {
         let mut bad = bytes.clone();
         bad[at] ^= 0x20;
-        assert_eq!(envelope::read(&bad, "f", "n0"), Err(Dropped::Garbled), "{at}");
-        assert_eq!(envelope::read(&bytes[..at], "f", "n0"), Err(Dropped::Garbled), "{at}");
+        assert_eq!(
+            envelope::read(&bad, "f", "n0"),
+            Err(Dropped::Garbled),
+            "{at}"
+        );
+        assert_eq!(
+            envelope::read(&bytes[..at], "f", "n0"),
+            Err(Dropped::Garbled),
+            "{at}"
+        );
     }
 }
--- a/crates/fleet/tests/roll.rs
+++ b/crates/fleet/tests/roll.rs
@@ -22,7 +22,14 @@
 }
 
 fn order(out: u32) -> Order {
-    Order { number: 1, by: "n0".into(), nodes: names(), out, hold: 20, back: BACK }
+    Order {
+        number: 1,
+        by: "n0".into(),
+        nodes: names(),
+        out,
+        hold: 20,
+        back: BACK,
+    }
 }
 
 /// What the wire does to one message: nothing, loses it, holds it back for a while, or passes it now and again later.
@@ -57,7 +64,13 @@
     fn new(out: u32) -> World {
         let mut own = vec![Own::default(); NODES];
         own.iter_mut().for_each(|own| own.learn(order(out)));
-        World { own, later: Vec::new(), most: 0, least_keepers: 3, been: vec![false; NODES] }
+        World {
+            own,
+            later: Vec::new(),
+            most: 0,
+            least_keepers: 3,
+            been: vec![false; NODES],
+        }
     }
     fn deliver(&mut self, to: usize, message: &Message, now: u64) -> Option<Message> {
         let answer = match message {
@@ -74,8 +87,13 @@
     fn look(&mut self) {
         let out: Vec<bool> = self.own.iter().map(|o| o.part() == Part::Out).collect();
         self.most = self.most.max(out.iter().filter(|o| **o).count());
-        self.least_keepers = self.least_keepers.min(out[..3].iter().filter(|o| !**o).count());
-        self.been.iter_mut().zip(&out).for_each(|(been, out)| *been |= *out);
+        self.least_keepers = self
+            .least_keepers
+            .min(out[..3].iter().filter(|o| !**o).count());
+        self.been
+            .iter_mut()
+            .zip(&out)
+            .for_each(|(been, out)| *been |= *out);
     }
     fn pass(&mut self, to: usize, message: Message, wire: Wire, now: u64) -> Option<Message> {
         match wire {
@@ -92,7 +110,9 @@
         }
     }
     fn settle(&mut self, now: u64) {
-        let (due, later) = std::mem::take(&mut self.later).into_iter().partition(|l| l.0 <= now);
+        let (due, later) = std::mem::take(&mut self.later)
+            .into_iter()
+            .partition(|l| l.0 <= now);
         self.later = later;
         for (_, to, message) in due {
             self.deliver(to, &message, now);
@@ -172,8 +192,14 @@
     let mut own = Own::default();
     assert_eq!(own.asked(1, 1, &id(), true, 0), Some(Message::Want));
     own.learn(order(1));
-    assert_eq!(own.asked(1, 2, &id(), true, 0), Some(Message::Tell(1, 2, Part::Waiting, false)));
-    let newer = Order { number: 2, ..order(3) };
+    assert_eq!(
+        own.asked(1, 2, &id(), true, 0),
+        Some(Message::Tell(1, 2, Part::Waiting, false))
+    );
+    let newer = Order {
+        number: 2,
+        ..order(3)
+    };
     own.learn(newer.clone());
     own.learn(order(1));
     assert_eq!(own.asked(1, 3, &id(), true, 0), Some(Message::Order(newer)));
--- a/crates/fleet/tests/twins.rs
+++ b/crates/fleet/tests/twins.rs
@@ -5,11 +5,21 @@
 use proptest::prelude::*;
 
 const LONGEST: u64 = 1_000_000;
-const TERMS: Terms =
-    Terms { keepers: 0, length: LONGEST, drift: 0, patience: LONGEST / 8, pause: LONGEST / 64 };
+const TERMS: Terms = Terms {
+    keepers: 0,
+    length: LONGEST,
+    drift: 0,
+    patience: LONGEST / 8,
+    pause: LONGEST / 64,
+};
 
 fn rules(me: usize, keepers: usize) -> Rules {
-    Rules { keepers, me, longest: LONGEST, trust: false }
+    Rules {
+        keepers,
+        me,
+        longest: LONGEST,
+        trust: false,
+    }
 }
 
 /// Keepers in service, and a second process of one of them.
@@ -28,23 +38,48 @@
 impl Fleet {
     fn new(count: usize, of: usize, starts: [u64; 2]) -> Fleet {
         let start = |place| if place == of { starts[0] } else { place as u64 };
-        let mut keepers: Vec<Keeper> =
-            (0..count).map(|place| Keeper::new(rules(place, count), start(place), &[], 0)).collect();
+        let mut keepers: Vec<Keeper> = (0..count)
+            .map(|place| Keeper::new(rules(place, count), start(place), &[], 0))
+            .collect();
         for now in [0, LONGEST] {
             for _ in 0..3 {
                 for from in 0..count {
-                    (0..count).filter(|to| *to != from).for_each(|to| recall(&mut keepers, from, to, now));
+                    (0..count)
+                        .filter(|to| *to != from)
+                        .for_each(|to| recall(&mut keepers, from, to, now));
                 }
             }
-            keepers.iter_mut().for_each(|keeper| drop(keeper.advance(now)));
+            keepers
+                .iter_mut()
+                .for_each(|keeper| drop(keeper.advance(now)));
         }
-        assert!(keepers.iter().all(|keeper| *keeper.standing() == Standing::Granting));
+        assert!(keepers
+            .iter()
+            .all(|keeper| *keeper.standing() == Standing::Granting));
         let claim = |node: &str, incarnation| {
-            let who = Holder { node: node.into(), incarnation };
-            Claim::new("t", who, Terms { keepers: count, ..TERMS }, LONGEST)
+            let who = Holder {
+                node: node.into(),
+                incarnation,
+            };
+            Claim::new(
+                "t",
+                who,
+                Terms {
+                    keepers: count,
+                    ..TERMS
+                },
+                LONGEST,
+            )
         };
         let twin = Keeper::new(rules(of, count), starts[1], &[], LONGEST);
-        Fleet { keepers, twin, of, now: LONGEST, claims: [claim("a", 1), claim("b", 2)], asked: [None, None] }
+        Fleet {
+            keepers,
+            twin,
+            of,
+            now: LONGEST,
+            claims: [claim("a", 1), claim("b", 2)],
+            asked: [None, None],
+        }
     }
 
     fn process(&mut self, claim: usize, place: usize) -> &mut Keeper {
@@ -64,16 +99,24 @@
         if !second {
             return recall(&mut self.keepers, self.of, to, now);
         }
-        let Some(question) = self.twin.recall() else { return };
+        let Some(question) = self.twin.recall() else {
+            return;
+        };
         let answer = self.keepers[to].handle(now, question).memory;
-        answer.into_iter().for_each(|(_, memory)| drop(self.twin.handle(now, memory)));
+        answer
+            .into_iter()
+            .for_each(|(_, memory)| drop(self.twin.handle(now, memory)));
     }
 
     /// The last question of a claim reaches a keeper, and the answer comes back.
     fn deliver(&mut self, claim: usize, place: usize) {
-        let Some(question) = self.asked[claim].clone() else { return };
+        let Some(question) = self.asked[claim].clone() else {
+            return;
+        };
         let now = self.now;
-        let Some(answer) = self.process(claim, place).handle(now, question).answer else { return };
+        let Some(answer) = self.process(claim, place).handle(now, question).answer else {
+            return;
+        };
         let more = self.claims[claim].heard(now, place, &answer, 7);
         self.send(claim, more);
     }
@@ -94,7 +137,9 @@
     fn pass(&mut self, time: u64) {
         self.now += time;
         let now = self.now;
-        self.keepers.iter_mut().for_each(|keeper| drop(keeper.advance(now)));
+        self.keepers
+            .iter_mut()
+            .for_each(|keeper| drop(keeper.advance(now)));
         let _: Option<Record> = self.twin.advance(now);
         for claim in 0..2 {
             let messages = self.claims[claim].turn(now, 7);
@@ -103,12 +148,17 @@
     }
 
     fn holders(&self) -> usize {
-        self.claims.iter().filter(|claim| claim.may_act(self.now).is_some()).count()
+        self.claims
+            .iter()
+            .filter(|claim| claim.may_act(self.now).is_some())
+            .count()
     }
 }
 
 fn recall(keepers: &mut [Keeper], from: usize, to: usize, now: u64) {
-    let Some(question) = keepers[from].recall() else { return };
+    let Some(question) = keepers[from].recall() else {
+        return;
+    };
     if let Some((back, memory)) = keepers[to].handle(now, question).memory {
         keepers[back].handle(now, memory);
     }
@@ -139,7 +189,11 @@
             Step::Deliver(claim, place) => fleet.deliver(claim, place),
             Step::Recall(second, to) => fleet.recall(second, to),
         }
-        prop_assert!(fleet.holders() <= 1, "two holders at {} after {step:?}", fleet.now);
+        prop_assert!(
+            fleet.holders() <= 1,
+            "two holders at {} after {step:?}",
+            fleet.now
+        );
     }
     Ok(())
 }
--- a/crates/lab/benches/emulator.rs
+++ b/crates/lab/benches/emulator.rs
@@ -7,9 +7,15 @@
 use std::time::Instant;
 
 fn main() {
-    let parts: Vec<String> = std::env::args().skip(1).filter(|a| !a.starts_with('-')).collect();
+    let parts: Vec<String> = std::env::args()
+        .skip(1)
+        .filter(|a| !a.starts_with('-'))
+        .collect();
     let wanted = |name: &str| parts.is_empty() || parts.iter().any(|p| p == name);
-    println!("machine: {} cores", std::thread::available_parallelism().map_or(0, usize::from));
+    println!(
+        "machine: {} cores",
+        std::thread::available_parallelism().map_or(0, usize::from)
+    );
     if wanted("speed") {
         speed();
     }
@@ -31,8 +37,14 @@
 /// Seconds, and requests played.
 fn play(run: &Run, policy: Policy, seed: u64) -> (f64, u64, u64) {
     let start = Instant::now();
-    let out = World::new(run, policy, seed).and_then(World::finish).expect("a run");
-    (start.elapsed().as_secs_f64(), out.all.requests(), out.events)
+    let out = World::new(run, policy, seed)
+        .and_then(World::finish)
+        .expect("a run");
+    (
+        start.elapsed().as_secs_f64(),
+        out.all.requests(),
+        out.events,
+    )
 }
 
 fn speed() {
@@ -45,7 +57,10 @@
             events as f64 / took
         );
         let start = Instant::now();
-        let all: u64 = (1..=8u64).into_par_iter().map(|seed| play(&run, policy, seed).1).sum();
+        let all: u64 = (1..=8u64)
+            .into_par_iter()
+            .map(|seed| play(&run, policy, seed).1)
+            .sum();
         println!(
             "speed: {policy}, eight seeds over all cores: {:.0} requests/s",
             all as f64 / start.elapsed().as_secs_f64()
@@ -72,6 +87,9 @@
     let run = run(2000, 200, 1_000_000.0);
     let (took, requests, events) = play(&run, Policy::Poppykeel, 1);
     let memory = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
-    let most = memory.lines().find(|l| l.starts_with("VmHWM")).unwrap_or("VmHWM: unknown");
+    let most = memory
+        .lines()
+        .find(|l| l.starts_with("VmHWM"))
+        .unwrap_or("VmHWM: unknown");
     println!("large: 2,000 servers, 200 nodes, {requests} requests, {events} events: {took:.1} s on one core, {most}");
 }
--- a/crates/lab/src/breaks/budgets.rs
+++ b/crates/lab/src/breaks/budgets.rs
@@ -98,12 +98,18 @@
 impl Spent {
     /// The worst window of all kinds as a part of its bound.
     pub fn worst(&self) -> f64 {
-        [self.repeats, self.probes, self.crossings].iter().map(|c| c.worst).fold(0.0, f64::max)
+        [self.repeats, self.probes, self.crossings]
+            .iter()
+            .map(|c| c.worst)
+            .fold(0.0, f64::max)
     }
     /// Windows that were looked at: each from one arrival to a later one of its kind.
     pub fn windows(&self) -> u64 {
         let pairs = |c: Counted| c.count as u64 * (c.count as u64 + 1) / 2;
-        [self.repeats, self.probes, self.crossings].map(pairs).iter().sum()
+        [self.repeats, self.probes, self.crossings]
+            .map(pairs)
+            .iter()
+            .sum()
     }
 }
 
@@ -119,8 +125,14 @@
 
 fn counted(times: &[Micros], (rate, burst): (f64, f64)) -> Counted {
     let worst = most_beyond(times, rate) / (burst + rate * SLACK);
-    let busiest = (0..times.len()).map(|n| times[n..].partition_point(|t| t - times[n] < 1_000_000)).max();
-    Counted { count: times.len(), worst, busiest: busiest.unwrap_or(0) as f64 / rate }
+    let busiest = (0..times.len())
+        .map(|n| times[n..].partition_point(|t| t - times[n] < 1_000_000))
+        .max();
+    Counted {
+        count: times.len(),
+        worst,
+        busiest: busiest.unwrap_or(0) as f64 / rate,
+    }
 }
 
 /// The zone of the node that took a request first, by its id.
@@ -211,7 +223,8 @@
             "{name} = {{ rate = {rate}, burst = {burst}, floor = {floor:.3}, floor_burst = {floor_burst:.3} }}\n"
         )
     };
-    let lines = line("retries", 1.0, 1.0) + &line("crossings", 2.0, 2.0) + &line("probes", 0.5, 1.0);
+    let lines =
+        line("retries", 1.0, 1.0) + &line("crossings", 2.0, 2.0) + &line("probes", 0.5, 1.0);
     match wanted.division {
         Division::None => String::new(),
         _ => format!("[fleet.budgets]\nmost_nodes = {nodes}\nshare = \"1s\"\n{lines}"),
@@ -223,8 +236,19 @@
     let history = History::fresh(folder)?;
     history.add("run", json!({"seed": wanted.seed, "rounds": wanted.rounds}));
     let collector = Collector::start(history.clone(), true).await?;
-    let shape = Shape { more: written(wanted), ..wanted.shape.clone() };
-    let fleet = Fleet::start(&shape, program, folder, history.clone(), collector.addr, wanted.seed).await?;
+    let shape = Shape {
+        more: written(wanted),
+        ..wanted.shape.clone()
+    };
+    let fleet = Fleet::start(
+        &shape,
+        program,
+        folder,
+        history.clone(),
+        collector.addr,
+        wanted.seed,
+    )
+    .await?;
     let arrivals: Arrivals = fleet.arrivals();
     let told: Rc<Served> = Rc::default();
     let mean = (wanted.hot + (shape.nodes - 1) as f64) / shape.nodes as f64;
@@ -241,7 +265,14 @@
     let rounds = played?;
     let spent = judge_budget(&arrivals.borrow(), wanted.whole, shape.zones);
     let (asked, served) = (told.asked.get(), told.served.get());
-    let spent = Spent { rounds, asked, served, reported, lost, ..spent };
+    let spent = Spent {
+        rounds,
+        asked,
+        served,
+        reported,
+        lost,
+        ..spent
+    };
     history.add("spent", json!(format!("{spent:?}")));
     Ok(spent)
 }
@@ -251,18 +282,36 @@
     let (mut reported, mut shares, mut divided) = (0, 0.0, None);
     for at in admins {
         let json = |text: Option<(u16, String)>| {
-            text.and_then(|t| serde_json::from_str::<Value>(&t.1).ok()).unwrap_or(Value::Null)
+            text.and_then(|t| serde_json::from_str::<Value>(&t.1).ok())
+                .unwrap_or(Value::Null)
         };
         let crossed = json(call(*at, "GET /api/crossings").await);
-        reported += crossed.as_array().into_iter().flatten().filter_map(|r| r["count"].as_u64()).sum::<u64>();
+        reported += crossed
+            .as_array()
+            .into_iter()
+            .flatten()
+            .filter_map(|r| r["count"].as_u64())
+            .sum::<u64>();
         let status = json(call(*at, "GET /api/fleet").await);
-        let row = |list: &Value| list.as_array()?.iter().find(|b| b["budget"] == "retries").cloned();
+        let row = |list: &Value| {
+            list.as_array()?
+                .iter()
+                .find(|b| b["budget"] == "retries")
+                .cloned()
+        };
         let budgets = &status["budgets"];
-        shares += row(&budgets["own"]).and_then(|b| b["share"].as_f64()).unwrap_or(0.0);
+        shares += row(&budgets["own"])
+            .and_then(|b| b["share"].as_f64())
+            .unwrap_or(0.0);
         let whole = row(&budgets["divided"]["budgets"]);
-        divided = whole.and_then(|b| Some((b["divided"].as_f64()?, b["free"].as_f64()?))).or(divided);
+        divided = whole
+            .and_then(|b| Some((b["divided"].as_f64()?, b["free"].as_f64()?)))
+            .or(divided);
     }
-    (reported, divided.map_or(0.0, |(divided, free)| divided - free - shares))
+    (
+        reported,
+        divided.map_or(0.0, |(divided, free)| divided - free - shares),
+    )
 }
 
 async fn play(wanted: &Budgeted, fleet: &Fleet, history: &History) -> Result<usize, String> {
@@ -278,14 +327,18 @@
         let (servers, failing) = (fleet.servers(), rng.random_range(1..=fleet.servers()));
         (0..failing).for_each(|n| fleet.fail(n, true));
         history.add("failing", json!({"servers": failing}));
-        let holder = holder_of(&fleet.admins(), "budgets").await.map_or(0, |found| found.0);
+        let holder = holder_of(&fleet.admins(), "budgets")
+            .await
+            .map_or(0, |found| found.0);
         fleet.play(&fault, holder).await?;
         tokio::time::sleep(lease.mul_f64(0.5)).await;
         (0..servers).for_each(|n| fleet.fail(n, false));
         tokio::time::sleep(lease.mul_f64(0.3)).await;
         let crashed = fleet.crashed();
         if !crashed.is_empty() {
-            return Err(format!("round {round}: ended by themselves: {crashed:?}, after {fault:?}"));
+            return Err(format!(
+                "round {round}: ended by themselves: {crashed:?}, after {fault:?}"
+            ));
         }
     }
     Ok(wanted.rounds)
--- a/crates/lab/src/breaks/collector.rs
+++ b/crates/lab/src/breaks/collector.rs
@@ -50,16 +50,20 @@
 /// A process looks at its lease before every act and sends one act at a time. So a stop between look and act leaves at
 /// most one act that comes too late; a second one of the same holding means that the look itself was wrong.
 pub fn judge(acts: &[Act]) -> Verdict {
-    let mut verdict = Verdict { acts: acts.len(), ..Verdict::default() };
+    let mut verdict = Verdict {
+        acts: acts.len(),
+        ..Verdict::default()
+    };
     let mut holders: BTreeMap<u64, &(String, String)> = BTreeMap::new();
     let mut late: BTreeMap<(u64, &(String, String)), usize> = BTreeMap::new();
     let (mut highest, mut last): (u64, Option<Micros>) = (0, None);
     for act in acts {
         let owner = *holders.entry(act.epoch).or_insert(&act.holder);
         if *owner != act.holder {
-            verdict
-                .overlaps
-                .push(format!("epoch {} of {owner:?} and {:?}, at {}", act.epoch, act.holder, act.at));
+            verdict.overlaps.push(format!(
+                "epoch {} of {owner:?} and {:?}, at {}",
+                act.epoch, act.holder, act.at
+            ));
         }
         if act.epoch < highest {
             let count = late.entry((act.epoch, &act.holder)).or_default();
@@ -71,7 +75,10 @@
                 ));
             }
             if act.taken {
-                verdict.overlaps.push(format!("epoch {} taken after {highest}, at {}", act.epoch, act.at));
+                verdict.overlaps.push(format!(
+                    "epoch {} taken after {highest}, at {}",
+                    act.epoch, act.at
+                ));
             }
         }
         highest = highest.max(act.epoch);
@@ -100,9 +107,18 @@
 impl Collector {
     /// Starts it. Without the fence it takes whatever comes.
     pub async fn start(history: History, fence: bool) -> Result<Collector, String> {
-        let listener = TcpListener::bind("127.0.0.1:0").await.map_err(|e| format!("collector: {e}"))?;
-        let addr = listener.local_addr().map_err(|e| format!("collector: {e}"))?;
-        let collector = Collector { addr, acts: Rc::default(), history, fence };
+        let listener = TcpListener::bind("127.0.0.1:0")
+            .await
+            .map_err(|e| format!("collector: {e}"))?;
+        let addr = listener
+            .local_addr()
+            .map_err(|e| format!("collector: {e}"))?;
+        let collector = Collector {
+            addr,
+            acts: Rc::default(),
+            history,
+            fence,
+        };
         let own = collector.clone();
         spawn_local(async move {
             while let Ok((stream, _)) = listener.accept().await {
@@ -126,8 +142,9 @@
             bytes.extend_from_slice(&more[..length]);
             let text = std::str::from_utf8(&bytes).ok()?;
             if let Some((head, body)) = text.split_once("\r\n\r\n") {
-                let length =
-                    head.lines().find_map(|l| l.strip_prefix("Content-Length: ")?.parse::<usize>().ok())?;
+                let length = head
+                    .lines()
+                    .find_map(|l| l.strip_prefix("Content-Length: ")?.parse::<usize>().ok())?;
                 if body.len() >= length {
                     break serde_json::from_str::<Value>(body).ok()?;
                 }
@@ -137,11 +154,32 @@
             }
         };
         let (epoch, slot) = (body["epoch"].as_u64()?, body["slot"].as_u64()?);
-        let holder = (body["node"].as_str()?.to_string(), body["incarnation"].as_str()?.to_string());
-        let highest = self.acts.borrow().iter().map(|a| a.epoch).max().unwrap_or(0);
-        let again = self.acts.borrow().iter().rev().any(|a| a.taken && a.slot == slot);
+        let holder = (
+            body["node"].as_str()?.to_string(),
+            body["incarnation"].as_str()?.to_string(),
+        );
+        let highest = self
+            .acts
+            .borrow()
+            .iter()
+            .map(|a| a.epoch)
+            .max()
+            .unwrap_or(0);
+        let again = self
+            .acts
+            .borrow()
+            .iter()
+            .rev()
+            .any(|a| a.taken && a.slot == slot);
         let taken = (epoch >= highest || !self.fence) && !again;
-        let act = Act { at: self.history.now(), epoch, holder, slot, taken, again };
+        let act = Act {
+            at: self.history.now(),
+            epoch,
+            holder,
+            slot,
+            taken,
+            again,
+        };
         self.history.add(
             "act",
             json!({"epoch": epoch, "node": act.holder.0, "incarnation": act.holder.1, "slot": slot, "taken": taken}),
--- a/crates/lab/src/breaks/faults.rs
+++ b/crates/lab/src/breaks/faults.rs
@@ -111,7 +111,11 @@
 
     /// Draws one, of these kinds or of all; `lease_ms` is the lease's length.
     pub fn draw(rng: &mut Pcg64Mcg, only: &[Kind], lease_ms: u64) -> Fault {
-        let kinds = if only.is_empty() { &Kind::ALL[..] } else { only };
+        let kinds = if only.is_empty() {
+            &Kind::ALL[..]
+        } else {
+            only
+        };
         let kind = kinds[rng.random_range(0..kinds.len())];
         // Mostly short against the lease, sometimes long, and up to ten leases for a stop.
         let most = match (kind, rng.random_range(0..4)) {
@@ -119,6 +123,11 @@
             (_, 0..=1) => 3 * lease_ms,
             _ => lease_ms,
         };
-        Fault { kind, for_ms: rng.random_range(lease_ms / 10..=most), whom: rng.random(), size: rng.random() }
+        Fault {
+            kind,
+            for_ms: rng.random_range(lease_ms / 10..=most),
+            whom: rng.random(),
+            size: rng.random(),
+        }
     }
 }
--- a/crates/lab/src/breaks/fleet.rs
+++ b/crates/lab/src/breaks/fleet.rs
@@ -102,7 +102,8 @@
         let named = |path: &Path, e: std::io::Error| format!("{}: {e}", path.display());
         let mut rng = Pcg64Mcg::seed_from_u64(seed ^ 0xf1ee7);
         let mut run = Run::default();
-        (run.fleet.nodes, run.fleet.servers, run.fleet.zones) = (shape.nodes, 2 * shape.zones, shape.zones);
+        (run.fleet.nodes, run.fleet.servers, run.fleet.zones) =
+            (shape.nodes, 2 * shape.zones, shape.zones);
         let run = run.check()?;
         let (mut models, mut entries) = (Vec::new(), Vec::new());
         let (since, arrivals) = (tokio::time::Instant::now(), Arrivals::default());
@@ -113,7 +114,13 @@
             model.record(since, &arrivals, n);
             model.restart().await?;
             let (name, zone) = (format!("m-{n}"), format!("z{}", n % shape.zones));
-            entries.push(Entry { name, addr: model.addr, zone, state: "up", started_ms: 0 });
+            entries.push(Entry {
+                name,
+                addr: model.addr,
+                zone,
+                state: "up",
+                started_ms: 0,
+            });
             models.push(model);
         }
         let discovery = Discovery::start(entries).await?;
@@ -152,11 +159,15 @@
         for me in 0..shape.nodes {
             let path = |kind: &str| folder.join(format!("node-{me}.{kind}"));
             let (json, toml) = (path("json"), path("toml"));
-            std::fs::write(&json, config(&run, me, serving[me], &discovery)).map_err(|e| named(&json, e))?;
+            std::fs::write(&json, config(&run, me, serving[me], &discovery))
+                .map_err(|e| named(&json, e))?;
             let keeper = |k: usize| format!("lab-{k} = \"{}\"", addrs[k]);
             let keepers: Vec<String> = (0..shape.keepers).map(keeper).collect();
-            let via =
-                |to: usize| links.get(&(me, to)).map(|link: &Relay| format!("lab-{to} = \"{}\"", link.addr));
+            let via = |to: usize| {
+                links
+                    .get(&(me, to))
+                    .map(|link: &Relay| format!("lab-{to} = \"{}\"", link.addr))
+            };
             let via: Vec<String> = (0..shape.nodes).filter_map(via).collect();
             let text = format!(
                 "[fleet]\nname = \"lab\"\nlisten = \"{}\"\nfolder = {:?}\nlease = \"{}ms\"\ndrift = {}\n\
@@ -180,7 +191,11 @@
                 (false, _) => rng.random_range(-skew..=skew),
             };
             let year = 365 * 86_400;
-            let wall_s = if shape.walls { [0, 0, year, -year, 90][rng.random_range(0..5)] } else { 0 };
+            let wall_s = if shape.walls {
+                [0, 0, year, -year, 90][rng.random_range(0..5)]
+            } else {
+                0
+            };
             let (program, log, disk_orders) = (program.to_path_buf(), path("log"), path("orders"));
             starts.push(Start {
                 program,
@@ -239,7 +254,10 @@
     }
 
     fn begin(&self, me: usize) -> Result<(), String> {
-        self.history.add("start", json!({"node": me, "clock_ppm": self.starts[me].clock_ppm}));
+        self.history.add(
+            "start",
+            json!({"node": me, "clock_ppm": self.starts[me].clock_ppm}),
+        );
         self.processes.borrow_mut()[me] = Some(Process::start(&self.starts[me])?);
         Ok(())
     }
@@ -259,7 +277,8 @@
     /// Keeps each keeper's disk as it is now, for [`Kind::OldDisk`].
     pub fn keep_disks(&self) -> Result<(), String> {
         for me in 0..self.shape.keepers {
-            copy(&self.disk(me), &self.disk(me).with_extension("old")).map_err(|e| format!("disk: {e}"))?;
+            copy(&self.disk(me), &self.disk(me).with_extension("old"))
+                .map_err(|e| format!("disk: {e}"))?;
         }
         Ok(())
     }
@@ -267,12 +286,16 @@
     /// Processes that have ended by themselves.
     pub fn crashed(&self) -> Vec<(usize, String)> {
         let mut processes = self.processes.borrow_mut();
-        let ended = |(me, p): (usize, &mut Option<Process>)| p.as_mut()?.ended().map(|why| (me, why));
+        let ended =
+            |(me, p): (usize, &mut Option<Process>)| p.as_mut()?.ended().map(|why| (me, why));
         processes.iter_mut().enumerate().filter_map(ended).collect()
     }
 
     fn set(&self, which: impl Fn(usize, usize) -> bool, weather: Weather) {
-        self.links.iter().filter(|(pair, _)| which(pair.0, pair.1)).for_each(|(_, link)| link.set(weather));
+        self.links
+            .iter()
+            .filter(|(pair, _)| which(pair.0, pair.1))
+            .for_each(|(_, link)| link.set(weather));
     }
 
     /// Plays one fault from its beginning to its end.
@@ -281,8 +304,12 @@
         let span = Duration::from_millis(fault.for_ms);
         let keeper = fault.whom as usize % keepers;
         let node = fault.whom as usize % nodes;
-        self.history.add("fault", json!({"fault": fault, "holder": holder}));
-        let cut = Weather { cut: true, ..Weather::default() };
+        self.history
+            .add("fault", json!({"fault": fault, "holder": holder}));
+        let cut = Weather {
+            cut: true,
+            ..Weather::default()
+        };
         match fault.kind {
             Kind::KillHolder => self.down(&[holder], span).await?,
             Kind::KillNode => self.down(&[node], span).await?,
@@ -298,7 +325,11 @@
                 self.begin(holder)?;
             }
             Kind::StopHolder | Kind::StopKeeper => {
-                let whom = if fault.kind == Kind::StopHolder { holder } else { keeper };
+                let whom = if fault.kind == Kind::StopHolder {
+                    holder
+                } else {
+                    keeper
+                };
                 self.stopped(whom, span).await;
             }
             Kind::OldDisk | Kind::EmptyDisk => {
@@ -329,7 +360,10 @@
             }
             Kind::LateAct => {
                 let late = self.shape.lease * 3;
-                self.acts[holder].set(Weather { delay: late, ..Weather::default() });
+                self.acts[holder].set(Weather {
+                    delay: late,
+                    ..Weather::default()
+                });
                 // Long enough for an act to be on its way, too short for an answer to any.
                 tokio::time::sleep(self.shape.every * 3 + self.shape.lease / 10).await;
                 self.acts[holder].set(Weather::default());
@@ -338,8 +372,10 @@
             Kind::HalfLeave => {
                 // In order and in the same second; the last keeper majority stays.
                 let half: Vec<usize> = (keepers / 2..nodes).step_by(2).collect();
-                let leaving: Vec<Process> =
-                    half.iter().filter_map(|me| self.processes.borrow_mut()[*me].take()).collect();
+                let leaving: Vec<Process> = half
+                    .iter()
+                    .filter_map(|me| self.processes.borrow_mut()[*me].take())
+                    .collect();
                 self.history.add("leave", json!({"nodes": half}));
                 futures_util::future::join_all(leaving.into_iter().map(Process::end)).await;
                 tokio::time::sleep(span).await;
@@ -357,20 +393,31 @@
             }
             Kind::StopMidAct => {
                 let on_its_way = span + self.shape.lease / 2;
-                self.acts[holder].set(Weather { delay: on_its_way, ..Weather::default() });
+                self.acts[holder].set(Weather {
+                    delay: on_its_way,
+                    ..Weather::default()
+                });
                 tokio::time::sleep(self.shape.every * 3 + self.shape.lease / 10).await;
                 self.acts[holder].set(Weather::default());
                 self.stopped(holder, span).await;
                 tokio::time::sleep(self.shape.lease).await;
             }
-            Kind::FullDisk | Kind::FailedSync => self.bad_disk(fault.kind, keeper, holder, span).await?,
+            Kind::FullDisk | Kind::FailedSync => {
+                self.bad_disk(fault.kind, keeper, holder, span).await?
+            }
             Kind::NameTwice => {
                 let whose = if fault.size < 0.5 { holder } else { node };
-                self.twin(whose, holder, span.max(self.shape.lease * 2)).await?;
+                self.twin(whose, holder, span.max(self.shape.lease * 2))
+                    .await?;
             }
             Kind::Weather => {
                 let delay = self.shape.lease.mul_f64(fault.size);
-                let weather = Weather { cut: false, loss: fault.size / 2.0, repeat: 0.3, delay };
+                let weather = Weather {
+                    cut: false,
+                    loss: fault.size / 2.0,
+                    repeat: 0.3,
+                    delay,
+                };
                 self.set(|_, _| true, weather);
                 tokio::time::sleep(span).await;
             }
@@ -393,16 +440,38 @@
     }
 
     /// A keeper whose disk fails from now on, while another node has to be granted something.
-    async fn bad_disk(&self, kind: Kind, keeper: usize, holder: usize, span: Duration) -> Result<(), String> {
-        let keeper = if keeper == holder { (keeper + 1) % self.shape.keepers } else { keeper };
+    async fn bad_disk(
+        &self,
+        kind: Kind,
+        keeper: usize,
+        holder: usize,
+        span: Duration,
+    ) -> Result<(), String> {
+        let keeper = if keeper == holder {
+            (keeper + 1) % self.shape.keepers
+        } else {
+            keeper
+        };
         let orders = &self.starts[keeper].disk_orders;
         let named = |e: std::io::Error| format!("{}: {e}", orders.display());
-        std::fs::write(orders, if kind == Kind::FullDisk { "full" } else { "sync" }).map_err(named)?;
+        std::fs::write(
+            orders,
+            if kind == Kind::FullDisk {
+                "full"
+            } else {
+                "sync"
+            },
+        )
+        .map_err(named)?;
         self.down(&[holder], span.max(self.shape.lease * 3)).await?;
-        let figures = call(self.admins[keeper], "GET /api/telemetry").await.map(|found| found.1);
+        let figures = call(self.admins[keeper], "GET /api/telemetry")
+            .await
+            .map(|found| found.1);
         let failed = figures.is_some_and(|text| text.contains("app_fleet_keeper_disk_failed 1"));
-        self.history.add("disk", json!({"keeper": keeper, "failed": failed}));
-        self.disks_failed.set(self.disks_failed.get() + usize::from(failed));
+        self.history
+            .add("disk", json!({"keeper": keeper, "failed": failed}));
+        self.disks_failed
+            .set(self.disks_failed.get() + usize::from(failed));
         std::fs::remove_file(orders).map_err(named)?;
         // What staff do: mend the disk, start again.
         self.down(&[keeper], Duration::ZERO).await?;
@@ -417,13 +486,22 @@
             let pair = lasting().await.map_err(|e| format!("port: {e}"))?;
             addrs.push(pair.0.local_addr().map_err(|e| format!("port: {e}"))?);
         }
-        let [fleet, admin, serving] = addrs[..] else { return Err("port: none".into()) };
-        let own = self.links.iter().find(|(pair, _)| pair.1 == whose).map(|(_, link)| link.to);
+        let [fleet, admin, serving] = addrs[..] else {
+            return Err("port: none".into());
+        };
+        let own = self
+            .links
+            .iter()
+            .find(|(pair, _)| pair.1 == whose)
+            .map(|(_, link)| link.to);
         let own = own.ok_or("a fleet of one has no twins")?;
         let rewrite = |from: &Path, kind: &str, changes: &[(String, String)]| {
             let to = self.folder.join(format!("twin-{whose}.{kind}"));
-            let text = std::fs::read_to_string(from).map_err(|e| format!("{}: {e}", from.display()))?;
-            let text = changes.iter().fold(text, |text, (from, to)| text.replace(from, to));
+            let text =
+                std::fs::read_to_string(from).map_err(|e| format!("{}: {e}", from.display()))?;
+            let text = changes
+                .iter()
+                .fold(text, |text, (from, to)| text.replace(from, to));
             std::fs::write(&to, text).map_err(|e| format!("{}: {e}", to.display()))?;
             Ok::<_, String>(to)
         };
@@ -431,11 +509,17 @@
         let twin_disk = self.folder.join(format!("twin-{whose}.disk"));
         let _ = std::fs::remove_dir_all(&twin_disk);
         let listen = |addr: SocketAddr| format!("listen = \"{addr}\"");
-        let operator = [(listen(own), listen(fleet)), (disk(self.disk(whose)), disk(twin_disk))];
+        let operator = [
+            (listen(own), listen(fleet)),
+            (disk(self.disk(whose)), disk(twin_disk)),
+        ];
         start.operator = rewrite(&start.operator, "toml", &operator)?;
         let served = (self.serving[whose].to_string(), serving.to_string());
         start.config = rewrite(&start.config, "json", &[served])?;
-        (start.log, start.admin) = (self.folder.join(format!("twin-{whose}.log")), admin.to_string());
+        (start.log, start.admin) = (
+            self.folder.join(format!("twin-{whose}.log")),
+            admin.to_string(),
+        );
         self.history.add("twin", json!({"node": whose}));
         let links = || self.links.iter().filter(|(pair, _)| pair.1 == whose);
         links().for_each(|(_, link)| link.split(Some(fleet)));
@@ -463,8 +547,12 @@
 
     /// Ends all processes.
     pub async fn end(&self) {
-        let processes: Vec<Process> =
-            self.processes.borrow_mut().iter_mut().filter_map(Option::take).collect();
+        let processes: Vec<Process> = self
+            .processes
+            .borrow_mut()
+            .iter_mut()
+            .filter_map(Option::take)
+            .collect();
         for process in processes {
             process.kill().await;
         }
--- a/crates/lab/src/breaks/history.rs
+++ b/crates/lab/src/breaks/history.rs
@@ -29,7 +29,10 @@
     }
     fn begin(path: &Path) -> Result<History, String> {
         let file = File::create(path).map_err(|e| format!("{}: {e}", path.display()))?;
-        Ok(History { began: Instant::now(), file: Rc::new(RefCell::new(BufWriter::new(file))) })
+        Ok(History {
+            began: Instant::now(),
+            file: Rc::new(RefCell::new(BufWriter::new(file))),
+        })
     }
     /// Microseconds since the beginning.
     pub fn now(&self) -> Micros {
--- a/crates/lab/src/breaks/leases.rs
+++ b/crates/lab/src/breaks/leases.rs
@@ -72,7 +72,9 @@
     pub fn quantile(&self, part: f64) -> Micros {
         let mut all = self.without.clone();
         all.sort_unstable();
-        all.get(((all.len() as f64 * part) as usize).min(all.len().saturating_sub(1))).copied().unwrap_or(0)
+        all.get(((all.len() as f64 * part) as usize).min(all.len().saturating_sub(1)))
+            .copied()
+            .unwrap_or(0)
     }
 }
 
@@ -85,27 +87,57 @@
     );
     let collector = Collector::start(history.clone(), wanted.fence).await?;
     let shape = &wanted.shape;
-    let fleet = Fleet::start(shape, program, folder, history.clone(), collector.addr, wanted.seed).await?;
+    let fleet = Fleet::start(
+        shape,
+        program,
+        folder,
+        history.clone(),
+        collector.addr,
+        wanted.seed,
+    )
+    .await?;
     let played = rounds(wanted, &fleet, &collector, &history).await;
     fleet.end().await;
     let (rounds, without, wrong) = played?;
     let verdict = judge(&collector.acts.borrow());
-    history.add("verdict", json!({"overlaps": verdict.overlaps, "wrong": wrong}));
+    history.add(
+        "verdict",
+        json!({"overlaps": verdict.overlaps, "wrong": wrong}),
+    );
     let acts = collector.acts.borrow();
     let taken: Vec<_> = acts.iter().filter(|a| a.taken).collect();
     let every = wanted.shape.every.as_micros() as u64;
-    let apart =
-        |w: &[&super::Act]| w[1].slot.abs_diff(w[0].slot).abs_diff((w[1].at - w[0].at) / every.max(1));
+    let apart = |w: &[&super::Act]| {
+        w[1].slot
+            .abs_diff(w[0].slot)
+            .abs_diff((w[1].at - w[0].at) / every.max(1))
+    };
     let slots_apart = taken.windows(2).map(apart).max().unwrap_or(0);
     let disks_failed = fleet.disks_failed();
-    Ok(Found { verdict, rounds, without, slots_apart, disks_failed, wrong })
+    Ok(Found {
+        verdict,
+        rounds,
+        without,
+        slots_apart,
+        disks_failed,
+        wrong,
+    })
 }
 
-async fn held(collector: &Collector, history: &History, since: Micros, wait: Duration) -> Option<usize> {
+async fn held(
+    collector: &Collector,
+    history: &History,
+    since: Micros,
+    wait: Duration,
+) -> Option<usize> {
     let until = tokio::time::Instant::now() + wait;
     while tokio::time::Instant::now() < until {
         if let Some(act) = collector.last().filter(|a| a.at >= since) {
-            return act.holder.0.strip_prefix("lab-").and_then(|n| n.parse().ok());
+            return act
+                .holder
+                .0
+                .strip_prefix("lab-")
+                .and_then(|n| n.parse().ok());
         }
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
@@ -124,10 +156,16 @@
     let mut rng = Pcg64Mcg::seed_from_u64(wanted.seed);
     let lease = wanted.shape.lease;
     let patience = lease * LEASES + MORE;
-    let mut holder = held(collector, history, 0, patience).await.ok_or("nobody ever held the task")?;
+    let mut holder = held(collector, history, 0, patience)
+        .await
+        .ok_or("nobody ever held the task")?;
     fleet.keep_disks()?;
     let (mut without, mut wrong) = (Vec::new(), Vec::new());
-    let rounds = if wanted.script.is_empty() { wanted.rounds } else { wanted.script.len() };
+    let rounds = if wanted.script.is_empty() {
+        wanted.rounds
+    } else {
+        wanted.script.len()
+    };
     for round in 0..rounds {
         let drawn = Fault::draw(&mut rng, &wanted.only, lease.as_millis() as u64);
         let fault = wanted.script.get(round).copied().unwrap_or(drawn);
@@ -136,20 +174,30 @@
         match held(collector, history, history.now(), patience).await {
             Some(node) => holder = node,
             None => {
-                wrong.push(format!("round {round}: nobody held the task after {fault:?}"));
+                wrong.push(format!(
+                    "round {round}: nobody held the task after {fault:?}"
+                ));
                 break;
             }
         }
         tokio::time::sleep(lease.mul_f64(QUIET)).await;
         let acts = collector.acts.borrow();
         let from = acts.partition_point(|a| a.at < began).saturating_sub(1);
-        let taken: Vec<Micros> = acts[from..].iter().filter(|a| a.taken).map(|a| a.at).collect();
+        let taken: Vec<Micros> = acts[from..]
+            .iter()
+            .filter(|a| a.taken)
+            .map(|a| a.at)
+            .collect();
         without.push(taken.windows(2).map(|w| w[1] - w[0]).max().unwrap_or(0));
-        holder =
-            collector.last().and_then(|a| a.holder.0.strip_prefix("lab-")?.parse().ok()).unwrap_or(holder);
+        holder = collector
+            .last()
+            .and_then(|a| a.holder.0.strip_prefix("lab-")?.parse().ok())
+            .unwrap_or(holder);
         let crashed = fleet.crashed();
         if !crashed.is_empty() {
-            wrong.push(format!("round {round}: ended by themselves: {crashed:?}, after {fault:?}"));
+            wrong.push(format!(
+                "round {round}: ended by themselves: {crashed:?}, after {fault:?}"
+            ));
             break;
         }
     }
--- a/crates/lab/src/breaks/process.rs
+++ b/crates/lab/src/breaks/process.rs
@@ -36,7 +36,10 @@
     /// Starts one.
     pub fn start(start: &Start) -> Result<Process, String> {
         let named = |path: &Path, e: std::io::Error| format!("{}: {e}", path.display());
-        let log = OpenOptions::new().create(true).append(true).open(&start.log);
+        let log = OpenOptions::new()
+            .create(true)
+            .append(true)
+            .open(&start.log);
         let log = log.map_err(|e| named(&start.log, e))?;
         let child = Command::new(&start.program)
             .args(["serve", "--log-format", "json", "--config"])
@@ -62,7 +65,11 @@
     }
 
     fn signal(&self, signal: Signal) {
-        let id = self.child.id().and_then(|id| i32::try_from(id).ok()).and_then(Pid::from_raw);
+        let id = self
+            .child
+            .id()
+            .and_then(|id| i32::try_from(id).ok())
+            .and_then(Pid::from_raw);
         if let Some(id) = id {
             let _ = kill_process(id, signal);
         }
@@ -83,12 +90,19 @@
     pub async fn end(mut self) {
         self.signal(Signal::CONT);
         self.signal(Signal::TERM);
-        if tokio::time::timeout(std::time::Duration::from_secs(8), self.child.wait()).await.is_err() {
+        if tokio::time::timeout(std::time::Duration::from_secs(8), self.child.wait())
+            .await
+            .is_err()
+        {
             let _ = self.child.kill().await;
         }
     }
     /// Whether it has ended by itself.
     pub fn ended(&mut self) -> Option<String> {
-        self.child.try_wait().ok().flatten().map(|status| status.to_string())
+        self.child
+            .try_wait()
+            .ok()
+            .flatten()
+            .map(|status| status.to_string())
     }
 }
--- a/crates/lab/src/breaks/relay.rs
+++ b/crates/lab/src/breaks/relay.rs
@@ -55,7 +55,13 @@
         let way = (to, twin.clone());
         let datagrams = spawn_local(datagrams(Rc::new(socket), way, weather.clone(), seed));
         let connections = spawn_local(connections(listener, to, weather.clone()));
-        Ok(Relay { addr, to, weather, twin, tasks: vec![datagrams, connections] })
+        Ok(Relay {
+            addr,
+            to,
+            weather,
+            twin,
+            tasks: vec![datagrams, connections],
+        })
     }
 
     /// From now on.
@@ -119,7 +125,9 @@
     let held = Rc::new(Cell::new(0));
     let mut bytes = vec![0; 65_536];
     loop {
-        let Ok((length, _)) = socket.recv_from(&mut bytes).await else { continue };
+        let Ok((length, _)) = socket.recv_from(&mut bytes).await else {
+            continue;
+        };
         let (w, mut rng) = (weather.get(), rng.borrow_mut());
         if w.cut || rng.random::<f64>() < w.loss {
             continue;
@@ -149,7 +157,9 @@
 async fn connections(listener: TcpListener, to: SocketAddr, weather: Rc<Cell<Weather>>) {
     let open = Rc::new(Cell::new(0));
     loop {
-        let Ok((mut from, _)) = listener.accept().await else { continue };
+        let Ok((mut from, _)) = listener.accept().await else {
+            continue;
+        };
         if weather.get().cut || open.get() >= MOST_CONNECTIONS {
             continue;
         }
@@ -158,9 +168,11 @@
         spawn_local(async move {
             tokio::time::sleep(delay).await;
             if let Ok(mut stream) = TcpStream::connect(to).await {
-                let _ =
-                    tokio::time::timeout(Duration::from_secs(5), copy_bidirectional(&mut from, &mut stream))
-                        .await;
+                let _ = tokio::time::timeout(
+                    Duration::from_secs(5),
+                    copy_bidirectional(&mut from, &mut stream),
+                )
+                .await;
             }
             open.set(open.get() - 1);
         });
--- a/crates/lab/src/breaks/roll.rs
+++ b/crates/lab/src/breaks/roll.rs
@@ -76,10 +76,13 @@
 pub(super) async fn holder_of(admins: &[SocketAddr], task: &str) -> Option<(usize, u64)> {
     for (me, at) in admins.iter().enumerate() {
         let told = call(*at, "GET /api/fleet").await;
-        let Some(told) = told.and_then(|(_, body)| serde_json::from_str::<Value>(&body).ok()) else {
+        let Some(told) = told.and_then(|(_, body)| serde_json::from_str::<Value>(&body).ok())
+        else {
             continue;
         };
-        let claim = told["claims"].as_array().and_then(|c| c.iter().find(|c| c["task"] == task).cloned());
+        let claim = told["claims"]
+            .as_array()
+            .and_then(|c| c.iter().find(|c| c["task"] == task).cloned());
         if let Some(epoch) = claim.and_then(|c| c["held_epoch"].as_u64()) {
             return Some((me, epoch));
         }
@@ -112,8 +115,11 @@
 
 /// The most intervals that share a moment.
 fn most_at_once(all: &[Vec<Out>]) -> usize {
-    let mut edges: Vec<(Micros, i32)> =
-        all.iter().flatten().flat_map(|out| [(out.0, 1), (out.1, -1)]).collect();
+    let mut edges: Vec<(Micros, i32)> = all
+        .iter()
+        .flatten()
+        .flat_map(|out| [(out.0, 1), (out.1, -1)])
+        .collect();
     edges.sort_unstable();
     let (mut now, mut most) = (0, 0);
     for (_, step) in edges {
@@ -127,8 +133,15 @@
 pub async fn roll(wanted: &Roll, program: &Path, folder: &Path) -> Result<Rolled, String> {
     let history = History::fresh(folder)?;
     let collector = Collector::start(history.clone(), true).await?;
-    let fleet =
-        Fleet::start(&wanted.shape, program, folder, history.clone(), collector.addr, wanted.seed).await?;
+    let fleet = Fleet::start(
+        &wanted.shape,
+        program,
+        folder,
+        history.clone(),
+        collector.addr,
+        wanted.seed,
+    )
+    .await?;
     let fleet = Rc::new(fleet);
     let played = play(wanted, &fleet, &history).await;
     fleet.end().await;
@@ -160,7 +173,9 @@
     }
     let began = history.now();
     let line = format!("POST /api/fleet/roll?out={}&hold_ms=200", wanted.out);
-    let ordered = call(admins[all - 1], &line).await.filter(|(status, _)| *status == 200);
+    let ordered = call(admins[all - 1], &line)
+        .await
+        .filter(|(status, _)| *status == 200);
     ordered.ok_or("the roll was not taken")?;
     let mut rng = Pcg64Mcg::seed_from_u64(wanted.seed);
     let only = [Kind::KillHolder, Kind::StopHolder, Kind::CutHolder];
@@ -170,11 +185,13 @@
         let mut open = 0;
         for (me, at) in admins.iter().enumerate() {
             let told = call(*at, "GET /api/fleet").await;
-            let Some(told) = told.and_then(|(_, body)| serde_json::from_str::<Value>(&body).ok()) else {
+            let Some(told) = told.and_then(|(_, body)| serde_json::from_str::<Value>(&body).ok())
+            else {
                 continue;
             };
-            let claim =
-                told["claims"].as_array().and_then(|c| c.iter().find(|c| c["task"] == "roll").cloned());
+            let claim = told["claims"]
+                .as_array()
+                .and_then(|c| c.iter().find(|c| c["task"] == "roll").cloned());
             if let Some(epoch) = claim.and_then(|c| c["held_epoch"].as_u64()) {
                 charges.insert(epoch);
                 holder = Some(me);
@@ -198,11 +215,24 @@
     let seconds = (history.now() - began) as f64 / 1e6;
     let mut back = 0;
     for at in &admins {
-        back += usize::from(call(*at, "GET /api/ready").await.is_some_and(|(status, _)| status == 200));
+        back += usize::from(
+            call(*at, "GET /api/ready")
+                .await
+                .is_some_and(|(status, _)| status == 200),
+        );
     }
     let found: Vec<Vec<Out>> = found.iter().map(|f| f.borrow().clone()).collect();
     let been = found.iter().filter(|f| !f.is_empty()).count();
-    let rolled = Rolled { most: most_at_once(&found), been, back, charges: charges.len(), seconds };
-    history.add("rolled", json!({"out": found, "found": format!("{rolled:?}")}));
+    let rolled = Rolled {
+        most: most_at_once(&found),
+        been,
+        back,
+        charges: charges.len(),
+        seconds,
+    };
+    history.add(
+        "rolled",
+        json!({"out": found, "found": format!("{rolled:?}")}),
+    );
     Ok(rolled)
 }
--- a/crates/lab/src/emulator/clients.rs
+++ b/crates/lab/src/emulator/clients.rs
@@ -61,14 +61,22 @@
     pub fn new(run: &Run) -> Self {
         let rate = run.load.per_server * run.fleet.servers as f64;
         let parts: f64 = run.tenant.iter().map(|t| t.part).sum();
-        let tenant = |part: f64| Tenant { rate: rate * part / parts, burst: 1.0, idle: VecDeque::new() };
+        let tenant = |part: f64| Tenant {
+            rate: rate * part / parts,
+            burst: 1.0,
+            idle: VecDeque::new(),
+        };
         let tenants = run.tenant.iter().map(|t| tenant(t.part)).collect();
         let mut sum = 0.0;
         let classes = run.class.iter().map(|c| {
             sum += c.part;
             (sum, c.clone())
         });
-        Clients { classes: classes.collect(), tenants, next: 1 }
+        Clients {
+            classes: classes.collect(),
+            tenants,
+            next: 1,
+        }
     }
 
     /// The time until a tenant's next arrival; none where it sends nothing.
@@ -96,8 +104,16 @@
         };
         let session = session.unwrap_or_else(|| {
             self.next += 1;
-            let prefix = if load.prefixes > 0 { rng.random_range(0..load.prefixes) as u64 + 1 } else { 0 };
-            Session { id: self.next << 16, prefix, tokens: if prefix > 0 { load.prefix_tokens } else { 0 } }
+            let prefix = if load.prefixes > 0 {
+                rng.random_range(0..load.prefixes) as u64 + 1
+            } else {
+                0
+            };
+            Session {
+                id: self.next << 16,
+                prefix,
+                tokens: if prefix > 0 { load.prefix_tokens } else { 0 },
+            }
         });
         let drawn = rng.random::<f64>() * self.classes.last().map_or(0.0, |c| c.0);
         let class = self.classes.iter().position(|c| drawn < c.0).unwrap_or(0);
@@ -105,8 +121,24 @@
         let fresh = tokens(rng, c.prompt_tokens, c.prompt_sigma, load.most_prompt);
         let answer = tokens(rng, c.answer_tokens, c.answer_sigma, c.answer_limit);
         let prompt = (session.tokens + fresh).min(load.most_prompt.max(1));
-        let prefix = (session.prefix, if session.prefix > 0 { load.prefix_tokens.min(prompt) } else { 0 });
-        Work { class, tenant, session: session.id, prefix, prompt, answer, sent: now, tries: 0 }
+        let prefix = (
+            session.prefix,
+            if session.prefix > 0 {
+                load.prefix_tokens.min(prompt)
+            } else {
+                0
+            },
+        );
+        Work {
+            class,
+            tenant,
+            session: session.id,
+            prefix,
+            prompt,
+            answer,
+            sent: now,
+            tries: 0,
+        }
     }
 
     /// A request is over; where it was whole, its session's next turn may come.
--- a/crates/lab/src/emulator/description.rs
+++ b/crates/lab/src/emulator/description.rs
@@ -257,7 +257,11 @@
 
 impl Default for Tenant {
     fn default() -> Self {
-        Tenant { name: "all".into(), share: 1.0, part: 1.0 }
+        Tenant {
+            name: "all".into(),
+            share: 1.0,
+            part: 1.0,
+        }
     }
 }
 
@@ -361,22 +365,56 @@
                     t.keepers
                 ));
             }
-            let figures = [t.lease_s, t.probe_s, t.share_s, t.retries, t.burst, t.floor, t.floor_burst];
-            if !figures.iter().all(|x| x.is_finite() && *x >= 0.0) || t.lease_s < 0.1 || t.share_s < 0.2 {
+            let figures = [
+                t.lease_s,
+                t.probe_s,
+                t.share_s,
+                t.retries,
+                t.burst,
+                t.floor,
+                t.floor_burst,
+            ];
+            if !figures.iter().all(|x| x.is_finite() && *x >= 0.0)
+                || t.lease_s < 0.1
+                || t.share_s < 0.2
+            {
                 return Err(
-                    "together: expected figures of 0 or more, lease_s from 0.1, share_s from 0.2".into()
+                    "together: expected figures of 0 or more, lease_s from 0.1, share_s from 0.2"
+                        .into(),
                 );
             }
         }
         for (n, class) in self.class.iter().enumerate() {
-            let figures = [class.part, class.worth, class.late_worth, class.aim_s, class.deadline_s];
-            let tokens = [class.prompt_tokens, class.prompt_sigma, class.answer_tokens, class.answer_sigma];
-            if !figures.iter().chain(&tokens).all(|x| x.is_finite() && *x >= 0.0) || class.answer_limit == 0 {
-                return Err(format!("class {n} ({}): expected finite figures of 0 or more", class.name));
+            let figures = [
+                class.part,
+                class.worth,
+                class.late_worth,
+                class.aim_s,
+                class.deadline_s,
+            ];
+            let tokens = [
+                class.prompt_tokens,
+                class.prompt_sigma,
+                class.answer_tokens,
+                class.answer_sigma,
+            ];
+            if !figures
+                .iter()
+                .chain(&tokens)
+                .all(|x| x.is_finite() && *x >= 0.0)
+                || class.answer_limit == 0
+            {
+                return Err(format!(
+                    "class {n} ({}): expected finite figures of 0 or more",
+                    class.name
+                ));
             }
         }
         let sums = [
-            ("class: part", self.class.iter().map(|c| c.part).sum::<f64>()),
+            (
+                "class: part",
+                self.class.iter().map(|c| c.part).sum::<f64>(),
+            ),
             ("tenant: part", self.tenant.iter().map(|t| t.part).sum()),
             ("tenant: share", self.tenant.iter().map(|t| t.share).sum()),
         ];
@@ -385,7 +423,8 @@
         }
         for (n, fault) in self.fault.iter().enumerate() {
             let bad = |key: &str, what: &str| Err(format!("fault {n}: {key}: expected {what}"));
-            if !(fault.at_s >= 0.0 && fault.for_s >= 0.0 && (fault.at_s + fault.for_s).is_finite()) {
+            if !(fault.at_s >= 0.0 && fault.for_s >= 0.0 && (fault.at_s + fault.for_s).is_finite())
+            {
                 return bad("at_s, for_s", "0 or more");
             }
             if !(fault.part >= 0.0 && fault.part <= 1.0) {
--- a/crates/lab/src/emulator/faults.rs
+++ b/crates/lab/src/emulator/faults.rs
@@ -39,7 +39,12 @@
             (What::ColdRestart, true) => {
                 for server in all {
                     self.end(now, server);
-                    self.queue.put(now + RESTART, Event::Restart { server: server as u32 });
+                    self.queue.put(
+                        now + RESTART,
+                        Event::Restart {
+                            server: server as u32,
+                        },
+                    );
                 }
             }
             (What::Silent, true) => all.for_each(|s| self.stall(now, s, until)),
@@ -48,11 +53,15 @@
             (What::LateReports, on) => all.for_each(|s| self.places[s].frozen = on),
             (What::Slow, on) => {
                 for server in all {
-                    self.places[server].server.slow(now, if on { fault.size } else { 1.0 });
+                    self.places[server]
+                        .server
+                        .slow(now, if on { fault.size } else { 1.0 });
                     self.plan(server as u32);
                 }
             }
-            (What::Burst, on) => self.clients.burst(fault.tenant, if on { fault.size } else { 1.0 }),
+            (What::Burst, on) => self
+                .clients
+                .burst(fault.tenant, if on { fault.size } else { 1.0 }),
             (What::ZoneCut, true) => {
                 self.cut = Some(fault.zone);
                 self.lose_across(now);
@@ -65,7 +74,8 @@
                 (0..self.nodes.len()).for_each(|n| self.whole_list(n));
             }
             (What::NodeKill, on) => {
-                let count = ((self.nodes.len() as f64 * fault.part).ceil() as usize).min(self.nodes.len());
+                let count =
+                    ((self.nodes.len() as f64 * fault.part).ceil() as usize).min(self.nodes.len());
                 for node in 0..count {
                     if on {
                         self.kill(now, node);
@@ -85,7 +95,11 @@
             return;
         }
         for key in self.places[server].server.crash() {
-            self.say(now, key, Word::Ended(key.1 as u8, interface::Outcome::Reset, None));
+            self.say(
+                now,
+                key,
+                Word::Ended(key.1 as u8, interface::Outcome::Reset, None),
+            );
         }
         self.plan(server as u32);
         let noticed = now + self.run.fleet.notice_ms * 1000;
@@ -110,7 +124,13 @@
             // What has begun is given up by its nodes after the limit.
             let streaming: Vec<Key> = self.places[server].server.streaming().collect();
             for (id, attempt) in streaming {
-                self.queue.put(now + limit, Event::Silent { id, attempt: attempt as u8 });
+                self.queue.put(
+                    now + limit,
+                    Event::Silent {
+                        id,
+                        attempt: attempt as u8,
+                    },
+                );
             }
         }
     }
@@ -122,7 +142,13 @@
             self.stall(now, server, (now + micros(fault.size)).min(until));
         }
         if now + STALLS < until {
-            self.queue.put(now + STALLS, Event::Stall { fault: number, until });
+            self.queue.put(
+                now + STALLS,
+                Event::Stall {
+                    fault: number,
+                    until,
+                },
+            );
         }
     }
 
@@ -130,14 +156,34 @@
     pub(super) fn silent(&mut self, now: Micros, id: u64, attempt: u8) {
         let Some(t) = self.find(id) else { return };
         let node = t.node;
-        let Some(a) = t.attempts.get_mut(attempt as usize).filter(|a| !a.over && a.streaming) else { return };
+        let Some(a) = t
+            .attempts
+            .get_mut(attempt as usize)
+            .filter(|a| !a.over && a.streaming)
+        else {
+            return;
+        };
         let server = a.server;
         // Whatever was on its way is no longer wanted.
         a.lost = true;
         let epoch = self.nodes[node as usize].epoch;
         let word = Word::Ended(attempt, interface::Outcome::TimedOut, None);
-        self.queue.put(now, Event::AtNode { node, epoch, id, word });
-        self.queue.put(now, Event::Cancel { server, key: (id, attempt as usize) });
+        self.queue.put(
+            now,
+            Event::AtNode {
+                node,
+                epoch,
+                id,
+                word,
+            },
+        );
+        self.queue.put(
+            now,
+            Event::Cancel {
+                server,
+                key: (id, attempt as usize),
+            },
+        );
     }
 
     /// What is under way across the cut stays unheard of.
@@ -157,7 +203,13 @@
                 a.lost = true;
             }
             if streaming {
-                self.queue.put(now + limit, Event::Silent { id, attempt: attempt as u8 });
+                self.queue.put(
+                    now + limit,
+                    Event::Silent {
+                        id,
+                        attempt: attempt as u8,
+                    },
+                );
             }
         }
     }
@@ -170,8 +222,13 @@
         }
         n.epoch += 1;
         self.leave(node);
-        let held: Vec<u64> =
-            self.tries.iter().flatten().filter(|t| t.node as usize == node).map(|t| t.id()).collect();
+        let held: Vec<u64> = self
+            .tries
+            .iter()
+            .flatten()
+            .filter(|t| t.node as usize == node)
+            .map(|t| t.id())
+            .collect();
         for id in held {
             let Some(t) = self.find(id) else { continue };
             let begun = t.begun();
@@ -181,9 +238,20 @@
                 left.push((a.server, n));
             }
             for (server, attempt) in left {
-                self.queue.put(now + self.run.fleet.near_us, Event::Cancel { server, key: (id, attempt) });
+                self.queue.put(
+                    now + self.run.fleet.near_us,
+                    Event::Cancel {
+                        server,
+                        key: (id, attempt),
+                    },
+                );
             }
-            self.final_word(now, id, if begun { End::Broken } else { End::Failed }, 100_000);
+            self.final_word(
+                now,
+                id,
+                if begun { End::Broken } else { End::Failed },
+                100_000,
+            );
             self.tidy(id);
         }
     }
@@ -210,13 +278,24 @@
         let before = from.saturating_sub(size)..from;
         for server in before.filter(|s| *s < count) {
             self.end(now, server);
-            self.queue.put(now + RESTART, Event::Restart { server: server as u32 });
+            self.queue.put(
+                now + RESTART,
+                Event::Restart {
+                    server: server as u32,
+                },
+            );
         }
         for server in from..(from + size).min(count) {
             self.list(now, server, ReplicaState::Draining);
         }
         if from < count {
-            self.queue.put(now + micros(fault.size), Event::Wave { fault: number, from: from + size });
+            self.queue.put(
+                now + micros(fault.size),
+                Event::Wave {
+                    fault: number,
+                    from: from + size,
+                },
+            );
         }
     }
 }
--- a/crates/lab/src/emulator/measure.rs
+++ b/crates/lab/src/emulator/measure.rs
@@ -33,7 +33,14 @@
 
 impl End {
     /// All of them, in the order of counts.
-    pub const ALL: [End; 6] = [End::Good, End::Late, End::Refused, End::Failed, End::Broken, End::Left];
+    pub const ALL: [End; 6] = [
+        End::Good,
+        End::Late,
+        End::Refused,
+        End::Failed,
+        End::Broken,
+        End::Left,
+    ];
 }
 
 /// Counts and worth of some requests.
@@ -189,7 +196,11 @@
     let at = |part: &f64| histogram.value_at_quantile(*part) as f64 / 1000.0;
     Spread {
         count: histogram.len(),
-        at: if histogram.is_empty() { vec![] } else { PARTS.iter().map(at).collect() },
+        at: if histogram.is_empty() {
+            vec![]
+        } else {
+            PARTS.iter().map(at).collect()
+        },
     }
 }
 
@@ -197,15 +208,34 @@
     /// Nothing yet.
     pub fn new(run: &Run) -> Self {
         let piece = ((run.load.seconds * 1e6) as Micros / PIECES as Micros).max(1);
-        let mut out =
-            Outcome { piece_s: piece as f64 / 1e6, faults: run.fault.clone(), ..Outcome::default() };
-        out.classes = run.class.iter().map(|c| (c.name.clone(), Tally::default())).collect();
-        out.tenants = run.tenant.iter().map(|t| (t.name.clone(), Tally::default())).collect();
+        let mut out = Outcome {
+            piece_s: piece as f64 / 1e6,
+            faults: run.fault.clone(),
+            ..Outcome::default()
+        };
+        out.classes = run
+            .class
+            .iter()
+            .map(|c| (c.name.clone(), Tally::default()))
+            .collect();
+        out.tenants = run
+            .tenant
+            .iter()
+            .map(|t| (t.name.clone(), Tally::default()))
+            .collect();
         (out.series, out.held) = (vec![Tally::default(); PIECES], vec![0.0; PIECES]);
         let rows = run.fleet.servers.min(ROWS);
         out.heat = vec![vec![0.0; PIECES]; rows];
         let (first, whole, gaps, refusals) = (histogram(), histogram(), histogram(), histogram());
-        Measure { piece, out, first, whole, gaps, refusals, rows: vec![(0.0, 0); rows] }
+        Measure {
+            piece,
+            out,
+            first,
+            whole,
+            gaps,
+            refusals,
+            rows: vec![(0.0, 0); rows],
+        }
     }
 
     /// The length of a piece.
@@ -220,7 +250,14 @@
 
     /// A request has its end; `first` is when its first token came. Whether a whole answer was good or late is judged
     /// here, by its class's aims; returned is whether it was whole.
-    pub fn end(&mut self, class: &Class, work: &Work, now: Micros, first: Option<Micros>, end: End) -> bool {
+    pub fn end(
+        &mut self,
+        class: &Class,
+        work: &Work,
+        now: Micros,
+        first: Option<Micros>,
+        end: End,
+    ) -> bool {
         let waited = first.unwrap_or(now).saturating_sub(work.sent);
         let (mut end, mut gained) = (end, 0.0);
         if end == End::Good {
@@ -228,8 +265,13 @@
             let pace = pace / f64::from(work.answer.saturating_sub(1).max(1));
             let good = waited as f64 <= class.aim_s * 1e6 && pace <= class.token_aim_s;
             end = if good { End::Good } else { End::Late };
-            gained = if good { class.worth } else { class.worth * class.late_worth };
-            self.whole.saturating_record(now.saturating_sub(work.sent).max(1));
+            gained = if good {
+                class.worth
+            } else {
+                class.worth * class.late_worth
+            };
+            self.whole
+                .saturating_record(now.saturating_sub(work.sent).max(1));
         }
         let piece = ((work.sent / self.piece) as usize).min(PIECES - 1);
         let out = &mut self.out;
@@ -239,7 +281,9 @@
             &mut out.tenants[work.tenant].1,
             &mut out.series[piece],
         ];
-        groups.into_iter().for_each(|tally| tally.add(end, class.worth, gained));
+        groups
+            .into_iter()
+            .for_each(|tally| tally.add(end, class.worth, gained));
         match end {
             End::Good | End::Late | End::Broken => self.first.saturating_record(waited.max(1)),
             End::Refused | End::Failed => self.refusals.saturating_record(waited.max(1)),
@@ -254,7 +298,12 @@
     }
 
     /// Servers' loads at one moment: requests held and slots, in order.
-    pub fn sample(&mut self, now: Micros, loads: impl Iterator<Item = (usize, usize)>, servers: usize) {
+    pub fn sample(
+        &mut self,
+        now: Micros,
+        loads: impl Iterator<Item = (usize, usize)>,
+        servers: usize,
+    ) {
         let piece = (now / self.piece) as usize;
         if piece >= PIECES {
             return;
--- a/crates/lab/src/emulator/node.rs
+++ b/crates/lab/src/emulator/node.rs
@@ -32,7 +32,10 @@
 
 /// A server's name for nodes.
 pub fn name(server: usize) -> ReplicaId {
-    ReplicaId(SocketAddr::from((Ipv4Addr::from(0x0a00_0000 + server as u32), 8000)))
+    ReplicaId(SocketAddr::from((
+        Ipv4Addr::from(0x0a00_0000 + server as u32),
+        8000,
+    )))
 }
 
 /// The server of this name.
@@ -53,19 +56,30 @@
         aim_per_prompt_token: 0.0,
         token_aim: c.token_aim_s,
         aim_stretch: 0.0,
-        effect: if c.repeats == Repeats::Safe { Effect::Safe } else { Effect::Unsafe },
+        effect: if c.repeats == Repeats::Safe {
+            Effect::Safe
+        } else {
+            Effect::Unsafe
+        },
         streaming: true,
     };
     let shares: f64 = run.tenant.iter().map(|t| t.share).sum();
     let rate = run.load.per_server * f.servers as f64;
-    let tenants = run.tenant.iter().map(|t| Tenant { share: t.share, allowance: rate * t.share / shares });
+    let tenants = run.tenant.iter().map(|t| Tenant {
+        share: t.share,
+        allowance: rate * t.share / shares,
+    });
     Settings {
         me,
         routers: f.nodes,
         zone: me % f.zones,
         classes: run.class.iter().map(class).collect(),
         // One tenant is none to the module: there is nobody to be fair to.
-        tenants: if run.tenant.len() > 1 { tenants.collect() } else { Vec::new() },
+        tenants: if run.tenant.len() > 1 {
+            tenants.collect()
+        } else {
+            Vec::new()
+        },
         over_share_worth: 1.0,
         limits: Limits {
             probes: f.probes,
@@ -74,7 +88,11 @@
             max_attempts: f.attempts,
             max_retry_after: run.load.heeds_s,
         },
-        prices: Prices { cross_zone: 0.0, probe: 0.0, waste: 0.0 },
+        prices: Prices {
+            cross_zone: 0.0,
+            probe: 0.0,
+            waste: 0.0,
+        },
         reports: ReportSource::Inline,
         rules: Rules {
             drain_grace: 0.5,
@@ -104,7 +122,14 @@
                 Mind::Simple(Box::new(Simple::new(other, &settings, rng)))
             }
         };
-        Ok(Node { mind, zone, up: true, epoch: 0, wakes: None, drains: vec![None; run.fleet.servers] })
+        Ok(Node {
+            mind,
+            zone,
+            up: true,
+            epoch: 0,
+            wakes: None,
+            drains: vec![None; run.fleet.servers],
+        })
     }
 
     /// Tells it something.
--- a/crates/lab/src/emulator/policies.rs
+++ b/crates/lab/src/emulator/policies.rs
@@ -2,7 +2,9 @@
 //! sends at once, holds nothing back, tries again elsewhere where that is allowed, and leaves a server alone for a
 //! while after failures in a row (as passive checks of common proxies do).
 
-use poppykeel::interface::{Arrival, Effect, Listing, Outcome, ReplicaId, ReplicaState, RequestId, Settings};
+use poppykeel::interface::{
+    Arrival, Effect, Listing, Outcome, ReplicaId, ReplicaState, RequestId, Settings,
+};
 use poppykeel::routing::{Command, Input, Micros};
 use rand::RngExt;
 use serde::{Deserialize, Serialize};
@@ -144,18 +146,32 @@
             Input::Arrived(arrival) => {
                 let id = arrival.id;
                 let deadline = now + (arrival.time_left * 1e6) as Micros;
-                self.held.insert(id, Held { arrival, deadline, attempts: 0, at: None, streaming: false });
+                self.held.insert(
+                    id,
+                    Held {
+                        arrival,
+                        deadline,
+                        attempts: 0,
+                        at: None,
+                        streaming: false,
+                    },
+                );
                 self.send(now, id, None, out);
             }
             Input::ClientGone(request) => {
-                let attempt = self.held.get(&request).map_or(0, |h| h.attempts.saturating_sub(1) as usize);
+                let attempt = self
+                    .held
+                    .get(&request)
+                    .map_or(0, |h| h.attempts.saturating_sub(1) as usize);
                 if self.free(request).is_some() {
                     out.push(Command::Abandon { request, attempt });
                 }
                 self.held.remove(&request);
             }
             Input::First { request, attempt } => {
-                let Some(held) = self.held.get_mut(&request) else { return };
+                let Some(held) = self.held.get_mut(&request) else {
+                    return;
+                };
                 if let Some((place, until)) = held.at {
                     held.streaming = true;
                     self.timers.remove(&(until, request));
@@ -163,9 +179,16 @@
                     out.push(Command::Bind { request, attempt });
                 }
             }
-            Input::Ended { request, attempt, outcome, report } => {
+            Input::Ended {
+                request,
+                attempt,
+                outcome,
+                report,
+            } => {
                 let place = self.held.get(&request).and_then(|h| h.at).map(|at| at.0);
-                if let (Some(place), Some(waiting)) = (place, report.and_then(|r| r.waiting_prompt_tokens)) {
+                if let (Some(place), Some(waiting)) =
+                    (place, report.and_then(|r| r.waiting_prompt_tokens))
+                {
                     self.peers[place].reported = waiting;
                 }
                 self.ended(now, request, attempt, outcome, out);
@@ -191,9 +214,17 @@
                     self.places.insert(entry.id, place);
                     let id = entry.id;
                     let (in_flight, reported, failures, alone_until) = (0, 0.0, 0, 0);
-                    self.peers.push(Peer { id, up, in_flight, reported, failures, alone_until });
+                    self.peers.push(Peer {
+                        id,
+                        up,
+                        in_flight,
+                        reported,
+                        failures,
+                        alone_until,
+                    });
                     let seed = mix(place as u64 + 1);
-                    self.ring.extend((0..POINTS).map(|n| (mix(seed ^ mix(n + 77)), place)));
+                    self.ring
+                        .extend((0..POINTS).map(|n| (mix(seed ^ mix(n + 77)), place)));
                 }
             }
         }
@@ -216,11 +247,18 @@
         outcome: Outcome,
         out: &mut Vec<Command>,
     ) {
-        if self.held.get(&id).is_none_or(|h| h.attempts as usize != attempt + 1) {
+        if self
+            .held
+            .get(&id)
+            .is_none_or(|h| h.attempts as usize != attempt + 1)
+        {
             return;
         }
         let Some(place) = self.free(id) else { return };
-        if matches!(outcome, Outcome::ConnectFailed | Outcome::Error | Outcome::TimedOut | Outcome::Reset) {
+        if matches!(
+            outcome,
+            Outcome::ConnectFailed | Outcome::Error | Outcome::TimedOut | Outcome::Reset
+        ) {
             let peer = &mut self.peers[place];
             peer.failures += 1;
             if peer.failures >= FAILURES {
@@ -240,17 +278,31 @@
         }
         self.held.remove(&id);
         out.push(match outcome {
-            Outcome::Full => Command::Refuse { request: id, retry_after: 1_000_000 },
+            Outcome::Full => Command::Refuse {
+                request: id,
+                retry_after: 1_000_000,
+            },
             _ => Command::Fail { request: id },
         });
     }
 
-    fn send(&mut self, now: Micros, request: RequestId, not: Option<usize>, out: &mut Vec<Command>) {
+    fn send(
+        &mut self,
+        now: Micros,
+        request: RequestId,
+        not: Option<usize>,
+        out: &mut Vec<Command>,
+    ) {
         let Some(place) = self.choose(now, request, not) else {
             self.held.remove(&request);
-            return out.push(Command::Refuse { request, retry_after: 1_000_000 });
+            return out.push(Command::Refuse {
+                request,
+                retry_after: 1_000_000,
+            });
+        };
+        let Some(held) = self.held.get_mut(&request) else {
+            return;
         };
-        let Some(held) = self.held.get_mut(&request) else { return };
         let (attempt, until) = (held.attempts as usize, held.deadline);
         held.attempts += 1;
         held.at = Some((place, until));
@@ -258,7 +310,12 @@
         let peer = &mut self.peers[place];
         peer.in_flight += 1;
         self.in_flight += 1;
-        out.push(Command::Send { request, attempt, replica: peer.id, until });
+        out.push(Command::Send {
+            request,
+            attempt,
+            replica: peer.id,
+            until,
+        });
     }
 
     fn choose(&mut self, now: Micros, id: RequestId, not: Option<usize>) -> Option<usize> {
@@ -271,7 +328,9 @@
         let rng = &mut self.rng;
         let mut draw = || -> Option<usize> {
             // Nearly always the first draw fits; where hardly any does, all are looked through.
-            let quick = (0..8).map(|_| rng.random_range(0..count.max(1))).find(|p| *p < count && fits(p));
+            let quick = (0..8)
+                .map(|_| rng.random_range(0..count.max(1)))
+                .find(|p| *p < count && fits(p));
             quick.or_else(|| {
                 let all: Vec<usize> = (0..count).filter(fits).collect();
                 (!all.is_empty()).then(|| all[rng.random_range(0..all.len())])
@@ -281,7 +340,11 @@
             Policy::Poppykeel | Policy::Random => draw(),
             Policy::TwoChoices => {
                 let (a, b) = (draw()?, draw()?);
-                Some(if self.peers[a].in_flight <= self.peers[b].in_flight { a } else { b })
+                Some(if self.peers[a].in_flight <= self.peers[b].in_flight {
+                    a
+                } else {
+                    b
+                })
             }
             Policy::RoundRobin => {
                 let place = (0..count).map(|n| (self.next + n) % count).find(fits)?;
@@ -311,7 +374,9 @@
                 if self.peers[first].in_flight < most {
                     return Some(first);
                 }
-                order.find(|p| self.peers[*p].in_flight < most).or(Some(first))
+                order
+                    .find(|p| self.peers[*p].in_flight < most)
+                    .or(Some(first))
             }
         }
     }
--- a/crates/lab/src/emulator/prefixes.rs
+++ b/crates/lab/src/emulator/prefixes.rs
@@ -18,7 +18,9 @@
     /// Tokens kept under this name, which counts as a use.
     pub fn used(&mut self, name: u64) -> u32 {
         let next = self.next;
-        let Some(entry) = self.kept.get_mut(&name) else { return 0 };
+        let Some(entry) = self.kept.get_mut(&name) else {
+            return 0;
+        };
         entry.1 = next;
         self.next += 1;
         self.uses.push_back((name, next));
@@ -29,7 +31,10 @@
 
     /// Keeps so many tokens under this name.
     pub fn keep(&mut self, name: u64, tokens: u32) {
-        let before = self.kept.insert(name, (tokens, self.next)).map_or(0, |e| e.0);
+        let before = self
+            .kept
+            .insert(name, (tokens, self.next))
+            .map_or(0, |e| e.0);
         self.uses.push_back((name, self.next));
         self.next += 1;
         self.tokens = self.tokens + u64::from(tokens) - u64::from(before);
@@ -39,7 +44,9 @@
     /// Lets go of what was used longest ago until no more than this is kept.
     pub fn shrink(&mut self, most: u64) {
         while self.tokens > most {
-            let Some((name, number)) = self.uses.pop_front() else { return };
+            let Some((name, number)) = self.uses.pop_front() else {
+                return;
+            };
             if self.kept.get(&name).is_some_and(|e| e.1 == number) {
                 self.tokens -= self.kept.remove(&name).map_or(0, |e| u64::from(e.0));
             }
@@ -50,7 +57,8 @@
     fn tidy(&mut self) {
         if self.uses.len() > 2 * self.kept.len() + 64 {
             let kept = &self.kept;
-            self.uses.retain(|(name, number)| kept.get(name).is_some_and(|e| e.1 == *number));
+            self.uses
+                .retain(|(name, number)| kept.get(name).is_some_and(|e| e.1 == *number));
         }
     }
 }
--- a/crates/lab/src/emulator/queue.rs
+++ b/crates/lab/src/emulator/queue.rs
@@ -41,7 +41,11 @@
 
 impl<T> Default for Queue<T> {
     fn default() -> Self {
-        Queue { heap: BinaryHeap::new(), next: 0, now: 0 }
+        Queue {
+            heap: BinaryHeap::new(),
+            next: 0,
+            now: 0,
+        }
     }
 }
 
@@ -53,7 +57,11 @@
 
     /// Puts in an event; one for a time that has passed happens now.
     pub fn put(&mut self, at: Micros, what: T) {
-        self.heap.push(Item { at: at.max(self.now), number: self.next, what });
+        self.heap.push(Item {
+            at: at.max(self.now),
+            number: self.next,
+            what,
+        });
         self.next += 1;
     }
 
--- a/crates/lab/src/emulator/server.rs
+++ b/crates/lab/src/emulator/server.rs
@@ -156,8 +156,17 @@
             return false;
         }
         self.cut(now);
-        let job = Job { prompt: job.prompt.max(1), answer: job.answer.max(1), ..job };
-        self.waiting.push_back(Seq { unread: job.prompt, made: 0, kept: 0, job });
+        let job = Job {
+            prompt: job.prompt.max(1),
+            answer: job.answer.max(1),
+            ..job
+        };
+        self.waiting.push_back(Seq {
+            unread: job.prompt,
+            made: 0,
+            kept: 0,
+            job,
+        });
         self.plan(now);
         true
     }
@@ -197,13 +206,22 @@
 
     /// Tokens that answers under way have made.
     pub fn making(&self) -> impl Iterator<Item = (Key, u32)> + '_ {
-        self.running.iter().filter(|s| s.made > 0).map(|s| (s.job.key, s.made))
+        self.running
+            .iter()
+            .filter(|s| s.made > 0)
+            .map(|s| (s.job.key, s.made))
     }
 
     /// Everything under way and kept is lost; returned are the names of what was under way or waiting.
     pub fn crash(&mut self) -> Vec<Key> {
-        let lost = self.running.drain(..).chain(self.waiting.drain(..)).map(|s| s.job.key).collect();
-        (self.steps, self.prefixes, self.slow, self.stalled_until) = (None, Prefixes::default(), 1.0, 0);
+        let lost = self
+            .running
+            .drain(..)
+            .chain(self.waiting.drain(..))
+            .map(|s| s.job.key)
+            .collect();
+        (self.steps, self.prefixes, self.slow, self.stalled_until) =
+            (None, Prefixes::default(), 1.0, 0);
         lost
     }
 
@@ -235,13 +253,24 @@
 
     /// Names of answers that have begun.
     pub fn streaming(&self) -> impl Iterator<Item = Key> + '_ {
-        self.running.iter().filter(|s| s.made > 0).map(|s| s.job.key)
+        self.running
+            .iter()
+            .filter(|s| s.made > 0)
+            .map(|s| s.job.key)
     }
 
     /// Its load now.
     pub fn shown(&self) -> Shown {
-        let waiting = self.waiting.iter().chain(&self.running).map(|s| f64::from(s.unread)).sum();
-        Shown { waiting, memory: self.held() as f64 / self.kind.memory_tokens.max(1) as f64 }
+        let waiting = self
+            .waiting
+            .iter()
+            .chain(&self.running)
+            .map(|s| f64::from(s.unread))
+            .sum();
+        Shown {
+            waiting,
+            memory: self.held() as f64 / self.kind.memory_tokens.max(1) as f64,
+        }
     }
 
     /// The gaps between tokens since the last call.
@@ -255,17 +284,25 @@
 
     fn speed(&self, now: Micros) -> f64 {
         let cold = (self.kind.cold_s * 1e6).max(1.0);
-        let warmth = self.started.map_or(1.0, |s| (now.saturating_sub(s) as f64 / cold).min(1.0));
+        let warmth = self
+            .started
+            .map_or(1.0, |s| (now.saturating_sub(s) as f64 / cold).min(1.0));
         (self.kind.cold_from + (1.0 - self.kind.cold_from) * warmth).max(0.01) / self.slow
     }
 
     /// Ends a row of steps with the one under way, so that what happens now counts from the next one on.
     fn cut(&mut self, now: Micros) {
-        let Some(steps) = self.steps.filter(|s| s.count > 1 && s.from <= now) else { return };
+        let Some(steps) = self.steps.filter(|s| s.count > 1 && s.from <= now) else {
+            return;
+        };
         let done = ((now - steps.from) / steps.length.max(1)).min(steps.count - 1);
         // Rows of steps have answers in them only, and none ends before the last step.
         self.advance(done, steps.length, &mut Vec::new());
-        self.steps = Some(Steps { from: steps.from + done * steps.length, count: 1, ..steps });
+        self.steps = Some(Steps {
+            from: steps.from + done * steps.length,
+            count: 1,
+            ..steps
+        });
     }
 
     /// The work of so many steps: prompts are read in the order they came, and every answer gets its tokens.
@@ -317,7 +354,9 @@
         let mut held = self.held();
         // What is running grows by a token each a step; the newest makes room for the others.
         while held + self.running.len() as u64 > memory && self.running.len() > 1 {
-            let Some(mut seq) = self.running.pop() else { break };
+            let Some(mut seq) = self.running.pop() else {
+                break;
+            };
             held -= seq.tokens();
             // All that was read is read again, and what was made with it.
             seq.unread = seq.job.prompt;
@@ -325,15 +364,22 @@
             self.waiting.push_front(seq);
         }
         while self.running.len() < self.kind.slots {
-            let Some(seq) = self.waiting.front() else { break };
+            let Some(seq) = self.waiting.front() else {
+                break;
+            };
             let need = u64::from(seq.job.prompt + seq.made);
             if held + need + self.running.len() as u64 > memory && !self.running.is_empty() {
                 break;
             }
-            let Some(mut seq) = self.waiting.pop_front() else { break };
+            let Some(mut seq) = self.waiting.pop_front() else {
+                break;
+            };
             let kept = self.prefixes.used(seq.job.session);
-            let kept =
-                if kept > 0 { kept } else { self.prefixes.used(seq.job.prefix.0).min(seq.job.prefix.1) };
+            let kept = if kept > 0 {
+                kept
+            } else {
+                self.prefixes.used(seq.job.prefix.0).min(seq.job.prefix.1)
+            };
             // One token at least must be read to make the first of the answer.
             seq.kept = kept.min(seq.job.prompt.saturating_sub(1));
             seq.unread = seq.job.prompt - seq.kept;
@@ -345,7 +391,12 @@
             return;
         }
         let making = self.running.iter().filter(|s| s.unread == 0).count() as u64;
-        let read = self.running.iter().map(|s| s.unread).sum::<u32>().min(self.kind.chunk);
+        let read = self
+            .running
+            .iter()
+            .map(|s| s.unread)
+            .sum::<u32>()
+            .min(self.kind.chunk);
         let work = self.kind.step_us as f64
             + f64::from(read) * self.kind.prompt_token_us
             + making as f64 * self.kind.answer_us;
@@ -353,15 +404,26 @@
         let length = (work / speed).max(1.0) as Micros;
         let mut count = 1;
         if read == 0 {
-            let left = self.running.iter().map(|s| u64::from(s.job.answer.max(s.made + 1) - s.made)).min();
+            let left = self
+                .running
+                .iter()
+                .map(|s| u64::from(s.job.answer.max(s.made + 1) - s.made))
+                .min();
             let room = memory.saturating_sub(held) / making.max(1);
             count = left.unwrap_or(1).min(room.max(1)).max(1);
-            if self.started.is_some_and(|s| now.saturating_sub(s) < (self.kind.cold_s * 1e6) as u64) {
+            if self
+                .started
+                .is_some_and(|s| now.saturating_sub(s) < (self.kind.cold_s * 1e6) as u64)
+            {
                 // It grows faster meanwhile.
                 count = count.min(16);
             }
         }
-        self.steps = Some(Steps { from: now.max(self.stalled_until), length, count });
+        self.steps = Some(Steps {
+            from: now.max(self.stalled_until),
+            length,
+            count,
+        });
     }
 }
 
--- a/crates/lab/src/emulator/server/tests.rs
+++ b/crates/lab/src/emulator/server/tests.rs
@@ -1,7 +1,13 @@
 use super::*;
 
 fn job(n: u64, prompt: u32, answer: u32) -> Job {
-    Job { key: (n, 0), session: n, prefix: (0, 0), prompt, answer }
+    Job {
+        key: (n, 0),
+        session: n,
+        prefix: (0, 0),
+        prompt,
+        answer,
+    }
 }
 
 fn run(server: &mut Server, until: Micros) -> Vec<(Micros, Said)> {
@@ -16,16 +22,35 @@
 
 #[test]
 fn a_lone_request_takes_its_prompt_and_a_step_a_token() {
-    let mut server = Server::new(Kind { prompt_token_us: 10.0, answer_us: 0.0, ..Kind::default() });
+    let mut server = Server::new(Kind {
+        prompt_token_us: 10.0,
+        answer_us: 0.0,
+        ..Kind::default()
+    });
     assert!(server.take(0, job(1, 1000, 5)));
     let said = run(&mut server, Micros::MAX);
     // Two chunks: 512 and 488 tokens; then four more tokens.
     let first = 20_000 + 10_000;
-    assert_eq!(said, [(first, Said::First((1, 0))), (first + 40_000, Said::Done((1, 0), 0))]);
+    assert_eq!(
+        said,
+        [
+            (first, Said::First((1, 0))),
+            (first + 40_000, Said::Done((1, 0), 0))
+        ]
+    );
     assert_eq!(server.gaps().map(|g| g.1).sum::<u64>(), 4);
     // The second turn finds the first kept.
-    server.take(100_000, Job { session: 1, ..job(2, 1200, 1) });
-    assert_eq!(run(&mut server, Micros::MAX).last().map(|s| s.1), Some(Said::Done((2, 0), 1005)));
+    server.take(
+        100_000,
+        Job {
+            session: 1,
+            ..job(2, 1200, 1)
+        },
+    );
+    assert_eq!(
+        run(&mut server, Micros::MAX).last().map(|s| s.1),
+        Some(Said::Done((2, 0), 1005))
+    );
 }
 
 #[test]
@@ -53,13 +78,20 @@
 
 #[test]
 fn short_memory_preempts_the_newest_and_loses_nothing() {
-    let mut server = Server::new(Kind { memory_tokens: 1000, ..Kind::default() });
+    let mut server = Server::new(Kind {
+        memory_tokens: 1000,
+        ..Kind::default()
+    });
     (0..4).for_each(|n| assert!(server.take(0, job(n, 200, 200))));
     let said = run(&mut server, Micros::MAX);
     assert!(server.preempted > 0);
     for n in 0..4 {
         let of = |s: Said| said.iter().filter(|x| x.1 == s).count();
-        assert_eq!((of(Said::First((n, 0))), of(Said::Done((n, 0), 0))), (1, 1), "{said:?}");
+        assert_eq!(
+            (of(Said::First((n, 0))), of(Said::Done((n, 0), 0))),
+            (1, 1),
+            "{said:?}"
+        );
     }
 }
 
@@ -75,8 +107,17 @@
     assert!(done(|s| s.slow(0, 3.0)) > plain * 29 / 10);
     assert!(done(|s| s.start(0)) > plain * 3);
     assert_eq!(done(|s| s.stall(0, 1_000_000)), plain + 1_000_000);
-    let mut server = Server::new(Kind { queue: 2, slots: 1, ..Kind::default() });
-    assert_eq!((0..4).map(|n| server.take(0, job(n, 10, 10))).collect::<Vec<_>>(), [true, true, true, false]);
+    let mut server = Server::new(Kind {
+        queue: 2,
+        slots: 1,
+        ..Kind::default()
+    });
+    assert_eq!(
+        (0..4)
+            .map(|n| server.take(0, job(n, 10, 10)))
+            .collect::<Vec<_>>(),
+        [true, true, true, false]
+    );
     assert_eq!(server.crash().len(), 3);
     assert_eq!((server.due(), server.load()), (None, (0, 0)));
 }
--- a/crates/lab/src/emulator/together.rs
+++ b/crates/lab/src/emulator/together.rs
@@ -79,12 +79,25 @@
             most_nodes: nodes as u32,
         };
         let wholes = BTreeMap::from([(RETRIES.to_string(), whole)]);
-        let settings = Settings { share: micros(described.share_s), drift: DRIFT, wholes };
-        let talker =
-            |_| Talker { node: None, party: None, disk: Vec::new(), start: 0, wakes: None, sent: (0, 0) };
+        let settings = Settings {
+            share: micros(described.share_s),
+            drift: DRIFT,
+            wholes,
+        };
+        let talker = |_| Talker {
+            node: None,
+            party: None,
+            disk: Vec::new(),
+            start: 0,
+            wakes: None,
+            sent: (0, 0),
+        };
         Together {
             described: described.clone(),
-            budgets: Budgets { settings, tenants: Vec::new() },
+            budgets: Budgets {
+                settings,
+                tenants: Vec::new(),
+            },
             talkers: (0..nodes).map(talker).collect(),
             starts: 0,
             overlaps: 0,
@@ -118,7 +131,11 @@
     }
 
     fn holders(&self, now: Micros) -> usize {
-        let holds = |t: &&Talker| t.node.as_ref().is_some_and(|n| n.may_act(TASK, now).is_some());
+        let holds = |t: &&Talker| {
+            t.node
+                .as_ref()
+                .is_some_and(|n| n.may_act(TASK, now).is_some())
+        };
         self.talkers.iter().filter(holds).count()
     }
 }
@@ -126,7 +143,9 @@
 impl World<'_> {
     /// A node's process begins; it may have begun before.
     pub(super) fn join(&mut self, node: usize) {
-        let Some(mut t) = self.together.take() else { return };
+        let Some(mut t) = self.together.take() else {
+            return;
+        };
         let now = self.queue.now();
         match t.described.division {
             Division::Shares => {
@@ -141,8 +160,22 @@
                 // As processes do not start in one microsecond.
                 let after = start * 7919 % 50_000;
                 let at = now + after;
-                self.queue.put(at, Event::Talk { node: node as u32, start, talk: Talk::Turn });
-                self.queue.put(at, Event::Talk { node: node as u32, start, talk: Talk::Divide });
+                self.queue.put(
+                    at,
+                    Event::Talk {
+                        node: node as u32,
+                        start,
+                        talk: Talk::Turn,
+                    },
+                );
+                self.queue.put(
+                    at,
+                    Event::Talk {
+                        node: node as u32,
+                        start,
+                        talk: Talk::Divide,
+                    },
+                );
                 if !std::mem::replace(&mut t.looking, true) {
                     self.queue.put(now + LOOK, Event::Look);
                 }
@@ -150,7 +183,13 @@
             Division::Equal => {
                 let (parts, d) = (t.talkers.len() as f64, &t.described);
                 let (rate, burst) = (d.retries / parts, d.burst / parts);
-                let budget = Budget { rate, burst, floor: 0.0, floor_burst: 0.0, until: f64::INFINITY };
+                let budget = Budget {
+                    rate,
+                    burst,
+                    floor: 0.0,
+                    floor_burst: 0.0,
+                    until: f64::INFINITY,
+                };
                 self.nodes[node].allow(&Allowed::from([(Spend::Retries, budget)]));
             }
             Division::None => {}
@@ -169,7 +208,9 @@
         if now >= micros(self.run.load.seconds) {
             return;
         }
-        let Some(mut t) = self.together.take() else { return };
+        let Some(mut t) = self.together.take() else {
+            return;
+        };
         let me = node as usize;
         // Messages go by name, to whatever process has it by then.
         let current = matches!(talk, Talk::Message(_)) || t.talkers[me].start == start;
@@ -180,7 +221,15 @@
     }
 
     fn take_part(&mut self, t: &mut Together, now: Micros, me: usize, talk: Talk) {
-        let Talker { node: Some(node), party: Some(party), disk, .. } = &mut t.talkers[me] else { return };
+        let Talker {
+            node: Some(node),
+            party: Some(party),
+            disk,
+            ..
+        } = &mut t.talkers[me]
+        else {
+            return;
+        };
         let epoch = node.may_act(TASK, now);
         let mut tell = None;
         let mut out = match talk {
@@ -194,7 +243,9 @@
                 let Envelope { from, body, .. } = *envelope.clone();
                 match body {
                     Body::Budget(message) => {
-                        tell = party.receive(message, epoch, now).map(|back| (from.0, back));
+                        tell = party
+                            .receive(message, epoch, now)
+                            .map(|back| (from.0, back));
                         Vec::new()
                     }
                     _ => node.receive(*envelope, now),
@@ -207,11 +258,25 @@
                 tell = chief.map(|chief| (chief, ask));
                 let (node, start) = (me as u32, t.talkers[me].start);
                 let at = now + micros(t.described.share_s) / 4;
-                self.queue.put(at, Event::Talk { node, start, talk: Talk::Divide });
+                self.queue.put(
+                    at,
+                    Event::Talk {
+                        node,
+                        start,
+                        talk: Talk::Divide,
+                    },
+                );
                 Vec::new()
             }
         };
-        let Talker { node: Some(node), party: Some(party), wakes, start, .. } = &mut t.talkers[me] else {
+        let Talker {
+            node: Some(node),
+            party: Some(party),
+            wakes,
+            start,
+            ..
+        } = &mut t.talkers[me]
+        else {
             return;
         };
         out.extend(tell.map(|(to, message)| node.post(to, None, Body::Budget(message))));
@@ -219,16 +284,27 @@
             out.extend(node.turn(now));
         }
         self.nodes[me].allow(&t.budgets.allowed(party, now, now));
-        if let Some(due) = node.due().filter(|due| wakes.is_none_or(|w| w <= now || *due < w)) {
+        if let Some(due) = node
+            .due()
+            .filter(|due| wakes.is_none_or(|w| w <= now || *due < w))
+        {
             *wakes = Some(due);
-            self.queue.put(due, Event::Talk { node: me as u32, start: *start, talk: Talk::Turn });
+            self.queue.put(
+                due,
+                Event::Talk {
+                    node: me as u32,
+                    start: *start,
+                    talk: Talk::Turn,
+                },
+            );
         }
         for out in out {
             match out {
                 Out::Write(number, records) => {
                     let (node, start) = (me as u32, t.talkers[me].start);
                     let talk = Talk::Written(number, records);
-                    self.queue.put(now + DISK, Event::Talk { node, start, talk });
+                    self.queue
+                        .put(now + DISK, Event::Talk { node, start, talk });
                 }
                 Out::Send(envelope, _) => self.post(t, now, me, envelope),
             }
@@ -236,7 +312,9 @@
     }
 
     fn post(&mut self, t: &mut Together, now: Micros, me: usize, envelope: Box<Envelope>) {
-        let Some(to) = number(&envelope.to).filter(|to| *to < t.talkers.len()) else { return };
+        let Some(to) = number(&envelope.to).filter(|to| *to < t.talkers.len()) else {
+            return;
+        };
         // The first half of a run is its start.
         if to != me && now >= micros(self.run.load.seconds) / 2 {
             let sent = &mut t.talkers[me].sent;
@@ -246,13 +324,22 @@
         if !self.is_cut(from, zone) {
             let at = now + if to == me { 0 } else { self.way(from, zone) };
             let talk = Talk::Message(envelope);
-            self.queue.put(at, Event::Talk { node: to as u32, start: 0, talk });
+            self.queue.put(
+                at,
+                Event::Talk {
+                    node: to as u32,
+                    start: 0,
+                    talk,
+                },
+            );
         }
     }
 
     pub(super) fn look_at_holders(&mut self, now: Micros) {
         let end = micros(self.run.load.seconds);
-        let Some(t) = self.together.as_mut().filter(|_| now < end) else { return };
+        let Some(t) = self.together.as_mut().filter(|_| now < end) else {
+            return;
+        };
         let holders = t.holders(now);
         t.overlaps += u64::from(holders > 1);
         match (holders, t.without) {
@@ -277,10 +364,16 @@
         let t = self.together.as_ref()?;
         let seconds = self.run.load.seconds / 2.0;
         let rates = |sent: &(u64, u64)| (sent.0 as f64 / seconds, sent.1 as f64 / seconds);
-        let sum = t.talkers.iter().fold((0, 0), |sum, x| (sum.0 + x.sent.0, sum.1 + x.sent.1));
+        let sum = t
+            .talkers
+            .iter()
+            .fold((0, 0), |sum, x| (sum.0 + x.sent.0, sum.1 + x.sent.1));
         let node = rates(&sum);
         let count = t.talkers.len() as f64;
-        let keepers = t.talkers.iter().take(if t.shares() { t.described.keepers } else { 0 });
+        let keepers = t
+            .talkers
+            .iter()
+            .take(if t.shares() { t.described.keepers } else { 0 });
         Some(Talked {
             node: (node.0 / count, node.1 / count),
             keeper: rates(&keepers.map(|x| x.sent).max().unwrap_or_default()),
--- a/crates/lab/src/emulator/trace.rs
+++ b/crates/lab/src/emulator/trace.rs
@@ -57,7 +57,8 @@
     /// Begins a file.
     pub fn create(path: &Path) -> Result<Trace, String> {
         let named = |e: std::io::Error| format!("trace {}: {e}", path.display());
-        let out = zstd::Encoder::new(BufWriter::new(File::create(path).map_err(named)?), 3).map_err(named)?;
+        let out = zstd::Encoder::new(BufWriter::new(File::create(path).map_err(named)?), 3)
+            .map_err(named)?;
         Ok(Trace { out, failed: None })
     }
 
--- a/crates/lab/src/emulator/world.rs
+++ b/crates/lab/src/emulator/world.rs
@@ -43,24 +43,83 @@
 /// What happens.
 #[derive(Debug)]
 pub(super) enum Event {
-    Turn { tenant: usize },
+    Turn {
+        tenant: usize,
+    },
     Again(Box<Work>),
-    AtNode { node: u32, epoch: u32, id: u64, word: Word },
-    Wake { node: u32, epoch: u32 },
-    Probed { node: u32, epoch: u32, server: u32, outcome: interface::Outcome, shown: Option<Shown> },
-    Listed { node: u32, epoch: u32, server: u32, state: ReplicaState, born: Option<Micros> },
-    AtServer { server: u32, id: u64, attempt: u8 },
-    Probe { node: u32, epoch: u32, server: u32 },
-    Cancel { server: u32, key: Key },
-    Step { server: u32, stamp: u32 },
-    AtClient { id: u64, told: Told },
-    GiveUp { id: u64 },
-    Fault { fault: usize, begins: bool },
-    Stall { fault: usize, until: Micros },
-    Silent { id: u64, attempt: u8 },
-    Restart { server: u32 },
-    Wave { fault: usize, from: usize },
-    Talk { node: u32, start: u64, talk: Talk },
+    AtNode {
+        node: u32,
+        epoch: u32,
+        id: u64,
+        word: Word,
+    },
+    Wake {
+        node: u32,
+        epoch: u32,
+    },
+    Probed {
+        node: u32,
+        epoch: u32,
+        server: u32,
+        outcome: interface::Outcome,
+        shown: Option<Shown>,
+    },
+    Listed {
+        node: u32,
+        epoch: u32,
+        server: u32,
+        state: ReplicaState,
+        born: Option<Micros>,
+    },
+    AtServer {
+        server: u32,
+        id: u64,
+        attempt: u8,
+    },
+    Probe {
+        node: u32,
+        epoch: u32,
+        server: u32,
+    },
+    Cancel {
+        server: u32,
+        key: Key,
+    },
+    Step {
+        server: u32,
+        stamp: u32,
+    },
+    AtClient {
+        id: u64,
+        told: Told,
+    },
+    GiveUp {
+        id: u64,
+    },
+    Fault {
+        fault: usize,
+        begins: bool,
+    },
+    Stall {
+        fault: usize,
+        until: Micros,
+    },
+    Silent {
+        id: u64,
+        attempt: u8,
+    },
+    Restart {
+        server: u32,
+    },
+    Wave {
+        fault: usize,
+        from: usize,
+    },
+    Talk {
+        node: u32,
+        start: u64,
+        talk: Talk,
+    },
     Look,
     Sample,
 }
@@ -179,7 +238,10 @@
             said: Vec::new(),
             trace: None,
             events: 0,
-            together: run.together.as_ref().map(|t| Box::new(Together::new(t, f.nodes))),
+            together: run
+                .together
+                .as_ref()
+                .map(|t| Box::new(Together::new(t, f.nodes))),
         };
         (0..f.nodes).for_each(|node| world.join(node));
         for node in 0..f.nodes {
@@ -189,8 +251,20 @@
             world.next_turn(tenant);
         }
         for (fault, f) in run.fault.iter().enumerate() {
-            world.queue.put(micros(f.at_s), Event::Fault { fault, begins: true });
-            world.queue.put(micros(f.at_s + f.for_s), Event::Fault { fault, begins: false });
+            world.queue.put(
+                micros(f.at_s),
+                Event::Fault {
+                    fault,
+                    begins: true,
+                },
+            );
+            world.queue.put(
+                micros(f.at_s + f.for_s),
+                Event::Fault {
+                    fault,
+                    begins: false,
+                },
+            );
         }
         world.queue.put(0, Event::Sample);
         Ok(world)
@@ -220,14 +294,18 @@
     pub fn waiting(&self) -> Vec<u64> {
         let mut all = vec![0; self.run.tenant.len()];
         for node in self.nodes.iter().filter(|n| n.up) {
-            all.iter_mut().zip(node.waiting()).for_each(|(sum, n)| *sum += n as u64);
+            all.iter_mut()
+                .zip(node.waiting())
+                .for_each(|(sum, n)| *sum += n as u64);
         }
         all
     }
 
     /// For a view: each server's requests under way and waiting, whether it is there, and its state on the list.
     pub fn servers(&self) -> impl Iterator<Item = (usize, usize, bool, ReplicaState)> + '_ {
-        self.places.iter().map(|p| (p.server.load().0, p.server.load().1, p.up, p.listed))
+        self.places
+            .iter()
+            .map(|p| (p.server.load().0, p.server.load().1, p.up, p.listed))
     }
 
     /// Lets so many events happen at most; false once all is over.
@@ -271,7 +349,12 @@
                 }
             }
             Event::Again(work) => self.send_try(now, *work),
-            Event::AtNode { node, epoch, id, word } => self.at_node(now, node, epoch, id, word),
+            Event::AtNode {
+                node,
+                epoch,
+                id,
+                word,
+            } => self.at_node(now, node, epoch, id, word),
             Event::Wake { node, epoch } => {
                 let n = &mut self.nodes[node as usize];
                 if n.epoch == epoch && n.up {
@@ -280,12 +363,27 @@
                     self.carry_out(now, node);
                 }
             }
-            Event::Probed { node, epoch, server, outcome, shown } => {
-                let input =
-                    Input::Probed { replica: name(server as usize), outcome, report: shown.map(report) };
+            Event::Probed {
+                node,
+                epoch,
+                server,
+                outcome,
+                shown,
+            } => {
+                let input = Input::Probed {
+                    replica: name(server as usize),
+                    outcome,
+                    report: shown.map(report),
+                };
                 self.tell(now, node, epoch, input);
             }
-            Event::Listed { node, epoch, server, state, born } => {
+            Event::Listed {
+                node,
+                epoch,
+                server,
+                state,
+                born,
+            } => {
                 let drains = state == ReplicaState::Draining;
                 if self.nodes[node as usize].epoch == epoch {
                     self.nodes[node as usize].drains[server as usize] = drains.then_some(now);
@@ -293,8 +391,16 @@
                 let list = vec![self.listing(server as usize, state, born)];
                 self.tell(now, node, epoch, Input::List { list, full: false });
             }
-            Event::AtServer { server, id, attempt } => self.at_server(now, server, id, attempt),
-            Event::Probe { node, epoch, server } => self.probed(now, node, epoch, server),
+            Event::AtServer {
+                server,
+                id,
+                attempt,
+            } => self.at_server(now, server, id, attempt),
+            Event::Probe {
+                node,
+                epoch,
+                server,
+            } => self.probed(now, node, epoch, server),
             Event::Cancel { server, key } => {
                 self.places[server as usize].server.cancel(now, key);
                 self.plan(server);
@@ -307,13 +413,19 @@
             Event::Look => self.look_at_holders(now),
             Event::Sample => {
                 let slots = self.run.fleet.server.slots;
-                let loads = self.places.iter().map(|p| (p.server.load().0 + p.server.load().1, slots));
+                let loads = self
+                    .places
+                    .iter()
+                    .map(|p| (p.server.load().0 + p.server.load().1, slots));
                 self.measure.sample(now, loads, self.places.len());
                 if now < micros(self.run.load.seconds) {
                     self.queue.put(now + self.measure.piece(), Event::Sample);
                 }
             }
-            Event::Fault { .. } | Event::Stall { .. } | Event::Restart { .. } | Event::Wave { .. } => {
+            Event::Fault { .. }
+            | Event::Stall { .. }
+            | Event::Restart { .. }
+            | Event::Wave { .. } => {
                 self.goes_wrong(now, event);
             }
         }
@@ -323,7 +435,8 @@
 
     fn next_turn(&mut self, tenant: usize) {
         if let Some(pause) = self.clients.pause(tenant, &mut self.rng) {
-            self.queue.put(self.queue.now() + pause, Event::Turn { tenant });
+            self.queue
+                .put(self.queue.now() + pause, Event::Turn { tenant });
         }
     }
 
@@ -335,7 +448,13 @@
             return self.over(now, &work, None, End::Failed);
         }
         let place = self.rng.random_range(0..up);
-        let node = self.nodes.iter().enumerate().filter(|n| n.1.up).nth(place).map_or(0, |n| n.0) as u32;
+        let node = self
+            .nodes
+            .iter()
+            .enumerate()
+            .filter(|n| n.1.up)
+            .nth(place)
+            .map_or(0, |n| n.0) as u32;
         let slot = self.free.pop().unwrap_or_else(|| {
             self.tries.push(None);
             self.tries.len() as u32 - 1
@@ -358,17 +477,30 @@
         });
         let epoch = self.nodes[node as usize].epoch;
         let near = self.run.fleet.near_us;
-        self.queue.put(now + near, Event::AtNode { node, epoch, id, word: Word::Arrived });
+        self.queue.put(
+            now + near,
+            Event::AtNode {
+                node,
+                epoch,
+                id,
+                word: Word::Arrived,
+            },
+        );
         self.queue.put(now + deadline, Event::GiveUp { id });
     }
 
     pub(super) fn find(&mut self, id: u64) -> Option<&mut Try> {
-        self.tries.get_mut(id as u32 as usize)?.as_mut().filter(|t| t.id == id)
+        self.tries
+            .get_mut(id as u32 as usize)?
+            .as_mut()
+            .filter(|t| t.id == id)
     }
 
     fn at_client(&mut self, now: Micros, id: u64, told: Told) {
         // A client that has left hears nothing more.
-        let Some(t) = self.find(id).filter(|t| !t.over) else { return };
+        let Some(t) = self.find(id).filter(|t| !t.over) else {
+            return;
+        };
         match told {
             Told::First => {
                 t.first.get_or_insert(now);
@@ -381,24 +513,38 @@
     }
 
     fn give_up(&mut self, now: Micros, id: u64) {
-        let Some(t) = self.find(id).filter(|t| !t.over && t.first.is_none()) else { return };
+        let Some(t) = self.find(id).filter(|t| !t.over && t.first.is_none()) else {
+            return;
+        };
         let node = t.node;
         let epoch = self.nodes[node as usize].epoch;
         let near = self.run.fleet.near_us;
-        self.queue.put(now + near, Event::AtNode { node, epoch, id, word: Word::Gone });
+        self.queue.put(
+            now + near,
+            Event::AtNode {
+                node,
+                epoch,
+                id,
+                word: Word::Gone,
+            },
+        );
         self.final_word(now, id, End::Left, 0);
     }
 
     /// The one place where a try ends for its client.
     pub(super) fn final_word(&mut self, now: Micros, id: u64, end: End, after: Micros) {
-        let Some(t) = self.find(id).filter(|t| !t.over) else { return };
+        let Some(t) = self.find(id).filter(|t| !t.over) else {
+            return;
+        };
         t.over = true;
         let (work, first, sent, node) = (t.work.clone(), t.first, t.sent, t.node);
         let hops = std::mem::take(&mut t.hops);
         let load = &self.run.load;
         let again = match end {
             End::Refused => work.tries <= load.retries && after <= micros(load.heeds_s),
-            End::Failed => work.tries <= load.retries && self.run.class[work.class].repeats == Repeats::Safe,
+            End::Failed => {
+                work.tries <= load.retries && self.run.class[work.class].repeats == Repeats::Safe
+            }
             _ => false,
         };
         if let Some(trace) = &mut self.trace {
@@ -424,7 +570,8 @@
         if again {
             // Spread over a tenth, so that those turned away together do not come back together.
             let spread = self.rng.random_range(0..=after / 10 + 1);
-            self.queue.put(now + after + spread, Event::Again(Box::new(work)));
+            self.queue
+                .put(now + after + spread, Event::Again(Box::new(work)));
         } else {
             self.over(now, &work, first, end);
         }
@@ -438,7 +585,10 @@
 
     /// A try is forgotten once its client is answered and its node owes nothing for it.
     pub(super) fn tidy(&mut self, id: u64) {
-        if self.find(id).is_some_and(|t| t.over && t.attempts.iter().all(|a| a.over)) {
+        if self
+            .find(id)
+            .is_some_and(|t| t.over && t.attempts.iter().all(|a| a.over))
+        {
             let slot = id as u32;
             self.tries[slot as usize] = None;
             self.free.push(slot);
@@ -462,7 +612,9 @@
         let input = match word {
             Word::Arrived => {
                 let run = self.run;
-                let Some(t) = self.find(id).filter(|t| !t.over) else { return };
+                let Some(t) = self.find(id).filter(|t| !t.over) else {
+                    return;
+                };
                 let (work, sent) = (&t.work, t.sent);
                 let class = &run.class[work.class];
                 let time_left = class.deadline_s - (now - sent) as f64 / 1e6;
@@ -486,16 +638,25 @@
             }
             Word::First(attempt) => {
                 let Some(t) = self.find(id) else { return };
-                let Some(a) = t.attempts.get_mut(attempt as usize).filter(|a| !a.over && !a.lost) else {
+                let Some(a) = t
+                    .attempts
+                    .get_mut(attempt as usize)
+                    .filter(|a| !a.over && !a.lost)
+                else {
                     return;
                 };
                 a.streaming = true;
-                Input::First { request: RequestId(id), attempt: attempt as usize }
+                Input::First {
+                    request: RequestId(id),
+                    attempt: attempt as usize,
+                }
             }
             Word::Ended(attempt, outcome, shown) => {
                 let Some(t) = self.find(id) else { return };
                 let place = attempt as usize;
-                let Some(a) = t.attempts.get_mut(place).filter(|a| !a.over) else { return };
+                let Some(a) = t.attempts.get_mut(place).filter(|a| !a.over) else {
+                    return;
+                };
                 a.over = true;
                 let (server, streaming) = (a.server, a.streaming);
                 if let Some(hop) = t.hops.get_mut(place) {
@@ -508,10 +669,25 @@
                 }
                 let report = shown.map(report);
                 let request = RequestId(id);
-                self.tell(now, node, epoch, Input::Ended { request, attempt: place, outcome, report });
+                self.tell(
+                    now,
+                    node,
+                    epoch,
+                    Input::Ended {
+                        request,
+                        attempt: place,
+                        outcome,
+                        report,
+                    },
+                );
                 if bound && streaming {
-                    let told = if outcome == interface::Outcome::Served { Told::Whole } else { Told::Broken };
-                    self.queue.put(now + self.run.fleet.near_us, Event::AtClient { id, told });
+                    let told = if outcome == interface::Outcome::Served {
+                        Told::Whole
+                    } else {
+                        Told::Broken
+                    };
+                    self.queue
+                        .put(now + self.run.fleet.near_us, Event::AtClient { id, told });
                 }
                 return self.tidy(id);
             }
@@ -524,7 +700,12 @@
         let mut commands = std::mem::take(&mut self.commands);
         for command in commands.drain(..) {
             match command {
-                Command::Send { request, attempt, replica, .. } => {
+                Command::Send {
+                    request,
+                    attempt,
+                    replica,
+                    ..
+                } => {
                     self.send(now, node, request.0, attempt, number(replica) as u32);
                 }
                 Command::Abandon { request, attempt } => self.abandon(now, request.0, attempt),
@@ -532,39 +713,81 @@
                     self.answered(request.0);
                     if let Some(t) = self.find(request.0) {
                         t.bound = Some(attempt);
-                        self.queue.put(now + near, Event::AtClient { id: request.0, told: Told::First });
+                        self.queue.put(
+                            now + near,
+                            Event::AtClient {
+                                id: request.0,
+                                told: Told::First,
+                            },
+                        );
                     }
                 }
-                Command::Refuse { request, retry_after } => {
+                Command::Refuse {
+                    request,
+                    retry_after,
+                } => {
                     let told = Told::Refused(retry_after);
                     self.answered(request.0);
-                    self.queue.put(now + near, Event::AtClient { id: request.0, told });
+                    self.queue.put(
+                        now + near,
+                        Event::AtClient {
+                            id: request.0,
+                            told,
+                        },
+                    );
                 }
                 Command::Fail { request } => {
                     self.answered(request.0);
-                    self.queue.put(now + near, Event::AtClient { id: request.0, told: Told::Failed });
+                    self.queue.put(
+                        now + near,
+                        Event::AtClient {
+                            id: request.0,
+                            told: Told::Failed,
+                        },
+                    );
                 }
                 Command::Probe { replica } => {
                     let server = number(replica) as u32;
                     self.measure.counts().probes += 1;
-                    let way = self.way(self.nodes[node as usize].zone, self.places[server as usize].zone);
+                    let way = self.way(
+                        self.nodes[node as usize].zone,
+                        self.places[server as usize].zone,
+                    );
                     let epoch = self.nodes[node as usize].epoch;
-                    self.queue.put(now + way, Event::Probe { node, epoch, server });
+                    self.queue.put(
+                        now + way,
+                        Event::Probe {
+                            node,
+                            epoch,
+                            server,
+                        },
+                    );
                 }
                 Command::Watch => {}
             }
         }
         self.commands = commands;
         let n = &mut self.nodes[node as usize];
-        if let Some(due) = n.due().filter(|due| n.wakes.is_none_or(|wakes| *due < wakes)) {
+        if let Some(due) = n
+            .due()
+            .filter(|due| n.wakes.is_none_or(|wakes| *due < wakes))
+        {
             n.wakes = Some(due);
-            self.queue.put(due, Event::Wake { node, epoch: n.epoch });
+            self.queue.put(
+                due,
+                Event::Wake {
+                    node,
+                    epoch: n.epoch,
+                },
+            );
         }
     }
 
     /// A node's final answer to a try, or its beginning; a second one breaks the first rule.
     fn answered(&mut self, id: u64) {
-        let again = self.find(id).is_some_and(|t| std::mem::replace(&mut t.answered, true));
+        let again = self
+            .find(id)
+            .is_some_and(|t| std::mem::replace(&mut t.answered, true));
         self.measure.counts().broken.doubled += u64::from(again);
     }
 
@@ -592,31 +815,75 @@
         let Some(t) = self.find(id) else { return };
         let unsafe_class = run.class[t.work.class].repeats == Repeats::Unsafe;
         let again = unsafe_class && t.attempts.iter().any(|a| a.ran);
-        t.attempts.push(Attempt { server, over: false, ran: false, streaming: false, lost: cut });
+        t.attempts.push(Attempt {
+            server,
+            over: false,
+            ran: false,
+            streaming: false,
+            lost: cut,
+        });
         debug_assert_eq!(t.attempts.len(), attempt + 1);
-        t.hops.push(Hop { server, sent: now, ended: None });
+        t.hops.push(Hop {
+            server,
+            sent: now,
+            ended: None,
+        });
         self.measure.counts().broken.repeated += u64::from(again);
         let attempt = attempt as u8;
         let failed = Word::Ended(attempt, interface::Outcome::ConnectFailed, None);
         if cut {
-            self.queue.put(now + dial, Event::AtNode { node, epoch, id, word: failed });
+            self.queue.put(
+                now + dial,
+                Event::AtNode {
+                    node,
+                    epoch,
+                    id,
+                    word: failed,
+                },
+            );
         } else if !up {
             self.idle.insert((node, server), 0);
-            self.queue.put(now + 2 * way, Event::AtNode { node, epoch, id, word: failed });
+            self.queue.put(
+                now + 2 * way,
+                Event::AtNode {
+                    node,
+                    epoch,
+                    id,
+                    word: failed,
+                },
+            );
         } else {
             let delay = way + if fresh { connect } else { 0 };
-            self.queue.put(now + delay, Event::AtServer { server, id, attempt });
+            self.queue.put(
+                now + delay,
+                Event::AtServer {
+                    server,
+                    id,
+                    attempt,
+                },
+            );
         }
     }
 
     fn abandon(&mut self, now: Micros, id: u64, attempt: usize) {
         let Some(t) = self.find(id) else { return };
         let node = t.node;
-        let Some(a) = t.attempts.get_mut(attempt).filter(|a| !a.over) else { return };
+        let Some(a) = t.attempts.get_mut(attempt).filter(|a| !a.over) else {
+            return;
+        };
         a.over = true;
         let server = a.server;
-        let way = self.way(self.nodes[node as usize].zone, self.places[server as usize].zone);
-        self.queue.put(now + way, Event::Cancel { server, key: (id, attempt) });
+        let way = self.way(
+            self.nodes[node as usize].zone,
+            self.places[server as usize].zone,
+        );
+        self.queue.put(
+            now + way,
+            Event::Cancel {
+                server,
+                key: (id, attempt),
+            },
+        );
         self.tidy(id);
     }
 
@@ -624,8 +891,9 @@
     pub(super) fn whole_list(&mut self, node: usize) {
         let now = self.queue.now();
         let all = (0..self.places.len()).filter(|s| self.places[*s].listed != ReplicaState::Gone);
-        let list: Vec<Listing> =
-            all.map(|s| self.listing(s, self.places[s].listed, self.places[s].born)).collect();
+        let list: Vec<Listing> = all
+            .map(|s| self.listing(s, self.places[s].listed, self.places[s].born))
+            .collect();
         for (server, place) in self.places.iter().enumerate() {
             // Known since the first word of it, and no longer once the whole list says otherwise.
             let told = &mut self.nodes[node].drains[server];
@@ -638,7 +906,15 @@
     fn listing(&self, server: usize, state: ReplicaState, born: Option<Micros>) -> Listing {
         let zone = self.places[server].zone;
         let born = born.map(|b| b as f64 / 1e6);
-        Listing { id: name(server), zone, cell: 0, kind: 0, state, size: Some(1.0), born }
+        Listing {
+            id: name(server),
+            zone,
+            cell: 0,
+            kind: 0,
+            state,
+            size: Some(1.0),
+            born,
+        }
     }
 
     /// What the list says of a server from now on; nodes hear of it a little later.
@@ -651,7 +927,16 @@
         let at = now + self.run.fleet.list_ms * 1000;
         for (node, n) in self.nodes.iter().enumerate().filter(|n| n.1.up) {
             let (node, server) = (node as u32, server as u32);
-            self.queue.put(at, Event::Listed { node, epoch: n.epoch, server, state, born });
+            self.queue.put(
+                at,
+                Event::Listed {
+                    node,
+                    epoch: n.epoch,
+                    server,
+                    state,
+                    born,
+                },
+            );
         }
     }
 
@@ -679,11 +964,24 @@
     pub(super) fn say(&mut self, now: Micros, key: Key, word: Word) {
         let Some(t) = self.find(key.0) else { return };
         let node = t.node;
-        let Some(a) = t.attempts.get(key.1).filter(|a| !a.over && !a.lost) else { return };
+        let Some(a) = t.attempts.get(key.1).filter(|a| !a.over && !a.lost) else {
+            return;
+        };
         let server = a.server;
-        let (epoch, zone) = (self.nodes[node as usize].epoch, self.nodes[node as usize].zone);
+        let (epoch, zone) = (
+            self.nodes[node as usize].epoch,
+            self.nodes[node as usize].zone,
+        );
         let way = self.way(zone, self.places[server as usize].zone);
-        self.queue.put(now + way, Event::AtNode { node, epoch, id: key.0, word });
+        self.queue.put(
+            now + way,
+            Event::AtNode {
+                node,
+                epoch,
+                id: key.0,
+                word,
+            },
+        );
     }
 
     fn at_server(&mut self, now: Micros, server: u32, id: u64, attempt: u8) {
@@ -692,11 +990,22 @@
         let (up, failing) = (place.up, place.failing);
         let Some(t) = self.find(id) else { return };
         let work = &t.work;
-        let job =
-            Job { key, session: work.session, prefix: work.prefix, prompt: work.prompt, answer: work.answer };
-        let Some(a) = t.attempts.get_mut(key.1).filter(|a| !a.over && !a.lost) else { return };
+        let job = Job {
+            key,
+            session: work.session,
+            prefix: work.prefix,
+            prompt: work.prompt,
+            answer: work.answer,
+        };
+        let Some(a) = t.attempts.get_mut(key.1).filter(|a| !a.over && !a.lost) else {
+            return;
+        };
         if !up {
-            return self.say(now, key, Word::Ended(attempt, interface::Outcome::ConnectFailed, None));
+            return self.say(
+                now,
+                key,
+                Word::Ended(attempt, interface::Outcome::ConnectFailed, None),
+            );
         }
         a.ran = true;
         if attempt > 0 {
@@ -704,7 +1013,11 @@
             self.repeated(now);
         }
         if failing {
-            return self.say(now + 1000, key, Word::Ended(attempt, interface::Outcome::Error, None));
+            return self.say(
+                now + 1000,
+                key,
+                Word::Ended(attempt, interface::Outcome::Error, None),
+            );
         }
         if self.places[server as usize].server.take(now, job) {
             self.plan(server);
@@ -713,7 +1026,11 @@
                 a.ran = false;
             }
             let shown = self.show(now, server);
-            self.say(now, key, Word::Ended(attempt, interface::Outcome::Full, Some(shown)));
+            self.say(
+                now,
+                key,
+                Word::Ended(attempt, interface::Outcome::Full, Some(shown)),
+            );
         }
     }
 
@@ -728,7 +1045,16 @@
             _ => (interface::Outcome::Served, way),
         };
         let shown = (outcome == interface::Outcome::Served).then(|| self.show(now, server));
-        self.queue.put(now + delay, Event::Probed { node, epoch, server, outcome, shown });
+        self.queue.put(
+            now + delay,
+            Event::Probed {
+                node,
+                epoch,
+                server,
+                outcome,
+                shown,
+            },
+        );
     }
 
     /// A server's report: up to `report_ms` old, and off by the set noise.
@@ -743,7 +1069,10 @@
             return shown;
         }
         let noise = LogNormal::new(0.0, f.report_noise).map_or(1.0, |d| d.sample(&mut self.rng));
-        Shown { waiting: shown.waiting * noise, ..shown }
+        Shown {
+            waiting: shown.waiting * noise,
+            ..shown
+        }
     }
 
     fn step(&mut self, now: Micros, server: u32, stamp: u32) {
@@ -762,7 +1091,10 @@
                 Said::Done(key, kept) => {
                     if let Some(prompt) = self.find(key.0).map(|t| t.work.prompt) {
                         let out = self.measure.counts();
-                        out.prompt = (out.prompt.0 + u64::from(prompt), out.prompt.1 + u64::from(kept));
+                        out.prompt = (
+                            out.prompt.0 + u64::from(prompt),
+                            out.prompt.1 + u64::from(kept),
+                        );
                     }
                     let shown = self.show(now, server);
                     let word = Word::Ended(key.1 as u8, interface::Outcome::Served, Some(shown));
@@ -779,7 +1111,13 @@
         let place = &mut self.places[server as usize];
         place.stamp += 1;
         if let Some(due) = place.server.due() {
-            self.queue.put(due, Event::Step { server, stamp: place.stamp });
+            self.queue.put(
+                due,
+                Event::Step {
+                    server,
+                    stamp: place.stamp,
+                },
+            );
         }
     }
 }
--- a/crates/lab/src/experiment/description.rs
+++ b/crates/lab/src/experiment/description.rs
@@ -105,23 +105,44 @@
 impl Experiment {
     /// Reads a file.
     pub fn read(path: &Path) -> Result<Experiment, String> {
-        let text =
-            std::fs::read_to_string(path).map_err(|e| format!("experiment {}: {e}", path.display()))?;
+        let text = std::fs::read_to_string(path)
+            .map_err(|e| format!("experiment {}: {e}", path.display()))?;
         Experiment::parse(&text).map_err(|e| format!("experiment {}: {e}", path.display()))
     }
 
     /// Reads a text; an error names the key, and its line where it has one.
     pub fn parse(text: &str) -> Result<Experiment, String> {
         let file: File = toml::from_str(text).map_err(|e| e.to_string())?;
-        let File { name, policies, seeds, sweep, fleet, load, class, tenant, fault, together } = file;
+        let File {
+            name,
+            policies,
+            seeds,
+            sweep,
+            fleet,
+            load,
+            class,
+            tenant,
+            fault,
+            together,
+        } = file;
         let fits = |c: char| c.is_ascii_alphanumeric() || c == '-' || c == '_';
         if name.is_empty() || !name.chars().all(fits) {
-            return Err(format!("name: expected letters, digits, - and _, not '{name}'"));
+            return Err(format!(
+                "name: expected letters, digits, - and _, not '{name}'"
+            ));
         }
         if policies.is_empty() || seeds.is_empty() {
             return Err("policies, seeds: expected one at least".into());
         }
-        let base = Run { fleet, load, class, tenant, fault, together }.check()?;
+        let base = Run {
+            fleet,
+            load,
+            class,
+            tenant,
+            fault,
+            together,
+        }
+        .check()?;
         let base = Value::try_from(&base).map_err(|e| e.to_string())?;
         let mut points = vec![(String::new(), base)];
         for sweep in &sweep {
@@ -145,7 +166,11 @@
                     };
                     let own = sweep.labels.get(n).cloned().unwrap_or_else(|| label(value));
                     let last = sweep.key.rsplit('.').next().unwrap_or_default();
-                    let own = if sweep.labels.is_empty() { format!("{last}={own}") } else { own };
+                    let own = if sweep.labels.is_empty() {
+                        format!("{last}={own}")
+                    } else {
+                        own
+                    };
                     let gap = if before.is_empty() { "" } else { " " };
                     wider.push((format!("{before}{gap}{own}"), root));
                 }
@@ -156,12 +181,28 @@
             }
         }
         let point = |(label, root): (String, Value)| {
-            let run: Run =
-                root.try_into().map_err(|e: toml::de::Error| format!("sweep: {label}: {}", e.message()))?;
-            let label = if label.is_empty() { "as described".to_string() } else { label };
-            Ok(Point { run: run.check().map_err(|e| format!("sweep: {label}: {e}"))?, label })
+            let run: Run = root
+                .try_into()
+                .map_err(|e: toml::de::Error| format!("sweep: {label}: {}", e.message()))?;
+            let label = if label.is_empty() {
+                "as described".to_string()
+            } else {
+                label
+            };
+            Ok(Point {
+                run: run.check().map_err(|e| format!("sweep: {label}: {e}"))?,
+                label,
+            })
         };
-        let points = points.into_iter().map(point).collect::<Result<Vec<_>, String>>()?;
-        Ok(Experiment { name, policies, seeds, points })
+        let points = points
+            .into_iter()
+            .map(point)
+            .collect::<Result<Vec<_>, String>>()?;
+        Ok(Experiment {
+            name,
+            policies,
+            seeds,
+            points,
+        })
     }
 }
--- a/crates/lab/src/experiment/results.rs
+++ b/crates/lab/src/experiment/results.rs
@@ -36,17 +36,22 @@
     /// Opens a folder, which is made where there is none.
     pub fn open(folder: &Path) -> Result<Results, String> {
         std::fs::create_dir_all(folder).map_err(named(folder))?;
-        Ok(Results { folder: folder.to_path_buf() })
+        Ok(Results {
+            folder: folder.to_path_buf(),
+        })
     }
 
     /// The file of a run: by the point's number, the policy and the seed.
     pub fn path(&self, point: usize, policy: Policy, seed: u64) -> PathBuf {
-        self.folder.join(format!("{point:04}-{policy}-{seed}.json.zst"))
+        self.folder
+            .join(format!("{point:04}-{policy}-{seed}.json.zst"))
     }
 
     /// What was found there, if that is the result of this very run.
     pub fn find(&self, path: &Path, label: &str, run: &Run) -> Option<Found> {
-        read(path).ok().filter(|f| f.run == *run && f.label == label)
+        read(path)
+            .ok()
+            .filter(|f| f.run == *run && f.label == label)
     }
 
     /// Keeps a result: whole or not at all, also where the program is stopped meanwhile.
@@ -65,7 +70,10 @@
         let mut paths: Vec<PathBuf> = entries.flatten().map(|e| e.path()).collect();
         paths.retain(|p| p.to_string_lossy().ends_with(".json.zst"));
         paths.sort();
-        let mut all = paths.iter().map(|p| Ok((point(p), read(p)?))).collect::<Result<Vec<_>, String>>()?;
+        let mut all = paths
+            .iter()
+            .map(|p| Ok((point(p), read(p)?)))
+            .collect::<Result<Vec<_>, String>>()?;
         all.sort_by_key(|(point, f)| (*point, f.policy, f.seed));
         match all.is_empty() {
             true => Err(format!("results {}: there are none", folder.display())),
@@ -75,11 +83,19 @@
 }
 
 fn point(path: &Path) -> usize {
-    let name = path.file_name().map(|n| n.to_string_lossy().into_owned()).unwrap_or_default();
-    name.split('-').next().and_then(|n| n.parse().ok()).unwrap_or(usize::MAX)
+    let name = path
+        .file_name()
+        .map(|n| n.to_string_lossy().into_owned())
+        .unwrap_or_default();
+    name.split('-')
+        .next()
+        .and_then(|n| n.parse().ok())
+        .unwrap_or(usize::MAX)
 }
 
 fn read(path: &Path) -> Result<Found, String> {
-    let text = std::fs::File::open(path).and_then(zstd::decode_all).map_err(named(path))?;
+    let text = std::fs::File::open(path)
+        .and_then(zstd::decode_all)
+        .map_err(named(path))?;
     serde_json::from_slice(&text).map_err(|e| format!("results {}: {e}", path.display()))
 }
--- a/crates/lab/src/experiment/runner.rs
+++ b/crates/lab/src/experiment/runner.rs
@@ -23,7 +23,12 @@
     let mut jobs: Vec<(usize, &Point, Policy, u64)> = Vec::new();
     for (n, point) in experiment.points.iter().enumerate() {
         for policy in &experiment.policies {
-            jobs.extend(experiment.seeds.iter().map(|seed| (n, point, *policy, *seed)));
+            jobs.extend(
+                experiment
+                    .seeds
+                    .iter()
+                    .map(|seed| (n, point, *policy, *seed)),
+            );
         }
     }
     how.progress.set_length(jobs.len() as u64);
@@ -35,7 +40,9 @@
         .into_par_iter()
         .map(|(n, point, policy, seed)| {
             let path = results.path(n, policy, seed);
-            let known = (!how.again).then(|| results.find(&path, &point.label, &point.run)).flatten();
+            let known = (!how.again)
+                .then(|| results.find(&path, &point.label, &point.run))
+                .flatten();
             let made = usize::from(known.is_none());
             if known.is_none() {
                 let found = one(point, policy, seed, how.trace.then_some(path.as_path()))?;
@@ -53,11 +60,22 @@
 }
 
 /// One run.
-pub fn one(point: &Point, policy: Policy, seed: u64, beside: Option<&Path>) -> Result<Found, String> {
+pub fn one(
+    point: &Point,
+    policy: Policy,
+    seed: u64,
+    beside: Option<&Path>,
+) -> Result<Found, String> {
     let mut world = World::new(&point.run, policy, seed)?;
     if let Some(path) = beside {
         world.trace(Trace::create(&path.with_extension("trace.zst"))?);
     }
     let outcome = world.finish()?;
-    Ok(Found { label: point.label.clone(), policy, seed, run: point.run.clone(), outcome })
+    Ok(Found {
+        label: point.label.clone(),
+        policy,
+        seed,
+        run: point.run.clone(),
+        outcome,
+    })
 }
--- a/crates/lab/src/experiment/table.rs
+++ b/crates/lab/src/experiment/table.rs
@@ -7,8 +7,9 @@
 
 /// Student's t at 97.5%, by degrees of freedom from 1 on; beyond the table it is nearly that of the normal.
 const STUDENT: [f64; 30] = [
-    12.706, 4.303, 3.182, 2.776, 2.571, 2.447, 2.365, 2.306, 2.262, 2.228, 2.201, 2.179, 2.160, 2.145, 2.131,
-    2.120, 2.110, 2.101, 2.093, 2.086, 2.080, 2.074, 2.069, 2.064, 2.060, 2.056, 2.052, 2.048, 2.045, 2.042,
+    12.706, 4.303, 3.182, 2.776, 2.571, 2.447, 2.365, 2.306, 2.262, 2.228, 2.201, 2.179, 2.160,
+    2.145, 2.131, 2.120, 2.110, 2.101, 2.093, 2.086, 2.080, 2.074, 2.069, 2.064, 2.060, 2.056,
+    2.052, 2.048, 2.045, 2.042,
 ];
 
 /// A mean and half its 95% interval; the half is NaN with fewer than two values.
@@ -26,11 +27,17 @@
         let n = values.len() as f64;
         let mean = values.iter().sum::<f64>() / n;
         if values.len() < 2 {
-            return Mean { mean, half: f64::NAN };
+            return Mean {
+                mean,
+                half: f64::NAN,
+            };
         }
         let variance = values.iter().map(|v| (v - mean).powi(2)).sum::<f64>() / (n - 1.0);
         let t = STUDENT.get(values.len() - 2).copied().unwrap_or(1.96);
-        Mean { mean, half: t * (variance / n).sqrt() }
+        Mean {
+            mean,
+            half: t * (variance / n).sqrt(),
+        }
     }
 }
 
@@ -85,16 +92,22 @@
 
 /// The time from the first fault's end until the service is as it was.
 fn recovery(o: &Outcome) -> f64 {
-    let Some(fault) = o.faults.first() else { return f64::NAN };
+    let Some(fault) = o.faults.first() else {
+        return f64::NAN;
+    };
     let piece = |at: f64| (at / o.piece_s) as usize;
     let (from, end) = (piece(fault.at_s), piece(fault.at_s + fault.for_s));
     let part = |tallies: &[Tally]| {
-        let sum = tallies.iter().fold((0.0, 0.0), |s, t| (s.0 + t.offered, s.1 + t.gained));
+        let sum = tallies
+            .iter()
+            .fold((0.0, 0.0), |s, t| (s.0 + t.offered, s.1 + t.gained));
         sum.1 / f64::max(sum.0, 1e-9)
     };
     let before = part(o.series.get(from / 2..from).unwrap_or_default());
     let after = o.series.get(end..).unwrap_or_default();
-    let back = after.iter().position(|t| t.offered > 0.0 && t.part() >= 0.95 * before);
+    let back = after
+        .iter()
+        .position(|t| t.offered > 0.0 && t.part() >= 0.95 * before);
     back.unwrap_or(after.len()) as f64 * o.piece_s
 }
 
@@ -103,7 +116,8 @@
     pub fn of(self, o: &Outcome) -> f64 {
         let requests = (o.all.requests().max(1)) as f64;
         let talked = o.talked.unwrap_or_default();
-        let ends = |which: &[End]| which.iter().map(|e| o.all.ends[*e as usize]).sum::<u64>() as f64;
+        let ends =
+            |which: &[End]| which.iter().map(|e| o.all.ends[*e as usize]).sum::<u64>() as f64;
         match self {
             Figure::Worth => o.all.part() * 100.0,
             Figure::FirstP99 => o.first.at.get(4).copied().unwrap_or(f64::NAN),
@@ -143,7 +157,9 @@
 
 /// The values of one cell, in the order of seeds.
 pub fn values(found: &[Found], label: &str, policy: Policy, figure: Figure) -> Vec<f64> {
-    let fit = found.iter().filter(|f| f.label == label && f.policy == policy);
+    let fit = found
+        .iter()
+        .filter(|f| f.label == label && f.policy == policy);
     fit.map(|f| figure.of(&f.outcome)).collect()
 }
 
@@ -159,7 +175,12 @@
         }
     };
     let head = policies.iter().map(Policy::to_string).collect();
-    let rows = labels.iter().map(|l| (l.to_string(), policies.iter().map(|p| cell(l, *p)).collect()));
+    let rows = labels.iter().map(|l| {
+        (
+            l.to_string(),
+            policies.iter().map(|p| cell(l, *p)).collect(),
+        )
+    });
     lay_out(head, rows.collect())
 }
 
@@ -168,11 +189,15 @@
     let (labels, policies) = axes(after);
     let cell = |label: &str, policy: Policy| {
         let of = |found: &[Found]| -> Vec<(u64, f64)> {
-            let fit = found.iter().filter(|f| f.label == label && f.policy == policy);
+            let fit = found
+                .iter()
+                .filter(|f| f.label == label && f.policy == policy);
             fit.map(|f| (f.seed, figure.of(&f.outcome))).collect()
         };
         let (old, new) = (of(before), of(after));
-        let differ = new.iter().filter_map(|(s, v)| old.iter().find(|o| o.0 == *s).map(|o| v - o.1));
+        let differ = new
+            .iter()
+            .filter_map(|(s, v)| old.iter().find(|o| o.0 == *s).map(|o| v - o.1));
         let differ: Vec<f64> = differ.collect();
         match Mean::of(&differ) {
             _ if differ.is_empty() => "-".to_string(),
@@ -183,14 +208,25 @@
         }
     };
     let head = policies.iter().map(Policy::to_string).collect();
-    let rows = labels.iter().map(|l| (l.to_string(), policies.iter().map(|p| cell(l, *p)).collect()));
+    let rows = labels.iter().map(|l| {
+        (
+            l.to_string(),
+            policies.iter().map(|p| cell(l, *p)).collect(),
+        )
+    });
     lay_out(head, rows.collect())
 }
 
 fn lay_out(head: Vec<String>, rows: Vec<(String, Vec<String>)>) -> String {
     let first = rows.iter().map(|r| r.0.chars().count()).max().unwrap_or(0);
-    let width =
-        |n: usize| rows.iter().map(|r| r.1[n].chars().count()).max().unwrap_or(0).max(head[n].len()) + 2;
+    let width = |n: usize| {
+        rows.iter()
+            .map(|r| r.1[n].chars().count())
+            .max()
+            .unwrap_or(0)
+            .max(head[n].len())
+            + 2
+    };
     let widths: Vec<usize> = (0..head.len()).map(width).collect();
     let mut text = " ".repeat(first);
     let line = |text: &mut String, cells: &[String]| {
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -98,7 +98,11 @@
     #[arg(long, value_name = "FILE")]
     node: Option<PathBuf>,
     /// Where configurations, disks, logs and the history go
-    #[arg(long, value_name = "FOLDER", default_value = "target/lab/break-budgets")]
+    #[arg(
+        long,
+        value_name = "FOLDER",
+        default_value = "target/lab/break-budgets"
+    )]
     out: PathBuf,
 }
 
@@ -242,7 +246,12 @@
 #[derive(Args)]
 struct View {
     /// A node's log, as `poppykeel serve --log-format json` writes it
-    #[arg(long, value_name = "FILE", conflicts_with = "experiment", required_unless_present = "experiment")]
+    #[arg(
+        long,
+        value_name = "FILE",
+        conflicts_with = "experiment",
+        required_unless_present = "experiment"
+    )]
     log: Option<PathBuf>,
     /// An experiment, of which one run is shown
     #[arg(long, value_name = "FILE")]
@@ -283,12 +292,17 @@
 fn title(figure: Figure) -> String {
     use clap::ValueEnum;
     let value = figure.to_possible_value();
-    value.and_then(|v| v.get_help().map(|h| h.to_string())).unwrap_or_default()
+    value
+        .and_then(|v| v.get_help().map(|h| h.to_string()))
+        .unwrap_or_default()
 }
 
 fn existing(folder: &Path) -> Result<Vec<Found>, String> {
     if !folder.is_dir() {
-        return Err(format!("results {}: there is no such folder", folder.display()));
+        return Err(format!(
+            "results {}: there is no such folder",
+            folder.display()
+        ));
     }
     Results::open(folder)?.all()
 }
@@ -296,18 +310,33 @@
 impl Run {
     fn run(&self) -> Result<(), String> {
         let experiment = Experiment::read(&self.file)?;
-        let folder = self.out.clone().unwrap_or_else(|| Path::new("target/lab").join(&experiment.name));
+        let folder = self
+            .out
+            .clone()
+            .unwrap_or_else(|| Path::new("target/lab").join(&experiment.name));
         let results = Results::open(&folder)?;
         if let Some(threads) = self.threads {
-            let pool = rayon::ThreadPoolBuilder::new().num_threads(threads).build_global();
+            let pool = rayon::ThreadPoolBuilder::new()
+                .num_threads(threads)
+                .build_global();
             pool.map_err(|e| format!("threads: {e}"))?;
         }
-        let style = ProgressStyle::with_template("{bar:40} {pos}/{len} runs, {elapsed} of about {duration}");
+        let style = ProgressStyle::with_template(
+            "{bar:40} {pos}/{len} runs, {elapsed} of about {duration}",
+        );
         let progress = ProgressBar::new(0).with_style(style.map_err(|e| e.to_string())?);
-        let how = runner::How { again: self.again, trace: self.trace, progress: &progress };
+        let how = runner::How {
+            again: self.again,
+            trace: self.trace,
+            progress: &progress,
+        };
         let made = runner::run(&experiment, &results, &how)?;
         progress.finish_and_clear();
-        println!("{}: {made} runs made, all results in {}", experiment.name, folder.display());
+        println!(
+            "{}: {made} runs made, all results in {}",
+            experiment.name,
+            folder.display()
+        );
         show(&results.all()?, &self.figures);
         Ok(())
     }
@@ -335,7 +364,9 @@
 
 /// Runs what the sockets need on one thread.
 fn on_sockets<T>(what: impl std::future::Future<Output = Result<T, String>>) -> Result<T, String> {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build();
     tokio::task::LocalSet::new().block_on(&runtime.map_err(|e| format!("runtime: {e}"))?, what)
 }
 
@@ -357,9 +388,15 @@
 
 impl Load {
     fn run(&self) -> Result<(), String> {
-        let (experiment, program) = (Experiment::read(&self.file)?, sockets::program(self.node.as_deref())?);
+        let (experiment, program) = (
+            Experiment::read(&self.file)?,
+            sockets::program(self.node.as_deref())?,
+        );
         let name = format!("{}-sockets", experiment.name);
-        let folder = self.out.clone().unwrap_or_else(|| Path::new("target/lab").join(name));
+        let folder = self
+            .out
+            .clone()
+            .unwrap_or_else(|| Path::new("target/lab").join(name));
         let results = Results::open(&folder)?;
         for (n, point) in experiment.points.iter().enumerate() {
             for seed in &experiment.seeds {
@@ -370,7 +407,16 @@
                 eprintln!("{}, seed {seed}: {} s", point.label, point.run.load.seconds);
                 let outcome = on_sockets(sockets::play(&point.run, &program, &folder, *seed))?;
                 let (label, policy, seed) = (point.label.clone(), Policy::Poppykeel, *seed);
-                results.keep(&path, &Found { label, policy, seed, run: point.run.clone(), outcome })?;
+                results.keep(
+                    &path,
+                    &Found {
+                        label,
+                        policy,
+                        seed,
+                        run: point.run.clone(),
+                        outcome,
+                    },
+                )?;
             }
         }
         println!("{}: all results in {}", experiment.name, folder.display());
@@ -385,20 +431,41 @@
             let title = log.display().to_string();
             return view::node(log, view::State::new(&title, Vec::new()));
         }
-        let Some(file) = &self.experiment else { return Err("view: give --log or --experiment".into()) };
+        let Some(file) = &self.experiment else {
+            return Err("view: give --log or --experiment".into());
+        };
         let experiment = Experiment::read(file)?;
         let count = experiment.points.len();
         let point = experiment.points.get(self.point);
-        let point =
-            point.ok_or_else(|| format!("--point: expected a number below {count}, not {}", self.point))?;
-        let policy = Policy::ALL.into_iter().find(|p| p.to_string() == self.policy).ok_or_else(|| {
-            let all: Vec<String> = Policy::ALL.iter().map(Policy::to_string).collect();
-            format!("--policy: expected one of {}, not {}", all.join(", "), self.policy)
+        let point = point.ok_or_else(|| {
+            format!(
+                "--point: expected a number below {count}, not {}",
+                self.point
+            )
         })?;
+        let policy = Policy::ALL
+            .into_iter()
+            .find(|p| p.to_string() == self.policy)
+            .ok_or_else(|| {
+                let all: Vec<String> = Policy::ALL.iter().map(Policy::to_string).collect();
+                format!(
+                    "--policy: expected one of {}, not {}",
+                    all.join(", "),
+                    self.policy
+                )
+            })?;
         let mut world = World::new(&point.run, policy, self.seed)?;
         let tenants = point.run.tenant.iter().map(|t| t.name.clone()).collect();
-        let state = view::State::new(&format!("{}: {}, {policy}", experiment.name, point.label), tenants);
-        view::run(&mut world, state, point.run.load.seconds, self.speed.max(0.01))
+        let state = view::State::new(
+            &format!("{}: {}, {policy}", experiment.name, point.label),
+            tenants,
+        );
+        view::run(
+            &mut world,
+            state,
+            point.run.load.seconds,
+            self.speed.max(0.01),
+        )
     }
 }
 
@@ -407,12 +474,35 @@
         let program = sockets::program(self.node.as_deref())?;
         let lease = std::time::Duration::from_millis(self.lease_ms);
         let (nodes, keepers, drift, skew) = (self.nodes, self.keepers, self.drift, self.skew);
-        let shape = Shape { nodes, keepers, lease, drift, skew, ..Shape::default() };
+        let shape = Shape {
+            nodes,
+            keepers,
+            lease,
+            drift,
+            skew,
+            ..Shape::default()
+        };
         let (rounds, seed, only) = (self.rounds, self.seed, self.only.clone());
-        let script = self.script.as_deref().map(Fault::script).transpose()?.unwrap_or_default();
-        let wanted = Wanted { shape, rounds, seed, only, script, fence: true };
+        let script = self
+            .script
+            .as_deref()
+            .map(Fault::script)
+            .transpose()?
+            .unwrap_or_default();
+        let wanted = Wanted {
+            shape,
+            rounds,
+            seed,
+            only,
+            script,
+            fence: true,
+        };
         let found = on_sockets(breaks::run(&wanted, &program, &self.out))?;
-        found.wrong.iter().chain(&found.verdict.overlaps).for_each(|what| println!("{what}"));
+        found
+            .wrong
+            .iter()
+            .chain(&found.verdict.overlaps)
+            .for_each(|what| println!("{what}"));
         let [p50, p99] = [0.5, 0.99].map(|part| found.quantile(part) as f64 / 1e6);
         println!("each round's longest time without an act: p50 {p50:.2} s, p99 {p99:.2} s");
         println!("{}", found.line(seed));
@@ -423,8 +513,17 @@
 impl BreakRoll {
     fn run(&self) -> Result<bool, String> {
         let program = sockets::program(self.node.as_deref())?;
-        let shape = Shape { nodes: self.nodes, every: std::time::Duration::from_secs(1), ..Shape::default() };
-        let wanted = Roll { shape, seed: self.seed, faults: self.faults, out: self.most };
+        let shape = Shape {
+            nodes: self.nodes,
+            every: std::time::Duration::from_secs(1),
+            ..Shape::default()
+        };
+        let wanted = Roll {
+            shape,
+            seed: self.seed,
+            faults: self.faults,
+            out: self.most,
+        };
         let found = on_sockets(breaks::roll(&wanted, &program, &self.out))?;
         println!(
             "nodes {}, been out {}, most out at once {} of {}, in charge {}, {:.1} s, seed {}",
@@ -437,15 +536,32 @@
 impl BreakBudgets {
     fn run(&self) -> Result<bool, String> {
         let program = sockets::program(self.node.as_deref())?;
-        let shape = Shape { nodes: self.nodes, every: std::time::Duration::from_secs(1), ..Shape::default() };
-        let shape = Shape { zones: self.zones, ..shape };
+        let shape = Shape {
+            nodes: self.nodes,
+            every: std::time::Duration::from_secs(1),
+            ..Shape::default()
+        };
+        let shape = Shape {
+            zones: self.zones,
+            ..shape
+        };
         let (whole, only, rounds) = ((self.rate, self.burst), self.only.clone(), self.rounds);
         let (seed, division, hot) = (self.seed, self.division, self.hot);
-        let wanted = Budgeted { shape, rounds, seed, only, whole, division, hot };
+        let wanted = Budgeted {
+            shape,
+            rounds,
+            seed,
+            only,
+            whole,
+            division,
+            hot,
+        };
         let found = on_sockets(breaks::budgets(&wanted, &program, &self.out))?;
-        for (name, c) in
-            [("repeats", found.repeats), ("probes", found.probes), ("crossings", found.crossings)]
-        {
+        for (name, c) in [
+            ("repeats", found.repeats),
+            ("probes", found.probes),
+            ("crossings", found.crossings),
+        ] {
             println!(
                 "{name}: {} at the servers, worst window {:.2} of its bound, busiest second {:.2} of the rate",
                 c.count, c.worst, c.busiest
@@ -470,8 +586,15 @@
 impl Report {
     fn run(&self) -> Result<(), String> {
         let found = existing(&self.folder)?;
-        let name = self.folder.file_name().map(|n| n.to_string_lossy().into_owned()).unwrap_or_default();
-        let out = self.out.clone().unwrap_or_else(|| self.folder.join("report.html"));
+        let name = self
+            .folder
+            .file_name()
+            .map(|n| n.to_string_lossy().into_owned())
+            .unwrap_or_default();
+        let out = self
+            .out
+            .clone()
+            .unwrap_or_else(|| self.folder.join("report.html"));
         let page = poppykeel_lab::report::page(&name, &found)?;
         std::fs::write(&out, page).map_err(|e| format!("report {}: {e}", out.display()))?;
         println!("{}", out.display());
--- a/crates/lab/src/report/mod.rs
+++ b/crates/lab/src/report/mod.rs
@@ -18,7 +18,10 @@
 .row{display:flex;flex-wrap:wrap;gap:12px}svg{max-width:100%;height:auto}";
 
 fn escape(text: &str) -> String {
-    text.replace('&', "&amp;").replace('<', "&lt;").replace('>', "&gt;").replace('"', "&quot;")
+    text.replace('&', "&amp;")
+        .replace('<', "&lt;")
+        .replace('>', "&gt;")
+        .replace('"', "&quot;")
 }
 
 /// The results of one point and policy, over seeds.
@@ -31,7 +34,11 @@
 pub fn page(name: &str, found: &[Found]) -> Result<String, String> {
     let (labels, policies) = axes(found);
     let mut html = String::new();
-    let seeds = found.iter().map(|f| f.seed).collect::<std::collections::BTreeSet<_>>().len();
+    let seeds = found
+        .iter()
+        .map(|f| f.seed)
+        .collect::<std::collections::BTreeSet<_>>()
+        .len();
     let _ = write!(
         html,
         "<!doctype html><html lang=\"en\"><meta charset=\"utf-8\"><title>{0}</title><style>{STYLE}</style><h1>{0}</h1>\
@@ -42,21 +49,34 @@
         policies.len(),
         seeds
     );
-    for figure in [Figure::Worth, Figure::FirstP50, Figure::FirstP99, Figure::Refused, Figure::Failed] {
+    for figure in [
+        Figure::Worth,
+        Figure::FirstP50,
+        Figure::FirstP99,
+        Figure::Refused,
+        Figure::Failed,
+    ] {
         table(&mut html, found, &labels, &policies, figure);
     }
     for figure in [Figure::Kept, Figure::Crossed, Figure::Attempts] {
         table(&mut html, found, &labels, &policies, figure);
     }
     if let Some(svg) = plots::over_points(found, &labels, &policies)? {
-        picture(&mut html, &svg, "Served worth over the points, with 95% intervals over seeds.");
+        picture(
+            &mut html,
+            &svg,
+            "Served worth over the points, with 95% intervals over seeds.",
+        );
     }
     for label in labels.iter().take(MOST_POINTS) {
         let cells: Vec<Cell> = policies
             .iter()
             .map(|p| Cell {
                 policy: *p,
-                found: found.iter().filter(|f| f.label == *label && f.policy == *p).collect(),
+                found: found
+                    .iter()
+                    .filter(|f| f.label == *label && f.policy == *p)
+                    .collect(),
             })
             .filter(|c| !c.found.is_empty())
             .collect();
@@ -68,8 +88,16 @@
             "Served worth by the time of requests' first tries, mean over seeds; shaded: faults.",
         );
         html.push_str("<div class=\"row\">");
-        picture(&mut html, &plots::latency(&cells)?, "Time to the first token by parts of answers.");
-        picture(&mut html, &plots::groups(&cells)?, "Served worth by class and tenant.");
+        picture(
+            &mut html,
+            &plots::latency(&cells)?,
+            "Time to the first token by parts of answers.",
+        );
+        picture(
+            &mut html,
+            &plots::groups(&cells)?,
+            "Served worth by class and tenant.",
+        );
         html.push_str("</div><div class=\"row\">");
         for cell in &cells {
             let caption = format!(
@@ -81,19 +109,29 @@
         html.push_str("</div>");
     }
     if labels.len() > MOST_POINTS {
-        let _ = write!(html, "<p>{} further points have no pictures here.</p>", labels.len() - MOST_POINTS);
+        let _ = write!(
+            html,
+            "<p>{} further points have no pictures here.</p>",
+            labels.len() - MOST_POINTS
+        );
     }
     html.push_str("</html>\n");
     Ok(html)
 }
 
 fn picture(html: &mut String, svg: &str, caption: &str) {
-    let _ = write!(html, "<figure>{svg}<figcaption>{}</figcaption></figure>", escape(caption));
+    let _ = write!(
+        html,
+        "<figure>{svg}<figcaption>{}</figcaption></figure>",
+        escape(caption)
+    );
 }
 
 fn table(html: &mut String, found: &[Found], labels: &[&str], policies: &[Policy], figure: Figure) {
-    let title =
-        figure.to_possible_value().and_then(|v| v.get_help().map(|h| h.to_string())).unwrap_or_default();
+    let title = figure
+        .to_possible_value()
+        .and_then(|v| v.get_help().map(|h| h.to_string()))
+        .unwrap_or_default();
     let _ = write!(html, "<h3>{}</h3><table><tr><th></th>", escape(&title));
     policies.iter().for_each(|p| {
         let _ = write!(html, "<th>{p}</th>");
@@ -102,14 +140,27 @@
     for label in labels {
         let means: Vec<Option<Mean>> = policies
             .iter()
-            .map(|p| Some(values(found, label, *p, figure)).filter(|v| !v.is_empty()).map(|v| Mean::of(&v)))
+            .map(|p| {
+                Some(values(found, label, *p, figure))
+                    .filter(|v| !v.is_empty())
+                    .map(|v| Mean::of(&v))
+            })
             .collect();
-        let best = means.iter().flatten().map(|m| m.mean).fold(f64::NEG_INFINITY, f64::max);
+        let best = means
+            .iter()
+            .flatten()
+            .map(|m| m.mean)
+            .fold(f64::NEG_INFINITY, f64::max);
         let _ = write!(html, "<tr><td>{}</td>", escape(label));
         for mean in means {
             let text = mean.map_or("-".to_string(), |m| m.to_string());
-            let top = figure == Figure::Worth && mean.is_some_and(|m| m.mean + m.half.max(0.05) >= best);
-            let _ = write!(html, "<td{}>{text}</td>", if top { " class=\"best\"" } else { "" });
+            let top =
+                figure == Figure::Worth && mean.is_some_and(|m| m.mean + m.half.max(0.05) >= best);
+            let _ = write!(
+                html,
+                "<td{}>{text}</td>",
+                if top { " class=\"best\"" } else { "" }
+            );
         }
         html.push_str("</tr>");
     }
--- a/crates/lab/src/report/plots.rs
+++ b/crates/lab/src/report/plots.rs
@@ -53,15 +53,26 @@
 
 /// A fault's name and its time, in seconds; what has no end of its own lasts to a second.
 fn span(fault: &Fault) -> (String, f64, f64) {
-    let name =
-        serde_json::to_value(fault.what).ok().and_then(|v| v.as_str().map(String::from)).unwrap_or_default();
-    let lasts = if fault.what == What::ColdRestart { 1.0 } else { fault.for_s };
+    let name = serde_json::to_value(fault.what)
+        .ok()
+        .and_then(|v| v.as_str().map(String::from))
+        .unwrap_or_default();
+    let lasts = if fault.what == What::ColdRestart {
+        1.0
+    } else {
+        fault.for_s
+    };
     (name, fault.at_s, fault.at_s + lasts)
 }
 
 /// Served worth over time, a line for each policy.
 pub(super) fn worth(cells: &[Cell]) -> Result<String, String> {
-    let piece = cells.iter().flat_map(|c| &c.found).map(|f| f.outcome.piece_s).next().unwrap_or(1.0);
+    let piece = cells
+        .iter()
+        .flat_map(|c| &c.found)
+        .map(|f| f.outcome.piece_s)
+        .next()
+        .unwrap_or(1.0);
     let end = piece * PIECES as f64;
     draw((1140, 300), |area| {
         let mut chart = ChartBuilder::on(area)
@@ -78,12 +89,22 @@
             .y_desc("served worth, %")
             .draw()
             .map_err(failed)?;
-        for fault in cells.iter().flat_map(|c| &c.found).take(1).flat_map(|f| &f.outcome.faults) {
+        for fault in cells
+            .iter()
+            .flat_map(|c| &c.found)
+            .take(1)
+            .flat_map(|f| &f.outcome.faults)
+        {
             let (name, from, to) = span(fault);
-            let shade =
-                Rectangle::new([(from, 0.0), (to.min(end), 105.0)], RGBColor(200, 60, 60).mix(0.12).filled());
-            let text =
-                Text::new(name, (from, 104.0), ("sans-serif", 13).into_font().color(&RGBColor(160, 40, 40)));
+            let shade = Rectangle::new(
+                [(from, 0.0), (to.min(end), 105.0)],
+                RGBColor(200, 60, 60).mix(0.12).filled(),
+            );
+            let text = Text::new(
+                name,
+                (from, 104.0),
+                ("sans-serif", 13).into_font().color(&RGBColor(160, 40, 40)),
+            );
             chart.draw_series(std::iter::once(shade)).map_err(failed)?;
             chart.draw_series(std::iter::once(text)).map_err(failed)?;
         }
@@ -106,7 +127,9 @@
                 .draw_series(LineSeries::new(line, colour.stroke_width(width)))
                 .map_err(failed)?
                 .label(cell.policy.to_string())
-                .legend(move |(x, y)| PathElement::new([(x, y), (x + 18, y)], colour.stroke_width(width)));
+                .legend(move |(x, y)| {
+                    PathElement::new([(x, y), (x + 18, y)], colour.stroke_width(width))
+                });
         }
         legend(&mut chart, SeriesLabelPosition::LowerLeft)
     })
@@ -133,11 +156,20 @@
 /// The time to the first token at several parts of answers, on a logarithmic scale.
 pub(super) fn latency(cells: &[Cell]) -> Result<String, String> {
     let at = |cell: &Cell, n: usize| -> Option<f64> {
-        let all: Vec<f64> = cell.found.iter().filter_map(|f| f.outcome.first.at.get(n).copied()).collect();
+        let all: Vec<f64> = cell
+            .found
+            .iter()
+            .filter_map(|f| f.outcome.first.at.get(n).copied())
+            .collect();
         (!all.is_empty()).then(|| (all.iter().sum::<f64>() / all.len() as f64).max(0.1))
     };
-    let all: Vec<f64> = cells.iter().flat_map(|c| (0..PARTS.len()).filter_map(|n| at(c, n))).collect();
-    let (low, high) = all.iter().fold((1e9f64, 1.0f64), |(l, h), v| (l.min(*v), h.max(*v)));
+    let all: Vec<f64> = cells
+        .iter()
+        .flat_map(|c| (0..PARTS.len()).filter_map(|n| at(c, n)))
+        .collect();
+    let (low, high) = all
+        .iter()
+        .fold((1e9f64, 1.0f64), |(l, h), v| (l.min(*v), h.max(*v)));
     let (low, high) = (low.min(high) * 0.8, high * 1.3);
     draw((560, 320), |area| {
         let mut chart = ChartBuilder::on(area)
@@ -165,7 +197,9 @@
         for cell in cells {
             let line = (0..PARTS.len()).filter_map(|n| at(cell, n).map(|v| (n as f64, v)));
             let (colour, width) = (colour(cell.policy), width(cell.policy));
-            chart.draw_series(LineSeries::new(line, colour.stroke_width(width))).map_err(failed)?;
+            chart
+                .draw_series(LineSeries::new(line, colour.stroke_width(width)))
+                .map_err(failed)?;
         }
         Ok(())
     })
@@ -174,13 +208,22 @@
 /// Served worth of each class and tenant, a bar for each policy.
 pub(super) fn groups(cells: &[Cell]) -> Result<String, String> {
     let names: Vec<String> = match cells.first().and_then(|c| c.found.first()) {
-        Some(f) => f.outcome.classes.iter().chain(&f.outcome.tenants).map(|g| g.0.clone()).collect(),
+        Some(f) => f
+            .outcome
+            .classes
+            .iter()
+            .chain(&f.outcome.tenants)
+            .map(|g| g.0.clone())
+            .collect(),
         None => return Ok(String::new()),
     };
     let part = |cell: &Cell, n: usize| -> f64 {
-        let tallies =
-            cell.found.iter().filter_map(|f| f.outcome.classes.iter().chain(&f.outcome.tenants).nth(n));
-        let (offered, gained) = tallies.fold((0.0, 0.0), |(o, g), t| (o + t.1.offered, g + t.1.gained));
+        let tallies = cell
+            .found
+            .iter()
+            .filter_map(|f| f.outcome.classes.iter().chain(&f.outcome.tenants).nth(n));
+        let (offered, gained) =
+            tallies.fold((0.0, 0.0), |(o, g), t| (o + t.1.offered, g + t.1.gained));
         if offered > 0.0 {
             gained / offered * 100.0
         } else {
@@ -204,7 +247,11 @@
             .draw()
             .map_err(failed)?;
         for (n, name) in names.iter().enumerate() {
-            let text = Text::new(name.clone(), (n as f64 + 0.1, 104.0), ("sans-serif", 13).into_font());
+            let text = Text::new(
+                name.clone(),
+                (n as f64 + 0.1, 104.0),
+                ("sans-serif", 13).into_font(),
+            );
             chart.draw_series(std::iter::once(text)).map_err(failed)?;
         }
         for (k, cell) in cells.iter().enumerate() {
@@ -215,7 +262,9 @@
                     colour(cell.policy).filled(),
                 )
             };
-            chart.draw_series((0..names.len()).map(bar)).map_err(failed)?;
+            chart
+                .draw_series((0..names.len()).map(bar))
+                .map_err(failed)?;
         }
         Ok(())
     })
@@ -234,7 +283,11 @@
         return RGBColor(light(30.0), light(70.0), light(150.0));
     }
     let more = load - 1.0;
-    RGBColor((30.0 + 190.0 * more) as u8, (70.0 - 30.0 * more) as u8, (150.0 - 110.0 * more) as u8)
+    RGBColor(
+        (30.0 + 190.0 * more) as u8,
+        (70.0 - 30.0 * more) as u8,
+        (150.0 - 110.0 * more) as u8,
+    )
 }
 
 /// Requests that servers held, over their slots: rows of servers, columns of time.
@@ -247,7 +300,13 @@
             .y_label_area_size(40)
             .build_cartesian_2d(0.0..end, 0.0..rows)
             .map_err(failed)?;
-        chart.configure_mesh().disable_mesh().x_desc("seconds").y_desc("servers").draw().map_err(failed)?;
+        chart
+            .configure_mesh()
+            .disable_mesh()
+            .x_desc("seconds")
+            .y_desc("servers")
+            .draw()
+            .map_err(failed)?;
         for (row, pieces) in outcome.heat.iter().enumerate() {
             // Neighbours of one shade are one tile: a page has hundreds of such maps.
             let mut from = 0;
@@ -260,14 +319,20 @@
                 }
             }
             let tile = |([from, to], level): ([f64; 2], u32)| {
-                Rectangle::new([(from, row as f64), (to, row as f64 + 1.0)], colour_of(level).filled())
+                Rectangle::new(
+                    [(from, row as f64), (to, row as f64 + 1.0)],
+                    colour_of(level).filled(),
+                )
             };
-            chart.draw_series(tiles.into_iter().filter(|t| t.1 > 0).map(tile)).map_err(failed)?;
+            chart
+                .draw_series(tiles.into_iter().filter(|t| t.1 > 0).map(tile))
+                .map_err(failed)?;
         }
         let marks = outcome.faults.iter().flat_map(|f| {
             let (_, from, to) = span(f);
-            [from, to.min(end)]
-                .map(|x| PathElement::new([(x, 0.0), (x, rows)], RGBColor(200, 40, 40).stroke_width(1)))
+            [from, to.min(end)].map(|x| {
+                PathElement::new([(x, 0.0), (x, rows)], RGBColor(200, 40, 40).stroke_width(1))
+            })
         });
         chart.draw_series(marks).map_err(failed)?;
         Ok(())
@@ -308,19 +373,30 @@
             let means: Vec<(f64, Mean)> = means.collect();
             let (colour, width) = (colour(*policy), width(*policy));
             let bars = means.iter().filter(|m| m.1.half.is_finite()).map(|(x, m)| {
-                PathElement::new([(*x, m.mean - m.half), (*x, m.mean + m.half)], colour.stroke_width(width))
+                PathElement::new(
+                    [(*x, m.mean - m.half), (*x, m.mean + m.half)],
+                    colour.stroke_width(width),
+                )
             });
             chart.draw_series(bars).map_err(failed)?;
             chart
-                .draw_series(means.iter().map(|(x, m)| Circle::new((*x, m.mean), 2 + width, colour.filled())))
+                .draw_series(
+                    means
+                        .iter()
+                        .map(|(x, m)| Circle::new((*x, m.mean), 2 + width, colour.filled())),
+                )
                 .map_err(failed)?
                 .label(policy.to_string())
                 .legend(move |(x, y)| Circle::new((x + 9, y), 4, colour.filled()));
         }
         for (n, label) in labels.iter().enumerate() {
             let (x, _) = chart.backend_coord(&(n as f64, 0.0));
-            let style = ("sans-serif", 12).into_font().transform(FontTransform::Rotate90).color(&BLACK);
-            area.draw_text(label, &style, (x + 6, 292)).map_err(failed)?;
+            let style = ("sans-serif", 12)
+                .into_font()
+                .transform(FontTransform::Rotate90)
+                .color(&BLACK);
+            area.draw_text(label, &style, (x + 6, 292))
+                .map_err(failed)?;
         }
         legend(&mut chart, SeriesLabelPosition::LowerLeft)
     })?;
--- a/crates/lab/src/sockets/discovery.rs
+++ b/crates/lab/src/sockets/discovery.rs
@@ -48,11 +48,22 @@
 impl Discovery {
     /// Starts it with this list.
     pub async fn start(entries: Vec<Entry>) -> Result<Discovery, String> {
-        let listener = TcpListener::bind("127.0.0.1:0").await.map_err(|e| format!("discovery: {e}"))?;
-        let addr = listener.local_addr().map_err(|e| format!("discovery: {e}"))?;
+        let listener = TcpListener::bind("127.0.0.1:0")
+            .await
+            .map_err(|e| format!("discovery: {e}"))?;
+        let addr = listener
+            .local_addr()
+            .map_err(|e| format!("discovery: {e}"))?;
         let entries = Rc::new(RefCell::new(entries.into_iter().map(|e| (1, e)).collect()));
-        let (version, silent, changed) = (Rc::new(Cell::new(1)), Rc::default(), Rc::new(Notify::new()));
-        let discovery = Discovery { addr, entries, version, silent, changed };
+        let (version, silent, changed) =
+            (Rc::new(Cell::new(1)), Rc::default(), Rc::new(Notify::new()));
+        let discovery = Discovery {
+            addr,
+            entries,
+            version,
+            silent,
+            changed,
+        };
         let own = discovery.clone();
         spawn_local(async move {
             while let Ok((stream, _)) = listener.accept().await {
@@ -66,7 +77,10 @@
     /// The list as a node's configuration holds it.
     pub fn whole(&self) -> Value {
         let entries = self.entries.borrow();
-        let servers = entries.iter().filter(|e| e.1.state != "removed").map(|e| e.1.json());
+        let servers = entries
+            .iter()
+            .filter(|e| e.1.state != "removed")
+            .map(|e| e.1.json());
         json!({"version": self.version.get(), "full": true, "servers": servers.collect::<Vec<_>>()})
     }
 
@@ -100,7 +114,12 @@
             };
             let query = |key: &str| -> Option<u64> {
                 let pairs = target.split_once('?')?.1.split('&');
-                pairs.filter_map(|p| p.split_once('=')).find(|p| p.0 == key)?.1.parse().ok()
+                pairs
+                    .filter_map(|p| p.split_once('='))
+                    .find(|p| p.0 == key)?
+                    .1
+                    .parse()
+                    .ok()
             };
             let body = match query("since") {
                 None => self.whole(),
@@ -116,7 +135,10 @@
                 }
             };
             let body = body.to_string();
-            let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
+            let head = format!(
+                "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
+                body.len()
+            );
             wire.send(Out::Raw(head.into())).await.ok()?;
         }
     }
--- a/crates/lab/src/sockets/fleet.rs
+++ b/crates/lab/src/sockets/fleet.rs
@@ -27,29 +27,54 @@
 }
 
 fn unix_ms() -> i64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_millis() as i64)
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .map_or(0, |d| d.as_millis() as i64)
 }
 
 impl Fleet {
     /// Starts all of it; `folder` takes configurations and logs.
     pub async fn start(run: &Run, program: &Path, folder: &Path) -> Result<Rc<Fleet>, String> {
-        if let Some(fault) = run.fault.iter().find(|f| matches!(f.what, What::ZoneCut | What::LateReports)) {
-            return Err(format!("fault: {:?} is not to be had on loopback sockets", fault.what));
+        if let Some(fault) = run
+            .fault
+            .iter()
+            .find(|f| matches!(f.what, What::ZoneCut | What::LateReports))
+        {
+            return Err(format!(
+                "fault: {:?} is not to be had on loopback sockets",
+                fault.what
+            ));
         }
         let mut models = Vec::new();
         let mut entries = Vec::new();
         for n in 0..run.fleet.servers {
             let model = Model::start(run.fleet.server.clone()).await?;
             let (name, zone) = (format!("m-{n}"), format!("z{}", n % run.fleet.zones));
-            entries.push(Entry { name, addr: model.addr, zone, state: "up", started_ms: 0 });
+            entries.push(Entry {
+                name,
+                addr: model.addr,
+                zone,
+                state: "up",
+                started_ms: 0,
+            });
             models.push(model);
         }
         let discovery = Discovery::start(entries).await?;
         let (nodes, addrs) = (RefCell::new(Vec::new()), Vec::new());
         let (program, folder) = (program.to_path_buf(), folder.to_path_buf());
-        let mut fleet = Fleet { run: run.clone(), program, folder, models, discovery, nodes, addrs };
+        let mut fleet = Fleet {
+            run: run.clone(),
+            program,
+            folder,
+            models,
+            discovery,
+            nodes,
+            addrs,
+        };
         for me in 0..run.fleet.nodes {
-            let node = fleet.node(me, SocketAddr::from(([127, 0, 0, 1], 0))).await?;
+            let node = fleet
+                .node(me, SocketAddr::from(([127, 0, 0, 1], 0)))
+                .await?;
             fleet.addrs.push(node.addr);
             fleet.nodes.borrow_mut().push(Some(node));
         }
@@ -63,7 +88,13 @@
 
     /// The nodes that are there now.
     pub fn up(&self) -> Vec<usize> {
-        self.nodes.borrow().iter().enumerate().filter(|n| n.1.is_some()).map(|n| n.0).collect()
+        self.nodes
+            .borrow()
+            .iter()
+            .enumerate()
+            .filter(|n| n.1.is_some())
+            .map(|n| n.0)
+            .collect()
     }
 
     /// The log of a node.
@@ -75,14 +106,26 @@
         let path = self.folder.join(format!("node-{me}.json"));
         let text = config(&self.run, me, listen, &self.discovery);
         std::fs::write(&path, text).map_err(|e| format!("{}: {e}", path.display()))?;
-        let log = std::fs::OpenOptions::new().create(true).append(true).open(self.log(me));
-        Node::start(&self.program, &path, Some(log.map_err(|e| format!("{}: {e}", self.log(me).display()))?))
-            .await
+        let log = std::fs::OpenOptions::new()
+            .create(true)
+            .append(true)
+            .open(self.log(me));
+        Node::start(
+            &self.program,
+            &path,
+            Some(log.map_err(|e| format!("{}: {e}", self.log(me).display()))?),
+        )
+        .await
     }
 
     /// Ends all nodes in order.
     pub async fn stop(&self) {
-        let nodes: Vec<Node> = self.nodes.borrow_mut().iter_mut().filter_map(Option::take).collect();
+        let nodes: Vec<Node> = self
+            .nodes
+            .borrow_mut()
+            .iter_mut()
+            .filter_map(Option::take)
+            .collect();
         for node in nodes {
             node.stop().await;
         }
@@ -180,7 +223,10 @@
 
     fn end(self: &Rc<Self>, server: usize) {
         self.models[server].end();
-        let (own, notice) = (self.clone(), Duration::from_millis(self.run.fleet.notice_ms));
+        let (own, notice) = (
+            self.clone(),
+            Duration::from_millis(self.run.fleet.notice_ms),
+        );
         spawn_local(async move {
             tokio::time::sleep(notice).await;
             own.discovery.set(server, "removed", None);
