--- a/crates/lab/src/sockets/load.rs
+++ b/crates/lab/src/sockets/load.rs
@@ -81,7 +81,9 @@
         });
     }
     let samples = spawn_local(shared.clone().samples());
-    let tenants: Vec<_> = (0..run.tenant.len()).map(|t| spawn_local(shared.clone().tenant(t))).collect();
+    let tenants: Vec<_> = (0..run.tenant.len())
+        .map(|t| spawn_local(shared.clone().tenant(t)))
+        .collect();
     for tenant in tenants {
         let _ = tenant.await;
     }
@@ -106,9 +108,16 @@
         let (piece, slots) = (self.measure.borrow().piece(), self.run.fleet.server.slots);
         loop {
             let now = self.now();
-            let loads = self.fleet.models.iter().map(|m| (m.load().0 + m.load().1, slots));
-            self.measure.borrow_mut().sample(now, loads, self.fleet.models.len());
-            tokio::time::sleep_until(self.began + Duration::from_micros((now / piece + 1) * piece)).await;
+            let loads = self
+                .fleet
+                .models
+                .iter()
+                .map(|m| (m.load().0 + m.load().1, slots));
+            self.measure
+                .borrow_mut()
+                .sample(now, loads, self.fleet.models.len());
+            tokio::time::sleep_until(self.began + Duration::from_micros((now / piece + 1) * piece))
+                .await;
         }
     }
 
@@ -117,14 +126,20 @@
         let mut at: Micros = 0;
         let end = (self.run.load.seconds * 1e6) as Micros;
         loop {
-            let pause = self.clients.borrow().pause(tenant, &mut *self.rng.borrow_mut());
+            let pause = self
+                .clients
+                .borrow()
+                .pause(tenant, &mut *self.rng.borrow_mut());
             let Some(pause) = pause else { return };
             at += pause;
             if at >= end {
                 return;
             }
             tokio::time::sleep_until(self.began + Duration::from_micros(at)).await;
-            let work = self.clients.borrow_mut().ask(at, tenant, &self.run, &mut *self.rng.borrow_mut());
+            let work =
+                self.clients
+                    .borrow_mut()
+                    .ask(at, tenant, &self.run, &mut *self.rng.borrow_mut());
             spawn_local(self.clone().request(work));
         }
     }
@@ -147,7 +162,11 @@
                 Answer::Whole { first } => break self.over(&work, End::Good, Some(first)),
                 Answer::Broken { first } => break self.over(&work, End::Broken, Some(first)),
                 Answer::Left => break self.over(&work, End::Left, None),
-                Answer::Refused { after } if again && after.as_secs_f64() <= self.run.load.heeds_s => after,
+                Answer::Refused { after }
+                    if again && after.as_secs_f64() <= self.run.load.heeds_s =>
+                {
+                    after
+                }
                 Answer::Refused { .. } => break self.over(&work, End::Refused, None),
                 Answer::Failed if again && class.repeats == Repeats::Safe => PAUSE,
                 Answer::Failed => break self.over(&work, End::Failed, None),
@@ -161,8 +180,13 @@
 
     fn over(&self, work: &Work, end: End, first: Option<Micros>) {
         let class = &self.run.class[work.class];
-        let whole = self.measure.borrow_mut().end(class, work, self.now(), first, end);
-        self.clients.borrow_mut().over(work, whole, self.run.load.sessions);
+        let whole = self
+            .measure
+            .borrow_mut()
+            .end(class, work, self.now(), first, end);
+        self.clients
+            .borrow_mut()
+            .over(work, whole, self.run.load.sessions);
     }
 
     async fn connect(&self) -> Option<(usize, Wire)> {
@@ -223,8 +247,12 @@
                 }
             }
         };
-        let Ok(begun) = tokio::time::timeout_at(until, begins).await else { return Answer::Left };
-        let Some((node, mut wire, head)) = begun else { return Answer::Failed };
+        let Ok(begun) = tokio::time::timeout_at(until, begins).await else {
+            return Answer::Left;
+        };
+        let Some((node, mut wire, head)) = begun else {
+            return Answer::Failed;
+        };
         let mut first = None;
         let mut body = Vec::new();
         let whole = loop {
@@ -245,13 +273,22 @@
         match head.start {
             Start::Status(200) => {}
             Start::Status(429 | 503) => {
-                let after = head.headers.get("Retry-After").and_then(|t| t.trim().parse::<f64>().ok());
-                let after = after.filter(|a| a.is_finite() && *a >= 0.0).map(Duration::from_secs_f64);
-                return Answer::Refused { after: after.unwrap_or(PAUSE) };
+                let after = head
+                    .headers
+                    .get("Retry-After")
+                    .and_then(|t| t.trim().parse::<f64>().ok());
+                let after = after
+                    .filter(|a| a.is_finite() && *a >= 0.0)
+                    .map(Duration::from_secs_f64);
+                return Answer::Refused {
+                    after: after.unwrap_or(PAUSE),
+                };
             }
             _ => return Answer::Failed,
         }
-        let Some(first) = first else { return Answer::Failed };
+        let Some(first) = first else {
+            return Answer::Failed;
+        };
         if !whole {
             return Answer::Broken { first };
         }
@@ -270,10 +307,20 @@
     fn read(&self, body: &[u8], prompt: &str, tokens: u32) -> Option<u64> {
         let all = String::from_utf8_lossy(body);
         let (mut written, mut kept) = (String::new(), None);
-        for data in all.split("\n\n").filter_map(|e| e.strip_prefix("data: ")).filter(|d| *d != "[DONE]") {
+        for data in all
+            .split("\n\n")
+            .filter_map(|e| e.strip_prefix("data: "))
+            .filter(|d| *d != "[DONE]")
+        {
             let event: Value = serde_json::from_str(data).ok()?;
-            written.push_str(event["choices"][0]["delta"]["content"].as_str().unwrap_or_default());
-            kept = event["usage"]["prompt_tokens_details"]["cached_tokens"].as_u64().or(kept);
+            written.push_str(
+                event["choices"][0]["delta"]["content"]
+                    .as_str()
+                    .unwrap_or_default(),
+            );
+            kept = event["usage"]["prompt_tokens_details"]["cached_tokens"]
+                .as_u64()
+                .or(kept);
         }
         kept.filter(|_| written == text(prompt, tokens as usize))
     }
--- a/crates/lab/src/sockets/model.rs
+++ b/crates/lab/src/sockets/model.rs
@@ -81,8 +81,11 @@
 
     fn write_down(&self, id: Option<String>) {
         if let Some((since, arrivals, server)) = &self.record {
-            let (at, server, mut arrivals) =
-                (since.elapsed().as_micros() as Micros, *server, arrivals.borrow_mut());
+            let (at, server, mut arrivals) = (
+                since.elapsed().as_micros() as Micros,
+                *server,
+                arrivals.borrow_mut(),
+            );
             if arrivals.len() < MOST_ARRIVALS {
                 arrivals.push(Arrival { at, server, id });
             }
@@ -91,8 +94,12 @@
 
     /// Starts one on a free port.
     pub async fn start(kind: Kind) -> Result<Model, String> {
-        let listener = TcpListener::bind("127.0.0.1:0").await.map_err(|e| format!("model server: {e}"))?;
-        let addr = listener.local_addr().map_err(|e| format!("model server: {e}"))?;
+        let listener = TcpListener::bind("127.0.0.1:0")
+            .await
+            .map_err(|e| format!("model server: {e}"))?;
+        let addr = listener
+            .local_addr()
+            .map_err(|e| format!("model server: {e}"))?;
         let inner = Inner {
             server: Server::new(kind),
             began: Instant::now(),
@@ -172,7 +179,10 @@
     /// It stands still for so long.
     pub fn stall(&self, span: Duration) {
         let now = self.now();
-        self.inner.borrow_mut().server.stall(now, now + span.as_micros() as Micros);
+        self.inner
+            .borrow_mut()
+            .server
+            .stall(now, now + span.as_micros() as Micros);
         self.changed.notify_one();
     }
 
@@ -202,7 +212,9 @@
     fn advance(&self) {
         let now = self.now();
         let mut inner = self.inner.borrow_mut();
-        let Inner { server, streams, .. } = &mut *inner;
+        let Inner {
+            server, streams, ..
+        } = &mut *inner;
         let mut said = Vec::new();
         server.catch_up(now, &mut said);
         server.gaps().for_each(drop);
@@ -210,7 +222,11 @@
         for (key, made) in server.making() {
             if let Some(stream) = streams.get_mut(&key).filter(|s| s.sent < made) {
                 // A reader that takes nothing loses its answer: nothing is kept for it without bound.
-                if stream.words.try_send(Word::Tokens(stream.sent, made)).is_err() {
+                if stream
+                    .words
+                    .try_send(Word::Tokens(stream.sent, made))
+                    .is_err()
+                {
                     over.push(key);
                 }
                 stream.sent = made;
@@ -220,7 +236,9 @@
             if let Said::Done(key, kept) = word {
                 if let Some(stream) = streams.remove(&key) {
                     // The last token goes with the end.
-                    let _ = stream.words.try_send(Word::Tokens(stream.sent, stream.answer - 1));
+                    let _ = stream
+                        .words
+                        .try_send(Word::Tokens(stream.sent, stream.answer - 1));
                     let _ = stream.words.try_send(Word::Done(kept));
                 }
             }
@@ -255,10 +273,14 @@
                     _ => return None,
                 }
             }
-            let Start::Request { target, .. } = &head.start else { return None };
+            let Start::Request { target, .. } = &head.start else {
+                return None;
+            };
             match target.split('?').next() {
                 Some("/v1/chat/completions") => {
-                    self.write_down(Some(head.headers.get("Req-Id").unwrap_or_default().to_string()));
+                    self.write_down(Some(
+                        head.headers.get("Req-Id").unwrap_or_default().to_string(),
+                    ));
                     self.answer(&mut wire, &body).await?
                 }
                 Some("/load") => {
@@ -277,22 +299,50 @@
         }
         let request: Value = serde_json::from_slice(body).unwrap_or(Value::Null);
         let (text, done) = prompt(&request);
-        let told = |key: &str| request["metadata"][key].as_str().and_then(|t| t.parse::<u64>().ok());
-        let limit = request["max_tokens"].as_u64().or(request["max_completion_tokens"].as_u64());
-        let answer = told("answer").unwrap_or(limit.unwrap_or(u64::from(USUAL)).min(u64::from(USUAL)));
+        let told = |key: &str| {
+            request["metadata"][key]
+                .as_str()
+                .and_then(|t| t.parse::<u64>().ok())
+        };
+        let limit = request["max_tokens"]
+            .as_u64()
+            .or(request["max_completion_tokens"].as_u64());
+        let answer =
+            told("answer").unwrap_or(limit.unwrap_or(u64::from(USUAL)).min(u64::from(USUAL)));
         let answer = answer.min(limit.unwrap_or(u64::MAX)).clamp(1, 100_000) as u32;
-        let tokens = told("prompt").unwrap_or(text.len() as u64 / 4 + done as u64).clamp(1, 1 << 20) as u32;
+        let tokens = told("prompt")
+            .unwrap_or(text.len() as u64 / 4 + done as u64)
+            .clamp(1, 1 << 20) as u32;
         let (words, mut said) = mpsc::channel(answer as usize + 2);
         let now = self.now();
         let key = {
             let mut inner = self.inner.borrow_mut();
             inner.next += 1;
             let key = (inner.next, 0);
-            let prefix = (told("prefix").unwrap_or(0), told("prefix_tokens").unwrap_or(0) as u32);
+            let prefix = (
+                told("prefix").unwrap_or(0),
+                told("prefix_tokens").unwrap_or(0) as u32,
+            );
             let session = told("session").unwrap_or(u64::MAX - inner.next);
-            let taken = inner.server.take(now, Job { key, session, prefix, prompt: tokens, answer });
+            let taken = inner.server.take(
+                now,
+                Job {
+                    key,
+                    session,
+                    prefix,
+                    prompt: tokens,
+                    answer,
+                },
+            );
             if taken {
-                inner.streams.insert(key, Stream { words, sent: 0, answer });
+                inner.streams.insert(
+                    key,
+                    Stream {
+                        words,
+                        sent: 0,
+                        answer,
+                    },
+                );
             }
             taken.then_some(key)
         };
@@ -328,23 +378,33 @@
             };
             if !std::mem::replace(&mut begun, true) {
                 let head = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n";
-                wire.feed(Out::Raw(Bytes::from_static(head.as_bytes()))).await.ok()?;
+                wire.feed(Out::Raw(Bytes::from_static(head.as_bytes())))
+                    .await
+                    .ok()?;
             }
             match word? {
                 Word::Tokens(from, to) => {
                     for n in from..to {
-                        wire.feed(event(json!({"content": token(&text, done + n as usize)}), None))
-                            .await
-                            .ok()?;
+                        wire.feed(event(
+                            json!({"content": token(&text, done + n as usize)}),
+                            None,
+                        ))
+                        .await
+                        .ok()?;
                     }
                 }
                 Word::Done(kept) => {
                     let last = token(&text, done + answer as usize - 1);
-                    wire.feed(event(json!({"content": last}), Some("stop"))).await.ok()?;
+                    wire.feed(event(json!({"content": last}), Some("stop")))
+                        .await
+                        .ok()?;
                     let usage = json!({"id": own, "object": "chat.completion.chunk", "created": 1, "model": "lab",
                         "choices": [], "usage": {"prompt_tokens": tokens, "completion_tokens": answer,
                         "total_tokens": tokens + answer, "prompt_tokens_details": {"cached_tokens": kept}}});
-                    let rest = format!("data: {usage}\n\ndata: [DONE]\n\n: Srv-Load: {}\n\n", self.report());
+                    let rest = format!(
+                        "data: {usage}\n\ndata: [DONE]\n\n: Srv-Load: {}\n\n",
+                        self.report()
+                    );
                     wire.feed(Out::Chunk(Bytes::from(rest))).await.ok()?;
                     wire.send(Out::Last).await.ok()?;
                     return Some(());
@@ -355,7 +415,15 @@
     }
 }
 
-async fn plain(wire: &mut Framed<TcpStream, Http>, status: u16, headers: &str, body: &str) -> Option<()> {
-    let head = format!("HTTP/1.1 {status} Lab\r\n{headers}Content-Length: {}\r\n\r\n{body}", body.len());
+async fn plain(
+    wire: &mut Framed<TcpStream, Http>,
+    status: u16,
+    headers: &str,
+    body: &str,
+) -> Option<()> {
+    let head = format!(
+        "HTTP/1.1 {status} Lab\r\n{headers}Content-Length: {}\r\n\r\n{body}",
+        body.len()
+    );
     wire.send(Out::Raw(head.into())).await.ok()
 }
--- a/crates/lab/src/sockets/nodes.rs
+++ b/crates/lab/src/sockets/nodes.rs
@@ -29,13 +29,17 @@
     let settings = crate::emulator::settings(run, me);
     let zones: Vec<String> = (0..f.zones).map(|z| format!("z{z}")).collect();
     let class = |c: &crate::emulator::description::Class| {
-        let semantics = if c.repeats == Repeats::Safe { "safe" } else { "unsafe" };
+        let semantics = if c.repeats == Repeats::Safe {
+            "safe"
+        } else {
+            "unsafe"
+        };
         json!({"name": c.name, "goalTime": c.aim_s, "giveUp": c.deadline_s, "gain": c.worth,
             "lateValue": c.late_worth, "semantics": semantics, "streaming": true})
     };
     let tenants = run.tenant.iter().zip(&settings.tenants);
-    let tenants =
-        tenants.map(|(t, s)| json!({"name": t.name, "share": s.share, "allowancePerS": s.allowance}));
+    let tenants = tenants
+        .map(|(t, s)| json!({"name": t.name, "share": s.share, "allowancePerS": s.allowance}));
     let (l, r) = (&settings.limits, &settings.rules);
     json!({
         "name": format!("lab-{me}"), "listen": listen.to_string(), "discovery": discovery.addr.to_string(),
@@ -68,7 +72,11 @@
 
 impl Node {
     /// Starts one and waits until it serves. Its log goes to `log`, where that is given.
-    pub async fn start(program: &Path, config: &Path, log: Option<std::fs::File>) -> Result<Node, String> {
+    pub async fn start(
+        program: &Path,
+        config: &Path,
+        log: Option<std::fs::File>,
+    ) -> Result<Node, String> {
         let named = |e: std::io::Error| format!("node {}: {e}", program.display());
         let mut child = Command::new(program)
             .args(["serve", "--log-format", "json", "--config"])
@@ -81,7 +89,9 @@
             .kill_on_drop(true)
             .spawn()
             .map_err(named)?;
-        let Some(stderr) = child.stderr.take() else { return Err("node: no log".into()) };
+        let Some(stderr) = child.stderr.take() else {
+            return Err("node: no log".into());
+        };
         let mut lines = BufReader::new(stderr).lines();
         let mut log = log;
         let mut keep = move |line: &str| {
@@ -94,7 +104,10 @@
         let serving = async {
             while let Ok(Some(line)) = lines.next_line().await {
                 keep(&line);
-                let addr = line.split("serving on ").nth(1).and_then(|l| l.split('"').next());
+                let addr = line
+                    .split("serving on ")
+                    .nth(1)
+                    .and_then(|l| l.split('"').next());
                 if let Some(addr) = addr.and_then(|a| a.parse().ok()) {
                     return Some(addr);
                 }
@@ -103,7 +116,9 @@
             None
         };
         let addr: Option<SocketAddr> = tokio::time::timeout(START, serving).await.ok().flatten();
-        let Some(addr) = addr else { return Err(format!("node: does not serve; last said: {last}")) };
+        let Some(addr) = addr else {
+            return Err(format!("node: does not serve; last said: {last}"));
+        };
         let log = spawn_local(async move {
             while let Ok(Some(line)) = lines.next_line().await {
                 keep(&line);
@@ -115,7 +130,10 @@
     /// Ends it as an orderly stop does, and waits.
     pub async fn stop(mut self) {
         if let Some(id) = self.child.id() {
-            let _ = Command::new("kill").args(["-TERM", &id.to_string()]).status().await;
+            let _ = Command::new("kill")
+                .args(["-TERM", &id.to_string()])
+                .status()
+                .await;
         }
         let ended = async {
             let _ = self.child.wait().await;
--- a/crates/lab/src/sockets/up.rs
+++ b/crates/lab/src/sockets/up.rs
@@ -26,11 +26,19 @@
          \"messages\":[{{\"role\":\"user\",\"content\":\"Hello\"}}]}}'",
         class.name, class.deadline_s
     );
-    let nodes: Vec<String> = fleet.addrs().iter().map(|a| format!("http://{a}")).collect();
+    let nodes: Vec<String> = fleet
+        .addrs()
+        .iter()
+        .map(|a| format!("http://{a}"))
+        .collect();
     let text = format!(
         "{} model servers, discovery and {} on loopback:\n  {}\nlogs: {}\n",
         fleet.models.len(),
-        if nodes.len() == 1 { "a node".to_string() } else { format!("{} nodes", nodes.len()) },
+        if nodes.len() == 1 {
+            "a node".to_string()
+        } else {
+            format!("{} nodes", nodes.len())
+        },
         nodes.join("\n  "),
         fleet.log(0).display()
     );
--- a/crates/lab/src/view/draw.rs
+++ b/crates/lab/src/view/draw.rs
@@ -8,7 +8,9 @@
 use ratatui::Frame;
 
 fn block(title: &str) -> Block<'_> {
-    Block::bordered().title(format!(" {title} ")).border_style(Style::new().fg(Color::DarkGray))
+    Block::bordered()
+        .title(format!(" {title} "))
+        .border_style(Style::new().fg(Color::DarkGray))
 }
 
 /// Draws all of it; `skip` servers are above the first that is shown.
@@ -29,9 +31,12 @@
         Span::raw(format!("   {time}   {}", state.streams)),
     ]);
     frame.render_widget(title, head);
-    let [counts, worth, queues] =
-        Layout::horizontal([Constraint::Length(30), Constraint::Min(20), Constraint::Length(28)])
-            .areas(middle);
+    let [counts, worth, queues] = Layout::horizontal([
+        Constraint::Length(30),
+        Constraint::Min(20),
+        Constraint::Length(28),
+    ])
+    .areas(middle);
     draw_counts(frame, state, counts);
     let points: Vec<u64> = state.worth.iter().map(|w| w.round() as u64).collect();
     let width = usize::from(worth.width.saturating_sub(2)).max(1);
@@ -44,18 +49,32 @@
         .style(Style::new().fg(Color::Green));
     frame.render_widget(line, worth);
     if worth.width > 24 {
-        let label = Rect { x: worth.right() - 10, y: worth.y, width: 8, height: 1 };
+        let label = Rect {
+            x: worth.right() - 10,
+            y: worth.y,
+            width: 8,
+            height: 1,
+        };
         frame.render_widget(Span::raw(format!(" {now} ")), label);
     }
     draw_queues(frame, state, queues);
     draw_servers(frame, state, skip, servers);
-    frame.render_widget(Span::styled("q ends, up and down scroll", Style::new().fg(Color::DarkGray)), foot);
+    frame.render_widget(
+        Span::styled(
+            "q ends, up and down scroll",
+            Style::new().fg(Color::DarkGray),
+        ),
+        foot,
+    );
 }
 
 fn draw_counts(frame: &mut Frame, state: &State, area: Rect) {
     let line = |(name, count): &(String, u64)| {
-        let rate =
-            state.rates.iter().find(|r| r.0 == *name).map_or(String::new(), |r| format!("{:>8.1}/s", r.1));
+        let rate = state
+            .rates
+            .iter()
+            .find(|r| r.0 == *name)
+            .map_or(String::new(), |r| format!("{:>8.1}/s", r.1));
         Line::raw(format!("{name:<9}{count:>8}{rate}"))
     };
     let lines: Vec<Line> = state.counts.iter().map(line).collect();
@@ -87,7 +106,11 @@
         Cell::new(row.state.as_str()).style(Style::new().fg(colour)),
         Cell::new(format!("{:>4}", row.held.0)),
         Cell::new(format!("{:>4}", row.held.1)),
-        Cell::new(if row.more.is_empty() { load } else { row.more.clone() }),
+        Cell::new(if row.more.is_empty() {
+            load
+        } else {
+            row.more.clone()
+        }),
     ])
 }
 
@@ -104,5 +127,8 @@
     let head = ratatui::widgets::Row::new(["server", "state", "busy", "wait", ""])
         .style(Style::new().add_modifier(Modifier::BOLD));
     let title = format!("servers, {} from {}", state.rows.len(), skip + 1);
-    frame.render_widget(Table::new(rows, widths).header(head).block(block(&title)), area);
+    frame.render_widget(
+        Table::new(rows, widths).header(head).block(block(&title)),
+        area,
+    );
 }
--- a/crates/lab/src/view/state.rs
+++ b/crates/lab/src/view/state.rs
@@ -52,7 +52,11 @@
 impl State {
     /// Nothing is known yet. Tenants are named in the order of their numbers.
     pub fn new(title: &str, tenants: Vec<String>) -> Self {
-        State { title: title.to_string(), tenants, ..State::default() }
+        State {
+            title: title.to_string(),
+            tenants,
+            ..State::default()
+        }
     }
 
     fn count(&mut self, at: f64, counts: Vec<(String, u64)>) {
@@ -88,55 +92,82 @@
             ("good".to_string(), ends(End::Good)),
             ("late".to_string(), ends(End::Late)),
             ("refused".to_string(), ends(End::Refused)),
-            ("failed".to_string(), ends(End::Failed) + ends(End::Broken) + ends(End::Left)),
+            (
+                "failed".to_string(),
+                ends(End::Failed) + ends(End::Broken) + ends(End::Left),
+            ),
         ];
         // A piece is shown once most of its requests have ended.
-        let pieces = ((at / out.piece_s) as usize).saturating_sub(4).min(out.series.len());
-        let worth: Vec<f64> =
-            out.series[self.pieces.min(pieces)..pieces].iter().map(|t| t.part() * 100.0).collect();
+        let pieces = ((at / out.piece_s) as usize)
+            .saturating_sub(4)
+            .min(out.series.len());
+        let worth: Vec<f64> = out.series[self.pieces.min(pieces)..pieces]
+            .iter()
+            .map(|t| t.part() * 100.0)
+            .collect();
         self.pieces = pieces;
         self.queues = self.tenants.iter().cloned().zip(world.waiting()).collect();
         self.streams = format!("{} tries held by nodes and servers", world.held());
         worth.into_iter().for_each(|w| self.point(w));
         self.count(at, counts);
-        let row = |(n, (running, waiting, up, listed)): (usize, (usize, usize, bool, ReplicaState))| Row {
-            name: format!("m-{n}"),
-            state: match (up, listed) {
-                (false, _) => "away",
-                (_, ReplicaState::Draining) => "draining",
-                (_, ReplicaState::Gone) => "not listed",
-                _ => "up",
-            }
-            .to_string(),
-            held: (running as u64, waiting as u64),
-            more: String::new(),
-        };
-        self.rows = world.servers().enumerate().take(MOST_ROWS).map(row).collect();
+        let row =
+            |(n, (running, waiting, up, listed)): (usize, (usize, usize, bool, ReplicaState))| {
+                Row {
+                    name: format!("m-{n}"),
+                    state: match (up, listed) {
+                        (false, _) => "away",
+                        (_, ReplicaState::Draining) => "draining",
+                        (_, ReplicaState::Gone) => "not listed",
+                        _ => "up",
+                    }
+                    .to_string(),
+                    held: (running as u64, waiting as u64),
+                    more: String::new(),
+                }
+            };
+        self.rows = world
+            .servers()
+            .enumerate()
+            .take(MOST_ROWS)
+            .map(row)
+            .collect();
     }
 
     /// Takes a line of a node's log; what says nothing of interest is passed over.
     pub fn line(&mut self, line: &str) {
-        let Ok(event) = serde_json::from_str::<Value>(line) else { return };
+        let Ok(event) = serde_json::from_str::<Value>(line) else {
+            return;
+        };
         let number = |key: &str| event[key].as_u64().unwrap_or(0);
         match event["message"].as_str() {
             Some("summary") => {
                 let at = event["uptime_s"].as_f64().unwrap_or(self.time.0);
                 self.time = (at, None);
-                let names = ["arrived", "sent", "served", "refused", "failed", "broken", "gone"];
-                let counts: Vec<(String, u64)> = names.iter().map(|n| (n.to_string(), number(n))).collect();
+                let names = [
+                    "arrived", "sent", "served", "refused", "failed", "broken", "gone",
+                ];
+                let counts: Vec<(String, u64)> =
+                    names.iter().map(|n| (n.to_string(), number(n))).collect();
                 self.count(at, counts);
-                let rate = |name: &str| self.rates.iter().find(|r| r.0 == name).map_or(0.0, |r| r.1);
+                let rate =
+                    |name: &str| self.rates.iter().find(|r| r.0 == name).map_or(0.0, |r| r.1);
                 let served = rate("served");
-                let ended = served + rate("refused") + rate("failed") + rate("broken") + rate("gone");
+                let ended =
+                    served + rate("refused") + rate("failed") + rate("broken") + rate("gone");
                 if ended > 0.0 {
                     self.point(served / ended * 100.0);
                 }
                 self.window = event["window"].as_f64().map(|w| (w, number("out")));
                 let waiting = event["waiting"].as_str().unwrap_or_default();
-                let waiting =
-                    waiting.trim_matches(['[', ']']).split(',').filter_map(|n| n.trim().parse().ok());
-                let tenants =
-                    self.tenants.iter().cloned().chain((self.tenants.len()..).map(|n| format!("tenant {n}")));
+                let waiting = waiting
+                    .trim_matches(['[', ']'])
+                    .split(',')
+                    .filter_map(|n| n.trim().parse().ok());
+                let tenants = self
+                    .tenants
+                    .iter()
+                    .cloned()
+                    .chain((self.tenants.len()..).map(|n| format!("tenant {n}")));
                 self.queues = tenants.zip(waiting).collect();
             }
             Some("streams") => {
@@ -181,7 +212,11 @@
         let place = match self.rows.iter().position(|r| r.name == name) {
             Some(place) => place,
             None if self.rows.len() < MOST_ROWS => {
-                self.rows.push(Row { name, state: "up".into(), ..Row::default() });
+                self.rows.push(Row {
+                    name,
+                    state: "up".into(),
+                    ..Row::default()
+                });
                 self.rows.len() - 1
             }
             None => return None,
--- a/crates/lab/src/view/terminal.rs
+++ b/crates/lab/src/view/terminal.rs
@@ -71,7 +71,8 @@
     let named = |e: std::io::Error| format!("log {}: {e}", log.display());
     let mut file = File::open(log).map_err(named)?;
     let length = file.metadata().map_err(named)?.len();
-    file.seek(SeekFrom::Start(length.saturating_sub(TAIL))).map_err(named)?;
+    file.seek(SeekFrom::Start(length.saturating_sub(TAIL)))
+        .map_err(named)?;
     let mut lines = BufReader::new(file);
     let mut terminal = ratatui::try_init().map_err(failed)?;
     let shown = (|| {
--- a/crates/lab/tests/emulator.rs
+++ b/crates/lab/tests/emulator.rs
@@ -21,11 +21,22 @@
 ];
 
 fn fault(what: What, at_s: f64, for_s: f64, part: f64, size: f64) -> Fault {
-    Fault { what, at_s, for_s, part, size, zone: 0, tenant: 0 }
+    Fault {
+        what,
+        at_s,
+        for_s,
+        part,
+        size,
+        zone: 0,
+        tenant: 0,
+    }
 }
 
 fn run(servers: usize, per_server: f64, seconds: f64, faults: Vec<Fault>) -> Run {
-    let mut run = Run { fault: faults, ..Run::default() };
+    let mut run = Run {
+        fault: faults,
+        ..Run::default()
+    };
     (run.fleet.servers, run.load.per_server, run.load.seconds) = (servers, per_server, seconds);
     run.check().unwrap()
 }
@@ -40,7 +51,10 @@
         9,
         7.0,
         12.0,
-        vec![fault(What::Die, 4.0, 3.0, 0.3, 1.0), fault(What::Deploys, 6.0, 4.0, 0.2, 1.0)],
+        vec![
+            fault(What::Die, 4.0, 3.0, 0.3, 1.0),
+            fault(What::Deploys, 6.0, 4.0, 0.2, 1.0),
+        ],
     );
     for policy in Policy::ALL {
         let bytes = |seed| serde_json::to_vec(&play(&run, policy, seed)).unwrap();
@@ -55,10 +69,18 @@
     for policy in Policy::ALL {
         let out = play(&run, policy, 1);
         assert!(out.all.requests() > 400, "{policy}: {:?}", out.all);
-        assert_eq!(out.all.requests(), out.series.iter().map(|t| t.requests()).sum::<u64>());
+        assert_eq!(
+            out.all.requests(),
+            out.series.iter().map(|t| t.requests()).sum::<u64>()
+        );
         assert_eq!(out.broken.sum(), 0, "{policy}: {:?}", out.broken);
         assert!(out.all.part() > 0.9, "{policy}: {:?}", out.all);
-        assert!(out.gaps.count > 10_000 && out.prompt.1 > 0, "{policy}: {:?} {:?}", out.gaps, out.prompt);
+        assert!(
+            out.gaps.count > 10_000 && out.prompt.1 > 0,
+            "{policy}: {:?} {:?}",
+            out.gaps,
+            out.prompt
+        );
     }
 }
 
@@ -74,21 +96,43 @@
     assert!(most < 4000, "{most} tries held at once, of 160 a second");
     let out = play(&run, Policy::Poppykeel, 1);
     assert_eq!(out.broken.sum(), 0, "{:?}", out.broken);
-    assert!(out.all.part() > 0.1 && out.all.part() < 0.7, "{:?}", out.all);
+    assert!(
+        out.all.part() > 0.1 && out.all.part() < 0.7,
+        "{:?}",
+        out.all
+    );
 }
 
 #[test]
 fn each_fault_costs_what_it_should_and_ends() {
-    let calm = play(&run(8, 6.0, 48.0, vec![]), Policy::RoundRobin, 2).all.part();
-    for what in
-        [What::Die, What::Silent, What::FailFast, What::Stall, What::Slow, What::ZoneCut, What::NodeKill]
-    {
+    let calm = play(&run(8, 6.0, 48.0, vec![]), Policy::RoundRobin, 2)
+        .all
+        .part();
+    for what in [
+        What::Die,
+        What::Silent,
+        What::FailFast,
+        What::Stall,
+        What::Slow,
+        What::ZoneCut,
+        What::NodeKill,
+    ] {
         let run = run(8, 6.0, 48.0, vec![fault(what, 8.0, 6.0, 0.5, 1.9)]);
         let out = play(&run, Policy::RoundRobin, 2);
-        assert!(out.all.part() < calm - 0.005, "{what:?}: {} of {calm}", out.all.part());
+        assert!(
+            out.all.part() < calm - 0.005,
+            "{what:?}: {} of {calm}",
+            out.all.part()
+        );
         // The last eight seconds are long after it, and after what it left behind.
-        let late = out.series[100..].iter().fold((0.0, 0.0), |s, t| (s.0 + t.offered, s.1 + t.gained));
-        assert!(late.1 / late.0 > 0.85, "{what:?}: {} at the end", late.1 / late.0);
+        let late = out.series[100..]
+            .iter()
+            .fold((0.0, 0.0), |s, t| (s.0 + t.offered, s.1 + t.gained));
+        assert!(
+            late.1 / late.0 > 0.85,
+            "{what:?}: {} at the end",
+            late.1 / late.0
+        );
     }
 }
 
@@ -98,11 +142,26 @@
         4,
         12.0,
         15.0,
-        vec![fault(What::FailFast, 3.0, 4.0, 0.5, 1.0), fault(What::Silent, 9.0, 4.0, 0.5, 1.0)],
+        vec![
+            fault(What::FailFast, 3.0, 4.0, 0.5, 1.0),
+            fault(What::Silent, 9.0, 4.0, 0.5, 1.0),
+        ],
     );
-    let class = |name: &str, part, repeats| Class { name: name.into(), part, repeats, ..Class::default() };
-    run.class = vec![class("chat", 2.0, Repeats::Safe), class("order", 1.0, Repeats::Unsafe)];
-    let tenant = |name: &str, part| Tenant { name: name.into(), part, share: 1.0 };
+    let class = |name: &str, part, repeats| Class {
+        name: name.into(),
+        part,
+        repeats,
+        ..Class::default()
+    };
+    run.class = vec![
+        class("chat", 2.0, Repeats::Safe),
+        class("order", 1.0, Repeats::Unsafe),
+    ];
+    let tenant = |name: &str, part| Tenant {
+        name: name.into(),
+        part,
+        share: 1.0,
+    };
     run.tenant = vec![tenant("small", 1.0), tenant("large", 4.0)];
     for policy in Policy::ALL {
         let out = play(&run, policy, 5);
@@ -111,7 +170,10 @@
             groups.iter().map(|g| g.1.requests()).collect::<Vec<_>>()
         };
         let (classes, tenants) = (of(&out.classes), of(&out.tenants));
-        assert!(classes[0] > classes[1] && tenants[1] > 3 * tenants[0], "{classes:?} {tenants:?}");
+        assert!(
+            classes[0] > classes[1] && tenants[1] > 3 * tenants[0],
+            "{classes:?} {tenants:?}"
+        );
         assert_eq!(classes.iter().sum::<u64>(), out.all.requests());
     }
 }
@@ -119,7 +181,10 @@
 /// Guards against a drain that counts as known after the whole list has said that it is over.
 #[test]
 fn a_drain_that_ends_while_there_is_no_list_ends_with_the_next_one() {
-    let faults = vec![fault(What::NoList, 4.0, 4.3, 0.0, 0.2), fault(What::Deploys, 2.1, 0.0, 0.0, 2.4)];
+    let faults = vec![
+        fault(What::NoList, 4.0, 4.3, 0.0, 0.2),
+        fault(What::Deploys, 2.1, 0.0, 0.0, 2.4),
+    ];
     let run = run(1, 1.0, 8.0, faults);
     for (policy, seed) in Policy::ALL.into_iter().zip(1..) {
         assert_eq!(play(&run, policy, seed).broken.sum(), 0, "{policy}");
@@ -127,7 +192,13 @@
 }
 
 fn any_fault() -> impl Strategy<Value = Fault> {
-    (0..WHATS.len(), 0.0..5.0f64, 0.0..5.0f64, 0.0..=1.0f64, 0.2..3.0f64)
+    (
+        0..WHATS.len(),
+        0.0..5.0f64,
+        0.0..5.0f64,
+        0.0..=1.0f64,
+        0.2..3.0f64,
+    )
         .prop_map(|(what, at, span, part, size)| fault(WHATS[what], at, span, part, size))
 }
 
--- a/crates/lab/tests/experiment.rs
+++ b/crates/lab/tests/experiment.rs
@@ -32,15 +32,31 @@
 }
 
 fn lab(args: &[&str], file: &Path, more: &[&str]) -> Output {
-    Command::new(env!("CARGO_BIN_EXE_poppykeel-lab")).args(args).arg(file).args(more).output().unwrap()
+    Command::new(env!("CARGO_BIN_EXE_poppykeel-lab"))
+        .args(args)
+        .arg(file)
+        .args(more)
+        .output()
+        .unwrap()
 }
 
 #[test]
 fn sweeps_cross_and_name_their_points() {
     let e = Experiment::parse(SMALL).unwrap();
     let labels: Vec<&str> = e.points.iter().map(|p| p.label.as_str()).collect();
-    assert_eq!(labels, ["servers=2 calm", "servers=2 dead", "servers=3 calm", "servers=3 dead"]);
-    assert_eq!((e.points[3].run.fleet.servers, e.points[3].run.fault.len()), (3, 1));
+    assert_eq!(
+        labels,
+        [
+            "servers=2 calm",
+            "servers=2 dead",
+            "servers=3 calm",
+            "servers=3 dead"
+        ]
+    );
+    assert_eq!(
+        (e.points[3].run.fleet.servers, e.points[3].run.fault.len()),
+        (3, 1)
+    );
 }
 
 #[test]
@@ -84,7 +100,11 @@
     results.keep(&path(2), &other).unwrap();
     let second = said(&run());
     assert!(second.contains("3 runs made"), "{second}");
-    assert_eq!(results.all().unwrap(), all, "the same as before, byte for byte");
+    assert_eq!(
+        results.all().unwrap(),
+        all,
+        "the same as before, byte for byte"
+    );
     std::fs::remove_dir_all(folder).unwrap();
 }
 
@@ -94,13 +114,26 @@
     let file = folder.join("small.toml");
     std::fs::write(&file, SMALL).unwrap();
     let out = folder.join("out");
-    let more = ["--out", out.to_str().unwrap(), "--trace", "--figure", "worth"];
+    let more = [
+        "--out",
+        out.to_str().unwrap(),
+        "--trace",
+        "--figure",
+        "worth",
+    ];
     assert!(lab(&["run"], &file, &more).status.success());
     let found = Results::open(&out).unwrap().all().unwrap();
     let text = table(&found, Figure::Worth);
-    assert_eq!((text.lines().count(), text.matches('±').count()), (5, 8), "{text}");
+    assert_eq!(
+        (text.lines().count(), text.matches('±').count()),
+        (5, 8),
+        "{text}"
+    );
     let same = compare(&found, &found, Figure::Worth);
-    assert!(!same.contains('*') && same.matches("0.0 ±0.0").count() == 8, "{same}");
+    assert!(
+        !same.contains('*') && same.matches("0.0 ±0.0").count() == 8,
+        "{same}"
+    );
     let mut better = found.clone();
     for f in &mut better {
         // By nearly as much for each seed, whatever the module under test makes of them.
@@ -109,7 +142,10 @@
     assert!(compare(&found, &better, Figure::Worth).contains('*'));
     // Each request's path has been written, and its ends are those of the result.
     let trace = results_trace(&out);
-    let ends = trace.lines().filter(|l| !l.contains("\"end\":null")).count() as u64;
+    let ends = trace
+        .lines()
+        .filter(|l| !l.contains("\"end\":null"))
+        .count() as u64;
     assert_eq!(ends, found[0].outcome.all.requests());
     let page = report::page("small", &found).unwrap();
     assert!(
@@ -117,10 +153,21 @@
             && page.ends_with("</html>\n")
             && !page.contains("http://localhost")
     );
-    let shown = lab(&["report"], &out, &["--out", folder.join("page.html").to_str().unwrap()]);
-    assert!(shown.status.success(), "{}", String::from_utf8_lossy(&shown.stderr));
+    let shown = lab(
+        &["report"],
+        &out,
+        &["--out", folder.join("page.html").to_str().unwrap()],
+    );
+    assert!(
+        shown.status.success(),
+        "{}",
+        String::from_utf8_lossy(&shown.stderr)
+    );
     assert_eq!(
-        std::fs::read_to_string(folder.join("page.html")).unwrap().matches("<svg").count(),
+        std::fs::read_to_string(folder.join("page.html"))
+            .unwrap()
+            .matches("<svg")
+            .count(),
         page.matches("<svg").count()
     );
     std::fs::remove_dir_all(folder).unwrap();
@@ -134,18 +181,30 @@
 
 #[test]
 fn the_examples_can_be_read_and_errors_end_with_a_failure() {
-    for file in std::fs::read_dir(Path::new(env!("CARGO_MANIFEST_DIR")).join("examples")).unwrap().flatten() {
+    for file in std::fs::read_dir(Path::new(env!("CARGO_MANIFEST_DIR")).join("examples"))
+        .unwrap()
+        .flatten()
+    {
         let output = lab(&["check"], &file.path(), &[]);
-        assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
+        assert!(
+            output.status.success(),
+            "{}",
+            String::from_utf8_lossy(&output.stderr)
+        );
     }
     let output = lab(&["table"], Path::new("/nowhere"), &[]);
-    assert!(!output.status.success() && String::from_utf8_lossy(&output.stderr).contains("/nowhere"));
+    assert!(
+        !output.status.success() && String::from_utf8_lossy(&output.stderr).contains("/nowhere")
+    );
 }
 
 #[test]
 fn intervals_are_students() {
     // Two values 1 apart: half is 12.706 times 0.5.
     let mean = Mean::of(&[1.0, 2.0]);
-    assert!((mean.mean - 1.5).abs() < 1e-9 && (mean.half - 6.353).abs() < 1e-3, "{mean:?}");
+    assert!(
+        (mean.mean - 1.5).abs() < 1e-9 && (mean.half - 6.353).abs() < 1e-3,
+        "{mean:?}"
+    );
     assert!(Mean::of(&[1.0]).half.is_nan());
 }
--- a/crates/lab/tests/sockets.rs
+++ b/crates/lab/tests/sockets.rs
@@ -17,13 +17,24 @@
 }
 
 fn on_sockets<T>(what: impl std::future::Future<Output = T>) -> T {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .unwrap();
     tokio::task::LocalSet::new().block_on(&runtime, what)
 }
 
 fn small(faults: Vec<Fault>) -> Run {
-    let mut run = Run { fault: faults, ..Run::default() };
-    (run.fleet.servers, run.fleet.nodes, run.load.seconds, run.load.per_server) = (3, 1, 3.0, 4.0);
+    let mut run = Run {
+        fault: faults,
+        ..Run::default()
+    };
+    (
+        run.fleet.servers,
+        run.fleet.nodes,
+        run.load.seconds,
+        run.load.per_server,
+    ) = (3, 1, 3.0, 4.0);
     // Short answers: the test says nothing of speed.
     (run.fleet.server.step_us, run.load.prefixes) = (2_000, 2);
     run.check().unwrap()
@@ -33,16 +44,24 @@
 fn up_streams_an_answer_to_the_line_it_prints() {
     let folder = folder("up");
     let output = on_sockets(async {
-        let up = sockets::up(&small(vec![]), program(), &folder).await.unwrap();
+        let up = sockets::up(&small(vec![]), program(), &folder)
+            .await
+            .unwrap();
         assert!(up.text.contains("3 model servers"), "{}", up.text);
-        let output = tokio::process::Command::new("bash").args(["-c", &up.curl]).output().await;
+        let output = tokio::process::Command::new("bash")
+            .args(["-c", &up.curl])
+            .output()
+            .await;
         up.wait(Duration::ZERO).await;
         output
     });
     // A machine without curl can't take the line; the load's test asks in its own words.
     if let Ok(output) = output.map(|o| String::from_utf8_lossy(&o.stdout).into_owned()) {
         if !output.is_empty() {
-            assert!(output.matches("data: {").count() >= 20 && output.contains("[DONE]"), "{output}");
+            assert!(
+                output.matches("data: {").count() >= 20 && output.contains("[DONE]"),
+                "{output}"
+            );
         }
     }
     std::fs::remove_dir_all(folder).unwrap();
@@ -50,7 +69,15 @@
 
 #[test]
 fn a_load_on_sockets_ends_whole_and_right_through_faults() {
-    let fault = |what, at_s, for_s, part| Fault { what, at_s, for_s, part, size: 0.5, zone: 0, tenant: 0 };
+    let fault = |what, at_s, for_s, part| Fault {
+        what,
+        at_s,
+        for_s,
+        part,
+        size: 0.5,
+        zone: 0,
+        tenant: 0,
+    };
     let faults = vec![
         fault(What::FailFast, 0.5, 0.5, 0.3),
         fault(What::ColdRestart, 1.2, 0.0, 0.3),
@@ -62,7 +89,12 @@
     let out = on_sockets(sockets::play(&run, program(), &folder, 1)).unwrap();
     assert!(out.all.requests() > 15, "{:?}", out.all);
     assert_eq!(out.broken.sum(), 0, "{:?}", out.broken);
-    assert!(out.all.part() > 0.5 && out.prompt.0 > 0, "{:?} {:?}", out.all, out.prompt);
+    assert!(
+        out.all.part() > 0.5 && out.prompt.0 > 0,
+        "{:?} {:?}",
+        out.all,
+        out.prompt
+    );
     let log = std::fs::read_to_string(folder.join("node-0.log")).unwrap();
     assert!(log.contains("\"done\""), "the node was ended in order");
     std::fs::remove_dir_all(folder).unwrap();
--- a/crates/lab/tests/together.rs
+++ b/crates/lab/tests/together.rs
@@ -15,19 +15,39 @@
         division,
         ..Together::default()
     };
-    let mut run = Run { fault: faults, together: Some(together), ..Run::default() };
+    let mut run = Run {
+        fault: faults,
+        together: Some(together),
+        ..Run::default()
+    };
     (run.fleet.nodes, run.fleet.servers) = (nodes, 8);
     (run.load.per_server, run.load.seconds) = (6.0, 24.0);
-    World::new(&run.check().unwrap(), Policy::Poppykeel, seed).unwrap().finish().unwrap()
+    World::new(&run.check().unwrap(), Policy::Poppykeel, seed)
+        .unwrap()
+        .finish()
+        .unwrap()
 }
 
 fn fault(what: What, at_s: f64, for_s: f64, part: f64) -> Fault {
-    Fault { what, at_s, for_s, part, size: 1.0, zone: 1, tenant: 0 }
+    Fault {
+        what,
+        at_s,
+        for_s,
+        part,
+        size: 1.0,
+        zone: 1,
+        tenant: 0,
+    }
 }
 
 #[test]
 fn a_run_with_talk_is_the_same_bytes_for_the_same_seed() {
-    let faults = || vec![fault(What::NodeKill, 6.0, 4.0, 0.25), fault(What::ZoneCut, 14.0, 3.0, 0.0)];
+    let faults = || {
+        vec![
+            fault(What::NodeKill, 6.0, 4.0, 0.25),
+            fault(What::ZoneCut, 14.0, 3.0, 0.0),
+        ]
+    };
     let bytes = |seed| serde_json::to_vec(&play(9, Division::Shares, faults(), seed)).unwrap();
     assert_eq!(bytes(3), bytes(3));
     assert_ne!(bytes(3), bytes(4));
@@ -46,13 +66,24 @@
         ]
     };
     for seed in 1..=3 {
-        let (shares, none) =
-            (play(12, Division::Shares, faults(), seed), play(12, Division::None, faults(), seed));
+        let (shares, none) = (
+            play(12, Division::Shares, faults(), seed),
+            play(12, Division::None, faults(), seed),
+        );
         let talked = shares.talked.unwrap();
-        assert!(shares.repeats > 20 && talked.worst_window <= 1.0, "{} {talked:?}", shares.repeats);
+        assert!(
+            shares.repeats > 20 && talked.worst_window <= 1.0,
+            "{} {talked:?}",
+            shares.repeats
+        );
         assert_eq!(talked.overlaps, 0);
         assert_eq!(shares.broken.sum(), 0, "{:?}", shares.broken);
-        assert!(none.repeats > 3 * shares.repeats, "{} {}", none.repeats, shares.repeats);
+        assert!(
+            none.repeats > 3 * shares.repeats,
+            "{} {}",
+            none.repeats,
+            shares.repeats
+        );
         assert!(none.talked.unwrap().worst_window > 1.0);
     }
 }
@@ -60,9 +91,17 @@
 /// The keepers die and come back: nobody holds the task for that time, a lease and a little, and never do two.
 #[test]
 fn the_task_is_held_again_after_the_keepers_come_back() {
-    let out = play(12, Division::Shares, vec![fault(What::NodeKill, 8.0, 2.0, 0.25)], 5);
+    let out = play(
+        12,
+        Division::Shares,
+        vec![fault(What::NodeKill, 8.0, 2.0, 0.25)],
+        5,
+    );
     let talked = out.talked.unwrap();
     assert_eq!(talked.overlaps, 0);
     assert!((0.5..6.0).contains(&talked.longest_without), "{talked:?}");
-    assert!(talked.node.0 > 1.0 && talked.keeper.0 > talked.node.0, "{talked:?}");
+    assert!(
+        talked.node.0 > 1.0 && talked.keeper.0 > talked.node.0,
+        "{talked:?}"
+    );
 }
--- a/crates/lab/tests/view.rs
+++ b/crates/lab/tests/view.rs
@@ -11,7 +11,11 @@
     let mut terminal = Terminal::new(TestBackend::new(width, height)).unwrap();
     terminal.draw(|frame| draw(frame, state, skip)).unwrap();
     let buffer = terminal.backend().buffer();
-    let line = |y: u16| (0..width).map(|x| buffer[(x, y)].symbol()).collect::<String>();
+    let line = |y: u16| {
+        (0..width)
+            .map(|x| buffer[(x, y)].symbol())
+            .collect::<String>()
+    };
     (0..height).map(|y| line(y) + "\n").collect()
 }
 
@@ -26,12 +30,25 @@
         state.look(&mut world, 10.0);
     }
     let text = screen(&state, 110, 24, 0);
-    for wanted in
-        ["a run", "of 10 s", "tries", "refused", "/s", "served worth", "m-4", "up", "all ", "5 from 1"]
-    {
+    for wanted in [
+        "a run",
+        "of 10 s",
+        "tries",
+        "refused",
+        "/s",
+        "served worth",
+        "m-4",
+        "up",
+        "all ",
+        "5 from 1",
+    ] {
         assert!(text.contains(wanted), "{wanted}:\n{text}");
     }
-    assert!(state.queues[0].1 > 0 && state.rows.iter().any(|r| r.held.0 > 0), "{:?}", state.queues);
+    assert!(
+        state.queues[0].1 > 0 && state.rows.iter().any(|r| r.held.0 > 0),
+        "{:?}",
+        state.queues
+    );
     assert!(!screen(&state, 110, 24, 3).contains("m-2"));
 }
 
--- a/crates/membership/src/book.rs
+++ b/crates/membership/src/book.rs
@@ -136,8 +136,10 @@
 
     fn whole(&mut self, now: Micros, entries: Vec<Entry>) {
         let by_addr = self.settings.kind == Kind::Addressing;
-        let listed: HashSet<(&str, Option<SocketAddr>)> =
-            entries.iter().map(|e| (e.name.as_str(), by_addr.then_some(e.addr))).collect();
+        let listed: HashSet<(&str, Option<SocketAddr>)> = entries
+            .iter()
+            .map(|e| (e.name.as_str(), by_addr.then_some(e.addr)))
+            .collect();
         let alive = |k: &Known| k.entry.state == State::Up;
         let up = self.live.values().filter(|k| alive(k)).count();
         let (lost, drained): (Vec<Place>, Vec<Place>) = self
@@ -154,11 +156,16 @@
         let renamed = |p: &Place| p.1.is_some_and(|addr| addrs.contains(&addr));
         let (renamed, lost): (Vec<Place>, Vec<Place>) = lost.into_iter().partition(renamed);
         // Neither the end of a drain nor another name for an address is a surprise.
-        drained.iter().chain(&renamed).for_each(|p| self.withdraw(now, p));
+        drained
+            .iter()
+            .chain(&renamed)
+            .for_each(|p| self.withdraw(now, p));
         let sudden = !lost.is_empty() && self.sudden(now, lost.len(), up - renamed.len(), nothing);
         if sudden {
             for place in lost {
-                let Some(known) = self.live.get_mut(&place) else { continue };
+                let Some(known) = self.live.get_mut(&place) else {
+                    continue;
+                };
                 let (since, count) = known.missing.unwrap_or((now, 0));
                 known.missing = Some((since, count + 1));
                 self.dirty.insert(known.entry.addr);
@@ -175,8 +182,14 @@
 
     /// Whether a loss is too large to be believed at once. What was lost bit by bit within one hold counts too.
     fn sudden(&mut self, now: Micros, lost: usize, up: usize, nothing: bool) -> bool {
-        let Some(guard) = self.settings.guard else { return false };
-        while self.losses.front().is_some_and(|l| now.saturating_sub(l.0) >= guard.hold) {
+        let Some(guard) = self.settings.guard else {
+            return false;
+        };
+        while self
+            .losses
+            .front()
+            .is_some_and(|l| now.saturating_sub(l.0) >= guard.hold)
+        {
             self.losses.pop_front();
         }
         let before: usize = self.losses.iter().map(|l| l.1).sum();
@@ -194,10 +207,17 @@
     }
 
     fn believe(&mut self, now: Micros) {
-        let Some(guard) = self.settings.guard else { return };
-        let ripe = |m: (Micros, u32)| now.saturating_sub(m.0) >= guard.hold && m.1 >= guard.confirmations;
-        let gone: Vec<Place> =
-            self.live.iter().filter(|(_, k)| k.missing.is_some_and(ripe)).map(|(p, _)| p.clone()).collect();
+        let Some(guard) = self.settings.guard else {
+            return;
+        };
+        let ripe =
+            |m: (Micros, u32)| now.saturating_sub(m.0) >= guard.hold && m.1 >= guard.confirmations;
+        let gone: Vec<Place> = self
+            .live
+            .iter()
+            .filter(|(_, k)| k.missing.is_some_and(ripe))
+            .map(|(p, _)| p.clone())
+            .collect();
         gone.iter().for_each(|p| self.withdraw(now, p));
     }
 
@@ -207,7 +227,9 @@
 
     /// Takes an entry out of the book; `mark` says that the server itself is taken away.
     fn take_away(&mut self, now: Micros, place: &Place, mark: bool) {
-        let Some(known) = self.live.remove(place) else { return };
+        let Some(known) = self.live.remove(place) else {
+            return;
+        };
         let addr = known.entry.addr;
         self.dirty.insert(addr);
         if self.leave(place, addr) && mark {
@@ -220,7 +242,9 @@
 
     /// Unhooks an entry from an address; true where it was the last one there.
     fn leave(&mut self, place: &Place, addr: SocketAddr) -> bool {
-        let Some(places) = self.at.get_mut(&addr) else { return false };
+        let Some(places) = self.at.get_mut(&addr) else {
+            return false;
+        };
         places.remove(place);
         let last = places.is_empty();
         if last {
@@ -231,7 +255,11 @@
 
     fn entry(&mut self, now: Micros, entry: Entry) {
         let place = self.place(&entry);
-        if self.live.get(&place).is_some_and(|k| k.missing.is_none() && *k.entry == entry) {
+        if self
+            .live
+            .get(&place)
+            .is_some_and(|k| k.missing.is_none() && *k.entry == entry)
+        {
             return;
         }
         self.dirty.insert(entry.addr);
@@ -256,7 +284,11 @@
         };
         let same = before.as_ref().filter(|k| k.entry.state == entry.state);
         let since = same.map_or(now, |k| k.since);
-        if let Some(old) = before.as_ref().map(|k| k.entry.addr).filter(|old| *old != addr) {
+        if let Some(old) = before
+            .as_ref()
+            .map(|k| k.entry.addr)
+            .filter(|old| *old != addr)
+        {
             // It has moved: nobody is known to be at the old address now.
             self.dirty.insert(old);
             if self.leave(&place, old) {
@@ -273,13 +305,23 @@
         self.gone_addrs.remove(&addr);
         self.gone_names.remove(&place.0);
         self.at.entry(addr).or_default().insert(place.clone());
-        self.live.insert(place, Known { entry, since, started, missing: None });
+        self.live.insert(
+            place,
+            Known {
+                entry,
+                since,
+                started,
+                missing: None,
+            },
+        );
     }
 
     /// Counts the returns of an address that was taken away.
     fn returned(&mut self, now: Micros, addr: SocketAddr) {
         let left = self.gone_addrs.get(&addr).filter(|since| **since < now);
-        let (Some(flaps), Some(_)) = (self.settings.flaps, left) else { return };
+        let (Some(flaps), Some(_)) = (self.settings.flaps, left) else {
+            return;
+        };
         let mut flap = self.flaps.get(&addr).copied().unwrap_or_default();
         if now.saturating_sub(flap.last) > flaps.window.max(flap.until.saturating_sub(flap.last)) {
             flap = Flap::default();
@@ -287,12 +329,19 @@
         flap.returns += 1;
         flap.last = now;
         if let Some(beyond) = flap.returns.checked_sub(flaps.free + 1) {
-            let hold = flaps.hold.saturating_mul(1 << beyond.min(20)).min(flaps.most);
+            let hold = flaps
+                .hold
+                .saturating_mul(1 << beyond.min(20))
+                .min(flaps.most);
             flap.until = now.saturating_add(hold);
         }
         self.flaps.insert(addr, flap);
         if self.flaps.len() > MOST_FLAPS {
-            let quietest = self.flaps.iter().min_by_key(|(a, f)| (f.last, **a)).map(|(a, _)| *a);
+            let quietest = self
+                .flaps
+                .iter()
+                .min_by_key(|(a, f)| (f.last, **a))
+                .map(|(a, _)| *a);
             quietest.map(|a| self.flaps.remove(&a));
         }
     }
@@ -300,7 +349,10 @@
     /// Addresses that are kept out now because their records come and go. Where that would keep out more than
     /// half of what is listed, the source is as it is and none is kept out.
     pub(crate) fn calmed(&self, now: Micros) -> BTreeMap<SocketAddr, Micros> {
-        let out = self.flaps.iter().filter(|(a, f)| f.until > now && self.at.contains_key(a));
+        let out = self
+            .flaps
+            .iter()
+            .filter(|(a, f)| f.until > now && self.at.contains_key(a));
         let out: BTreeMap<SocketAddr, Micros> = out.map(|(a, f)| (*a, f.until)).collect();
         if out.len() * 2 > self.at.len() {
             return BTreeMap::new();
@@ -310,7 +362,11 @@
 
     /// When a flapping record may be let in next.
     pub(crate) fn due(&self, now: Micros) -> Option<Micros> {
-        self.flaps.values().map(|f| f.until).filter(|until| *until > now).min()
+        self.flaps
+            .values()
+            .map(|f| f.until)
+            .filter(|until| *until > now)
+            .min()
     }
 
     pub(crate) fn known(&self, name: &str) -> Option<&Known> {
@@ -320,7 +376,11 @@
 
     /// What is listed at an address, by name.
     pub(crate) fn at(&self, addr: SocketAddr) -> impl Iterator<Item = &Known> {
-        self.at.get(&addr).into_iter().flatten().filter_map(|p| self.live.get(p))
+        self.at
+            .get(&addr)
+            .into_iter()
+            .flatten()
+            .filter_map(|p| self.live.get(p))
     }
 
     pub(crate) fn addrs(&self) -> impl Iterator<Item = &SocketAddr> {
@@ -356,36 +416,69 @@
         }
         if let (Some(held), Some(until)) = (found, calmed.get(&addr)) {
             let detail = Detail::Flapping(*until);
-            return Held { opinion: Opinion::Removed, since: held.since, detail };
+            return Held {
+                opinion: Opinion::Removed,
+                since: held.since,
+                detail,
+            };
         }
         if let Some(held) = found {
             return held;
         }
-        let gone = named.and_then(|n| self.gone_names.get(n)).or(self.gone_addrs.get(&addr));
+        let gone = named
+            .and_then(|n| self.gone_names.get(n))
+            .or(self.gone_addrs.get(&addr));
         let detail = Detail::None;
         match gone {
-            Some(since) if start <= Some(*since) => Held { opinion: Opinion::Removed, since: *since, detail },
-            _ if self.answered => Held { opinion: Opinion::Absent, since: 0, detail },
-            _ => Held { opinion: Opinion::Silent, since: 0, detail },
+            Some(since) if start <= Some(*since) => Held {
+                opinion: Opinion::Removed,
+                since: *since,
+                detail,
+            },
+            _ if self.answered => Held {
+                opinion: Opinion::Absent,
+                since: 0,
+                detail,
+            },
+            _ => Held {
+                opinion: Opinion::Silent,
+                since: 0,
+                detail,
+            },
         }
     }
 
     fn of(&self, known: &Known) -> Held {
         if known.entry.state == State::Draining {
-            return Held { opinion: Opinion::Draining, since: known.since, detail: Detail::None };
+            return Held {
+                opinion: Opinion::Draining,
+                since: known.since,
+                detail: Detail::None,
+            };
         }
         match (known.missing, self.failing) {
-            (Some((since, count)), _) => {
-                Held { opinion: Opinion::Held, since, detail: Detail::Lacking(count) }
-            }
-            (None, Some(since)) => Held { opinion: Opinion::Stale, since, detail: Detail::None },
-            (None, None) => Held { opinion: Opinion::Listed, since: known.since, detail: Detail::None },
+            (Some((since, count)), _) => Held {
+                opinion: Opinion::Held,
+                since,
+                detail: Detail::Lacking(count),
+            },
+            (None, Some(since)) => Held {
+                opinion: Opinion::Stale,
+                since,
+                detail: Detail::None,
+            },
+            (None, None) => Held {
+                opinion: Opinion::Listed,
+                since: known.since,
+                detail: Detail::None,
+            },
         }
     }
 
     /// Forgets what was taken away before `until` and is listed by nobody.
     pub(crate) fn forget(&mut self, until: Micros, listed: impl Fn(&SocketAddr) -> bool) {
-        self.gone_addrs.retain(|addr, since| *since >= until || listed(addr));
+        self.gone_addrs
+            .retain(|addr, since| *since >= until || listed(addr));
         self.gone_names.retain(|_, since| *since >= until);
         self.flaps.retain(|_, f| f.last >= until);
     }
@@ -394,7 +487,8 @@
     pub(crate) fn bound(&mut self, most: usize) {
         fn newest<K: Ord + Clone>(map: &mut BTreeMap<K, Micros>, most: usize) {
             if map.len() > most {
-                let mut order: Vec<(Micros, K)> = map.iter().map(|(k, s)| (*s, k.clone())).collect();
+                let mut order: Vec<(Micros, K)> =
+                    map.iter().map(|(k, s)| (*s, k.clone())).collect();
                 order.sort();
                 for (_, key) in &order[..map.len() - most] {
                     map.remove(key);
--- a/crates/membership/src/merge.rs
+++ b/crates/membership/src/merge.rs
@@ -71,7 +71,16 @@
     pub fn new(settings: Settings) -> Self {
         let books = settings.sources.iter().cloned().map(Book::new).collect();
         let (unnamed, servers, left, calmed) = Default::default();
-        Membership { settings, books, unnamed, servers, left, calmed, forgot: 0, now: 0 }
+        Membership {
+            settings,
+            books,
+            unnamed,
+            servers,
+            left,
+            calmed,
+            forgot: 0,
+            now: 0,
+        }
     }
 
     /// The settings in force.
@@ -100,7 +109,9 @@
     /// have left included, as out.
     pub fn told(&mut self, now: Micros, source: usize, told: Told) -> Vec<Server> {
         let now = self.at(now);
-        let Some(book) = self.books.get_mut(source) else { return Vec::new() };
+        let Some(book) = self.books.get_mut(source) else {
+            return Vec::new();
+        };
         book.told(now, told);
         book.bound(MOST_GONE);
         self.turn(now)
@@ -124,16 +135,26 @@
         let next = self.merge(now, only.as_ref());
         let before = match &only {
             Some(addrs) => {
-                let there = self.servers.iter().filter(|(_, s)| addrs.contains(&s.entry.addr));
+                let there = self
+                    .servers
+                    .iter()
+                    .filter(|(_, s)| addrs.contains(&s.entry.addr));
                 let names: Vec<String> = there.map(|(n, _)| n.clone()).collect();
-                names.into_iter().filter_map(|n| self.servers.remove(&n).map(|s| (n, s))).collect()
+                names
+                    .into_iter()
+                    .filter_map(|n| self.servers.remove(&n).map(|s| (n, s)))
+                    .collect()
             }
             None => std::mem::take(&mut self.servers),
         };
         let mut changes: Vec<Server> = Vec::new();
         for (name, server) in &next {
             let left = self.left.remove(name).map(|l| l.1);
-            if before.get(name).or(left.as_ref()).is_none_or(|old| differs(old, server)) {
+            if before
+                .get(name)
+                .or(left.as_ref())
+                .is_none_or(|old| differs(old, server))
+            {
                 changes.push(server.clone());
             }
         }
@@ -153,7 +174,11 @@
     /// Where servers must be looked at anew; none means everywhere. A name in several sources may stand at other
     /// addresses than those that changed, and who stands by hangs on all: then it is everywhere, too.
     fn dirty(&mut self, calmed: &[Calmed]) -> Option<BTreeSet<SocketAddr>> {
-        let naming = self.books.iter().filter(|b| b.settings.kind == Kind::Naming).count();
+        let naming = self
+            .books
+            .iter()
+            .filter(|b| b.settings.kind == Kind::Naming)
+            .count();
         let mut all = calmed.len() != self.calmed.len();
         let mut addrs = BTreeSet::new();
         for (now, before) in calmed.iter().zip(&self.calmed) {
@@ -175,19 +200,35 @@
     pub fn servers(&self) -> Vec<Server> {
         // One that has left under one name and is still listed under another is shown once.
         let there: BTreeSet<SocketAddr> = self.servers.values().map(|s| s.entry.addr).collect();
-        let left = self.left.values().map(|l| &l.1).filter(|s| !there.contains(&s.entry.addr));
+        let left = self
+            .left
+            .values()
+            .map(|l| &l.1)
+            .filter(|s| !there.contains(&s.entry.addr));
         self.servers.values().chain(left).cloned().collect()
     }
 
     /// Servers that take work now.
     pub fn usable(&self) -> usize {
-        self.servers.values().filter(|s| s.standing <= Standing::Held).count()
+        self.servers
+            .values()
+            .filter(|s| s.standing <= Standing::Held)
+            .count()
     }
 
     /// Why a server stands as it does, in words.
     pub fn reason(&self, server: &Server) -> String {
-        let Decided { source, held, standby } = server.decided;
-        let name = |n: usize| self.settings.sources.get(n).map_or("?", |s| s.name.as_str());
+        let Decided {
+            source,
+            held,
+            standby,
+        } = server.decided;
+        let name = |n: usize| {
+            self.settings
+                .sources
+                .get(n)
+                .map_or("?", |s| s.name.as_str())
+        };
         let by = name(source);
         let ago = format!("{:.1} s", self.now.saturating_sub(held.since) as f64 / 1e6);
         if standby {
@@ -206,7 +247,9 @@
             }
             (Opinion::Listed, _) => format!("{by} lists it"),
             (Opinion::Draining, _) => format!("{by} drains it since {ago}"),
-            (Opinion::Stale, _) => format!("{by} listed it at last and cannot be asked since {ago}"),
+            (Opinion::Stale, _) => {
+                format!("{by} listed it at last and cannot be asked since {ago}")
+            }
             (Opinion::Removed, _) => format!("{by} took it away {ago} ago"),
             _ => "no source lists it".to_string(),
         }
@@ -215,7 +258,10 @@
     /// Sources by name with their opinion of a server, those without one left out.
     pub fn sources(&self, server: &Server) -> Vec<(String, Opinion)> {
         let named = self.settings.sources.iter().zip(&server.opinions);
-        named.filter(|(_, o)| **o > Opinion::Absent).map(|(s, o)| (s.name.clone(), *o)).collect()
+        named
+            .filter(|(_, o)| **o > Opinion::Absent)
+            .map(|(s, o)| (s.name.clone(), *o))
+            .collect()
     }
 
     fn at(&mut self, now: Micros) -> Micros {
@@ -232,21 +278,28 @@
         }
         if self.unnamed.len() > MOST_GONE {
             let books = &self.books;
-            self.unnamed.retain(|addr, _| books.iter().any(|b| b.at(*addr).next().is_some()));
+            self.unnamed
+                .retain(|addr, _| books.iter().any(|b| b.at(*addr).next().is_some()));
         }
         if now.saturating_sub(self.forgot) < keep / 16 + 1 || now < keep {
             return;
         }
         self.forgot = now;
-        let listed: BTreeSet<SocketAddr> = self.books.iter().flat_map(|b| b.addrs().copied()).collect();
+        let listed: BTreeSet<SocketAddr> =
+            self.books.iter().flat_map(|b| b.addrs().copied()).collect();
         for book in &mut self.books {
             book.forget(now - keep, |addr| listed.contains(addr));
         }
-        self.unnamed.retain(|addr, u| u.seen >= now - keep || listed.contains(addr));
+        self.unnamed
+            .retain(|addr, u| u.seen >= now - keep || listed.contains(addr));
     }
 
     /// The servers at these addresses, or all.
-    fn merge(&mut self, now: Micros, only: Option<&BTreeSet<SocketAddr>>) -> BTreeMap<String, Server> {
+    fn merge(
+        &mut self,
+        now: Micros,
+        only: Option<&BTreeSet<SocketAddr>>,
+    ) -> BTreeMap<String, Server> {
         let all: BTreeSet<SocketAddr>;
         let wanted = match only {
             Some(addrs) => addrs,
@@ -257,8 +310,10 @@
         };
         let mut named: BTreeMap<&str, Vec<&Known>> = BTreeMap::new();
         let mut addrs: BTreeMap<SocketAddr, Vec<&Known>> = BTreeMap::new();
-        let (naming, addressing): (Vec<&Book>, Vec<&Book>) =
-            self.books.iter().partition(|b| b.settings.kind == Kind::Naming);
+        let (naming, addressing): (Vec<&Book>, Vec<&Book>) = self
+            .books
+            .iter()
+            .partition(|b| b.settings.kind == Kind::Naming);
         for book in &naming {
             for known in wanted.iter().flat_map(|a| book.at(*a)) {
                 named.entry(&known.entry.name).or_default().push(known);
@@ -277,8 +332,14 @@
             let start = known.iter().filter_map(|k| k.started).max();
             let addr = known[0].entry.addr;
             let asked = self.books.iter().zip(&self.calmed);
-            let opinions: Vec<Held> = asked.map(|(b, c)| b.opinion(Some(name), addr, start, c)).collect();
-            let also = self.books.iter().flat_map(|b| b.at(addr)).filter(|k| k.entry.name != name);
+            let opinions: Vec<Held> = asked
+                .map(|(b, c)| b.opinion(Some(name), addr, start, c))
+                .collect();
+            let also = self
+                .books
+                .iter()
+                .flat_map(|b| b.at(addr))
+                .filter(|k| k.entry.name != name);
             let server = decide(name.to_string(), known[0].entry.clone(), also, &opinions);
             next.insert(server.name.clone(), server);
         }
@@ -296,7 +357,11 @@
                 place.births += 1;
                 place.server = format!("{first}@{addr}#{}", place.births);
             }
-            if !names.iter().copied().eq(place.names.iter().map(String::as_str)) {
+            if !names
+                .iter()
+                .copied()
+                .eq(place.names.iter().map(String::as_str))
+            {
                 place.names = names.iter().map(|n| n.to_string()).collect();
             }
             place.seen = now;
@@ -327,15 +392,31 @@
         weight = weight.or(known.entry.weight);
         priority = priority.or(known.entry.priority);
     }
-    let decided = Decided { source, held: held[source], standby: false };
+    let decided = Decided {
+        source,
+        held: held[source],
+        standby: false,
+    };
     let opinions = held.iter().map(|h| h.opinion).collect();
-    Server { name, standing: standing(counts), entry, weight, priority, opinions, decided }
+    Server {
+        name,
+        standing: standing(counts),
+        entry,
+        weight,
+        priority,
+        opinions,
+        decided,
+    }
 }
 
 /// RFC 2782: a target of a higher priority number is for when no other can be had.
 fn stand_by(servers: &mut BTreeMap<String, Server>) {
     let usable = |s: &Server| s.standing <= Standing::Held;
-    let least = servers.values().filter(|s| usable(s)).map(|s| s.priority.unwrap_or(0)).min();
+    let least = servers
+        .values()
+        .filter(|s| usable(s))
+        .map(|s| s.priority.unwrap_or(0))
+        .min();
     for server in servers.values_mut() {
         if usable(server) && Some(server.priority.unwrap_or(0)) > least {
             server.standing = Standing::Out;
--- a/crates/membership/src/opinion.rs
+++ b/crates/membership/src/opinion.rs
@@ -30,7 +30,9 @@
     Opinion::Removed,
 ];
 
-use Opinion::{Absent as A, Draining as D, Held as H, Listed as L, Removed as R, Silent as S, Stale as T};
+use Opinion::{
+    Absent as A, Draining as D, Held as H, Listed as L, Removed as R, Silent as S, Stale as T,
+};
 
 /// Which of two sources' opinions counts: `TABLE[one][other]`. Rows and columns are in the order of [`Opinion`];
 /// a test holds `docs/membership.md` and the folding over more than two sources to it.
--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -62,7 +62,13 @@
 impl SourceSettings {
     /// A source that is believed at once.
     pub fn new(name: impl Into<String>, kind: Kind) -> Self {
-        SourceSettings { name: name.into(), kind, absence: Absence::Removes, guard: None, flaps: None }
+        SourceSettings {
+            name: name.into(),
+            kind,
+            absence: Absence::Removes,
+            guard: None,
+            flaps: None,
+        }
     }
 }
 
@@ -79,6 +85,10 @@
 
 impl Default for Settings {
     fn default() -> Self {
-        Settings { sources: Vec::new(), standby: false, forget: 24 * 3_600_000_000 }
+        Settings {
+            sources: Vec::new(),
+            standby: false,
+            forget: 24 * 3_600_000_000,
+        }
     }
 }
--- a/crates/membership/tests/invariants.rs
+++ b/crates/membership/tests/invariants.rs
@@ -94,7 +94,10 @@
 
 fn id(n: u16, model: &Model) -> Entry {
     let started_ms = model.starts.get(&n).copied().unwrap_or(0);
-    Entry { started_ms, ..Entry::new(format!("s-{n}"), addr(n)) }
+    Entry {
+        started_ms,
+        ..Entry::new(format!("s-{n}"), addr(n))
+    }
 }
 
 fn usable<'a>(servers: impl IntoIterator<Item = &'a Server>) -> BTreeMap<String, SocketAddr> {
@@ -105,7 +108,12 @@
 impl Account {
     /// Whether enough answers in a row have lacked an address for long enough.
     fn confirmed(&self, now: Micros, addr: &SocketAddr) -> bool {
-        let lacking: Vec<_> = self.answers.iter().rev().take_while(|a| !a.1.contains(addr)).collect();
+        let lacking: Vec<_> = self
+            .answers
+            .iter()
+            .rev()
+            .take_while(|a| !a.1.contains(addr))
+            .collect();
         lacking.len() >= CONFIRMATIONS && lacking.last().is_some_and(|first| now - first.0 >= HOLD)
     }
 }
@@ -115,12 +123,36 @@
     type Reference = Model;
 
     fn init_test(_: &Model) -> Account {
-        let guard = Some(Guard { hold: HOLD, confirmations: CONFIRMATIONS as u32, part: PART });
-        let flaps = Some(Flaps { free: 2, window: 60 * SECOND, hold: 10 * SECOND, most: 60 * SECOND });
-        let list = SourceSettings { guard, ..SourceSettings::new("list", Kind::Naming) };
-        let srv = SourceSettings { guard, flaps, ..SourceSettings::new("srv", Kind::Addressing) };
-        let settings = Settings { sources: vec![list, srv], ..Settings::default() };
-        Account { members: Membership::new(settings), now: 0, mirror: BTreeMap::new(), answers: Vec::new() }
+        let guard = Some(Guard {
+            hold: HOLD,
+            confirmations: CONFIRMATIONS as u32,
+            part: PART,
+        });
+        let flaps = Some(Flaps {
+            free: 2,
+            window: 60 * SECOND,
+            hold: 10 * SECOND,
+            most: 60 * SECOND,
+        });
+        let list = SourceSettings {
+            guard,
+            ..SourceSettings::new("list", Kind::Naming)
+        };
+        let srv = SourceSettings {
+            guard,
+            flaps,
+            ..SourceSettings::new("srv", Kind::Addressing)
+        };
+        let settings = Settings {
+            sources: vec![list, srv],
+            ..Settings::default()
+        };
+        Account {
+            members: Membership::new(settings),
+            now: 0,
+            mirror: BTreeMap::new(),
+            answers: Vec::new(),
+        }
     }
 
     fn apply(mut account: Account, model: &Model, step: Step) -> Account {
@@ -129,13 +161,23 @@
         let now = account.now;
         let mut tell = |source: usize, told: Told| account.members.told(now, source, told);
         let changes = match &step {
-            Step::Word(n, state) => tell(0, Told::Changes(vec![Entry { state: *state, ..id(*n, model) }])),
+            Step::Word(n, state) => tell(
+                0,
+                Told::Changes(vec![Entry {
+                    state: *state,
+                    ..id(*n, model)
+                }]),
+            ),
             Step::Start(n) => tell(0, Told::Changes(vec![id(*n, model)])),
             Step::List(up) => tell(0, Told::Whole(up.iter().map(|n| id(*n, model)).collect())),
             Step::Srv(one, other) => {
-                let entry =
-                    |name: &str, n: &u16| Entry::new(format!("{name}{n}.test:{}", 8000 + n), addr(*n));
-                let names = one.iter().map(|n| entry("a", n)).chain(other.iter().map(|n| entry("b", n)));
+                let entry = |name: &str, n: &u16| {
+                    Entry::new(format!("{name}{n}.test:{}", 8000 + n), addr(*n))
+                };
+                let names = one
+                    .iter()
+                    .map(|n| entry("a", n))
+                    .chain(other.iter().map(|n| entry("b", n)));
                 tell(1, Told::Whole(names.collect()))
             }
             Step::Failed(source) => tell(*source, Told::Failed),
@@ -154,11 +196,16 @@
             assert_eq!(before, after, "2: a failure changed the list");
         }
         if let Step::Srv(one, other) = &step {
-            account.answers.push((now, one.union(other).map(|n| addr(*n)).collect()));
+            account
+                .answers
+                .push((now, one.union(other).map(|n| addr(*n)).collect()));
             let lost = before.values().filter(|a| !after.values().any(|b| b == *a));
             let unconfirmed = lost.filter(|a| !account.confirmed(now, a)).count();
             let all = account.members.servers().len();
-            assert!(unconfirmed as f64 <= PART * all.max(1) as f64 + 0.5, "3: {unconfirmed} of {all}");
+            assert!(
+                unconfirmed as f64 <= PART * all.max(1) as f64 + 0.5,
+                "3: {unconfirmed} of {all}"
+            );
         }
         account
     }
@@ -167,7 +214,10 @@
         let servers = account.members.servers();
         let takes = usable(&servers);
         for n in &model.blocked {
-            assert!(!takes.values().any(|a| *a == addr(*n)), "1: {n} takes work: {servers:?}");
+            assert!(
+                !takes.values().any(|a| *a == addr(*n)),
+                "1: {n} takes work: {servers:?}"
+            );
         }
         let addrs: BTreeSet<&SocketAddr> = takes.values().collect();
         assert_eq!(addrs.len(), takes.len(), "4: an address twice in {takes:?}");
--- a/crates/membership/tests/rule.rs
+++ b/crates/membership/tests/rule.rs
@@ -17,19 +17,41 @@
 }
 
 fn target(n: u16) -> Entry {
-    Entry { priority: Some(10), ..Entry::new(format!("t{n}.example.test:{}", 8000 + n), addr(n)) }
+    Entry {
+        priority: Some(10),
+        ..Entry::new(format!("t{n}.example.test:{}", 8000 + n), addr(n))
+    }
 }
 
 fn guard() -> Option<Guard> {
-    Some(Guard { hold: 30 * SECOND, confirmations: 3, part: 0.5 })
+    Some(Guard {
+        hold: 30 * SECOND,
+        confirmations: 3,
+        part: 0.5,
+    })
 }
 
 fn settings() -> Settings {
-    let list = SourceSettings { guard: guard(), ..SourceSettings::new("list", Kind::Naming) };
-    let flaps = Flaps { free: 2, window: MINUTE, hold: 10 * SECOND, most: 5 * MINUTE };
+    let list = SourceSettings {
+        guard: guard(),
+        ..SourceSettings::new("list", Kind::Naming)
+    };
+    let flaps = Flaps {
+        free: 2,
+        window: MINUTE,
+        hold: 10 * SECOND,
+        most: 5 * MINUTE,
+    };
     let srv = SourceSettings::new("srv", Kind::Addressing);
-    let srv = SourceSettings { guard: guard(), flaps: Some(flaps), ..srv };
-    Settings { sources: vec![list, srv], ..Settings::default() }
+    let srv = SourceSettings {
+        guard: guard(),
+        flaps: Some(flaps),
+        ..srv
+    };
+    Settings {
+        sources: vec![list, srv],
+        ..Settings::default()
+    }
 }
 
 fn ids(numbers: impl IntoIterator<Item = u16>) -> Told {
@@ -63,8 +85,12 @@
     for line in page.lines() {
         let cells: Vec<&str> = line.split('|').map(str::trim).collect();
         let word = |w: &str| OPINIONS.iter().copied().find(|o| o.word() == w);
-        let [_, one, other, winner, stands, _] = cells[..] else { continue };
-        let (Some(one), Some(other)) = (word(one), word(other)) else { continue };
+        let [_, one, other, winner, stands, _] = cells[..] else {
+            continue;
+        };
+        let (Some(one), Some(other)) = (word(one), word(other)) else {
+            continue;
+        };
         assert_eq!(wins(one, other), word(winner).unwrap(), "{line}");
         assert_eq!(standing(wins(one, other)).word(), stands, "{line}");
         rows += 1;
@@ -85,9 +111,16 @@
 fn one_server_in_two_sources_is_one_server_with_the_lists_name() {
     let mut members = Membership::new(settings());
     members.told(0, SRV, targets([1, 2]));
-    assert_eq!(members.servers()[0].name, "t1.example.test:8001@127.0.0.1:8001");
+    assert_eq!(
+        members.servers()[0].name,
+        "t1.example.test:8001@127.0.0.1:8001"
+    );
     let changes = members.told(1, LIST, ids([1]));
-    assert_eq!(changes.len(), 2, "its DNS name leaves, its id comes: {changes:?}");
+    assert_eq!(
+        changes.len(),
+        2,
+        "its DNS name leaves, its id comes: {changes:?}"
+    );
     let servers = members.servers();
     let one = servers.iter().find(|s| s.name == "s-1").unwrap();
     assert_eq!((usable(&members), one.priority), (vec![1, 2], Some(10)));
@@ -116,13 +149,28 @@
         }
         if n == 200 {
             // DNS calls it by another name: that is no proof of a new start.
-            let renamed = Entry { name: "other.example.test:8002".into(), ..target(2) };
-            members.told(now, SRV, Told::Whole(vec![target(1), renamed, target(3), target(4)]));
+            let renamed = Entry {
+                name: "other.example.test:8002".into(),
+                ..target(2)
+            };
+            members.told(
+                now,
+                SRV,
+                Told::Whole(vec![target(1), renamed, target(3), target(4)]),
+            );
         }
         assert_eq!(usable(&members), [1, 3, 4], "at {n}");
     }
-    let out = members.servers().into_iter().find(|s| s.entry.addr == addr(2)).unwrap();
-    assert!(members.reason(&out).contains("list took it away"), "{}", members.reason(&out));
+    let out = members
+        .servers()
+        .into_iter()
+        .find(|s| s.entry.addr == addr(2))
+        .unwrap();
+    assert!(
+        members.reason(&out).contains("list took it away"),
+        "{}",
+        members.reason(&out)
+    );
     // Only the list takes it back.
     members.told(20 * MINUTE, LIST, change(2, State::Up));
     assert_eq!(usable(&members), [1, 2, 3, 4]);
@@ -135,23 +183,42 @@
     members.told(0, SRV, targets([1, 2, 3]));
     members.told(1, LIST, change(1, State::Removed));
     assert_eq!(usable(&members), [2, 3]);
-    let new = Entry { name: "s-9".into(), ..id(1) };
+    let new = Entry {
+        name: "s-9".into(),
+        ..id(1)
+    };
     members.told(2, LIST, Told::Changes(vec![new]));
     assert_eq!(usable(&members), [1, 2, 3]);
-    assert!(members.servers().iter().any(|s| s.name == "s-9" && s.standing == Standing::In));
+    assert!(members
+        .servers()
+        .iter()
+        .any(|s| s.name == "s-9" && s.standing == Standing::In));
     // What DNS withdrew is back by a new start that the list has seen, and not by anything else.
     members.told(3, SRV, targets([1, 3]));
     assert_eq!(usable(&members), [1, 3]);
     members.told(4, LIST, change(2, State::Up));
     assert_eq!(usable(&members), [1, 3]);
-    members.told(5, LIST, Told::Changes(vec![Entry { started_ms: 77, ..id(2) }]));
+    members.told(
+        5,
+        LIST,
+        Told::Changes(vec![Entry {
+            started_ms: 77,
+            ..id(2)
+        }]),
+    );
     assert_eq!(usable(&members), [1, 2, 3]);
     // In DNS alone, another name altogether is another server.
     let mut members = Membership::new(settings());
     members.told(0, SRV, targets([1, 2]));
-    let renamed = Entry { name: "new.example.test:8001".into(), ..target(1) };
+    let renamed = Entry {
+        name: "new.example.test:8001".into(),
+        ..target(1)
+    };
     let changes = members.told(1, SRV, Told::Whole(vec![renamed, target(2)]));
-    let names: Vec<_> = changes.iter().map(|s| (s.name.as_str(), s.standing)).collect();
+    let names: Vec<_> = changes
+        .iter()
+        .map(|s| (s.name.as_str(), s.standing))
+        .collect();
     assert_eq!(names.len(), 2, "{names:?}");
     assert!(names.contains(&("t1.example.test:8001@127.0.0.1:8001", Standing::Out)));
     assert_eq!(usable(&members), [1, 2]);
@@ -160,7 +227,10 @@
 #[test]
 fn two_names_of_one_address_are_one_server() {
     let mut members = Membership::new(settings());
-    let second = Entry { name: "alias.example.test:8001".into(), ..target(1) };
+    let second = Entry {
+        name: "alias.example.test:8001".into(),
+        ..target(1)
+    };
     let changes = members.told(0, SRV, Told::Whole(vec![target(1), second.clone()]));
     assert_eq!(changes.len(), 1, "{changes:?}");
     // Losing one of the names changes nothing.
@@ -174,8 +244,13 @@
     members.told(0, SRV, targets(1..=4));
     members.told(SECOND, SRV, targets([]));
     assert_eq!(usable(&members), [1, 2, 3, 4]);
-    assert!(members.servers().iter().all(|s| s.standing == Standing::Held));
-    assert!(members.reason(&members.servers()[0]).contains("1 answers said so"));
+    assert!(members
+        .servers()
+        .iter()
+        .all(|s| s.standing == Standing::Held));
+    assert!(members
+        .reason(&members.servers()[0])
+        .contains("1 answers said so"));
     // Lifetimes end in the middle of the hold, and look-ups fail: neither confirms anything.
     for n in 2..60 {
         members.told(n * SECOND, SRV, Told::Failed);
@@ -193,8 +268,16 @@
     assert_eq!(usable(&members).len(), 4);
     // Two come back and are believed at once; the others' count goes on from where it was.
     members.told(20 * SECOND, SRV, targets([1, 2]));
-    let held = members.servers().iter().filter(|s| s.standing == Standing::Held).count();
-    assert_eq!((usable(&members).len(), held), (2, 0), "two of four is no sudden loss");
+    let held = members
+        .servers()
+        .iter()
+        .filter(|s| s.standing == Standing::Held)
+        .count();
+    assert_eq!(
+        (usable(&members).len(), held),
+        (2, 0),
+        "two of four is no sudden loss"
+    );
 }
 
 #[test]
@@ -208,7 +291,12 @@
     // Explicit words are never held, however many.
     let mut members = Membership::new(settings());
     members.told(0, LIST, ids(0..20));
-    let drains = (0..20).map(|n| Entry { state: State::Draining, ..id(n) }).collect();
+    let drains = (0..20)
+        .map(|n| Entry {
+            state: State::Draining,
+            ..id(n)
+        })
+        .collect();
     members.told(1, LIST, Told::Changes(drains));
     assert!(usable(&members).is_empty());
 }
@@ -236,7 +324,10 @@
     members.turn(365 * 24 * 60 * MINUTE);
     assert_eq!(usable(&members), [1, 2]);
     let standings: Vec<_> = members.servers().iter().map(|s| s.standing).collect();
-    assert_eq!(standings, [Standing::Held, Standing::Held, Standing::Draining]);
+    assert_eq!(
+        standings,
+        [Standing::Held, Standing::Held, Standing::Draining]
+    );
 }
 
 #[test]
@@ -259,14 +350,20 @@
         members.told(600 * SECOND, SRV, targets([2, 3, 4]));
         members.told(601 * SECOND, SRV, targets([3, 4]));
     }
-    assert_eq!((usable(&members), usable(&lenient)), (vec![1, 3, 4], vec![1, 2, 3, 4]));
+    assert_eq!(
+        (usable(&members), usable(&lenient)),
+        (vec![1, 3, 4], vec![1, 2, 3, 4])
+    );
 }
 
 #[test]
 fn a_target_that_moves_is_another_server_and_a_moved_id_the_same_one() {
     let mut members = Membership::new(settings());
     members.told(0, SRV, targets([1, 2, 3]));
-    let moved = Entry { addr: addr(7), ..target(1) };
+    let moved = Entry {
+        addr: addr(7),
+        ..target(1)
+    };
     let changes = members.told(1, SRV, Told::Whole(vec![moved, target(2), target(3)]));
     assert_eq!(changes.len(), 2, "{changes:?}");
     assert_eq!(usable(&members), [2, 3, 7]);
@@ -274,7 +371,14 @@
     let mut members = Membership::new(settings());
     members.told(0, LIST, ids([1]));
     members.told(0, SRV, targets([1]));
-    let changes = members.told(1, LIST, Told::Changes(vec![Entry { addr: addr(7), ..id(1) }]));
+    let changes = members.told(
+        1,
+        LIST,
+        Told::Changes(vec![Entry {
+            addr: addr(7),
+            ..id(1)
+        }]),
+    );
     assert_eq!(changes[0].name, "s-1");
     // DNS still has the address that it left.
     assert_eq!(usable(&members), [7]);
@@ -287,7 +391,9 @@
     let mut changes = 0;
     for n in 1..=60_u64 {
         let all = n % 2 == 0;
-        changes += members.told(n * SECOND, SRV, targets(if all { 0..10 } else { 1..10 })).len();
+        changes += members
+            .told(n * SECOND, SRV, targets(if all { 0..10 } else { 1..10 }))
+            .len();
         changes += members.turn(n * SECOND + SECOND / 2).len();
     }
     assert!(changes <= 8, "{changes} changes for 60 flaps");
@@ -298,7 +404,10 @@
     assert_eq!(members.turn(due).len(), 1);
     assert_eq!(usable(&members).len(), 10);
     // Same name, same server: nothing was lost by it.
-    assert!(members.servers().iter().any(|s| s.name == "t0.example.test:8000@127.0.0.1:8000"));
+    assert!(members
+        .servers()
+        .iter()
+        .any(|s| s.name == "t0.example.test:8000@127.0.0.1:8000"));
 
     // Each answer has another half: none is kept out for it.
     let mut members = Membership::new(settings());
@@ -311,13 +420,26 @@
 
 #[test]
 fn a_higher_priority_number_waits_where_that_is_set() {
-    let backup = Entry { priority: Some(20), ..target(3) };
+    let backup = Entry {
+        priority: Some(20),
+        ..target(3)
+    };
     let told = || Told::Whole(vec![target(1), target(2), backup.clone()]);
-    let mut members = Membership::new(Settings { standby: true, ..settings() });
+    let mut members = Membership::new(Settings {
+        standby: true,
+        ..settings()
+    });
     members.told(0, SRV, told());
     assert_eq!(usable(&members), [1, 2]);
-    let drains = [1, 2].map(|n| Entry { state: State::Draining, ..target(n) });
-    members.told(1, SRV, Told::Whole([drains.to_vec(), vec![backup.clone()]].concat()));
+    let drains = [1, 2].map(|n| Entry {
+        state: State::Draining,
+        ..target(n)
+    });
+    members.told(
+        1,
+        SRV,
+        Told::Whole([drains.to_vec(), vec![backup.clone()]].concat()),
+    );
     assert_eq!(usable(&members), [3]);
     let mut members = Membership::new(settings());
     members.told(0, SRV, told());
@@ -336,5 +458,9 @@
     assert_eq!(usable(&members), [2, 3]);
     only.sources.truncate(1);
     members.set(3, only);
-    assert_eq!(usable(&members), [1, 2, 3], "a source that is no longer asked has no say");
+    assert_eq!(
+        usable(&members),
+        [1, 2, 3],
+        "a source that is no longer asked has no say"
+    );
 }
--- a/crates/standin/src/answer.rs
+++ b/crates/standin/src/answer.rs
@@ -26,9 +26,17 @@
         let request: Value = serde_json::from_slice(body).unwrap_or(Value::Null);
         let (prompt, done) = tokens::prompt(&request);
         let limit = |key: &str| request[key].as_u64().map(|n| n as usize);
-        let most = limit("max_tokens").or(limit("max_completion_tokens")).unwrap_or(usize::MAX);
+        let most = limit("max_tokens")
+            .or(limit("max_completion_tokens"))
+            .unwrap_or(usize::MAX);
         let usage = request["stream_options"]["include_usage"] == Value::Bool(true);
-        Ask { prompt, done, whole: script.tokens, most, usage }
+        Ask {
+            prompt,
+            done,
+            whole: script.tokens,
+            most,
+            usage,
+        }
     }
 }
 
@@ -75,14 +83,29 @@
 /// The plan of one answer. `id` is its own, so that two answers can be told apart.
 pub fn plan(ask: &Ask, id: &str, script: &Script, fault: Option<&Fault>) -> Plan {
     if let Some(Fault::Status(status)) = fault {
-        return Plan { status: *status, steps: Vec::new(), tokens: 0 };
+        return Plan {
+            status: *status,
+            steps: Vec::new(),
+            tokens: 0,
+        };
     }
     if fault == Some(&Fault::Silent) {
-        let steps = vec![Step::Wait(Duration::from_secs(600)), Step::Close { reset: false }];
-        return Plan { status: 200, steps, tokens: 0 };
+        let steps = vec![
+            Step::Wait(Duration::from_secs(600)),
+            Step::Close { reset: false },
+        ];
+        return Plan {
+            status: 200,
+            steps,
+            tokens: 0,
+        };
     }
     let count = ask.whole.saturating_sub(ask.done).min(ask.most);
-    let finish = if ask.done + count < ask.whole { "length" } else { "stop" };
+    let finish = if ask.done + count < ask.whole {
+        "length"
+    } else {
+        "stop"
+    };
     // Parts in order, each with the name of what it is where a cut may come before it.
     let mut parts: Vec<(Option<Part>, Vec<u8>)> = Vec::new();
     for n in 0..count {
@@ -145,11 +168,18 @@
         }
         steps.push(Step::Send(bytes));
     }
-    Plan { status: 200, steps, tokens: count }
+    Plan {
+        status: 200,
+        steps,
+        tokens: count,
+    }
 }
 
 /// The number behind `cut=` in a prompt.
 fn named(prompt: &str) -> Option<usize> {
     let rest = prompt.split("cut=").nth(1)?;
-    rest.split(|c: char| !c.is_ascii_digit()).next()?.parse().ok()
+    rest.split(|c: char| !c.is_ascii_digit())
+        .next()?
+        .parse()
+        .ok()
 }
--- a/crates/standin/src/checker.rs
+++ b/crates/standin/src/checker.rs
@@ -102,13 +102,18 @@
             stream.ids.push(id);
         }
         for choice in chunk["choices"].as_array().into_iter().flatten() {
-            stream.text.push_str(choice["delta"]["content"].as_str().unwrap_or_default());
-            stream.finish.extend(choice["finish_reason"].as_str().map(String::from));
+            stream
+                .text
+                .push_str(choice["delta"]["content"].as_str().unwrap_or_default());
+            stream
+                .finish
+                .extend(choice["finish_reason"].as_str().map(String::from));
         }
         let usage = &chunk["usage"];
-        if let (Some(prompt), Some(answer)) =
-            (usage["prompt_tokens"].as_u64(), usage["completion_tokens"].as_u64())
-        {
+        if let (Some(prompt), Some(answer)) = (
+            usage["prompt_tokens"].as_u64(),
+            usage["completion_tokens"].as_u64(),
+        ) {
             stream.usage.push((prompt, answer));
         }
     }
@@ -117,22 +122,32 @@
 
 /// Checks what clients saw against what servers noted.
 pub fn check(seen: &[Seen], records: &[Record]) -> Verdict {
-    let mut verdict = Verdict { requests: seen.len(), ..Verdict::default() };
+    let mut verdict = Verdict {
+        requests: seen.len(),
+        ..Verdict::default()
+    };
     let mut by_prompt: BTreeMap<&str, Vec<&Record>> = BTreeMap::new();
     for record in records {
         by_prompt.entry(&record.prompt).or_default().push(record);
     }
     for one in seen {
         let stream = read_stream(&one.body);
-        let served = by_prompt.get(one.prompt.as_str()).map_or(&[][..], |v| &v[..]);
+        let served = by_prompt
+            .get(one.prompt.as_str())
+            .map_or(&[][..], |v| &v[..]);
         let asked: usize = served.iter().map(|r| r.tokens).sum();
         verdict.extra_tokens += asked.saturating_sub(one.tokens) as u64;
         let mut bad = |what: &str| {
-            verdict.broken.push(format!("{} ({:?}): {what}", one.id, one.outcome));
+            verdict
+                .broken
+                .push(format!("{} ({:?}): {what}", one.id, one.outcome));
         };
         let right = tokens::text(&one.prompt, one.tokens);
         if !right.starts_with(&stream.text) {
-            bad(&format!("the text is not the beginning of the right one: '{}'", stream.text));
+            bad(&format!(
+                "the text is not the beginning of the right one: '{}'",
+                stream.text
+            ));
         }
         if stream.ids.len() > 1 {
             bad(&format!("several ids: {:?}", stream.ids));
@@ -148,13 +163,17 @@
         }
         for (_, answer) in &stream.usage {
             if *answer != one.tokens as u64 {
-                bad(&format!("a usage of {answer} tokens for an answer of {}", one.tokens));
+                bad(&format!(
+                    "a usage of {answer} tokens for an answer of {}",
+                    one.tokens
+                ));
             }
         }
         match one.outcome {
             Outcome::Whole => {
                 verdict.whole += 1;
-                verdict.continued += usize::from(served.iter().filter(|r| r.written > 0).count() > 1);
+                verdict.continued +=
+                    usize::from(served.iter().filter(|r| r.written > 0).count() > 1);
                 if stream.text != right {
                     bad("the text is not whole, and the answer says it is");
                 }
--- a/crates/standin/src/main.rs
+++ b/crates/standin/src/main.rs
@@ -8,7 +8,11 @@
 use std::time::Duration;
 
 #[derive(Parser)]
-#[command(name = "poppykeel-standin", version, about = "Model servers on loopback that answer by scripts")]
+#[command(
+    name = "poppykeel-standin",
+    version,
+    about = "Model servers on loopback that answer by scripts"
+)]
 struct Cli {
     /// A server's script, as TOML; one server for each
     #[arg(long, value_name = "FILE", required = true)]
@@ -24,7 +28,11 @@
 }
 
 fn run(cli: &Cli) -> Result<(), String> {
-    let scripts = cli.script.iter().map(|p| read(p)).collect::<Result<Vec<_>, _>>()?;
+    let scripts = cli
+        .script
+        .iter()
+        .map(|p| read(p))
+        .collect::<Result<Vec<_>, _>>()?;
     let standin = Standin::start(scripts).map_err(|e| e.to_string())?;
     for (number, addr) in standin.addrs().iter().enumerate() {
         println!("server {number} on {addr}");
--- a/crates/standin/src/script.rs
+++ b/crates/standin/src/script.rs
@@ -18,7 +18,12 @@
 
 impl Default for Script {
     fn default() -> Self {
-        Script { first_ms: 0, gap_ms: 0, tokens: 12, rule: Vec::new() }
+        Script {
+            first_ms: 0,
+            gap_ms: 0,
+            tokens: 12,
+            rule: Vec::new(),
+        }
     }
 }
 
@@ -115,7 +120,14 @@
 
     /// The same with one more rule, for all requests that no rule before it fits.
     pub fn with(mut self, fault: Fault) -> Script {
-        self.rule.push(Rule { prompt: None, continued: None, every: 1, once: false, most: None, fault });
+        self.rule.push(Rule {
+            prompt: None,
+            continued: None,
+            every: 1,
+            once: false,
+            most: None,
+            fault,
+        });
         self
     }
 }
--- a/crates/standin/src/server.rs
+++ b/crates/standin/src/server.rs
@@ -65,7 +65,9 @@
 impl Standin {
     /// One server for each script, on free ports of the loopback address.
     pub fn start(scripts: Vec<Script>) -> Result<Standin, Error> {
-        let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
+        let runtime = tokio::runtime::Builder::new_current_thread()
+            .enable_all()
+            .build()?;
         let listen = |_: &Script| {
             let listener = std::net::TcpListener::bind("127.0.0.1:0")?;
             listener.set_nonblocking(true)?;
@@ -73,7 +75,10 @@
         };
         let listeners: Vec<std::net::TcpListener> =
             scripts.iter().map(listen).collect::<Result<_, Error>>()?;
-        let addrs = listeners.iter().map(std::net::TcpListener::local_addr).collect::<Result<_, Error>>()?;
+        let addrs = listeners
+            .iter()
+            .map(std::net::TcpListener::local_addr)
+            .collect::<Result<_, Error>>()?;
         let fits = scripts.iter().map(|s| vec![(0, 0); s.rule.len()]).collect();
         let shared = Arc::new(Mutex::new(Shared {
             scripts,
@@ -90,13 +95,19 @@
         std::thread::spawn(move || {
             runtime.block_on(async move {
                 for (server, listener) in listeners.into_iter().enumerate() {
-                    let Ok(listener) = TcpListener::from_std(listener) else { continue };
+                    let Ok(listener) = TcpListener::from_std(listener) else {
+                        continue;
+                    };
                     tokio::spawn(accept(server, listener, own.clone()));
                 }
                 let _ = ended.await;
             });
         });
-        Ok(Standin { addrs, shared, _end: end })
+        Ok(Standin {
+            addrs,
+            shared,
+            _end: end,
+        })
     }
 
     /// Where they listen, in the order of the scripts.
@@ -142,13 +153,25 @@
 fn head(bytes: &[u8]) -> Option<Head> {
     let mut headers = [httparse::EMPTY_HEADER; 64];
     let mut request = httparse::Request::new(&mut headers);
-    let Ok(httparse::Status::Complete(end)) = request.parse(bytes) else { return None };
+    let Ok(httparse::Status::Complete(end)) = request.parse(bytes) else {
+        return None;
+    };
     let find = |name: &str| {
-        let header = request.headers.iter().find(|h| h.name.eq_ignore_ascii_case(name));
+        let header = request
+            .headers
+            .iter()
+            .find(|h| h.name.eq_ignore_ascii_case(name));
         header.map(|h| String::from_utf8_lossy(h.value).into_owned())
     };
-    let length = find("content-length").and_then(|l| l.parse().ok()).unwrap_or(0);
-    Some((end, length, find("req-id").unwrap_or_default(), request.path.unwrap_or_default().to_string()))
+    let length = find("content-length")
+        .and_then(|l| l.parse().ok())
+        .unwrap_or(0);
+    Some((
+        end,
+        length,
+        find("req-id").unwrap_or_default(),
+        request.path.unwrap_or_default().to_string(),
+    ))
 }
 
 /// Takes a connection off the list of idle ones once it ends.
@@ -163,7 +186,11 @@
     }
 }
 
-async fn connection(server: usize, mut stream: TcpStream, shared: &Mutex<Shared>) -> Result<(), Error> {
+async fn connection(
+    server: usize,
+    mut stream: TcpStream,
+    shared: &Mutex<Shared>,
+) -> Result<(), Error> {
     stream.set_nodelay(true)?;
     let mut held = Vec::new();
     let mut piece = vec![0; 16 * 1024];
@@ -173,7 +200,10 @@
         shared.connections += 1;
         shared.connections
     };
-    let _idle = Idle { shared, key: (server, number) };
+    let _idle = Idle {
+        shared,
+        key: (server, number),
+    };
     loop {
         lock(shared).idle.insert((server, number), unasked.clone());
         let (end, length, id, path) = loop {
@@ -197,7 +227,9 @@
         lock(shared).idle.remove(&(server, number));
         let body: Vec<u8> = held.drain(..end + length).skip(end).collect();
         if path != "/v1/chat/completions" {
-            stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}").await?;
+            stream
+                .write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}")
+                .await?;
             continue;
         }
         if !answer(server, &mut stream, &id, &body, shared).await? {
@@ -206,7 +238,8 @@
     }
 }
 
-const HEAD: &str = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n";
+const HEAD: &str =
+    "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n";
 
 /// Carries one plan out; false where the connection ends with it.
 async fn answer(
@@ -223,14 +256,30 @@
         let ask = Ask::read(body, &script);
         let Shared { fits, befallen, .. } = &mut *shared;
         let fault = fault(&script, &ask, &mut fits[server], befallen);
-        let plan = plan(&ask, &format!("stand-in-{server}-{}", shared.answers), &script, fault.as_ref());
+        let plan = plan(
+            &ask,
+            &format!("stand-in-{server}-{}", shared.answers),
+            &script,
+            fault.as_ref(),
+        );
         let mut others = shared.idle.range((server, 0)..=(server, u64::MAX));
-        let other = others.next().filter(|_| fault == Some(Fault::Twice)).map(|(_, other)| other.clone());
+        let other = others
+            .next()
+            .filter(|_| fault == Some(Fault::Twice))
+            .map(|(_, other)| other.clone());
         let place = (shared.records.len() < MOST_RECORDS).then_some(shared.records.len());
         if place.is_some() {
             let (prompt, done, tokens) = (ask.prompt, ask.done, plan.tokens);
             let id = id.to_string();
-            shared.records.push(Record { server, id, prompt, done, tokens, written: 0, whole: false });
+            shared.records.push(Record {
+                server,
+                id,
+                prompt,
+                done,
+                tokens,
+                written: 0,
+                whole: false,
+            });
         }
         shared.unasked += u64::from(other.is_some());
         (plan, place, other)
@@ -242,7 +291,10 @@
         }
     };
     if plan.status != 200 {
-        let head = format!("HTTP/1.1 {} Stand-in\r\nContent-Length: 0\r\n\r\n", plan.status);
+        let head = format!(
+            "HTTP/1.1 {} Stand-in\r\nContent-Length: 0\r\n\r\n",
+            plan.status
+        );
         stream.write_all(head.as_bytes()).await?;
         note(0, true);
         return Ok(true);
--- a/crates/standin/src/tokens.rs
+++ b/crates/standin/src/tokens.rs
@@ -13,9 +13,9 @@
 
 /// The token of this number of the answer to a prompt.
 pub fn token(prompt: &str, number: usize) -> String {
-    let seed = prompt
-        .bytes()
-        .fold(0xcbf2_9ce4_8422_2325_u64, |h, b| (h ^ u64::from(b)).wrapping_mul(0x100_0000_01b3));
+    let seed = prompt.bytes().fold(0xcbf2_9ce4_8422_2325_u64, |h, b| {
+        (h ^ u64::from(b)).wrapping_mul(0x100_0000_01b3)
+    });
     let mut bits = mix(seed ^ mix(number as u64 + 1));
     let mut out = String::with_capacity(TOKEN);
     for _ in 1..TOKEN {
--- a/crates/store/src/disk.rs
+++ b/crates/store/src/disk.rs
@@ -44,30 +44,48 @@
     /// As the system names them; `WouldBlock` where another process has it.
     pub fn open(folder: &Path) -> io::Result<Files> {
         fs::create_dir_all(folder)?;
-        let lock = OpenOptions::new().create(true).truncate(false).write(true).open(folder.join("lock"))?;
+        let lock = OpenOptions::new()
+            .create(true)
+            .truncate(false)
+            .write(true)
+            .open(folder.join("lock"))?;
         match lock.try_lock() {
             Ok(()) => {}
             Err(fs::TryLockError::WouldBlock) => {
-                return Err(io::Error::new(io::ErrorKind::WouldBlock, "another process holds this folder"));
+                return Err(io::Error::new(
+                    io::ErrorKind::WouldBlock,
+                    "another process holds this folder",
+                ));
             }
             Err(fs::TryLockError::Error(e)) => return Err(e),
         }
-        Ok(Files { folder: folder.to_path_buf(), open: BTreeMap::new(), _lock: lock })
+        Ok(Files {
+            folder: folder.to_path_buf(),
+            open: BTreeMap::new(),
+            _lock: lock,
+        })
     }
 
     fn file(&mut self, name: &str) -> io::Result<&mut File> {
         if !self.open.contains_key(name) {
-            let file = OpenOptions::new().append(true).open(self.folder.join(name))?;
+            let file = OpenOptions::new()
+                .append(true)
+                .open(self.folder.join(name))?;
             self.open.insert(name.to_string(), file);
         }
-        self.open.get_mut(name).ok_or(io::ErrorKind::NotFound.into())
+        self.open
+            .get_mut(name)
+            .ok_or(io::ErrorKind::NotFound.into())
     }
 }
 
 impl Disk for Files {
     fn names(&self) -> io::Result<Vec<String>> {
         let entries = fs::read_dir(&self.folder)?.collect::<io::Result<Vec<_>>>()?;
-        Ok(entries.into_iter().map(|e| e.file_name().to_string_lossy().into_owned()).collect())
+        Ok(entries
+            .into_iter()
+            .map(|e| e.file_name().to_string_lossy().into_owned())
+            .collect())
     }
     fn read(&self, name: &str) -> io::Result<Vec<u8>> {
         fs::read(self.folder.join(name))
--- a/crates/store/src/log.rs
+++ b/crates/store/src/log.rs
@@ -35,14 +35,23 @@
         match self {
             Fault::Disk(e) => write!(f, "disk: {e}"),
             Fault::Rotten { file, at } => {
-                write!(f, "{file}: damaged at byte {at}, and what follows it was kept")
+                write!(
+                    f,
+                    "{file}: damaged at byte {at}, and what follows it was kept"
+                )
             }
             Fault::Newer { file, format } => {
-                write!(f, "{file}: format {format}; this program reads formats up to {FORMAT}")
+                write!(
+                    f,
+                    "{file}: format {format}; this program reads formats up to {FORMAT}"
+                )
             }
             Fault::TooLong(bytes) => write!(f, "a record of {bytes} bytes; at most {MOST}"),
             Fault::Broken => {
-                write!(f, "an earlier write or sync failed: nothing more is kept until a restart")
+                write!(
+                    f,
+                    "an earlier write or sync failed: nothing more is kept until a restart"
+                )
             }
         }
     }
@@ -73,7 +82,10 @@
 }
 
 fn segment(name: &str) -> Option<u64> {
-    name.strip_suffix(".log").filter(|n| n.len() == 16)?.parse().ok()
+    name.strip_suffix(".log")
+        .filter(|n| n.len() == 16)?
+        .parse()
+        .ok()
 }
 
 /// The records of a segment in their order, and how many bytes are sound.
@@ -89,7 +101,14 @@
         let mut segments: Vec<u64> = names.iter().filter_map(|n| segment(n)).collect();
         segments.sort_unstable();
         let Some(live) = segments.pop() else {
-            let mut log = Log { disk, segment: 0, next: 1, group: Vec::new(), size: 0, broken: false };
+            let mut log = Log {
+                disk,
+                segment: 0,
+                next: 1,
+                group: Vec::new(),
+                size: 0,
+                broken: false,
+            };
             log.begin(&[])?;
             return Ok((log, Vec::new()));
         };
@@ -101,11 +120,21 @@
             disk.sync(&file)?;
         }
         // Leftovers of a compaction that a crash cut short.
-        let stale = segments.into_iter().map(name).chain(names.into_iter().filter(|n| n.ends_with(".new")));
+        let stale = segments
+            .into_iter()
+            .map(name)
+            .chain(names.into_iter().filter(|n| n.ends_with(".new")));
         for old in stale.collect::<Vec<_>>() {
             disk.remove(&old)?;
         }
-        let log = Log { disk, segment: live, next: last + 1, group: Vec::new(), size: sound, broken: false };
+        let log = Log {
+            disk,
+            segment: live,
+            next: last + 1,
+            group: Vec::new(),
+            size: sound,
+            broken: false,
+        };
         Ok((log, entries))
     }
 
@@ -138,7 +167,10 @@
             return Ok(());
         }
         let file = name(self.segment);
-        let kept = self.disk.append(&file, &self.group).and_then(|()| self.disk.sync(&file));
+        let kept = self
+            .disk
+            .append(&file, &self.group)
+            .and_then(|()| self.disk.sync(&file));
         // After a failed sync the system may call pages clean that never reached the disk.
         self.broken = kept.is_err();
         kept?;
@@ -192,14 +224,25 @@
 /// Reads a segment. Bytes after the last sound record are a torn end, unless a sound record follows them: then
 /// something in the middle is damaged.
 fn scan(file: &str, bytes: &[u8]) -> Result<Found, Fault> {
-    let rotten = |at: usize| Err(Fault::Rotten { file: file.to_string(), at: at as u64 });
+    let rotten = |at: usize| {
+        Err(Fault::Rotten {
+            file: file.to_string(),
+            at: at as u64,
+        })
+    };
     match record::format(bytes) {
         Some(FORMAT) => {}
-        Some(format) if format > FORMAT => return Err(Fault::Newer { file: file.to_string(), format }),
+        Some(format) if format > FORMAT => {
+            return Err(Fault::Newer {
+                file: file.to_string(),
+                format,
+            })
+        }
         _ => return rotten(0),
     }
     let (mut entries, mut last, mut at, mut complete) = (Vec::new(), 0, HEAD, false);
-    while let Some(found) = record::read(&bytes[at..]).filter(|r| last == 0 || r.number == last + 1) {
+    while let Some(found) = record::read(&bytes[at..]).filter(|r| last == 0 || r.number == last + 1)
+    {
         match found.kind {
             Kind::Complete => complete = true,
             Kind::Kept | Kind::Entry => entries.push(found.payload.to_vec()),
@@ -210,8 +253,8 @@
     if !complete {
         return rotten(at);
     }
-    let later =
-        (at + 1..bytes.len()).any(|from| record::read(&bytes[from..]).is_some_and(|r| r.number > last));
+    let later = (at + 1..bytes.len())
+        .any(|from| record::read(&bytes[from..]).is_some_and(|r| r.number > last));
     match later {
         true => rotten(at),
         false => Ok((entries, last, at as u64)),
--- a/crates/store/src/record.rs
+++ b/crates/store/src/record.rs
@@ -48,7 +48,9 @@
     let length = (payload.len() as u32).to_le_bytes();
     let mut sum = crc32fast::Hasher::new();
     let number = number.to_le_bytes();
-    [&length[..], &number, &[kind as u8], payload].into_iter().for_each(|part| sum.update(part));
+    [&length[..], &number, &[kind as u8], payload]
+        .into_iter()
+        .for_each(|part| sum.update(part));
     out.extend_from_slice(&length);
     out.extend_from_slice(&sum.finalize().to_le_bytes());
     out.extend_from_slice(&number);
@@ -74,5 +76,10 @@
     let mut sum = crc32fast::Hasher::new();
     sum.update(&bytes[..4]);
     sum.update(&bytes[8..FRAME + length]);
-    (sum.finalize() == stated).then_some(Record { number, kind, payload, size: FRAME + length })
+    (sum.finalize() == stated).then_some(Record {
+        number,
+        kind,
+        payload,
+        size: FRAME + length,
+    })
 }
--- a/crates/store/src/sim.rs
+++ b/crates/store/src/sim.rs
@@ -63,11 +63,23 @@
                 true => f.now[..f.kept.len() + (f.now.len() - f.kept.len()) * part / 256].to_vec(),
                 false => f.kept.clone(),
             };
-            File { now: kept.clone(), kept }
+            File {
+                now: kept.clone(),
+                kept,
+            }
         });
-        let names = if new_names { plate.names.clone() } else { plate.kept_names.clone() };
+        let names = if new_names {
+            plate.names.clone()
+        } else {
+            plate.kept_names.clone()
+        };
         let files = files.collect();
-        SimDisk(Rc::new(RefCell::new(Plate { kept_names: names.clone(), names, files, ..Plate::default() })))
+        SimDisk(Rc::new(RefCell::new(Plate {
+            kept_names: names.clone(),
+            names,
+            files,
+            ..Plate::default()
+        })))
     }
     /// A copy as it is now, to be put back later.
     pub fn copy(&self) -> SimDisk {
@@ -93,7 +105,11 @@
     }
     fn at<T>(&self, name: &str, act: impl FnOnce(&mut File) -> T) -> io::Result<T> {
         let mut plate = self.0.borrow_mut();
-        let file = plate.names.get(name).copied().ok_or(io::ErrorKind::NotFound)?;
+        let file = plate
+            .names
+            .get(name)
+            .copied()
+            .ok_or(io::ErrorKind::NotFound)?;
         Ok(act(&mut plate.files[file]))
     }
 }
@@ -154,7 +170,11 @@
     fn remove(&mut self, name: &str) -> io::Result<()> {
         self.step()?;
         let mut plate = self.0.borrow_mut();
-        plate.names.remove(name).map(drop).ok_or(io::ErrorKind::NotFound.into())
+        plate
+            .names
+            .remove(name)
+            .map(drop)
+            .ok_or(io::ErrorKind::NotFound.into())
     }
     fn sync_names(&mut self) -> io::Result<()> {
         self.step()?;
--- a/crates/store/src/troubled.rs
+++ b/crates/store/src/troubled.rs
@@ -19,11 +19,18 @@
 impl Troubled {
     /// A folder under these orders.
     pub fn new(files: Files, orders: Option<PathBuf>) -> Troubled {
-        Troubled { files, orders, kept: BTreeMap::new() }
+        Troubled {
+            files,
+            orders,
+            kept: BTreeMap::new(),
+        }
     }
 
     fn ordered(&self, what: &str) -> bool {
-        let orders = self.orders.as_ref().and_then(|path| std::fs::read_to_string(path).ok());
+        let orders = self
+            .orders
+            .as_ref()
+            .and_then(|path| std::fs::read_to_string(path).ok());
         orders.is_some_and(|text| text.trim() == what)
     }
 }
@@ -41,7 +48,8 @@
     }
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
         if self.orders.is_some() && !self.kept.contains_key(name) {
-            self.kept.insert(name.to_string(), self.files.read(name)?.len() as u64);
+            self.kept
+                .insert(name.to_string(), self.files.read(name)?.len() as u64);
         }
         if self.ordered("full") {
             self.files.append(name, &bytes[..bytes.len() / 2])?;
@@ -61,7 +69,8 @@
         }
         self.files.sync(name)?;
         if self.orders.is_some() {
-            self.kept.insert(name.to_string(), self.files.read(name)?.len() as u64);
+            self.kept
+                .insert(name.to_string(), self.files.read(name)?.len() as u64);
         }
         Ok(())
     }
--- a/crates/store/tests/log.rs
+++ b/crates/store/tests/log.rs
@@ -18,7 +18,11 @@
 }
 
 fn live(disk: &SimDisk) -> String {
-    disk.names().unwrap().into_iter().find(|n| n.ends_with(".log")).unwrap()
+    disk.names()
+        .unwrap()
+        .into_iter()
+        .find(|n| n.ends_with(".log"))
+        .unwrap()
 }
 
 #[test]
@@ -32,7 +36,11 @@
         match Log::open(torn) {
             Ok((_, found)) => {
                 let sound = (length - first) / (17 + record(0).len());
-                assert_eq!(found, (0..sound as u64).map(record).collect::<Vec<_>>(), "{length}");
+                assert_eq!(
+                    found,
+                    (0..sound as u64).map(record).collect::<Vec<_>>(),
+                    "{length}"
+                );
             }
             Err(Fault::Rotten { .. }) => assert!(length < first, "{length}"),
             Err(other) => panic!("{length}: {other}"),
@@ -91,7 +99,10 @@
     let file = live(&disk);
     disk.spoil(&file, |bytes| bytes[7] = 9);
     let error = Log::open(disk).err().unwrap().to_string();
-    assert!(error.contains(&file) && error.contains("format 9"), "{error}");
+    assert!(
+        error.contains(&file) && error.contains("format 9"),
+        "{error}"
+    );
 }
 
 /// The power goes at every single operation of two compactions in a row, with every outcome of unsynced names.
@@ -100,7 +111,13 @@
     let kept = vec![b"kept 1".to_vec(), b"kept 2".to_vec()];
     let again = vec![b"kept 3".to_vec()];
     for step in 0..40 {
-        for (part, new_names) in [(0, false), (0, true), (100, true), (256, true), (256, false)] {
+        for (part, new_names) in [
+            (0, false),
+            (0, true),
+            (100, true),
+            (256, true),
+            (256, false),
+        ] {
             let disk = filled(3);
             let (mut log, before) = Log::open(disk.clone()).unwrap();
             disk.die_at(Some(step));
@@ -121,7 +138,10 @@
 fn two_processes_can_not_have_one_folder() {
     let folder = std::env::temp_dir().join(format!("poppykeel-store-{}", std::process::id()));
     let files = Files::open(&folder).unwrap();
-    assert_eq!(Files::open(&folder).err().unwrap().kind(), std::io::ErrorKind::WouldBlock);
+    assert_eq!(
+        Files::open(&folder).err().unwrap().kind(),
+        std::io::ErrorKind::WouldBlock
+    );
     let (mut log, _) = Log::open(files).unwrap();
     log.append(b"one").unwrap();
     log.sync().unwrap();
--- a/crates/streams/src/health.rs
+++ b/crates/streams/src/health.rs
@@ -35,7 +35,12 @@
 
 impl Default for Limits {
     fn default() -> Self {
-        Limits { least: 3_000_000, most: 4_600_000, aims: 30.0, gaps: 1.5 }
+        Limits {
+            least: 3_000_000,
+            most: 4_600_000,
+            aims: 30.0,
+            gaps: 1.5,
+        }
     }
 }
 
@@ -61,7 +66,10 @@
 
 impl Default for Gaps {
     fn default() -> Self {
-        Gaps { steps: [0.0; STEPS], total: 0.0 }
+        Gaps {
+            steps: [0.0; STEPS],
+            total: 0.0,
+        }
     }
 }
 
@@ -74,11 +82,16 @@
     /// A stream was given up in the middle of a gap. One such says as much as many short gaps: it cost a stream.
     pub fn gave_up(&mut self, gap: Micros) {
         // The gap would have been longer, by how much is not known.
-        self.weigh((gap as f64 * STEP) as Micros, 1.0 + self.total * 2.0 * (1.0 - PART));
+        self.weigh(
+            (gap as f64 * STEP) as Micros,
+            1.0 + self.total * 2.0 * (1.0 - PART),
+        );
     }
 
     fn weigh(&mut self, gap: Micros, weight: f64) {
-        let step = ((gap.max(1) as f64 / FIRST).ln() / STEP.ln()).ceil().max(0.0) as usize;
+        let step = ((gap.max(1) as f64 / FIRST).ln() / STEP.ln())
+            .ceil()
+            .max(0.0) as usize;
         self.steps[step.min(STEPS - 1)] += weight as f32;
         self.total += weight;
         if self.total > MEMORY {
@@ -128,7 +141,14 @@
 impl Health {
     /// A stream whose first event has come. `limit` is how long a silence may last, `usual` the replica's long gap.
     pub fn new(now: Micros, limit: Micros, usual: Option<Micros>) -> Self {
-        Health { last: now, limit, usual, waits: None, slow: false, end: None }
+        Health {
+            last: now,
+            limit,
+            usual,
+            waits: None,
+            slow: false,
+            end: None,
+        }
     }
 
     /// An event, or part of one, has come; returned is the gap before it, unless that was the reader's.
@@ -136,7 +156,10 @@
         let gap = now.saturating_sub(self.last);
         self.last = self.last.max(now);
         self.slow = self.usual.is_some_and(|usual| gap > usual);
-        self.end.is_none().then_some(gap).filter(|_| self.waits.is_none())
+        self.end
+            .is_none()
+            .then_some(gap)
+            .filter(|_| self.waits.is_none())
     }
 
     /// The reader takes nothing: from here on silence is the node's own.
@@ -154,7 +177,8 @@
 
     /// The upstream has ended it, whole or not.
     pub fn ended(&mut self, whole: bool) {
-        self.end.get_or_insert(if whole { State::Whole } else { State::Broken });
+        self.end
+            .get_or_insert(if whole { State::Whole } else { State::Broken });
     }
 
     /// When it will be stalled if nothing comes; never while the reader is waited for, nor after its end.
--- a/crates/streams/src/recovery.rs
+++ b/crates/streams/src/recovery.rs
@@ -79,7 +79,12 @@
 
 impl Default for Budget {
     fn default() -> Self {
-        Budget { tries: 2, share: 0.1, free: 3, window: 30_000_000 }
+        Budget {
+            tries: 2,
+            share: 0.1,
+            free: 3,
+            window: 30_000_000,
+        }
     }
 }
 
@@ -95,7 +100,11 @@
     fn slice(&mut self, now: Micros, budget: &Budget) -> &mut (Micros, u64, u64) {
         let width = (budget.window / SLICES).max(1);
         let begin = now / width * width;
-        while self.slices.front().is_some_and(|s| now.saturating_sub(s.0) >= budget.window) {
+        while self
+            .slices
+            .front()
+            .is_some_and(|s| now.saturating_sub(s.0) >= budget.window)
+        {
             self.slices.pop_front();
         }
         if self.slices.back().is_none_or(|s| s.0 < begin) {
@@ -113,7 +122,10 @@
     /// Takes one continuation from the budget, where there is one left.
     pub fn take(&mut self, now: Micros, budget: &Budget) -> bool {
         self.slice(now, budget);
-        let (begun, taken) = self.slices.iter().fold((0, 0), |sum, s| (sum.0 + s.1, sum.1 + s.2));
+        let (begun, taken) = self
+            .slices
+            .iter()
+            .fold((0, 0), |sum, s| (sum.0 + s.1, sum.1 + s.2));
         let most = (begun as f64 * budget.share).max(f64::from(budget.free));
         if taken as f64 + 1.0 > most {
             return false;
--- a/crates/streams/src/story.rs
+++ b/crates/streams/src/story.rs
@@ -180,7 +180,11 @@
     /// Takes note of what a chunk holds.
     fn read(&mut self, chunk: &Value) {
         if self.head.is_none() {
-            self.head = Some((chunk["id"].clone(), chunk["created"].clone(), chunk["model"].clone()));
+            self.head = Some((
+                chunk["id"].clone(),
+                chunk["created"].clone(),
+                chunk["model"].clone(),
+            ));
         }
         if chunk.get("error").is_some() {
             self.closed.get_or_insert("the answer holds an error");
@@ -190,13 +194,19 @@
             if choice["index"].as_u64().unwrap_or(0) != 0 {
                 self.closed.get_or_insert("there are several choices");
             }
-            if !choice["delta"]["tool_calls"].is_null() || !choice["delta"]["function_call"].is_null() {
+            if !choice["delta"]["tool_calls"].is_null()
+                || !choice["delta"]["function_call"].is_null()
+            {
                 self.closed.get_or_insert("a tool is being called");
             }
             if !choice["logprobs"].is_null() {
-                self.closed.get_or_insert("there are probabilities of tokens");
+                self.closed
+                    .get_or_insert("there are probabilities of tokens");
             }
-            if let Some(text) = choice["delta"]["content"].as_str().filter(|t| !t.is_empty()) {
+            if let Some(text) = choice["delta"]["content"]
+                .as_str()
+                .filter(|t| !t.is_empty())
+            {
                 self.text.push_str(text);
                 self.tokens += 1;
             }
@@ -224,15 +234,19 @@
         for choice in chunk["choices"].as_array_mut().into_iter().flatten() {
             if let Some(delta) = choice["delta"].as_object_mut() {
                 delta.remove("role");
-                if delta.get("content").is_some_and(|c| c.as_str().is_some_and(str::is_empty)) {
+                if delta
+                    .get("content")
+                    .is_some_and(|c| c.as_str().is_some_and(str::is_empty))
+                {
                     delta.remove("content");
                 }
             }
         }
         if let Some(usage) = chunk["usage"].as_object_mut() {
             // What came before was read as a part of the prompt there, and is a part of the answer here.
-            let number =
-                |usage: &serde_json::Map<String, Value>, key: &str| usage.get(key).and_then(Value::as_u64);
+            let number = |usage: &serde_json::Map<String, Value>, key: &str| {
+                usage.get(key).and_then(Value::as_u64)
+            };
             let prompt = number(usage, "prompt_tokens").map(|p| p.saturating_sub(self.before));
             let answer = number(usage, "completion_tokens").map(|c| c + self.before);
             if let (Some(prompt), Some(answer)) = (prompt, answer) {
@@ -253,7 +267,8 @@
     /// Whether all of the text has been passed: its finish reason has, or all of the limit of this request.
     pub fn complete(&self, body: &[u8]) -> bool {
         let spent = || serde_json::from_slice(body).is_ok_and(|request| self.spent(&request));
-        self.closed.is_none() && (self.progress >= Progress::Finished || (self.tokens > 0 && spent()))
+        self.closed.is_none()
+            && (self.progress >= Progress::Finished || (self.tokens > 0 && spent()))
     }
 
     /// The framing that a complete text lacks. A count of tokens is not made up.
@@ -277,14 +292,17 @@
         if let Some(why) = self.closed {
             return Err(why);
         }
-        let mut request: Value = serde_json::from_slice(body).map_err(|_| "the request is not JSON")?;
+        let mut request: Value =
+            serde_json::from_slice(body).map_err(|_| "the request is not JSON")?;
         if request["stream"] != json!(true) {
             return Err("the request did not ask for a stream");
         }
         if request["n"].as_u64().unwrap_or(1) != 1 {
             return Err("several choices were asked for");
         }
-        let messages = request["messages"].as_array_mut().ok_or("the request has no messages")?;
+        let messages = request["messages"]
+            .as_array_mut()
+            .ok_or("the request has no messages")?;
         if messages.last().is_some_and(|m| m["role"] == "assistant") {
             return Err("the request itself continues an answer");
         }
@@ -309,7 +327,9 @@
         if *byte != b'\n' {
             continue;
         }
-        let text = bytes[line..at].strip_suffix(b"\r").unwrap_or(&bytes[line..at]);
+        let text = bytes[line..at]
+            .strip_suffix(b"\r")
+            .unwrap_or(&bytes[line..at]);
         line = at + 1;
         if text.is_empty() {
             return Some(line);
--- a/src/bin/poppykeel-simhost.rs
+++ b/src/bin/poppykeel-simhost.rs
@@ -39,7 +39,11 @@
         };
         if self.filling.1 > 0 {
             let Line::Entry(row) = line else {
-                return Err(format!("{}: expected {} more worker lines", name(text), self.filling.1));
+                return Err(format!(
+                    "{}: expected {} more worker lines",
+                    name(text),
+                    self.filling.1
+                ));
             };
             self.filling.1 -= 1;
             self.catalogs.entry(self.filling.0).or_default().push(row);
@@ -58,21 +62,24 @@
             }
             Line::For(who, mut values) if values.message() == "spawn" => {
                 let (seed, boot) = values.boot().map_err(|e| e.to_string())?;
-                let brain = Brain::new(boot.settings.clone(), seed).map_err(|e| format!("spawn: {e}"))?;
+                let brain =
+                    Brain::new(boot.settings.clone(), seed).map_err(|e| format!("spawn: {e}"))?;
                 self.instances.insert(who, Instance { brain, boot });
             }
             Line::For(who, values) => {
                 let message = values.message();
                 let instance = self.instances.get_mut(&who);
-                let instance =
-                    instance.ok_or_else(|| format!("{message}: expected a known instance, not {who}"))?;
+                let instance = instance
+                    .ok_or_else(|| format!("{message}: expected a known instance, not {who}"))?;
                 let event = match values.told(&instance.boot).map_err(|e| e.to_string())? {
                     Told::Event(event) => event,
                     Told::List { catalog, full } => {
                         let rows = self.catalogs.get(&catalog);
-                        let rows = rows
-                            .ok_or_else(|| format!("{message}: expected a known catalog, not {catalog}"))?;
-                        let list = wire::listings(rows, &instance.boot).map_err(|e| e.to_string())?;
+                        let rows = rows.ok_or_else(|| {
+                            format!("{message}: expected a known catalog, not {catalog}")
+                        })?;
+                        let list =
+                            wire::listings(rows, &instance.boot).map_err(|e| e.to_string())?;
                         if full {
                             Event::ListFull(list)
                         } else {
@@ -106,19 +113,25 @@
     loop {
         text.clear();
         number += 1;
-        let length = input.read_until(b'\n', &mut text).map_err(|e| format!("line {number}: {e}"))?;
+        let length = input
+            .read_until(b'\n', &mut text)
+            .map_err(|e| format!("line {number}: {e}"))?;
         if length == 0 {
             return match host.now {
                 None => Ok(()),
                 Some(_) => Err(format!("line {number}: end of input: expected eob")),
             };
         }
-        let line = std::str::from_utf8(&text).map_err(|_| format!("line {number}: expected UTF-8 text"))?;
-        let complete =
-            host.take(line.trim_end_matches(['\n', '\r'])).map_err(|e| format!("line {number}: {e}"))?;
+        let line = std::str::from_utf8(&text)
+            .map_err(|_| format!("line {number}: expected UTF-8 text"))?;
+        let complete = host
+            .take(line.trim_end_matches(['\n', '\r']))
+            .map_err(|e| format!("line {number}: {e}"))?;
         if complete {
             host.reply.push_str("done\n");
-            let sent = output.write_all(host.reply.as_bytes()).and_then(|()| output.flush());
+            let sent = output
+                .write_all(host.reply.as_bytes())
+                .and_then(|()| output.flush());
             sent.map_err(|e| format!("standard output: {e}"))?;
             host.reply.clear();
         }
--- a/src/brain.rs
+++ b/src/brain.rs
@@ -72,24 +72,39 @@
     /// Takes one event and appends the actions it calls for. Events about something unknown are passed over;
     /// so are all but the first event of a request id. A time before the last one counts as the last one.
     pub fn handle(&mut self, now: Seconds, event: Event, out: &mut Vec<Action>) {
-        self.now = if now.is_finite() { self.now.max(now) } else { self.now };
+        self.now = if now.is_finite() {
+            self.now.max(now)
+        } else {
+            self.now
+        };
         if !self.started {
             self.started = true;
             out.push(Action::Wake { after: TICK });
             // Routers that start together must not ask together: the list is one slow service for all.
-            self.ask_at =
-                Some(self.now + self.place() * (self.settings.rules.ask_every / 4.0).min(LIST_SPREAD));
+            self.ask_at = Some(
+                self.now + self.place() * (self.settings.rules.ask_every / 4.0).min(LIST_SPREAD),
+            );
         }
         match event {
             Event::ListFull(list) => self.relist(list, true),
             Event::ListChanged(list) => self.relist(list, false),
-            Event::ListFailed => self.ask_at = Some(self.now + LIST_RETRY * (0.1 + 0.9 * self.place())),
+            Event::ListFailed => {
+                self.ask_at = Some(self.now + LIST_RETRY * (0.1 + 0.9 * self.place()))
+            }
             Event::Arrived(arrival) if self.requests.contains_key(&arrival.id) => {}
             Event::Arrived(arrival) => self.arrive(arrival, out),
-            Event::Started { request, attempt, elapsed } => self.first_token(request, attempt, elapsed, out),
+            Event::Started {
+                request,
+                attempt,
+                elapsed,
+            } => self.first_token(request, attempt, elapsed, out),
             Event::Ended { .. } => self.ended(event, out),
             Event::ClientGone(id) => self.close(id, out),
-            Event::Probed { replica, outcome, report } => {
+            Event::Probed {
+                replica,
+                outcome,
+                report,
+            } => {
                 if outcome == Outcome::Served {
                     self.alive(replica, false);
                 }
@@ -99,10 +114,15 @@
                     self.unpark();
                 }
             }
-            Event::Advised { replica, well: true } => self.alive(replica, true),
+            Event::Advised {
+                replica,
+                well: true,
+            } => self.alive(replica, true),
             Event::Advised { replica, .. } => {
                 let until = self.now + PAUSE;
-                self.replicas.entry(replica).and_modify(|r| r.paused_until = r.paused_until.max(until));
+                self.replicas
+                    .entry(replica)
+                    .and_modify(|r| r.paused_until = r.paused_until.max(until));
             }
             Event::Woke => self.tick(out),
         }
@@ -113,12 +133,20 @@
     /// for, and a replica that says it is idle has room beside the pool, which is too coarse.
     fn relist(&mut self, list: Vec<Listing>, full: bool) {
         if full {
-            self.replicas.values_mut().for_each(|r| (r.up, r.gone) = (false, true));
+            self.replicas
+                .values_mut()
+                .for_each(|r| (r.up, r.gone) = (false, true));
         }
         for entry in list {
             let cold = self.settings.rules.cold;
-            let born = entry.born.filter(|b| self.now - b < cold).map(|b| b.min(self.now));
-            let r = self.replicas.entry(entry.id).or_insert_with(|| Replica::new(entry.id));
+            let born = entry
+                .born
+                .filter(|b| self.now - b < cold)
+                .map(|b| b.min(self.now));
+            let r = self
+                .replicas
+                .entry(entry.id)
+                .or_insert_with(|| Replica::new(entry.id));
             r.listed(&entry);
             if born.is_some() && born > r.cold_since {
                 // Rule 4: all routers hear of a start at once; first sends at once pushed it over.
@@ -127,39 +155,71 @@
         }
         // Replicas are replaced all day long: what has gone and owes nothing must not stay behind.
         self.replicas.retain(|_, r| !r.gone || r.in_flight > 0);
-        self.pool.most_up = self.pool.most_up.max(self.replicas.values().filter(|r| r.up).count());
+        self.pool.most_up = self
+            .pool
+            .most_up
+            .max(self.replicas.values().filter(|r| r.up).count());
         self.pool.rare = (self.settings.routers as f64 / self.pool.most_up.max(1) as f64).max(1.0);
         self.resize();
     }
 
     /// The pool follows the warm replicas at once: a router that sends little would learn it too late.
     fn resize(&mut self) {
-        let warm = self.replicas.values().filter(|r| r.up && !self.cold(r)).count();
-        self.pool.resize(warm, FIRST_POOL / self.settings.routers as f64);
+        let warm = self
+            .replicas
+            .values()
+            .filter(|r| r.up && !self.cold(r))
+            .count();
+        self.pool
+            .resize(warm, FIRST_POOL / self.settings.routers as f64);
     }
 
     fn arrive(&mut self, arrival: Arrival, out: &mut Vec<Action>) {
         let id = arrival.id;
         let Some(class) = self.settings.classes.get(arrival.class) else {
-            return out.push(Action::Refuse { request: id, retry_after: 0.0 });
+            return out.push(Action::Refuse {
+                request: id,
+                retry_after: 0.0,
+            });
         };
         let time_left = self.time_left(&arrival);
         let (aim, deadline) = (class.aim_of(&arrival), self.now + time_left);
-        let useful_until = if class.late_worth > 0.0 { deadline } else { deadline.min(self.now + aim) };
+        let useful_until = if class.late_worth > 0.0 {
+            deadline
+        } else {
+            deadline.min(self.now + aim)
+        };
         let (worth, tenant) = (class.worth, arrival.tenant.min(self.allowances.len() - 1));
         // Departure: what a tenant sends beyond its share waits in the tier of what that is worth.
-        let worth = if self.within_share(tenant) { worth } else { worth * self.settings.over_share_worth };
+        let worth = if self.within_share(tenant) {
+            worth
+        } else {
+            worth * self.settings.over_share_worth
+        };
         let tier = self.backlog.tier_of(worth);
         let cost = (arrival.prompt_tokens + arrival.answer_limit).max(1) as f64;
         let cost = self.count_arrival(&arrival, cost);
         let key = (micros(deadline), self.arrivals);
-        let arrival = Arrival { tenant, time_left, ..arrival };
+        let arrival = Arrival {
+            tenant,
+            time_left,
+            ..arrival
+        };
         let request = Request::new(arrival, key, tier, cost, aim, deadline, useful_until);
         if !self.any_room(request.tier) {
             let wait = self.backlog_wait(&request);
-            if wait > if self.now + aim < deadline { aim } else { time_left } {
+            if wait
+                > if self.now + aim < deadline {
+                    aim
+                } else {
+                    time_left
+                }
+            {
                 let retry_after = wait.min(self.settings.limits.max_retry_after);
-                return out.push(Action::Refuse { request: id, retry_after });
+                return out.push(Action::Refuse {
+                    request: id,
+                    retry_after,
+                });
             }
         }
         let asked = time_left > 2.0 * TICK && self.ask_reports(&request.arrival, out);
@@ -169,7 +229,10 @@
             false => self.hold(id, true),
         }
         self.release(out);
-        let unsent = self.requests.get(&id).is_some_and(|r| r.attempts.is_empty());
+        let unsent = self
+            .requests
+            .get(&id)
+            .is_some_and(|r| r.attempts.is_empty());
         if unsent && time_left <= EXPIRY_MARGIN + TICK {
             // Less than a tick is left: the next look at the held requests would find it lost.
             self.answer(id, out);
@@ -203,10 +266,17 @@
 
     /// How long round robin would take to come to this request: what it releases first over its rate.
     fn backlog_wait(&self, request: &Request) -> Seconds {
-        let higher = self.backlog.tiers[..request.tier].iter().map(Tier::cost).sum::<f64>();
+        let higher = self.backlog.tiers[..request.tier]
+            .iter()
+            .map(Tier::cost)
+            .sum::<f64>();
         let queues = &self.backlog.tiers[request.tier].queues;
         let own = queues[request.arrival.tenant].cost;
-        let others = queues.iter().map(|q| q.cost.min(own + request.cost)).sum::<f64>() - own;
+        let others = queues
+            .iter()
+            .map(|q| q.cost.min(own + request.cost))
+            .sum::<f64>()
+            - own;
         let floor = self.pool.size * self.learned.quantum / self.learned.hold_time;
         (higher + own + others) / self.learned.released.get(self.now).max(floor)
     }
@@ -233,7 +303,13 @@
     }
 
     fn release(&mut self, out: &mut Vec<Action>) {
-        while self.backlog.tiers.iter().position(|t| !t.turn.is_empty()).is_some_and(|t| self.any_room(t)) {
+        while self
+            .backlog
+            .tiers
+            .iter()
+            .position(|t| !t.turn.is_empty())
+            .is_some_and(|t| self.any_room(t))
+        {
             let Some(id) = self.next_held() else { return };
             match self.draw(id) {
                 Some(attempt) => self.send(id, attempt, out),
@@ -256,13 +332,22 @@
         let idle = self.pool.rare > 1.0
             && self.now < r.reported_at + PROBE_EVERY
             && self.tokens_waiting(r) < BASE_TOKENS;
-        let allowed = if self.cold(r) { r.cold_credit > 0.0 } else { pooled || idle };
-        let window = (WINDOW_PARTS * self.pool.size / self.pool.warm.max(1) as f64).max(LEAST_WINDOW);
+        let allowed = if self.cold(r) {
+            r.cold_credit > 0.0
+        } else {
+            pooled || idle
+        };
+        let window =
+            (WINDOW_PARTS * self.pool.size / self.pool.warm.max(1) as f64).max(LEAST_WINDOW);
         r.up && open && allowed && (r.in_flight as f64) < window.floor()
     }
 
     fn pool_free(&self, tier: usize) -> bool {
-        let part = if self.backlog.tiers[tier].spare { SPARE_PART } else { 1.0 };
+        let part = if self.backlog.tiers[tier].spare {
+            SPARE_PART
+        } else {
+            1.0
+        };
         (self.pool_in_flight() as f64) < (self.pool.size * part).max(1.0)
     }
 
@@ -273,13 +358,23 @@
 
     /// The first in a session's order of the replicas that will do: where crossing zones has a price, the
     /// first of the own zone and one beyond, since a zone may have more traffic than its replicas can carry.
-    fn order(&self, arrival: &Arrival, will_do: impl Fn(&ReplicaId, &Replica) -> bool) -> Vec<ReplicaId> {
+    fn order(
+        &self,
+        arrival: &Arrival,
+        will_do: impl Fn(&ReplicaId, &Replica) -> bool,
+    ) -> Vec<ReplicaId> {
         let session = arrival.session.unwrap_or(arrival.id.0);
-        let near = |r: &Replica| r.zone == self.settings.zone || self.settings.prices.cross_zone <= 0.0;
+        let near =
+            |r: &Replica| r.zone == self.settings.zone || self.settings.prices.cross_zone <= 0.0;
         let fit = self.replicas.iter().filter(|(id, r)| will_do(id, r));
-        let mut order: Vec<_> = fit.map(|(id, r)| (!near(r), self.rank(session, r), *id)).collect();
+        let mut order: Vec<_> = fit
+            .map(|(id, r)| (!near(r), self.rank(session, r), *id))
+            .collect();
         order.sort_unstable();
-        let beyond = order.iter().position(|place| place.0).filter(|at| *at > ASKED);
+        let beyond = order
+            .iter()
+            .position(|place| place.0)
+            .filter(|at| *at > ASKED);
         beyond.into_iter().for_each(|at| order.swap(ASKED, at));
         let most = ASKED + usize::from(order.get(ASKED).is_some_and(|place| place.0));
         order.into_iter().take(most).map(|place| place.2).collect()
@@ -305,28 +400,48 @@
         let pooled = self.pool_free(request.tier);
         // Classes of less than the highest worth leave a part of the fleet's budget of crossings to that.
         let worth = self.settings.classes[request.arrival.class].worth;
-        let reserve = if worth < self.backlog.tiers[0].worth { CROSSINGS_KEPT } else { 0.0 };
+        let reserve = if worth < self.backlog.tiers[0].worth {
+            CROSSINGS_KEPT
+        } else {
+            0.0
+        };
         let cross = self.spending.may(self.now, Spend::Crossings, reserve);
         // Departure: what a session has at its home is read anew elsewhere: no pool binds there.
-        let home = self.homes(&request.arrival).first().copied().filter(|_| self.pool.rare > 1.0);
+        let home = self
+            .homes(&request.arrival)
+            .first()
+            .copied()
+            .filter(|_| self.pool.rare > 1.0);
         let open = |to: &ReplicaId, r: &Replica| {
             let room = self.has_room(r, pooled || home == Some(*to));
             room && self.may_go(request, r) && (cross || r.zone == self.settings.zone)
         };
-        let new =
-            |to: &ReplicaId, r: &Replica| open(to, r) && !request.attempts.iter().any(|a| a.replica == *to);
+        let new = |to: &ReplicaId, r: &Replica| {
+            open(to, r) && !request.attempts.iter().any(|a| a.replica == *to)
+        };
         let fit = |will_do: &dyn Fn(&ReplicaId, &Replica) -> bool| match self.pool.rare > 1.0 {
             true => self.order(&request.arrival, will_do),
-            false => self.replicas.iter().filter(|(to, r)| will_do(to, r)).map(|(to, _)| *to).collect(),
+            false => self
+                .replicas
+                .iter()
+                .filter(|(to, r)| will_do(to, r))
+                .map(|(to, _)| *to)
+                .collect(),
         };
         let mut order = fit(&new);
         if order.is_empty() {
             order = fit(&open);
         }
         let outlook = self.outlook(request);
-        let guesses: Vec<_> = order.iter().map(|to| self.guess(*to, &self.replicas[to], &outlook)).collect();
+        let guesses: Vec<_> = order
+            .iter()
+            .map(|to| self.guess(*to, &self.replicas[to], &outlook))
+            .collect();
         // Against the least cost: else, where all are dear, all weights were nothing and the last was drawn.
-        let least = guesses.iter().map(|guess| guess.1).fold(f64::INFINITY, f64::min);
+        let least = guesses
+            .iter()
+            .map(|guess| guess.1)
+            .fold(f64::INFINITY, f64::min);
         let (mut chosen, mut total) = (None, 0.0);
         for (attempt, cost, free) in guesses {
             let weight = free * ((least - cost) / EVEN).exp();
@@ -344,26 +459,39 @@
 
     /// Rule 2: what may have run goes again only where a repeat does nothing.
     fn may_go(&self, request: &Request, r: &Replica) -> bool {
-        let Some(first) = request.may_have_run() else { return true };
+        let Some(first) = request.may_have_run() else {
+            return true;
+        };
         match self.settings.classes[request.arrival.class].effect {
             Effect::Safe => true,
             Effect::Unsafe => false,
             Effect::Keyed { group, memory } => {
-                let known = self.replicas.get(&first.replica).is_some_and(|f| r.same_group(f, group));
+                let known = self
+                    .replicas
+                    .get(&first.replica)
+                    .is_some_and(|f| r.same_group(f, group));
                 known && self.now < first.sent + memory
             }
         }
     }
 
     fn send(&mut self, id: RequestId, attempt: Attempt, out: &mut Vec<Action>) {
-        let Some(request) = self.requests.get_mut(&id) else { return };
+        let Some(request) = self.requests.get_mut(&id) else {
+            return;
+        };
         let (replica, unread, estimate) = (attempt.replica, attempt.unread, attempt.estimate);
         request.attempts.push(attempt);
-        out.push(Action::Send { request: id, replica, timeout: request.deadline - self.now });
+        out.push(Action::Send {
+            request: id,
+            replica,
+            timeout: request.deadline - self.now,
+        });
         self.learned.released.add(self.now, request.cost);
         self.learned.sent.add(self.now, 1.0);
         self.count_send(id, replica);
-        let Some(r) = self.replicas.get_mut(&replica) else { return };
+        let Some(r) = self.replicas.get_mut(&replica) else {
+            return;
+        };
         r.sent(unread, self.now, OVERDUE * estimate);
         if Self::ejected(r) {
             // Half-open: one trial, then the next pause runs, longer the more streams have broken in a row.
@@ -372,19 +500,36 @@
         }
     }
 
-    fn first_token(&mut self, id: RequestId, attempt: usize, elapsed: Seconds, out: &mut Vec<Action>) {
-        let Some(request) = self.requests.get_mut(&id) else { return };
-        let Some(a) = request.attempts.get_mut(attempt).filter(|a| a.phase == Phase::Waiting) else { return };
+    fn first_token(
+        &mut self,
+        id: RequestId,
+        attempt: usize,
+        elapsed: Seconds,
+        out: &mut Vec<Action>,
+    ) {
+        let Some(request) = self.requests.get_mut(&id) else {
+            return;
+        };
+        let Some(a) = request
+            .attempts
+            .get_mut(attempt)
+            .filter(|a| a.phase == Phase::Waiting)
+        else {
+            return;
+        };
         a.phase = Phase::Streaming;
         let (unread, replica, estimate) = (a.unread, a.replica, a.estimate);
         let late = request.aim * LATE_PART;
         let held = a.sent - request.arrived;
         self.hold(id, false);
         self.call_off(id, out);
-        let Some(r) = self.replicas.get_mut(&replica) else { return };
+        let Some(r) = self.replicas.get_mut(&replica) else {
+            return;
+        };
         r.began(unread, estimate, elapsed);
         self.learned.first += LEARN * (elapsed - self.learned.first);
-        self.learned.pace(r.kind, elapsed.max(0.001) / (unread + BASE_TOKENS));
+        self.learned
+            .pace(r.kind, elapsed.max(0.001) / (unread + BASE_TOKENS));
         // Departure: where replicas are replaced all day nothing is kept and first tokens are late. The pool
         // shrank until requests waited longer here than there, with room everywhere.
         if elapsed > late && elapsed > held {
@@ -396,34 +541,61 @@
     }
 
     fn alive(&mut self, replica: ReplicaId, works: bool) {
-        let Some(r) = self.replicas.get_mut(&replica) else { return };
+        let Some(r) = self.replicas.get_mut(&replica) else {
+            return;
+        };
         // A probe shows that the process runs; whether requests fail there only requests can show.
         (r.life, r.failures) = (self.now, if works { 0 } else { r.failures });
         if let Some(since) = r.silent_since.take() {
             // Rule 4, in spirit: a replica back from silence may have restarted, whatever the list says; one
             // that was only slow has not, and is no less warm for it.
-            let cold = if self.now - since > LONG_SILENCE { Some(self.now) } else { r.cold_since };
+            let cold = if self.now - since > LONG_SILENCE {
+                Some(self.now)
+            } else {
+                r.cold_since
+            };
             r.restart(cold, -self.rng.rand_float());
         }
     }
 
     fn ended(&mut self, event: Event, out: &mut Vec<Action>) {
-        let Event::Ended { request: id, attempt, outcome, last, report } = event else { return };
+        let Event::Ended {
+            request: id,
+            attempt,
+            outcome,
+            last,
+            report,
+        } = event
+        else {
+            return;
+        };
         let found = self.requests.get(&id).and_then(|r| r.attempts.get(attempt));
-        let (sent, streaming) = (found.map(|a| a.sent), found.is_some_and(|a| a.phase == Phase::Streaming));
+        let (sent, streaming) = (
+            found.map(|a| a.sent),
+            found.is_some_and(|a| a.phase == Phase::Streaming),
+        );
         if let Some(sent) = sent.filter(|_| outcome == Outcome::Served) {
             // An answer that does not stream is its own first token: its window would never grow else.
             self.first_token(id, attempt, self.now - sent, out);
         }
         use Outcome::*;
         let may_have_run = !matches!(outcome, Full | ConnectFailed | Moot | Rejected);
-        let ended = self.requests.get_mut(&id).and_then(|r| r.end_attempt(attempt, may_have_run));
-        let Some((replica, sent, unread)) = ended else { return };
+        let ended = self
+            .requests
+            .get_mut(&id)
+            .and_then(|r| r.end_attempt(attempt, may_have_run));
+        let Some((replica, sent, unread)) = ended else {
+            return;
+        };
         self.count_end((id, attempt), replica, unread, report, outcome == Served);
         match outcome {
             Outcome::Served => {
                 if let Some(r) = self.replicas.get_mut(&replica).filter(|r| r.broken > 0) {
-                    r.paused_until = if Self::ejected(r) { self.now } else { r.paused_until };
+                    r.paused_until = if Self::ejected(r) {
+                        self.now
+                    } else {
+                        r.paused_until
+                    };
                     r.broken = 0;
                 }
                 let kind = self.replicas.get(&replica).map_or(0, |r| r.kind);
@@ -444,11 +616,20 @@
                     self.pool.cut(POOL_CUT.powf(self.pool.rare));
                 }
                 if streaming {
-                    let r = self.replicas.get_mut(&replica).filter(|r| sent > r.broke_at);
-                    r.into_iter().for_each(|r| r.stream_broke(self.now, EJECT_AFTER, PAUSE));
+                    let r = self
+                        .replicas
+                        .get_mut(&replica)
+                        .filter(|r| sent > r.broke_at);
+                    r.into_iter()
+                        .for_each(|r| r.stream_broke(self.now, EJECT_AFTER, PAUSE));
                 }
-                let failed = self.replicas.get_mut(&replica).filter(|_| outcome != TimedOut);
-                failed.into_iter().for_each(|r| r.failed(self.now, EJECT_AFTER, PAUSE));
+                let failed = self
+                    .replicas
+                    .get_mut(&replica)
+                    .filter(|_| outcome != TimedOut);
+                failed
+                    .into_iter()
+                    .for_each(|r| r.failed(self.now, EJECT_AFTER, PAUSE));
             }
             Outcome::Rejected => self.alive(replica, false),
             Outcome::Cancelled | Outcome::Moot => {}
@@ -458,7 +639,11 @@
         } else if outcome == Rejected && self.requests.get(&id).is_some_and(|r| !r.ended) {
             out.push(Action::Fail { request: id });
             self.close(id, out);
-        } else if self.requests.get(&id).is_some_and(|r| !r.ended && !r.queued && r.out().next().is_none()) {
+        } else if self
+            .requests
+            .get(&id)
+            .is_some_and(|r| !r.ended && !r.queued && r.out().next().is_none())
+        {
             match self.may_repeat(&self.requests[&id]) && self.spend(Spend::Retries, id) {
                 true => self.hold(id, true),
                 false => self.answer(id, out),
@@ -477,25 +662,44 @@
 
     /// The final answer of this router: a refusal where a retry does no harm, else a failure.
     fn answer(&mut self, id: RequestId, out: &mut Vec<Action>) {
-        let Some(request) = self.requests.get(&id).filter(|r| !r.ended) else { return };
+        let Some(request) = self.requests.get(&id).filter(|r| !r.ended) else {
+            return;
+        };
         let harmless = match self.settings.classes[request.arrival.class].effect {
-            Effect::Safe | Effect::Keyed { group: Group::All, .. } => true,
+            Effect::Safe
+            | Effect::Keyed {
+                group: Group::All, ..
+            } => true,
             _ => request.may_have_run().is_none(),
         };
-        let wait = self.backlog_wait(request).min(self.settings.limits.max_retry_after);
-        let refusal = Action::Refuse { request: id, retry_after: wait };
-        out.push(if harmless { refusal } else { Action::Fail { request: id } });
+        let wait = self
+            .backlog_wait(request)
+            .min(self.settings.limits.max_retry_after);
+        let refusal = Action::Refuse {
+            request: id,
+            retry_after: wait,
+        };
+        out.push(if harmless {
+            refusal
+        } else {
+            Action::Fail { request: id }
+        });
         self.close(id, out);
     }
 
     fn tick(&mut self, out: &mut Vec<Action>) {
         out.push(Action::Wake { after: TICK });
-        if self.settings.discovery == Discovery::Asked && self.ask_at.is_some_and(|at| self.now >= at) {
+        if self.settings.discovery == Discovery::Asked
+            && self.ask_at.is_some_and(|at| self.now >= at)
+        {
             self.ask_at = None;
             out.push(Action::Subscribe);
         }
         self.unpark();
-        while let Some(id) = self.backlog.expired(self.now + EXPIRY_MARGIN.max(self.learned.first)) {
+        while let Some(id) = self
+            .backlog
+            .expired(self.now + EXPIRY_MARGIN.max(self.learned.first))
+        {
             // What cannot have its first token in time only takes room. A copy still out may yet have it.
             self.hold(id, false);
             if self.requests[&id].out().next().is_none() {
@@ -507,7 +711,12 @@
         self.resize();
         // Rule 4: a cold replica gets what a warm one bears, by how warm it must be, and no burst. Among many
         // routers the traffic of one tells little: what all tenants may send says it for the whole fleet.
-        let allowed = self.settings.tenants.iter().map(|t| t.allowance).sum::<f64>();
+        let allowed = self
+            .settings
+            .tenants
+            .iter()
+            .map(|t| t.allowance)
+            .sum::<f64>();
         let rate = match allowed > 0.0 && allowed < NO_ALLOWANCE {
             true => allowed / (self.pool.most_up.max(1) * self.settings.routers) as f64,
             false => self.learned.sent.get(self.now) / self.pool.warm.max(1) as f64,
@@ -517,15 +726,26 @@
         let idle = self.learned.sent.get(self.now) < IDLE_RATE;
         for (id, r) in &mut self.replicas {
             let credit = r.warmth(&self.settings.rules, self.now) * rate * TICK;
-            r.cold_credit =
-                (r.cold_credit + credit).min(credit) - if idle && r.cold_credit > 0.0 { 1.0 } else { 0.0 };
-            if r.silent_since.is_some() && self.settings.limits.probes && r.up && self.now >= r.next_probe {
+            r.cold_credit = (r.cold_credit + credit).min(credit)
+                - if idle && r.cold_credit > 0.0 {
+                    1.0
+                } else {
+                    0.0
+                };
+            if r.silent_since.is_some()
+                && self.settings.limits.probes
+                && r.up
+                && self.now >= r.next_probe
+            {
                 r.next_probe = self.now + PROBE_EVERY;
                 let may = self.spending.take(self.now, Spend::Probes, 0.0);
                 out.extend(may.then_some(Action::Probe { replica: *id }));
             }
         }
-        let unserved = self.requests.iter().filter(|(_, r)| !r.ended && !r.streaming());
+        let unserved = self
+            .requests
+            .iter()
+            .filter(|(_, r)| !r.ended && !r.streaming());
         for id in unserved.map(|r| *r.0).collect::<Vec<_>>() {
             self.look_over(id, out);
         }
@@ -533,7 +753,13 @@
 
     /// A request without a first token: it may be overdue, or held by a replica gone silent.
     fn look_over(&mut self, id: RequestId, out: &mut Vec<Action>) {
-        let Some(request) = self.requests.get(&id).filter(|r| !r.ended && !r.streaming()) else { return };
+        let Some(request) = self
+            .requests
+            .get(&id)
+            .filter(|r| !r.ended && !r.streaming())
+        else {
+            return;
+        };
         if self.now >= request.deadline {
             return self.answer(id, out);
         }
@@ -544,16 +770,23 @@
         let copy = one && request.out().all(overdue) && !self.parked.contains(&id);
         let copy = copy && self.now + self.learned.first < request.useful_until;
         for a in request.out() {
-            let Some(r) = self.replicas.get_mut(&a.replica) else { continue };
+            let Some(r) = self.replicas.get_mut(&a.replica) else {
+                continue;
+            };
             if r.life < a.sent && self.now - a.sent > request.aim && r.silent_since.is_none() {
                 // A silent replica keeps what it holds until the time-out: nothing may follow it there.
                 (r.silent_since, r.next_probe) = (Some(self.now), self.now);
                 // Where probes may, they find it alive again; else a trial request must.
-                r.paused_until = if self.settings.limits.probes { f64::INFINITY } else { self.now + PAUSE };
+                r.paused_until = if self.settings.limits.probes {
+                    f64::INFINITY
+                } else {
+                    self.now + PAUSE
+                };
             }
             stuck &= r.silent_since.is_some();
         }
-        let may = (stuck || copy) && !self.most_ejected && !request.queued && self.may_repeat(request);
+        let may =
+            (stuck || copy) && !self.most_ejected && !request.queued && self.may_repeat(request);
         let part = COPIES * self.learned.sent.get(self.now);
         if may && (stuck || self.copies.take(self.now, part, 1.0 + part)) && self.spend_copy(id) {
             match self.settings.limits.second_copies {
--- a/src/brain/estimate.rs
+++ b/src/brain/estimate.rs
@@ -64,10 +64,21 @@
         let place = a.session.and_then(|s| self.learned.places.get(s));
         // A home that leaves a probe unanswered may have been started anew, and then keeps nothing.
         let silent = |r: &Replica| r.asked && self.now > r.next_probe - PROBE_EVERY + TICK / 2.0;
-        let home = self.homes(a).first().copied().filter(|h| place.is_none() && !silent(&self.replicas[h]));
+        let home = self
+            .homes(a)
+            .first()
+            .copied()
+            .filter(|h| place.is_none() && !silent(&self.replicas[h]));
         let left = (request.useful_until - self.now).max(EXPIRY_MARGIN);
         let (prefix, others) = ((a.prefix_tokens as f64).min(prompt), self.others());
-        Outlook { prompt, prefix, place, home, left, others }
+        Outlook {
+            prompt,
+            prefix,
+            place,
+            home,
+            left,
+            others,
+        }
     }
 
     /// What would be found kept: the turns before where this router sent them, else what homes have shown.
@@ -75,10 +86,14 @@
         let kept = |how: Kept| self.learned.kept[how as usize];
         let opening = o.prefix * kept(Kept::Opening);
         match o.place {
-            Some((at, read)) if at == to => {
-                (opening.max(read.min(o.prompt) * kept(Kept::Turns)), Kept::Turns)
-            }
-            None if o.home == Some(to) => (opening + (o.prompt - o.prefix) * kept(Kept::Home), Kept::Home),
+            Some((at, read)) if at == to => (
+                opening.max(read.min(o.prompt) * kept(Kept::Turns)),
+                Kept::Turns,
+            ),
+            None if o.home == Some(to) => (
+                opening + (o.prompt - o.prefix) * kept(Kept::Home),
+                Kept::Home,
+            ),
             _ => (opening, Kept::Opening),
         }
     }
@@ -92,14 +107,22 @@
         let hold = self.learned.hold_of(r.kind);
         // The others' requests drift from what the last report showed to the mean as answers end.
         let known = (-(self.now - r.reported_at) / hold).exp();
-        let shown = r.holding.map_or(o.others, |(held, own)| (held - own as f64).max(0.0));
+        let shown = r
+            .holding
+            .map_or(o.others, |(held, own)| (held - own as f64).max(0.0));
         let held = r.in_flight as f64 + o.others + (shown - o.others) * known * TRUST;
-        let batch = r.batch.unwrap_or_else(|| self.learned.batch_of(r.kind, FIRST_BATCH));
+        let batch = r
+            .batch
+            .unwrap_or_else(|| self.learned.batch_of(r.kind, FIRST_BATCH));
         // The mean of what is over a full batch, with held normal about its mean (a logistic stands for it).
         let spread = (o.others.max(0.1) * (1.0 - known * known) + HELD_VARIANCE).sqrt() / 1.7;
         let over = ((held + 1.0 - batch) / spread).min(30.0);
         let mut wait = (over.exp().ln_1p() * spread).max(held + 1.0 - batch) * hold / batch;
-        wait += if r.holding.is_none() { r.queued * self.freshness(r) * hold / batch } else { 0.0 };
+        wait += if r.holding.is_none() {
+            r.queued * self.freshness(r) * hold / batch
+        } else {
+            0.0
+        };
         if r.oldest.0 > r.life && self.now > r.oldest.1 {
             wait += SILENCE * (self.now - r.oldest.0).min(LONG_SILENCE);
         }
@@ -108,7 +131,11 @@
         let first = (reading + wait) * tail.exp() + if r.asked { NO_ANSWER } else { 0.0 };
         // The chance to be late, with errors about as large as the estimate.
         let late = first * first / (first * first + o.left * o.left);
-        let crossing = if r.zone == self.settings.zone { 0.0 } else { self.settings.prices.cross_zone };
+        let crossing = if r.zone == self.settings.zone {
+            0.0
+        } else {
+            self.settings.prices.cross_zone
+        };
         // Where reports do not say what a replica holds, half of this guess is believed.
         let sure = if r.holding.is_some() { 1.0 } else { 0.5 };
         let taken = (held / batch * hold / self.learned.hold_time * sure).min(8.0);
--- a/src/brain/ledger.rs
+++ b/src/brain/ledger.rs
@@ -58,12 +58,20 @@
 
     /// For the log: requests that may be out together and are, those held by tenant, replicas in mind.
     pub fn gauges(&self) -> (f64, usize, Vec<usize>, usize) {
-        (self.pool.size, self.pool_in_flight(), self.backlog.waiting(), self.replicas.len())
+        (
+            self.pool.size,
+            self.pool_in_flight(),
+            self.backlog.waiting(),
+            self.replicas.len(),
+        )
     }
 
     /// Replicas listed that get nothing, or trials only.
     pub fn avoided(&self) -> usize {
-        self.replicas.values().filter(|r| !r.gone && (!r.up || Self::ejected(r))).count()
+        self.replicas
+            .values()
+            .filter(|r| !r.gone && (!r.up || Self::ejected(r)))
+            .count()
     }
 
     /// Counts a second copy where they are allowed at all; what is called off is counted as the retry that follows.
@@ -73,10 +81,18 @@
 
     /// Counts a send against the fleet's budgets: what of it a cold replica would get, and a crossing.
     pub(super) fn count_send(&mut self, id: RequestId, to: ReplicaId) {
-        let class = self.requests.get(&id).and_then(|r| self.settings.classes.get(r.arrival.class));
+        let class = self
+            .requests
+            .get(&id)
+            .and_then(|r| self.settings.classes.get(r.arrival.class));
         let worth = class.map_or(0.0, |c| c.worth);
-        self.spending.want(Spend::Cold, 1.0 / self.pool.most_up.max(1) as f64, worth);
-        if self.replicas.get(&to).is_some_and(|r| r.zone != self.settings.zone) {
+        self.spending
+            .want(Spend::Cold, 1.0 / self.pool.most_up.max(1) as f64, worth);
+        if self
+            .replicas
+            .get(&to)
+            .is_some_and(|r| r.zone != self.settings.zone)
+        {
             self.spending.take(self.now, Spend::Crossings, worth);
         }
     }
@@ -85,7 +101,11 @@
     pub(super) fn count_arrival(&mut self, arrival: &Arrival, cost: f64) -> f64 {
         let cost = self.learned.hinted(cost, arrival.expected_work, LEARN);
         if self.arrivals == 0 {
-            self.learned.begin(&self.settings.classes[arrival.class], arrival.answer_limit, cost);
+            self.learned.begin(
+                &self.settings.classes[arrival.class],
+                arrival.answer_limit,
+                cost,
+            );
         }
         self.learned.quantum += (cost - self.learned.quantum) * LEARN;
         self.arrivals += 1;
@@ -105,25 +125,43 @@
         self.take_report(replica, report);
         if let Some(found) = report.and_then(|r| r.kept).filter(|_| served) {
             if let Some(request) = self.requests.get(&id) {
-                self.learned.found(&request.arrival, &request.attempts[attempt], found, LEARN / 2.0);
+                self.learned.found(
+                    &request.arrival,
+                    &request.attempts[attempt],
+                    found,
+                    LEARN / 2.0,
+                );
             }
         }
         if let Some(r) = self.replicas.get_mut(&replica) {
-            (r.in_flight, r.own_unread) = (r.in_flight.saturating_sub(1), (r.own_unread - unread).max(0.0));
+            (r.in_flight, r.own_unread) = (
+                r.in_flight.saturating_sub(1),
+                (r.own_unread - unread).max(0.0),
+            );
         }
     }
 
     /// Calls off what a request still has out, where that is possible.
     pub(super) fn call_off(&mut self, id: RequestId, out: &mut Vec<Action>) {
-        let request = self.requests.get_mut(&id).filter(|_| self.settings.limits.cancel);
+        let request = self
+            .requests
+            .get_mut(&id)
+            .filter(|_| self.settings.limits.cancel);
         let called = request.map(Request::call_off).into_iter().flatten();
-        out.extend(called.map(|attempt| Action::Cancel { request: id, attempt }));
+        out.extend(called.map(|attempt| Action::Cancel {
+            request: id,
+            attempt,
+        }));
     }
 
     /// Takes a unit of a budget of the fleet for a request.
     pub(super) fn spend(&mut self, what: Spend, id: RequestId) -> bool {
-        let class = self.requests.get(&id).and_then(|r| self.settings.classes.get(r.arrival.class));
-        self.spending.take(self.now, what, class.map_or(0.0, |c| c.worth))
+        let class = self
+            .requests
+            .get(&id)
+            .and_then(|r| self.settings.classes.get(r.arrival.class));
+        self.spending
+            .take(self.now, what, class.map_or(0.0, |c| c.worth))
     }
 
     /// What the fleet allows from now on.
@@ -138,16 +176,25 @@
 
     /// Each listed replica: whether it gets trials only, and when its last answer came, if nothing has failed since.
     pub fn standings(&self) -> Vec<(ReplicaId, bool, Option<Seconds>)> {
-        let well = |r: &Replica| Some(r.life).filter(|life| r.failures == 0 && r.broken == 0 && *life > 0.0);
+        let well = |r: &Replica| {
+            Some(r.life).filter(|life| r.failures == 0 && r.broken == 0 && *life > 0.0)
+        };
         let listed = self.replicas.iter().filter(|(_, r)| !r.gone);
-        listed.map(|(id, r)| (*id, Self::ejected(r), well(r))).collect()
+        listed
+            .map(|(id, r)| (*id, Self::ejected(r), well(r)))
+            .collect()
     }
 
     /// Takes new settings, whose classes and tenants keep their places: requests held move to the tier of the worth
     /// they came with, all others keep their class.
     pub fn resettle(&mut self, settings: Settings) -> Result<(), SettingsError> {
         settings.check()?;
-        let held: Vec<RequestId> = self.requests.iter().filter(|r| r.1.queued).map(|r| *r.0).collect();
+        let held: Vec<RequestId> = self
+            .requests
+            .iter()
+            .filter(|r| r.1.queued)
+            .map(|r| *r.0)
+            .collect();
         held.iter().for_each(|id| self.hold(*id, false));
         let old = std::mem::replace(&mut self.backlog, Backlog::new(&settings));
         for request in self.requests.values_mut() {
@@ -169,13 +216,25 @@
             released: l.released.get(self.now),
             sent: l.sent.get(self.now),
             pool_part: self.pool.size / self.pool.warm.max(1) as f64,
-            paces: l.paces.iter().map(|(kind, pace)| (*kind, pace.0, pace.1)).collect(),
+            paces: l
+                .paces
+                .iter()
+                .map(|(kind, pace)| (*kind, pace.0, pace.1))
+                .collect(),
             holds: l.holds.iter().map(|(kind, hold)| (*kind, *hold)).collect(),
-            batches: l.batches.iter().map(|(kind, batch)| (*kind, *batch)).collect(),
+            batches: l
+                .batches
+                .iter()
+                .map(|(kind, batch)| (*kind, *batch))
+                .collect(),
             kept: l.kept,
             tokens_a_second: l.tokens_a_second,
             typical: l.typical,
-            places: l.places.all().map(|(session, at, read)| (session, at.0, read)).collect(),
+            places: l
+                .places
+                .all()
+                .map(|(session, at, read)| (session, at.0, read))
+                .collect(),
         }
     }
 
@@ -192,16 +251,25 @@
         }
         let (l, now) = (&mut self.learned, self.now);
         (l.quantum, l.first, l.hold_time) = (memory.quantum, memory.first, memory.hold_time);
-        (l.kept, l.tokens_a_second, l.typical) = (memory.kept, memory.tokens_a_second, memory.typical);
-        l.paces = memory.paces.iter().map(|(kind, count, mean)| (*kind, (*count, *mean))).collect();
+        (l.kept, l.tokens_a_second, l.typical) =
+            (memory.kept, memory.tokens_a_second, memory.typical);
+        l.paces = memory
+            .paces
+            .iter()
+            .map(|(kind, count, mean)| (*kind, (*count, *mean)))
+            .collect();
         l.holds = memory.holds.iter().copied().collect();
         l.batches = memory.batches.iter().copied().collect();
-        for (rate, learned) in [(&mut l.released, memory.released), (&mut l.sent, memory.sent)] {
+        for (rate, learned) in [
+            (&mut l.released, memory.released),
+            (&mut l.sent, memory.sent),
+        ] {
             (rate.value, rate.at) = (learned, now);
         }
         self.arrivals = memory.arrivals;
         if self.pool.warm > 0 {
-            (self.pool.size, self.pool.fresh) = ((memory.pool_part * self.pool.warm as f64).max(1.0), false);
+            (self.pool.size, self.pool.fresh) =
+                ((memory.pool_part * self.pool.warm as f64).max(1.0), false);
         }
     }
 
@@ -218,7 +286,11 @@
     }
 
     pub(super) fn pool_in_flight(&self) -> usize {
-        self.replicas.values().filter(|r| r.up && !self.cold(r)).map(|r| r.in_flight).sum()
+        self.replicas
+            .values()
+            .filter(|r| r.up && !self.cold(r))
+            .map(|r| r.in_flight)
+            .sum()
     }
 
     /// Requests that all other routers have out at a replica, the mean, if each has as many out as this one.
@@ -234,9 +306,13 @@
             r.take_report(report, self.now);
             match report.queued {
                 Some(queued) if report.holding.is_none() => {
-                    self.learned.queue_shown(r.kind, r.in_flight as f64 + others, queued);
+                    self.learned
+                        .queue_shown(r.kind, r.in_flight as f64 + others, queued);
                 }
-                _ => drop(r.batch.map(|batch| self.learned.batches.insert(r.kind, batch))),
+                _ => drop(
+                    r.batch
+                        .map(|batch| self.learned.batches.insert(r.kind, batch)),
+                ),
             }
             self.learned.typical += LEARN * (r.reported - self.learned.typical);
         }
@@ -258,7 +334,11 @@
     }
 
     pub(super) fn forget(&mut self, id: RequestId) {
-        if self.requests.get(&id).is_some_and(|r| r.ended && r.out().next().is_none()) {
+        if self
+            .requests
+            .get(&id)
+            .is_some_and(|r| r.ended && r.out().next().is_none())
+        {
             self.requests.remove(&id);
         }
     }
--- a/src/brain/shutdown.rs
+++ b/src/brain/shutdown.rs
@@ -8,7 +8,10 @@
     /// by this time. Streams that have begun go on.
     pub fn answer_all_by(&mut self, time: Seconds) {
         self.answer_by = self.answer_by.min(time);
-        let waits = self.requests.iter().filter(|(_, request)| !request.ended && !request.streaming());
+        let waits = self
+            .requests
+            .iter()
+            .filter(|(_, request)| !request.ended && !request.streaming());
         for id in waits.map(|(id, _)| *id).collect::<Vec<_>>() {
             self.shorten(id);
         }
@@ -27,7 +30,11 @@
 
     /// The time in which an arrival needs its first token: its client's patience, within the router's life.
     pub(super) fn time_left(&self, arrival: &Arrival) -> Seconds {
-        let patience = if arrival.time_left.is_finite() { arrival.time_left } else { 0.0 };
+        let patience = if arrival.time_left.is_finite() {
+            arrival.time_left
+        } else {
+            0.0
+        };
         patience.min(self.answer_by - self.now).max(0.0)
     }
 }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -74,8 +74,13 @@
 impl Class {
     /// The aim of one request: the class's, and what it grows by for prompt tokens and expected work.
     pub fn aim_of(&self, arrival: &Arrival) -> Seconds {
-        let work = arrival.expected_work.filter(|w| w.is_finite()).map_or(0.0, |w| w.max(0.0));
-        self.aim + self.aim_per_prompt_token * arrival.prompt_tokens as f64 + self.aim_stretch * work
+        let work = arrival
+            .expected_work
+            .filter(|w| w.is_finite())
+            .map_or(0.0, |w| w.max(0.0));
+        self.aim
+            + self.aim_per_prompt_token * arrival.prompt_tokens as f64
+            + self.aim_stretch * work
     }
 }
 
@@ -303,13 +308,32 @@
 impl Memory {
     /// Whether all figures are such as a router may have learned: what comes from outside may be anything.
     pub fn sane(&self) -> bool {
-        let figures = [self.quantum, self.first, self.hold_time, self.released, self.sent, self.pool_part];
+        let figures = [
+            self.quantum,
+            self.first,
+            self.hold_time,
+            self.released,
+            self.sent,
+            self.pool_part,
+        ];
         let kinds = self.holds.iter().chain(&self.batches).map(|k| k.1);
-        let rest = kinds.chain(self.kept).chain(self.tokens_a_second).chain([self.typical]);
-        let all = figures.into_iter().chain(rest).chain(self.places.iter().map(|p| p.2));
+        let rest = kinds
+            .chain(self.kept)
+            .chain(self.tokens_a_second)
+            .chain([self.typical]);
+        let all = figures
+            .into_iter()
+            .chain(rest)
+            .chain(self.places.iter().map(|p| p.2));
         let sound = |x: f64| (0.0..=1e9).contains(&x);
-        let paces = self.paces.iter().all(|p| sound(p.1) && (-30.0..=30.0).contains(&p.2));
-        paces && all.into_iter().all(sound) && self.hold_time > 0.0 && self.kept.iter().all(|k| *k <= 1.0)
+        let paces = self
+            .paces
+            .iter()
+            .all(|p| sound(p.1) && (-30.0..=30.0).contains(&p.2));
+        paces
+            && all.into_iter().all(sound)
+            && self.hold_time > 0.0
+            && self.kept.iter().all(|k| *k <= 1.0)
     }
 }
 
@@ -426,14 +450,41 @@
             return bad("no classes".into());
         }
         let class_figures = self.classes.iter().flat_map(|c| {
-            let memory = if let Effect::Keyed { memory, .. } = c.effect { memory } else { 0.0 };
-            [c.worth, c.late_worth, c.aim, c.aim_per_prompt_token, c.aim_stretch, memory]
+            let memory = if let Effect::Keyed { memory, .. } = c.effect {
+                memory
+            } else {
+                0.0
+            };
+            [
+                c.worth,
+                c.late_worth,
+                c.aim,
+                c.aim_per_prompt_token,
+                c.aim_stretch,
+                memory,
+            ]
         });
         let tenant_figures = self.tenants.iter().flat_map(|t| [t.share, t.allowance]);
         let (r, p) = (&self.rules, &self.prices);
-        let figures = [r.drain_grace, r.cold_from, r.cold, r.overload_factor, r.fall, r.ask_every];
-        let others = [p.cross_zone, p.probe, p.waste, self.over_share_worth, self.limits.max_retry_after];
-        let mut all = class_figures.chain(tenant_figures).chain(figures).chain(others);
+        let figures = [
+            r.drain_grace,
+            r.cold_from,
+            r.cold,
+            r.overload_factor,
+            r.fall,
+            r.ask_every,
+        ];
+        let others = [
+            p.cross_zone,
+            p.probe,
+            p.waste,
+            self.over_share_worth,
+            self.limits.max_retry_after,
+        ];
+        let mut all = class_figures
+            .chain(tenant_figures)
+            .chain(figures)
+            .chain(others);
         if let Some(x) = all.find(|x| !x.is_finite() || *x < 0.0) {
             return bad(format!("{x} where a finite figure of 0 or more is needed"));
         }
--- a/src/program/config/fleet.rs
+++ b/src/program/config/fleet.rs
@@ -92,9 +92,13 @@
             ("cold", self.cold),
             ("discovery", self.discovery),
         ];
-        let named = named.into_iter().filter_map(|(name, budget)| Some((name.into(), name.into(), budget?)));
+        let named = named
+            .into_iter()
+            .filter_map(|(name, budget)| Some((name.into(), name.into(), budget?)));
         let tenants = self.tenants.iter();
-        named.chain(tenants.map(|(name, b)| (format!("{TENANT}{name}"), format!("tenants.{name}"), *b)))
+        named.chain(
+            tenants.map(|(name, b)| (format!("{TENANT}{name}"), format!("tenants.{name}"), *b)),
+        )
     }
 
     fn wholes(&self) -> BTreeMap<String, Whole> {
@@ -106,7 +110,9 @@
             floor_burst: thousandths(b.floor_burst),
             most_nodes: self.most_nodes,
         };
-        self.all().map(|(name, _, budget)| (name, whole(budget))).collect()
+        self.all()
+            .map(|(name, _, budget)| (name, whole(budget)))
+            .collect()
     }
 
     fn check(&self, drift: u32) -> Result<(), (String, String)> {
@@ -118,14 +124,23 @@
             return bad("share", "expected a time from 200ms to 10m");
         }
         if self.tenants.len() > MOST_TENANTS {
-            return bad("tenants", &format!("expected at most {MOST_TENANTS} tenants with budgets"));
+            return bad(
+                "tenants",
+                &format!("expected at most {MOST_TENANTS} tenants with budgets"),
+            );
         }
         for (_, name, b) in self.all() {
-            for (key, value) in
-                [("rate", b.rate), ("burst", b.burst), ("floor", b.floor), ("floor_burst", b.floor_burst)]
-            {
+            for (key, value) in [
+                ("rate", b.rate),
+                ("burst", b.burst),
+                ("floor", b.floor),
+                ("floor_burst", b.floor_burst),
+            ] {
                 if !(0.0..=1e9).contains(&value) {
-                    return bad(&format!("{name}.{key}"), "expected a number from 0 to 1000000000");
+                    return bad(
+                        &format!("{name}.{key}"),
+                        "expected a number from 0 to 1000000000",
+                    );
                 }
             }
             if b.rate > 0.0 && b.floor_burst < 1.0 {
@@ -185,12 +200,21 @@
             return bad("name", "expected a name of 1 to 64 bytes");
         }
         if self.keepers.len().is_multiple_of(2) || self.keepers.len() > MOST_KEEPERS {
-            return bad("keepers", "expected 1, 3, 5 or 7 nodes with their addresses");
+            return bad(
+                "keepers",
+                "expected 1, 3, 5 or 7 nodes with their addresses",
+            );
         }
-        if let Some(name) =
-            self.keepers.keys().chain(self.seeds.keys()).find(|n| n.is_empty() || n.len() > 64)
+        if let Some(name) = self
+            .keepers
+            .keys()
+            .chain(self.seeds.keys())
+            .find(|n| n.is_empty() || n.len() > 64)
         {
-            return bad("keepers", &format!("expected names of 1 to 64 bytes, not '{name}'"));
+            return bad(
+                "keepers",
+                &format!("expected names of 1 to 64 bytes, not '{name}'"),
+            );
         }
         if !(SHORTEST_LEASE..=LONGEST_LEASE).contains(&self.lease.0) {
             return bad("lease", "expected a time from 100ms to 10m");
@@ -202,7 +226,10 @@
             return bad("probe", "expected a time from 10ms");
         }
         if self.patience.0 == 0 || self.patience.0 > self.lease.0 / 2 {
-            return bad("patience", "expected a time above 0 and at most half of lease");
+            return bad(
+                "patience",
+                "expected a time above 0 and at most half of lease",
+            );
         }
         if let Some(budgets) = &self.budgets {
             budgets.check(self.drift)?;
@@ -220,13 +247,19 @@
     pub fn place(&self, me: &str, tenants: &[String]) -> Result<Place, String> {
         let budgeted = self.budgets.iter().flat_map(|b| b.tenants.keys());
         if let Some(name) = budgeted.into_iter().find(|name| !tenants.contains(name)) {
-            let known = if tenants.is_empty() { "it has none".into() } else { tenants.join(", ") };
+            let known = if tenants.is_empty() {
+                "it has none".into()
+            } else {
+                tenants.join(", ")
+            };
             return Err(format!(
                 "fleet.budgets.tenants.{name}: expected a tenant of the site's settings ({known})"
             ));
         }
         if self.keepers.contains_key(me) && self.folder.is_none() {
-            return Err(format!("fleet.folder: expected a folder, since {me} is one of fleet.keepers"));
+            return Err(format!(
+                "fleet.folder: expected a folder, since {me} is one of fleet.keepers"
+            ));
         }
         let addr = self.advertise.unwrap_or(self.listen);
         Ok(Place {
@@ -247,10 +280,17 @@
             via: self.via.clone(),
             folder: self.folder.clone(),
             budgets: self.budgets.as_ref().map(|b| transport::Budgets {
-                settings: budget::Settings { share: b.share.0, drift: self.drift, wholes: b.wholes() },
+                settings: budget::Settings {
+                    share: b.share.0,
+                    drift: self.drift,
+                    wholes: b.wholes(),
+                },
                 tenants: tenants.to_vec(),
             }),
-            report: self.report.as_ref().map(|r| Report { to: r.to, every: r.every.0 }),
+            report: self.report.as_ref().map(|r| Report {
+                to: r.to,
+                every: r.every.0,
+            }),
         })
     }
 }
--- a/src/program/config/mod.rs
+++ b/src/program/config/mod.rs
@@ -86,7 +86,8 @@
 impl Config {
     /// Reads the configuration. Values in `over` stand in place of the text's.
     pub fn read(text: &str, over: &[(&str, Option<&str>)]) -> Result<Config, String> {
-        let v: Value = serde_json::from_str(text).map_err(|e| format!("config: expected JSON ({e})"))?;
+        let v: Value =
+            serde_json::from_str(text).map_err(|e| format!("config: expected JSON ({e})"))?;
         let text_of = |key: &str| {
             let given = over.iter().find(|o| o.0 == key).and_then(|o| o.1);
             let value = given.or(v[key].as_str()).map(String::from);
@@ -94,20 +95,21 @@
         };
         let addr = |key: &str| {
             let value = text_of(key)?;
-            value.parse().map_err(|_| format!("config: {key}: expected ADDRESS:PORT, not '{value}'"))
+            value
+                .parse()
+                .map_err(|_| format!("config: {key}: expected ADDRESS:PORT, not '{value}'"))
         };
         let limit = |key: &str, absent: u64, least: u64| match &v["limits"][key] {
             Value::Null => Ok(absent),
-            value => value
-                .as_u64()
-                .filter(|n| *n >= least)
-                .ok_or(format!("config: limits.{key}: expected a whole number from {least}")),
+            value => value.as_u64().filter(|n| *n >= least).ok_or(format!(
+                "config: limits.{key}: expected a whole number from {least}"
+            )),
         };
         if !v["settings"].is_object() {
             return Err("config: settings: expected an object".into());
         }
-        let boot =
-            Boot::read(&v["settings"].to_string()).map_err(|e| format!("config: settings: expected {e}"))?;
+        let boot = Boot::read(&v["settings"].to_string())
+            .map_err(|e| format!("config: settings: expected {e}"))?;
         let known = match &v["known"] {
             Value::Null => None,
             known => Some(discovery::read(known).map_err(|e| format!("config: known.{e}"))?),
@@ -119,7 +121,9 @@
         let (dial, idle) = (boot.names.dial_timeout, boot.names.keep_alive);
         for (key, value) in [("dialTimeout", dial), ("keepalive", idle)] {
             if !(0.0..=86_400.0).contains(&value) {
-                return Err(format!("config: settings.limits.{key}: expected seconds, at most a day"));
+                return Err(format!(
+                    "config: settings.limits.{key}: expected seconds, at most a day"
+                ));
             }
         }
         let pushed = boot.settings.discovery == crate::interface::Discovery::Pushed;
@@ -136,10 +140,22 @@
             client_idle: CLIENT_IDLE,
             read: READ,
             probe: PROBE,
-            watch: if pushed { AGENT_WATCH.min(agent) } else { WATCH },
-            watch_slack: if pushed { AGENT_SLACK.min(agent / 2) } else { WATCH_SLACK },
+            watch: if pushed {
+                AGENT_WATCH.min(agent)
+            } else {
+                WATCH
+            },
+            watch_slack: if pushed {
+                AGENT_SLACK.min(agent / 2)
+            } else {
+                WATCH_SLACK
+            },
             retry_watch: if pushed { Duration::ZERO } else { RETRY_WATCH },
-            retry_slack: if pushed { AGENT_SLACK.min(agent / 2) } else { RETRY_SLACK },
+            retry_slack: if pushed {
+                AGENT_SLACK.min(agent / 2)
+            } else {
+                RETRY_SLACK
+            },
             linger: shutdown::ADMISSION,
         };
         Ok(Config {
@@ -180,9 +196,10 @@
                 None => Some(path),
             }
         }),
-        (Value::Array(old), Value::Array(new)) => {
-            new.iter().enumerate().find_map(|(n, entry)| lacking(&format!("{path}.{n}"), old.first()?, entry))
-        }
+        (Value::Array(old), Value::Array(new)) => new
+            .iter()
+            .enumerate()
+            .find_map(|(n, entry)| lacking(&format!("{path}.{n}"), old.first()?, entry)),
         (Value::Object(_) | Value::Array(_), _) => Some(path.to_string()),
         _ => None,
     }
@@ -200,9 +217,18 @@
 impl std::fmt::Display for Config {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         let (s, b) = (&self.boot.settings, &self.bounds);
-        writeln!(f, "name {}, listen {}, discovery {}", self.name, self.listen, self.discovery)?;
+        writeln!(
+            f,
+            "name {}, listen {}, discovery {}",
+            self.name, self.listen, self.discovery
+        )?;
         let known = self.known.as_ref().map_or(0, |k| k.version());
-        writeln!(f, "router {} of {}, list version {known}", s.me + 1, s.routers)?;
+        writeln!(
+            f,
+            "router {} of {}, list version {known}",
+            s.me + 1,
+            s.routers
+        )?;
         write!(
             f,
             "at most {} client connections, {} replica connections, {} bytes of bodies",
