--- a/src/program/config/operator.rs
+++ b/src/program/config/operator.rs
@@ -45,7 +45,10 @@
 impl Handover {
     /// The folder, if there is to be one.
     pub fn folder(&self) -> Option<PathBuf> {
-        let folder = self.folder.clone().or_else(|| std::env::var_os("TMPDIR").map(PathBuf::from));
+        let folder = self
+            .folder
+            .clone()
+            .or_else(|| std::env::var_os("TMPDIR").map(PathBuf::from));
         folder.filter(|folder| !folder.as_os_str().is_empty())
     }
 }
@@ -222,7 +225,10 @@
 
 impl Default for List {
     fn default() -> Self {
-        List { discovery: None, absence: Absent::Removes }
+        List {
+            discovery: None,
+            absence: Absent::Removes,
+        }
     }
 }
 
@@ -286,13 +292,18 @@
         impl Visitor<'_> for Time {
             type Value = Span;
             fn expecting(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-                f.write_str("a time from 0 to a year, in seconds or as text with a unit such as \"250ms\"")
+                f.write_str(
+                    "a time from 0 to a year, in seconds or as text with a unit such as \"250ms\"",
+                )
             }
             fn visit_f64<E: Error>(self, seconds: f64) -> Result<Span, E> {
                 let most = MOST_SPAN as f64 / 1e6;
                 match (0.0..=most).contains(&seconds) {
                     true => Ok(Span((seconds * 1e6).round() as Micros)),
-                    false => Err(E::invalid_value(serde::de::Unexpected::Float(seconds), &self)),
+                    false => Err(E::invalid_value(
+                        serde::de::Unexpected::Float(seconds),
+                        &self,
+                    )),
                 }
             }
             fn visit_i64<E: Error>(self, seconds: i64) -> Result<Span, E> {
@@ -301,7 +312,9 @@
             fn visit_str<E: Error>(self, text: &str) -> Result<Span, E> {
                 let bad = || E::invalid_value(serde::de::Unexpected::Str(text), &self);
                 let span = humantime::parse_duration(text).map_err(|_| bad())?;
-                let span = u64::try_from(span.as_micros()).ok().filter(|s| *s <= MOST_SPAN);
+                let span = u64::try_from(span.as_micros())
+                    .ok()
+                    .filter(|s| *s <= MOST_SPAN);
                 span.map(Span).ok_or_else(bad)
             }
         }
@@ -319,7 +332,11 @@
         })?;
         let operator: Operator = serde_path_to_error::deserialize(source).map_err(|e| {
             let line = e.inner().span().map_or(1, |s| at(s.start + 1));
-            format!("line {line}: {}: {}", e.path(), e.inner().message().replace('\n', " "))
+            format!(
+                "line {line}: {}: {}",
+                e.path(),
+                e.inner().message().replace('\n', " ")
+            )
         })?;
         operator.check().map_err(|(path, what)| {
             let line = locate(text, &path).map_or(1, |offset| at(offset + 1));
@@ -332,12 +349,19 @@
     fn check(&self) -> Result<(), (String, String)> {
         self.check_streams()?;
         self.fleet.as_ref().map_or(Ok(()), Fleet::check)?;
-        let Some(members) = &self.membership else { return Ok(()) };
+        let Some(members) = &self.membership else {
+            return Ok(());
+        };
         let bad = |key: &str, what: &str| Err((format!("membership.{key}"), what.to_string()));
         if members.sources.is_empty() {
             return bad("sources", "expected at least one of \"list\" and \"srv\"");
         }
-        if members.sources.iter().enumerate().any(|(n, s)| members.sources[..n].contains(s)) {
+        if members
+            .sources
+            .iter()
+            .enumerate()
+            .any(|(n, s)| members.sources[..n].contains(s))
+        {
             return bad("sources", "expected each source once");
         }
         if !(0.0..1.0).contains(&members.loss_part) {
@@ -349,13 +373,19 @@
         let listed = members.sources.contains(&Source::Srv);
         let Some(srv) = &members.srv else {
             return match listed {
-                true => bad("sources", "\"srv\" expects a table [membership.srv] with name and servers"),
+                true => bad(
+                    "sources",
+                    "\"srv\" expects a table [membership.srv] with name and servers",
+                ),
                 false => Ok(()),
             };
         };
         if let Some(target) = &srv.target {
             if let Err(e) = Regex::new(target) {
-                return bad("srv.target", &format!("expected a regular expression ({e})"));
+                return bad(
+                    "srv.target",
+                    &format!("expected a regular expression ({e})"),
+                );
             }
         }
         if srv.weight_unit.is_some_and(|u| !(u.is_finite() && u > 0.0)) {
@@ -376,7 +406,10 @@
         let s = &self.streams;
         let bad = |key: &str, what: &str| Err((format!("streams.{key}"), what.to_string()));
         if s.stall_least > s.stall_most || s.stall_least.0 == 0 {
-            return bad("stall_least", "expected a time above 0 and at most stall_most");
+            return bad(
+                "stall_least",
+                "expected a time above 0 and at most stall_most",
+            );
         }
         for (key, value) in [("stall_aims", s.stall_aims), ("stall_gaps", s.stall_gaps)] {
             if !(value.is_finite() && value >= 0.0) {
@@ -398,11 +431,28 @@
     pub fn streams(&self) -> streams::Settings {
         let s = &self.streams;
         let (least, most) = (s.stall_least.0, s.stall_most.0);
-        let limits = Limits { least, most, aims: s.stall_aims, gaps: s.stall_gaps };
-        let budget = Budget { tries: s.tries, share: s.share, free: s.free, window: s.window.0 };
+        let limits = Limits {
+            least,
+            most,
+            aims: s.stall_aims,
+            gaps: s.stall_gaps,
+        };
+        let budget = Budget {
+            tries: s.tries,
+            share: s.share,
+            free: s.free,
+            window: s.window.0,
+        };
         let wait = std::time::Duration::from_micros(s.wait.0);
-        let continues = Continues { budget, replica_share: s.replica_share, wait };
-        streams::Settings { limits, continues: s.continues.then_some(continues) }
+        let continues = Continues {
+            budget,
+            replica_share: s.replica_share,
+            wait,
+        };
+        streams::Settings {
+            limits,
+            continues: s.continues.then_some(continues),
+        }
     }
 
     fn resolver(&self, srv: &Srv) -> Config {
@@ -434,7 +484,10 @@
 
     /// What is looked up in DNS, where anything is.
     pub fn service(&self) -> Option<Service> {
-        let members = self.membership.as_ref().filter(|m| m.sources.contains(&Source::Srv))?;
+        let members = self
+            .membership
+            .as_ref()
+            .filter(|m| m.sources.contains(&Source::Srv))?;
         let srv = members.srv.as_ref()?;
         let naming = Naming {
             pattern: srv.target.as_ref().and_then(|t| Regex::new(t).ok()),
@@ -444,20 +497,31 @@
             kind: srv.kind.clone(),
             drain_priority: srv.drain_priority,
         };
-        Some(Service { resolver: self.resolver(srv), naming })
+        Some(Service {
+            resolver: self.resolver(srv),
+            naming,
+        })
     }
 
     /// Whether discovery is watched.
     pub fn lists(&self) -> bool {
-        self.membership.as_ref().is_none_or(|m| m.sources.contains(&Source::List))
+        self.membership
+            .as_ref()
+            .is_none_or(|m| m.sources.contains(&Source::List))
     }
 
     /// The settings of the account of membership.
     pub fn members(&self) -> Members {
         let Some(members) = &self.membership else {
             let sources = vec![SourceSettings::new(LIST, Kind::Naming)];
-            let settings = Settings { sources, ..Settings::default() };
-            return Members { settings, weight_unit: None };
+            let settings = Settings {
+                sources,
+                ..Settings::default()
+            };
+            return Members {
+                settings,
+                weight_unit: None,
+            };
         };
         let absence = |a: Absent| match a {
             Absent::Removes => Absence::Removes,
@@ -481,18 +545,37 @@
                         most: srv.flap_most.0,
                     });
                     let (name, kind) = (SRV.to_string(), Kind::Addressing);
-                    SourceSettings { name, kind, absence: absence(srv.absence), guard, flaps }
+                    SourceSettings {
+                        name,
+                        kind,
+                        absence: absence(srv.absence),
+                        guard,
+                        flaps,
+                    }
                 }
                 (Source::Srv, None) => continue,
                 (Source::List, _) => {
                     let (name, kind) = (LIST.to_string(), Kind::Naming);
                     let absence = absence(members.list.absence);
-                    SourceSettings { name, kind, absence, guard, flaps: None }
+                    SourceSettings {
+                        name,
+                        kind,
+                        absence,
+                        guard,
+                        flaps: None,
+                    }
                 }
             });
         }
-        let settings = Settings { sources, standby: members.standby, forget: members.forget.0 };
-        Members { settings, weight_unit }
+        let settings = Settings {
+            sources,
+            standby: members.standby,
+            forget: members.forget.0,
+        };
+        Members {
+            settings,
+            weight_unit,
+        }
     }
 }
 
@@ -511,10 +594,16 @@
             )?,
             None => write!(f, "; every loss is believed at once")?,
         }
-        let Some(service) = self.service() else { return Ok(()) };
+        let Some(service) = self.service() else {
+            return Ok(());
+        };
         let r = &service.resolver;
         let (floor, ceiling) = (seconds(r.lifetimes.floor), seconds(r.lifetimes.ceiling));
-        write!(f, "\n{} at {:?}, asked anew every {floor} to {ceiling}", r.name, r.servers)
+        write!(
+            f,
+            "\n{} at {:?}, asked anew every {floor} to {ceiling}",
+            r.name, r.servers
+        )
     }
 }
 
@@ -527,7 +616,9 @@
     let table = toml::de::DeTable::parse(text).ok()?;
     let (mut table, mut found) = (table.into_inner(), None);
     for part in path.split('.') {
-        let Some((key, value)) = table.remove_entry(part) else { break };
+        let Some((key, value)) = table.remove_entry(part) else {
+            break;
+        };
         found = Some(key.span().start);
         match value.into_inner() {
             toml::de::DeValue::Table(inner) => table = inner,
--- a/src/program/files.rs
+++ b/src/program/files.rs
@@ -40,21 +40,34 @@
             ("discovery", &self.discovery),
             ("admin", &self.admin),
         ];
-        Config::read(&text("config", path)?, &over.map(|(key, value)| (key, value.as_deref())))
+        Config::read(
+            &text("config", path)?,
+            &over.map(|(key, value)| (key, value.as_deref())),
+        )
     }
 
     /// Reads the file again, at SIGHUP. The environment is that of the start and says what discovery was then:
     /// it must not hide what the replaced file says now.
     pub(super) fn reread(&self, path: &Path) -> Result<Config, String> {
-        let over = [("name", &self.name), ("listen", &self.listen), ("admin", &self.admin)];
-        Config::read(&text("config", path)?, &over.map(|(key, value)| (key, value.as_deref())))
+        let over = [
+            ("name", &self.name),
+            ("listen", &self.listen),
+            ("admin", &self.admin),
+        ];
+        Config::read(
+            &text("config", path)?,
+            &over.map(|(key, value)| (key, value.as_deref())),
+        )
     }
 }
 
 impl OperatorFile {
     /// What the file says; without one, nothing.
     pub(super) fn read(&self) -> Result<Operator, String> {
-        let Some(path) = &self.operator else { return Ok(Operator::default()) };
-        Operator::read(&text("operator", path)?).map_err(|e| format!("operator {}: {e}", path.display()))
+        let Some(path) = &self.operator else {
+            return Ok(Operator::default());
+        };
+        Operator::read(&text("operator", path)?)
+            .map_err(|e| format!("operator {}: {e}", path.display()))
     }
 }
--- a/src/program/log.rs
+++ b/src/program/log.rs
@@ -13,8 +13,14 @@
 
 /// Starts the log; `verbose` has every event and command of the core, too.
 pub fn start(verbose: bool, format: Format) {
-    let level = if verbose { tracing::Level::DEBUG } else { tracing::Level::INFO };
-    let log = tracing_subscriber::fmt().with_max_level(level).with_writer(std::io::stderr);
+    let level = if verbose {
+        tracing::Level::DEBUG
+    } else {
+        tracing::Level::INFO
+    };
+    let log = tracing_subscriber::fmt()
+        .with_max_level(level)
+        .with_writer(std::io::stderr);
     match format {
         Format::Text => log.init(),
         Format::Json => log.json().flatten_event(true).init(),
--- a/src/program/mod.rs
+++ b/src/program/mod.rs
@@ -15,7 +15,11 @@
 use std::process::ExitCode;
 
 #[derive(Parser)]
-#[command(name = "poppykeel", version, about = "Routes requests to language-model servers")]
+#[command(
+    name = "poppykeel",
+    version,
+    about = "Routes requests to language-model servers"
+)]
 struct Cli {
     #[command(subcommand)]
     command: Command,
@@ -54,7 +58,12 @@
 #[derive(Args)]
 struct Check {
     /// The configuration, as JSON
-    #[arg(long, env = "GW_CONFIG", value_name = "FILE", required_unless_present = "operator")]
+    #[arg(
+        long,
+        env = "GW_CONFIG",
+        value_name = "FILE",
+        required_unless_present = "operator"
+    )]
     config: Option<PathBuf>,
     #[command(flatten)]
     operator: OperatorFile,
@@ -76,7 +85,9 @@
         let path = &self.source.config;
         let (config, operator) = (self.source.over.read(path)?, self.operator.read()?);
         log::start(self.verbose, self.log_format);
-        serve::serve(config, operator, || Ok((self.source.over.reread(path)?, self.operator.read()?)))
+        serve::serve(config, operator, || {
+            Ok((self.source.over.reread(path)?, self.operator.read()?))
+        })
     }
 }
 
--- a/src/program/resolve.rs
+++ b/src/program/resolve.rs
@@ -60,8 +60,14 @@
     /// Whether there is a list in the end.
     pub(super) fn run(&self) -> Result<bool, String> {
         let operator = self.operator.read()?;
-        let discovery = if operator.lists() { self.discovery(&operator)? } else { None };
-        let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
+        let discovery = if operator.lists() {
+            self.discovery(&operator)?
+        } else {
+            None
+        };
+        let runtime = tokio::runtime::Builder::new_current_thread()
+            .enable_all()
+            .build();
         let runtime = runtime.map_err(|e| format!("runtime: {e}"))?;
         LocalSet::new().block_on(&runtime, self.ask(&operator, discovery))
     }
@@ -70,7 +76,9 @@
     fn discovery(&self, operator: &Operator) -> Result<Option<SocketAddr>, String> {
         if let Some(text) = &self.over.discovery {
             let addr = text.parse();
-            return addr.map(Some).map_err(|_| format!("discovery: expected ADDRESS:PORT, not '{text}'"));
+            return addr
+                .map(Some)
+                .map_err(|_| format!("discovery: expected ADDRESS:PORT, not '{text}'"));
         }
         let own = operator.membership.as_ref().and_then(|m| m.list.discovery);
         match (own, &self.config) {
@@ -80,7 +88,11 @@
         }
     }
 
-    async fn ask(&self, operator: &Operator, discovery: Option<SocketAddr>) -> Result<bool, String> {
+    async fn ask(
+        &self,
+        operator: &Operator,
+        discovery: Option<SocketAddr>,
+    ) -> Result<bool, String> {
         let clock = Clock::start();
         let (tell, mut told) = mpsc::channel(MESSAGES);
         let mut members = Membership::new(operator.members().settings);
@@ -93,10 +105,15 @@
         } else if operator.lists() {
             eprintln!("poppykeel: list: where discovery listens is not told: expected --discovery, --config or membership.list.discovery");
         }
-        let sources = members.settings().sources.iter().map(|s| (s.name.clone(), Said::Nothing));
+        let sources = members
+            .settings()
+            .sources
+            .iter()
+            .map(|s| (s.name.clone(), Said::Nothing));
         let mut said: BTreeMap<String, Said> = sources.collect();
         if watch.is_none() {
-            said.entry(LIST.to_string()).and_modify(|s| *s = Said::Failed);
+            said.entry(LIST.to_string())
+                .and_modify(|s| *s = Said::Failed);
         }
         let end = Instant::now() + Duration::from_secs_f64(self.wait.clamp(0.0, 86_400.0));
         let mut shown = Value::Null;
@@ -105,7 +122,12 @@
             if self.watch && !waiting {
                 let next = describe(&members, &said, &newest, clock.now());
                 // Times and counts go on; only a change of the list is one.
-                let key: Value = next["servers"].as_array().into_iter().flatten().map(essence).collect();
+                let key: Value = next["servers"]
+                    .as_array()
+                    .into_iter()
+                    .flatten()
+                    .map(essence)
+                    .collect();
                 if key != shown {
                     self.show(&next)?;
                     shown = key;
@@ -113,7 +135,9 @@
             } else if !waiting {
                 break;
             }
-            let due = members.due().map(|at| Duration::from_micros(at.saturating_sub(clock.now())));
+            let due = members
+                .due()
+                .map(|at| Duration::from_micros(at.saturating_sub(clock.now())));
             let message = tokio::select! {
                 message = told.recv() => message,
                 () = tokio::time::sleep(due.unwrap_or(Duration::from_secs(3600))) => {
@@ -122,8 +146,14 @@
                 }
                 () = tokio::time::sleep_until(end), if !self.watch => break,
             };
-            let Some(Message::Told { source, told }) = message else { continue };
-            let word = if told == Told::Failed { Said::Failed } else { Said::Answered };
+            let Some(Message::Told { source, told }) = message else {
+                continue;
+            };
+            let word = if told == Told::Failed {
+                Said::Failed
+            } else {
+                Said::Answered
+            };
             if let (Said::Failed, LIST, Some(watch), true) = (&word, source, &watch, self.watch) {
                 let watch = watch.clone();
                 tokio::task::spawn_local(async move {
@@ -132,7 +162,11 @@
                 });
             }
             said.insert(source.to_string(), word);
-            let place = members.settings().sources.iter().position(|s| s.name == source);
+            let place = members
+                .settings()
+                .sources
+                .iter()
+                .position(|s| s.name == source);
             place.map(|place| members.told(clock.now(), place, told));
         }
         self.show(&describe(&members, &said, &newest, clock.now()))?;
@@ -140,8 +174,14 @@
     }
 
     fn show(&self, what: &Value) -> Result<(), String> {
-        let text = if self.json { format!("{what}\n") } else { table(what) };
-        std::io::stdout().write_all(text.as_bytes()).map_err(|e| format!("standard output: {e}"))
+        let text = if self.json {
+            format!("{what}\n")
+        } else {
+            table(what)
+        };
+        std::io::stdout()
+            .write_all(text.as_bytes())
+            .map_err(|e| format!("standard output: {e}"))
     }
 }
 
@@ -168,7 +208,12 @@
 
 /// What of a server counts as a change.
 fn essence(server: &Value) -> Value {
-    json!([server["name"], server["addr"], server["state"], server["opinions"]])
+    json!([
+        server["name"],
+        server["addr"],
+        server["state"],
+        server["opinions"]
+    ])
 }
 
 fn describe(
@@ -226,7 +271,9 @@
             value["expires_s"] = left(found.expires).into();
             value["nothing"] = found.nothing.clone().into();
             let unresolved = found.unresolved.iter();
-            value["unresolved"] = unresolved.map(|(t, why)| json!({"target": t, "why": why})).collect();
+            value["unresolved"] = unresolved
+                .map(|(t, why)| json!({"target": t, "why": why}))
+                .collect();
         }
         Some(Err(why)) => value["why"] = why.as_str().into(),
         None => {}
@@ -236,11 +283,20 @@
 fn table(what: &Value) -> String {
     let mut out = String::new();
     let list = |value: &Value| value.as_array().cloned().unwrap_or_default();
-    let text = |value: &Value| value.as_str().map_or_else(|| value.to_string(), String::from);
+    let text = |value: &Value| {
+        value
+            .as_str()
+            .map_or_else(|| value.to_string(), String::from)
+    };
     for source in list(&what["sources"]) {
         let why = ["why", "nothing"].iter().find_map(|k| source[*k].as_str());
         let why = why.map_or(String::new(), |w| format!(": {w}"));
-        let _ = writeln!(out, "{} {}{why}", text(&source["name"]), text(&source["state"]));
+        let _ = writeln!(
+            out,
+            "{} {}{why}",
+            text(&source["name"]),
+            text(&source["state"])
+        );
         for r in list(&source["records"]) {
             let _ = writeln!(
                 out,
@@ -257,7 +313,12 @@
         }
     }
     let servers = list(&what["servers"]);
-    let _ = writeln!(out, "{} of {} servers take work", what["usable"], servers.len());
+    let _ = writeln!(
+        out,
+        "{} of {} servers take work",
+        what["usable"],
+        servers.len()
+    );
     for s in servers {
         let named: Vec<String> = list(&s["sources"]).iter().map(text).collect();
         let _ = writeln!(
--- a/src/program/serve.rs
+++ b/src/program/serve.rs
@@ -50,7 +50,8 @@
 ) -> Result<(), String> {
     if std::env::var_os(WITH_PARENT).is_some() {
         let kill = Some(rustix::process::Signal::KILL);
-        rustix::process::set_parent_process_death_signal(kill).map_err(|e| format!("{WITH_PARENT}: {e}"))?;
+        rustix::process::set_parent_process_death_signal(kill)
+            .map_err(|e| format!("{WITH_PARENT}: {e}"))?;
     }
     // The runtime would keep a panic inside its task, and the node would go on without that part.
     let report = std::panic::take_hook();
@@ -58,14 +59,20 @@
         report(panic);
         std::process::exit(101);
     }));
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build();
     let runtime = runtime.map_err(|e| format!("runtime: {e}"))?;
     LocalSet::new().block_on(&runtime, run(config, operator, reread))
 }
 
 /// Listens beside another process of this node, too: a new version starts while the old one still serves.
 fn listen(key: &str, addr: SocketAddr) -> Result<TcpListener, String> {
-    let socket = if addr.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() };
+    let socket = if addr.is_ipv4() {
+        TcpSocket::new_v4()
+    } else {
+        TcpSocket::new_v6()
+    };
     let listener = socket.and_then(|socket| {
         socket.set_reuseaddr(true)?;
         socket.set_reuseport(true)?;
@@ -89,9 +96,16 @@
 
 /// Says that the node drains, before all else: what is answered from here on is the last on its connection. Then hands
 /// over, for at most the time in which clients still come, and closes.
-async fn drain(phase: &watch::Sender<Phase>, hand_over: impl Future<Output = ()>, linger: Duration) {
+async fn drain(
+    phase: &watch::Sender<Phase>,
+    hand_over: impl Future<Output = ()>,
+    linger: Duration,
+) {
     let _ = phase.send(Phase::Draining);
-    let _ = tokio::join!(tokio::time::timeout(linger, hand_over), tokio::time::sleep(linger));
+    let _ = tokio::join!(
+        tokio::time::timeout(linger, hand_over),
+        tokio::time::sleep(linger)
+    );
     let _ = phase.send(Phase::Closing);
 }
 
@@ -106,7 +120,9 @@
     let mut hangup = signal(SignalKind::hangup()).map_err(|e| format!("signals: {e}"))?;
     let listener = listen("listen", config.listen)?;
     let admins = config.admin.map(|addr| listen("admin", addr)).transpose()?;
-    let bound = listener.local_addr().map_err(|e| format!("config: listen: {e}"))?;
+    let bound = listener
+        .local_addr()
+        .map_err(|e| format!("config: listen: {e}"))?;
     let brain = Brain::new(config.boot.settings.clone(), config.seed).map_err(|e| e.to_string())?;
     let mut boot = Rc::new(config.boot.clone());
     let bounds = Rc::new(config.bounds.clone());
@@ -133,10 +149,25 @@
     }
     // Where lists are pushed the module never asks: the agent's list is watched from the start.
     let pushed = boot.settings.discovery == crate::interface::Discovery::Pushed;
-    let discovery = if pushed { discovery.pushed() } else { discovery };
-    let known = config.known.clone().filter(|_| operator.lists()).map(|k| k.told());
+    let discovery = if pushed {
+        discovery.pushed()
+    } else {
+        discovery
+    };
+    let known = config
+        .known
+        .clone()
+        .filter(|_| operator.lists())
+        .map(|k| k.told());
     let directory = Directory::new(boot.clone(), operator.members());
-    let hub = Hub::new(clock, Router::new(brain), directory, upstream, discovery.clone(), known);
+    let hub = Hub::new(
+        clock,
+        Router::new(brain),
+        directory,
+        upstream,
+        discovery.clone(),
+        known,
+    );
     let mut lookups = Lookups::new(clock, tell.clone());
     lookups.set(operator.service());
     spawn_local(hub.run(told));
@@ -147,8 +178,11 @@
         }
     });
     // Before clients are told to come: a node that can't take its place must not serve as if it had.
-    let place =
-        operator.fleet.as_ref().map(|fleet| fleet.place(&config.name, &boot.names.tenants)).transpose()?;
+    let place = operator
+        .fleet
+        .as_ref()
+        .map(|fleet| fleet.place(&config.name, &boot.names.tenants))
+        .transpose()?;
     let fleet = match place {
         Some(place) => Some(Fleet::start(place, tell.clone(), phase.clone(), clock).await?),
         None => None,
@@ -160,8 +194,13 @@
     if let Some(handover) = &handover {
         spawn_local(handover.clone().run());
     }
-    let shared =
-        Rc::new(Shared::new(boot.clone(), bounds.clone(), tell.clone(), phases.clone(), streams.clone()));
+    let shared = Rc::new(Shared::new(
+        boot.clone(),
+        bounds.clone(),
+        tell.clone(),
+        phases.clone(),
+        streams.clone(),
+    ));
     spawn_local(accept(listener, shared.clone(), phases));
     tracing::info!(node = %config.name, listen = %bound, zone = boot.settings.zone, "serving on {bound}");
     let admin = Rc::new(Admin {
@@ -173,7 +212,9 @@
     });
     let (mut taken, mut turned_down) = (0, 0);
     if let Some(listener) = admins {
-        let at = listener.local_addr().map_err(|e| format!("config: admin: {e}"))?;
+        let at = listener
+            .local_addr()
+            .map_err(|e| format!("config: admin: {e}"))?;
         tracing::info!(node = %config.name, admin = %at, "operators call at {at}");
         spawn_local(admin.clone().serve(listener));
     }
--- a/src/program/serve/tests.rs
+++ b/src/program/serve/tests.rs
@@ -11,7 +11,10 @@
     let (phase, phases) = watch::channel(Phase::Serving);
     let seen = phases.clone();
     let hand_over = async {
-        assert!(*seen.borrow() == Phase::Draining, "it hands over before it drains");
+        assert!(
+            *seen.borrow() == Phase::Draining,
+            "it hands over before it drains"
+        );
         std::future::pending::<()>().await;
     };
     let ended = tokio::time::timeout(LINGER * 2, drain(&phase, hand_over, LINGER)).await;
--- a/src/program/streams.rs
+++ b/src/program/streams.rs
@@ -21,7 +21,9 @@
 impl Last {
     /// Takes a line; what is no summary of streams is passed over.
     fn take(&mut self, line: &str) {
-        let Ok(event) = serde_json::from_str::<Value>(line) else { return };
+        let Ok(event) = serde_json::from_str::<Value>(line) else {
+            return;
+        };
         match event["message"].as_str() {
             Some("streams") => (self.all, self.replicas) = (Some(event), Vec::new()),
             Some("streams of a replica") => self.replicas.push(event),
@@ -30,8 +32,16 @@
     }
 
     fn table(&self) -> Option<String> {
-        const COUNTS: [&str; 8] =
-            ["live", "whole", "stalled", "broken", "continued", "saved", "completed", "failed"];
+        const COUNTS: [&str; 8] = [
+            "live",
+            "whole",
+            "stalled",
+            "broken",
+            "continued",
+            "saved",
+            "completed",
+            "failed",
+        ];
         const COLUMNS: [(&str, &str); 13] = [
             ("flowing", "flowing"),
             ("slow", "slow"),
@@ -49,11 +59,19 @@
         ];
         let all = self.all.as_ref()?;
         let number = |event: &Value, key: &str| event[key].as_u64().unwrap_or(0).to_string();
-        let counts = COUNTS.map(|key| format!("{} {key}", number(all, key))).join(", ");
+        let counts = COUNTS
+            .map(|key| format!("{} {key}", number(all, key)))
+            .join(", ");
         let at = all["timestamp"].as_str().unwrap_or("no time");
         let mut text = format!("{at}: {counts}, {} bytes dropped\n", number(all, "dropped"));
         let name = |event: &Value| event["replica"].as_str().unwrap_or("?").to_string();
-        let width = self.replicas.iter().map(|r| name(r).len()).max().unwrap_or(0).max("replica".len());
+        let width = self
+            .replicas
+            .iter()
+            .map(|r| name(r).len())
+            .max()
+            .unwrap_or(0)
+            .max("replica".len());
         let row = |name: &str, cells: Vec<String>| {
             let cells: Vec<String> = cells.iter().map(|c| format!("{c:>9}")).collect();
             format!("{name:<width$}{}\n", cells.concat())
@@ -62,7 +80,10 @@
             text += &row("replica", COLUMNS.iter().map(|c| c.1.to_string()).collect());
         }
         for replica in &self.replicas {
-            text += &row(&name(replica), COLUMNS.iter().map(|c| number(replica, c.0)).collect());
+            text += &row(
+                &name(replica),
+                COLUMNS.iter().map(|c| number(replica, c.0)).collect(),
+            );
         }
         Some(text)
     }
@@ -74,14 +95,18 @@
         let reader: Box<dyn BufRead> = if self.log.as_os_str() == "-" {
             Box::new(std::io::stdin().lock())
         } else {
-            Box::new(BufReader::new(std::fs::File::open(&self.log).map_err(failed)?))
+            Box::new(BufReader::new(
+                std::fs::File::open(&self.log).map_err(failed)?,
+            ))
         };
         let mut last = Last::default();
         for line in reader.lines() {
             last.take(&line.map_err(failed)?);
         }
         let none = "no summary of streams; expected the log of `poppykeel serve --log-format json`";
-        let table = last.table().ok_or(format!("log {}: {none}", self.log.display()))?;
+        let table = last
+            .table()
+            .ok_or(format!("log {}: {none}", self.log.display()))?;
         print!("{table}");
         Ok(())
     }
--- a/src/protocol/admin.rs
+++ b/src/protocol/admin.rs
@@ -57,17 +57,24 @@
 /// Reads which call a head is for.
 pub fn call(head: &Head) -> Result<Call, Reject> {
     let Start::Request { method, target } = &head.start else {
-        return Err(Reject { status: 400, reason: "a request is expected".into() });
+        return Err(Reject {
+            status: 400,
+            reason: "a request is expected".into(),
+        });
     };
     let (path, query) = target.split_once('?').unwrap_or((target, ""));
     let number = |key: &str, absent: u64, most: u64| {
-        let pair = query.split('&').filter_map(|pair| pair.split_once('=')).find(|pair| pair.0 == key);
+        let pair = query
+            .split('&')
+            .filter_map(|pair| pair.split_once('='))
+            .find(|pair| pair.0 == key);
         match pair.map(|pair| pair.1.parse()) {
             None => Ok(absent),
             Some(Ok(value)) if value <= most => Ok(value),
-            Some(_) => {
-                Err(Reject { status: 400, reason: format!("{key}: expected a whole number up to {most}") })
-            }
+            Some(_) => Err(Reject {
+                status: 400,
+                reason: format!("{key}: expected a whole number up to {most}"),
+            }),
         }
     };
     let (call, wanted) = match path {
@@ -77,15 +84,29 @@
         "/api/crossings" => (Call::Crossings, "GET"),
         "/api/fleet/roll" => {
             let hold = number("hold_ms", 0, 86_400_000)? * 1000;
-            (Call::Roll { out: number("out", 1, u64::from(u32::MAX))? as u32, hold }, "POST")
+            (
+                Call::Roll {
+                    out: number("out", 1, u64::from(u32::MAX))? as u32,
+                    hold,
+                },
+                "POST",
+            )
         }
         "/api/evacuate" => (Call::Evacuate, "POST"),
         "/api/rejoin" => (Call::Rejoin, "POST"),
-        other => return Err(Reject { status: 404, reason: format!("no call {other}") }),
+        other => {
+            return Err(Reject {
+                status: 404,
+                reason: format!("no call {other}"),
+            })
+        }
     };
     match method == wanted {
         true => Ok(call),
-        false => Err(Reject { status: 405, reason: format!("{wanted} is expected") }),
+        false => Err(Reject {
+            status: 405,
+            reason: format!("{wanted} is expected"),
+        }),
     }
 }
 
@@ -94,8 +115,14 @@
     let mut body = String::new();
     for (class, counts) in &f.replies {
         for (status, count) in ["success", "overload", "error"].iter().zip(counts) {
-            let class = class.replace('\\', "\\\\").replace('"', "\\\"").replace('\n', "\\n");
-            let _ = writeln!(body, "app_replies{{type=\"{class}\",status=\"{status}\"}} {count}");
+            let class = class
+                .replace('\\', "\\\\")
+                .replace('"', "\\\"")
+                .replace('\n', "\\n");
+            let _ = writeln!(
+                body,
+                "app_replies{{type=\"{class}\",status=\"{status}\"}} {count}"
+            );
         }
     }
     let rest = [
@@ -106,7 +133,9 @@
         ("reload_success", f.reloads.0),
         ("reload_failure", f.reloads.1),
     ];
-    let rest = rest.into_iter().chain(f.fleet.iter().map(|(name, value)| (name.as_str(), *value)));
+    let rest = rest
+        .into_iter()
+        .chain(f.fleet.iter().map(|(name, value)| (name.as_str(), *value)));
     for (name, value) in rest {
         let _ = writeln!(body, "app_{name} {value}");
     }
--- a/src/protocol/answer.rs
+++ b/src/protocol/answer.rs
@@ -43,7 +43,16 @@
     /// Nothing has come yet.
     pub fn new(boot: Rc<Boot>) -> Self {
         let (scan, content_type, held) = Default::default();
-        Answer { boot, scan, report: None, content_type, events: false, started: false, done: false, held }
+        Answer {
+            boot,
+            scan,
+            report: None,
+            content_type,
+            events: false,
+            started: false,
+            done: false,
+            held,
+        }
     }
 
     /// Takes the next part and appends what follows from it.
@@ -51,7 +60,10 @@
         match part {
             _ if self.done => {}
             Part::Head(head) => {
-                self.report = head.headers.get("srv-load").and_then(|v| report(v, &self.boot));
+                self.report = head
+                    .headers
+                    .get("srv-load")
+                    .and_then(|v| report(v, &self.boot));
                 if let Some(outcome) = verdict(&head) {
                     self.done = true;
                     steps.push(Step::Done(outcome, self.report));
@@ -98,7 +110,10 @@
     fn last_report(&self) -> Option<Report> {
         let told = self.scan.report();
         match self.report.filter(|_| !self.scan.reported()) {
-            Some(head) => Some(Report { kept: told.and_then(|r| r.kept), ..head }),
+            Some(head) => Some(Report {
+                kept: told.and_then(|r| r.kept),
+                ..head
+            }),
             None => told,
         }
     }
--- a/src/protocol/discovery.rs
+++ b/src/protocol/discovery.rs
@@ -29,26 +29,42 @@
 
 /// Reads an answer; an error names what is wrong.
 pub fn read(v: &Value) -> Result<Update, String> {
-    let version = v["version"].as_u64().ok_or("version: expected a whole number")?;
+    let version = v["version"]
+        .as_u64()
+        .ok_or("version: expected a whole number")?;
     let full = v["full"].as_bool().ok_or("full: expected true or false")?;
     let servers = v["servers"].as_array().ok_or("servers: expected a list")?;
     let entries = servers.iter().map(entry).collect::<Result<_, _>>()?;
-    Ok(Update { version, full, entries })
+    Ok(Update {
+        version,
+        full,
+        entries,
+    })
 }
 
 fn entry(v: &Value) -> Result<Entry, String> {
-    let text = |key: &str| v[key].as_str().ok_or(format!("servers: expected text for {key}"));
+    let text = |key: &str| {
+        v[key]
+            .as_str()
+            .ok_or(format!("servers: expected text for {key}"))
+    };
     let addr = text("addr")?;
     let state = match text("state")? {
         "up" => State::Up,
         "draining" => State::Draining,
         "removed" => State::Removed,
-        other => return Err(format!("servers: expected up, draining or removed, not {other}")),
+        other => {
+            return Err(format!(
+                "servers: expected up, draining or removed, not {other}"
+            ))
+        }
     };
     let name = |key: &str| v[key].as_str().unwrap_or_default().to_string();
     Ok(Entry {
         name: text("id")?.to_string(),
-        addr: addr.parse().map_err(|_| format!("servers: expected an address for addr, not {addr}"))?,
+        addr: addr
+            .parse()
+            .map_err(|_| format!("servers: expected an address for addr, not {addr}"))?,
         state,
         zone: name("zone"),
         kind: name("kind"),
--- a/src/protocol/events.rs
+++ b/src/protocol/events.rs
@@ -41,9 +41,15 @@
             self.events += u64::from(std::mem::take(&mut self.has_data));
             self.since = 0;
         } else if let Some(comment) = line.strip_prefix(b":") {
-            let text = std::str::from_utf8(comment).unwrap_or_default().trim_start();
-            let value = text.split_once(':').filter(|(name, _)| name.eq_ignore_ascii_case("srv-load"));
-            self.report = value.and_then(|(_, value)| report(value, boot)).or(self.report);
+            let text = std::str::from_utf8(comment)
+                .unwrap_or_default()
+                .trim_start();
+            let value = text
+                .split_once(':')
+                .filter(|(name, _)| name.eq_ignore_ascii_case("srv-load"));
+            self.report = value
+                .and_then(|(_, value)| report(value, boot))
+                .or(self.report);
         } else {
             self.has_data = true;
             self.kept = line.strip_prefix(b"data:").and_then(kept).or(self.kept);
@@ -64,7 +70,10 @@
     }
     /// The newest load report, with the kept part of the prompt where the stream told it.
     pub fn report(&self) -> Option<Report> {
-        let kept = self.kept.map(|_| Report { kept: self.kept, ..self.report.unwrap_or_default() });
+        let kept = self.kept.map(|_| Report {
+            kept: self.kept,
+            ..self.report.unwrap_or_default()
+        });
         kept.or(self.report)
     }
 }
@@ -72,7 +81,11 @@
 /// Prompt tokens found kept, in an event with a usage; most events have none and are not parsed.
 fn kept(data: &[u8]) -> Option<f64> {
     const KEY: &[u8] = b"\"cached_tokens\"";
-    data.windows(KEY.len()).any(|part| part == KEY).then_some(())?;
+    data.windows(KEY.len())
+        .any(|part| part == KEY)
+        .then_some(())?;
     let event: Value = serde_json::from_slice(data).ok()?;
-    event["usage"]["prompt_tokens_details"]["cached_tokens"].as_u64().map(|tokens| tokens as f64)
+    event["usage"]["prompt_tokens_details"]["cached_tokens"]
+        .as_u64()
+        .map(|tokens| tokens as f64)
 }
--- a/src/protocol/http.rs
+++ b/src/protocol/http.rs
@@ -30,7 +30,9 @@
     }
     /// All values under a name.
     pub fn all<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a [u8]> {
-        self.iter().filter(move |h| h.0.eq_ignore_ascii_case(name)).map(|h| h.1)
+        self.iter()
+            .filter(move |h| h.0.eq_ignore_ascii_case(name))
+            .map(|h| h.1)
     }
     /// Every field.
     pub fn iter(&self) -> impl Iterator<Item = (&str, &[u8])> {
@@ -39,7 +41,9 @@
     /// Whether a comma-separated field holds a word.
     pub fn has(&self, name: &str, word: &str) -> bool {
         let text = |v| std::str::from_utf8(v).unwrap_or_default();
-        self.all(name).flat_map(|v| text(v).split(',')).any(|w| w.trim().eq_ignore_ascii_case(word))
+        self.all(name)
+            .flat_map(|v| text(v).split(','))
+            .any(|w| w.trim().eq_ignore_ascii_case(word))
     }
 }
 
@@ -110,7 +114,10 @@
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
             Fault::Malformed(what) => write!(f, "malformed message: {what}"),
-            Fault::LongHead => write!(f, "head longer than {MOST_HEAD} bytes or {MOST_HEADERS} fields"),
+            Fault::LongHead => write!(
+                f,
+                "head longer than {MOST_HEAD} bytes or {MOST_HEADERS} fields"
+            ),
             Fault::Version => write!(f, "only HTTP/1.1 is spoken here"),
             Fault::Slow => write!(f, "the request took too long to come"),
             Fault::Late => write!(f, "the node ends before the request is whole"),
@@ -164,7 +171,11 @@
 impl Http {
     /// A codec at the start of a connection.
     pub fn new(side: Side) -> Self {
-        Http { side, reading: Reading::Head, interim: 0 }
+        Http {
+            side,
+            reading: Reading::Head,
+            interim: 0,
+        }
     }
     /// Between two messages.
     pub fn idle(&self) -> bool {
@@ -178,7 +189,14 @@
                 let mut r = httparse::Request::new(&mut fields);
                 let parsed = r.parse(src);
                 let (method, target) = (r.method.unwrap_or_default(), r.path.unwrap_or_default());
-                (Start::Request { method: method.into(), target: target.into() }, r.version, parsed)
+                (
+                    Start::Request {
+                        method: method.into(),
+                        target: target.into(),
+                    },
+                    r.version,
+                    parsed,
+                )
             }
             Side::Client => {
                 let mut r = httparse::Response::new(&mut fields);
@@ -197,7 +215,10 @@
             return Err(Fault::Version);
         }
         let set = fields.iter().take_while(|h| !h.name.is_empty());
-        let headers = Headers(set.map(|h| (h.name.to_string(), h.value.to_vec())).collect());
+        let headers = Headers(
+            set.map(|h| (h.name.to_string(), h.value.to_vec()))
+                .collect(),
+        );
         src.advance(length);
         if matches!(start, Start::Status(100..=199)) {
             self.interim += 1;
@@ -211,7 +232,12 @@
         let (reading, length) = framing(&start, &headers)?;
         self.reading = reading;
         let keep = reading != Reading::ToClose && !headers.has("connection", "close");
-        Ok(Some(Part::Head(Box::new(Head { start, headers, length, keep }))))
+        Ok(Some(Part::Head(Box::new(Head {
+            start,
+            headers,
+            length,
+            keep,
+        }))))
     }
 }
 
@@ -221,7 +247,9 @@
     for value in headers.all("content-length") {
         let digits = !value.is_empty() && value.len() < 19 && value.iter().all(u8::is_ascii_digit);
         let text = std::str::from_utf8(value).ok().filter(|_| digits);
-        let value = text.and_then(|t| t.parse().ok()).ok_or(Fault::Malformed("Content-Length"))?;
+        let value = text
+            .and_then(|t| t.parse().ok())
+            .ok_or(Fault::Malformed("Content-Length"))?;
         if length.is_some_and(|l: u64| l != value) {
             return Err(Fault::Malformed("two values of Content-Length"));
         }
@@ -248,7 +276,11 @@
 /// Takes one line without its end, if it is there.
 fn line(src: &mut BytesMut) -> Result<Option<BytesMut>, Fault> {
     let Some(end) = src.iter().position(|b| *b == b'\n') else {
-        return if src.len() > MOST_LINE { Err(Fault::Malformed("chunk line")) } else { Ok(None) };
+        return if src.len() > MOST_LINE {
+            Err(Fault::Malformed("chunk line"))
+        } else {
+            Ok(None)
+        };
     };
     let mut line = src.split_to(end + 1);
     let ending = if line.ends_with(b"\r\n") { 2 } else { 1 };
@@ -257,10 +289,15 @@
 }
 
 fn chunk_size(line: &[u8]) -> Result<u64, Fault> {
-    let digits = line.split(|b| *b == b';').next().unwrap_or_default().trim_ascii();
+    let digits = line
+        .split(|b| *b == b';')
+        .next()
+        .unwrap_or_default()
+        .trim_ascii();
     let hex = (1..16).contains(&digits.len()) && digits.iter().all(u8::is_ascii_hexdigit);
     let text = std::str::from_utf8(digits).ok().filter(|_| hex);
-    text.and_then(|t| u64::from_str_radix(t, 16).ok()).ok_or(Fault::Malformed("chunk size"))
+    text.and_then(|t| u64::from_str_radix(t, 16).ok())
+        .ok_or(Fault::Malformed("chunk size"))
 }
 
 fn take(src: &mut BytesMut, left: u64) -> Bytes {
@@ -291,15 +328,23 @@
                     return Ok(Some(Part::End));
                 }
                 Reading::ChunkLine => {
-                    let Some(line) = line(src)? else { return Ok(None) };
+                    let Some(line) = line(src)? else {
+                        return Ok(None);
+                    };
                     let size = chunk_size(&line)?;
                     if self.side == Side::Client && size > MOST_CHUNK {
                         return Err(Fault::Malformed("chunk longer than an answer"));
                     }
-                    self.reading = if size == 0 { Reading::Trailer } else { Reading::Chunk(size) };
+                    self.reading = if size == 0 {
+                        Reading::Trailer
+                    } else {
+                        Reading::Chunk(size)
+                    };
                 }
                 Reading::Trailer => {
-                    let Some(line) = line(src)? else { return Ok(None) };
+                    let Some(line) = line(src)? else {
+                        return Ok(None);
+                    };
                     if line.is_empty() {
                         self.reading = Reading::Ended;
                     }
@@ -319,13 +364,21 @@
                 Reading::Fixed(left) => {
                     let piece = take(src, left);
                     let left = left - piece.len() as u64;
-                    self.reading = if left == 0 { Reading::Ended } else { Reading::Fixed(left) };
+                    self.reading = if left == 0 {
+                        Reading::Ended
+                    } else {
+                        Reading::Fixed(left)
+                    };
                     return Ok(Some(Part::Body(piece)));
                 }
                 Reading::Chunk(left) => {
                     let piece = take(src, left);
                     let left = left - piece.len() as u64;
-                    self.reading = if left == 0 { Reading::ChunkEnd } else { Reading::Chunk(left) };
+                    self.reading = if left == 0 {
+                        Reading::ChunkEnd
+                    } else {
+                        Reading::Chunk(left)
+                    };
                     return Ok(Some(Part::Body(piece)));
                 }
             }
--- a/src/protocol/request.rs
+++ b/src/protocol/request.rs
@@ -33,7 +33,10 @@
 }
 
 fn reject<T>(status: u16, reason: impl Into<String>) -> Result<T, Reject> {
-    Err(Reject { status, reason: reason.into() })
+    Err(Reject {
+        status,
+        reason: reason.into(),
+    })
 }
 
 /// The route of a request.
@@ -53,12 +56,22 @@
 
 /// Reads the arrival that the headers tell.
 pub fn arrival(headers: &Headers, names: &Names, body: usize) -> Result<Arrival, Reject> {
-    for name in ["Req-Id", "Req-Kind", "Req-Owner", "Req-Key", "Req-Deadline", "Req-Retry", "Req-Extra"] {
+    for name in [
+        "Req-Id",
+        "Req-Kind",
+        "Req-Owner",
+        "Req-Key",
+        "Req-Deadline",
+        "Req-Retry",
+        "Req-Extra",
+    ] {
         if headers.all(name).count() > 1 {
             return reject(400, format!("{name} came more than once"));
         }
     }
-    let Some(id) = hex(headers, "Req-Id")? else { return reject(400, "Req-Id is missing") };
+    let Some(id) = hex(headers, "Req-Id")? else {
+        return reject(400, "Req-Id is missing");
+    };
     let class = match one(headers, "Req-Kind")? {
         Some(kind) => {
             let open = |at: &usize| names.classes[*at] == kind && !names.retired.contains(at);
@@ -87,7 +100,9 @@
     };
     // A guess that can't be one must not cost the request: it counts as none.
     let work = one(headers, "Req-Cost")?.and_then(|text| text.parse::<f64>().ok());
-    let work = work.map(|us| us / 1e6).filter(|work| work.is_finite() && *work > 0.0);
+    let work = work
+        .map(|us| us / 1e6)
+        .filter(|work| work.is_finite() && *work > 0.0);
     let mut arrival = Arrival {
         id: RequestId(id),
         class,
@@ -101,12 +116,18 @@
         answer_limit: 0,
         repeat,
     };
-    for field in one(headers, "Req-Extra")?.unwrap_or_default().split(',').filter(|f| !f.trim().is_empty()) {
+    for field in one(headers, "Req-Extra")?
+        .unwrap_or_default()
+        .split(',')
+        .filter(|f| !f.trim().is_empty())
+    {
         let Some((name, value)) = field.trim().split_once('=') else {
             return reject(400, "Req-Extra holds a field without a value");
         };
         match name {
-            "prefix" => arrival.prefix = Some(hex_of("Req-Extra prefix", value)?).filter(|p| *p != 0),
+            "prefix" => {
+                arrival.prefix = Some(hex_of("Req-Extra prefix", value)?).filter(|p| *p != 0)
+            }
             "prompt_len" => arrival.prompt_tokens = tokens("Req-Extra prompt_len", value)?,
             "prefix_len" => arrival.prefix_tokens = tokens("Req-Extra prefix_len", value)?,
             "max_out" => arrival.answer_limit = tokens("Req-Extra max_out", value)?,
@@ -128,7 +149,9 @@
 }
 
 fn hex(headers: &Headers, name: &str) -> Result<Option<u64>, Reject> {
-    one(headers, name)?.map(|text| hex_of(name, text)).transpose()
+    one(headers, name)?
+        .map(|text| hex_of(name, text))
+        .transpose()
 }
 
 fn hex_of(name: &str, text: &str) -> Result<u64, Reject> {
@@ -140,7 +163,8 @@
 }
 
 fn number<T: FromStr>(name: &str, text: &str) -> Result<T, Reject> {
-    text.parse().or_else(|_| reject(400, format!("{name} is not a number")))
+    text.parse()
+        .or_else(|_| reject(400, format!("{name} is not a number")))
 }
 
 /// The wire allows lengths to 2^63; sums of them must not run over.
@@ -149,10 +173,10 @@
 }
 
 fn place(name: &str, value: &str, known: &[String]) -> Result<usize, Reject> {
-    known
-        .iter()
-        .position(|k| k == value)
-        .ok_or_else(|| Reject { status: 400, reason: format!("{name} names nothing known here") })
+    known.iter().position(|k| k == value).ok_or_else(|| Reject {
+        status: 400,
+        reason: format!("{name} names nothing known here"),
+    })
 }
 
 /// Fields that belong to one connection, or that the node writes itself.
@@ -172,7 +196,9 @@
 
 /// The head for a replica, but for the deadline that each attempt adds. `id` stands in place of the client's.
 pub fn upstream_head(head: &Head, body: usize, id: Option<RequestId>) -> Vec<u8> {
-    let Start::Request { method, target } = &head.start else { return Vec::new() };
+    let Start::Request { method, target } = &head.start else {
+        return Vec::new();
+    };
     let mut out = format!("{method} {target} HTTP/1.1\r\n").into_bytes();
     if let Some(id) = id {
         out.extend_from_slice(format!("Req-Id: {id}\r\n").as_bytes());
@@ -181,7 +207,9 @@
         if id.is_some() && name.eq_ignore_ascii_case("req-id") {
             continue;
         }
-        if !OWN.iter().any(|own| own.eq_ignore_ascii_case(name)) && !head.headers.has("connection", name) {
+        if !OWN.iter().any(|own| own.eq_ignore_ascii_case(name))
+            && !head.headers.has("connection", name)
+        {
             for piece in [name.as_bytes(), b": ", value, b"\r\n"] {
                 out.extend_from_slice(piece);
             }
@@ -230,7 +258,11 @@
         let _ = write!(out, "Retry-After: {:.3}\r\n", wait as f64 / 1e6);
     }
     if status == 405 {
-        let allowed = if reason.contains("POST") { "POST" } else { "GET" };
+        let allowed = if reason.contains("POST") {
+            "POST"
+        } else {
+            "GET"
+        };
         let _ = write!(out, "Allow: {allowed}\r\n");
     }
     if close {
@@ -241,6 +273,10 @@
         _ => serde_json::json!({ "error": { "message": reason, "code": status } }),
     };
     let body = body.to_string();
-    let _ = write!(out, "Content-Type: application/json\r\nContent-Length: {}\r\n\r\n{body}", body.len());
+    let _ = write!(
+        out,
+        "Content-Type: application/json\r\nContent-Length: {}\r\n\r\n{body}",
+        body.len()
+    );
     out.into()
 }
--- a/src/protocol/srv.rs
+++ b/src/protocol/srv.rs
@@ -35,12 +35,21 @@
 impl Naming {
     /// The entry of one address.
     pub fn entry(&self, endpoint: &Endpoint) -> Entry {
-        let found = self.pattern.as_ref().and_then(|p| p.captures(&endpoint.target));
-        let group = |name: &str| found.as_ref().and_then(|f| f.name(name)).map(|m| m.as_str());
-        let place = |group: Option<&str>, names: &BTreeMap<String, String>, absent: &str| match group {
-            Some(text) => names.get(text).cloned().unwrap_or_else(|| text.to_string()),
-            None => absent.to_string(),
+        let found = self
+            .pattern
+            .as_ref()
+            .and_then(|p| p.captures(&endpoint.target));
+        let group = |name: &str| {
+            found
+                .as_ref()
+                .and_then(|f| f.name(name))
+                .map(|m| m.as_str())
         };
+        let place =
+            |group: Option<&str>, names: &BTreeMap<String, String>, absent: &str| match group {
+                Some(text) => names.get(text).cloned().unwrap_or_else(|| text.to_string()),
+                None => absent.to_string(),
+            };
         let drains = self.drain_priority == Some(endpoint.priority);
         Entry {
             name: format!("{}:{}", endpoint.target, endpoint.addr.port()),
--- a/src/routing/crossings.rs
+++ b/src/routing/crossings.rs
@@ -27,7 +27,11 @@
             return;
         }
         // By how many there are, not by how old they are: a clock that was set back must not empty the account.
-        let kept = self.minutes.keys().map(|key| key.0).collect::<std::collections::BTreeSet<_>>();
+        let kept = self
+            .minutes
+            .keys()
+            .map(|key| key.0)
+            .collect::<std::collections::BTreeSet<_>>();
         if kept.len() as u64 > MOST_MINUTES {
             if let Some(oldest) = kept.first() {
                 self.minutes.retain(|key, _| key.0 != *oldest);
@@ -37,11 +41,15 @@
 
     /// Each minute with its class, tenant and count, oldest first.
     pub fn by_minute(&self) -> impl Iterator<Item = (u64, usize, usize, u64)> + '_ {
-        self.minutes.iter().map(|((minute, class, tenant), count)| (*minute, *class, *tenant, *count))
+        self.minutes
+            .iter()
+            .map(|((minute, class, tenant), count)| (*minute, *class, *tenant, *count))
     }
 
     /// Since the start: class, tenant and count.
     pub fn totals(&self) -> impl Iterator<Item = (usize, usize, u64)> + '_ {
-        self.totals.iter().map(|((class, tenant), count)| (*class, *tenant, *count))
+        self.totals
+            .iter()
+            .map(|((class, tenant), count)| (*class, *tenant, *count))
     }
 }
--- a/src/routing/directory.rs
+++ b/src/routing/directory.rs
@@ -57,10 +57,13 @@
 pub fn identity(name: &str) -> ReplicaId {
     let fnv = |start: u64| {
         name.bytes()
-            .fold(start, |h, b| (h ^ u64::from(b)).wrapping_mul(0x0000_0100_0000_01b3))
+            .fold(start, |h, b| {
+                (h ^ u64::from(b)).wrapping_mul(0x0000_0100_0000_01b3)
+            })
             .rotate_left(29)
     };
-    let bits = u128::from(fnv(0xcbf2_9ce4_8422_2325)) << 64 | u128::from(fnv(0x9e37_79b9_7f4a_7c15));
+    let bits =
+        u128::from(fnv(0xcbf2_9ce4_8422_2325)) << 64 | u128::from(fnv(0x9e37_79b9_7f4a_7c15));
     ReplicaId(SocketAddr::from((Ipv6Addr::from(bits), 0)))
 }
 
@@ -68,7 +71,12 @@
     /// A directory that knows nobody yet.
     pub fn new(boot: Rc<Boot>, members: Members) -> Self {
         let (weight_unit, known) = (members.weight_unit, BTreeMap::new());
-        Directory { boot, members: Membership::new(members.settings), weight_unit, known }
+        Directory {
+            boot,
+            members: Membership::new(members.settings),
+            weight_unit,
+            known,
+        }
     }
 
     /// Where a replica listens.
@@ -103,8 +111,15 @@
 
     /// What a source tells, by its name; returned is what the module is to be told.
     pub fn told(&mut self, source: &str, told: Told, at: Moment) -> Vec<Changed> {
-        let place = self.members.settings().sources.iter().position(|s| s.name == source);
-        let Some(place) = place else { return Vec::new() };
+        let place = self
+            .members
+            .settings()
+            .sources
+            .iter()
+            .position(|s| s.name == source);
+        let Some(place) = place else {
+            return Vec::new();
+        };
         let changes = self.members.told(at.now, place, told);
         self.listings(changes, at)
     }
@@ -144,10 +159,22 @@
                     continue;
                 }
             } else {
-                let (addr, name, listing) = (server.entry.addr, server.name.clone(), listing.clone());
-                self.known.insert(id, Known { name, addr, started_ms, listing });
+                let (addr, name, listing) =
+                    (server.entry.addr, server.name.clone(), listing.clone());
+                self.known.insert(
+                    id,
+                    Known {
+                        name,
+                        addr,
+                        started_ms,
+                        listing,
+                    },
+                );
             }
-            list.push(Changed { listing, name: server.name });
+            list.push(Changed {
+                listing,
+                name: server.name,
+            });
         }
         list
     }
@@ -155,8 +182,9 @@
     fn listing(&self, id: ReplicaId, server: &Server, born: Option<Seconds>) -> Listing {
         let entry = &server.entry;
         // A zone or kind that the settings lack is one more: the replica serves all the same.
-        let place =
-            |name: &str, known: &[String]| known.iter().position(|k| k == name).unwrap_or(known.len());
+        let place = |name: &str, known: &[String]| {
+            known.iter().position(|k| k == name).unwrap_or(known.len())
+        };
         let size = match (entry.priority, self.weight_unit, entry.weight) {
             // What has a priority is described by DNS.
             (Some(_), Some(unit), Some(weight)) => Some(weight / unit).filter(|s| *s > 0.0),
--- a/src/routing/handover.rs
+++ b/src/routing/handover.rs
@@ -39,12 +39,22 @@
 }
 
 fn site(names: &Names) -> (Vec<String>, Vec<String>, Vec<String>) {
-    (names.kinds.clone(), names.classes.clone(), names.zones.clone())
+    (
+        names.kinds.clone(),
+        names.classes.clone(),
+        names.zones.clone(),
+    )
 }
 
 /// A record as it is left: `from` tells this process from others, `unix_ms` is now.
 pub fn write(from: u64, unix_ms: i64, names: &Names, memory: Memory) -> Vec<u8> {
-    let record = Record { format: FORMAT, from, unix_ms, site: site(names), memory };
+    let record = Record {
+        format: FORMAT,
+        from,
+        unix_ms,
+        site: site(names),
+        memory,
+    };
     let bytes = postcard::to_stdvec(&record).unwrap_or_default();
     let sum = crc32fast::hash(&bytes).to_le_bytes();
     [&sum[..], &bytes].concat()
--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -193,7 +193,14 @@
     /// A core around a module that has been told nothing yet.
     pub fn new(brain: Brain) -> Self {
         let (live, timers, told, counts, replies) = Default::default();
-        Router { brain, live, timers, told, counts, replies }
+        Router {
+            brain,
+            live,
+            timers,
+            told,
+            counts,
+            replies,
+        }
     }
 
     /// Whether this id is in use: an id names one request at a time.
@@ -249,7 +256,8 @@
     pub fn standings(&self) -> Vec<(ReplicaId, bool, Option<Micros>)> {
         let micros = |s: f64| (s * 1e6) as Micros;
         let all = self.brain.standings().into_iter();
-        all.map(|(id, ejected, well)| (id, ejected, well.map(micros))).collect()
+        all.map(|(id, ejected, well)| (id, ejected, well.map(micros)))
+            .collect()
     }
     /// Requests that the module holds, by tenant.
     pub fn waiting(&self) -> Vec<usize> {
@@ -257,11 +265,20 @@
     }
     /// Attempts that ended otherwise than served, by the names of [`COUNTED_ENDS`].
     pub fn attempt_ends(&self) -> Vec<(&'static str, u64)> {
-        COUNTED_ENDS.iter().zip(self.counts.ends).map(|((_, name), count)| (*name, count)).collect()
+        COUNTED_ENDS
+            .iter()
+            .zip(self.counts.ends)
+            .map(|((_, name), count)| (*name, count))
+            .collect()
     }
     /// How the last attempt of a request ended that has ended, if any has: why there is another one.
     pub fn last_outcome(&self, request: RequestId) -> Option<Outcome> {
-        self.live.get(&request)?.attempts.iter().rev().find_map(|attempt| attempt.outcome)
+        self.live
+            .get(&request)?
+            .attempts
+            .iter()
+            .rev()
+            .find_map(|attempt| attempt.outcome)
     }
     /// What has happened so far.
     pub fn counts(&self) -> Counts {
@@ -295,11 +312,19 @@
                     return;
                 }
                 self.counts.arrived += 1;
-                self.live.insert(arrival.id, Live { class: arrival.class, ..Live::default() });
+                self.live.insert(
+                    arrival.id,
+                    Live {
+                        class: arrival.class,
+                        ..Live::default()
+                    },
+                );
                 self.told.push_back(Event::Arrived(arrival));
             }
             Input::ClientGone(id) => {
-                let Some(live) = self.live.get_mut(&id).filter(|l| !l.finished) else { return };
+                let Some(live) = self.live.get_mut(&id).filter(|l| !l.finished) else {
+                    return;
+                };
                 (live.answered, live.finished) = (true, true);
                 self.counts.gone += 1;
                 self.told.push_back(Event::ClientGone(id));
@@ -309,9 +334,15 @@
                 }
             }
             Input::First { request, attempt } => {
-                let Some(live) = self.live.get_mut(&request) else { return };
+                let Some(live) = self.live.get_mut(&request) else {
+                    return;
+                };
                 let answered = live.answered;
-                let Some(a) = live.attempts.get_mut(attempt).filter(|a| a.stage == Stage::Waiting) else {
+                let Some(a) = live
+                    .attempts
+                    .get_mut(attempt)
+                    .filter(|a| a.stage == Stage::Waiting)
+                else {
                     return;
                 };
                 if answered {
@@ -320,35 +351,70 @@
                 } else {
                     a.stage = Stage::Streaming;
                     // From here on the deadline is off.
-                    self.timers.remove(&(a.until, Due::Timeout(request, attempt)));
+                    self.timers
+                        .remove(&(a.until, Due::Timeout(request, attempt)));
                     let elapsed = seconds(now.saturating_sub(a.sent));
                     live.answered = true;
                     out.push(Command::Bind { request, attempt });
-                    self.told.push_back(Event::Started { request, attempt, elapsed });
+                    self.told.push_back(Event::Started {
+                        request,
+                        attempt,
+                        elapsed,
+                    });
                 }
             }
-            Input::Ended { request, attempt, outcome, report } => {
+            Input::Ended {
+                request,
+                attempt,
+                outcome,
+                report,
+            } => {
                 self.end(request, attempt, outcome, report);
             }
-            Input::Probed { replica, outcome, report } => {
-                self.told.push_back(Event::Probed { replica, outcome, report });
+            Input::Probed {
+                replica,
+                outcome,
+                report,
+            } => {
+                self.told.push_back(Event::Probed {
+                    replica,
+                    outcome,
+                    report,
+                });
             }
             Input::List { list, full: true } => self.told.push_back(Event::ListFull(list)),
             Input::List { list, full: false } => self.told.push_back(Event::ListChanged(list)),
-            Input::Advised { replica, well } => self.told.push_back(Event::Advised { replica, well }),
+            Input::Advised { replica, well } => {
+                self.told.push_back(Event::Advised { replica, well })
+            }
             Input::ListFailed => self.told.push_back(Event::ListFailed),
         }
         self.decide(now, out);
     }
 
     /// The one place where an attempt ends, so that the module hears of each end once.
-    fn end(&mut self, request: RequestId, attempt: usize, outcome: Outcome, report: Option<Report>) {
-        let Some(live) = self.live.get_mut(&request) else { return };
-        let Some(a) = live.attempts.get_mut(attempt).filter(|a| a.stage != Stage::Ended) else { return };
+    fn end(
+        &mut self,
+        request: RequestId,
+        attempt: usize,
+        outcome: Outcome,
+        report: Option<Report>,
+    ) {
+        let Some(live) = self.live.get_mut(&request) else {
+            return;
+        };
+        let Some(a) = live
+            .attempts
+            .get_mut(attempt)
+            .filter(|a| a.stage != Stage::Ended)
+        else {
+            return;
+        };
         let streaming = a.stage == Stage::Streaming;
         a.stage = Stage::Ended;
         a.outcome = Some(outcome);
-        self.timers.remove(&(a.until, Due::Timeout(request, attempt)));
+        self.timers
+            .remove(&(a.until, Due::Timeout(request, attempt)));
         let mut whole = None;
         if streaming && !live.finished {
             // The end of a stream is the end of its request, also where it broke.
@@ -366,11 +432,23 @@
         if let Some((class, served)) = whole {
             self.replied(class, if served { 0 } else { 2 });
         }
-        self.told.push_back(Event::Ended { request, attempt, outcome, last, report });
+        self.told.push_back(Event::Ended {
+            request,
+            attempt,
+            outcome,
+            last,
+            report,
+        });
     }
 
     fn abandon(&mut self, request: RequestId, attempt: usize, out: &mut Vec<Command>) {
-        let Some(a) = self.live.get(&request).and_then(|l| l.attempts.get(attempt)) else { return };
+        let Some(a) = self
+            .live
+            .get(&request)
+            .and_then(|l| l.attempts.get(attempt))
+        else {
+            return;
+        };
         if a.stage != Stage::Ended {
             out.push(Command::Abandon { request, attempt });
             self.end(request, attempt, Outcome::Cancelled, None);
@@ -397,22 +475,44 @@
 
     fn act(&mut self, now: Micros, action: Action, out: &mut Vec<Command>) {
         match action {
-            Action::Send { request, replica, timeout } => {
-                let Some(live) = self.live.get_mut(&request) else { return };
+            Action::Send {
+                request,
+                replica,
+                timeout,
+            } => {
+                let Some(live) = self.live.get_mut(&request) else {
+                    return;
+                };
                 let attempt = live.attempts.len();
                 let until = now.saturating_add(micros(timeout));
-                live.attempts.push(Attempt { sent: now, until, stage: Stage::Waiting, outcome: None });
+                live.attempts.push(Attempt {
+                    sent: now,
+                    until,
+                    stage: Stage::Waiting,
+                    outcome: None,
+                });
                 if live.answered {
                     return self.end(request, attempt, Outcome::Moot, None);
                 }
                 self.counts.sent += 1;
                 self.timers.insert((until, Due::Timeout(request, attempt)));
-                out.push(Command::Send { request, attempt, replica, until });
+                out.push(Command::Send {
+                    request,
+                    attempt,
+                    replica,
+                    until,
+                });
             }
-            Action::Refuse { request, retry_after } => {
+            Action::Refuse {
+                request,
+                retry_after,
+            } => {
                 if self.answer(request, 1) {
                     self.counts.refused += 1;
-                    out.push(Command::Refuse { request, retry_after: micros(retry_after) });
+                    out.push(Command::Refuse {
+                        request,
+                        retry_after: micros(retry_after),
+                    });
                 }
                 self.forget(request);
             }
@@ -434,14 +534,17 @@
             Action::Probe { replica } => out.push(Command::Probe { replica }),
             Action::Subscribe => out.push(Command::Watch),
             Action::Wake { after } => {
-                self.timers.insert((now.saturating_add(micros(after)), Due::Wake));
+                self.timers
+                    .insert((now.saturating_add(micros(after)), Due::Wake));
             }
         }
     }
 
     /// Marks a request as answered by the node itself; false where it has its answer already.
     fn answer(&mut self, id: RequestId, status: usize) -> bool {
-        let Some(live) = self.live.get_mut(&id).filter(|l| !l.answered) else { return false };
+        let Some(live) = self.live.get_mut(&id).filter(|l| !l.answered) else {
+            return false;
+        };
         (live.answered, live.finished) = (true, true);
         let class = live.class;
         self.replied(class, status);
@@ -457,7 +560,9 @@
 
     /// A finished request stays until its last attempt has ended, and its timers go with it.
     fn forget(&mut self, id: RequestId) {
-        let Some(live) = self.live.get(&id) else { return };
+        let Some(live) = self.live.get(&id) else {
+            return;
+        };
         if live.finished && live.attempts.iter().all(|a| a.stage == Stage::Ended) {
             self.live.remove(&id);
         }
--- a/src/state.rs
+++ b/src/state.rs
@@ -82,12 +82,25 @@
     }
 
     pub(crate) fn out(&self) -> impl Iterator<Item = &Attempt> {
-        self.attempts.iter().filter(|a| matches!(a.phase, Phase::Waiting | Phase::Streaming))
+        self.attempts
+            .iter()
+            .filter(|a| matches!(a.phase, Phase::Waiting | Phase::Streaming))
     }
     /// Ends an attempt, once: where it was, when it was sent, and what it had still to read.
-    pub(crate) fn end_attempt(&mut self, attempt: usize, ran: bool) -> Option<(ReplicaId, Seconds, f64)> {
-        let a = self.attempts.get_mut(attempt).filter(|a| !matches!(a.phase, Phase::Done { .. }))?;
-        let unread = if a.phase == Phase::Waiting { a.unread } else { 0.0 };
+    pub(crate) fn end_attempt(
+        &mut self,
+        attempt: usize,
+        ran: bool,
+    ) -> Option<(ReplicaId, Seconds, f64)> {
+        let a = self
+            .attempts
+            .get_mut(attempt)
+            .filter(|a| !matches!(a.phase, Phase::Done { .. }))?;
+        let unread = if a.phase == Phase::Waiting {
+            a.unread
+        } else {
+            0.0
+        };
         a.phase = Phase::Done { may_have_run: ran };
         Some((a.replica, a.sent, unread))
     }
@@ -102,7 +115,12 @@
     }
     /// The first attempt that may have run, or is still out.
     pub(crate) fn may_have_run(&self) -> Option<&Attempt> {
-        self.attempts.iter().find(|a| a.phase != Phase::Done { may_have_run: false })
+        self.attempts.iter().find(|a| {
+            a.phase
+                != Phase::Done {
+                    may_have_run: false,
+                }
+        })
     }
 }
 
@@ -166,7 +184,12 @@
 
 impl Tier {
     pub(crate) fn new(worth: f64, spare: bool, tenants: usize) -> Self {
-        Tier { worth, spare, queues: (0..tenants).map(|_| Queue::default()).collect(), turn: VecDeque::new() }
+        Tier {
+            worth,
+            spare,
+            queues: (0..tenants).map(|_| Queue::default()).collect(),
+            turn: VecDeque::new(),
+        }
     }
 
     pub(crate) fn put(&mut self, tenant: usize, key: (u64, u64), id: RequestId, cost: f64) {
@@ -204,27 +227,48 @@
     /// A tier for each worth there is, within a share and beyond it.
     pub(crate) fn new(settings: &Settings) -> Self {
         let (classes, tenants) = (&settings.classes, settings.tenants.len().max(1));
-        let over = if settings.tenants.is_empty() { 1.0 } else { settings.over_share_worth };
-        let mut worths: Vec<f64> = classes.iter().flat_map(|c| [c.worth, c.worth * over]).collect();
+        let over = if settings.tenants.is_empty() {
+            1.0
+        } else {
+            settings.over_share_worth
+        };
+        let mut worths: Vec<f64> = classes
+            .iter()
+            .flat_map(|c| [c.worth, c.worth * over])
+            .collect();
         worths.sort_by(|a, b| b.total_cmp(a));
         worths.dedup();
-        let least = classes.iter().map(|c| c.worth).fold(f64::INFINITY, f64::min);
-        let tiers = worths.into_iter().map(|worth| Tier::new(worth, worth < least, tenants)).collect();
-        Backlog { tiers, expiry: BTreeSet::new() }
+        let least = classes
+            .iter()
+            .map(|c| c.worth)
+            .fold(f64::INFINITY, f64::min);
+        let tiers = worths
+            .into_iter()
+            .map(|worth| Tier::new(worth, worth < least, tenants))
+            .collect();
+        Backlog {
+            tiers,
+            expiry: BTreeSet::new(),
+        }
     }
 
     /// Held requests by tenant.
     pub(crate) fn waiting(&self) -> Vec<usize> {
         let mut all = vec![0; self.tiers.first().map_or(0, |t| t.queues.len())];
         for tier in &self.tiers {
-            all.iter_mut().zip(&tier.queues).for_each(|(sum, queue)| *sum += queue.held.len());
+            all.iter_mut()
+                .zip(&tier.queues)
+                .for_each(|(sum, queue)| *sum += queue.held.len());
         }
         all
     }
 
     /// The highest tier of no more than this worth.
     pub(crate) fn tier_of(&self, worth: f64) -> usize {
-        self.tiers.iter().position(|t| t.worth <= worth).unwrap_or(self.tiers.len() - 1)
+        self.tiers
+            .iter()
+            .position(|t| t.worth <= worth)
+            .unwrap_or(self.tiers.len() - 1)
     }
 
     /// Puts a request among the held ones or takes it out; does nothing where it is so already.
@@ -233,7 +277,10 @@
             return;
         }
         request.queued = held;
-        let (tier, expiry) = (&mut self.tiers[request.tier], (micros(request.useful_until), id));
+        let (tier, expiry) = (
+            &mut self.tiers[request.tier],
+            (micros(request.useful_until), id),
+        );
         if held {
             self.expiry.insert(expiry);
             tier.put(request.arrival.tenant, request.key, id, request.cost);
@@ -245,13 +292,30 @@
 
     /// The held request that must be answered first, if that is before `time`.
     pub(crate) fn expired(&self, time: Seconds) -> Option<RequestId> {
-        self.expiry.first().filter(|e| e.0 <= micros(time)).map(|e| e.1)
+        self.expiry
+            .first()
+            .filter(|e| e.0 <= micros(time))
+            .map(|e| e.1)
     }
 }
 
 impl Attempt {
-    pub(crate) fn new(replica: ReplicaId, sent: Seconds, unread: f64, kept: Kept, estimate: Seconds) -> Self {
-        Attempt { replica, sent, unread, kept, estimate, phase: Phase::Waiting, cancelled: false }
+    pub(crate) fn new(
+        replica: ReplicaId,
+        sent: Seconds,
+        unread: f64,
+        kept: Kept,
+        estimate: Seconds,
+    ) -> Self {
+        Attempt {
+            replica,
+            sent,
+            unread,
+            kept,
+            estimate,
+            phase: Phase::Waiting,
+            cancelled: false,
+        }
     }
 }
 
@@ -322,7 +386,10 @@
     pub(crate) fn began(&mut self, unread: f64, estimate: Seconds, elapsed: Seconds) {
         self.own_unread = (self.own_unread - unread).max(0.0);
         if estimate > 0.0 {
-            self.tail.add((elapsed.max(0.005) / estimate).ln().clamp(-2.0, 3.0), TAIL_SAMPLES);
+            self.tail.add(
+                (elapsed.max(0.005) / estimate).ln().clamp(-2.0, 3.0),
+                TAIL_SAMPLES,
+            );
         }
     }
 
@@ -348,7 +415,9 @@
 
     /// The part of its capacity that the rules promise of it.
     pub(crate) fn warmth(&self, rules: &Rules, now: Seconds) -> f64 {
-        let Some(since) = self.cold_since.filter(|_| rules.cold > 0.0) else { return 1.0 };
+        let Some(since) = self.cold_since.filter(|_| rules.cold > 0.0) else {
+            return 1.0;
+        };
         (rules.cold_from + (1.0 - rules.cold_from) * (now - since) / rules.cold).min(1.0)
     }
 
@@ -366,10 +435,16 @@
     }
 
     pub(crate) fn take_report(&mut self, report: Report, now: Seconds) {
-        if let Some(tokens) = report.waiting_prompt_tokens.filter(|t| (0.0..MOST_TOKENS).contains(t)) {
+        if let Some(tokens) = report
+            .waiting_prompt_tokens
+            .filter(|t| (0.0..MOST_TOKENS).contains(t))
+        {
             (self.reported, self.reported_at) = (tokens, now);
         }
-        if let Some(held) = report.memory_held.filter(|m| (0.0..f64::INFINITY).contains(m)) {
+        if let Some(held) = report
+            .memory_held
+            .filter(|m| (0.0..f64::INFINITY).contains(m))
+        {
             self.memory_held = held;
         }
         if let Some(queued) = report.queued.filter(|q| (0.0..MOST_TOKENS).contains(q)) {
@@ -404,17 +479,31 @@
 
 impl Pool {
     pub(crate) fn new() -> Self {
-        Pool { size: 1.0, fresh: true, warm: 0, most_up: 0, rare: 1.0 }
+        Pool {
+            size: 1.0,
+            fresh: true,
+            warm: 0,
+            most_up: 0,
+            rare: 1.0,
+        }
     }
     /// Keeps its part for each warm replica, at first so many requests. Without any it stays as it is.
     pub(crate) fn resize(&mut self, warm: usize, first: f64) {
         if warm > 0 && warm != self.warm {
-            self.size = if self.warm == 0 { first } else { self.size / self.warm as f64 } * warm as f64;
+            self.size = if self.warm == 0 {
+                first
+            } else {
+                self.size / self.warm as f64
+            } * warm as f64;
             self.warm = warm;
         }
     }
     pub(crate) fn grow(&mut self, factor: f64) {
-        self.size = if self.fresh { self.size + 1.0 } else { self.size * factor };
+        self.size = if self.fresh {
+            self.size + 1.0
+        } else {
+            self.size * factor
+        };
     }
     /// One request may always be out.
     pub(crate) fn cut(&mut self, factor: f64) {
--- a/src/state/learned.rs
+++ b/src/state/learned.rs
@@ -36,7 +36,9 @@
     }
     /// The oldest first.
     pub(crate) fn all(&self) -> impl Iterator<Item = (u64, ReplicaId, f64)> + '_ {
-        self.order.iter().filter_map(|session| self.get(*session).map(|p| (*session, p.0, p.1)))
+        self.order
+            .iter()
+            .filter_map(|session| self.get(*session).map(|p| (*session, p.0, p.1)))
     }
     pub(crate) fn put(&mut self, session: u64, replica: ReplicaId, tokens: f64) {
         if self.at.insert(session, (replica, tokens)).is_none() {
@@ -123,14 +125,19 @@
 impl Learned {
     /// Takes one sample of a kind's time for a token; the mean is over the last so many, geometric.
     pub(crate) fn pace(&mut self, kind: usize, sample: Seconds) {
-        let (count, mean) = self.paces.entry(kind).or_insert((PACE_SAMPLES / 100.0, 0.0));
+        let (count, mean) = self
+            .paces
+            .entry(kind)
+            .or_insert((PACE_SAMPLES / 100.0, 0.0));
         *count = (*count + 1.0).min(PACE_SAMPLES);
         *mean += ((sample / FIRST_PACE).ln() - *mean) / *count;
     }
     /// The cost of a request whose work is told, in the tokens that such work stands for on the mean; a hint may
     /// be absurd, so it counts for no more than four times its tokens and no less than a quarter.
     pub(crate) fn hinted(&mut self, tokens: f64, work: Option<Seconds>, weight: f64) -> f64 {
-        let Some(work) = work.filter(|w| w.is_finite() && *w > 0.0) else { return tokens };
+        let Some(work) = work.filter(|w| w.is_finite() && *w > 0.0) else {
+            return tokens;
+        };
         let rate = self.tokens_a_second.get_or_insert(tokens / work);
         let cost = (work * *rate).clamp(tokens / 4.0, tokens * 4.0);
         *rate *= (weight * (tokens / cost).ln()).exp();
@@ -145,7 +152,10 @@
     pub(crate) fn found(&mut self, arrival: &Arrival, sent: &Attempt, found: f64, weight: f64) {
         let prompt = arrival.prompt_tokens as f64;
         let prefix = (arrival.prefix_tokens as f64).min(prompt);
-        let read = arrival.session.and_then(|s| self.places.get(s)).map_or(0.0, |p| p.1.min(prompt));
+        let read = arrival
+            .session
+            .and_then(|s| self.places.get(s))
+            .map_or(0.0, |p| p.1.min(prompt));
         let (found, due) = match sent.kept {
             Kept::Opening => (found, prefix),
             Kept::Home => (found - prefix, prompt - prefix),
@@ -173,10 +183,15 @@
     /// many: with a queue its batch is what is left of them, without one it is no less than they are.
     pub(crate) fn queue_shown(&mut self, kind: usize, held: f64, queued: f64) {
         let known = self.batches.get(&kind).copied();
-        let sample = if queued >= 0.5 { (held - queued).max(LEAST_BATCH) } else { held };
+        let sample = if queued >= 0.5 {
+            (held - queued).max(LEAST_BATCH)
+        } else {
+            held
+        };
         if queued >= 0.5 || known.is_some_and(|batch| batch < held) {
             let batch = known.unwrap_or(sample);
-            self.batches.insert(kind, batch + GUESSED * (sample - batch));
+            self.batches
+                .insert(kind, batch + GUESSED * (sample - batch));
         }
     }
     pub(crate) fn hold_of(&self, kind: usize) -> Seconds {
@@ -185,7 +200,11 @@
     /// Places in a batch of this kind, else of the largest kind seen, else the first guess.
     pub(crate) fn batch_of(&self, kind: usize, first: f64) -> f64 {
         let largest = || self.batches.values().copied().reduce(f64::max);
-        self.batches.get(&kind).copied().or_else(largest).unwrap_or(first)
+        self.batches
+            .get(&kind)
+            .copied()
+            .or_else(largest)
+            .unwrap_or(first)
     }
     /// As a multiple of the first guess: places in an order are whole numbers, and far smaller figures fell
     /// together there.
--- a/src/state/rates.rs
+++ b/src/state/rates.rs
@@ -23,7 +23,12 @@
         (self.left + b.floor * (now - self.at) + b.rate * shared).min(self.most(now))
     }
     fn most(&self, now: Seconds) -> f64 {
-        self.budget.floor_burst + if now < self.budget.until { self.budget.burst } else { 0.0 }
+        self.budget.floor_burst
+            + if now < self.budget.until {
+                self.budget.burst
+            } else {
+                0.0
+            }
     }
 }
 
@@ -36,7 +41,12 @@
     pub fn set(&mut self, now: Seconds, allowed: &Allowed) {
         self.0.retain(|what, _| allowed.contains_key(what));
         for (what, budget) in allowed {
-            let fresh = Spending { budget: *budget, left: 0.0, at: now, wanted: Wanted::default() };
+            let fresh = Spending {
+                budget: *budget,
+                left: 0.0,
+                at: now,
+                wanted: Wanted::default(),
+            };
             let s = self.0.entry(*what).or_insert(fresh);
             // What has come in until now came in by the budget until now.
             s.fill(now);
@@ -64,7 +74,9 @@
     /// Whether a unit may be spent and this part of what can be saved up is left behind it.
     pub fn may(&self, now: Seconds, what: Spend, reserve: f64) -> bool {
         let most = |s: &Spending| (s.most(now) - 1.0).max(0.0);
-        self.0.get(&what).is_none_or(|s| s.level(now) >= 1.0 + reserve * most(s))
+        self.0
+            .get(&what)
+            .is_none_or(|s| s.level(now) >= 1.0 + reserve * most(s))
     }
 
     /// So much of it is wanted, whoever decides about it.
@@ -83,7 +95,11 @@
     /// Units a second that come in now.
     pub fn rate(&self, now: Seconds, what: Spend) -> Option<f64> {
         let b = self.0.get(&what)?.budget;
-        Some(if now < b.until { b.floor + b.rate } else { b.floor })
+        Some(if now < b.until {
+            b.floor + b.rate
+        } else {
+            b.floor
+        })
     }
 
     /// What has been wanted since the start of what there are budgets for.
@@ -101,8 +117,13 @@
 
 impl Allowance {
     pub(crate) fn take(&mut self, now: Seconds, rate: f64, most: f64) -> bool {
-        let left =
-            self.left.map_or(most, |left| if now > self.at { left + rate * (now - self.at) } else { left });
+        let left = self.left.map_or(most, |left| {
+            if now > self.at {
+                left + rate * (now - self.at)
+            } else {
+                left
+            }
+        });
         let left = left.min(most);
         (self.left, self.at) = (Some(if left >= 1.0 { left - 1.0 } else { left }), now);
         left >= 1.0
@@ -118,7 +139,11 @@
 
 impl Rate {
     pub(crate) fn new(horizon: Seconds) -> Self {
-        Rate { horizon, value: 0.0, at: 0.0 }
+        Rate {
+            horizon,
+            value: 0.0,
+            at: 0.0,
+        }
     }
     pub(crate) fn get(&self, now: Seconds) -> f64 {
         self.value * (-(now - self.at) / self.horizon).exp()
--- a/src/transport/admin.rs
+++ b/src/transport/admin.rs
@@ -50,13 +50,19 @@
         loop {
             let Ok((socket, _)) = listener.accept().await else {
                 // Out of descriptors: the oldest caller makes room.
-                callers.pop_front().into_iter().for_each(|oldest| oldest.abort());
+                callers
+                    .pop_front()
+                    .into_iter()
+                    .for_each(|oldest| oldest.abort());
                 tokio::time::sleep(Duration::from_millis(10)).await;
                 continue;
             };
             callers.retain(|caller| !caller.is_finished());
             if callers.len() >= MOST_CALLERS {
-                callers.pop_front().into_iter().for_each(|oldest| oldest.abort());
+                callers
+                    .pop_front()
+                    .into_iter()
+                    .for_each(|oldest| oldest.abort());
             }
             callers.push_back(spawn_local(self.clone().caller(socket)).abort_handle());
         }
@@ -90,9 +96,18 @@
                 let asked = self.tell.send(Message::Figures(figures)).await.is_ok();
                 match told.await.ok().filter(|_| asked) {
                     Some(told) => {
-                        let fleet = self.fleet.as_ref().map(|fleet| fleet.figures()).unwrap_or_default();
+                        let fleet = self
+                            .fleet
+                            .as_ref()
+                            .map(|fleet| fleet.figures())
+                            .unwrap_or_default();
                         let closes = self.clients.closes.all();
-                        admin::figures(&Figures { reloads: self.reloads.get(), fleet, closes, ..told })
+                        admin::figures(&Figures {
+                            reloads: self.reloads.get(),
+                            fleet,
+                            closes,
+                            ..told
+                        })
                     }
                     None => request::own_answer(503, "the node is ending", None, true),
                 }
@@ -104,7 +119,12 @@
             Call::Crossings => {
                 let (ask, told) = oneshot::channel();
                 let asked = self.tell.send(Message::Crossings(ask)).await.is_ok();
-                match told.await.ok().filter(|_| asked).and_then(|rows| serde_json::to_string(&rows).ok()) {
+                match told
+                    .await
+                    .ok()
+                    .filter(|_| asked)
+                    .and_then(|rows| serde_json::to_string(&rows).ok())
+                {
                     Some(rows) => admin::json(&rows),
                     None => request::own_answer(503, "the node is ending", None, true),
                 }
--- a/src/transport/client.rs
+++ b/src/transport/client.rs
@@ -77,7 +77,15 @@
         let number = shared.enter();
         let until = Instant::now() + shared.bounds.read;
         let wire = Framed::new(socket.into(), Http::new(Side::Server));
-        Client { wire, shared, number, ahead: None, requests: 0, until, asker: 0 }
+        Client {
+            wire,
+            shared,
+            number,
+            ahead: None,
+            requests: 0,
+            until,
+            asker: 0,
+        }
     }
 
     /// Serves requests until either side has had enough.
@@ -93,7 +101,12 @@
                 break leave;
             }
         };
-        log_fate!(self, requests = self.requests, why = reason.name(), "connection closes");
+        log_fate!(
+            self,
+            requests = self.requests,
+            why = reason.name(),
+            "connection closes"
+        );
         self.shared.closes.add(reason);
         self.close(reason).await;
     }
@@ -129,12 +142,24 @@
             Fault::Late => return self.too_late().await,
             Fault::Cut | Fault::Io(_) => return Leave(CloseReason::ClientLeft),
         };
-        self.turn_down(Reject { status, reason: fault.to_string() }, None).await
+        self.turn_down(
+            Reject {
+                status,
+                reason: fault.to_string(),
+            },
+            None,
+        )
+        .await
     }
 
     /// The last answer on this connection.
     async fn turn_down(&mut self, reject: Reject, retry_after: Option<u64>) -> Leave {
-        log_fate!(self, status = reject.status, why = reject.reason, "request turned down");
+        log_fate!(
+            self,
+            status = reject.status,
+            why = reject.reason,
+            "request turned down"
+        );
         let answer = request::own_answer(reject.status, &reject.reason, retry_after, true);
         match self.send(Out::Raw(answer)).await {
             Ok(()) => Leave(CloseReason::Rejected),
@@ -145,13 +170,23 @@
     /// Refuses a request that comes too late in a shutdown to be answered. It has run nowhere, and other nodes can take it
     /// at once.
     async fn too_late(&mut self) -> Leave {
-        let reject = Reject { status: 503, reason: "this node shuts down".into() };
+        let reject = Reject {
+            status: 503,
+            reason: "this node shuts down".into(),
+        };
         self.turn_down(reject, Some(0)).await
     }
 
     /// An answer of the node's own, after which the connection may stay.
-    async fn answer(&mut self, status: u16, text: &str, wait: Option<u64>, close: bool) -> Result<(), Leave> {
-        self.send(Out::Raw(request::own_answer(status, text, wait, close))).await?;
+    async fn answer(
+        &mut self,
+        status: u16,
+        text: &str,
+        wait: Option<u64>,
+        close: bool,
+    ) -> Result<(), Leave> {
+        self.send(Out::Raw(request::own_answer(status, text, wait, close)))
+            .await?;
         match close {
             true => Err(Leave(CloseReason::LastAnswer)),
             false => Ok(()),
@@ -186,7 +221,11 @@
         match route {
             Route::Health => {
                 let close = self.last() || !head.keep;
-                let (status, text) = if self.last() { (503, "draining") } else { (200, "ok") };
+                let (status, text) = if self.last() {
+                    (503, "draining")
+                } else {
+                    (200, "ok")
+                };
                 self.answer(status, text, None, close).await
             }
             Route::Completions => self.complete(head, body, hold).await,
@@ -205,17 +244,32 @@
             return Err(self.too_late().await);
         }
         log_fate!(self, request = %id, nth = self.requests, deadline_s = arrival.time_left, "request taken");
-        let payload = Payload { head: request::upstream_head(&head, body.len(), None), body: body.clone() };
+        let payload = Payload {
+            head: request::upstream_head(&head, body.len(), None),
+            body: body.clone(),
+        };
         let answer = match self.ask(arrival.clone(), payload).await {
             Ok(answer) => answer?,
             Err(leave) => return Err(self.gone(id, leave).await),
         };
         let close = self.last() || !head.keep;
         let (content_type, replica, stream) = match answer {
-            Answer::Stream { content_type, replica, body } => (content_type, replica, body),
+            Answer::Stream {
+                content_type,
+                replica,
+                body,
+            } => (content_type, replica, body),
             Answer::Duplicate => {
                 let reason = "Req-Id is that of a request still being served".to_string();
-                return Err(self.turn_down(Reject { status: 400, reason }, None).await);
+                return Err(self
+                    .turn_down(
+                        Reject {
+                            status: 400,
+                            reason,
+                        },
+                        None,
+                    )
+                    .await);
             }
             Answer::Refused(wait) => {
                 log_fate!(self, request = %id, status = 503, "request refused");
@@ -224,7 +278,9 @@
             }
             Answer::Failed => {
                 log_fate!(self, request = %id, status = 502, "request failed");
-                return self.answer(502, "the replicas failed this request", None, close).await;
+                return self
+                    .answer(502, "the replicas failed this request", None, close)
+                    .await;
             }
         };
         log_fate!(self, request = %id, replica = %replica.0, "stream begins");
@@ -233,7 +289,8 @@
         if relay.is_none() {
             drop(hold);
         }
-        self.feed(Out::Raw(request::stream_head(&content_type, close))).await?;
+        self.feed(Out::Raw(request::stream_head(&content_type, close)))
+            .await?;
         let done = match &mut relay {
             None => self.stream(stream).await,
             Some(relay) => self.saved(relay, stream).await,
@@ -249,7 +306,11 @@
     }
 
     /// Gives a request to the core and waits for its answer. The outer error says that the client has left.
-    async fn ask(&mut self, arrival: Arrival, payload: Payload) -> Result<Result<Answer, Leave>, Leave> {
+    async fn ask(
+        &mut self,
+        arrival: Arrival,
+        payload: Payload,
+    ) -> Result<Result<Answer, Leave>, Leave> {
         let (answer, answered) = oneshot::channel();
         let asker = self.shared.asker();
         self.asker = asker;
@@ -257,7 +318,12 @@
         let tell = self.shared.tell.clone();
         let ended = Leave(CloseReason::CoreEnded);
         match self.until_gone(tell.reserve()).await? {
-            Ok(place) => place.send(Message::Request { arrival, payload, answer, asker }),
+            Ok(place) => place.send(Message::Request {
+                arrival,
+                payload,
+                answer,
+                asker,
+            }),
             Err(_) => return Ok(Err(ended)),
         }
         Ok(self.until_gone(answered).await?.map_err(|_| ended))
@@ -266,12 +332,22 @@
     /// Tells the core that nobody waits for this request any more.
     async fn gone(&mut self, id: RequestId, leave: Leave) -> Leave {
         log_fate!(self, request = %id, why = leave.0.name(), "client gone");
-        let _ = self.shared.tell.send(Message::Left { request: id, asker: self.asker }).await;
+        let _ = self
+            .shared
+            .tell
+            .send(Message::Left {
+                request: id,
+                asker: self.asker,
+            })
+            .await;
         leave
     }
 
     /// Waits for something while the client is there; an error says that it has left.
-    async fn until_gone<T>(&mut self, wait: impl std::future::Future<Output = T>) -> Result<T, Leave> {
+    async fn until_gone<T>(
+        &mut self,
+        wait: impl std::future::Future<Output = T>,
+    ) -> Result<T, Leave> {
         tokio::pin!(wait);
         loop {
             if self.ahead.is_some() {
--- a/src/transport/client/requests.rs
+++ b/src/transport/client/requests.rs
@@ -36,7 +36,9 @@
         let (mark, leave) = self.shared.rests();
         let (known, mut phase) = (self.requests > 0, self.shared.phase.clone());
         let closing = async {
-            let closed = phase.wait_for(|p| matches!(p, Phase::Evacuated | Phase::Closing)).await;
+            let closed = phase
+                .wait_for(|p| matches!(p, Phase::Evacuated | Phase::Closing))
+                .await;
             let reason = match closed.as_deref() {
                 Ok(Phase::Evacuated) => CloseReason::Evacuated,
                 _ => CloseReason::Shutdown,
@@ -108,14 +110,19 @@
         head: &Head,
         hold: &mut Hold,
     ) -> Result<Result<Bytes, (Reject, Option<u64>)>, Leave> {
-        let too_long =
-            || Reject { status: 413, reason: format!("the body is longer than {MOST_BODY} bytes") };
+        let too_long = || Reject {
+            status: 413,
+            reason: format!("the body is longer than {MOST_BODY} bytes"),
+        };
         let expected = head.length.unwrap_or(0);
         if expected > MOST_BODY as u64 {
             return Ok(Err((too_long(), None)));
         }
         if head.headers.has("expect", "100-continue") {
-            self.send(Out::Raw(Bytes::from_static(b"HTTP/1.1 100 Continue\r\n\r\n"))).await?;
+            self.send(Out::Raw(Bytes::from_static(
+                b"HTTP/1.1 100 Continue\r\n\r\n",
+            )))
+            .await?;
         }
         let mut body = Vec::with_capacity(expected as usize);
         loop {
@@ -131,7 +138,13 @@
                 Part::Body(bytes) if hold.more(bytes.len()) => body.extend_from_slice(&bytes),
                 Part::Body(_) => {
                     let reason = "this node holds as many requests as it may".to_string();
-                    return Ok(Err((Reject { status: 503, reason }, Some(AGAIN_US))));
+                    return Ok(Err((
+                        Reject {
+                            status: 503,
+                            reason,
+                        },
+                        Some(AGAIN_US),
+                    )));
                 }
                 Part::End => return Ok(Ok(body.into())),
                 Part::Head(_) => return Err(Leave(CloseReason::Rejected)),
--- a/src/transport/client/streams.rs
+++ b/src/transport/client/streams.rs
@@ -64,7 +64,11 @@
             if let Next::Ask(asked) = next {
                 let (arrival, payload) = *asked;
                 next = match self.ask(arrival, payload).await?? {
-                    Answer::Stream { replica, body: rest, .. } => {
+                    Answer::Stream {
+                        replica,
+                        body: rest,
+                        ..
+                    } => {
                         relay.carried_on(replica);
                         body = rest;
                         continue;
--- a/src/transport/clients.rs
+++ b/src/transport/clients.rs
@@ -78,13 +78,20 @@
     /// Tells the connection that has been idle longest to go; false where all are busy, or may have a request on its way.
     pub fn evict(&self) -> bool {
         let mut idle = self.idle.borrow_mut();
-        let oldest = idle.first_entry().filter(|oldest| oldest.get().since.elapsed() >= ON_ITS_WAY);
-        oldest.map(|oldest| oldest.remove().leave.notify_one()).is_some()
+        let oldest = idle
+            .first_entry()
+            .filter(|oldest| oldest.get().since.elapsed() >= ON_ITS_WAY);
+        oldest
+            .map(|oldest| oldest.remove().leave.notify_one())
+            .is_some()
     }
     /// Comes once no request is read any more, since the node shuts down.
     pub(super) async fn reading_over(&self) {
         let mut phase = self.phase.clone();
-        let closing = phase.wait_for(|phase| *phase == Phase::Closing).await.is_ok();
+        let closing = phase
+            .wait_for(|phase| *phase == Phase::Closing)
+            .await
+            .is_ok();
         match self.shutdown.reading_ends().filter(|_| closing) {
             Some(at) => tokio::time::sleep_until(at).await,
             None => std::future::pending().await,
@@ -106,7 +113,13 @@
         self.marks.set(mark);
         let leave = Rc::new(Notify::new());
         let since = Instant::now();
-        self.idle.borrow_mut().insert(mark, Resting { since, leave: leave.clone() });
+        self.idle.borrow_mut().insert(
+            mark,
+            Resting {
+                since,
+                leave: leave.clone(),
+            },
+        );
         (mark, leave)
     }
     /// It rests no more.
--- a/src/transport/clock.rs
+++ b/src/transport/clock.rs
@@ -23,7 +23,12 @@
     }
     /// Both clocks at this moment.
     pub fn moment(self) -> Moment {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_micros());
-        Moment { now: self.now(), unix: i64::try_from(unix).unwrap_or(i64::MAX) }
+        let unix = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .map_or(0, |d| d.as_micros());
+        Moment {
+            now: self.now(),
+            unix: i64::try_from(unix).unwrap_or(i64::MAX),
+        }
     }
 }
--- a/src/transport/closes.rs
+++ b/src/transport/closes.rs
@@ -70,7 +70,10 @@
 
     /// Nobody waits for the end of what was written, so the connection can be dropped at once.
     pub fn abrupt(self) -> bool {
-        matches!(self, CloseReason::ClientLeft | CloseReason::ClientStalled | CloseReason::Evicted)
+        matches!(
+            self,
+            CloseReason::ClientLeft | CloseReason::ClientStalled | CloseReason::Evicted
+        )
     }
 }
 
@@ -87,6 +90,9 @@
 
     /// Each reason's name and count.
     pub fn all(&self) -> Vec<(&'static str, u64)> {
-        CloseReason::ALL.iter().map(|reason| (reason.name(), self.0[*reason as usize].get())).collect()
+        CloseReason::ALL
+            .iter()
+            .map(|reason| (reason.name(), self.0[*reason as usize].get()))
+            .collect()
     }
 }
--- a/src/transport/discovery.rs
+++ b/src/transport/discovery.rs
@@ -68,7 +68,12 @@
 
 impl Watch {
     /// A watch that has not begun.
-    pub fn new(addr: SocketAddr, bounds: Rc<Bounds>, tell: mpsc::Sender<Message>, clock: Clock) -> Self {
+    pub fn new(
+        addr: SocketAddr,
+        bounds: Rc<Bounds>,
+        tell: mpsc::Sender<Message>,
+        clock: Clock,
+    ) -> Self {
         let (moved, running, version, lately, calls) = Default::default();
         let (addr, enabled, pushed) = (Rc::new(Cell::new(addr)), Rc::new(Cell::new(true)), false);
         let last_call = Rc::default();
@@ -90,7 +95,10 @@
 
     /// The same watch where the list is pushed: it runs from now on, whether or not the module asks.
     pub fn pushed(self) -> Self {
-        let watch = Watch { pushed: true, ..self };
+        let watch = Watch {
+            pushed: true,
+            ..self
+        };
         watch.start();
         watch
     }
@@ -111,9 +119,13 @@
 
     /// What the fleet allows of calls from now on.
     pub fn allow(&self, allowed: &Allowed) {
-        let calls = allowed.iter().filter(|(what, _)| **what == Spend::Discovery);
+        let calls = allowed
+            .iter()
+            .filter(|(what, _)| **what == Spend::Discovery);
         let calls = calls.map(|(what, budget)| (*what, *budget)).collect();
-        self.calls.borrow_mut().set(seconds(self.clock.now()), &calls);
+        self.calls
+            .borrow_mut()
+            .set(seconds(self.clock.now()), &calls);
     }
 
     /// What has been wanted of that.
@@ -124,7 +136,11 @@
     /// Waits until the fleet's budget has a call for this node.
     async fn permitted(&self) {
         self.calls.borrow_mut().want(Spend::Discovery, 1.0, 1.0);
-        while !self.calls.borrow_mut().spend(seconds(self.clock.now()), Spend::Discovery) {
+        while !self
+            .calls
+            .borrow_mut()
+            .spend(seconds(self.clock.now()), Spend::Discovery)
+        {
             tokio::time::sleep(LOOK).await;
         }
     }
@@ -199,7 +215,10 @@
                     tracing::debug!(source = LIST, version = update.version(), "told");
                     // The version is set before the next call goes out, whenever the core gets to it.
                     self.version.set(update.version());
-                    let told = Message::Told { source: LIST, told: update.told() };
+                    let told = Message::Told {
+                        source: LIST,
+                        told: update.told(),
+                    };
                     if self.tell.send(told).await.is_err() {
                         return false;
                     }
@@ -224,7 +243,13 @@
         if !self.pushed {
             self.running.set(false);
         }
-        let told = self.tell.send(Message::Told { source: LIST, told: Told::Failed }).await;
+        let told = self
+            .tell
+            .send(Message::Told {
+                source: LIST,
+                told: Told::Failed,
+            })
+            .await;
         self.pushed && told.is_ok()
     }
 
@@ -232,9 +257,14 @@
         let mut conn = match wire.take() {
             Some(conn) => conn,
             None => {
-                let socket =
-                    tokio::time::timeout(self.bounds.watch_slack, TcpStream::connect(self.addr.get())).await;
-                let socket = socket.map_err(|_| "no connection in time")?.map_err(|e| e.to_string())?;
+                let socket = tokio::time::timeout(
+                    self.bounds.watch_slack,
+                    TcpStream::connect(self.addr.get()),
+                )
+                .await;
+                let socket = socket
+                    .map_err(|_| "no connection in time")?
+                    .map_err(|e| e.to_string())?;
                 Framed::new(socket.into(), Http::new(Side::Client))
             }
         };
@@ -247,7 +277,11 @@
             match conn.next().await {
                 Some(Ok(Part::Head(head))) => {
                     keep = head.keep;
-                    status = if let Start::Status(status) = head.start { status } else { 0 };
+                    status = if let Start::Status(status) = head.start {
+                        status
+                    } else {
+                        0
+                    };
                 }
                 Some(Ok(Part::Body(bytes))) if body.len() + bytes.len() <= MOST_LIST => {
                     body.extend_from_slice(&bytes);
@@ -264,7 +298,8 @@
         if keep {
             *wire = Some(conn);
         }
-        let value = serde_json::from_slice(&body).map_err(|e| format!("answer not in JSON ({e})"))?;
+        let value =
+            serde_json::from_slice(&body).map_err(|e| format!("answer not in JSON ({e})"))?;
         read(&value)
     }
 }
--- a/src/transport/fleet/budgets.rs
+++ b/src/transport/fleet/budgets.rs
@@ -40,8 +40,16 @@
 impl Budgets {
     /// What a budget is spent on, by its name.
     fn spend(&self, name: &str) -> Option<Spend> {
-        let tenant = |name: &str| self.tenants.iter().position(|t| t == name).map(Spend::Tenant);
-        let known = NAMES.iter().find(|known| known.0 == name).map(|known| known.1);
+        let tenant = |name: &str| {
+            self.tenants
+                .iter()
+                .position(|t| t == name)
+                .map(Spend::Tenant)
+        };
+        let known = NAMES
+            .iter()
+            .find(|known| known.0 == name)
+            .map(|known| known.1);
         known.or_else(|| name.strip_prefix(TENANT).and_then(tenant))
     }
 
@@ -66,7 +74,13 @@
     pub fn counted(&self, wanted: &BTreeMap<Spend, Wanted>) -> BTreeMap<String, Count> {
         let counted = self.settings.wholes.keys().filter_map(|name| {
             let wanted = wanted.get(&self.spend(name)?)?;
-            Some((name.clone(), Count { units: (wanted.units * 1e3) as u64, worth: wanted.worth }))
+            Some((
+                name.clone(),
+                Count {
+                    units: (wanted.units * 1e3) as u64,
+                    worth: wanted.worth,
+                },
+            ))
         });
         counted.collect()
     }
@@ -93,7 +107,12 @@
             let _ = self.tell.send(Message::Allow(self.allowed())).await;
             let counted = self.counted().await;
             let (now, epoch) = (self.clock.now(), self.may_act(TASK));
-            let ask = self.budgets.party.borrow_mut().as_mut().map(|party| party.ask(counted, epoch, now));
+            let ask = self
+                .budgets
+                .party
+                .borrow_mut()
+                .as_mut()
+                .map(|party| party.ask(counted, epoch, now));
             let chief = match epoch {
                 Some(_) => Some(self.place.node.me.clone()),
                 None => self.node.borrow().status_of(TASK),
@@ -123,9 +142,14 @@
     pub(super) fn budgeting(self: &Rc<Self>, from: String, message: budget::Message) {
         let (now, epoch) = (self.clock.now(), self.may_act(TASK));
         let answers = !matches!(message, budget::Message::Ask { .. });
-        let back =
-            self.budgets.party.borrow_mut().as_mut().and_then(|party| party.receive(message, epoch, now));
-        back.into_iter().for_each(|back| self.tell_budget(from.clone(), back));
+        let back = self
+            .budgets
+            .party
+            .borrow_mut()
+            .as_mut()
+            .and_then(|party| party.receive(message, epoch, now));
+        back.into_iter()
+            .for_each(|back| self.tell_budget(from.clone(), back));
         if answers {
             // Where the core is behind, the next turn tells it.
             let _ = self.tell.try_send(Message::Allow(self.allowed()));
@@ -146,13 +170,20 @@
         let (ask, told) = oneshot::channel();
         let asked = self.tell.send(Message::Wanted(ask)).await.is_ok();
         let wanted = told.await.ok().filter(|_| asked).unwrap_or_default();
-        self.budgets.budgets.borrow().as_ref().map(|budgets| budgets.counted(&wanted)).unwrap_or_default()
+        self.budgets
+            .budgets
+            .borrow()
+            .as_ref()
+            .map(|budgets| budgets.counted(&wanted))
+            .unwrap_or_default()
     }
 
     /// For operators.
     pub(super) fn budget_status(&self) -> Value {
         let party = self.budgets.party.borrow();
-        let Some(party) = &*party else { return Value::Null };
+        let Some(party) = &*party else {
+            return Value::Null;
+        };
         let now = self.clock.now();
         let units = |thousandths: u64| thousandths as f64 / 1e3;
         let own = party.settings().wholes.iter().map(|(name, whole)| {
@@ -180,7 +211,10 @@
         let now = self.clock.now();
         let shares = party.iter().flat_map(|party| {
             party.settings().wholes.iter().map(|(name, whole)| {
-                (format!("fleet_budget_milli{{budget=\"{name}\"}}"), party.share(name, now).0 + whole.floor)
+                (
+                    format!("fleet_budget_milli{{budget=\"{name}\"}}"),
+                    party.share(name, now).0 + whole.floor,
+                )
             })
         });
         shares.collect()
--- a/src/transport/fleet/clock.rs
+++ b/src/transport/fleet/clock.rs
@@ -15,7 +15,12 @@
 impl SleepClock {
     /// The machine's, at the rate that a test has set.
     pub fn start() -> Self {
-        SleepClock { ppm: std::env::var(RATE).ok().and_then(|ppm| ppm.parse().ok()).unwrap_or(0) }
+        SleepClock {
+            ppm: std::env::var(RATE)
+                .ok()
+                .and_then(|ppm| ppm.parse().ok())
+                .unwrap_or(0),
+        }
     }
 
     /// The time now.
--- a/src/transport/fleet/disk.rs
+++ b/src/transport/fleet/disk.rs
@@ -40,7 +40,11 @@
         }
     }
     fn all(&self) -> impl Iterator<Item = Record> + '_ {
-        self.entries.values().chain(self.starts.values()).cloned().chain(self.whole.clone())
+        self.entries
+            .values()
+            .chain(self.starts.values())
+            .cloned()
+            .chain(self.whole.clone())
     }
 }
 
@@ -79,7 +83,10 @@
                 let _ = tell.blocking_send(Err(why));
             }
         };
-        std::thread::Builder::new().name("keeper-disk".into()).spawn(run).map_err(|e| named(&e))?;
+        std::thread::Builder::new()
+            .name("keeper-disk".into())
+            .spawn(run)
+            .map_err(|e| named(&e))?;
         Ok((Disk { to }, records))
     }
 
@@ -111,7 +118,10 @@
             return Ok(());
         }
         if log.size() > COMPACT {
-            let kept = newest.all().map(|r| bytes(&r)).collect::<Result<Vec<_>, _>>()?;
+            let kept = newest
+                .all()
+                .map(|r| bytes(&r))
+                .collect::<Result<Vec<_>, _>>()?;
             log.replace(&kept).map_err(|e| e.to_string())?;
         }
     }
--- a/src/transport/fleet/disk/tests.rs
+++ b/src/transport/fleet/disk/tests.rs
@@ -2,13 +2,24 @@
 use poppykeel_fleet::lease::{Entry, Holder};
 
 fn entry(epoch: u64) -> Record {
-    let holder = Some(Holder { node: "n1".into(), incarnation: 7 });
-    Record::Entry(Entry { task: "t".into(), epoch, holder, length: 5 })
+    let holder = Some(Holder {
+        node: "n1".into(),
+        incarnation: 7,
+    });
+    Record::Entry(Entry {
+        task: "t".into(),
+        epoch,
+        holder,
+        length: 5,
+    })
 }
 
 fn files(folder: &Path, ending: &str) -> Vec<std::path::PathBuf> {
-    let all = std::fs::read_dir(folder).unwrap().map(|e| e.unwrap().path());
-    all.filter(|p| p.extension().is_some_and(|e| e == ending)).collect()
+    let all = std::fs::read_dir(folder)
+        .unwrap()
+        .map(|e| e.unwrap().path());
+    all.filter(|p| p.extension().is_some_and(|e| e == ending))
+        .collect()
 }
 
 /// What was told durable is there again; two processes never share the folder; a log with a damaged middle is put
@@ -25,7 +36,10 @@
     assert!((1..=9).all(|n| disk.write(n, vec![entry(n)])));
     while told.blocking_recv().unwrap().unwrap() < 9 {}
     let error = open().err().unwrap();
-    assert!(error.contains("fleet.folder") && error.contains("another process"), "{error}");
+    assert!(
+        error.contains("fleet.folder") && error.contains("another process"),
+        "{error}"
+    );
     drop(disk);
     // Its thread ends, and with it the lock, once nobody can write any more.
     assert!(told.blocking_recv().is_none());
--- a/src/transport/fleet/mod.rs
+++ b/src/transport/fleet/mod.rs
@@ -110,12 +110,20 @@
         let keeper = place.node.keepers.contains_key(&place.node.me);
         let folder = place.folder.as_ref().filter(|_| keeper);
         let (disk_tells, told) = mpsc::channel(disk::WAITING);
-        let (disk, kept) = match folder.map(|f| Disk::open(f, disk_tells.clone())).transpose()? {
+        let (disk, kept) = match folder
+            .map(|f| Disk::open(f, disk_tells.clone()))
+            .transpose()?
+        {
             Some((disk, kept)) => (Some(disk), Some(kept)),
             None => (None, None),
         };
         let disk = RefCell::new(disk);
-        let node = RefCell::new(Node::new(place.node.clone(), rand::random(), kept, clock.now()));
+        let node = RefCell::new(Node::new(
+            place.node.clone(),
+            rand::random(),
+            kept,
+            clock.now(),
+        ));
         let (dropped, connections, wake) = Default::default();
         let (reports, rolls, trials, budgets) = Default::default();
         let fleet = Rc::new(Fleet {
@@ -161,7 +169,9 @@
         }
         let (node, number) = (&place.node, self.node.borrow().keepers_number());
         if node.keepers_number <= number {
-            return match node.keepers_number == number && node.keepers != self.node.borrow().keepers() {
+            return match node.keepers_number == number
+                && node.keepers != self.node.borrow().keepers()
+            {
                 true => Err(format!(
                     "fleet.keepers_number: expected more than {number} for another list of keepers"
                 )),
@@ -170,13 +180,20 @@
         }
         let new = node.keepers.contains_key(&node.me) && !self.node.borrow().keeps();
         let open = |folder| Disk::open(folder, self.disk_tells.clone());
-        let opened = place.folder.as_deref().filter(|_| new).map(open).transpose()?;
+        let opened = place
+            .folder
+            .as_deref()
+            .filter(|_| new)
+            .map(open)
+            .transpose()?;
         let (disk, kept) = opened.map_or((None, None), |(disk, kept)| (Some(disk), Some(kept)));
         if disk.is_some() {
             self.disk.replace(disk);
         }
         let now = self.clock.now();
-        self.node.borrow_mut().set_keepers(node.keepers.clone(), node.keepers_number, kept, now);
+        self.node
+            .borrow_mut()
+            .set_keepers(node.keepers.clone(), node.keepers_number, kept, now);
         tracing::info!(number = node.keepers_number, keepers = ?node.keepers.keys(), "another list of keepers");
         self.wake.notify_one();
         Ok(())
@@ -203,7 +220,9 @@
         let mut held_before: Vec<(String, u64)> = Vec::new();
         loop {
             let due = self.node.borrow().due();
-            let wait = due.map_or(IDLE, |at| Duration::from_micros(at.saturating_sub(self.clock.now())));
+            let wait = due.map_or(IDLE, |at| {
+                Duration::from_micros(at.saturating_sub(self.clock.now()))
+            });
             tokio::select! {
                 came = self.socket.recv_from(&mut bytes) => if let Ok((length, _)) = came {
                     self.receive(&bytes[..length]);
@@ -238,7 +257,10 @@
 
     fn broke(&self, why: &str) {
         if !self.node.borrow().status(self.clock.now()).broken {
-            tracing::error!(why, "the keeper's disk failed: it answers nothing until a restart");
+            tracing::error!(
+                why,
+                "the keeper's disk failed: it answers nothing until a restart"
+            );
         }
         self.node.borrow_mut().broke();
     }
@@ -279,7 +301,12 @@
         for out in out {
             match out {
                 Out::Write(number, records) => {
-                    if !self.disk.borrow().as_ref().is_some_and(|disk| disk.write(number, records)) {
+                    if !self
+                        .disk
+                        .borrow()
+                        .as_ref()
+                        .is_some_and(|disk| disk.write(number, records))
+                    {
                         self.broke("more writes wait than there is room for");
                     }
                 }
@@ -295,7 +322,10 @@
             return;
         }
         let known = self.place.via.get(&envelope.to).copied();
-        let Some(addr) = known.or_else(|| self.node.borrow().addr(&envelope.to)).or(hint) else {
+        let Some(addr) = known
+            .or_else(|| self.node.borrow().addr(&envelope.to))
+            .or(hint)
+        else {
             return self.count(|d| d.unreached += 1);
         };
         let bytes = envelope::write(&envelope);
@@ -340,7 +370,8 @@
             spawn_local(async move {
                 let mut bytes = Vec::new();
                 let mut stream = stream.take(envelope::MOST as u64 + 16);
-                if let Ok(Ok(_)) = tokio::time::timeout(PASS, stream.read_to_end(&mut bytes)).await {
+                if let Ok(Ok(_)) = tokio::time::timeout(PASS, stream.read_to_end(&mut bytes)).await
+                {
                     own.receive(&bytes);
                 }
                 own.connections.set(own.connections.get() - 1);
--- a/src/transport/fleet/report.rs
+++ b/src/transport/fleet/report.rs
@@ -43,8 +43,13 @@
 }
 
 fn wall() -> u64 {
-    let offset: i64 = std::env::var(WALL).ok().and_then(|s| s.parse().ok()).unwrap_or(0);
-    let now = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_micros() as i64);
+    let offset: i64 = std::env::var(WALL)
+        .ok()
+        .and_then(|s| s.parse().ok())
+        .unwrap_or(0);
+    let now = SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .map_or(0, |d| d.as_micros() as i64);
     u64::try_from(now.saturating_add(offset.saturating_mul(1_000_000))).unwrap_or(0)
 }
 
@@ -52,7 +57,9 @@
 fn behind(own: u64, figures: &BTreeMap<String, Figures>) -> i64 {
     let mut walls: Vec<u64> = figures.values().map(|f| f.wall).collect();
     walls.sort_unstable();
-    walls.get(walls.len() / 2).map_or(0, |middle| *middle as i64 - own as i64)
+    walls
+        .get(walls.len() / 2)
+        .map_or(0, |middle| *middle as i64 - own as i64)
 }
 
 impl Fleet {
@@ -78,12 +85,21 @@
             }
             last = slot;
             // The look before the act: under this epoch or not at all.
-            let Some(epoch) = self.may_act(TASK) else { continue };
+            let Some(epoch) = self.may_act(TASK) else {
+                continue;
+            };
             let (taken, refused, silent) = self.reports.done.get();
-            let done = match tokio::time::timeout(ANSWER, self.post(&report, epoch, slot, &figures)).await {
+            let done = match tokio::time::timeout(ANSWER, self.post(&report, epoch, slot, &figures))
+                .await
+            {
                 Ok(Ok(status)) if (200..300).contains(&status) => (taken + 1, refused, silent),
                 Ok(Ok(status)) => {
-                    tracing::warn!(status, epoch, slot, "the collector refused the fleet's report");
+                    tracing::warn!(
+                        status,
+                        epoch,
+                        slot,
+                        "the collector refused the fleet's report"
+                    );
                     (taken, refused + 1, silent)
                 }
                 _ => (taken, refused, silent + 1),
@@ -101,15 +117,19 @@
     ) -> std::io::Result<u16> {
         let mut sums: BTreeMap<&str, Totals> = BTreeMap::new();
         for (class, counts) in figures.values().flat_map(|f| &f.replies) {
-            sums.entry(class).or_default().iter_mut().zip(counts).for_each(|(sum, count)| *sum += count);
+            sums.entry(class)
+                .or_default()
+                .iter_mut()
+                .zip(counts)
+                .for_each(|(sum, count)| *sum += count);
         }
         let mut crossed: BTreeMap<(&str, &str), u64> = BTreeMap::new();
         for (class, tenant, count) in figures.values().flat_map(|f| &f.crossings) {
             *crossed.entry((class, tenant)).or_default() += count;
         }
-        let crossed = crossed
-            .iter()
-            .map(|((class, tenant), count)| json!({"class": class, "tenant": tenant, "count": count}));
+        let crossed = crossed.iter().map(
+            |((class, tenant), count)| json!({"class": class, "tenant": tenant, "count": count}),
+        );
         let me = self.node.borrow().me();
         let body = json!({
             "fleet": self.place.node.fleet, "task": TASK, "epoch": epoch, "slot": slot, "node": me.node,
@@ -129,10 +149,14 @@
             report.to,
             body.len()
         );
-        stream.write_all(&[head.as_bytes(), body.as_bytes()].concat()).await?;
+        stream
+            .write_all(&[head.as_bytes(), body.as_bytes()].concat())
+            .await?;
         let mut answer = [0; 12];
         stream.read_exact(&mut answer).await?;
-        let status = std::str::from_utf8(&answer[9..]).ok().and_then(|s| s.parse().ok());
+        let status = std::str::from_utf8(&answer[9..])
+            .ok()
+            .and_then(|s| s.parse().ok());
         status.ok_or(std::io::ErrorKind::InvalidData.into())
     }
 
@@ -146,7 +170,11 @@
         self.tell_figures(me, number);
         let all = others.len() + 1;
         for member in others {
-            let out = self.node.borrow_mut().post(member.name, Some(member.addr), Body::AskFigures(number));
+            let out = self.node.borrow_mut().post(
+                member.name,
+                Some(member.addr),
+                Body::AskFigures(number),
+            );
             self.carry_out(vec![out]);
         }
         let until = tokio::time::Instant::now() + wait;
@@ -167,8 +195,17 @@
             let Ok(told) = told.await else { return };
             let (dispatches, concurrent) = (told.dispatches, told.concurrent as u64);
             let (replies, crossings) = (told.replies, told.crossings);
-            let figures = Figures { replies, crossings, dispatches, concurrent, wall: wall() };
-            let out = own.node.borrow_mut().post(to, None, Body::Figures(number, figures));
+            let figures = Figures {
+                replies,
+                crossings,
+                dispatches,
+                concurrent,
+                wall: wall(),
+            };
+            let out = own
+                .node
+                .borrow_mut()
+                .post(to, None, Body::Figures(number, figures));
             own.carry_out(vec![out]);
         });
     }
--- a/src/transport/fleet/roll.rs
+++ b/src/transport/fleet/roll.rs
@@ -31,16 +31,43 @@
 impl Fleet {
     /// An operator orders it here; what to tell them.
     pub fn order_roll(self: &Rc<Self>, out: u32, hold: Micros) -> String {
-        let number = self.rolls.own.borrow().order().map_or(0, |order| order.number) + 1;
+        let number = self
+            .rolls
+            .own
+            .borrow()
+            .order()
+            .map_or(0, |order| order.number)
+            + 1;
         let me = self.place.node.me.clone();
-        let mut nodes: Vec<String> = self.node.borrow().others().into_iter().map(|m| m.name).collect();
+        let mut nodes: Vec<String> = self
+            .node
+            .borrow()
+            .others()
+            .into_iter()
+            .map(|m| m.name)
+            .collect();
         nodes.push(me.clone());
         nodes.sort_unstable();
         let back = (BACK_LEASES * self.place.node.lease).max(BACK);
-        let order = Order { number, by: me, nodes, out: out.max(1), hold, back };
-        let text =
-            format!("roll {number} ordered: {} nodes, at most {} out at once", order.nodes.len(), order.out);
-        tracing::info!(number, nodes = order.nodes.len(), out = order.out, "roll ordered");
+        let order = Order {
+            number,
+            by: me,
+            nodes,
+            out: out.max(1),
+            hold,
+            back,
+        };
+        let text = format!(
+            "roll {number} ordered: {} nodes, at most {} out at once",
+            order.nodes.len(),
+            order.out
+        );
+        tracing::info!(
+            number,
+            nodes = order.nodes.len(),
+            out = order.out,
+            "roll ordered"
+        );
         self.tell_all(&order.nodes, &roll::Message::Order(order.clone()));
         self.rolls.own.borrow_mut().learn(order);
         text
@@ -64,7 +91,9 @@
             roll::Message::Order(order) => self.rolls.own.borrow_mut().learn(order),
             roll::Message::Want => {
                 let order = self.rolls.own.borrow().order().cloned();
-                order.into_iter().for_each(|order| self.tell_one(from.clone(), roll::Message::Order(order)));
+                order
+                    .into_iter()
+                    .for_each(|order| self.tell_one(from.clone(), roll::Message::Order(order)));
             }
             roll::Message::Over(number, by) => self.rolls.own.borrow_mut().over(number, &by),
             roll::Message::Tell(epoch, time, part, idle) => {
@@ -86,8 +115,16 @@
                 spawn_local(async move {
                     let (ask, told) = oneshot::channel();
                     let asked = own.tell.send(Message::Figures(ask)).await.is_ok();
-                    let idle = told.await.is_ok_and(|figures| asked && figures.concurrent == 0);
-                    let answer = own.rolls.own.borrow_mut().asked(epoch, time, &order, idle, own.clock.now());
+                    let idle = told
+                        .await
+                        .is_ok_and(|figures| asked && figures.concurrent == 0);
+                    let answer = own.rolls.own.borrow_mut().asked(
+                        epoch,
+                        time,
+                        &order,
+                        idle,
+                        own.clock.now(),
+                    );
                     if let Some(answer) = answer {
                         own.tell_one(from, answer);
                     }
@@ -125,11 +162,19 @@
         let now = self.clock.now();
         let ask = {
             let mut charge = self.rolls.charge.borrow_mut();
-            let same = charge.as_ref().is_some_and(|c| c.of().0 == epoch && c.of().1.id() == order.id());
+            let same = charge
+                .as_ref()
+                .is_some_and(|c| c.of().0 == epoch && c.of().1.id() == order.id());
             if !same {
                 tracing::info!(epoch, number = order.number, "in charge of the roll");
                 let keepers = self.node.borrow().keepers().into_keys().collect();
-                *charge = Some(Charge::new(epoch, order.clone(), keepers, self.place.node.drift, now));
+                *charge = Some(Charge::new(
+                    epoch,
+                    order.clone(),
+                    keepers,
+                    self.place.node.drift,
+                    now,
+                ));
             }
             charge.as_mut().map(Charge::ask)
         };
@@ -151,7 +196,10 @@
         }
         if finished {
             tracing::info!(epoch, number = order.number, "roll carried out");
-            self.tell_all(&order.nodes, &roll::Message::Over(order.number, order.by.clone()));
+            self.tell_all(
+                &order.nodes,
+                &roll::Message::Over(order.number, order.by.clone()),
+            );
             self.rolls.own.borrow_mut().over(order.number, &order.by);
         }
     }
@@ -160,7 +208,9 @@
     pub(super) fn roll_status(&self) -> Value {
         let now = self.clock.now();
         let own = self.rolls.own.borrow();
-        let Some(order) = own.order() else { return Value::Null };
+        let Some(order) = own.order() else {
+            return Value::Null;
+        };
         let charge = self.rolls.charge.borrow().as_ref().map(|charge| {
             let (done, waiting, gone) = charge.progress(now);
             json!({"out": charge.out(now), "done": done, "waiting": waiting, "gone": gone})
--- a/src/transport/fleet/status.rs
+++ b/src/transport/fleet/status.rs
@@ -17,28 +17,43 @@
         let now = self.clock.now();
         let (node, dropped) = (self.node.borrow(), self.dropped.get());
         let (status, counts) = (node.status(now), node.counts());
-        let held = status.claims.iter().filter(|claim| claim.1.is_some()).count();
+        let held = status
+            .claims
+            .iter()
+            .filter(|claim| claim.1.is_some())
+            .count();
         let own = [
             ("fleet_members", status.others.len() as u64 + 1),
             ("fleet_leases_held", held as u64),
-            ("fleet_keeper_granting", u64::from(matches!(status.keeper, Some((Standing::Granting, _))))),
+            (
+                "fleet_keeper_granting",
+                u64::from(matches!(status.keeper, Some((Standing::Granting, _)))),
+            ),
             ("fleet_keeper_disk_failed", u64::from(status.broken)),
             ("fleet_grants", counts.granted),
             ("fleet_refusals", counts.refused),
             ("fleet_messages_sent", counts.sent),
             ("fleet_messages_taken", counts.taken),
             ("fleet_messages_garbled", dropped.garbled),
-            ("fleet_messages_foreign", dropped.foreign + counts.other_keepers),
+            (
+                "fleet_messages_foreign",
+                dropped.foreign + counts.other_keepers,
+            ),
         ];
-        let own = own.into_iter().map(|(name, value)| (name.to_string(), value));
+        let own = own
+            .into_iter()
+            .map(|(name, value)| (name.to_string(), value));
         own.chain(self.budget_shares()).collect()
     }
 
     /// Members, keepers and leases as this node sees them.
     pub fn status(&self) -> Value {
         let now = self.clock.now();
-        let (status, counts, dropped) =
-            (self.node.borrow().status(now), self.node.borrow().counts(), self.dropped.get());
+        let (status, counts, dropped) = (
+            self.node.borrow().status(now),
+            self.node.borrow().counts(),
+            self.dropped.get(),
+        );
         let keepers = self.node.borrow().keepers();
         let member = |m: &poppykeel_fleet::members::Member| {
             json!({"name": m.name, "addr": m.addr.to_string(), "incarnation": format!("{:016x}", m.incarnation),
--- a/src/transport/fleet/trials.rs
+++ b/src/transport/fleet/trials.rs
@@ -32,7 +32,10 @@
 }
 
 fn standing(replica: &Replica) -> Standing {
-    Standing { ejected: replica.ejected, well_since: replica.well_since }
+    Standing {
+        ejected: replica.ejected,
+        well_since: replica.well_since,
+    }
 }
 
 impl Fleet {
@@ -63,10 +66,16 @@
                     let replicas = own.replicas().await;
                     let ejected = |name: &str| replicas.get(name).is_some_and(|r| r.ejected);
                     let now = own.uptime();
-                    let advice = own.trials.own.borrow_mut().told(epoch, verdicts, ejected, now, DOUBT);
+                    let advice = own
+                        .trials
+                        .own
+                        .borrow_mut()
+                        .told(epoch, verdicts, ejected, now, DOUBT);
                     let (held, back) = own.trials.advised.get();
                     let well = advice.iter().filter(|(_, well)| *well).count() as u64;
-                    own.trials.advised.set((held + advice.len() as u64 - well, back + well));
+                    own.trials
+                        .advised
+                        .set((held + advice.len() as u64 - well, back + well));
                     if !advice.is_empty() {
                         let _ = own.tell.send(Message::Advice(advice)).await;
                     }
@@ -105,7 +114,9 @@
             // The look before the act.
             if any && self.may_act(TASK) == Some(epoch) {
                 let others = self.node.borrow().others();
-                others.into_iter().for_each(|member| self.tell_trials(member.name, verdicts.clone()));
+                others
+                    .into_iter()
+                    .for_each(|member| self.tell_trials(member.name, verdicts.clone()));
             }
         }
     }
--- a/src/transport/handover.rs
+++ b/src/transport/handover.rs
@@ -38,11 +38,34 @@
 
 impl Handover {
     /// For the node of this name; the folder is there already.
-    pub fn new(folder: &Path, name: &str, boot: Rc<Boot>, tell: mpsc::Sender<Message>, clock: Clock) -> Self {
-        let fits = |c: char| if c.is_ascii_alphanumeric() || c == '-' { c } else { '_' };
-        let (folder, name) = (folder.to_path_buf(), name.chars().take(64).map(fits).collect());
+    pub fn new(
+        folder: &Path,
+        name: &str,
+        boot: Rc<Boot>,
+        tell: mpsc::Sender<Message>,
+        clock: Clock,
+    ) -> Self {
+        let fits = |c: char| {
+            if c.is_ascii_alphanumeric() || c == '-' {
+                c
+            } else {
+                '_'
+            }
+        };
+        let (folder, name) = (
+            folder.to_path_buf(),
+            name.chars().take(64).map(fits).collect(),
+        );
         let left_at = Cell::default();
-        Handover { folder, name, me: rand::random(), clock, tell, boot, left_at }
+        Handover {
+            folder,
+            name,
+            me: rand::random(),
+            clock,
+            tell,
+            boot,
+            left_at,
+        }
     }
 
     fn path(&self, what: &str) -> PathBuf {
@@ -92,7 +115,11 @@
             return None;
         }
         let length = fs::metadata(&path).ok()?.len();
-        let bytes = if length <= MOST { fs::read(&path).ok()? } else { Vec::new() };
+        let bytes = if length <= MOST {
+            fs::read(&path).ok()?
+        } else {
+            Vec::new()
+        };
         fs::remove_file(&path).ok()?;
         Some(bytes)
     }
@@ -112,7 +139,13 @@
     pub async fn leave(&self) {
         let (ask, told) = oneshot::channel();
         let asked = self.tell.send(Message::Learned(ask)).await.is_ok();
-        let Some(memory) = told.await.ok().filter(|memory| asked && memory.arrivals > 0) else { return };
+        let Some(memory) = told
+            .await
+            .ok()
+            .filter(|memory| asked && memory.arrivals > 0)
+        else {
+            return;
+        };
         let bytes = handover::write(self.me, self.unix_ms(), &self.boot.names, memory);
         let draft = self.path(&format!("{:016x}", self.me));
         let left: io::Result<()> =
--- a/src/transport/hub.rs
+++ b/src/transport/hub.rs
@@ -68,12 +68,29 @@
         known: Option<Told>,
     ) -> Self {
         let (clients, askers, attempts, offered, commands) = Default::default();
-        let mut hub =
-            Hub { clock, router, directory, upstream, watch, clients, askers, attempts, offered, commands };
+        let mut hub = Hub {
+            clock,
+            router,
+            directory,
+            upstream,
+            watch,
+            clients,
+            askers,
+            attempts,
+            offered,
+            commands,
+        };
         let now = hub.clock.now();
         // The module begins with what it first hears of. Without this a node that knows no replica would ask for the
         // list with its first request only, and that one would wait for it.
-        hub.router.handle(now, Input::List { list: Vec::new(), full: false }, &mut hub.commands);
+        hub.router.handle(
+            now,
+            Input::List {
+                list: Vec::new(),
+                full: false,
+            },
+            &mut hub.commands,
+        );
         if let Some(told) = known {
             hub.take(now, Message::Told { source: LIST, told });
         }
@@ -85,7 +102,12 @@
         let mut turn = Vec::with_capacity(TURN);
         let mut summary_at = SUMMARY;
         loop {
-            let due = self.router.due().into_iter().chain(self.directory.due()).min();
+            let due = self
+                .router
+                .due()
+                .into_iter()
+                .chain(self.directory.due())
+                .min();
             let due = due.map(|at| self.clock.instant(at));
             let timer = async {
                 match due {
@@ -117,21 +139,40 @@
     fn take(&mut self, now: Micros, message: Message) {
         let input = match message {
             Message::Input(input) => input,
-            Message::Request { arrival, answer, .. } if self.router.is_live(arrival.id) => {
+            Message::Request {
+                arrival, answer, ..
+            } if self.router.is_live(arrival.id) => {
                 let _ = answer.send(Answer::Duplicate);
                 return;
             }
-            Message::Request { arrival, answer, .. } if answer.is_closed() => {
+            Message::Request {
+                arrival, answer, ..
+            } if answer.is_closed() => {
                 return tracing::debug!(request = %arrival.id, "its client left while it waited to be taken");
             }
-            Message::Request { arrival, payload, answer, asker } => {
+            Message::Request {
+                arrival,
+                payload,
+                answer,
+                asker,
+            } => {
                 self.remember(arrival.id, asker);
                 let class = self.upstream.boot.settings.classes.get(arrival.class);
-                let token_aim = class.map(|c| c.token_aim * 1e6).filter(|aim| aim.is_finite());
+                let token_aim = class
+                    .map(|c| c.token_aim * 1e6)
+                    .filter(|aim| aim.is_finite());
                 let token_aim = token_aim.map(|aim| aim as Micros);
                 let of = (arrival.class, arrival.tenant);
                 let payload = Rc::new(payload);
-                self.clients.insert(arrival.id, Client { payload, token_aim, of, answer });
+                self.clients.insert(
+                    arrival.id,
+                    Client {
+                        payload,
+                        token_aim,
+                        of,
+                        answer,
+                    },
+                );
                 Input::Arrived(arrival)
             }
             Message::Left { request, asker } if self.askers.get(&request) == Some(&asker) => {
@@ -166,18 +207,33 @@
                 return;
             }
             Message::Replicas(told) => {
-                let all = self.router.standings().into_iter().filter_map(|(id, ejected, well_since)| {
-                    Some((self.directory.name(id)?.to_string(), Replica { ejected, well_since }))
-                });
+                let all =
+                    self.router
+                        .standings()
+                        .into_iter()
+                        .filter_map(|(id, ejected, well_since)| {
+                            Some((
+                                self.directory.name(id)?.to_string(),
+                                Replica {
+                                    ejected,
+                                    well_since,
+                                },
+                            ))
+                        });
                 let _ = told.send(all.collect());
                 return;
             }
             Message::Advice(advice) => {
                 // A name that is not on this node's list adds nothing.
                 for (replica, ..) in self.router.standings() {
-                    let verdict = advice.iter().find(|(name, _)| self.directory.name(replica) == Some(name));
+                    let verdict = advice
+                        .iter()
+                        .find(|(name, _)| self.directory.name(replica) == Some(name));
                     if let Some((_, well)) = verdict {
-                        let input = Input::Advised { replica, well: *well };
+                        let input = Input::Advised {
+                            replica,
+                            well: *well,
+                        };
                         log_input(&input);
                         self.router.handle(now, input, &mut self.commands);
                     }
@@ -193,14 +249,22 @@
                 return;
             }
             Message::AnswerAllWithin(span) => {
-                return self.router.answer_all_by(now.saturating_add(span.as_micros() as Micros));
+                return self
+                    .router
+                    .answer_all_by(now.saturating_add(span.as_micros() as Micros));
             }
             Message::SumUp(done) => {
                 self.sum_up();
                 let _ = done.send(());
                 return;
             }
-            Message::First { request, attempt, content_type, replica, body } => {
+            Message::First {
+                request,
+                attempt,
+                content_type,
+                replica,
+                body,
+            } => {
                 self.offered = Some((content_type, replica, body));
                 Input::First { request, attempt }
             }
@@ -221,7 +285,9 @@
         };
         match &input {
             Input::ClientGone(id) => drop(self.clients.remove(id)),
-            Input::Ended { request, attempt, .. } => drop(self.attempts.remove(&(*request, *attempt))),
+            Input::Ended {
+                request, attempt, ..
+            } => drop(self.attempts.remove(&(*request, *attempt))),
             _ => {}
         }
         log_input(&input);
@@ -239,8 +305,13 @@
             tracing::info!(source, replica = %listing.id.0, name, state = ?listing.state, "list changed");
         }
         let list: Vec<Listing> = list.into_iter().map(|c| c.listing).collect();
-        let leaving = list.iter().filter(|l| l.state != ReplicaState::Up).map(|l| l.id).collect();
-        self.router.handle(now, Input::List { list, full: false }, &mut self.commands);
+        let leaving = list
+            .iter()
+            .filter(|l| l.state != ReplicaState::Up)
+            .map(|l| l.id)
+            .collect();
+        self.router
+            .handle(now, Input::List { list, full: false }, &mut self.commands);
         self.recall(now, leaving);
         self.carry_out(now);
     }
@@ -253,14 +324,26 @@
             return;
         }
         let unwritten = |o: &Outgoing| leaving.contains(&o.replica) && !o.begun.get();
-        let attempts = self.attempts.iter().filter(|(_, o)| unwritten(o)).map(|(of, _)| *of);
+        let attempts = self
+            .attempts
+            .iter()
+            .filter(|(_, o)| unwritten(o))
+            .map(|(of, _)| *of);
         let mut attempts: Vec<(RequestId, usize)> = attempts.collect();
         attempts.sort_unstable();
         let outcome = Outcome::Moot;
         for (request, attempt) in attempts {
-            self.attempts.remove(&(request, attempt)).iter().for_each(|o| o.task.abort());
+            self.attempts
+                .remove(&(request, attempt))
+                .iter()
+                .for_each(|o| o.task.abort());
             tracing::info!(%request, attempt, "called back from a replica that leaves");
-            let input = Input::Ended { request, attempt, outcome, report: None };
+            let input = Input::Ended {
+                request,
+                attempt,
+                outcome,
+                report: None,
+            };
             self.router.handle(now, input, &mut self.commands);
         }
     }
@@ -280,7 +363,10 @@
         for (class, name) in self.upstream.boot.names.classes.iter().enumerate() {
             let counts = self.router.replies(class);
             match replies.iter_mut().find(|known| known.0 == *name) {
-                Some((_, sum)) => sum.iter_mut().zip(counts).for_each(|(sum, count)| *sum += count),
+                Some((_, sum)) => sum
+                    .iter_mut()
+                    .zip(counts)
+                    .for_each(|(sum, count)| *sum += count),
                 None => replies.push((name.clone(), counts)),
             }
         }
@@ -302,7 +388,12 @@
     fn named(&self, (minute, class, tenant, count): (u64, usize, usize, u64)) -> Crossed {
         let names = &self.upstream.boot.names;
         let name = |all: &[String], n: usize| all.get(n).cloned().unwrap_or_default();
-        Crossed { minute, class: name(&names.classes, class), tenant: name(&names.tenants, tenant), count }
+        Crossed {
+            minute,
+            class: name(&names.classes, class),
+            tenant: name(&names.tenants, tenant),
+            count,
+        }
     }
 
     /// Since the start, by class and tenant; a class whose settings have changed has had several places.
@@ -312,7 +403,9 @@
             let row = self.named((0, class, tenant, count));
             *sums.entry((row.class, row.tenant)).or_default() += count;
         }
-        sums.into_iter().map(|((class, tenant), count)| (class, tenant, count)).collect()
+        sums.into_iter()
+            .map(|((class, tenant), count)| (class, tenant, count))
+            .collect()
     }
 
     fn sum_up(&self) {
@@ -336,7 +429,9 @@
             reports_passed_over = crate::protocol::report::passed_over(),
             "summary"
         );
-        self.upstream.streams.log(|replica| self.directory.name(replica).map(String::from));
+        self.upstream
+            .streams
+            .log(|replica| self.directory.name(replica).map(String::from));
     }
 
     fn carry_out(&mut self, now: Micros) {
@@ -345,9 +440,15 @@
             match command {
                 Command::Send { request, .. } if self.has_left(request) => {
                     self.clients.remove(&request);
-                    self.router.handle(now, Input::ClientGone(request), &mut self.commands);
+                    self.router
+                        .handle(now, Input::ClientGone(request), &mut self.commands);
                 }
-                Command::Send { request, attempt, replica, until } => {
+                Command::Send {
+                    request,
+                    attempt,
+                    replica,
+                    until,
+                } => {
                     if let Some(after) = self.router.last_outcome(request) {
                         tracing::debug!(%request, attempt, replica = %replica.0, ?after, "retry");
                     }
@@ -356,20 +457,43 @@
                     let (Some(addr), Some(payload)) = (addr, payload) else {
                         // The list has lost it since: the attempt never left.
                         let outcome = Outcome::Moot;
-                        let input = Input::Ended { request, attempt, outcome, report: None };
+                        let input = Input::Ended {
+                            request,
+                            attempt,
+                            outcome,
+                            report: None,
+                        };
                         self.router.handle(now, input, &mut self.commands);
                         continue;
                     };
                     let (peer, wait) = ((replica, addr), until.saturating_sub(now));
                     let client = self.clients.get(&request);
                     let token_aim = client.and_then(|c| c.token_aim);
-                    let crosses = self.directory.zone(replica) != Some(self.upstream.boot.settings.zone);
+                    let crosses =
+                        self.directory.zone(replica) != Some(self.upstream.boot.settings.zone);
                     let crosses = client.map(|c| c.of).filter(|_| crosses);
                     let begun = Rc::new(Cell::new(false));
                     let told = begun.clone();
-                    let job = Job { request, attempt, peer, wait, token_aim, crosses, payload, begun: told };
-                    let task = tokio::task::spawn_local(self.upstream.clone().attempt(job)).abort_handle();
-                    self.attempts.insert((request, attempt), Outgoing { replica, begun, task });
+                    let job = Job {
+                        request,
+                        attempt,
+                        peer,
+                        wait,
+                        token_aim,
+                        crosses,
+                        payload,
+                        begun: told,
+                    };
+                    let task =
+                        tokio::task::spawn_local(self.upstream.clone().attempt(job)).abort_handle();
+                    self.attempts.insert(
+                        (request, attempt),
+                        Outgoing {
+                            replica,
+                            begun,
+                            task,
+                        },
+                    );
                 }
                 Command::Abandon { request, attempt } => {
                     if let Some(outgoing) = self.attempts.remove(&(request, attempt)) {
@@ -380,10 +504,17 @@
                     if let (Some(client), Some((content_type, replica, body))) =
                         (self.clients.remove(&request), self.offered.take())
                     {
-                        let _ = client.answer.send(Answer::Stream { content_type, replica, body });
+                        let _ = client.answer.send(Answer::Stream {
+                            content_type,
+                            replica,
+                            body,
+                        });
                     }
                 }
-                Command::Refuse { request, retry_after } => {
+                Command::Refuse {
+                    request,
+                    retry_after,
+                } => {
                     self.answer(request, Answer::Refused(retry_after));
                 }
                 Command::Fail { request } => self.answer(request, Answer::Failed),
@@ -402,7 +533,9 @@
     /// Whether nobody waits for this request's answer any more. The client's departure may still be on its way behind
     /// other messages, and no attempt may begin meanwhile.
     fn has_left(&self, request: RequestId) -> bool {
-        self.clients.get(&request).is_some_and(|client| client.answer.is_closed())
+        self.clients
+            .get(&request)
+            .is_some_and(|client| client.answer.is_closed())
     }
 
     fn answer(&mut self, request: RequestId, answer: Answer) {
@@ -424,10 +557,19 @@
         }
         Input::ClientGone(id) => tracing::debug!(request = %id, "client gone"),
         Input::First { request, attempt } => tracing::debug!(%request, attempt, "first event"),
-        Input::Ended { request, attempt, outcome, report } => {
+        Input::Ended {
+            request,
+            attempt,
+            outcome,
+            report,
+        } => {
             tracing::debug!(%request, attempt, ?outcome, ?report, "ended");
         }
-        Input::Probed { replica, outcome, report } => {
+        Input::Probed {
+            replica,
+            outcome,
+            report,
+        } => {
             tracing::debug!(replica = %replica.0, ?outcome, ?report, "probed");
         }
         Input::List { list, full } => tracing::debug!(entries = list.len(), full, "list"),
@@ -438,14 +580,22 @@
 
 fn log_command(command: &Command) {
     match command {
-        Command::Send { request, attempt, replica, until } => {
+        Command::Send {
+            request,
+            attempt,
+            replica,
+            until,
+        } => {
             tracing::debug!(%request, attempt, replica = %replica.0, until, "send");
         }
         Command::Abandon { request, attempt } => {
             tracing::debug!(%request, attempt, "abandon");
         }
         Command::Bind { request, attempt } => tracing::debug!(%request, attempt, "bind"),
-        Command::Refuse { request, retry_after } => {
+        Command::Refuse {
+            request,
+            retry_after,
+        } => {
             tracing::debug!(%request, retry_after, "refuse");
         }
         Command::Fail { request } => tracing::debug!(%request, "fail"),
--- a/src/transport/listener.rs
+++ b/src/transport/listener.rs
@@ -55,13 +55,19 @@
     }
     // What the kernel took in before the end is the node's to answer. The kernel itself is asked: the runtime knows
     // of a connection only after its next turn.
-    let Ok(listener) = listener.into_std() else { return };
+    let Ok(listener) = listener.into_std() else {
+        return;
+    };
     let mut failures = 0;
     while failures < MOST_FAILURES {
         match listener.accept() {
             Ok((socket, _)) => {
-                let socket = socket.set_nonblocking(true).and_then(|()| TcpStream::from_std(socket));
-                socket.into_iter().for_each(|socket| admit(socket, &shared, &turned_away));
+                let socket = socket
+                    .set_nonblocking(true)
+                    .and_then(|()| TcpStream::from_std(socket));
+                socket
+                    .into_iter()
+                    .for_each(|socket| admit(socket, &shared, &turned_away));
             }
             Err(e) if e.kind() == ErrorKind::WouldBlock => return,
             Err(e) => {
@@ -106,8 +112,12 @@
 /// Refuses without reading: the client gets its answer at once and the connection ends.
 async fn turn_away(socket: TcpStream, _place: Rc<()>) {
     let mut socket = Socket::from(socket);
-    let answer =
-        request::own_answer(503, "this node holds as many connections as it may", Some(AGAIN_US), true);
+    let answer = request::own_answer(
+        503,
+        "this node holds as many connections as it may",
+        Some(AGAIN_US),
+        true,
+    );
     let talk = async {
         if socket.write_all(&answer).await.is_ok() && socket.shutdown().await.is_ok() {
             super::client::discard(&mut socket).await;
--- a/src/transport/pool.rs
+++ b/src/transport/pool.rs
@@ -56,7 +56,9 @@
 
 impl Drop for Wait<'_> {
     fn drop(&mut self) {
-        let Some(resting) = self.resting.take() else { return };
+        let Some(resting) = self.resting.take() else {
+            return;
+        };
         let mut idle = self.pool.idle.borrow_mut();
         let list = idle.entry(self.peer).or_default();
         list.insert(list.partition_point(|c| c.since <= resting.since), resting);
@@ -84,7 +86,13 @@
     /// An empty pool.
     pub fn new(most: usize, dial: Duration, keep: Duration) -> Self {
         let (idle, open) = Default::default();
-        Pool { idle, open, most, dial, keep }
+        Pool {
+            idle,
+            open,
+            most,
+            dial,
+            keep,
+        }
     }
 
     /// The newest idle connection to a replica, or a new one. One that still rests is waited for: that is short, and a
@@ -95,9 +103,14 @@
             if until <= Instant::now() {
                 return Ok(resting.conn);
             }
-            let mut wait = Wait { pool: self, peer, resting: Some(resting) };
+            let mut wait = Wait {
+                pool: self,
+                peer,
+                resting: Some(resting),
+            };
             tokio::time::sleep_until(until).await;
-            if let Some(Resting { conn, .. }) = wait.resting.take().filter(|r| quiet(&r.conn.wire)) {
+            if let Some(Resting { conn, .. }) = wait.resting.take().filter(|r| quiet(&r.conn.wire))
+            {
                 return Ok(conn);
             }
         }
@@ -107,9 +120,10 @@
         *self.open.borrow_mut() += 1;
         let place = Place(self.open.clone());
         match tokio::time::timeout(self.dial, TcpStream::connect(peer.1)).await {
-            Ok(Ok(socket)) => {
-                Ok(Conn { wire: Framed::new(socket.into(), Http::new(Side::Client)), _place: place })
-            }
+            Ok(Ok(socket)) => Ok(Conn {
+                wire: Framed::new(socket.into(), Http::new(Side::Client)),
+                _place: place,
+            }),
             Ok(Err(e)) if is_local(&e) => {
                 tracing::debug!(why = %e, to = %peer.1, "no connection for a reason of this machine");
                 Err(NoConn::Exhausted)
@@ -137,18 +151,31 @@
     pub fn put(&self, peer: Peer, conn: Conn, rest: Duration) {
         if conn.wire.codec().idle() && quiet(&conn.wire) {
             let since = Instant::now();
-            let resting = Resting { since, until: since + rest, conn };
-            self.idle.borrow_mut().entry(peer).or_default().push(resting);
+            let resting = Resting {
+                since,
+                until: since + rest,
+                conn,
+            };
+            self.idle
+                .borrow_mut()
+                .entry(peer)
+                .or_default()
+                .push(resting);
         }
     }
 
     fn drop_oldest(&self) -> bool {
         let mut idle = self.idle.borrow_mut();
-        let oldest = idle.iter().filter_map(|(a, l)| l.first().map(|c| (c.since, *a))).min();
-        oldest.and_then(|(_, addr)| idle.get_mut(&addr)).is_some_and(|list| {
-            list.remove(0);
-            true
-        })
+        let oldest = idle
+            .iter()
+            .filter_map(|(a, l)| l.first().map(|c| (c.since, *a)))
+            .min();
+        oldest
+            .and_then(|(_, addr)| idle.get_mut(&addr))
+            .is_some_and(|list| {
+                list.remove(0);
+                true
+            })
     }
 
     /// Closes what has been idle too long.
@@ -186,5 +213,6 @@
 /// the runtime may not have seen yet that there are bytes, and a second answer must not meet the next request.
 fn quiet(wire: &Wire) -> bool {
     let peeked = wire.get_ref().unread();
-    wire.read_buffer().is_empty() && peeked.is_err_and(|e| e.kind() == std::io::ErrorKind::WouldBlock)
+    wire.read_buffer().is_empty()
+        && peeked.is_err_and(|e| e.kind() == std::io::ErrorKind::WouldBlock)
 }
--- a/src/transport/relay.rs
+++ b/src/transport/relay.rs
@@ -47,12 +47,24 @@
         replica: ReplicaId,
         content_type: &str,
     ) -> Option<Relay> {
-        let continues =
-            streams.settings().continues.filter(|_| content_type.starts_with("text/event-stream"))?;
+        let continues = streams
+            .settings()
+            .continues
+            .filter(|_| content_type.starts_with("text/event-stream"))?;
         let effect = boot.settings.classes.get(arrival.class).map(|c| c.effect);
         let (streams, story) = (streams.clone(), Story::default());
         let repeatable = effect == Some(Effect::Safe);
-        Some(Relay { streams, continues, story, arrival, head, body, repeatable, tries: 0, replica })
+        Some(Relay {
+            streams,
+            continues,
+            story,
+            arrival,
+            head,
+            body,
+            repeatable,
+            tries: 0,
+            replica,
+        })
     }
 
     /// The request that is being answered now.
@@ -77,7 +89,8 @@
     /// The upstream says that all has passed: whether it has by the answer's own words, if those can be judged.
     pub fn whole(&mut self) -> bool {
         let story = &self.story;
-        let whole = story.progress() == Progress::Done || story.closed().is_some() || !story.known();
+        let whole =
+            story.progress() == Progress::Done || story.closed().is_some() || !story.known();
         if whole && self.tries > 0 {
             self.streams.count(|c| c.saved += 1);
         }
@@ -86,8 +99,13 @@
 
     /// The upstream has stalled or broken.
     pub fn ended(&mut self, ending: bool) -> Next {
-        let case =
-            Case { allowed: true, repeatable: self.repeatable, tries: self.tries, reader: true, ending };
+        let case = Case {
+            allowed: true,
+            repeatable: self.repeatable,
+            tries: self.tries,
+            reader: true,
+            ending,
+        };
         let (streams, continues, replica) = (&self.streams, &self.continues, self.replica);
         let take = || streams.take(replica, continues);
         match judge(&case, &self.story, &self.body, &continues.budget, take) {
@@ -111,7 +129,10 @@
                 tracing::info!(request = %self.arrival.id, next = %arrival.id, epoch, tokens, "stream continued");
                 self.arrival = arrival.clone();
                 let head = request::upstream_head(&self.head, rest.len(), Some(arrival.id));
-                let payload = Payload { head, body: rest.into() };
+                let payload = Payload {
+                    head,
+                    body: rest.into(),
+                };
                 Next::Ask(Box::new((arrival, payload)))
             }
         }
@@ -139,5 +160,7 @@
 }
 
 fn next_id(id: u64, epoch: u64) -> u64 {
-    (id ^ epoch.wrapping_mul(0x9e37_79b9_7f4a_7c15)).wrapping_mul(0xbf58_476d_1ce4_e5b9).rotate_left(31)
+    (id ^ epoch.wrapping_mul(0x9e37_79b9_7f4a_7c15))
+        .wrapping_mul(0xbf58_476d_1ce4_e5b9)
+        .rotate_left(31)
 }
--- a/src/transport/shutdown.rs
+++ b/src/transport/shutdown.rs
@@ -22,7 +22,9 @@
 pub const LAST_READ: Duration = Duration::from_millis(250);
 /// Requests that still wait for their first token so long after the order get their final answer then: a process may be
 /// killed 3.7 s after it. Shorter deadlines end by themselves before the earlier kill that they bring about.
-pub const FINAL_ANSWERS: Duration = LONGEST_DEADLINE.saturating_add(ALLOWANCE).saturating_sub(MARGIN);
+pub const FINAL_ANSWERS: Duration = LONGEST_DEADLINE
+    .saturating_add(ALLOWANCE)
+    .saturating_sub(MARGIN);
 
 /// The order to stop, once it has come. It can't be taken back.
 #[derive(Debug, Default)]
--- a/src/transport/socket.rs
+++ b/src/transport/socket.rs
@@ -97,7 +97,11 @@
 }
 
 impl AsyncWrite for Socket {
-    fn poll_write(self: Pin<&mut Self>, context: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(
+        self: Pin<&mut Self>,
+        context: &mut Context<'_>,
+        bytes: &[u8],
+    ) -> Poll<io::Result<usize>> {
         let stream = &self.0;
         loop {
             ready!(stream.poll_write_ready(context))?;
--- a/src/transport/srv.rs
+++ b/src/transport/srv.rs
@@ -36,7 +36,12 @@
 impl Lookups {
     /// None yet.
     pub fn new(clock: Clock, tell: mpsc::Sender<Message>) -> Self {
-        Lookups { clock, tell, running: None, newest: Newest::default() }
+        Lookups {
+            clock,
+            tell,
+            running: None,
+            newest: Newest::default(),
+        }
     }
 
     /// What was found last, or why nothing was.
@@ -53,7 +58,12 @@
             task.abort();
         }
         if let Some(service) = service {
-            let run = run(service.clone(), self.clock, self.tell.clone(), self.newest.clone());
+            let run = run(
+                service.clone(),
+                self.clock,
+                self.tell.clone(),
+                self.newest.clone(),
+            );
             self.running = Some((service, tokio::task::spawn_local(run).abort_handle()));
         }
     }
@@ -78,7 +88,11 @@
                 Event::Listed(found) => Ok(found),
                 Event::Failed { why, .. } => Err(why),
             });
-            if tell.send(Message::Told { source: SRV, told }).await.is_err() {
+            if tell
+                .send(Message::Told { source: SRV, told })
+                .await
+                .is_err()
+            {
                 return;
             }
         }
@@ -107,7 +121,11 @@
         tracing::warn!(source = SRV, target_name = %target, why = %why, "target not resolved");
     }
     if found.left_out > 0 {
-        tracing::warn!(source = SRV, left_out = found.left_out, "more targets than may be");
+        tracing::warn!(
+            source = SRV,
+            left_out = found.left_out,
+            "more targets than may be"
+        );
     }
     found.endpoints.iter().map(|e| naming.entry(e)).collect()
 }
--- a/src/transport/streams.rs
+++ b/src/transport/streams.rs
@@ -86,7 +86,10 @@
 
     /// The time until it is stalled, if nothing comes, in microseconds; none while silence does not count.
     pub fn patience(&self) -> Option<Micros> {
-        self.health.borrow().due().map(|due| due.saturating_sub(self.streams.now()))
+        self.health
+            .borrow()
+            .due()
+            .map(|due| due.saturating_sub(self.streams.now()))
     }
 
     /// The reader takes nothing: from here on silence is the node's own.
@@ -101,15 +104,18 @@
 
     /// It is given up after this silence.
     pub fn gave_up(&self, silence: Micros) {
-        self.streams.at(self.replica, |r| (r.gaps.gave_up(silence), r.ends[1] += 1));
+        self.streams
+            .at(self.replica, |r| (r.gaps.gave_up(silence), r.ends[1] += 1));
         self.streams.count(|c| c.stalled += 1);
     }
 
     /// Its replica has ended it, whole or not.
     pub fn ended(&self, whole: bool) {
         self.health.borrow_mut().ended(whole);
-        self.streams.at(self.replica, |r| r.ends[if whole { 0 } else { 2 }] += 1);
-        self.streams.count(|c| if whole { c.whole += 1 } else { c.broken += 1 });
+        self.streams
+            .at(self.replica, |r| r.ends[if whole { 0 } else { 2 }] += 1);
+        self.streams
+            .count(|c| if whole { c.whole += 1 } else { c.broken += 1 });
     }
 }
 
@@ -135,7 +141,15 @@
     /// No stream yet.
     pub fn new(clock: Clock, settings: Settings) -> Self {
         let (replicas, budget, counts, live, next) = Default::default();
-        Streams { clock, settings: Cell::new(settings), replicas, budget, counts, live, next }
+        Streams {
+            clock,
+            settings: Cell::new(settings),
+            replicas,
+            budget,
+            counts,
+            live,
+            next,
+        }
     }
 
     /// Takes other settings, for streams from now on.
@@ -182,18 +196,32 @@
         }
         let health = self.at(replica, |r| {
             r.begun += 1;
-            Health::new(now, r.gaps.limit(token_aim, &settings.limits), r.gaps.long())
+            Health::new(
+                now,
+                r.gaps.limit(token_aim, &settings.limits),
+                r.gaps.long(),
+            )
         });
         let (health, number) = (Rc::new(RefCell::new(health)), self.next.get());
         self.next.set(number + 1);
-        self.live.borrow_mut().insert(number, (replica, health.clone()));
-        Live { streams: self.clone(), number, replica, health }
+        self.live
+            .borrow_mut()
+            .insert(number, (replica, health.clone()));
+        Live {
+            streams: self.clone(),
+            number,
+            replica,
+            health,
+        }
     }
 
     /// Takes one continuation of a stream of this replica from both budgets, where both have one left.
     pub fn take(&self, replica: ReplicaId, continues: &Continues) -> bool {
         let now = self.now();
-        let own = Budget { share: continues.replica_share, ..continues.budget };
+        let own = Budget {
+            share: continues.replica_share,
+            ..continues.budget
+        };
         self.at(replica, |r| r.budget.take(now, &own))
             && self.budget.borrow_mut().take(now, &continues.budget)
     }
--- a/src/transport/upstream.rs
+++ b/src/transport/upstream.rs
@@ -75,7 +75,18 @@
     pub async fn attempt(self, job: Job) {
         let (request, attempt, peer) = (job.request, job.attempt, job.peer);
         let (outcome, report, conn) = self.exchange(job).await;
-        let _ = self.tell.send(Input::Ended { request, attempt, outcome, report }.into()).await;
+        let _ = self
+            .tell
+            .send(
+                Input::Ended {
+                    request,
+                    attempt,
+                    outcome,
+                    report,
+                }
+                .into(),
+            )
+            .await;
         let Some(mut conn) = conn else { return };
         let rest = async {
             while !conn.wire.codec().idle() {
@@ -101,13 +112,18 @@
         // Nothing is awaited between this and the first write.
         job.begun.set(true);
         let head = request::attempt_head(&job.payload.head, job.wait);
-        if write(&mut conn, head, job.payload.body.clone()).await.is_err() {
+        if write(&mut conn, head, job.payload.body.clone())
+            .await
+            .is_err()
+        {
             // Before its last byte is written a request can't have run.
             return (Outcome::ConnectFailed, None, None);
         }
         self.written.set(self.written.get() + 1);
         if let Some((class, tenant)) = job.crosses {
-            self.crossings.borrow_mut().add(self.clock.moment().unix, class, tenant);
+            self.crossings
+                .borrow_mut()
+                .add(self.clock.moment().unix, class, tenant);
         }
         let mut answer = Answer::new(self.boot.clone());
         let mut steps = Vec::new();
@@ -118,15 +134,17 @@
             let next = conn.wire.next();
             let silence = live.as_ref().and_then(Live::patience);
             let part = match silence {
-                Some(silence) => match tokio::time::timeout(Duration::from_micros(silence), next).await {
-                    Ok(part) => part,
-                    // A replica that vanished leaves its connections open and quiet: its client must
-                    // not be left waiting with it.
-                    Err(_) => {
-                        live.iter().for_each(|l| l.gave_up(silence));
-                        return (Outcome::TimedOut, None, None);
+                Some(silence) => {
+                    match tokio::time::timeout(Duration::from_micros(silence), next).await {
+                        Ok(part) => part,
+                        // A replica that vanished leaves its connections open and quiet: its client must
+                        // not be left waiting with it.
+                        Err(_) => {
+                            live.iter().for_each(|l| l.gave_up(silence));
+                            return (Outcome::TimedOut, None, None);
+                        }
                     }
-                },
+                }
                 None => next.await,
             };
             match part {
@@ -149,12 +167,19 @@
                         let (request, attempt) = (job.request, job.attempt);
                         let replica = job.peer.0;
                         live = Some(self.streams.begin(replica, job.token_aim));
-                        let first = Message::First { request, attempt, content_type, replica, body };
+                        let first = Message::First {
+                            request,
+                            attempt,
+                            content_type,
+                            replica,
+                            body,
+                        };
                         let _ = self.tell.send(first).await;
                     }
                     Step::Pass(bytes) => {
                         let Some(sender) = &to_client else { continue };
-                        if let Err(TrySendError::Full(piece)) = sender.try_send(Piece::Bytes(bytes)) {
+                        if let Err(TrySendError::Full(piece)) = sender.try_send(Piece::Bytes(bytes))
+                        {
                             // The reader does not keep up: the silence that follows is not the replica's.
                             live.iter().for_each(Live::reader_waits);
                             let _ = sender.send(piece).await;
@@ -184,13 +209,36 @@
                 .await
                 .unwrap_or((Outcome::TimedOut, None)),
         };
-        let _ = self.tell.send(Input::Probed { replica, outcome, report }.into()).await;
+        let _ = self
+            .tell
+            .send(
+                Input::Probed {
+                    replica,
+                    outcome,
+                    report,
+                }
+                .into(),
+            )
+            .await;
     }
 
     async fn ask(&self, peer: Peer) -> (Outcome, Option<Report>) {
-        let Ok(mut conn) = self.pool.get(peer).await else { return (Outcome::ConnectFailed, None) };
-        let target = if self.boot.names.fields.is_empty() { "/healthz" } else { "/load" };
-        if write(&mut conn, request::get(target, &peer.1.to_string()), Bytes::new()).await.is_err() {
+        let Ok(mut conn) = self.pool.get(peer).await else {
+            return (Outcome::ConnectFailed, None);
+        };
+        let target = if self.boot.names.fields.is_empty() {
+            "/healthz"
+        } else {
+            "/load"
+        };
+        if write(
+            &mut conn,
+            request::get(target, &peer.1.to_string()),
+            Bytes::new(),
+        )
+        .await
+        .is_err()
+        {
             return (Outcome::ConnectFailed, None);
         }
         let (mut status, mut keep, mut body) = (0, false, Vec::new());
@@ -198,7 +246,11 @@
             match conn.wire.next().await {
                 Some(Ok(Part::Head(head))) => {
                     keep = head.keep;
-                    status = if let Start::Status(status) = head.start { status } else { 0 };
+                    status = if let Start::Status(status) = head.start {
+                        status
+                    } else {
+                        0
+                    };
                 }
                 Some(Ok(Part::Body(bytes))) if body.len() < PIECE => body.extend_from_slice(&bytes),
                 Some(Ok(Part::Body(_))) => return (Outcome::Error, None),
@@ -209,16 +261,24 @@
         if keep {
             self.pool.put(peer, conn, Duration::ZERO);
         }
-        let load = std::str::from_utf8(&body).ok().and_then(|text| report(text, &self.boot));
+        let load = std::str::from_utf8(&body)
+            .ok()
+            .and_then(|text| report(text, &self.boot));
         (probed(status), load)
     }
 }
 
 /// Writes a request; an error means that its last byte was not written.
-async fn write(conn: &mut Conn, head: Bytes, mut body: Bytes) -> Result<(), crate::protocol::http::Fault> {
+async fn write(
+    conn: &mut Conn,
+    head: Bytes,
+    mut body: Bytes,
+) -> Result<(), crate::protocol::http::Fault> {
     conn.wire.feed(Out::Raw(head)).await?;
     while body.has_remaining() {
-        conn.wire.feed(Out::Raw(body.split_to(body.len().min(PIECE)))).await?;
+        conn.wire
+            .feed(Out::Raw(body.split_to(body.len().min(PIECE))))
+            .await?;
     }
     conn.wire.flush().await
 }
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -135,8 +135,14 @@
 impl<'a> Values<'a> {
     fn new(line: &'a str) -> Self {
         match line.split_once(' ') {
-            Some((message, rest)) => Values { message, rest: Some(rest) },
-            None => Values { message: line, rest: None },
+            Some((message, rest)) => Values {
+                message,
+                rest: Some(rest),
+            },
+            None => Values {
+                message: line,
+                rest: None,
+            },
         }
     }
 
@@ -147,7 +153,10 @@
 
     /// An error about this message.
     pub fn expected(&self, what: impl Into<String>) -> WireError {
-        WireError { message: self.message.into(), expected: what.into() }
+        WireError {
+            message: self.message.into(),
+            expected: what.into(),
+        }
     }
 
     /// The next value; `None` where it is `-` or the line has ended.
@@ -172,7 +181,8 @@
     }
 
     fn need<T: FromStr>(&mut self, name: &str) -> Result<T, WireError> {
-        self.optional(name)?.ok_or_else(|| self.expected(format!("a value for {name}")))
+        self.optional(name)?
+            .ok_or_else(|| self.expected(format!("a value for {name}")))
     }
 
     fn seconds(&mut self, name: &str) -> Result<Seconds, WireError> {
@@ -195,7 +205,9 @@
     }
 
     fn request(&mut self) -> Result<RequestId, WireError> {
-        self.hex("ticket")?.map(RequestId).ok_or_else(|| self.expected("a value for ticket"))
+        self.hex("ticket")?
+            .map(RequestId)
+            .ok_or_else(|| self.expected("a value for ticket"))
     }
 
     fn replica(&mut self) -> Result<ReplicaId, WireError> {
@@ -224,7 +236,12 @@
         })
     }
 
-    fn below(&mut self, name: &str, count: usize, absent: Option<usize>) -> Result<usize, WireError> {
+    fn below(
+        &mut self,
+        name: &str,
+        count: usize,
+        absent: Option<usize>,
+    ) -> Result<usize, WireError> {
         let value = match self.optional(name)? {
             Some(value) => value,
             None => absent.ok_or_else(|| self.expected(format!("a value for {name}")))?,
@@ -237,13 +254,17 @@
     }
 
     fn report(&mut self, fields: &[Field]) -> Result<Option<Report>, WireError> {
-        let Some(text) = self.next() else { return Ok(None) };
+        let Some(text) = self.next() else {
+            return Ok(None);
+        };
         let mut report = Report::default();
         for (value, field) in text.split(',').zip(fields) {
             if value == "-" || value.is_empty() {
                 continue;
             }
-            let value: f64 = value.parse().map_err(|_| self.expected("numbers in the load report"))?;
+            let value: f64 = value
+                .parse()
+                .map_err(|_| self.expected("numbers in the load report"))?;
             field.put(&mut report, value);
         }
         Ok(Some(report))
@@ -258,7 +279,10 @@
                 .or_else(|_| text.parse::<i64>().map(|v| v as u64))
                 .map_err(|_| self.expected("a whole number for nonce64"))?,
         };
-        let text = self.rest.take().ok_or_else(|| self.expected("a JSON object in bootInfo"))?;
+        let text = self
+            .rest
+            .take()
+            .ok_or_else(|| self.expected("a JSON object in bootInfo"))?;
         let boot = boot(text).map_err(|expected| self.expected(expected))?;
         Ok((seed, boot))
     }
@@ -298,18 +322,32 @@
                     // The wire writes no figure where nothing was kept.
                     report.get_or_insert_default().kept = Some(kept.unwrap_or(0.0));
                 }
-                Event::Ended { request, attempt, outcome, last, report }
+                Event::Ended {
+                    request,
+                    attempt,
+                    outcome,
+                    last,
+                    report,
+                }
             }
             "opened" => {
                 let (request, attempt) = (self.request()?, self.need("leg")?);
                 self.replica()?;
-                Event::Started { request, attempt, elapsed: self.seconds("timeTaken")? }
+                Event::Started {
+                    request,
+                    attempt,
+                    elapsed: self.seconds("timeTaken")?,
+                }
             }
             "client_gone" => Event::ClientGone(self.request()?),
             "pong" => {
                 let replica = self.replica()?;
                 self.seconds("timeTaken")?;
-                Event::Probed { replica, outcome: self.outcome()?, report: self.report(&boot.fields)? }
+                Event::Probed {
+                    replica,
+                    outcome: self.outcome()?,
+                    report: self.report(&boot.fields)?,
+                }
             }
             "reminder" => {
                 self.need::<u64>("ref")?;
@@ -320,9 +358,17 @@
                 self.need::<u64>("version")?;
                 match how {
                     Some("failed") => Event::ListFailed,
-                    Some("delta") => return Ok(Told::List { catalog: self.need("ref")?, full: false }),
+                    Some("delta") => {
+                        return Ok(Told::List {
+                            catalog: self.need("ref")?,
+                            full: false,
+                        })
+                    }
                     Some("full" | "cached") => {
-                        return Ok(Told::List { catalog: self.need("ref")?, full: true })
+                        return Ok(Told::List {
+                            catalog: self.need("ref")?,
+                            full: true,
+                        })
                     }
                     _ => return Err(self.expected("delta, full, cached or failed for how")),
                 }
@@ -343,18 +389,25 @@
     Ok(match values.message {
         "frame" => Line::Frame(values.seconds("time")?),
         "eob" => Line::EndOfBatch,
-        "catalog" => Line::Catalog { number: values.need("ref")?, entries: values.need("rowsIn")? },
+        "catalog" => Line::Catalog {
+            number: values.need("ref")?,
+            entries: values.need("rowsIn")?,
+        },
         "worker" => Line::Entry(values.row()?),
-        "spawn" | "roster_change" | "incoming" | "closed_attempt" | "memo" | "power_off" | "reminder"
-        | "client_gone" | "pong" | "opened" => Line::For(values.need("who")?, values),
+        "spawn" | "roster_change" | "incoming" | "closed_attempt" | "memo" | "power_off"
+        | "reminder" | "client_gone" | "pong" | "opened" => Line::For(values.need("who")?, values),
         _ => return Err(values.expected("a known message")),
     })
 }
 
 impl Values<'_> {
     fn row(&mut self) -> Result<Row, WireError> {
-        let (id, zone, kind, cell) =
-            (self.replica()?, self.need("hall")?, self.optional("generationHw")?, self.optional("cell")?);
+        let (id, zone, kind, cell) = (
+            self.replica()?,
+            self.need("hall")?,
+            self.optional("generationHw")?,
+            self.optional("cell")?,
+        );
         let state = match self.next() {
             Some("up") => ReplicaState::Up,
             Some("draining") => ReplicaState::Draining,
@@ -364,23 +417,48 @@
         let size = self.optional::<f64>("weight")?;
         let born = self.optional::<f64>("born")?.filter(|b| *b > 0.0);
         let (cell, kind) = (cell.unwrap_or(0), kind.unwrap_or(0));
-        Ok(Row { listing: Listing { id, zone, cell, kind, state, size, born } })
+        Ok(Row {
+            listing: Listing {
+                id,
+                zone,
+                cell,
+                kind,
+                state,
+                size,
+                born,
+            },
+        })
     }
 }
 
 /// The entries as this instance may see them: its settings must know their zones and kinds.
 pub fn listings(rows: &[Row], boot: &Boot) -> Result<Vec<Listing>, WireError> {
-    let bad = |expected: String| WireError { message: "roster_change".into(), expected };
+    let bad = |expected: String| WireError {
+        message: "roster_change".into(),
+        expected,
+    };
     for row in rows {
         let (zones, kinds) = (boot.names.zones.len().max(1), boot.names.kinds.len().max(1));
         if row.listing.zone >= zones {
-            return Err(bad(format!("a zone below {zones}, not {}", row.listing.zone)));
+            return Err(bad(format!(
+                "a zone below {zones}, not {}",
+                row.listing.zone
+            )));
         }
         if row.listing.kind >= kinds {
-            return Err(bad(format!("a kind below {kinds}, not {}", row.listing.kind)));
+            return Err(bad(format!(
+                "a kind below {kinds}, not {}",
+                row.listing.kind
+            )));
         }
     }
-    Ok(rows.iter().map(|r| Listing { size: boot.size(r.listing.size), ..r.listing.clone() }).collect())
+    Ok(rows
+        .iter()
+        .map(|r| Listing {
+            size: boot.size(r.listing.size),
+            ..r.listing.clone()
+        })
+        .collect())
 }
 
 impl Boot {
@@ -397,23 +475,32 @@
             ("tenants", old.tenants == new.names.tenants),
             ("zones", old.zones == new.names.zones),
             ("hostTypes", old.kinds == new.names.kinds),
-            ("balancers", (self.settings.me, self.settings.zone) == (new.settings.me, new.settings.zone)),
+            (
+                "balancers",
+                (self.settings.me, self.settings.zone) == (new.settings.me, new.settings.zone),
+            ),
         ] {
             if !same {
-                return Err(format!("settings: {key}: another one counts from the next start only"));
+                return Err(format!(
+                    "settings: {key}: another one counts from the next start only"
+                ));
             }
         }
         let fresh = std::mem::replace(&mut new.settings.classes, self.settings.classes.clone());
-        (new.names.classes, new.names.retired) = (old.classes.clone(), (0..old.classes.len()).collect());
+        (new.names.classes, new.names.retired) =
+            (old.classes.clone(), (0..old.classes.len()).collect());
         for (name, class) in next.into_iter().zip(fresh) {
-            let known = |at: &usize| new.names.classes[*at] == name && new.settings.classes[*at] == class;
+            let known =
+                |at: &usize| new.names.classes[*at] == name && new.settings.classes[*at] == class;
             if let Some(at) = (0..new.names.classes.len()).find(known) {
                 new.names.retired.retain(|place| *place != at);
             } else if new.names.classes.len() < MOST_CLASSES {
                 new.names.classes.push(name);
                 new.settings.classes.push(class);
             } else {
-                return Err(format!("settings: classes: {MOST_CLASSES} have been in use since the start"));
+                return Err(format!(
+                    "settings: classes: {MOST_CLASSES} have been in use since the start"
+                ));
             }
         }
         Ok(new)
@@ -464,7 +551,10 @@
     };
     let need = |v: &Value, key: &str| v[key].as_f64().ok_or(format!("a number for {key}"));
     let above_zero = |v: &Value, key: &str| {
-        need(v, key).ok().filter(|n| *n > 0.0).ok_or(format!("a number above 0 for {key}"))
+        need(v, key)
+            .ok()
+            .filter(|n| *n > 0.0)
+            .ok_or(format!("a number above 0 for {key}"))
     };
     let per_class = &v["specifics"]["aimUsPer1000PromptTokens"];
     let mut classes = Vec::new();
@@ -479,7 +569,10 @@
                     Some("cell") => Group::Cell,
                     _ => return Err("all, zone or cell for dedupScope".into()),
                 };
-                Effect::Keyed { group, memory: need(c, "memorySpan")? }
+                Effect::Keyed {
+                    group,
+                    memory: need(c, "memorySpan")?,
+                }
             }
             _ => return Err("safe, keyed or unsafe for semantics".into()),
         };
@@ -491,7 +584,9 @@
             late_worth: number(c, "lateValue", 0.0)?,
             aim: above_zero(c, "goalTime")?,
             aim_per_prompt_token: per_class[i].as_f64().unwrap_or(0.0) / 1e9,
-            token_aim: v["specifics"]["tokenAim"][i].as_f64().unwrap_or(f64::INFINITY),
+            token_aim: v["specifics"]["tokenAim"][i]
+                .as_f64()
+                .unwrap_or(f64::INFINITY),
             aim_stretch: number(c, "aimStretch", 0.0)?,
             effect,
             streaming: flag(c, "streaming")?,
@@ -505,7 +600,11 @@
         });
     }
     let (l, r, c) = (&v["limits"], &v["rules"], &v["costs"]);
-    let means = |key: &str, word: &str| v["specifics"][key].as_str().is_none_or(|t| t.contains(word));
+    let means = |key: &str, word: &str| {
+        v["specifics"][key]
+            .as_str()
+            .is_none_or(|t| t.contains(word))
+    };
     let field = |f: &Value| match f.as_str() {
         Some("x1") if means("reportX1", "prompt tokens") => Field::WaitingPromptTokens,
         Some("x0") if means("reportX0", "memory") => Field::MemoryHeld,
@@ -528,7 +627,11 @@
                 Value::Null => 1,
                 _ => above_zero(l, "mostTries")?.max(1.0) as usize,
             },
-            max_retry_after: if flag(l, "retryAfter")? { number(l, "maxRetryAfter", 0.0)? } else { 0.0 },
+            max_retry_after: if flag(l, "retryAfter")? {
+                number(l, "maxRetryAfter", 0.0)?
+            } else {
+                0.0
+            },
         },
         prices: Prices {
             cross_zone: number(c, "crossZone", 0.0)?,
@@ -557,7 +660,8 @@
     settings.check().map_err(|e| format!("workable {e}"))?;
     let text = |v: &Value| v.as_str().unwrap_or_default().to_string();
     let texts = |v: &Value, key: &str| list(v, key).map(|l| l.iter().map(text).collect::<Vec<_>>());
-    let named = |v: &Value, key: &str| list(v, key).map(|l| l.iter().map(|e| text(&e["name"])).collect());
+    let named =
+        |v: &Value, key: &str| list(v, key).map(|l| l.iter().map(|e| text(&e["name"])).collect());
     let names = Names {
         classes: named(&v, "classes")?,
         retired: Vec::new(),
@@ -570,16 +674,32 @@
     };
     let fields = list(&v["report"], "fields")?.iter().map(field).collect();
     let sized = matches!(v["weightSource"].as_str(), Some("nominal" | "rough"));
-    Ok(Boot { settings, names, fields, sized })
+    Ok(Boot {
+        settings,
+        names,
+        fields,
+        sized,
+    })
 }
 
 /// Appends the line of one action of an instance.
 pub fn write_action(out: &mut String, who: u64, action: &Action) {
     let line = match action {
-        Action::Send { request, replica, timeout } => {
-            writeln!(out, "attempt {who} {:016x} {} {:.6}", request.0, replica.0, timeout)
+        Action::Send {
+            request,
+            replica,
+            timeout,
+        } => {
+            writeln!(
+                out,
+                "attempt {who} {:016x} {} {:.6}",
+                request.0, replica.0, timeout
+            )
         }
-        Action::Refuse { request, retry_after } => {
+        Action::Refuse {
+            request,
+            retry_after,
+        } => {
             writeln!(out, "say_no {who} {:016x} {:.6}", request.0, retry_after)
         }
         Action::Fail { request } => writeln!(out, "abort {who} {:016x}", request.0),
