--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -42,22 +42,32 @@
 fn a_request_is_sent_to_the_listed_worker() {
     let out = run(&format!("{}frame 1.5\n{ASK}eob\n", start(LIST)));
     let text = String::from_utf8(out.stdout).unwrap();
-    assert!(text.contains("attempt 0 73912cb95d3a91c4 10.0.0.1:7001 3.000000\ndone\n"), "{text}");
+    assert!(
+        text.contains("attempt 0 73912cb95d3a91c4 10.0.0.1:7001 3.000000\ndone\n"),
+        "{text}"
+    );
     assert!(out.status.success());
 }
 
 #[test]
 fn a_catalog_number_used_again_in_a_batch_means_the_newer_list() {
-    let lists = format!("{LIST}catalog 0 1\nworker 10.0.0.2:7001 0 0 0 up 1 -\nroster_change 0 full 2 0\n");
+    let lists =
+        format!("{LIST}catalog 0 1\nworker 10.0.0.2:7001 0 0 0 up 1 -\nroster_change 0 full 2 0\n");
     let out = run(&format!("{}frame 1.5\n{ASK}eob\n", start(&lists)));
     let text = String::from_utf8(out.stdout).unwrap();
-    assert!(text.contains("10.0.0.2:7001") && !text.contains("10.0.0.1:7001"), "{text}");
+    assert!(
+        text.contains("10.0.0.2:7001") && !text.contains("10.0.0.1:7001"),
+        "{text}"
+    );
 }
 
 #[test]
 fn a_killed_instance_starts_empty() {
     let again = start("").replace("frame 1.0\n", "");
-    let input = format!("{}frame 1.5\npower_off 0\n{again}frame 2.0\n{ASK}eob\n", start(LIST));
+    let input = format!(
+        "{}frame 1.5\npower_off 0\n{again}frame 2.0\n{ASK}eob\n",
+        start(LIST)
+    );
     let text = String::from_utf8(run(&input).stdout).unwrap();
     assert!(!text.contains("attempt"), "{text}");
 }
@@ -69,23 +79,61 @@
         ("frame 1.0\nreminder 9 1\neob\n".to_string(), 2, "reminder"),
         ("frame x\neob\n".to_string(), 1, "frame"),
         ("eob\n".to_string(), 1, "eob"),
-        ("frame 1.0\nspawn 0 7 {\"balancers\":\neob\n".to_string(), 2, "spawn"),
+        (
+            "frame 1.0\nspawn 0 7 {\"balancers\":\neob\n".to_string(),
+            2,
+            "spawn",
+        ),
         ("frame 1.0\nspawn 0 7 {}\neob\n".to_string(), 2, "spawn"),
         ("frame 1.0\n".to_string(), 2, "eob"),
-        ("frame 1.0\ncatalog 0 2\nworker 10.0.0.1:1 0 0 0 up 1 -\neob\n".to_string(), 4, "worker"),
+        (
+            "frame 1.0\ncatalog 0 2\nworker 10.0.0.1:1 0 0 0 up 1 -\neob\n".to_string(),
+            4,
+            "worker",
+        ),
         (start("roster_change 0 full 1 5\n"), 3, "catalog"),
         (start(LIST).replace("7001 0", "7001 9"), 5, "zone"),
-        (format!("{}frame 2\n{}eob\n", start(LIST), ASK.replace("c4 0", "c4 7")), 8, "class"),
-        (format!("{}frame 2\n{}eob\n", start(LIST), ASK.replace("0 - 91", "0 3 91")), 8, "tenant"),
-        (format!("{}frame 2\nincoming 0 zz 0\neob\n", start(LIST)), 8, "ticket"),
-        (format!("{}frame 2\nincoming 0 73912cb95d3a91c4 -\neob\n", start(LIST)), 8, "class"),
+        (
+            format!(
+                "{}frame 2\n{}eob\n",
+                start(LIST),
+                ASK.replace("c4 0", "c4 7")
+            ),
+            8,
+            "class",
+        ),
+        (
+            format!(
+                "{}frame 2\n{}eob\n",
+                start(LIST),
+                ASK.replace("0 - 91", "0 3 91")
+            ),
+            8,
+            "tenant",
+        ),
+        (
+            format!("{}frame 2\nincoming 0 zz 0\neob\n", start(LIST)),
+            8,
+            "ticket",
+        ),
+        (
+            format!(
+                "{}frame 2\nincoming 0 73912cb95d3a91c4 -\neob\n",
+                start(LIST)
+            ),
+            8,
+            "class",
+        ),
     ];
     for (input, line, word) in cases {
         let out = run(&input);
         let text = String::from_utf8(out.stderr).unwrap();
         assert!(!out.status.success(), "{input}");
         assert_eq!(text.lines().count(), 1, "{text}");
-        assert!(text.contains(&format!("line {line}:")) && text.contains(word), "{word}: {text}");
+        assert!(
+            text.contains(&format!("line {line}:")) && text.contains(word),
+            "{word}: {text}"
+        );
         assert!(String::from_utf8(out.stdout)
             .unwrap()
             .lines()
--- a/tests/brain.rs
+++ b/tests/brain.rs
@@ -31,9 +31,16 @@
     rig.tell(Event::Arrived(request(10, 1, 1, 30.0)));
     let mut order = vec![];
     for n in 0..out {
-        order.extend(sends(&rig.end(1000 + n, 0, Outcome::Served, true)).iter().map(|s| s.0));
+        order.extend(
+            sends(&rig.end(1000 + n, 0, Outcome::Served, true))
+                .iter()
+                .map(|s| s.0),
+        );
     }
-    let place = order.iter().position(|n| *n == 10).expect("the second tenant is served");
+    let place = order
+        .iter()
+        .position(|n| *n == 10)
+        .expect("the second tenant is served");
     assert!(place <= 1, "order {order:?}");
 }
 
@@ -52,7 +59,10 @@
     let mut rig = Rig::new(settings(), 3);
     for n in 0..12 {
         let actions = rig.tell(Event::Arrived(request(n, 1, 0, 5.0)));
-        assert!(answers(&actions).is_empty() && sends(&actions).len() == 1, "request {n}: {actions:?}");
+        assert!(
+            answers(&actions).is_empty() && sends(&actions).len() == 1,
+            "request {n}: {actions:?}"
+        );
     }
 }
 
@@ -122,7 +132,11 @@
 #[test]
 fn drained_and_gone_replicas_get_nothing_more() {
     let mut rig = Rig::new(settings(), 2);
-    rig.tell(Event::ListChanged(vec![listing(0, ReplicaState::Draining, None)]));
+    rig.tell(Event::ListChanged(vec![listing(
+        0,
+        ReplicaState::Draining,
+        None,
+    )]));
     for n in 0..4 {
         let to = sends(&rig.tell(Event::Arrived(request(n, 1, 0, 5.0))));
         assert!(to.iter().all(|s| s.1 == replica(1)), "{to:?}");
@@ -135,13 +149,21 @@
 #[test]
 fn a_cold_replica_gets_a_trickle_at_first() {
     let mut rig = Rig::new(settings(), 1);
-    rig.tell(Event::ListChanged(vec![listing(1, ReplicaState::Up, Some(100.0))]));
+    rig.tell(Event::ListChanged(vec![listing(
+        1,
+        ReplicaState::Up,
+        Some(100.0),
+    )]));
     let mut to_cold = 0;
     for n in 0..60 {
         let sent = sends(&rig.tell(Event::Arrived(request(n, 0, 0, 5.0))));
         for (id, to) in &sent {
             to_cold += usize::from(*to == replica(1));
-            rig.tell(Event::Started { request: RequestId(*id), attempt: 0, elapsed: 0.05 });
+            rig.tell(Event::Started {
+                request: RequestId(*id),
+                attempt: 0,
+                elapsed: 0.05,
+            });
             rig.end(*id, 0, Outcome::Served, true);
         }
         rig.wait(0.04);
@@ -155,12 +177,19 @@
     let mut at_once = 0;
     for seed in 0..12 {
         let mut rig = Rig::new(settings(), 1);
-        let mut s = Settings { routers: 12, ..settings() };
+        let mut s = Settings {
+            routers: 12,
+            ..settings()
+        };
         s.limits.probes = false;
         rig.brain = Brain::new(s, seed).unwrap();
         rig.tell(Event::ListFull(vec![listing(0, ReplicaState::Up, None)]));
         let out = rig.fill();
-        rig.tell(Event::ListChanged(vec![listing(1, ReplicaState::Up, Some(100.0))]));
+        rig.tell(Event::ListChanged(vec![listing(
+            1,
+            ReplicaState::Up,
+            Some(100.0),
+        )]));
         at_once += sends(&rig.wait(0.1)).len();
         assert!(out > 0);
     }
@@ -174,20 +203,34 @@
         rig.tell(Event::Arrived(request(1, 2, 0, 5.0)));
         let actions = rig.end(1, 0, outcome, false);
         assert_eq!(sends(&actions).len(), usize::from(again), "{outcome:?}");
-        assert_eq!(actions.contains(&Action::Fail { request: RequestId(1) }), !again, "{outcome:?}");
+        assert_eq!(
+            actions.contains(&Action::Fail {
+                request: RequestId(1)
+            }),
+            !again,
+            "{outcome:?}"
+        );
     }
 }
 
 #[test]
 fn a_keyed_request_stays_in_its_group_and_its_time() {
-    for (group, memory, where_to) in [(Group::All, 5.0, 3), (Group::Zone, 5.0, 1), (Group::Cell, 0.0, 0)] {
+    for (group, memory, where_to) in [
+        (Group::All, 5.0, 3),
+        (Group::Zone, 5.0, 1),
+        (Group::Cell, 0.0, 0),
+    ] {
         let mut s = settings();
         s.classes[0].effect = Effect::Keyed { group, memory };
         let mut rig = Rig::new(s, 4);
         let first = sends(&rig.tell(Event::Arrived(request(1, 0, 0, 5.0))))[0].1;
         let actions = rig.end(1, 0, Outcome::Reset, false);
         let again = sends(&actions);
-        assert_eq!(again.len(), usize::from(where_to > 0), "{group:?}: {actions:?}");
+        assert_eq!(
+            again.len(),
+            usize::from(where_to > 0),
+            "{group:?}: {actions:?}"
+        );
         if where_to == 1 {
             let zone = |r: ReplicaId| (0..4).find(|n| replica(*n) == r).unwrap() % 2;
             assert_eq!(zone(again[0].1), zone(first));
@@ -211,7 +254,11 @@
             // First tokens come from it as from the others, and for the second half its streams are whole.
             let late = usize::from(n >= 400);
             sent[late][to] += 1;
-            rig.tell(Event::Started { request: RequestId(n), attempt: 0, elapsed: 0.01 });
+            rig.tell(Event::Started {
+                request: RequestId(n),
+                attempt: 0,
+                elapsed: 0.01,
+            });
             let whole = to != 0 || late == 1;
             rig.end(n, 0, if whole { Outcome::Served } else { outcome }, true);
             rig.wait(0.02);
@@ -229,20 +276,37 @@
     let mut at_first = Vec::new();
     for n in 0..24 {
         let out = rig.tell(Event::Arrived(request(n, 0, 0, 5.0)));
-        rig.tell(Event::Started { request: RequestId(n), attempt: 0, elapsed: 0.01 });
+        rig.tell(Event::Started {
+            request: RequestId(n),
+            attempt: 0,
+            elapsed: 0.01,
+        });
         if sends(&out).iter().any(|s| s.1 == replica(0)) {
             at_first.push(n);
         }
     }
     assert!(at_first.len() > 2, "{at_first:?}");
     for n in 0..24 {
-        rig.end(n, 0, if at_first.contains(&n) { Outcome::TimedOut } else { Outcome::Served }, true);
+        rig.end(
+            n,
+            0,
+            if at_first.contains(&n) {
+                Outcome::TimedOut
+            } else {
+                Outcome::Served
+            },
+            true,
+        );
     }
     let mut again = 0;
     for n in 100..130 {
         let out = rig.tell(Event::Arrived(request(n, 0, 0, 5.0)));
         again += sends(&out).iter().filter(|s| s.1 == replica(0)).count();
-        rig.tell(Event::Started { request: RequestId(n), attempt: 0, elapsed: 0.01 });
+        rig.tell(Event::Started {
+            request: RequestId(n),
+            attempt: 0,
+            elapsed: 0.01,
+        });
         rig.end(n, 0, Outcome::Served, true);
     }
     assert!(again > 3, "{again} of 30 went there");
@@ -262,13 +326,20 @@
                 sent = sends(&rig.end(id, attempt, Outcome::Error, false));
                 attempt += 1;
             } else {
-                rig.tell(Event::Started { request: RequestId(id), attempt, elapsed: 0.05 });
+                rig.tell(Event::Started {
+                    request: RequestId(id),
+                    attempt,
+                    elapsed: 0.05,
+                });
                 rig.end(id, attempt, Outcome::Served, true);
             }
         }
         rig.wait(0.1);
     }
-    assert!((3..=12).contains(&bad), "{bad} attempts at the failing replica");
+    assert!(
+        (3..=12).contains(&bad),
+        "{bad} attempts at the failing replica"
+    );
 }
 
 /// Guards against requests left with a replica that answers nothing at all.
@@ -279,7 +350,13 @@
     let mut rig = Rig::new(s, 3);
     let first = sends(&rig.tell(Event::Arrived(request(1, 0, 0, 8.0))))[0].1;
     let actions = rig.wait(1.3);
-    assert!(actions.contains(&Action::Cancel { request: RequestId(1), attempt: 0 }), "{actions:?}");
+    assert!(
+        actions.contains(&Action::Cancel {
+            request: RequestId(1),
+            attempt: 0
+        }),
+        "{actions:?}"
+    );
     let again = sends(&rig.end(1, 0, Outcome::Cancelled, false));
     assert!(again.len() == 1 && again[0].1 != first, "{again:?}");
 }
@@ -307,7 +384,11 @@
     let mut rig = Rig::new(settings(), 4);
     let mut homes = BTreeSet::new();
     for n in 0..10 {
-        let next = Arrival { session: Some(7), prompt_tokens: 8000 + 100 * n, ..request(n, 0, 0, 5.0) };
+        let next = Arrival {
+            session: Some(7),
+            prompt_tokens: 8000 + 100 * n,
+            ..request(n, 0, 0, 5.0)
+        };
         let to = sends(&rig.tell(Event::Arrived(next)))[0].1;
         homes.insert(to);
         rig.start(n, 0.1);
@@ -343,7 +424,12 @@
 fn an_asked_list_is_asked_for_apart_and_again_after_a_failure() {
     let mut at = BTreeSet::new();
     for me in 0..4 {
-        let s = Settings { me, routers: 4, discovery: Discovery::Asked, ..settings() };
+        let s = Settings {
+            me,
+            routers: 4,
+            discovery: Discovery::Asked,
+            ..settings()
+        };
         let mut rig = Rig::new(s, 1);
         let mut waited = 0;
         while !rig.wait(0.02).contains(&Action::Subscribe) {
@@ -361,8 +447,13 @@
 #[test]
 fn nothing_forbidden_is_done_where_the_settings_allow_nothing() {
     let mut s = settings();
-    s.limits =
-        Limits { probes: false, cancel: false, second_copies: false, max_attempts: 1, max_retry_after: 0.0 };
+    s.limits = Limits {
+        probes: false,
+        cancel: false,
+        second_copies: false,
+        max_attempts: 1,
+        max_retry_after: 0.0,
+    };
     (s.tenants, s.reports) = (vec![], ReportSource::Off);
     let mut rig = Rig::new(s, 2);
     rig.tell(Event::Arrived(request(1, 0, 0, 3.0)));
@@ -370,7 +461,9 @@
     actions.extend(rig.end(1, 0, Outcome::Error, false));
     assert_eq!((sends(&actions).len(), answers(&actions)), (0, vec![1]));
     assert!(
-        !actions.iter().any(|a| matches!(a, Action::Probe { .. } | Action::Cancel { .. })),
+        !actions
+            .iter()
+            .any(|a| matches!(a, Action::Probe { .. } | Action::Cancel { .. })),
         "{actions:?}"
     );
 }
@@ -384,7 +477,8 @@
         rig.end(1000 + n, 0, Outcome::Served, true);
     }
     rig.wait(1.1);
-    let sent = (5000..5040).map(|n| sends(&rig.tell(Event::Arrived(request(n, 0, 0, 30.0)))).len() as u64);
+    let sent =
+        (5000..5040).map(|n| sends(&rig.tell(Event::Arrived(request(n, 0, 0, 30.0)))).len() as u64);
     let after: u64 = sent.sum();
     assert!(after > before, "{before} then {after}");
 }
@@ -394,10 +488,33 @@
 fn all_routers_look_for_a_session_at_the_same_replica() {
     let mut homes = BTreeSet::new();
     for me in 0..20 {
-        let mut rig = Rig::new(Settings { me, routers: 20, ..settings() }, 1);
-        rig.brain = Brain::new(Settings { me, routers: 20, ..settings() }, me as u64).unwrap();
-        rig.tell(Event::ListFull((0..30).map(|n| listing(n, ReplicaState::Up, None)).collect()));
-        let turn = Arrival { session: Some(7), prompt_tokens: 9000, ..request(1, 0, 0, 5.0) };
+        let mut rig = Rig::new(
+            Settings {
+                me,
+                routers: 20,
+                ..settings()
+            },
+            1,
+        );
+        rig.brain = Brain::new(
+            Settings {
+                me,
+                routers: 20,
+                ..settings()
+            },
+            me as u64,
+        )
+        .unwrap();
+        rig.tell(Event::ListFull(
+            (0..30)
+                .map(|n| listing(n, ReplicaState::Up, None))
+                .collect(),
+        ));
+        let turn = Arrival {
+            session: Some(7),
+            prompt_tokens: 9000,
+            ..request(1, 0, 0, 5.0)
+        };
         homes.insert(sends(&rig.tell(Event::Arrived(turn)))[0].1);
     }
     assert_eq!(homes.len(), 1, "{homes:?}");
@@ -407,8 +524,10 @@
 #[test]
 fn larger_replicas_are_home_to_more_sessions() {
     let mut rig = Rig::new(settings(), 0);
-    let sized =
-        |n| Listing { size: Some(if n < 5 { 3.0 } else { 1.0 }), ..listing(n, ReplicaState::Up, None) };
+    let sized = |n| Listing {
+        size: Some(if n < 5 { 3.0 } else { 1.0 }),
+        ..listing(n, ReplicaState::Up, None)
+    };
     rig.tell(Event::ListFull((0..10).map(sized).collect()));
     let mut large = 0;
     for n in 0..200 {
@@ -416,7 +535,10 @@
         large += usize::from((0..5).any(|l| replica(l) == to));
         rig.end(n, 0, Outcome::Cancelled, true);
     }
-    assert!((130..=170).contains(&large), "{large} of 200, three quarters are due");
+    assert!(
+        (130..=170).contains(&large),
+        "{large} of 200, three quarters are due"
+    );
 }
 
 /// Guards against places in an order so coarse that they fall together: a few replicas were home to all.
@@ -431,12 +553,23 @@
         rig.end(n, 0, Outcome::Served, true);
     }
     let (most, least) = (homes.values().max().unwrap(), homes.values().min().unwrap());
-    assert!(homes.len() == 50 && *most <= 45 && *least >= 5, "{least} to {most} of 1000 at 50 replicas");
+    assert!(
+        homes.len() == 50 && *most <= 45 && *least >= 5,
+        "{least} to {most} of 1000 at 50 replicas"
+    );
 }
 
 fn reported(rig: &mut Rig, replica: ReplicaId, tokens: f64) -> Vec<Action> {
-    let report = Report { waiting_prompt_tokens: Some(tokens), memory_held: Some(0.1), ..Report::default() };
-    rig.tell(Event::Probed { replica, outcome: Outcome::Served, report: Some(report) })
+    let report = Report {
+        waiting_prompt_tokens: Some(tokens),
+        memory_held: Some(0.1),
+        ..Report::default()
+    };
+    rig.tell(Event::Probed {
+        replica,
+        outcome: Outcome::Served,
+        report: Some(report),
+    })
 }
 
 fn probes(actions: &[Action]) -> Vec<ReplicaId> {
@@ -452,37 +585,77 @@
 fn reports_are_asked_for_before_a_send_and_steer_it() {
     let mut away = 0;
     for session in 0..20 {
-        let mut rig = Rig::new(Settings { reports: ReportSource::Probes, ..settings() }, 8);
-        let turn = Arrival { session: Some(session), ..request(1, 0, 0, 5.0) };
+        let mut rig = Rig::new(
+            Settings {
+                reports: ReportSource::Probes,
+                ..settings()
+            },
+            8,
+        );
+        let turn = Arrival {
+            session: Some(session),
+            ..request(1, 0, 0, 5.0)
+        };
         let actions = rig.tell(Event::Arrived(turn));
         let asked = probes(&actions);
         assert_eq!((asked.len(), sends(&actions).len()), (2, 0), "{actions:?}");
-        rig.brain.handle(rig.now, Event::ListChanged(vec![]), &mut vec![]);
+        rig.brain
+            .handle(rig.now, Event::ListChanged(vec![]), &mut vec![]);
         let mut sent = sends(&reported(&mut rig, asked[0], 60_000.0));
         sent.extend(sends(&reported(&mut rig, asked[1], 0.0)));
         assert_eq!(sent.len(), 1);
         away += usize::from(sent[0].1 != asked[0]);
     }
     assert!(away >= 18, "{away} of 20");
-    let mut rig = Rig::new(Settings { reports: ReportSource::Probes, ..settings() }, 8);
+    let mut rig = Rig::new(
+        Settings {
+            reports: ReportSource::Probes,
+            ..settings()
+        },
+        8,
+    );
     rig.tell(Event::Arrived(request(1, 0, 0, 5.0)));
-    assert_eq!(sends(&rig.wait(0.02)).len(), 1, "a probe that is not answered holds nothing for long");
+    assert_eq!(
+        sends(&rig.wait(0.02)).len(),
+        1,
+        "a probe that is not answered holds nothing for long"
+    );
 }
 
 /// Guards against a report that cannot be true and turns sessions away from their home.
 #[test]
 fn a_report_that_cannot_be_true_counts_as_missing() {
     for tokens in [f64::NAN, f64::INFINITY, 1e300, -1e300] {
-        let mut rig = Rig::new(Settings { reports: ReportSource::Probes, ..settings() }, 8);
+        let mut rig = Rig::new(
+            Settings {
+                reports: ReportSource::Probes,
+                ..settings()
+            },
+            8,
+        );
         for n in 0..20 {
-            let turn = Arrival { prompt_tokens: 9000, ..request(n, 0, 0, 5.0) };
+            let turn = Arrival {
+                prompt_tokens: 9000,
+                ..request(n, 0, 0, 5.0)
+            };
             let mut actions = rig.tell(Event::Arrived(turn));
             let home = probes(&actions).first().copied();
             for asked in probes(&actions) {
-                actions.extend(reported(&mut rig, asked, if Some(asked) == home { tokens } else { 2000.0 }));
+                actions.extend(reported(
+                    &mut rig,
+                    asked,
+                    if Some(asked) == home { tokens } else { 2000.0 },
+                ));
             }
             actions.extend(rig.wait(0.02));
-            assert_eq!(sends(&actions).iter().map(|s| Some(s.1)).collect::<Vec<_>>(), [home], "{tokens}");
+            assert_eq!(
+                sends(&actions)
+                    .iter()
+                    .map(|s| Some(s.1))
+                    .collect::<Vec<_>>(),
+                [home],
+                "{tokens}"
+            );
             rig.end(n, 0, Outcome::Cancelled, true);
             rig.now += 2.0;
         }
@@ -493,7 +666,10 @@
 #[test]
 fn many_routers_share_what_a_replica_may_hold() {
     for (routers, sent) in [(1, 32), (4, 8), (32, 1), (300, 1)] {
-        let mut s = Settings { routers, ..settings() };
+        let mut s = Settings {
+            routers,
+            ..settings()
+        };
         s.limits.probes = false;
         let mut rig = Rig::new(s, 4);
         assert_eq!(rig.fill(), sent, "{routers} routers");
@@ -511,11 +687,15 @@
         rig.end(1000 + n, 0, Outcome::Served, true);
     }
     let in_flight = |rig: &mut Rig, from: u64| {
-        let sent = (from..from + 60).map(|n| sends(&rig.tell(Event::Arrived(request(n, 0, 0, 30.0)))).len());
+        let sent = (from..from + 60)
+            .map(|n| sends(&rig.tell(Event::Arrived(request(n, 0, 0, 30.0)))).len());
         sent.sum::<usize>() as u64
     };
     let small = in_flight(&mut rig, 5000);
-    assert!(small < before && small > before / 3, "{before} then {small}");
+    assert!(
+        small < before && small > before / 3,
+        "{before} then {small}"
+    );
     for n in 5000..5000 + small {
         rig.start(n, 0.01);
         rig.end(n, 0, Outcome::Served, true);
@@ -527,7 +707,10 @@
 /// Guards against an even part of an allowance under one request a second that turns work within it away.
 #[test]
 fn a_small_part_of_an_allowance_still_covers_requests_that_come_together() {
-    let mut s = Settings { routers: 100, ..settings() };
+    let mut s = Settings {
+        routers: 100,
+        ..settings()
+    };
     s.tenants[0].allowance = 20.0;
     let mut rig = Rig::new(s, 200);
     for n in 0..8 {
@@ -547,7 +730,11 @@
     let sent = (0..60).map(|n| sends(&rig.tell(Event::Arrived(request(n, 1, 0, 30.0)))).len());
     let (beyond, all) = (sent.sum::<usize>(), 32);
     assert!(beyond > 8 && beyond < all / 2 + 8, "{beyond} of {all}");
-    assert_eq!(sends(&rig.tell(Event::Arrived(request(90, 1, 1, 30.0)))).len(), 1, "within its share");
+    assert_eq!(
+        sends(&rig.tell(Event::Arrived(request(90, 1, 1, 30.0)))).len(),
+        1,
+        "within its share"
+    );
 }
 
 #[test]
@@ -569,9 +756,16 @@
 #[test]
 fn odd_events_are_harmless() {
     let mut rig = Rig::new(settings(), 1);
-    let odd = Arrival { class: 99, ..request(1, 0, 0, 5.0) };
+    let odd = Arrival {
+        class: 99,
+        ..request(1, 0, 0, 5.0)
+    };
     assert_eq!(answers(&rig.tell(Event::Arrived(odd))), vec![1]);
-    let nan = Arrival { time_left: f64::NAN, tenant: 77, ..request(2, 0, 0, 0.0) };
+    let nan = Arrival {
+        time_left: f64::NAN,
+        tenant: 77,
+        ..request(2, 0, 0, 0.0)
+    };
     rig.tell(Event::Arrived(nan));
     assert!(rig.end(55, 3, Outcome::Served, true).is_empty());
     rig.now = f64::NAN;
@@ -581,7 +775,11 @@
 /// One step of a random but legal history.
 #[derive(Clone, Debug)]
 enum Step {
-    Arrive { class: usize, tenant: usize, left: u16 },
+    Arrive {
+        class: usize,
+        tenant: usize,
+        left: u16,
+    },
     Start(usize),
     End(usize, u8),
     Gone(usize),
@@ -610,7 +808,10 @@
 fn play(steps: &[Step], copies: bool) -> Vec<Action> {
     let mut s = settings();
     s.limits.second_copies = copies;
-    s.classes[1].effect = Effect::Keyed { group: Group::Zone, memory: 1.0 };
+    s.classes[1].effect = Effect::Keyed {
+        group: Group::Zone,
+        memory: 1.0,
+    };
     let mut rig = Rig::new(s, 4);
     let mut open: BTreeMap<u64, Seconds> = BTreeMap::new();
     let mut attempts: Vec<(u64, usize, ReplicaId, bool)> = vec![];
@@ -626,20 +827,31 @@
         let actions = rig.tell(event);
         for action in &actions {
             match action {
-                Action::Send { request, replica, .. } => {
-                    assert!(open.contains_key(&request.0), "a send for a request that has its answer");
+                Action::Send {
+                    request, replica, ..
+                } => {
+                    assert!(
+                        open.contains_key(&request.0),
+                        "a send for a request that has its answer"
+                    );
                     assert!(!drained.contains(replica), "a send to a drained replica");
                     let count = made.entry(request.0).or_default();
                     let out = attempts.iter().filter(|a| a.0 == request.0).count();
                     assert!(copies || out == 0, "two attempts out together");
                     attempts.push((request.0, *count, *replica, false));
                     let (in_flight, most) = (attempts.len(), rig.pool);
-                    assert!(in_flight as f64 <= most, "{in_flight} in flight, pool {most} at most");
+                    assert!(
+                        in_flight as f64 <= most,
+                        "{in_flight} in flight, pool {most} at most"
+                    );
                     *count += 1;
                     assert!(*count <= 4);
                 }
                 Action::Refuse { request, .. } | Action::Fail { request } => {
-                    assert!(open.remove(&request.0).is_some(), "a second answer for {request:?}");
+                    assert!(
+                        open.remove(&request.0).is_some(),
+                        "a second answer for {request:?}"
+                    );
                 }
                 _ => {}
             }
@@ -648,25 +860,41 @@
     };
     for step in steps {
         let event = match step {
-            Step::Arrive { class, tenant, left } => {
+            Step::Arrive {
+                class,
+                tenant,
+                left,
+            } => {
                 next += 1;
                 open.insert(next, rig.now + f64::from(*left) / 1000.0);
                 Event::Arrived(request(next, *class, *tenant, f64::from(*left) / 1000.0))
             }
             Step::Start(n) => {
-                let Some(a) = attempts.get_mut(*n).filter(|a| !a.3 && open.contains_key(&a.0)) else {
+                let Some(a) = attempts
+                    .get_mut(*n)
+                    .filter(|a| !a.3 && open.contains_key(&a.0))
+                else {
                     continue;
                 };
                 a.3 = true;
                 rig.pool = (rig.pool + 1.0).max(rig.pool * 1.04);
                 open.insert(a.0, f64::INFINITY);
-                Event::Started { request: RequestId(a.0), attempt: a.1, elapsed: 0.1 }
+                Event::Started {
+                    request: RequestId(a.0),
+                    attempt: a.1,
+                    elapsed: 0.1,
+                }
             }
             Step::End(n, o) if *n < attempts.len() => {
                 let a = attempts.remove(*n);
                 rig.pool = (rig.pool + 1.0).max(rig.pool * 1.04);
-                let all =
-                    [Outcome::Served, Outcome::Error, Outcome::Full, Outcome::Reset, Outcome::ConnectFailed];
+                let all = [
+                    Outcome::Served,
+                    Outcome::Error,
+                    Outcome::Full,
+                    Outcome::Reset,
+                    Outcome::ConnectFailed,
+                ];
                 let outcome = if a.3 {
                     [Outcome::Served, Outcome::Reset][*o as usize % 2]
                 } else {
@@ -676,10 +904,18 @@
                 if last {
                     open.remove(&a.0);
                 }
-                Event::Ended { request: RequestId(a.0), attempt: a.1, outcome, last, report: None }
+                Event::Ended {
+                    request: RequestId(a.0),
+                    attempt: a.1,
+                    outcome,
+                    last,
+                    report: None,
+                }
             }
             Step::Gone(n) => {
-                let Some(id) = open.keys().nth(*n).copied() else { continue };
+                let Some(id) = open.keys().nth(*n).copied() else {
+                    continue;
+                };
                 open.remove(&id);
                 Event::ClientGone(RequestId(id))
             }
@@ -698,7 +934,14 @@
             Step::Wait(n) => {
                 for _ in 0..*n {
                     rig.now += 0.02;
-                    all.extend(tell(&mut rig, Event::Woke, &mut open, &mut attempts, &mut made, &drained));
+                    all.extend(tell(
+                        &mut rig,
+                        Event::Woke,
+                        &mut open,
+                        &mut attempts,
+                        &mut made,
+                        &drained,
+                    ));
                     let late = open.iter().find(|o| *o.1 + 1e-9 < rig.now);
                     assert!(late.is_none(), "no answer in time: {late:?} at {}", rig.now);
                 }
@@ -706,7 +949,14 @@
             }
             Step::End(..) => continue,
         };
-        all.extend(tell(&mut rig, event, &mut open, &mut attempts, &mut made, &drained));
+        all.extend(tell(
+            &mut rig,
+            event,
+            &mut open,
+            &mut attempts,
+            &mut made,
+            &drained,
+        ));
     }
     all
 }
@@ -729,13 +979,18 @@
 /// Sends of `n` sessions to the router's own zone, of four replicas that are half there, after as many early
 /// first tokens.
 fn near_sends(cross_zone: f64, n: u64) -> usize {
-    let settings = Settings { prices: Prices { cross_zone, ..Prices::default() }, ..settings() };
+    let settings = Settings {
+        prices: Prices {
+            cross_zone,
+            ..Prices::default()
+        },
+        ..settings()
+    };
     let mut rig = Rig::new(settings, 4);
     let mut near = 0;
     for id in 1..=n {
         let out = rig.tell(Event::Arrived(request(id, 0, 0, 30.0)));
-        let zone_0 =
-            |a: &Action| matches!(a, Action::Send { replica: r, .. } if *r == replica(0) || *r == replica(2));
+        let zone_0 = |a: &Action| matches!(a, Action::Send { replica: r, .. } if *r == replica(0) || *r == replica(2));
         near += out.iter().filter(|a| zone_0(a)).count();
         rig.start(id, 0.001);
         rig.end(id, 0, Outcome::Served, true);
@@ -770,7 +1025,10 @@
 #[test]
 fn replicas_that_have_gone_are_forgotten_once_they_owe_nothing() {
     let mut rig = Rig::new(settings(), 1);
-    assert_eq!(sends(&rig.tell(Event::Arrived(request(1, 1, 0, 5.0)))).len(), 1);
+    assert_eq!(
+        sends(&rig.tell(Event::Arrived(request(1, 1, 0, 5.0)))).len(),
+        1
+    );
     for n in 0..50 {
         rig.tell(Event::ListChanged(vec![
             listing(n, ReplicaState::Gone, None),
@@ -813,9 +1071,18 @@
 fn a_request_at_fault_fails_at_once_and_is_held_against_no_replica() {
     let mut rig = Rig::new(settings(), 1);
     for n in 0..6 {
-        assert_eq!(sends(&rig.tell(Event::Arrived(request(n, 0, 0, 30.0)))).len(), 1, "request {n}");
+        assert_eq!(
+            sends(&rig.tell(Event::Arrived(request(n, 0, 0, 30.0)))).len(),
+            1,
+            "request {n}"
+        );
         let actions = rig.end(n, 0, Outcome::Rejected, false);
-        assert_eq!(actions, [Action::Fail { request: RequestId(n) }]);
+        assert_eq!(
+            actions,
+            [Action::Fail {
+                request: RequestId(n)
+            }]
+        );
     }
 }
 
@@ -831,17 +1098,35 @@
     /// 100 routers on so many warm replicas, whose tenants may send two requests a second for each of these.
     fn new(replicas: usize) -> Crowd {
         let rig = |me| {
-            let tenant = Tenant { share: 1.0, allowance: 2.0 * replicas as f64 };
-            let s = Settings { me, routers: 100, tenants: vec![tenant], ..settings() };
+            let tenant = Tenant {
+                share: 1.0,
+                allowance: 2.0 * replicas as f64,
+            };
+            let s = Settings {
+                me,
+                routers: 100,
+                tenants: vec![tenant],
+                ..settings()
+            };
             let mut rig = Rig::new(s.clone(), 0);
             rig.brain = Brain::new(s, me as u64).unwrap();
-            rig.tell(Event::ListFull((0..replicas).map(|n| listing(n, ReplicaState::Up, None)).collect()));
+            rig.tell(Event::ListFull(
+                (0..replicas)
+                    .map(|n| listing(n, ReplicaState::Up, None))
+                    .collect(),
+            ));
             rig
         };
-        Crowd { rigs: (0..100).map(rig).collect(), next: 0, sent: BTreeMap::new() }
+        Crowd {
+            rigs: (0..100).map(rig).collect(),
+            next: 0,
+            sent: BTreeMap::new(),
+        }
     }
     fn list(&mut self, list: Vec<Listing>) {
-        self.rigs.iter_mut().for_each(|r| drop(r.tell(Event::ListChanged(list.clone()))));
+        self.rigs
+            .iter_mut()
+            .for_each(|r| drop(r.tell(Event::ListChanged(list.clone()))));
     }
     /// Lets so many seconds pass with `rate` requests a second in all; `first` gives a replica's time to its first
     /// token. Answers end half a second later.
@@ -863,14 +1148,27 @@
                     due.insert((((now + first(to)) * 1e6) as u64, n, id), (first(to), true));
                 }
             }
-            while let Some(entry) = due.first_entry().filter(|e| e.key().0 <= (now * 1e6) as u64) {
+            while let Some(entry) = due
+                .first_entry()
+                .filter(|e| e.key().0 <= (now * 1e6) as u64)
+            {
                 let ((at, n, id), (elapsed, starts)) = entry.remove_entry();
                 let event = if starts {
                     due.insert((at + 500_000, n, id), (elapsed, false));
-                    Event::Started { request: RequestId(id), attempt: 0, elapsed }
+                    Event::Started {
+                        request: RequestId(id),
+                        attempt: 0,
+                        elapsed,
+                    }
                 } else {
                     let (request, outcome) = (RequestId(id), Outcome::Served);
-                    Event::Ended { request, attempt: 0, outcome, last: true, report: None }
+                    Event::Ended {
+                        request,
+                        attempt: 0,
+                        outcome,
+                        last: true,
+                        report: None,
+                    }
                 };
                 for (id, to) in sends(&self.rigs[n].tell(event)) {
                     *self.sent.entry(to).or_default() += 1;
@@ -880,7 +1178,9 @@
         }
     }
     fn sent_to(&self, replicas: std::ops::Range<usize>) -> usize {
-        replicas.map(|n| self.sent.get(&replica(n)).copied().unwrap_or(0)).sum()
+        replicas
+            .map(|n| self.sent.get(&replica(n)).copied().unwrap_or(0))
+            .sum()
     }
 }
 
@@ -896,7 +1196,13 @@
     let new = (16..26).map(|n| listing(n, ReplicaState::Up, Some(start)));
     crowd.list(gone.chain(new).collect());
     // What is left is slow: requests wait for room.
-    let first = |to: ReplicaId| if (10..16).any(|n| replica(n) == to) { 2.0 } else { 0.3 };
+    let first = |to: ReplicaId| {
+        if (10..16).any(|n| replica(n) == to) {
+            2.0
+        } else {
+            0.3
+        }
+    };
     crowd.run(1.0, 90.0, first);
     let at_once = (16..26).map(|n| crowd.sent_to(n..n + 1)).max().unwrap();
     assert!(at_once <= 3, "{at_once} to one of them in its first second");
@@ -911,29 +1217,65 @@
 fn the_pool_of_every_router_follows_the_warm_replicas() {
     let mut rig = Rig::new(settings(), 8);
     let before = rig.brain.gauges().0;
-    rig.tell(Event::ListChanged((0..6).map(|n| listing(n, ReplicaState::Draining, None)).collect()));
-    assert!((rig.brain.gauges().0 - before / 4.0).abs() < 1e-9, "{:?}", rig.brain.gauges());
-    rig.tell(Event::ListChanged((0..6).map(|n| listing(n, ReplicaState::Up, None)).collect()));
-    assert!((rig.brain.gauges().0 - before).abs() < 1e-9, "{:?}", rig.brain.gauges());
+    rig.tell(Event::ListChanged(
+        (0..6)
+            .map(|n| listing(n, ReplicaState::Draining, None))
+            .collect(),
+    ));
+    assert!(
+        (rig.brain.gauges().0 - before / 4.0).abs() < 1e-9,
+        "{:?}",
+        rig.brain.gauges()
+    );
+    rig.tell(Event::ListChanged(
+        (0..6).map(|n| listing(n, ReplicaState::Up, None)).collect(),
+    ));
+    assert!(
+        (rig.brain.gauges().0 - before).abs() < 1e-9,
+        "{:?}",
+        rig.brain.gauges()
+    );
 }
 
 /// A router among 100 on four replicas, that asks before it sends.
 fn one_of_many() -> Rig {
     let mut rig = Rig::new(settings(), 0);
-    rig.brain = Brain::new(Settings { routers: 100, ..settings() }, 1).unwrap();
-    rig.tell(Event::ListFull((0..4).map(|n| listing(n, ReplicaState::Up, None)).collect()));
+    rig.brain = Brain::new(
+        Settings {
+            routers: 100,
+            ..settings()
+        },
+        1,
+    )
+    .unwrap();
+    rig.tell(Event::ListFull(
+        (0..4).map(|n| listing(n, ReplicaState::Up, None)).collect(),
+    ));
     rig
 }
 
 fn asked(actions: &[Action]) -> Vec<ReplicaId> {
-    let probe = |a: &Action| if let Action::Probe { replica } = a { Some(*replica) } else { None };
+    let probe = |a: &Action| {
+        if let Action::Probe { replica } = a {
+            Some(*replica)
+        } else {
+            None
+        }
+    };
     actions.iter().filter_map(probe).collect()
 }
 
 fn probed(rig: &mut Rig, replica: ReplicaId, tokens: f64, memory: f64) -> Vec<Action> {
-    let report =
-        Report { waiting_prompt_tokens: Some(tokens), memory_held: Some(memory), ..Report::default() };
-    rig.tell(Event::Probed { replica, outcome: Outcome::Served, report: Some(report) })
+    let report = Report {
+        waiting_prompt_tokens: Some(tokens),
+        memory_held: Some(memory),
+        ..Report::default()
+    };
+    rig.tell(Event::Probed {
+        replica,
+        outcome: Outcome::Served,
+        report: Some(report),
+    })
 }
 
 /// Guards against draws without knowledge: among many routers the last report of a replica is a minute old.
@@ -945,14 +1287,20 @@
             let mut rig = one_of_many();
             let to = asked(&rig.tell(Event::Arrived(request(n, 0, 0, 5.0))));
             assert_eq!((to.len(), sends(&rig.last).len()), (2, 0));
-            assert_eq!(sends(&probed(&mut rig, to[1], 0.0, 0.1)), [], "it waits for both answers");
+            assert_eq!(
+                sends(&probed(&mut rig, to[1], 0.0, 0.1)),
+                [],
+                "it waits for both answers"
+            );
             let sent = sends(&probed(&mut rig, to[0], full, memory));
             assert_eq!(sent.len(), 1);
             spared += usize::from(sent[0].1 == to[1]);
             // What has just said how it is is not asked again.
-            assert!(asked(&rig.tell(Event::Arrived(request(1000 + n, 0, 0, 5.0))))
-                .iter()
-                .all(|r| !to.contains(r)));
+            assert!(
+                asked(&rig.tell(Event::Arrived(request(1000 + n, 0, 0, 5.0))))
+                    .iter()
+                    .all(|r| !to.contains(r))
+            );
         }
         assert!(spared >= 36, "{spared} of 40 went to the emptier one");
     }
@@ -979,8 +1327,10 @@
             probed(&mut rig, replica, tokens, 0.1);
         }
         let mut sent = 0;
-        for replica in asked(&rig.tell(Event::Arrived(Arrival { session: Some(7), ..request(2, 0, 0, 5.0) })))
-        {
+        for replica in asked(&rig.tell(Event::Arrived(Arrival {
+            session: Some(7),
+            ..request(2, 0, 0, 5.0)
+        }))) {
             sent += sends(&probed(&mut rig, replica, tokens, 0.1)).len();
         }
         assert_eq!(sent, more, "{tokens} tokens waiting");
@@ -991,12 +1341,17 @@
 /// their home is not idle.
 #[test]
 fn a_session_goes_to_its_home_beside_a_used_up_pool() {
-    let mut s = Settings { routers: 100, ..settings() };
+    let mut s = Settings {
+        routers: 100,
+        ..settings()
+    };
     s.classes[0].aim = 10.0;
     for n in 0..20 {
         let mut rig = one_of_many();
         rig.brain = Brain::new(s.clone(), n).unwrap();
-        rig.tell(Event::ListFull((0..4).map(|n| listing(n, ReplicaState::Up, None)).collect()));
+        rig.tell(Event::ListFull(
+            (0..4).map(|n| listing(n, ReplicaState::Up, None)).collect(),
+        ));
         // The pool of one of a hundred holds a single request, and this one stays.
         for replica in asked(&rig.tell(Event::Arrived(request(1, 0, 0, 60.0)))) {
             probed(&mut rig, replica, 0.0, 0.1);
@@ -1004,7 +1359,11 @@
         rig.wait(1.1);
         // All reports are old by now: the session's whole order is asked.
         rig.wait(1.1);
-        let later = Arrival { session: Some(100 + n), prompt_tokens: 20_000, ..request(2, 0, 0, 60.0) };
+        let later = Arrival {
+            session: Some(100 + n),
+            prompt_tokens: 20_000,
+            ..request(2, 0, 0, 60.0)
+        };
         let order = asked(&rig.tell(Event::Arrived(later)));
         let mut sent = Vec::new();
         for replica in order.iter().rev() {
@@ -1018,7 +1377,13 @@
 /// Guards against small fleets that pay for probes they do not need: their reports come with every answer.
 #[test]
 fn where_answers_are_many_nothing_is_asked() {
-    let mut rig = Rig::new(Settings { routers: 4, ..settings() }, 12);
+    let mut rig = Rig::new(
+        Settings {
+            routers: 4,
+            ..settings()
+        },
+        12,
+    );
     assert_eq!(asked(&rig.tell(Event::Arrived(request(1, 0, 0, 5.0)))), []);
 }
 
@@ -1030,13 +1395,18 @@
         let mut rig = Rig::new(settings(), 1);
         for n in 0..80 {
             rig.tell(Event::Arrived(request(n, 0, 0, 5.0)));
-            rig.tell(Event::Started { request: RequestId(n), attempt: 0, elapsed: first });
+            rig.tell(Event::Started {
+                request: RequestId(n),
+                attempt: 0,
+                elapsed: first,
+            });
             rig.end(n, 0, Outcome::Served, true);
         }
         rig.fill();
         rig.tell(Event::Arrived(request(1, 0, 0, 5.0)));
         let start = rig.now;
-        while !rig.last.iter().any(|a| matches!(a, Action::Refuse { .. })) && rig.now < start + 5.0 {
+        while !rig.last.iter().any(|a| matches!(a, Action::Refuse { .. })) && rig.now < start + 5.0
+        {
             rig.wait(0.02);
         }
         given_up.push(rig.now - start);
@@ -1050,21 +1420,40 @@
 fn only_a_long_silence_makes_a_replica_cold() {
     for (silence, warm) in [(0.5, true), (4.0, false)] {
         let mut rig = Rig::new(settings(), 2);
-        let (before, to) =
-            (rig.brain.gauges().0, sends(&rig.tell(Event::Arrived(request(1, 0, 0, 9.0))))[0].1);
+        let (before, to) = (
+            rig.brain.gauges().0,
+            sends(&rig.tell(Event::Arrived(request(1, 0, 0, 9.0))))[0].1,
+        );
         rig.wait(1.2);
         rig.wait(silence);
-        rig.tell(Event::Probed { replica: to, outcome: Outcome::Served, report: None });
+        rig.tell(Event::Probed {
+            replica: to,
+            outcome: Outcome::Served,
+            report: None,
+        });
         rig.wait(0.02);
-        assert_eq!(rig.brain.gauges().0 == before, warm, "{silence} s: {:?}", rig.brain.gauges());
+        assert_eq!(
+            rig.brain.gauges().0 == before,
+            warm,
+            "{silence} s: {:?}",
+            rig.brain.gauges()
+        );
     }
 }
 
 /// A probe's answer of a replica with nothing to read that holds so many requests, of which so many wait.
 fn held(replica: ReplicaId, holding: Option<f64>, queued: f64) -> Event {
-    let report =
-        Report { waiting_prompt_tokens: Some(0.0), holding, queued: Some(queued), ..Report::default() };
-    Event::Probed { replica, outcome: Outcome::Served, report: Some(report) }
+    let report = Report {
+        waiting_prompt_tokens: Some(0.0),
+        holding,
+        queued: Some(queued),
+        ..Report::default()
+    };
+    Event::Probed {
+        replica,
+        outcome: Outcome::Served,
+        report: Some(report),
+    }
 }
 
 /// Guards against a draw that reads memory and prompt tokens only: where batches are small, a request sent to a
@@ -1073,15 +1462,27 @@
 fn a_replica_with_requests_queued_is_passed_over() {
     let mut away = 0;
     for session in 0..20 {
-        let mut rig = Rig::new(Settings { reports: ReportSource::Probes, ..settings() }, 8);
-        let turn = Arrival { session: Some(session), ..request(1, 0, 0, 5.0) };
+        let mut rig = Rig::new(
+            Settings {
+                reports: ReportSource::Probes,
+                ..settings()
+            },
+            8,
+        );
+        let turn = Arrival {
+            session: Some(session),
+            ..request(1, 0, 0, 5.0)
+        };
         let asked = probes(&rig.tell(Event::Arrived(turn)));
         let mut sent = sends(&rig.tell(held(asked[0], None, 12.0)));
         sent.extend(sends(&rig.tell(held(asked[1], None, 0.0))));
         assert_eq!(sent.len(), 1);
         away += usize::from(sent[0].1 != asked[0]);
     }
-    assert!(away >= 18, "{away} of 20 went to the replica without a queue");
+    assert!(
+        away >= 18,
+        "{away} of 20 went to the replica without a queue"
+    );
 }
 
 /// Guards against a draw that knows only reports: two replicas with batches of 2 reported one request each, and
@@ -1095,7 +1496,10 @@
             rig.tell(held(replica(n), Some(3.0), 1.0));
             rig.tell(held(replica(n), Some(1.0), 0.0));
         }
-        let turn = |n| Arrival { session: Some(100 * n + session), ..request(n, 0, 0, 5.0) };
+        let turn = |n| Arrival {
+            session: Some(100 * n + session),
+            ..request(n, 0, 0, 5.0)
+        };
         let first = sends(&rig.tell(Event::Arrived(turn(1))));
         away += usize::from(sends(&rig.tell(Event::Arrived(turn(2))))[0].1 != first[0].1);
     }
@@ -1105,7 +1509,10 @@
 /// A whole answer of attempt 0, with so many prompt tokens found kept.
 fn served(rig: &mut Rig, n: u64, kept: f64) {
     rig.start(n, 0.05);
-    let report = Some(Report { kept: Some(kept), ..Report::default() });
+    let report = Some(Report {
+        kept: Some(kept),
+        ..Report::default()
+    });
     rig.tell(Event::Ended {
         request: RequestId(n),
         attempt: 0,
@@ -1120,18 +1527,28 @@
 fn a_turn_follows_where_this_router_sent_the_one_before() {
     let mut back = 0;
     for session in 0..20 {
-        let turn = |n| Arrival { session: Some(session), prompt_tokens: 6000, ..request(n, 0, 0, 5.0) };
+        let turn = |n| Arrival {
+            session: Some(session),
+            prompt_tokens: 6000,
+            ..request(n, 0, 0, 5.0)
+        };
         let mut rig = Rig::new(settings(), 8);
         let home = sends(&rig.tell(Event::Arrived(turn(1))))[0].1;
         rig.end(1, 0, Outcome::Cancelled, true);
-        let entry = |n: usize, state| Listing { id: home, ..listing(n, state, None) };
+        let entry = |n: usize, state| Listing {
+            id: home,
+            ..listing(n, state, None)
+        };
         rig.tell(Event::ListChanged(vec![entry(0, ReplicaState::Draining)]));
         let away = sends(&rig.tell(Event::Arrived(turn(2))))[0].1;
         served(&mut rig, 2, 0.0);
         rig.tell(Event::ListChanged(vec![entry(0, ReplicaState::Up)]));
         back += usize::from(sends(&rig.tell(Event::Arrived(turn(3))))[0].1 == away);
     }
-    assert!(back >= 18, "{back} of 20 went where the turn before was read");
+    assert!(
+        back >= 18,
+        "{back} of 20 went where the turn before was read"
+    );
 }
 
 /// Guards against homes that pull sessions of one turn: nothing of their prompts is kept anywhere.
@@ -1140,19 +1557,29 @@
     let sent_to = |kept: f64| {
         let mut rig = Rig::new(settings(), 8);
         for n in 0..150 {
-            rig.tell(Event::Arrived(Arrival { prompt_tokens: 6000, ..request(n, 0, 0, 5.0) }));
+            rig.tell(Event::Arrived(Arrival {
+                prompt_tokens: 6000,
+                ..request(n, 0, 0, 5.0)
+            }));
             served(&mut rig, n, kept);
         }
         let mut seen = BTreeSet::new();
         for n in 1000..1040 {
-            let turn = Arrival { session: Some(7777), prompt_tokens: 6000, ..request(n, 0, 0, 5.0) };
+            let turn = Arrival {
+                session: Some(7777),
+                prompt_tokens: 6000,
+                ..request(n, 0, 0, 5.0)
+            };
             seen.insert(sends(&rig.tell(Event::Arrived(turn)))[0].1);
             rig.end(n, 0, Outcome::Cancelled, true);
         }
         seen.len()
     };
     let (none, all) = (sent_to(0.0), sent_to(6000.0));
-    assert!(none >= 6 && all <= 2, "{none} replicas where nothing is kept, {all} where all is");
+    assert!(
+        none >= 6 && all <= 2,
+        "{none} replicas where nothing is kept, {all} where all is"
+    );
 }
 
 /// Guards against a hung replica that goes on getting its part until a whole aim is over: at the next sends, once
@@ -1166,24 +1593,33 @@
     for seed in 0..10 {
         let mut rig = Rig::new(s.clone(), 4);
         rig.brain = Brain::new(s.clone(), seed).unwrap();
-        rig.tell(Event::ListFull((0..4).map(|n| listing(n, ReplicaState::Up, None)).collect()));
+        rig.tell(Event::ListFull(
+            (0..4).map(|n| listing(n, ReplicaState::Up, None)).collect(),
+        ));
         let mut hung = None;
         for n in 0..60 {
-            let Some((id, to)) = sends(&rig.tell(Event::Arrived(request(n, 0, 0, 9.0)))).first().copied()
+            let Some((id, to)) = sends(&rig.tell(Event::Arrived(request(n, 0, 0, 9.0))))
+                .first()
+                .copied()
             else {
                 continue;
             };
             hung = hung.or((n >= 20).then_some(to));
             let counted = n >= 40;
-            (sent, hung_gets) =
-                (sent + u32::from(counted), hung_gets + u32::from(counted && hung == Some(to)));
+            (sent, hung_gets) = (
+                sent + u32::from(counted),
+                hung_gets + u32::from(counted && hung == Some(to)),
+            );
             if hung != Some(to) {
                 served(&mut rig, id, 0.0);
             }
             rig.wait(0.06);
         }
     }
-    assert!(sent >= 190 && hung_gets * 20 <= sent, "{hung_gets} of {sent} to the hung one of four");
+    assert!(
+        sent >= 190 && hung_gets * 20 <= sent,
+        "{hung_gets} of {sent} to the hung one of four"
+    );
 }
 
 /// Second copies of overdue requests: they go to another replica in time, for a part of the sends only.
@@ -1211,7 +1647,10 @@
         firsts += sends(&rig.tell(Event::Arrived(request(n, 0, 0, 3.0)))).len();
         copied += sends(&rig.wait(0.1)).len();
     }
-    assert!(copied <= 3 + firsts / 8, "{copied} copies of {firsts} where nothing answers");
+    assert!(
+        copied <= 3 + firsts / 8,
+        "{copied} copies of {firsts} where nothing answers"
+    );
 }
 
 /// Guards against places in a batch taken for as many as the first guess where reports do not say what a replica
@@ -1222,15 +1661,22 @@
         let mut elsewhere = 0;
         for session in 0..20 {
             let mut rig = Rig::new(settings(), 2);
-            let turn = |n: u64| Arrival { session: Some(100 * n + session), ..request(n, 0, 0, 5.0) };
+            let turn = |n: u64| Arrival {
+                session: Some(100 * n + session),
+                ..request(n, 0, 0, 5.0)
+            };
             for n in 10..30 {
                 rig.tell(Event::Arrived(turn(n)));
                 rig.tell(held(replica(n as usize % 2), None, queued));
                 rig.end(n, 0, Outcome::Cancelled, true);
             }
             let reports = [held(replica(0), None, 0.0), held(replica(1), None, 0.0)];
-            reports.into_iter().for_each(|report| drop(rig.tell(report)));
-            let sent: Vec<_> = (1..=6).flat_map(|n| sends(&rig.tell(Event::Arrived(turn(n))))).collect();
+            reports
+                .into_iter()
+                .for_each(|report| drop(rig.tell(report)));
+            let sent: Vec<_> = (1..=6)
+                .flat_map(|n| sends(&rig.tell(Event::Arrived(turn(n)))))
+                .collect();
             let first = sent.iter().filter(|s| s.1 == replica(0)).count();
             elsewhere += usize::from(sent.len() == 6 && first == 3);
         }
@@ -1253,7 +1699,10 @@
         rig.fill();
         for n in 0..40 {
             let (tenant, work) = if n % 2 == 0 { (0, light) } else { (1, heavy) };
-            let hinted = Arrival { expected_work: work, ..request(n, 0, tenant, 900.0) };
+            let hinted = Arrival {
+                expected_work: work,
+                ..request(n, 0, tenant, 900.0)
+            };
             assert!(answers(&rig.tell(Event::Arrived(hinted))).is_empty());
         }
         let mut sent = Vec::new();
@@ -1265,7 +1714,10 @@
         sent.iter().filter(|s| s.0 % 2 == 0).count()
     };
     let (even, uneven) = (light_sent(None, None), light_sent(Some(0.5), Some(1.5)));
-    assert!(uneven > even + 1, "{even} of 15 without hints, {uneven} of the light ones");
+    assert!(
+        uneven > even + 1,
+        "{even} of 15 without hints, {uneven} of the light ones"
+    );
     for absurd in [0.0, -1.0, f64::NAN, f64::INFINITY, 1e300, 1e-300] {
         let light = light_sent(Some(1.0), Some(absurd));
         assert!((2..=13).contains(&light), "{absurd}: {light} of 15");
@@ -1282,14 +1734,26 @@
     const KEPT: Seconds = 2.2;
     let mut pauses = Vec::new();
     for me in 0..200 {
-        let rules = Rules { ask_every: 60.0, ..settings().rules };
-        let settings = Settings { me, routers: 200, rules, discovery: Discovery::Asked, ..settings() };
+        let rules = Rules {
+            ask_every: 60.0,
+            ..settings().rules
+        };
+        let settings = Settings {
+            me,
+            routers: 200,
+            rules,
+            discovery: Discovery::Asked,
+            ..settings()
+        };
         let mut brain = Brain::new(settings, me as u64).unwrap();
         let (mut now, mut out) = (100.0, Vec::new());
         brain.handle(now, Event::ListFailed, &mut out);
         while !out.contains(&Action::Subscribe) {
             now += 0.02;
-            assert!(2.0 * (now - 100.0) + KEPT < TOLD, "router {me} has not asked again");
+            assert!(
+                2.0 * (now - 100.0) + KEPT < TOLD,
+                "router {me} has not asked again"
+            );
             brain.handle(now, Event::Woke, &mut out);
         }
         pauses.push(now - 100.0);
@@ -1297,7 +1761,10 @@
     pauses.sort_by(f64::total_cmp);
     // No tenth of a second in which more than a tenth of them come.
     for (n, pause) in pauses.iter().enumerate() {
-        assert!(pauses[n..].iter().filter(|p| **p < pause + 0.1).count() <= 20, "a herd at {pause}");
+        assert!(
+            pauses[n..].iter().filter(|p| **p < pause + 0.1).count() <= 20,
+            "a herd at {pause}"
+        );
     }
 }
 
@@ -1307,11 +1774,23 @@
     let mut rig = Rig::new(settings(), 1);
     for (n, (due, found)) in requests.into_iter().enumerate() {
         let n = n as u64 + 1;
-        rig.tell(Event::Arrived(Arrival { prompt_tokens: due, ..request(n, 0, 0, 10.0) }));
+        rig.tell(Event::Arrived(Arrival {
+            prompt_tokens: due,
+            ..request(n, 0, 0, 10.0)
+        }));
         rig.start(n, 0.1);
         let (request, outcome) = (RequestId(n), Outcome::Served);
-        let report = Some(Report { kept: Some(found), ..Report::default() });
-        rig.tell(Event::Ended { request, attempt: 0, outcome, last: true, report });
+        let report = Some(Report {
+            kept: Some(found),
+            ..Report::default()
+        });
+        rig.tell(Event::Ended {
+            request,
+            attempt: 0,
+            outcome,
+            last: true,
+            report,
+        });
     }
     rig.brain.memory().kept[1]
 }
@@ -1321,11 +1800,23 @@
 #[test]
 fn what_is_found_at_homes_is_learned_by_tokens() {
     // Four first turns for each later one, whose prompt is fifteen times as long and found whole.
-    let turns = (0..200).map(|n| if n % 5 == 4 { (15_000, 15_000.0) } else { (1_000, 0.0) });
+    let turns = (0..200).map(|n| {
+        if n % 5 == 4 {
+            (15_000, 15_000.0)
+        } else {
+            (1_000, 0.0)
+        }
+    });
     let expected = expected_at_home(turns);
-    assert!(expected > 0.6, "{expected}: 79 in a hundred tokens were found");
+    assert!(
+        expected > 0.6,
+        "{expected}: 79 in a hundred tokens were found"
+    );
     let nothing = expected_at_home((0..200).map(|_| (8_000, 0.0)));
-    assert!(nothing < 0.1, "{nothing} is still expected where nothing was found");
+    assert!(
+        nothing < 0.1,
+        "{nothing} is still expected where nothing was found"
+    );
 }
 
 /// Guards against turns that are read anew elsewhere because their replica is a little busier: reading holds up all
@@ -1334,16 +1825,34 @@
 fn the_more_requests_run_the_more_a_long_prompt_stays_with_its_replica() {
     let mut stayed = 0;
     for seed in 0..40 {
-        let mut rig = Rig { brain: Brain::new(settings(), seed).unwrap(), ..Rig::new(settings(), 0) };
-        rig.tell(Event::ListFull((0..2).map(|n| listing(n, ReplicaState::Up, None)).collect()));
+        let mut rig = Rig {
+            brain: Brain::new(settings(), seed).unwrap(),
+            ..Rig::new(settings(), 0)
+        };
+        rig.tell(Event::ListFull(
+            (0..2).map(|n| listing(n, ReplicaState::Up, None)).collect(),
+        ));
         let turn = |n: u64, prompt_tokens: u64| {
-            Event::Arrived(Arrival { session: Some(7), prompt_tokens, ..request(n, 0, 0, 30.0) })
+            Event::Arrived(Arrival {
+                session: Some(7),
+                prompt_tokens,
+                ..request(n, 0, 0, 30.0)
+            })
         };
         let home = sends(&rig.tell(turn(1, 600)))[0].1;
         rig.start(1, 0.1);
-        let report = Some(Report { kept: Some(0.0), ..Report::default() });
+        let report = Some(Report {
+            kept: Some(0.0),
+            ..Report::default()
+        });
         let (request_id, outcome) = (RequestId(1), Outcome::Served);
-        rig.tell(Event::Ended { request: request_id, attempt: 0, outcome, last: true, report });
+        rig.tell(Event::Ended {
+            request: request_id,
+            attempt: 0,
+            outcome,
+            last: true,
+            report,
+        });
         // Others come until both are busy, and the other replica gets rid of a few of its requests more.
         let mut held = std::collections::BTreeMap::new();
         for n in 100..128 {
@@ -1355,11 +1864,21 @@
         let at_home = held[&home].len();
         assert!(at_home >= 8, "{at_home} at home");
         for (to, requests) in held {
-            let keep = if to == home { at_home } else { at_home.saturating_sub(3) };
-            requests.iter().skip(keep).for_each(|n| drop(rig.end(*n, 0, Outcome::Served, true)));
+            let keep = if to == home {
+                at_home
+            } else {
+                at_home.saturating_sub(3)
+            };
+            requests
+                .iter()
+                .skip(keep)
+                .for_each(|n| drop(rig.end(*n, 0, Outcome::Served, true)));
         }
         let sent = sends(&rig.tell(turn(2, 600)));
         stayed += usize::from(sent.first().is_some_and(|s| s.1 == home));
     }
-    assert!(stayed >= 36, "{stayed} of 40 went to where the turn before was read");
+    assert!(
+        stayed >= 36,
+        "{stayed} of 40 went to where the turn before was read"
+    );
 }
--- a/tests/budgets.rs
+++ b/tests/budgets.rs
@@ -14,7 +14,13 @@
 }
 
 fn budget(rate: f64, burst: f64, floor: f64, floor_burst: f64, until: Seconds) -> Budget {
-    Budget { rate, burst, floor, floor_burst, until }
+    Budget {
+        rate,
+        burst,
+        floor,
+        floor_burst,
+        until,
+    }
 }
 
 /// Retries that the module makes of so many failing requests, one each tenth of a second.
@@ -22,7 +28,10 @@
     let mut made = 0;
     for n in from..from + count {
         rig.wait(0.1);
-        assert_eq!(sends(&rig.tell(Event::Arrived(request(n, 0, 0, 30.0)))).len(), 1);
+        assert_eq!(
+            sends(&rig.tell(Event::Arrived(request(n, 0, 0, 30.0)))).len(),
+            1
+        );
         // "Full" ejects nobody and may be tried elsewhere.
         let again = rig.end(n, 0, Outcome::Full, false);
         made += sends(&again).len();
@@ -42,7 +51,10 @@
         rig
     };
     assert_eq!(retries(&mut rig(None), 1, 20), 20);
-    assert_eq!(retries(&mut rig(Some(budget(0.0, 0.0, 0.0, 0.0, 1e9))), 1, 20), 0);
+    assert_eq!(
+        retries(&mut rig(Some(budget(0.0, 0.0, 0.0, 0.0, 1e9))), 1, 20),
+        0
+    );
     // The floor alone.
     let made = retries(&mut rig(Some(budget(0.0, 0.0, 1.0, 1.0, 0.0))), 1, 20);
     assert!((1..=2).contains(&made), "{made}");
@@ -57,10 +69,19 @@
     assert_eq!(late.brain.wanted()[&Spend::Retries].units, 20.0);
 }
 
-const NONE: Budget = Budget { rate: 0.0, burst: 0.0, floor: 0.0, floor_burst: 0.0, until: 1e9 };
+const NONE: Budget = Budget {
+    rate: 0.0,
+    burst: 0.0,
+    floor: 0.0,
+    floor_burst: 0.0,
+    until: 1e9,
+};
 
 fn probes(actions: &[Action]) -> usize {
-    actions.iter().filter(|a| matches!(a, Action::Probe { .. })).count()
+    actions
+        .iter()
+        .filter(|a| matches!(a, Action::Probe { .. }))
+        .count()
 }
 
 /// A silent replica is probed each second; with a budget only as often as that has a probe, and each wish is counted.
@@ -71,13 +92,26 @@
         rig.allow(budgets);
         rig.tell(Event::Arrived(request(1, 0, 0, 30.0)));
         let count = probes(&rig.wait(20.0));
-        (count, rig.brain.wanted().get(&Spend::Probes).map_or(0.0, |w| w.units))
+        (
+            count,
+            rig.brain
+                .wanted()
+                .get(&Spend::Probes)
+                .map_or(0.0, |w| w.units),
+        )
     };
     let (free, _) = probed(vec![]);
     assert!(free >= 15, "{free}");
     let (none, wanted) = probed(vec![(Spend::Probes, NONE)]);
     assert!(none == 0 && wanted >= 15.0, "{none} {wanted}");
-    let (some, _) = probed(vec![(Spend::Probes, Budget { floor: 0.25, floor_burst: 1.0, ..NONE })]);
+    let (some, _) = probed(vec![(
+        Spend::Probes,
+        Budget {
+            floor: 0.25,
+            floor_burst: 1.0,
+            ..NONE
+        },
+    )]);
     assert!((3..=6).contains(&some), "{some}");
 }
 
@@ -96,18 +130,28 @@
     let rig = |budget: Option<Budget>| {
         let mut rig = Rig::new(settings(), 8);
         rig.tell(Event::ListChanged(
-            (0..8).step_by(2).map(|n| listing(n, ReplicaState::Gone, None)).collect(),
+            (0..8)
+                .step_by(2)
+                .map(|n| listing(n, ReplicaState::Gone, None))
+                .collect(),
         ));
         rig.allow(budget.map(|budget| (Spend::Crossings, budget)));
         rig
     };
     assert_eq!(crossing(&mut rig(None), 1, 1), 20);
     assert_eq!(crossing(&mut rig(Some(NONE)), 0, 1), 0);
-    let saved = Budget { rate: 10.0, burst: 10.0, ..NONE };
+    let saved = Budget {
+        rate: 10.0,
+        burst: 10.0,
+        ..NONE
+    };
     let mut low = rig(Some(saved));
     low.wait(1.5);
     let (lower, higher) = (crossing(&mut low, 1, 1), crossing(&mut low, 0, 100));
-    assert!((4..=6).contains(&lower) && (4..=6).contains(&higher), "{lower} {higher}");
+    assert!(
+        (4..=6).contains(&lower) && (4..=6).contains(&higher),
+        "{lower} {higher}"
+    );
     // What could not go is wanted: the longer it waits, the more.
     let before = low.brain.wanted()[&Spend::Crossings];
     let late = low.wait(4.9);
@@ -133,12 +177,17 @@
     let sent = |budgets: Vec<(Spend, Budget)>| {
         let mut rig = Rig::new(settings(), 1);
         rig.allow(budgets);
-        rig.tell(Event::ListChanged(vec![listing(0, ReplicaState::Up, Some(rig.now))]));
+        rig.tell(Event::ListChanged(vec![listing(
+            0,
+            ReplicaState::Up,
+            Some(rig.now),
+        )]));
         (1..=100)
             .map(|n| {
                 rig.wait(0.1);
                 let sent = sends(&rig.tell(Event::Arrived(request(n, 0, 0, 0.1))));
-                sent.iter().for_each(|(n, _)| drop(rig.end(*n, 0, Outcome::Served, true)));
+                sent.iter()
+                    .for_each(|(n, _)| drop(rig.end(*n, 0, Outcome::Served, true)));
                 sent.len()
             })
             .sum::<usize>()
@@ -149,7 +198,10 @@
         sent(vec![(Spend::Cold, Budget { rate: 8.0, ..NONE })]),
     );
     // Ten seconds of a start of twenty, from a tenth of its capacity: a third of it in the mean.
-    assert!((1..=5).contains(&little) && (12..=34).contains(&much), "{little} {much}");
+    assert!(
+        (1..=5).contains(&little) && (12..=34).contains(&much),
+        "{little} {much}"
+    );
 }
 
 /// Requests of a tenant count as within its share by the fleet's budget for it, not by an even part.
@@ -157,7 +209,14 @@
 fn a_tenants_budget_decides_what_is_within_its_share() {
     let kept = |budgets: Vec<(Spend, Budget)>| {
         let site = settings();
-        let tenants = site.tenants.iter().map(|t| Tenant { allowance: 5.0, ..*t }).collect();
+        let tenants = site
+            .tenants
+            .iter()
+            .map(|t| Tenant {
+                allowance: 5.0,
+                ..*t
+            })
+            .collect();
         let mut rig = Rig::new(Settings { tenants, ..site }, 8);
         let full = rig.fill();
         rig.allow(budgets);
@@ -174,16 +233,34 @@
     let even = kept(vec![]);
     let (none, much) = (
         kept(vec![(Spend::Tenant(0), NONE)]),
-        kept(vec![(Spend::Tenant(0), Budget { rate: 100.0, burst: 20.0, ..NONE })]),
+        kept(vec![(
+            Spend::Tenant(0),
+            Budget {
+                rate: 100.0,
+                burst: 20.0,
+                ..NONE
+            },
+        )]),
+    );
+    assert!(
+        none <= 1 && (6..12).contains(&even) && much >= 18,
+        "{none} {even} {much}"
     );
-    assert!(none <= 1 && (6..12).contains(&even) && much >= 18, "{none} {even} {much}");
 }
 
 /// One unit a minute is one unit a minute: a share smaller than a unit adds up.
 #[test]
 fn a_share_smaller_than_one_unit_adds_up() {
     let mut rig = Rig::new(settings(), 40);
-    rig.allow([(Spend::Retries, Budget { rate: 0.1, burst: 0.0, floor_burst: 1.0, ..NONE })]);
+    rig.allow([(
+        Spend::Retries,
+        Budget {
+            rate: 0.1,
+            burst: 0.0,
+            floor_burst: 1.0,
+            ..NONE
+        },
+    )]);
     let made = retries(&mut rig, 1, 300);
     assert!((2..=3).contains(&made), "{made} in 30 s");
 }
@@ -196,7 +273,9 @@
     rig.allow([(Spend::Retries, budget(50.0, 50.0, 0.0, 1.0, 102.0))]);
     (1..=30).for_each(|n| drop(rig.tell(Event::Arrived(request(n, 0, 0, 60.0)))));
     rig.now += 20.0;
-    let made: usize = (1..=30).map(|n| sends(&rig.end(n, 0, Outcome::Full, false)).len()).sum();
+    let made: usize = (1..=30)
+        .map(|n| sends(&rig.end(n, 0, Outcome::Full, false)).len())
+        .sum();
     assert!(made <= 1, "{made}");
 }
 
@@ -205,7 +284,11 @@
 fn a_tenants_burst_leaves_the_others_within_their_shares() {
     let mut rig = Rig::new(settings(), 8);
     let full = rig.fill();
-    let each = Budget { rate: 10.0, burst: 10.0, ..NONE };
+    let each = Budget {
+        rate: 10.0,
+        burst: 10.0,
+        ..NONE
+    };
     rig.allow([(Spend::Tenant(0), each), (Spend::Tenant(1), each)]);
     rig.wait(1.5);
     for n in 1..=60 {
@@ -216,6 +299,12 @@
     }
     let ends = (1000..1000 + full).map(|n| rig.end(n, 0, Outcome::Served, true));
     let order: Vec<u64> = ends.flat_map(|out| sends(&out)).map(|s| s.0).collect();
-    let last = (101..=108).filter_map(|n| order.iter().position(|o| *o == n)).max().unwrap_or(usize::MAX);
-    assert!(last < 20, "the eighth of the other tenant leaves at place {last} of {order:?}");
+    let last = (101..=108)
+        .filter_map(|n| order.iter().position(|o| *o == n))
+        .max()
+        .unwrap_or(usize::MAX);
+    assert!(
+        last < 20,
+        "the eighth of the other tenant leaves at place {last} of {order:?}"
+    );
 }
--- a/tests/closes.rs
+++ b/tests/closes.rs
@@ -83,12 +83,18 @@
             assert!(shared.evict(), "the connection rests");
         }
         client.write_all(HEALTH).unwrap();
-        assert!(poll_once(&mut driver).await.is_pending(), "closed by age: {by_age}");
+        assert!(
+            poll_once(&mut driver).await.is_pending(),
+            "closed by age: {by_age}"
+        );
         if by_age {
             tokio::time::resume();
         }
         let text = answered(&client, &mut driver).await;
-        assert!(text.starts_with(HEALTHY), "closed by age: {by_age}, '{text}'");
+        assert!(
+            text.starts_with(HEALTHY),
+            "closed by age: {by_age}, '{text}'"
+        );
     }
 }
 
@@ -120,13 +126,16 @@
 
 /// Where room and close come in one instant the request may be told of, and its client's departure follows at once.
 #[tokio::test]
-async fn a_client_that_leaves_in_the_instant_in_which_the_core_has_room_is_followed_by_its_departure() {
+async fn a_client_that_leaves_in_the_instant_in_which_the_core_has_room_is_followed_by_its_departure(
+) {
     let (client, mut driver, mut told) = waiting_for_room().await;
     drop(client);
     assert!(matches!(told.try_recv(), Ok(Message::SumUp(_))));
     turn().await;
     let _ = poll_once(&mut driver).await;
-    let Ok(Message::Request { answer, .. }) = told.try_recv() else { panic!("the room came first") };
+    let Ok(Message::Request { answer, .. }) = told.try_recv() else {
+        panic!("the room came first")
+    };
     let _ = poll_once(&mut driver).await;
     assert!(answer.is_closed(), "nobody waits for this answer");
     assert!(matches!(told.try_recv(), Ok(Message::Left { .. })));
--- a/tests/cold_start.rs
+++ b/tests/cold_start.rs
@@ -35,14 +35,35 @@
 
 fn case() -> impl Strategy<Value = Case> {
     let routers = prop_oneof![Just(4), Just(20), Just(30), Just(60), Just(300)];
-    (routers, any::<u64>(), 0.0..19.0f64, 1usize..12, 0usize..60)
-        .prop_map(|(routers, seed, idle, burst, uneven)| Case { routers, seed, idle, burst, uneven })
+    (routers, any::<u64>(), 0.0..19.0f64, 1usize..12, 0usize..60).prop_map(
+        |(routers, seed, idle, burst, uneven)| Case {
+            routers,
+            seed,
+            idle,
+            burst,
+            uneven,
+        },
+    )
 }
 
 fn router(case: &Case, me: usize) -> Brain {
-    let tenant = Tenant { share: 1.0, allowance: QUOTA * CAPACITY * REPLICAS as f64 };
-    let rules = Rules { cold_from: COLD_FROM, overload_factor: 4.0, fall: 1.0, ..settings().rules };
-    let settings = Settings { me, routers: case.routers, tenants: vec![tenant], rules, ..settings() };
+    let tenant = Tenant {
+        share: 1.0,
+        allowance: QUOTA * CAPACITY * REPLICAS as f64,
+    };
+    let rules = Rules {
+        cold_from: COLD_FROM,
+        overload_factor: 4.0,
+        fall: 1.0,
+        ..settings().rules
+    };
+    let settings = Settings {
+        me,
+        routers: case.routers,
+        tenants: vec![tenant],
+        rules,
+        ..settings()
+    };
     Brain::new(settings, case.seed.wrapping_add(me as u64)).unwrap()
 }
 
@@ -54,7 +75,9 @@
         let mut brain = router(case, me);
         let mut out = Vec::new();
         let born = |n: usize| (n == COLD).then_some(start);
-        let list = (0..REPLICAS).map(|n| listing(n, ReplicaState::Up, born(n))).collect();
+        let list = (0..REPLICAS)
+            .map(|n| listing(n, ReplicaState::Up, born(n)))
+            .collect();
         brain.handle(start, Event::ListFull(list), &mut out);
         let mut id = 0;
         let mut arrive = |brain: &mut Brain, now: Seconds, out: &mut Vec<Action>| {
@@ -70,7 +93,12 @@
             if me == 0 && now > start + case.idle && tick % 50 < case.uneven.min(50) {
                 arrive(&mut brain, now, &mut out);
             }
-            sent.extend(sends(&out).iter().filter(|s| s.1 == replica(COLD)).map(|_| now));
+            sent.extend(
+                sends(&out)
+                    .iter()
+                    .filter(|s| s.1 == replica(COLD))
+                    .map(|_| now),
+            );
             out.clear();
         }
     }
--- a/tests/decision_module.rs
+++ b/tests/decision_module.rs
@@ -3,7 +3,13 @@
 use std::path::{Path, PathBuf};
 
 /// Where the decision module's sources are: files, and folders that hold nothing else.
-const SOURCES: [&str; 5] = ["src/brain.rs", "src/brain", "src/interface.rs", "src/state.rs", "src/state"];
+const SOURCES: [&str; 5] = [
+    "src/brain.rs",
+    "src/brain",
+    "src/interface.rs",
+    "src/state.rs",
+    "src/state",
+];
 
 /// Paths through which a program reaches files, sockets, clocks, threads, the environment or other processes.
 const FORBIDDEN: [&str; 16] = [
@@ -64,11 +70,14 @@
 
 #[test]
 fn deploy_file_lists_every_source_of_the_decision_module() {
-    let text = std::fs::read_to_string(root().join("deploy/balancer.toml")).expect("the file can be read");
+    let text =
+        std::fs::read_to_string(root().join("deploy/balancer.toml")).expect("the file can be read");
     let deploy: toml::Table = text.parse().expect("the deploy file is TOML");
     let listed = deploy["policy"].as_array().expect("policy is a list");
-    let mut listed: Vec<PathBuf> =
-        listed.iter().map(|path| root().join(path.as_str().expect("a path"))).collect();
+    let mut listed: Vec<PathBuf> = listed
+        .iter()
+        .map(|path| root().join(path.as_str().expect("a path")))
+        .collect();
     listed.sort();
     assert_eq!(listed, source_files());
 }
--- a/tests/exchanges.rs
+++ b/tests/exchanges.rs
@@ -49,7 +49,8 @@
         let dns = Standin::start("127.0.0.1:0".parse().unwrap(), Script::default()).unwrap();
         let addr = |n: usize| listeners[n].1.local_addr().unwrap().to_string();
         let config = text.replace("REPLICA", &addr(0));
-        let path = std::env::temp_dir().join(format!("exchange-{name}-{}.json", std::process::id()));
+        let path =
+            std::env::temp_dir().join(format!("exchange-{name}-{}.json", std::process::id()));
         std::fs::write(&path, config.replace("DISCOVERY", &addr(1))).unwrap();
         let operator = operator.map(|text| {
             let path = path.with_extension("toml");
@@ -59,13 +60,21 @@
         let mut child = Command::new(env!("CARGO_BIN_EXE_poppykeel"))
             .args(["serve", "--config"])
             .arg(&path)
-            .args(operator.iter().flat_map(|o| ["--operator".as_ref(), o.as_os_str()]))
+            .args(
+                operator
+                    .iter()
+                    .flat_map(|o| ["--operator".as_ref(), o.as_os_str()]),
+            )
             .env("GW_DISCOVERY", addr(1))
             .stderr(Stdio::piped())
             .spawn()
             .unwrap();
-        let mut log = BufReader::new(child.stderr.take().unwrap()).lines().map_while(Result::ok);
-        let line = log.find(|l| l.contains("serving on")).expect("the node serves");
+        let mut log = BufReader::new(child.stderr.take().unwrap())
+            .lines()
+            .map_while(Result::ok);
+        let line = log
+            .find(|l| l.contains("serving on"))
+            .expect("the node serves");
         let (tell, lines) = std::sync::mpsc::channel();
         std::thread::spawn(move || {
             log.for_each(|line| {
@@ -73,7 +82,12 @@
                 let _ = tell.send(line);
             })
         });
-        let addr = line.split("serving on ").nth(1).and_then(|l| l.split(' ').next()).unwrap().to_string();
+        let addr = line
+            .split("serving on ")
+            .nth(1)
+            .and_then(|l| l.split(' ').next())
+            .unwrap()
+            .to_string();
         let (open, read) = Default::default();
         Node {
             child,
@@ -118,7 +132,11 @@
 
     fn signal(&self, signal: &str) {
         let id = self.child.id().to_string();
-        assert!(Command::new("kill").args([signal, &id]).status().unwrap().success());
+        assert!(Command::new("kill")
+            .args([signal, &id])
+            .status()
+            .unwrap()
+            .success());
     }
 
     fn play(&mut self, step: &str, bytes: &str) {
@@ -126,12 +144,21 @@
         match what {
             "sends" => self.party(party).write_all(bytes.as_bytes()).unwrap(),
             "gets" => self.get(party, bytes),
-            "closes" => self.open.remove(party).unwrap().shutdown(Shutdown::Both).unwrap(),
+            "closes" => self
+                .open
+                .remove(party)
+                .unwrap()
+                .shutdown(Shutdown::Both)
+                .unwrap(),
             "sees the end" => {
                 let mut rest = Vec::new();
                 let end = self.party(party).read_to_end(&mut rest);
                 let timed_out = end.is_err_and(|e| e.kind() == std::io::ErrorKind::WouldBlock);
-                assert!(!timed_out && rest.is_empty(), "{party}: {}", String::from_utf8_lossy(&rest));
+                assert!(
+                    !timed_out && rest.is_empty(),
+                    "{party}: {}",
+                    String::from_utf8_lossy(&rest)
+                );
                 self.open.remove(party);
             }
             "is told to stop" => self.signal("-TERM"),
@@ -151,13 +178,20 @@
             }
             "is silent" => self.dns.set(Script::default().lying(Lie::Silent)),
             _ if what.starts_with("logs ") => {
-                let has = |line: &String| what["logs ".len()..].split("{*}").all(|part| line.contains(part));
+                let has = |line: &String| {
+                    what["logs ".len()..]
+                        .split("{*}")
+                        .all(|part| line.contains(part))
+                };
                 while !has(&self.lines.recv_timeout(PATIENCE).expect(what)) {}
             }
             _ if what.starts_with("lists ") => {
-                let named = what["lists ".len()..].split(' ').filter_map(|n| self.listeners.get(n));
+                let named = what["lists ".len()..]
+                    .split(' ')
+                    .filter_map(|n| self.listeners.get(n));
                 let addrs: Vec<_> = named.map(|l| l.local_addr().unwrap()).collect();
-                self.dns.set(Script::service("_llm._tcp.example.test", 0, &addrs));
+                self.dns
+                    .set(Script::service("_llm._tcp.example.test", 0, &addrs));
             }
             "is not called" => {
                 let listener = &self.listeners[party];
@@ -175,7 +209,9 @@
         let _ = self.child.kill();
         let _ = self.child.wait();
         let _ = std::fs::remove_file(&self.config);
-        self.operator.iter().for_each(|o| drop(std::fs::remove_file(o)));
+        self.operator
+            .iter()
+            .for_each(|o| drop(std::fs::remove_file(o)));
     }
 }
 
@@ -195,10 +231,14 @@
 
 fn matches(pattern: &str, text: &str) -> bool {
     let mut parts = pattern.split("{*}");
-    let Some(mut rest) = text.strip_prefix(parts.next().unwrap_or_default()) else { return false };
+    let Some(mut rest) = text.strip_prefix(parts.next().unwrap_or_default()) else {
+        return false;
+    };
     let mut last = None;
     for part in parts {
-        let Some(at) = rest.find(part) else { return false };
+        let Some(at) = rest.find(part) else {
+            return false;
+        };
         (rest, last) = (&rest[at + part.len()..], Some(part));
     }
     rest.is_empty() || last == Some("")
@@ -216,9 +256,15 @@
     {
         let (step, lines) = step.split_once('\n').unwrap_or((step, ""));
         let lines: Vec<&str> = lines.split('\n').filter(|l| !l.starts_with('#')).collect();
-        let bytes = lines.iter().map(|l| l.strip_suffix('\\').map_or(format!("{l}\r\n"), String::from));
+        let bytes = lines.iter().map(|l| {
+            l.strip_suffix('\\')
+                .map_or(format!("{l}\r\n"), String::from)
+        });
         let replica = node.listeners["replica"].local_addr().unwrap().to_string();
-        node.play(step.trim(), &bytes.collect::<String>().replace("REPLICA", &replica));
+        node.play(
+            step.trim(),
+            &bytes.collect::<String>().replace("REPLICA", &replica),
+        );
     }
 }
 
--- a/tests/faults.rs
+++ b/tests/faults.rs
@@ -28,20 +28,43 @@
 
 /// A node with these faults, its servers, and the file of its plan.
 fn faulty(name: &str, plan: &str) -> (Node, Standin, PathBuf) {
-    let servers = Standin::start(vec![Script { gap_ms: 1, ..Script::default() }; 3]).unwrap();
+    let servers = Standin::start(vec![
+        Script {
+            gap_ms: 1,
+            ..Script::default()
+        };
+        3
+    ])
+    .unwrap();
     let file = std::env::temp_dir().join(format!("faults-{name}-{}.toml", std::process::id()));
     std::fs::write(&file, plan).unwrap();
-    let environment =
-        vec![("LD_PRELOAD".to_string(), shim()), (poppykeel_fault_shim::PLAN.to_string(), file.clone())];
-    (Node::with_environment(name, servers.addrs(), "unsafe", environment), servers, file)
+    let environment = vec![
+        ("LD_PRELOAD".to_string(), shim()),
+        (poppykeel_fault_shim::PLAN.to_string(), file.clone()),
+    ];
+    (
+        Node::with_environment(name, servers.addrs(), "unsafe", environment),
+        servers,
+        file,
+    )
 }
 
 /// Plays a load against a node with these faults; each request's answer has to be whole.
 fn assert_whole_under(name: &str, plan: &str) {
     let (node, servers, file) = faulty(name, plan);
-    let seen = run(&node, CLIENTS, REQUESTS, TOKENS, |number| format!("request {number} under {name}"));
-    let broken: Vec<_> = seen.iter().filter(|s| s.outcome != Outcome::Whole).map(|s| &s.outcome).collect();
-    assert!(broken.is_empty(), "{} of {REQUESTS}: {broken:?}", broken.len());
+    let seen = run(&node, CLIENTS, REQUESTS, TOKENS, |number| {
+        format!("request {number} under {name}")
+    });
+    let broken: Vec<_> = seen
+        .iter()
+        .filter(|s| s.outcome != Outcome::Whole)
+        .map(|s| &s.outcome)
+        .collect();
+    assert!(
+        broken.is_empty(),
+        "{} of {REQUESTS}: {broken:?}",
+        broken.len()
+    );
     assert_eq!(servers.records().len(), REQUESTS);
     drop(node);
     let _ = std::fs::remove_file(file);
@@ -50,13 +73,19 @@
 #[test]
 fn reads_and_writes_that_move_a_few_bytes_cost_no_answer() {
     let rule = |call| format!("[[rule]]\ncall = \"{call}\"\none_in = 3\nfault = {{ short = 3 }}\n");
-    assert_whole_under("short", &format!("seed = 1\n{}{}", rule("read"), rule("write")));
+    assert_whole_under(
+        "short",
+        &format!("seed = 1\n{}{}", rule("read"), rule("write")),
+    );
 }
 
 #[test]
 fn reads_and_writes_that_signals_interrupt_cost_no_answer() {
     let rule = |call| format!("[[rule]]\ncall = \"{call}\"\none_in = 20\nfault = \"EINTR\"\n");
-    assert_whole_under("interrupted", &format!("seed = 2\n{}{}", rule("read"), rule("write")));
+    assert_whole_under(
+        "interrupted",
+        &format!("seed = 2\n{}{}", rule("read"), rule("write")),
+    );
 }
 
 /// Clients whose requests follow some milliseconds after they have connected: no failure of accept closes their connections
@@ -64,7 +93,9 @@
 #[test]
 fn accepts_that_fail_cost_no_request_that_is_on_its_way() {
     let rule = |fault| format!("[[rule]]\ncall = \"accept\"\none_in = 12\nfault = \"{fault}\"\n");
-    let rules: String = ["EINTR", "EMFILE", "ENFILE", "ENOBUFS", "ENOMEM"].map(rule).concat();
+    let rules: String = ["EINTR", "EMFILE", "ENFILE", "ENOBUFS", "ENOMEM"]
+        .map(rule)
+        .concat();
     let (node, servers, file) = faulty("accept", &format!("seed = 3\n{rules}"));
     let client = |client: usize| {
         for number in 0..REQUESTS / CLIENTS {
@@ -79,8 +110,12 @@
         }
     };
     std::thread::scope(|scope| {
-        let clients: Vec<_> = (0..CLIENTS).map(|number| scope.spawn(move || client(number))).collect();
-        clients.into_iter().for_each(|client| client.join().unwrap());
+        let clients: Vec<_> = (0..CLIENTS)
+            .map(|number| scope.spawn(move || client(number)))
+            .collect();
+        clients
+            .into_iter()
+            .for_each(|client| client.join().unwrap());
     });
     assert_eq!(servers.records().len(), REQUESTS);
     drop(node);
@@ -90,8 +125,18 @@
 /// Calls that fail before a byte was sent: the request has run nowhere and goes to a server at once, whatever its class.
 #[test]
 fn connections_that_fail_before_a_byte_is_sent_cost_no_answer() {
-    const ERRORS: [&str; 7] =
-        ["EINTR", "ENOBUFS", "ENOMEM", "EADDRNOTAVAIL", "ENETUNREACH", "EHOSTUNREACH", "ETIMEDOUT"];
+    const ERRORS: [&str; 7] = [
+        "EINTR",
+        "ENOBUFS",
+        "ENOMEM",
+        "EADDRNOTAVAIL",
+        "ENETUNREACH",
+        "EHOSTUNREACH",
+        "ETIMEDOUT",
+    ];
     let rule = |fault| format!("[[rule]]\ncall = \"connect\"\none_in = 40\nfault = \"{fault}\"\n");
-    assert_whole_under("connect", &format!("seed = 4\n{}", ERRORS.map(rule).concat()));
+    assert_whole_under(
+        "connect",
+        &format!("seed = 4\n{}", ERRORS.map(rule).concat()),
+    );
 }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -20,7 +20,13 @@
     let fds = std::fs::read_dir(format!("/proc/{id}/fd")).unwrap();
     let links = fds.filter_map(|fd| std::fs::read_link(fd.ok()?.path()).ok());
     let named = links.map(|l| l.to_string_lossy().into_owned());
-    named.filter_map(|l| l.strip_prefix("socket:[")?.strip_suffix(']').map(String::from)).collect()
+    named
+        .filter_map(|l| {
+            l.strip_prefix("socket:[")?
+                .strip_suffix(']')
+                .map(String::from)
+        })
+        .collect()
 }
 
 /// Of these sockets, how many carry datagrams, and how many listen for connections.
@@ -28,14 +34,21 @@
     let own = sockets(id);
     let count = |file: &str, state: &str| {
         let text = std::fs::read_to_string(format!("/proc/{id}/net/{file}")).unwrap();
-        let lines = text.lines().skip(1).map(|l| l.split_whitespace().collect::<Vec<_>>());
-        lines.filter(|l| (state.is_empty() || l[3] == state) && own.contains(l[9])).count()
+        let lines = text
+            .lines()
+            .skip(1)
+            .map(|l| l.split_whitespace().collect::<Vec<_>>());
+        lines
+            .filter(|l| (state.is_empty() || l[3] == state) && own.contains(l[9]))
+            .count()
     };
     (count("udp", ""), count("tcp", "0A"))
 }
 
 fn threads(id: u32) -> usize {
-    std::fs::read_dir(format!("/proc/{id}/task")).unwrap().count()
+    std::fs::read_dir(format!("/proc/{id}/task"))
+        .unwrap()
+        .count()
 }
 
 /// A port that is free for datagrams and connections.
@@ -60,12 +73,22 @@
 fn without_the_section_there_is_no_listener_no_thread_and_no_file() {
     let server = Standin::start(vec![Script::default()]).unwrap();
     let node = Node::start("no-fleet", server.addrs(), "", "safe");
-    assert_eq!((kinds(node.child.id()), threads(node.child.id())), ((0, 2), 1));
+    assert_eq!(
+        (kinds(node.child.id()), threads(node.child.id())),
+        ((0, 2), 1)
+    );
     let folder = std::env::temp_dir().join(format!("fleet-disk-{}", std::process::id()));
     let at = port();
-    let with =
-        Node::start("with-fleet", server.addrs(), &fleet(at, at, &folder.display().to_string()), "safe");
-    assert_eq!((kinds(with.child.id()), threads(with.child.id())), ((1, 3), 2));
+    let with = Node::start(
+        "with-fleet",
+        server.addrs(),
+        &fleet(at, at, &folder.display().to_string()),
+        "safe",
+    );
+    assert_eq!(
+        (kinds(with.child.id()), threads(with.child.id())),
+        ((1, 3), 2)
+    );
     assert!(folder.join("lock").exists());
     drop(with);
     std::fs::remove_dir_all(folder).unwrap();
@@ -76,17 +99,35 @@
     let good = fleet(port(), port(), "x");
     Operator::read(&good).unwrap();
     let wrong = [
-        (good.replace("name = \"f\"", "name = \"\""), "line 2: fleet.name"),
+        (
+            good.replace("name = \"f\"", "name = \"\""),
+            "line 2: fleet.name",
+        ),
         (good.replace("500ms", "5ms"), "line 5: fleet.lease"),
-        (good.replace("patience = \"100ms\"", "patience = \"400ms\""), "line 6: fleet.patience"),
-        (good.replace("{ n0", "{ n1 = \"127.0.0.1:1\", n0"), "line 8: fleet.keepers"),
+        (
+            good.replace("patience = \"100ms\"", "patience = \"400ms\""),
+            "line 6: fleet.patience",
+        ),
+        (
+            good.replace("{ n0", "{ n1 = \"127.0.0.1:1\", n0"),
+            "line 8: fleet.keepers",
+        ),
         (good.replace("probe =", "prob ="), "line 7"),
         (format!("{good}drift = 900000\n"), "line 9: fleet.drift"),
-        (format!("{good}[fleet.report]\nto = \"here\"\n"), "line 10: fleet.report.to"),
-        (format!("{good}[fleet.report]\nto = \"127.0.0.1:1\"\nevery = 0\n"), "line 11: fleet.report.every"),
+        (
+            format!("{good}[fleet.report]\nto = \"here\"\n"),
+            "line 10: fleet.report.to",
+        ),
+        (
+            format!("{good}[fleet.report]\nto = \"127.0.0.1:1\"\nevery = 0\n"),
+            "line 11: fleet.report.every",
+        ),
     ];
     let budget = |text: &str| format!("{good}[fleet.budgets]\nmost_nodes = 10\nretries = {text}\n");
-    Operator::read(&budget("{ rate = 20, burst = 20, floor = 1, floor_burst = 1 }")).unwrap();
+    Operator::read(&budget(
+        "{ rate = 20, burst = 20, floor = 1, floor_burst = 1 }",
+    ))
+    .unwrap();
     let wrong = wrong.into_iter().chain([
         (
             budget("{ rate = 20, burst = 20, floor = 3, floor_burst = 1 }"),
@@ -110,20 +151,29 @@
                 .replace("floor = 1", "floor = 9"),
             "line 11: fleet.budgets.tenants.t0.floor",
         ),
-        (budget("{ rate = 20 }").replace("most_nodes = 10", "most_nodes = 0"), "line 11"),
+        (
+            budget("{ rate = 20 }").replace("most_nodes = 10", "most_nodes = 0"),
+            "line 11",
+        ),
     ]);
     for (text, place) in wrong {
         let error = Operator::read(&text).err().unwrap_or_default();
         assert!(error.starts_with(place), "{place}: {error}\n{text}");
     }
-    let alone = Operator::read(&good.replace("folder = \"x\"\n", "")).unwrap().fleet.unwrap();
+    let alone = Operator::read(&good.replace("folder = \"x\"\n", ""))
+        .unwrap()
+        .fleet
+        .unwrap();
     assert!(alone.place("n0", &[]).unwrap_err().contains("fleet.folder"));
     assert!(alone.place("n9", &[]).is_ok());
-    let tenant =
-        budget("{ rate = 20, burst = 20, floor = 1, floor_burst = 1 }").replace("retries", "tenants.t0");
+    let tenant = budget("{ rate = 20, burst = 20, floor = 1, floor_burst = 1 }")
+        .replace("retries", "tenants.t0");
     let tenant = Operator::read(&tenant).unwrap().fleet.unwrap();
     let error = tenant.place("n9", &["other".to_string()]).unwrap_err();
-    assert!(error.contains("fleet.budgets.tenants.t0") && error.contains("other"), "{error}");
+    assert!(
+        error.contains("fleet.budgets.tenants.t0") && error.contains("other"),
+        "{error}"
+    );
     assert!(tenant.place("n9", &["t0".to_string()]).is_ok());
 }
 
@@ -137,12 +187,19 @@
         });
         match found {
             Some(at) => break at,
-            None => assert!(began.elapsed() < Duration::from_secs(10), "no operators' address"),
+            None => assert!(
+                began.elapsed() < Duration::from_secs(10),
+                "no operators' address"
+            ),
         }
         std::thread::sleep(Duration::from_millis(5));
     };
     let mut stream = TcpStream::connect(at).unwrap();
-    write!(stream, "{line} HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n").unwrap();
+    write!(
+        stream,
+        "{line} HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n"
+    )
+    .unwrap();
     let mut text = String::new();
     stream.read_to_string(&mut text).unwrap();
     text
@@ -153,10 +210,17 @@
     let server = Standin::start(vec![Script::default()]).unwrap();
     let folder = std::env::temp_dir().join(format!("fleet-drop-{}", std::process::id()));
     let at = port();
-    let node = Node::named("n0", "drop", server.addrs(), &fleet(at, at, &folder.display().to_string()));
+    let node = Node::named(
+        "n0",
+        "drop",
+        server.addrs(),
+        &fleet(at, at, &folder.display().to_string()),
+    );
     let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
     let message = |fleet: &str, to: &str, names: usize| {
-        let names = (0..names).map(|n| format!("a server with a long name, number {n}")).collect();
+        let names = (0..names)
+            .map(|n| format!("a server with a long name, number {n}"))
+            .collect();
         envelope::write(&Envelope {
             fleet: fleet.into(),
             keepers: 1,
@@ -181,7 +245,9 @@
     loop {
         let figures = call(&node, "GET /api/telemetry");
         let figure = |name: &str| {
-            let line = figures.lines().find_map(|l| l.strip_prefix(&format!("app_fleet_{name} ")));
+            let line = figures
+                .lines()
+                .find_map(|l| l.strip_prefix(&format!("app_fleet_{name} ")));
             line.and_then(|n| n.parse::<u64>().ok())
         };
         if (figure("messages_foreign"), figure("messages_garbled")) == (Some(3), Some(3)) {
@@ -198,15 +264,27 @@
 
 /// Requests that a bad server got while several nodes served for a while, and whether all use it again once it is well.
 fn tried(name: &str, with: bool) -> (usize, bool) {
-    let bad = || Script { tokens: 3, ..Script::default() }.with(Fault::Status(500));
-    let good = || Script { tokens: 3, ..Script::default() };
+    let bad = || {
+        Script {
+            tokens: 3,
+            ..Script::default()
+        }
+        .with(Fault::Status(500))
+    };
+    let good = || Script {
+        tokens: 3,
+        ..Script::default()
+    };
     let servers = Standin::start(vec![good(), bad()]).unwrap();
     let at: Vec<SocketAddr> = (0..4).map(|_| port()).collect();
     let folder = std::env::temp_dir().join(format!("fleet-{name}-{}", std::process::id()));
     let nodes: Vec<Node> = (0..4)
         .map(|n| {
-            let operator =
-                if with { fleet(at[n], at[0], &folder.display().to_string()) } else { String::new() };
+            let operator = if with {
+                fleet(at[n], at[0], &folder.display().to_string())
+            } else {
+                String::new()
+            };
             Node::named(&format!("n{n}"), name, servers.addrs(), &operator)
         })
         .collect();
@@ -248,7 +326,9 @@
         let alone = scope.spawn(|| tried("alone", false));
         (tried("together", true), alone.join().unwrap())
     });
-    println!("trials of a bad server in 6 s by 4 nodes: {together:?} with a fleet, {alone:?} without");
+    println!(
+        "trials of a bad server in 6 s by 4 nodes: {together:?} with a fleet, {alone:?} without"
+    );
     assert!(together.1 && alone.1, "{together:?} {alone:?}");
     assert!(together.0 * 2 < alone.0, "{together:?} {alone:?}");
 }
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -18,7 +18,11 @@
 use support::{ask, Node};
 
 fn names() -> Names {
-    Names { kinds: vec!["k".into()], classes: vec!["chat".into()], ..Names::default() }
+    Names {
+        kinds: vec!["k".into()],
+        classes: vec!["chat".into()],
+        ..Names::default()
+    }
 }
 
 fn memory() -> Memory {
@@ -38,21 +42,49 @@
     let bytes = write(1, now, &names, memory());
     assert_eq!(read(&bytes, 2, now + 9_000, &names), Ok(memory()));
     assert_eq!(read(&bytes, 1, now, &names), Err(Doubt::Own));
-    assert_eq!(read(&bytes, 2, now + 11_000, &names), Err(Doubt::Age(11_000)));
-    assert_eq!(read(&bytes, 2, now - 2_000, &names), Err(Doubt::Age(-2_000)));
-    let other = Names { kinds: vec!["other".into()], ..names.clone() };
+    assert_eq!(
+        read(&bytes, 2, now + 11_000, &names),
+        Err(Doubt::Age(11_000))
+    );
+    assert_eq!(
+        read(&bytes, 2, now - 2_000, &names),
+        Err(Doubt::Age(-2_000))
+    );
+    let other = Names {
+        kinds: vec!["other".into()],
+        ..names.clone()
+    };
     assert_eq!(read(&bytes, 2, now, &other), Err(Doubt::OtherSite));
     let absurd = [
-        Memory { first: f64::NAN, ..memory() },
-        Memory { pool_part: -1.0, ..memory() },
-        Memory { paces: vec![(0, 1.0, 1e6)], ..memory() },
-        Memory { kept: [2.0; 3], ..memory() },
+        Memory {
+            first: f64::NAN,
+            ..memory()
+        },
+        Memory {
+            pool_part: -1.0,
+            ..memory()
+        },
+        Memory {
+            paces: vec![(0, 1.0, 1e6)],
+            ..memory()
+        },
+        Memory {
+            kept: [2.0; 3],
+            ..memory()
+        },
     ];
     for memory in absurd {
-        assert_eq!(read(&write(1, now, &names, memory), 2, now, &names), Err(Doubt::Absurd));
+        assert_eq!(
+            read(&write(1, now, &names, memory), 2, now, &names),
+            Err(Doubt::Absurd)
+        );
     }
     for at in 0..bytes.len() {
-        assert_eq!(read(&bytes[..at], 2, now, &names), Err(Doubt::Garbled), "cut at {at}");
+        assert_eq!(
+            read(&bytes[..at], 2, now, &names),
+            Err(Doubt::Garbled),
+            "cut at {at}"
+        );
         let mut bad = bytes.clone();
         bad[at] ^= 0x10;
         assert_eq!(read(&bad, 2, now, &names), Err(Doubt::Garbled), "{at}");
@@ -70,16 +102,28 @@
 /// requests out; without what was handed over it does neither.
 #[test]
 fn a_router_goes_on_where_the_one_before_it_was() {
-    let turn = |n: u64, session: u64| Arrival { session: Some(session), ..request(n, 0, 0, 30.0) };
+    let turn = |n: u64, session: u64| Arrival {
+        session: Some(session),
+        ..request(n, 0, 0, 30.0)
+    };
     let mut old = Rig::new(settings(), 8);
     for n in 1..=400 {
         let sent = sends(&old.tell(Event::Arrived(turn(n, n % 40))));
         assert_eq!(sent.len(), 1);
         old.now += 0.05;
         old.start(n, 0.05);
-        let report = Report { kept: Some(700.0), ..Report::default() };
+        let report = Report {
+            kept: Some(700.0),
+            ..Report::default()
+        };
         let (request, outcome) = (RequestId(n), Outcome::Served);
-        old.tell(Event::Ended { request, attempt: 0, outcome, last: true, report: Some(report) });
+        old.tell(Event::Ended {
+            request,
+            attempt: 0,
+            outcome,
+            last: true,
+            report: Some(report),
+        });
     }
     let memory = old.brain.memory();
     assert!(memory.sane() && memory.places.len() == 40, "{memory:?}");
@@ -88,33 +132,53 @@
         if recall {
             new.brain.recall(&memory);
         }
-        let places = memory.places.iter().enumerate().filter(|(n, (session, at, _))| {
-            let n = 1000 + *n as u64;
-            let sent = sends(&new.tell(Event::Arrived(turn(n, *session))));
-            new.end(n, 0, Outcome::Served, true);
-            sent.first().is_some_and(|s| s.1 .0 == *at)
-        });
+        let places = memory
+            .places
+            .iter()
+            .enumerate()
+            .filter(|(n, (session, at, _))| {
+                let n = 1000 + *n as u64;
+                let sent = sends(&new.tell(Event::Arrived(turn(n, *session))));
+                new.end(n, 0, Outcome::Served, true);
+                sent.first().is_some_and(|s| s.1 .0 == *at)
+            });
         (places.count(), new.brain.gauges().0)
     };
     let (with, without) = (same(true), same(false));
     assert!(with.0 >= 36 && without.0 < 30, "{with:?} {without:?}");
-    assert!((with.1 - old.brain.gauges().0).abs() < 60.0, "{with:?} {}", old.brain.gauges().0);
+    assert!(
+        (with.1 - old.brain.gauges().0).abs() < 60.0,
+        "{with:?} {}",
+        old.brain.gauges().0
+    );
 }
 
 /// The new process asks, the old one leaves what it has learned, and once more when it is told to end.
 #[test]
 fn a_second_process_learns_from_the_first_one() {
-    let server = Standin::start(vec![Script { tokens: 5, ..Script::default() }]).unwrap();
+    let server = Standin::start(vec![Script {
+        tokens: 5,
+        ..Script::default()
+    }])
+    .unwrap();
     let folder = std::env::temp_dir().join(format!("handover-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     let operator = format!("[handover]\nfolder = {:?}\n", folder.display().to_string());
     let mut old = Node::start("hand-old", server.addrs(), &operator, "safe");
     let serve = |node: &Node| {
         let (id, mut stream) = ask(node, "once more", 5);
-        assert_eq!(support::read(id, "once more", 5, &mut stream).outcome, Seen::Whole);
+        assert_eq!(
+            support::read(id, "once more", 5, &mut stream).outcome,
+            Seen::Whole
+        );
     };
     (0..20).for_each(|_| serve(&old));
-    let new = Node::process("hand-new", server.addrs(), [&operator, "safe", "127.0.0.1:1"], Some(old.addr));
+    let new = Node::process(
+        "hand-new",
+        server.addrs(),
+        [&operator, "safe", "127.0.0.1:1"],
+        Some(old.addr),
+    );
     let learned = |count: usize| {
         let began = Instant::now();
         loop {
@@ -127,7 +191,11 @@
         }
     };
     assert!(learned(1).contains("\"requests\":20"));
-    assert!(Command::new("kill").args(["-TERM", &old.child.id().to_string()]).status().unwrap().success());
+    assert!(Command::new("kill")
+        .args(["-TERM", &old.child.id().to_string()])
+        .status()
+        .unwrap()
+        .success());
     assert!(old.child.wait().unwrap().success());
     learned(2);
     serve(&new);
--- a/tests/hub.rs
+++ b/tests/hub.rs
@@ -66,9 +66,20 @@
         repeat: false,
     };
     let head = format!("POST /v1/chat/completions?id={id} HTTP/1.1\r\n").into_bytes();
-    let payload = Payload { head, body: Default::default() };
+    let payload = Payload {
+        head,
+        body: Default::default(),
+    };
     let (answer, answered) = oneshot::channel();
-    (Message::Request { arrival, payload, answer, asker }, answered)
+    (
+        Message::Request {
+            arrival,
+            payload,
+            answer,
+            asker,
+        },
+        answered,
+    )
 }
 
 async fn taken(replica: &TcpListener) -> TcpStream {
@@ -77,13 +88,20 @@
 
 /// The next request at this replica, with the id that its target ends in.
 async fn taken_with_id(replica: &TcpListener) -> (TcpStream, RequestId) {
-    let mut stream = tokio::time::timeout(PATIENCE, replica.accept()).await.unwrap().unwrap().0;
+    let mut stream = tokio::time::timeout(PATIENCE, replica.accept())
+        .await
+        .unwrap()
+        .unwrap()
+        .0;
     let mut text = Vec::new();
     while !text.ends_with(b"\r\n\r\n") {
         text.push(stream.read_u8().await.unwrap());
     }
     let text = String::from_utf8(text).unwrap();
-    let id = text.split_once("?id=").and_then(|(_, rest)| rest.split(' ').next()).unwrap();
+    let id = text
+        .split_once("?id=")
+        .and_then(|(_, rest)| rest.split(' ').next())
+        .unwrap();
     (stream, RequestId(id.parse().unwrap()))
 }
 
@@ -99,21 +117,41 @@
         let mut stream = taken(&replica).await;
         let (second, repeated) = request(7, 2);
         tell.send(second).await.ok().unwrap();
-        tell.send(Message::Left { request: RequestId(7), asker: 2 }).await.ok().unwrap();
+        tell.send(Message::Left {
+            request: RequestId(7),
+            asker: 2,
+        })
+        .await
+        .ok()
+        .unwrap();
         assert!(matches!(repeated.await, Ok(Answer::Duplicate)));
         stream
-            .write_all(b"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 9\r\n\r\ndata: 1\n\n")
+            .write_all(
+                b"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 9\r\n\r\ndata: 1\n\n",
+            )
             .await
             .unwrap();
         let answer = tokio::time::timeout(PATIENCE, answered).await.unwrap();
-        assert!(matches!(answer, Ok(Answer::Stream { .. })), "the first client's request was ended");
+        assert!(
+            matches!(answer, Ok(Answer::Stream { .. })),
+            "the first client's request was ended"
+        );
 
         // The first one's own departure does end it.
         let (first, answered) = request(8, 3);
         tell.send(first).await.ok().unwrap();
         let _stream = taken(&replica).await;
-        tell.send(Message::Left { request: RequestId(8), asker: 3 }).await.ok().unwrap();
-        assert!(tokio::time::timeout(PATIENCE, answered).await.unwrap().is_err());
+        tell.send(Message::Left {
+            request: RequestId(8),
+            asker: 3,
+        })
+        .await
+        .ok()
+        .unwrap();
+        assert!(tokio::time::timeout(PATIENCE, answered)
+            .await
+            .unwrap()
+            .is_err());
     };
     LocalSet::new().run_until(test).await;
 }
@@ -145,7 +183,11 @@
         summed.await.unwrap();
         tell.send(last).await.ok().unwrap();
         let (_stream, id) = taken_with_id(&replica).await;
-        assert_eq!(id, RequestId(9), "an attempt began for a client that has left");
+        assert_eq!(
+            id,
+            RequestId(9),
+            "an attempt began for a client that has left"
+        );
     };
     LocalSet::new().run_until(test).await;
 }
--- a/tests/operator.rs
+++ b/tests/operator.rs
@@ -11,7 +11,12 @@
 
 fn run(args: &[&str], operator: &PathBuf) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_poppykeel"));
-    command.args(args).arg("--operator").arg(operator).env_remove("GW_CONFIG").env_remove("GW_DISCOVERY");
+    command
+        .args(args)
+        .arg("--operator")
+        .arg(operator)
+        .env_remove("GW_CONFIG")
+        .env_remove("GW_DISCOVERY");
     command.stdin(Stdio::null()).output().unwrap()
 }
 
@@ -26,7 +31,9 @@
 }
 
 fn servers(count: u16) -> Vec<SocketAddr> {
-    (0..count).map(|n| SocketAddr::from(([127, 0, 0, 1], 8000 + n))).collect()
+    (0..count)
+        .map(|n| SocketAddr::from(([127, 0, 0, 1], 8000 + n)))
+        .collect()
 }
 
 fn settings(dns: &Standin, sources: &str) -> String {
@@ -47,11 +54,20 @@
                  target = '^(?<kind>[a-z]+)-[0-9]+\\.(?<zone>[a-z]+)\\.'\nzones = { surco = \"lima-surco\" }";
     assert_eq!(example, Operator::read(least).unwrap());
     // Those without a default are there as comments that can be read.
-    let all =
-        text.replace("# discovery = \"", "discovery = \"").replace("# drain_priority", "drain_priority");
+    let all = text
+        .replace("# discovery = \"", "discovery = \"")
+        .replace("# drain_priority", "drain_priority");
     let all = all.replace("# weight_unit", "weight_unit");
-    let srv = Operator::read(&all).unwrap().membership.unwrap().srv.unwrap();
-    assert_eq!((srv.drain_priority, srv.weight_unit), (Some(65535), Some(10.0)));
+    let srv = Operator::read(&all)
+        .unwrap()
+        .membership
+        .unwrap()
+        .srv
+        .unwrap();
+    assert_eq!(
+        (srv.drain_priority, srv.weight_unit),
+        (Some(65535), Some(10.0))
+    );
 }
 
 #[test]
@@ -90,13 +106,19 @@
     ];
     for (text, expected) in cases {
         let error = Operator::read(text).unwrap_err();
-        assert!(error.starts_with(expected) && error.lines().count() == 1, "{text}\n{error}\n{expected}");
+        assert!(
+            error.starts_with(expected) && error.lines().count() == 1,
+            "{text}\n{error}\n{expected}"
+        );
     }
     let path = file("faulty", "[membership]\nhold = \"soon\"");
     for command in ["check", "resolve"] {
         let out = run(&[command], &path);
         let text = String::from_utf8(out.stderr).unwrap();
-        assert!(!out.status.success() && text.contains("line 2: membership.hold"), "{text}");
+        assert!(
+            !out.status.success() && text.contains("line 2: membership.hold"),
+            "{text}"
+        );
     }
 }
 
@@ -119,20 +141,36 @@
     assert!(out.status.success(), "{value}");
     let list = value["servers"].as_array().unwrap();
     assert_eq!(list.len(), 3);
-    assert_eq!((&list[0]["addr"], &list[0]["state"]), (&"127.0.0.1:8000".into(), &"in".into()));
-    assert_eq!((&list[0]["sources"][0], &list[0]["reason"]), (&"srv".into(), &"srv lists it".into()));
+    assert_eq!(
+        (&list[0]["addr"], &list[0]["state"]),
+        (&"127.0.0.1:8000".into(), &"in".into())
+    );
+    assert_eq!(
+        (&list[0]["sources"][0], &list[0]["reason"]),
+        (&"srv".into(), &"srv lists it".into())
+    );
     // The list is a source, and nobody has said where it is.
     assert_eq!(value["sources"][0]["state"], "failed");
-    assert_eq!(value["sources"][1]["records"][0]["target"], "s0.example.test");
+    assert_eq!(
+        value["sources"][1]["records"][0]["target"],
+        "s0.example.test"
+    );
     let text = String::from_utf8(run(&["resolve"], &path).stdout).unwrap();
-    assert!(text.contains("3 of 3 servers take work") && text.contains("srv lists it"), "{text}");
+    assert!(
+        text.contains("3 of 3 servers take work") && text.contains("srv lists it"),
+        "{text}"
+    );
 
     for lie in [Lie::Empty, Lie::NxDomain, Lie::Code(2), Lie::Silent] {
         dns.set(Script::service(SERVICE, 30, &servers(3)).lying(lie.clone()));
         let out = run(&["resolve", "--json"], &path);
         let value: Value = serde_json::from_slice(&out.stdout).unwrap();
         assert_eq!(out.status.code(), Some(1), "{lie:?}: {value}");
-        assert_eq!(value["servers"].as_array().map(Vec::len), Some(0), "{lie:?}");
+        assert_eq!(
+            value["servers"].as_array().map(Vec::len),
+            Some(0),
+            "{lie:?}"
+        );
     }
     let _ = std::fs::remove_file(path);
 }
@@ -140,17 +178,34 @@
 #[test]
 fn resolve_takes_truncated_answers_over_tcp_and_zones_from_names() {
     let zone = include_str!("../crates/dns-standin/examples/zone.toml");
-    let dns = standin(Script::read(zone).unwrap().lying(Lie::Truncate).lying(Lie::Drip));
+    let dns = standin(
+        Script::read(zone)
+            .unwrap()
+            .lying(Lie::Truncate)
+            .lying(Lie::Drip),
+    );
     let example = include_str!("../crates/dns-standin/examples/operator.toml");
-    let path = file("zones", &example.replace("127.0.0.1:5353", &dns.addr().to_string()));
+    let path = file(
+        "zones",
+        &example.replace("127.0.0.1:5353", &dns.addr().to_string()),
+    );
     let out = run(&["resolve", "--json"], &path);
     let value: Value = serde_json::from_slice(&out.stdout).unwrap();
     let places: Vec<String> = value["servers"]
         .as_array()
         .unwrap()
         .iter()
-        .map(|s| format!("{} {}", s["zone"].as_str().unwrap(), s["kind"].as_str().unwrap()))
+        .map(|s| {
+            format!(
+                "{} {}",
+                s["zone"].as_str().unwrap(),
+                s["kind"].as_str().unwrap()
+            )
+        })
         .collect();
-    assert_eq!(places, ["lima-surco chat", "lima-ate chat", "lima-ate media"]);
+    assert_eq!(
+        places,
+        ["lima-surco chat", "lima-ate chat", "lima-ate media"]
+    );
     let _ = std::fs::remove_file(path);
 }
--- a/tests/protocol.rs
+++ b/tests/protocol.rs
@@ -16,7 +16,9 @@
 const CONFIG: &str = include_str!("exchanges/config.json");
 
 fn config() -> String {
-    CONFIG.replace("REPLICA", "127.0.0.1:1").replace("DISCOVERY", "127.0.0.1:2")
+    CONFIG
+        .replace("REPLICA", "127.0.0.1:1")
+        .replace("DISCOVERY", "127.0.0.1:2")
 }
 
 /// The body and the number of heads and ends of a connection fed in pieces of this size.
@@ -41,7 +43,11 @@
     let bytes = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\nA;x\r\n0123456789\r\n0\r\nT: t\r\n\r\n\
         HTTP/1.1 500 Oh\r\nContent-Length: 3\r\n\r\nxyzHTTP/1.1 204 No\r\n\r\n";
     for size in 1..=bytes.len() {
-        assert_eq!(decode(bytes, size), (b"abc0123456789xyz".to_vec(), 3, 3), "in pieces of {size}");
+        assert_eq!(
+            decode(bytes, size),
+            (b"abc0123456789xyz".to_vec(), 3, 3),
+            "in pieces of {size}"
+        );
     }
 }
 
@@ -49,19 +55,35 @@
 fn a_replica_keeps_its_identity_and_its_start_over_addresses_and_lists() {
     // The module ranks by identity: one from the address would differ from node to node. A start mapped anew
     // with each list seemed later each time, and the replica colder.
-    let settings = serde_json::from_str::<serde_json::Value>(CONFIG).unwrap()["settings"].to_string();
+    let settings =
+        serde_json::from_str::<serde_json::Value>(CONFIG).unwrap()["settings"].to_string();
     let boot = Boot::read(&settings).unwrap();
     let list = |addr: &str, state: &str| {
         let server = json!({"id":"s-1","addr":addr,"zone":"a","kind":"k","cell":0,"state":state,
             "weight":1.0,"started_ms":1_000_000});
-        read(&json!({"version":42,"full":false,"servers":[server]})).unwrap().told()
+        read(&json!({"version":42,"full":false,"servers":[server]}))
+            .unwrap()
+            .told()
     };
     let mut directory = Directory::new(Rc::new(boot), Operator::default().members());
     let (now, unix) = (50_000_000, 1_030_000_000);
     let first = directory.told("list", list("127.0.0.1:1", "up"), Moment { now, unix });
-    let next = directory.told("list", list("127.0.0.1:2", "draining"), Moment { now, unix: unix + 77 });
-    assert_eq!((first[0].listing.id, first[0].listing.born), (identity("s-1"), Some(20.0)));
-    assert_eq!((next[0].listing.id, next[0].listing.born), (first[0].listing.id, first[0].listing.born));
+    let next = directory.told(
+        "list",
+        list("127.0.0.1:2", "draining"),
+        Moment {
+            now,
+            unix: unix + 77,
+        },
+    );
+    assert_eq!(
+        (first[0].listing.id, first[0].listing.born),
+        (identity("s-1"), Some(20.0))
+    );
+    assert_eq!(
+        (next[0].listing.id, next[0].listing.born),
+        (first[0].listing.id, first[0].listing.born)
+    );
     assert_eq!(directory.addr(first[0].listing.id).unwrap().port(), 2);
     directory.told("list", list("127.0.0.1:2", "removed"), Moment { now, unix });
     assert_eq!(directory.addr(first[0].listing.id), None);
@@ -71,30 +93,52 @@
 fn a_faulty_configuration_names_its_key() {
     assert!(Config::read(&config(), &[]).is_ok());
     let cases = [
-        ("\"listen\":\"127.0.0.1:0\"", "\"listen\":\"here\"", "listen"),
+        (
+            "\"listen\":\"127.0.0.1:0\"",
+            "\"listen\":\"here\"",
+            "listen",
+        ),
         ("127.0.0.1:2", "nowhere", "discovery"),
         ("\"seed\":\"7\"", "\"seed\":\"x\"", "seed"),
         ("\"sockets\":1024", "\"sockets\":3", "limits.sockets"),
-        ("\"memory_mb\":192", "\"memory_mb\":\"much\"", "limits.memory_mb"),
+        (
+            "\"memory_mb\":192",
+            "\"memory_mb\":\"much\"",
+            "limits.memory_mb",
+        ),
         ("\"goalTime\":15.0,", "", "goalTime"),
         ("\"dialTimeout\":5.0", "\"dialTimeout\":-1", "dialTimeout"),
         ("\"state\":\"up\"", "\"state\":\"off\"", "known.servers"),
     ];
     for (text, bad, key) in cases {
         assert!(config().contains(text), "{text}");
-        let error = Config::read(&config().replace(text, bad), &[]).err().unwrap_or_default();
-        assert!(error.contains(key) && error.lines().count() == 1, "{key}: {error}");
+        let error = Config::read(&config().replace(text, bad), &[])
+            .err()
+            .unwrap_or_default();
+        assert!(
+            error.contains(key) && error.lines().count() == 1,
+            "{key}: {error}"
+        );
     }
 }
 
 fn feed(bodies: &[&str], end: bool) -> Vec<Step> {
-    let settings = serde_json::from_str::<serde_json::Value>(CONFIG).unwrap()["settings"].to_string();
+    let settings =
+        serde_json::from_str::<serde_json::Value>(CONFIG).unwrap()["settings"].to_string();
     let mut answer = Answer::new(Rc::new(Boot::read(&settings).unwrap()));
     let mut steps = Vec::new();
     let mut buffer = BytesMut::from("HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n");
-    answer.feed(Http::new(Side::Client).decode(&mut buffer).unwrap().unwrap(), &mut steps);
+    answer.feed(
+        Http::new(Side::Client)
+            .decode(&mut buffer)
+            .unwrap()
+            .unwrap(),
+        &mut steps,
+    );
     let bodies = bodies.iter().map(|b| Part::Body(b.to_string().into()));
-    bodies.chain(end.then_some(Part::End)).for_each(|part| answer.feed(part, &mut steps));
+    bodies
+        .chain(end.then_some(Part::End))
+        .for_each(|part| answer.feed(part, &mut steps));
     steps
 }
 
@@ -108,7 +152,10 @@
     let late = feed(&["data: 1\n\n", &"x".repeat(100_000)], false);
     assert_eq!(late.last(), spoilt.last());
     assert_eq!(late.len(), 3, "{late:?}");
-    assert_eq!(feed(&["data: 1\n\n"], true).last(), Some(&Step::Done(Outcome::Served, None)));
+    assert_eq!(
+        feed(&["data: 1\n\n"], true).last(),
+        Some(&Step::Done(Outcome::Served, None))
+    );
 }
 
 #[test]
@@ -117,10 +164,19 @@
     let good = format!("{interim}HTTP/1.1 204 No\r\n\r\n");
     assert_eq!(decode(good.repeat(3).as_bytes(), 7), (vec![], 3, 3));
     let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-    for bad in [interim.repeat(9), format!("{head}C0000000\r\nx"), format!("{head}FFFFFFFFFFFFFFFFF\r\n")] {
+    for bad in [
+        interim.repeat(9),
+        format!("{head}C0000000\r\nx"),
+        format!("{head}FFFFFFFFFFFFFFFFF\r\n"),
+    ] {
         let (mut http, mut buffer) = (Http::new(Side::Client), BytesMut::from(bad.as_str()));
-        let fault = (0..9).map(|_| http.decode(&mut buffer)).find_map(Result::err);
-        assert!(matches!(fault, Some(Fault::Malformed(_))), "{bad}: {fault:?}");
+        let fault = (0..9)
+            .map(|_| http.decode(&mut buffer))
+            .find_map(Result::err);
+        assert!(
+            matches!(fault, Some(Fault::Malformed(_))),
+            "{bad}: {fault:?}"
+        );
     }
 }
 
@@ -128,17 +184,32 @@
 /// and a site's fields need not be Lima's. Fields absent, unknown or unreadable are left out, never an error.
 #[test]
 fn load_reports_are_read_by_either_word_for_a_field() {
-    let mut settings = serde_json::from_str::<serde_json::Value>(CONFIG).unwrap()["settings"].clone();
+    let mut settings =
+        serde_json::from_str::<serde_json::Value>(CONFIG).unwrap()["settings"].clone();
     settings["report"]["fields"] = json!(["x0", "x1", "busy_reqs", "pending", "svc_ms"]);
     let boot = Boot::read(&settings.to_string()).unwrap();
     let read = |text: &str| poppykeel::protocol::report::report(text, &boot).unwrap();
     let report = read(r#"{"x0":0.5,"x1":2.0,"inflight":6,"queue":2,"extra":1}"#);
     let expected = (Some(0.5), Some(2000.0), Some(6.0), Some(2.0));
-    assert_eq!((report.memory_held, report.waiting_prompt_tokens, report.holding, report.queued), expected);
+    assert_eq!(
+        (
+            report.memory_held,
+            report.waiting_prompt_tokens,
+            report.holding,
+            report.queued
+        ),
+        expected
+    );
     assert_eq!(read(r#"{"pending":3}"#).queued, Some(3.0));
     let before = poppykeel::protocol::report::passed_over();
     let bad = read(r#"{"x0":"much","x1":-2,"pending":null}"#);
-    assert_eq!((bad.memory_held, bad.waiting_prompt_tokens, bad.queued), (None, None, None));
+    assert_eq!(
+        (bad.memory_held, bad.waiting_prompt_tokens, bad.queued),
+        (None, None, None)
+    );
     assert_eq!(poppykeel::protocol::report::report("[1,2]", &boot), None);
-    assert!(poppykeel::protocol::report::passed_over() >= before + 3, "two values and a report are counted");
+    assert!(
+        poppykeel::protocol::report::passed_over() >= before + 3,
+        "two values and a report are counted"
+    );
 }
--- a/tests/rare.rs
+++ b/tests/rare.rs
@@ -33,9 +33,13 @@
     node.signal("-CONT");
     // Both have been seen once a third, which came later, is answered.
     let mut third = node.connect();
-    third.write_all(b"GET /healthz HTTP/1.1\r\nConnection: close\r\n\r\n").unwrap();
+    third
+        .write_all(b"GET /healthz HTTP/1.1\r\nConnection: close\r\n\r\n")
+        .unwrap();
     third.read_to_end(&mut Vec::new()).unwrap();
-    stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\ndata: 1\n\n").unwrap();
+    stream
+        .write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\ndata: 1\n\n")
+        .unwrap();
     let mut text = String::new();
     let mut piece = [0; 4096];
     while !text.ends_with("0\r\n\r\n") {
@@ -43,7 +47,10 @@
         assert!(n > 0, "the first client's connection ended after '{text}'");
         text.push_str(&String::from_utf8_lossy(&piece[..n]));
     }
-    assert!(text.starts_with("HTTP/1.1 200 ") && text.contains("data: 1"), "{text}");
+    assert!(
+        text.starts_with("HTTP/1.1 200 ") && text.contains("data: 1"),
+        "{text}"
+    );
 }
 
 fn entry(id: &str, addr: SocketAddr, state: &str) -> String {
@@ -55,7 +62,9 @@
 /// A listener whose queue is full: a dial to it hangs until something is accepted.
 fn full_listener() -> (TcpListener, Vec<TcpStream>) {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
-    socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
+    socket
+        .bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into())
+        .unwrap();
     socket.listen(0).unwrap();
     let listener = TcpListener::from(socket);
     let addr = listener.local_addr().unwrap();
@@ -82,16 +91,38 @@
 fn a_connection_that_comes_up_after_its_server_was_told_leaving_carries_nothing() {
     let (late, held) = full_listener();
     let discovery = TcpListener::bind("127.0.0.1:0").unwrap();
-    let standin = Standin::start(vec![Script { tokens: 3, ..Script::default() }]).unwrap();
-    let (at, service) = (late.local_addr().unwrap(), discovery.local_addr().unwrap().to_string());
+    let standin = Standin::start(vec![Script {
+        tokens: 3,
+        ..Script::default()
+    }])
+    .unwrap();
+    let (at, service) = (
+        late.local_addr().unwrap(),
+        discovery.local_addr().unwrap().to_string(),
+    );
     let node = Node::with_list("late", &[at], "", "unsafe", &service);
     let mut watch = taken(&discovery);
     let (id, mut client) = ask(&node, "late", 3);
     until("the dial", || dialled(at.port()));
-    let list = [entry("s-0", at, "draining"), entry("s-9", standin.addrs()[0], "up")].join(",");
+    let list = [
+        entry("s-0", at, "draining"),
+        entry("s-9", standin.addrs()[0], "up"),
+    ]
+    .join(",");
     let body = format!(r#"{{"version":42,"full":false,"servers":[{list}]}}"#);
-    write!(watch, "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()).unwrap();
-    until("the drain", || node.log.lock().unwrap().iter().any(|l| l.contains("Draining")));
+    write!(
+        watch,
+        "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
+        body.len()
+    )
+    .unwrap();
+    until("the drain", || {
+        node.log
+            .lock()
+            .unwrap()
+            .iter()
+            .any(|l| l.contains("Draining"))
+    });
     // From now on the connection can come up, with the kernel's next try.
     drop(held);
     late.set_nonblocking(true).unwrap();
@@ -107,7 +138,10 @@
             match read_some(stream, &mut [0; 64]) {
                 Ok(0) => {}
                 Ok(n) => panic!("{n} bytes came to a server that leaves"),
-                Err(e) => assert!(matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::ConnectionReset)),
+                Err(e) => assert!(matches!(
+                    e.kind(),
+                    ErrorKind::WouldBlock | ErrorKind::ConnectionReset
+                )),
             }
         }
         std::thread::sleep(Duration::from_millis(5));
@@ -124,14 +158,22 @@
     let node = Node::start("unread", &[replica.local_addr().unwrap()], "", "safe");
     for begun in [false, true] {
         let mut client = node.connect();
-        let id = if begun { "00000000000000b2" } else { "00000000000000b1" };
-        client.write_all(request(id, "Connection: close\r\n", "").as_bytes()).unwrap();
+        let id = if begun {
+            "00000000000000b2"
+        } else {
+            "00000000000000b1"
+        };
+        client
+            .write_all(request(id, "Connection: close\r\n", "").as_bytes())
+            .unwrap();
         let mut stream = taken(&replica);
         stream
             .write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\ndata: 1\n\n\r\n")
             .unwrap();
         // More than is read ahead stays in the kernel.
-        client.write_all(request("00000000000000b3", "", &"x".repeat(100_000)).as_bytes()).unwrap();
+        client
+            .write_all(request("00000000000000b3", "", &"x".repeat(100_000)).as_bytes())
+            .unwrap();
         if begun {
             // The stream breaks: what has passed arrives, and no last chunk.
             drop(stream);
@@ -142,7 +184,10 @@
         let end = client.read_to_end(&mut bytes);
         let text = String::from_utf8_lossy(&bytes);
         assert!(end.is_ok(), "{end:?} after '{text}'");
-        assert!(text.contains("data: 1") && text.ends_with("0\r\n\r\n") != begun, "{text}");
+        assert!(
+            text.contains("data: 1") && text.ends_with("0\r\n\r\n") != begun,
+            "{text}"
+        );
     }
 }
 
@@ -156,11 +201,16 @@
     let first = request("00000000000000c1", "", "").replace("Deadline: 10", "Deadline: 60");
     client.write_all(first.as_bytes()).unwrap();
     let mut stream = taken(&replica);
-    client.write_all(request("00000000000000c2", "", &"x".repeat(100_000)).as_bytes()).unwrap();
+    client
+        .write_all(request("00000000000000c2", "", &"x".repeat(100_000)).as_bytes())
+        .unwrap();
     drop(client);
     let end = read_some(&mut stream, &mut [0]);
     let reset = |e: &std::io::Error| e.kind() == ErrorKind::ConnectionReset;
-    assert!(end.as_ref().map_or_else(reset, |n| *n == 0), "{end:?}: nobody waits for this answer");
+    assert!(
+        end.as_ref().map_or_else(reset, |n| *n == 0),
+        "{end:?}: nobody waits for this answer"
+    );
 }
 
 /// Many clients leave in one instant while their requests wait for a server: none is sent on when one comes.
@@ -168,29 +218,46 @@
 fn requests_whose_clients_left_while_they_waited_are_never_sent_on() {
     let discovery = TcpListener::bind("127.0.0.1:0").unwrap();
     let service = discovery.local_addr().unwrap().to_string();
-    let standin = Standin::start(vec![Script { tokens: 3, ..Script::default() }]).unwrap();
+    let standin = Standin::start(vec![Script {
+        tokens: 3,
+        ..Script::default()
+    }])
+    .unwrap();
     let node = Node::with_list("left", &[], "", "safe", &service);
     let mut watch = taken(&discovery);
     let mut clients: Vec<TcpStream> = (0..40).map(|_| node.connect()).collect();
     for (n, client) in clients.iter_mut().enumerate() {
-        client.write_all(request(&format!("{:016x}", 0xd00 + n), "", "").as_bytes()).unwrap();
+        client
+            .write_all(request(&format!("{:016x}", 0xd00 + n), "", "").as_bytes())
+            .unwrap();
     }
     node.signal("-STOP");
     for (n, client) in clients.into_iter().enumerate() {
         match n % 3 {
             0 => drop(client),
             1 => client.shutdown(std::net::Shutdown::Write).unwrap(),
-            _ => Socket::from(client).set_linger(Some(Duration::ZERO)).unwrap(),
+            _ => Socket::from(client)
+                .set_linger(Some(Duration::ZERO))
+                .unwrap(),
         }
     }
     node.signal("-CONT");
     let mut later = node.connect();
-    later.write_all(b"GET /healthz HTTP/1.1\r\nConnection: close\r\n\r\n").unwrap();
+    later
+        .write_all(b"GET /healthz HTTP/1.1\r\nConnection: close\r\n\r\n")
+        .unwrap();
     later.read_to_end(&mut Vec::new()).unwrap();
     let list = entry("s-9", standin.addrs()[0], "up");
     let body = format!(r#"{{"version":42,"full":false,"servers":[{list}]}}"#);
-    write!(watch, "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()).unwrap();
-    until("the server", || node.log.lock().unwrap().iter().any(|l| l.contains("s-9")));
+    write!(
+        watch,
+        "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
+        body.len()
+    )
+    .unwrap();
+    until("the server", || {
+        node.log.lock().unwrap().iter().any(|l| l.contains("s-9"))
+    });
     let (id, mut client) = ask(&node, "later", 3);
     assert_eq!(read(id, "later", 3, &mut client).outcome, Outcome::Whole);
     assert_eq!(standin.records().len(), 1);
@@ -210,7 +277,9 @@
     let replica = TcpListener::bind("127.0.0.1:0").unwrap();
     let mut node = Node::start("signals", &[replica.local_addr().unwrap()], "", "unsafe");
     let mut client = node.connect();
-    client.write_all(request("00000000000000e1", "", "").as_bytes()).unwrap();
+    client
+        .write_all(request("00000000000000e1", "", "").as_bytes())
+        .unwrap();
     let mut stream = taken(&replica);
     node.signal("-STOP");
     for sent in ["-HUP", "-TERM", "-HUP", "-TERM", "-INT"] {
@@ -218,15 +287,21 @@
     }
     // One that comes with them is taken, too.
     let mut late = node.connect();
-    late.write_all(request("00000000000000e2", "", "").as_bytes()).unwrap();
+    late.write_all(request("00000000000000e2", "", "").as_bytes())
+        .unwrap();
     node.signal("-CONT");
     let mut second = taken(&replica);
     for stream in [&mut stream, &mut second] {
-        stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\ndata: 1\n\n").unwrap();
+        stream
+            .write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\ndata: 1\n\n")
+            .unwrap();
     }
     for client in [&mut client, &mut late] {
         let text = rest(client);
-        assert!(text.starts_with("HTTP/1.1 200 ") && text.ends_with("0\r\n\r\n"), "{text}");
+        assert!(
+            text.starts_with("HTTP/1.1 200 ") && text.ends_with("0\r\n\r\n"),
+            "{text}"
+        );
     }
     until("the end", || node.child.try_wait().unwrap().is_some());
     assert_eq!(node.child.wait().unwrap().code(), Some(0));
@@ -237,11 +312,17 @@
 fn a_node_whose_discovery_is_silent_is_ready_and_serves_by_what_it_knows() {
     let discovery = TcpListener::bind("127.0.0.1:0").unwrap();
     let service = discovery.local_addr().unwrap().to_string();
-    let standin = Standin::start(vec![Script { tokens: 3, ..Script::default() }]).unwrap();
+    let standin = Standin::start(vec![Script {
+        tokens: 3,
+        ..Script::default()
+    }])
+    .unwrap();
     let node = Node::with_list("silent", standin.addrs(), "", "safe", &service);
     let _watch = taken(&discovery);
     let mut health = node.connect();
-    health.write_all(b"GET /healthz HTTP/1.1\r\nConnection: close\r\n\r\n").unwrap();
+    health
+        .write_all(b"GET /healthz HTTP/1.1\r\nConnection: close\r\n\r\n")
+        .unwrap();
     assert!(rest(&mut health).starts_with("HTTP/1.1 200 "));
     let (id, mut client) = ask(&node, "silent", 3);
     assert_eq!(read(id, "silent", 3, &mut client).outcome, Outcome::Whole);
@@ -251,9 +332,17 @@
 /// the other: others are answered meanwhile, and the node gets all its room back.
 #[test]
 fn a_flood_of_clients_that_send_much_and_go_leaves_nothing_behind() {
-    let standin = Standin::start(vec![Script { tokens: 3, ..Script::default() }]).unwrap();
+    let standin = Standin::start(vec![Script {
+        tokens: 3,
+        ..Script::default()
+    }])
+    .unwrap();
     let node = Node::start("flood", standin.addrs(), "", "safe");
-    let descriptors = || std::fs::read_dir(format!("/proc/{}/fd", node.child.id())).unwrap().count();
+    let descriptors = || {
+        std::fs::read_dir(format!("/proc/{}/fd", node.child.id()))
+            .unwrap()
+            .count()
+    };
     let before = descriptors();
     let body = "x".repeat(200_000);
     for n in 0..120u64 {
@@ -268,11 +357,16 @@
         // The node may have answered and closed before all is written.
         let _ = client.write_all(text.as_bytes());
         if n % 2 == 0 {
-            Socket::from(client).set_linger(Some(Duration::ZERO)).unwrap();
+            Socket::from(client)
+                .set_linger(Some(Duration::ZERO))
+                .unwrap();
         }
         if n % 10 == 0 {
             let (id, mut client) = ask(&node, "among them", 3);
-            assert_eq!(read(id, "among them", 3, &mut client).outcome, Outcome::Whole);
+            assert_eq!(
+                read(id, "among them", 3, &mut client).outcome,
+                Outcome::Whole
+            );
         }
     }
     // A few connections to the server stay for later use.
@@ -287,13 +381,23 @@
     let discovery = TcpListener::bind("127.0.0.1:0").unwrap();
     let service = discovery.local_addr().unwrap();
     drop(discovery);
-    let standin = Standin::start(vec![Script { tokens: 3, ..Script::default() }]).unwrap();
+    let standin = Standin::start(vec![Script {
+        tokens: 3,
+        ..Script::default()
+    }])
+    .unwrap();
     let node = Node::with_sockets("idle", standin.addrs(), &service.to_string(), MAY_HOLD);
-    let descriptors = || std::fs::read_dir(format!("/proc/{}/fd", node.child.id())).unwrap().count();
+    let descriptors = || {
+        std::fs::read_dir(format!("/proc/{}/fd", node.child.id()))
+            .unwrap()
+            .count()
+    };
     let mut admin = None;
     until("the operators' address", || {
         let log = node.log.lock().unwrap();
-        let line = log.iter().find_map(|l| l.split("operators call at ").nth(1).map(String::from));
+        let line = log
+            .iter()
+            .find_map(|l| l.split("operators call at ").nth(1).map(String::from));
         admin = line.and_then(|l| l.split('"').next()?.parse::<SocketAddr>().ok());
         admin.is_some()
     });
@@ -317,7 +421,9 @@
     }
     assert!(most <= MAY_HOLD, "{most} descriptors");
     let mut operator = TcpStream::connect(admin).unwrap();
-    operator.write_all(b"GET /api/ready HTTP/1.1\r\n\r\n").unwrap();
+    operator
+        .write_all(b"GET /api/ready HTTP/1.1\r\n\r\n")
+        .unwrap();
     assert!(rest(&mut operator).starts_with("HTTP/1.1 200 "));
     // Discovery is back: the node's call comes, whoever else is there.
     let discovery = TcpListener::bind(service).unwrap();
@@ -343,15 +449,22 @@
     let replica = TcpListener::bind("127.0.0.1:0").unwrap();
     let node = Node::start("events", &[replica.local_addr().unwrap()], "", "safe");
     let mut client = node.connect();
-    client.write_all(request("00000000000000f1", "Connection: close\r\n", "").as_bytes()).unwrap();
+    client
+        .write_all(request("00000000000000f1", "Connection: close\r\n", "").as_bytes())
+        .unwrap();
     let mut stream = taken(&replica);
-    stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").unwrap();
+    stream
+        .write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+        .unwrap();
     let (mut text, mut piece) = (String::new(), vec![0; 65_536]);
     let mut sent = String::new();
     for n in 0..40 {
         // Some come in a burst that a socket's buffer does not hold, so that a flush has to wait for the client.
         let (times, lines) = if n % 10 == 5 { (80, 15) } else { (1, 1) };
-        let event = format!("{}\n", format!("data: {n} {}\n", "x".repeat(3000)).repeat(lines));
+        let event = format!(
+            "{}\n",
+            format!("data: {n} {}\n", "x".repeat(3000)).repeat(lines)
+        );
         let chunk = format!("{:x}\r\n{event}\r\n", event.len()).repeat(times);
         let (first, second) = chunk.split_at(chunk.len() / 2);
         sent.push_str(&event.repeat(times));
@@ -360,7 +473,10 @@
                 stream.write_all(first.as_bytes()).unwrap();
                 stream.write_all(second.as_bytes()).unwrap();
             });
-            let come = |text: &str| text.split_once("\r\n\r\n").map_or(0, |(_, body)| payload(body).len());
+            let come = |text: &str| {
+                text.split_once("\r\n\r\n")
+                    .map_or(0, |(_, body)| payload(body).len())
+            };
             while come(&text) < sent.len() {
                 let length = read_some(&mut client, &mut piece).unwrap();
                 assert!(length > 0, "the stream ended before event {n}");
@@ -379,14 +495,27 @@
 fn a_whole_list_with_an_older_number_is_followed() {
     let discovery = TcpListener::bind("127.0.0.1:0").unwrap();
     let service = discovery.local_addr().unwrap().to_string();
-    let script = || Standin::start(vec![Script { tokens: 3, ..Script::default() }]).unwrap();
+    let script = || {
+        Standin::start(vec![Script {
+            tokens: 3,
+            ..Script::default()
+        }])
+        .unwrap()
+    };
     let (left, stays) = (script(), script());
     let node = Node::with_list("older", left.addrs(), "", "safe", &service);
     let mut watch = taken(&discovery);
     let list = entry("s-9", stays.addrs()[0], "up");
     let body = format!(r#"{{"version":7,"full":true,"servers":[{list}]}}"#);
-    write!(watch, "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()).unwrap();
-    until("the list", || node.log.lock().unwrap().iter().any(|l| l.contains("s-9")));
+    write!(
+        watch,
+        "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
+        body.len()
+    )
+    .unwrap();
+    until("the list", || {
+        node.log.lock().unwrap().iter().any(|l| l.contains("s-9"))
+    });
     for _ in 0..5 {
         let (id, mut client) = ask(&node, "older", 3);
         assert_eq!(read(id, "older", 3, &mut client).outcome, Outcome::Whole);
--- a/tests/routing.rs
+++ b/tests/routing.rs
@@ -9,11 +9,20 @@
 const R: RequestId = RequestId(1);
 
 fn router() -> Router {
-    let config: serde_json::Value = serde_json::from_str(include_str!("exchanges/config.json")).unwrap();
+    let config: serde_json::Value =
+        serde_json::from_str(include_str!("exchanges/config.json")).unwrap();
     let boot = Boot::read(&config["settings"].to_string()).unwrap();
     let mut router = Router::new(Brain::new(boot.settings, 1).unwrap());
     let (id, state) = (identity("s-1"), ReplicaState::Up);
-    let list = vec![Listing { id, zone: 0, cell: 0, kind: 0, state, size: None, born: None }];
+    let list = vec![Listing {
+        id,
+        zone: 0,
+        cell: 0,
+        kind: 0,
+        state,
+        size: None,
+        born: None,
+    }];
     router.handle(0, Input::List { list, full: true }, &mut Vec::new());
     router
 }
@@ -50,16 +59,43 @@
 }
 
 fn ended(attempt: usize, outcome: Outcome) -> Input {
-    Input::Ended { request: R, attempt, outcome, report: None }
+    Input::Ended {
+        request: R,
+        attempt,
+        outcome,
+        report: None,
+    }
 }
 
 #[test]
 fn the_first_event_binds_and_stops_the_deadline() {
     let mut router = router();
     let sent = arrive(&mut router, R, 1.0);
-    assert!(matches!(sent[..], [Command::Send { until: 1_001_000, .. }]), "{sent:?}");
-    let first = tell(&mut router, 900_000, Input::First { request: R, attempt: 0 });
-    assert_eq!(first, [Command::Bind { request: R, attempt: 0 }]);
+    assert!(
+        matches!(
+            sent[..],
+            [Command::Send {
+                until: 1_001_000,
+                ..
+            }]
+        ),
+        "{sent:?}"
+    );
+    let first = tell(
+        &mut router,
+        900_000,
+        Input::First {
+            request: R,
+            attempt: 0,
+        },
+    );
+    assert_eq!(
+        first,
+        [Command::Bind {
+            request: R,
+            attempt: 0
+        }]
+    );
     let later = run_to(&mut router, 9_000_000);
     assert!(later.iter().all(|c| *c == Command::Watch), "{later:?}");
     tell(&mut router, 9_000_000, ended(0, Outcome::Served));
@@ -71,21 +107,61 @@
     let mut router = router();
     arrive(&mut router, R, 1.0);
     let out = run_to(&mut router, 1_050_000);
-    assert!(out.contains(&Command::Abandon { request: R, attempt: 0 }), "{out:?}");
-    assert_eq!(out.iter().filter(|c| matches!(c, Command::Refuse { .. })).count(), 1, "{out:?}");
+    assert!(
+        out.contains(&Command::Abandon {
+            request: R,
+            attempt: 0
+        }),
+        "{out:?}"
+    );
+    assert_eq!(
+        out.iter()
+            .filter(|c| matches!(c, Command::Refuse { .. }))
+            .count(),
+        1,
+        "{out:?}"
+    );
     // What an abandoned attempt still says comes to nothing.
-    assert!(tell(&mut router, 1_060_000, Input::First { request: R, attempt: 0 }).is_empty());
+    assert!(tell(
+        &mut router,
+        1_060_000,
+        Input::First {
+            request: R,
+            attempt: 0
+        }
+    )
+    .is_empty());
     assert!(tell(&mut router, 1_060_000, ended(0, Outcome::Served)).is_empty());
-    assert_eq!((router.live(), router.counts().ends[2], router.counts().served), (0, 1, 0));
+    assert_eq!(
+        (
+            router.live(),
+            router.counts().ends[2],
+            router.counts().served
+        ),
+        (0, 1, 0)
+    );
 }
 
 #[test]
 fn a_client_that_leaves_takes_its_stream_along() {
     let mut router = router();
     arrive(&mut router, R, 1.0);
-    tell(&mut router, 2_000, Input::First { request: R, attempt: 0 });
+    tell(
+        &mut router,
+        2_000,
+        Input::First {
+            request: R,
+            attempt: 0,
+        },
+    );
     let out = tell(&mut router, 3_000, Input::ClientGone(R));
-    assert_eq!(out, [Command::Abandon { request: R, attempt: 0 }]);
+    assert_eq!(
+        out,
+        [Command::Abandon {
+            request: R,
+            attempt: 0
+        }]
+    );
     assert!(tell(&mut router, 4_000, ended(0, Outcome::Reset)).is_empty());
     assert_eq!((router.live(), router.counts().ends[5]), (0, 1));
 }
@@ -94,7 +170,14 @@
 fn a_broken_stream_ends_its_request_and_is_not_sent_again() {
     let mut router = router();
     arrive(&mut router, R, 1.0);
-    tell(&mut router, 2_000, Input::First { request: R, attempt: 0 });
+    tell(
+        &mut router,
+        2_000,
+        Input::First {
+            request: R,
+            attempt: 0,
+        },
+    );
     assert!(tell(&mut router, 3_000, ended(0, Outcome::Reset)).is_empty());
     assert_eq!((router.live(), router.counts().broken), (0, 1));
 }
@@ -103,11 +186,24 @@
 fn an_id_used_again_has_no_timer_left_over() {
     let mut router = router();
     arrive(&mut router, R, 1.0);
-    tell(&mut router, 2_000, Input::First { request: R, attempt: 0 });
+    tell(
+        &mut router,
+        2_000,
+        Input::First {
+            request: R,
+            attempt: 0,
+        },
+    );
     tell(&mut router, 3_000, ended(0, Outcome::Served));
     arrive(&mut router, R, 9.0);
     let out = run_to(&mut router, 2_000_000);
-    assert!(!out.contains(&Command::Abandon { request: R, attempt: 0 }), "{out:?}");
+    assert!(
+        !out.contains(&Command::Abandon {
+            request: R,
+            attempt: 0
+        }),
+        "{out:?}"
+    );
 }
 
 /// The account of crossings: by minute, class and tenant, an hour of minutes, and all of it in the totals.
@@ -119,11 +215,24 @@
         crossings.add(minute * 60_000_000 + 59_999_999, 1, 0);
     }
     let rows: Vec<_> = crossings.by_minute().collect();
-    assert_eq!((rows.len(), rows[0], rows[1]), (120, (10, 0, 1, 2), (10, 1, 0, 1)));
-    assert_eq!(crossings.totals().collect::<Vec<_>>(), [(0, 1, 139), (1, 0, 70)]);
+    assert_eq!(
+        (rows.len(), rows[0], rows[1]),
+        (120, (10, 0, 1, 2), (10, 1, 0, 1))
+    );
+    assert_eq!(
+        crossings.totals().collect::<Vec<_>>(),
+        [(0, 1, 139), (1, 0, 70)]
+    );
     // A clock set back by a year begins its minutes anew, and the table stays bounded.
     (0..5).for_each(|n| crossings.add(n * 60_000_000, 0, 0));
-    assert!(crossings.by_minute().map(|r| r.0).collect::<std::collections::BTreeSet<_>>().len() <= 60);
+    assert!(
+        crossings
+            .by_minute()
+            .map(|r| r.0)
+            .collect::<std::collections::BTreeSet<_>>()
+            .len()
+            <= 60
+    );
 }
 
 /// A node that ends: whoever waits is answered once by the time given, whether sent, held since all room is taken, or yet to
@@ -134,14 +243,23 @@
     let streams = RequestId(1_000);
     let mut router = router();
     arrive(&mut router, streams, 60.0);
-    tell(&mut router, 2_000, Input::First { request: streams, attempt: 0 });
+    tell(
+        &mut router,
+        2_000,
+        Input::First {
+            request: streams,
+            attempt: 0,
+        },
+    );
     let mut sent = Vec::new();
     let mut answered = Vec::new();
     let mut note = |out: &[Command]| {
         for command in out {
             match command {
                 Command::Send { request, .. } => sent.push(*request),
-                Command::Refuse { request, .. } | Command::Fail { request } => answered.push(*request),
+                Command::Refuse { request, .. } | Command::Fail { request } => {
+                    answered.push(*request)
+                }
                 Command::Abandon { request, .. } => assert_ne!(*request, streams),
                 _ => {}
             }
@@ -157,5 +275,8 @@
     // What was due later must find nothing left.
     run_to(&mut router, 60_000_000);
     answered.sort();
-    assert_eq!(answered, (1..=WAITING + 1).map(RequestId).collect::<Vec<_>>());
+    assert_eq!(
+        answered,
+        (1..=WAITING + 1).map(RequestId).collect::<Vec<_>>()
+    );
 }
--- a/tests/shutdown.rs
+++ b/tests/shutdown.rs
@@ -36,16 +36,26 @@
 }
 
 fn hanging_server() -> Standin {
-    Standin::start(vec![Script { first_ms: HANG_MS, ..Script::default() }]).unwrap()
+    Standin::start(vec![Script {
+        first_ms: HANG_MS,
+        ..Script::default()
+    }])
+    .unwrap()
 }
 
 /// Ids of the requests that have reached a stand-in.
 fn reached(servers: &Standin) -> Vec<String> {
-    servers.records().into_iter().map(|record| record.id).collect()
+    servers
+        .records()
+        .into_iter()
+        .map(|record| record.id)
+        .collect()
 }
 
 fn assert_ends(mut node: Node) {
-    until("the end of the process", || node.child.try_wait().unwrap().is_some());
+    until("the end of the process", || {
+        node.child.try_wait().unwrap().is_some()
+    });
     assert_eq!(node.child.wait().unwrap().code(), Some(0));
 }
 
@@ -65,7 +75,10 @@
         }
         for client in &mut clients {
             let text = rest(client);
-            assert!(text.is_empty() || text.starts_with("HTTP/1.1 503 "), "{semantics}: '{text}'");
+            assert!(
+                text.is_empty() || text.starts_with("HTTP/1.1 503 "),
+                "{semantics}: '{text}'"
+            );
         }
         assert_eq!(reached(&servers), Vec::<String>::new(), "{semantics}");
         assert_ends(node);
@@ -122,7 +135,9 @@
     client.write_all(head.as_bytes()).unwrap();
     // It has been read by the time of the answer to another.
     let mut other = node.connect();
-    other.write_all(b"GET /healthz HTTP/1.1\r\nConnection: close\r\n\r\n").unwrap();
+    other
+        .write_all(b"GET /healthz HTTP/1.1\r\nConnection: close\r\n\r\n")
+        .unwrap();
     assert!(rest(&mut other).starts_with("HTTP/1.1 200 "));
     node.signal("-TERM");
     node.until_logged("closing");
@@ -162,7 +177,12 @@
 fn a_request_that_waits_for_a_hanging_server_has_its_final_answer_before_the_node_may_be_killed() {
     for (semantics, status) in [("safe", "503"), ("unsafe", "502")] {
         let servers = hanging_server();
-        let node = Node::start(&format!("hangs-{semantics}"), servers.addrs(), "", semantics);
+        let node = Node::start(
+            &format!("hangs-{semantics}"),
+            servers.addrs(),
+            "",
+            semantics,
+        );
         let mut sent = node.connect();
         sent.write_all(request(6, "").as_bytes()).unwrap();
         until("the server has it", || reached(&servers) == [id(6)]);
@@ -172,7 +192,10 @@
         late.write_all(request(7, "").as_bytes()).unwrap();
         for client in [&mut sent, &mut late] {
             let text = rest(client);
-            assert!(text.starts_with(&format!("HTTP/1.1 {status} ")), "{semantics}: '{text}'");
+            assert!(
+                text.starts_with(&format!("HTTP/1.1 {status} ")),
+                "{semantics}: '{text}'"
+            );
         }
         assert_ends(node);
     }
@@ -181,7 +204,10 @@
 #[test]
 fn a_request_that_no_server_can_take_is_refused_before_the_node_may_be_killed() {
     // Nobody listens there: each attempt fails before it has begun.
-    let closed = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
+    let closed = TcpListener::bind("127.0.0.1:0")
+        .unwrap()
+        .local_addr()
+        .unwrap();
     let node = Node::start("none", &[closed], "", "unsafe");
     let mut waits = node.connect();
     waits.write_all(request(8, "").as_bytes()).unwrap();
--- a/tests/support/drivers.rs
+++ b/tests/support/drivers.rs
@@ -19,6 +19,12 @@
     let config = config();
     let (tell, told) = mpsc::channel(1);
     let streams = Rc::new(Streams::new(Clock::start(), Default::default()));
-    let shared = Shared::new(Rc::new(config.boot), Rc::new(config.bounds), tell, phases, streams);
+    let shared = Shared::new(
+        Rc::new(config.boot),
+        Rc::new(config.bounds),
+        tell,
+        phases,
+        streams,
+    );
     (Rc::new(shared), told)
 }
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -40,9 +40,23 @@
 
     #[allow(dead_code)] // each file of tests uses a part
     /// One whose process may hold so many descriptors.
-    pub fn with_sockets(name: &str, servers: &[SocketAddr], discovery: &str, sockets: usize) -> Node {
-        let change = |config: String| config.replace("\"sockets\":1024", &format!("\"sockets\":{sockets}"));
-        Node::spawned("n0", name, servers, ["", "safe", discovery], None, change, Vec::new())
+    pub fn with_sockets(
+        name: &str,
+        servers: &[SocketAddr],
+        discovery: &str,
+        sockets: usize,
+    ) -> Node {
+        let change =
+            |config: String| config.replace("\"sockets\":1024", &format!("\"sockets\":{sockets}"));
+        Node::spawned(
+            "n0",
+            name,
+            servers,
+            ["", "safe", discovery],
+            None,
+            change,
+            Vec::new(),
+        )
     }
 
     #[allow(dead_code)] // each file of tests uses a part
@@ -54,17 +68,36 @@
         environment: Vec<(String, PathBuf)>,
     ) -> Node {
         let texts = ["", semantics, "127.0.0.1:1"];
-        Node::spawned("n0", name, servers, texts, None, |config| config, environment)
+        Node::spawned(
+            "n0",
+            name,
+            servers,
+            texts,
+            None,
+            |config| config,
+            environment,
+        )
     }
 
     #[allow(dead_code)] // for fleets of nodes alone
     /// One of this name in its configuration; `test` keeps its files apart from those of other tests.
     pub fn named(me: &str, test: &str, servers: &[SocketAddr], operator: &str) -> Node {
-        Node::process_of(me, &format!("{test}-{me}"), servers, [operator, "safe", "127.0.0.1:1"], None)
+        Node::process_of(
+            me,
+            &format!("{test}-{me}"),
+            servers,
+            [operator, "safe", "127.0.0.1:1"],
+            None,
+        )
     }
 
     /// The same with the operators' text, the effect and discovery's address, and where it listens.
-    pub fn process(name: &str, servers: &[SocketAddr], texts: [&str; 3], listen: Option<SocketAddr>) -> Node {
+    pub fn process(
+        name: &str,
+        servers: &[SocketAddr],
+        texts: [&str; 3],
+        listen: Option<SocketAddr>,
+    ) -> Node {
         Node::process_of("n0", name, servers, texts, listen)
     }
 
@@ -75,7 +108,15 @@
         texts: [&str; 3],
         listen: Option<SocketAddr>,
     ) -> Node {
-        Node::spawned(me, name, servers, texts, listen, |config| config, Vec::new())
+        Node::spawned(
+            me,
+            name,
+            servers,
+            texts,
+            listen,
+            |config| config,
+            Vec::new(),
+        )
     }
 
     /// The same with the configuration changed before the start, and with the process environment.
@@ -94,15 +135,22 @@
                 r#"{{"id":"s-{n}","addr":"{addr}","zone":"a","kind":"k","cell":0,"state":"up","weight":1.0,"started_ms":0}}"#
             )
         };
-        let list = servers.iter().enumerate().map(entry).collect::<Vec<_>>().join(",");
+        let list = servers
+            .iter()
+            .enumerate()
+            .map(entry)
+            .collect::<Vec<_>>()
+            .join(",");
         let config = include_str!("../exchanges/config.json").replace("DISCOVERY", discovery);
         let config = config.replace("\"n0\"", &format!("\"{me}\""));
         let (from, to) = (config.find("{\"id\"").unwrap(), config.find("]},").unwrap());
-        let config =
-            config.replace(&config[from..to], &list).replace("\"safe\"", &format!("\"{semantics}\""));
+        let config = config
+            .replace(&config[from..to], &list)
+            .replace("\"safe\"", &format!("\"{semantics}\""));
         let config = change(config);
         let file = |kind: &str, text: &str| {
-            let path = std::env::temp_dir().join(format!("streams-{name}-{}.{kind}", std::process::id()));
+            let path =
+                std::env::temp_dir().join(format!("streams-{name}-{}.{kind}", std::process::id()));
             std::fs::write(&path, text).unwrap();
             path
         };
@@ -115,18 +163,35 @@
             .args(["--log-format", "json"])
             .env("GW_ADMIN", "127.0.0.1:0")
             .envs(environment)
-            .args(listen.iter().flat_map(|at| ["--listen".to_string(), at.to_string()]))
+            .args(
+                listen
+                    .iter()
+                    .flat_map(|at| ["--listen".to_string(), at.to_string()]),
+            )
             .env_remove("GW_DISCOVERY")
             .stderr(Stdio::piped())
             .spawn()
             .unwrap();
-        let mut lines = BufReader::new(child.stderr.take().unwrap()).lines().map_while(Result::ok);
-        let line = lines.find(|l| l.contains("serving on")).expect("the node serves");
+        let mut lines = BufReader::new(child.stderr.take().unwrap())
+            .lines()
+            .map_while(Result::ok);
+        let line = lines
+            .find(|l| l.contains("serving on"))
+            .expect("the node serves");
         let log = Arc::new(Mutex::new(Vec::new()));
         let own = log.clone();
         std::thread::spawn(move || lines.for_each(|line| own.lock().unwrap().push(line)));
-        let addr = line.split("serving on ").nth(1).and_then(|l| l.split('"').next()).unwrap();
-        Node { child, addr: addr.parse().unwrap(), log, files }
+        let addr = line
+            .split("serving on ")
+            .nth(1)
+            .and_then(|l| l.split('"').next())
+            .unwrap();
+        Node {
+            child,
+            addr: addr.parse().unwrap(),
+            log,
+            files,
+        }
     }
 }
 
@@ -135,9 +200,15 @@
         let _ = self.child.kill();
         let _ = self.child.wait();
         if std::thread::panicking() {
-            self.log.lock().unwrap().iter().for_each(|line| println!("{line}"));
+            self.log
+                .lock()
+                .unwrap()
+                .iter()
+                .for_each(|line| println!("{line}"));
         }
-        self.files.iter().for_each(|f| drop(std::fs::remove_file(f)));
+        self.files
+            .iter()
+            .for_each(|f| drop(std::fs::remove_file(f)));
     }
 }
 
@@ -158,12 +229,22 @@
     /// Sends the process a signal, as `kill` names it.
     pub fn signal(&self, signal: &str) {
         let id = self.child.id().to_string();
-        assert!(Command::new("kill").args([signal, &id]).status().unwrap().success());
+        assert!(Command::new("kill")
+            .args([signal, &id])
+            .status()
+            .unwrap()
+            .success());
     }
 
     /// Waits until a line of the log has this text.
     pub fn until_logged(&self, text: &str) {
-        until(text, || self.log.lock().unwrap().iter().any(|line| line.contains(text)));
+        until(text, || {
+            self.log
+                .lock()
+                .unwrap()
+                .iter()
+                .any(|line| line.contains(text))
+        });
     }
 
     /// A connection to it.
@@ -226,7 +307,9 @@
 pub fn ask_within(node: &Node, prompt: &str, tokens: usize, deadline: f64) -> (String, TcpStream) {
     let id = format!("{:016x}", IDS.fetch_add(1, Ordering::Relaxed));
     let mut stream = TcpStream::connect(node.addr).unwrap();
-    stream.set_read_timeout(Some(Duration::from_secs(20))).unwrap();
+    stream
+        .set_read_timeout(Some(Duration::from_secs(20)))
+        .unwrap();
     let body = serde_json::json!({
         "model": "chat", "stream": true, "max_tokens": tokens, "stream_options": {"include_usage": true},
         "messages": [{"role": "user", "content": prompt}],
@@ -246,7 +329,14 @@
     let mut bytes = Vec::new();
     let end = stream.read_to_end(&mut bytes);
     let (prompt, usage) = (prompt.to_string(), true);
-    let seen = |outcome, body| Seen { id, prompt, tokens, usage, outcome, body };
+    let seen = |outcome, body| Seen {
+        id,
+        prompt,
+        tokens,
+        usage,
+        outcome,
+        body,
+    };
     let Some(head) = bytes.windows(4).position(|w| w == b"\r\n\r\n") else {
         return seen(Outcome::Never, Vec::new());
     };
@@ -261,7 +351,9 @@
             last = true;
             break;
         }
-        let Some(chunk) = rest.get(line + 2..line + 2 + size) else { break };
+        let Some(chunk) = rest.get(line + 2..line + 2 + size) else {
+            break;
+        };
         body.extend_from_slice(chunk);
         rest = rest.get(line + 4 + size..).unwrap_or_default();
     }
@@ -298,6 +390,9 @@
             }
         };
         let threads: Vec<_> = (0..threads).map(|_| scope.spawn(work)).collect();
-        threads.into_iter().flat_map(|t| t.join().unwrap()).collect()
+        threads
+            .into_iter()
+            .flat_map(|t| t.join().unwrap())
+            .collect()
     })
 }
--- a/tests/support/rig.rs
+++ b/tests/support/rig.rs
@@ -21,8 +21,21 @@
         me: 0,
         routers: 1,
         zone: 0,
-        classes: vec![class(5.0, Effect::Safe), class(1.0, Effect::Safe), class(1.0, Effect::Unsafe)],
-        tenants: vec![Tenant { share: 0.5, allowance: 1e9 }, Tenant { share: 0.5, allowance: 1e9 }],
+        classes: vec![
+            class(5.0, Effect::Safe),
+            class(1.0, Effect::Safe),
+            class(1.0, Effect::Unsafe),
+        ],
+        tenants: vec![
+            Tenant {
+                share: 0.5,
+                allowance: 1e9,
+            },
+            Tenant {
+                share: 0.5,
+                allowance: 1e9,
+            },
+        ],
         over_share_worth: 0.1,
         limits: Limits {
             probes: true,
@@ -50,7 +63,15 @@
 }
 
 pub fn listing(n: usize, state: ReplicaState, born: Option<Seconds>) -> Listing {
-    Listing { id: replica(n), zone: n % 2, cell: n % 2, kind: 0, state, size: None, born }
+    Listing {
+        id: replica(n),
+        zone: n % 2,
+        cell: n % 2,
+        kind: 0,
+        state,
+        size: None,
+        born,
+    }
 }
 
 pub fn request(n: u64, class: usize, tenant: usize, time_left: Seconds) -> Arrival {
@@ -86,7 +107,11 @@
             last: vec![],
             pool: 8.0 * replicas as f64,
         };
-        rig.tell(Event::ListFull((0..replicas).map(|n| listing(n, ReplicaState::Up, None)).collect()));
+        rig.tell(Event::ListFull(
+            (0..replicas)
+                .map(|n| listing(n, ReplicaState::Up, None))
+                .collect(),
+        ));
         rig
     }
     pub fn tell(&mut self, event: Event) -> Vec<Action> {
@@ -105,10 +130,20 @@
         all
     }
     pub fn end(&mut self, n: u64, attempt: usize, outcome: Outcome, last: bool) -> Vec<Action> {
-        self.tell(Event::Ended { request: RequestId(n), attempt, outcome, last, report: None })
+        self.tell(Event::Ended {
+            request: RequestId(n),
+            attempt,
+            outcome,
+            last,
+            report: None,
+        })
     }
     pub fn start(&mut self, n: u64, elapsed: Seconds) {
-        self.tell(Event::Started { request: RequestId(n), attempt: 0, elapsed });
+        self.tell(Event::Started {
+            request: RequestId(n),
+            attempt: 0,
+            elapsed,
+        });
     }
     /// Fills every window with requests numbered from 1000.
     pub fn fill(&mut self) -> u64 {
@@ -122,7 +157,9 @@
 
 pub fn sends(actions: &[Action]) -> Vec<(u64, ReplicaId)> {
     let send = |a: &Action| match a {
-        Action::Send { request, replica, .. } => Some((request.0, *replica)),
+        Action::Send {
+            request, replica, ..
+        } => Some((request.0, *replica)),
         _ => None,
     };
     actions.iter().filter_map(send).collect()
--- a/tests/transport.rs
+++ b/tests/transport.rs
@@ -24,7 +24,8 @@
 use tokio::sync::{mpsc, watch};
 
 const ANSWER: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
-const STREAM: &[u8] = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\ndata: 1\n\n\r\n0\r\n\r\n";
+const STREAM: &[u8] =
+    b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\ndata: 1\n\n\r\n0\r\n\r\n";
 const MINUTE: Duration = Duration::from_secs(60);
 
 #[tokio::test]
@@ -34,7 +35,10 @@
     let pool = Pool::new(9, MINUTE, MINUTE);
     let mut conn = pool.get(peer).await.ok().unwrap();
     let mut replica = listener.accept().unwrap().0;
-    conn.wire.send(Out::Raw("GET / HTTP/1.1\r\n\r\n".into())).await.unwrap();
+    conn.wire
+        .send(Out::Raw("GET / HTTP/1.1\r\n\r\n".into()))
+        .await
+        .unwrap();
     replica.write_all(ANSWER).unwrap();
     assert!(matches!(conn.wire.next().await, Some(Ok(Part::Head(_)))));
     assert!(matches!(conn.wire.next().await, Some(Ok(Part::End))));
@@ -91,13 +95,28 @@
     let peer = (identity("s-1"), listener.local_addr().unwrap());
     let pool = Pool::new(9, MINUTE, 9 * MINUTE);
     let conn = pool.get(peer).await.ok().unwrap();
-    let (rested, _replica) = (conn.wire.get_ref().local_addr().unwrap(), listener.accept().unwrap().0);
+    let (rested, _replica) = (
+        conn.wire.get_ref().local_addr().unwrap(),
+        listener.accept().unwrap().0,
+    );
     tokio::time::pause();
     pool.put(peer, conn, MINUTE);
-    assert!(tokio::time::timeout(MINUTE / 2, pool.get(peer)).await.is_err());
+    assert!(tokio::time::timeout(MINUTE / 2, pool.get(peer))
+        .await
+        .is_err());
     tokio::time::advance(MINUTE).await;
     tokio::time::resume();
-    assert_eq!(pool.get(peer).await.ok().unwrap().wire.get_ref().local_addr().unwrap(), rested);
+    assert_eq!(
+        pool.get(peer)
+            .await
+            .ok()
+            .unwrap()
+            .wire
+            .get_ref()
+            .local_addr()
+            .unwrap(),
+        rested
+    );
 }
 
 /// A replica that answers twice, through the driver of attempts: the request right after does not get the second one.
@@ -112,16 +131,31 @@
         pool: Pool::new(9, MINUTE, MINUTE),
         tell,
         boot: Rc::new(config.boot),
-        bounds: Rc::new(Bounds { rest: MINUTE, ..config.bounds }),
+        bounds: Rc::new(Bounds {
+            rest: MINUTE,
+            ..config.bounds
+        }),
         streams: Rc::new(Streams::new(clock, Default::default())),
         written: Rc::default(),
         crossings: Rc::default(),
         clock,
     };
     let attempt = |request| {
-        let payload = Payload { head: b"POST / HTTP/1.1\r\n".to_vec(), body: Default::default() };
+        let payload = Payload {
+            head: b"POST / HTTP/1.1\r\n".to_vec(),
+            body: Default::default(),
+        };
         let (request, payload, begun) = (RequestId(request), Rc::new(payload), Rc::default());
-        let job = Job { request, attempt: 0, peer, wait: 1, token_aim: None, crosses: None, payload, begun };
+        let job = Job {
+            request,
+            attempt: 0,
+            peer,
+            wait: 1,
+            token_aim: None,
+            crosses: None,
+            payload,
+            begun,
+        };
         tokio::task::spawn_local(upstream.clone().attempt(job))
     };
     let test = async {
@@ -138,7 +172,10 @@
         tokio::time::advance(MINUTE).await;
         tokio::time::resume();
         let other = tokio::time::timeout(MINUTE / 3, listener.accept()).await;
-        assert!(other.is_ok(), "the second request went out where a second answer was to come");
+        assert!(
+            other.is_ok(),
+            "the second request went out where a second answer was to come"
+        );
     };
     tokio::task::LocalSet::new().run_until(test).await;
 }
@@ -162,8 +199,13 @@
         new.write_all(HEALTH).unwrap();
         phase.send(Phase::Closing).unwrap();
         accept(listener, shared.clone(), phases.clone()).await;
-        let new = tokio::task::spawn_blocking(move || answer(&mut new)).await.unwrap();
-        assert!(new.starts_with("HTTP/1.1 503 "), "the new connection: '{new}'");
+        let new = tokio::task::spawn_blocking(move || answer(&mut new))
+            .await
+            .unwrap();
+        assert!(
+            new.starts_with("HTTP/1.1 503 "),
+            "the new connection: '{new}'"
+        );
 
         // A request on a connection that rests.
         phase.send(Phase::Serving).unwrap();
@@ -182,8 +224,13 @@
         tokio::task::yield_now().await;
         kept.write_all(HEALTH).unwrap();
         phase.send(Phase::Closing).unwrap();
-        let kept = tokio::task::spawn_blocking(move || answer(&mut kept)).await.unwrap();
-        assert!(kept.starts_with("HTTP/1.1 503 "), "the kept connection: '{kept}'");
+        let kept = tokio::task::spawn_blocking(move || answer(&mut kept))
+            .await
+            .unwrap();
+        assert!(
+            kept.starts_with("HTTP/1.1 503 "),
+            "the kept connection: '{kept}'"
+        );
         client.await.unwrap();
     };
     tokio::task::LocalSet::new().run_until(test).await;
@@ -198,7 +245,10 @@
     for (bytes, answer) in [
         ("", ""),
         ("POST /v1/", "HTTP/1.1 408 "),
-        ("GET /healthz HTTP/1.1\r\nContent-Length: 9\r\n\r\nx", "HTTP/1.1 408 "),
+        (
+            "GET /healthz HTTP/1.1\r\nContent-Length: 9\r\n\r\nx",
+            "HTTP/1.1 408 ",
+        ),
     ] {
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
         let mut bad = std::net::TcpStream::connect(listener.local_addr().unwrap()).unwrap();
--- a/tests/watch.rs
+++ b/tests/watch.rs
@@ -30,7 +30,13 @@
     let config = Config::read(&config.replace("DISCOVERY", "127.0.0.1:2"), &[]).unwrap();
     let watch = Duration::from_millis(50);
     let retry_watch = Duration::from_millis(30);
-    Rc::new(Bounds { watch, watch_slack: slack, retry_watch, retry_slack: slack, ..config.bounds })
+    Rc::new(Bounds {
+        watch,
+        watch_slack: slack,
+        retry_watch,
+        retry_slack: slack,
+        ..config.bounds
+    })
 }
 
 /// Takes the next call, on the connection given or on a new one.
@@ -46,7 +52,9 @@
         }
         (stream, String::from_utf8(text).unwrap())
     };
-    tokio::time::timeout(PATIENCE, call).await.expect("the node calls")
+    tokio::time::timeout(PATIENCE, call)
+        .await
+        .expect("the node calls")
 }
 
 async fn answer(stream: &mut TcpStream, body: &str) {
@@ -55,7 +63,10 @@
 }
 
 async fn told(core: &mut mpsc::Receiver<Message>) -> Told {
-    match tokio::time::timeout(PATIENCE, core.recv()).await.expect("the core is told") {
+    match tokio::time::timeout(PATIENCE, core.recv())
+        .await
+        .expect("the core is told")
+    {
         Some(Message::Told { told, .. }) => told,
         _ => panic!("something else was told"),
     }
@@ -65,7 +76,12 @@
 async fn watching(slack: Duration, pushed: bool) -> (TcpListener, Watch, mpsc::Receiver<Message>) {
     let service = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let (tell, core) = mpsc::channel(16);
-    let watch = Watch::new(service.local_addr().unwrap(), bounds(slack), tell, Clock::start());
+    let watch = Watch::new(
+        service.local_addr().unwrap(),
+        bounds(slack),
+        tell,
+        Clock::start(),
+    );
     watch.version(41);
     let watch = if pushed { watch.pushed() } else { watch };
     watch.start();
@@ -77,20 +93,34 @@
 #[tokio::test]
 async fn a_watch_that_falls_silent_is_opened_anew_before_the_core_hears_of_a_failure() {
     let test = async {
-        for begun in ["", "HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\n{\"version\":42,\"full\""] {
+        for begun in [
+            "",
+            "HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\n{\"version\":42,\"full\"",
+        ] {
             let (service, _watch, mut core) = watching(Duration::from_secs(2), false).await;
             let (mut silent, text) = called(&service, None).await;
-            assert!(text.starts_with("GET /v1/servers?since=41&timeout_ms=50 "), "{text}");
+            assert!(
+                text.starts_with("GET /v1/servers?since=41&timeout_ms=50 "),
+                "{text}"
+            );
             // It stays open and says nothing more: also in the middle of an answer.
             silent.write_all(begun.as_bytes()).await.unwrap();
             let (mut anew, text) = called(&service, None).await;
-            assert!(text.starts_with("GET /v1/servers?since=41&timeout_ms=0 "), "{text}");
+            assert!(
+                text.starts_with("GET /v1/servers?since=41&timeout_ms=0 "),
+                "{text}"
+            );
             answer(&mut anew, DRAIN).await;
-            let Told::Changes(changes) = told(&mut core).await else { panic!("the core heard of a failure") };
+            let Told::Changes(changes) = told(&mut core).await else {
+                panic!("the core heard of a failure")
+            };
             assert_eq!(changes[0].name, "s-1");
             // From here on it waits again, on the connection that answers.
             let (_anew, text) = called(&service, Some(anew)).await;
-            assert!(text.starts_with("GET /v1/servers?since=42&timeout_ms=50 "), "{text}");
+            assert!(
+                text.starts_with("GET /v1/servers?since=42&timeout_ms=50 "),
+                "{text}"
+            );
         }
     };
     LocalSet::new().run_until(test).await;
@@ -168,9 +198,11 @@
     let whole = DRAIN.replace("false", "true");
     let older = whole.replace("42", "7");
     let test = async {
-        for (body, since, entries, full) in
-            [(NOTHING, 41, 0, false), (whole.as_str(), 42, 1, true), (older.as_str(), 7, 1, true)]
-        {
+        for (body, since, entries, full) in [
+            (NOTHING, 41, 0, false),
+            (whole.as_str(), 42, 1, true),
+            (older.as_str(), 7, 1, true),
+        ] {
             let (service, _watch, mut core) = watching(Duration::from_secs(2), false).await;
             let (mut stream, _) = called(&service, None).await;
             answer(&mut stream, body).await;
@@ -180,7 +212,10 @@
                 Told::Failed => panic!("the core heard of a failure"),
             }
             let (_stream, text) = called(&service, Some(stream)).await;
-            assert!(text.contains(&format!("since={since}&timeout_ms=50 ")), "{text}");
+            assert!(
+                text.contains(&format!("since={since}&timeout_ms=50 ")),
+                "{text}"
+            );
         }
     };
     LocalSet::new().run_until(test).await;
@@ -190,9 +225,14 @@
 #[test]
 fn a_refused_call_a_silent_one_and_a_new_one_fit_into_six_seconds() {
     let config = include_str!("exchanges/config.json").replace("REPLICA", "127.0.0.1:1");
-    let bounds = Config::read(&config.replace("DISCOVERY", "127.0.0.1:2"), &[]).unwrap().bounds;
+    let bounds = Config::read(&config.replace("DISCOVERY", "127.0.0.1:2"), &[])
+        .unwrap()
+        .bounds;
     assert!(bounds.retry_watch + bounds.retry_slack < Duration::from_secs(6));
-    assert!(bounds.retry_slack >= Duration::from_secs(2), "a crowded service answers after 2 s");
+    assert!(
+        bounds.retry_slack >= Duration::from_secs(2),
+        "a crowded service answers after 2 s"
+    );
 }
 
 /// Guards against a new address that inherits a call, or the pause after a failed one, from the old service.
@@ -249,6 +289,9 @@
         let bounds = Config::read(&config, &[]).unwrap().bounds;
         let dark = bounds.watch + bounds.watch_slack;
         assert!(dark.as_secs_f64() <= 0.76 * grace, "{dark:?} of {grace} s");
-        assert!(dark >= Duration::from_millis(100), "{dark:?}: the agent is called all the time");
+        assert!(
+            dark >= Duration::from_millis(100),
+            "{dark:?}: the agent is called all the time"
+        );
     }
 }
