--- a/benches/leases.rs
+++ b/benches/leases.rs
@@ -5,9 +5,9 @@
 #[path = "../tests/support/mod.rs"]
 mod support;
 
-use poppykeel_fleet::lease::{Holder, Keeper, Record, Rules, ToKeeper, ToNode};
-use poppykeel_standin::{Outcome, Script, Standin};
-use poppykeel_store::{Files, Log};
+use poppykeel_coordination::lease::{Holder, Keeper, Record, Rules, ToKeeper, ToNode};
+use poppykeel_durable_log::{Files, Log};
+use poppykeel_stub_model_server::{Outcome, Script, Standin};
 use serde_json::Value;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream, UdpSocket};
--- a/benches/membership.rs
+++ b/benches/membership.rs
@@ -2,7 +2,7 @@
 //! `cargo bench --bench membership -- drains|records|scale|latency`. Nothing here is asserted; the figures of
 //! `docs/membership.md` come from it. Every part is bounded in number and time.
 
-use poppykeel_dns_standin::{Record, Script, Standin};
+use poppykeel_stub_dns_server::{Record, Script, Standin};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::path::PathBuf;
--- a/benches/openai/seen.py
+++ b/benches/openai/seen.py
@@ -84,7 +84,7 @@
 if __name__ == "__main__":
     parser = argparse.ArgumentParser(description=__doc__.split("\n")[0])
     parser.add_argument("--node", default="target/release/poppykeel")
-    parser.add_argument("--standin", default="target/release/poppykeel-standin")
+    parser.add_argument("--standin", default="target/release/poppykeel-stub-model-server")
     parser.add_argument("--config", default="tests/exchanges/config.json")
     parser.add_argument("--operator")
     args = parser.parse_args()
--- a/benches/streams.rs
+++ b/benches/streams.rs
@@ -5,8 +5,8 @@
 mod support;
 
 use oorandom::Rand64;
-use poppykeel_standin::{check, Fault, Outcome, Rule, Script, Seen, Standin};
-use poppykeel_streams::{Gaps, Health, Limits, Story};
+use poppykeel_stream_recovery::{Gaps, Health, Limits, Story};
+use poppykeel_stub_model_server::{check, Fault, Outcome, Rule, Script, Seen, Standin};
 use std::sync::Mutex;
 use std::time::Instant;
 use support::Node;
--- a/crates/fleet/src/budget/tests.rs
+++ b/crates/coordination/src/budget/tests.rs
@@ -483,7 +483,7 @@
     }
 }
 
-/// Minutes on four cores: `cargo test --release -p poppykeel-fleet shares_further -- --ignored --nocapture`.
+/// Minutes on four cores: `cargo test --release -p poppykeel-coordination shares_further -- --ignored --nocapture`.
 #[test]
 #[ignore = "takes minutes"]
 fn explores_shares_further() {
--- a/crates/fleet/src/lease/claim/tests.rs
+++ b/crates/coordination/src/lease/claim/tests.rs
@@ -638,7 +638,7 @@
     }
 }
 
-/// Minutes on four cores: `cargo test --release -p poppykeel-fleet explores_further -- --ignored --nocapture`.
+/// Minutes on four cores: `cargo test --release -p poppykeel-coordination explores_further -- --ignored --nocapture`.
 #[test]
 #[ignore = "takes minutes; docs/leases.md has its figures"]
 fn explores_further() {
--- a/crates/fleet/tests/budget.rs
+++ b/crates/coordination/tests/budget.rs
@@ -2,8 +2,8 @@
 //! dividers that follow each other, clocks at the ends of the drift. At every moment what all may spend is within the
 //! whole; when all is quiet none of it is lost.
 
-use poppykeel_fleet::budget::{divide, Divider, Message, Shares, Want, Whole};
-use poppykeel_fleet::lease::Holder;
+use poppykeel_coordination::budget::{divide, Divider, Message, Shares, Want, Whole};
+use poppykeel_coordination::lease::Holder;
 use proptest::prelude::*;
 use proptest_state_machine::{prop_state_machine, ReferenceStateMachine, StateMachineTest};
 use std::collections::BTreeMap;
--- a/crates/fleet/tests/budget_cases.rs
+++ b/crates/coordination/tests/budget_cases.rs
@@ -1,8 +1,8 @@
 //! Hard cases of budgets by fed time, with whole parts of nodes: who asks when, who is gone, how much of the whole is in
 //! use, and how soon a dead node's part is.
 
-use poppykeel_fleet::budget::{Count, Message, Party, Settings, Whole};
-use poppykeel_fleet::lease::Holder;
+use poppykeel_coordination::budget::{Count, Message, Party, Settings, Whole};
+use poppykeel_coordination::lease::Holder;
 use std::collections::BTreeMap;
 
 const MS: u64 = 1_000;
--- a/crates/fleet/tests/keepers.rs
+++ b/crates/coordination/tests/keepers.rs
@@ -1,6 +1,6 @@
 //! Keepers among themselves and with claims, by fed time: starts, lost memories, and what each hard case must not do.
 
-use poppykeel_fleet::lease::{
+use poppykeel_coordination::lease::{
     hold, Claim, Holder, Keeper, Record, Rules, Standing, Terms, ToKeeper, ToNode,
 };
 use proptest::prelude::*;
--- a/crates/fleet/tests/nodes.rs
+++ b/crates/coordination/tests/nodes.rs
@@ -1,8 +1,8 @@
 //! Whole nodes on a wire of the test's own, by fed time: who is there, and the hard cases between keepers.
 
-use poppykeel_fleet::envelope::{self, Body, Dropped, Envelope};
-use poppykeel_fleet::lease::{Holder, Record, ToKeeper};
-use poppykeel_fleet::{Node, Out, Settings};
+use poppykeel_coordination::envelope::{self, Body, Dropped, Envelope};
+use poppykeel_coordination::lease::{Holder, Record, ToKeeper};
+use poppykeel_coordination::{Node, Out, Settings};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
@@ -382,7 +382,7 @@
 }
 
 /// Messages and bytes that a fleet of three hundred sends while nothing happens:
-/// `cargo test --release -p poppykeel-fleet three_hundred -- --ignored --nocapture`.
+/// `cargo test --release -p poppykeel-coordination three_hundred -- --ignored --nocapture`.
 #[test]
 #[ignore = "a measurement; docs/leases.md has its figures"]
 fn three_hundred_nodes_at_rest() {
--- a/crates/fleet/tests/roll.rs
+++ b/crates/coordination/tests/roll.rs
@@ -1,7 +1,7 @@
 //! Rolling a fleet by fed time, with messages lost, late and twice, and the one in charge lost: never more out than
 //! allowed, and in the end all have been.
 
-use poppykeel_fleet::roll::{Charge, Message, Order, Own, Part};
+use poppykeel_coordination::roll::{Charge, Message, Order, Own, Part};
 use proptest::prelude::*;
 
 const NODES: usize = 7;
--- a/crates/fleet/tests/twins.rs
+++ b/crates/coordination/tests/twins.rs
@@ -1,7 +1,9 @@
 //! A second process under a keeper's name, beside the first and with an empty disk: the two are never both counted, one for
 //! each of two holders. By fed time.
 
-use poppykeel_fleet::lease::{Claim, Holder, Keeper, Record, Rules, Standing, Terms, ToKeeper};
+use poppykeel_coordination::lease::{
+    Claim, Holder, Keeper, Record, Rules, Standing, Terms, ToKeeper,
+};
 use proptest::prelude::*;
 
 const LONGEST: u64 = 1_000_000;
--- a/crates/dns/tests/resolver.rs
+++ b/crates/dns-resolver/tests/resolver.rs
@@ -1,7 +1,7 @@
 //! The resolver against the stand-in without sockets: every lie, in fed time that nobody waits for.
 
-use poppykeel_dns::{Asked, Config, Event, Family, Found, Key, Micros, Resolver};
-use poppykeel_dns_standin::{Lie, Over, Record, Rule, Script, Server, Then};
+use poppykeel_dns_resolver::{Asked, Config, Event, Family, Found, Key, Micros, Resolver};
+use poppykeel_stub_dns_server::{Lie, Over, Record, Rule, Script, Server, Then};
 use proptest::prelude::*;
 use rand::rngs::StdRng;
 use rand::SeedableRng;
@@ -477,7 +477,7 @@
         tcp in any::<bool>(),
         noise in prop::collection::vec(any::<u8>(), 0..64),
     ) {
-        let _ = poppykeel_dns::read(&noise);
+        let _ = poppykeel_dns_resolver::read(&noise);
         let bad = if tcp { service(30, 3).lying(Lie::Truncate) } else { service(30, 3) };
         let mut net = Net::new(vec![bad, service(30, 3)]);
         // The first answer that comes is spoilt, whichever it is.
@@ -489,7 +489,7 @@
                 let at = at.index(bytes.len());
                 bytes[at] = *value;
             }
-            let _ = poppykeel_dns::read(bytes);
+            let _ = poppykeel_dns_resolver::read(bytes);
         }
         net.run(20 * SECOND);
         prop_assert!(!net.lists().is_empty() || net.failures() > 0);
--- a/crates/store/tests/log.rs
+++ b/crates/durable-log/tests/log.rs
@@ -1,6 +1,6 @@
 //! The log against a disk that goes wrong: nothing acknowledged is lost, nothing is invented.
 
-use poppykeel_store::{Disk, Fault, Files, Log, SimDisk};
+use poppykeel_durable_log::{Disk, Fault, Files, Log, SimDisk};
 use proptest::prelude::*;
 
 fn record(n: u64) -> Vec<u8> {
@@ -136,7 +136,7 @@
 
 #[test]
 fn two_processes_can_not_have_one_folder() {
-    let folder = std::env::temp_dir().join(format!("poppykeel-store-{}", std::process::id()));
+    let folder = std::env::temp_dir().join(format!("poppykeel-durable-log-{}", std::process::id()));
     let files = Files::open(&folder).unwrap();
     assert_eq!(
         Files::open(&folder).err().unwrap().kind(),
--- a/crates/membership/src/lib.rs
+++ b/crates/endpoints/src/lib.rs
@@ -6,7 +6,7 @@
 //! wins, `book` what one source has told so far and how far it is believed, `merge` the list that follows. `docs/membership.md` explains the rule and states its table.
 //!
 //! ```
-//! use poppykeel_membership::{Entry, Kind, Membership, Settings, SourceSettings, Standing, State, Told};
+//! use poppykeel_endpoints::{Entry, Kind, Membership, Settings, SourceSettings, Standing, State, Told};
 //!
 //! let srv = SourceSettings::new("srv", Kind::Addressing);
 //! let list = SourceSettings::new("list", Kind::Naming);
--- a/crates/membership/tests/invariants.rs
+++ b/crates/endpoints/tests/invariants.rs
@@ -9,7 +9,7 @@
 //! 5. The changes that are told, applied one after the other, are the list.
 //! 6. Looking at everything anew finds nothing that was not told.
 
-use poppykeel_membership::*;
+use poppykeel_endpoints::*;
 use proptest::prelude::*;
 use proptest_state_machine::{prop_state_machine, ReferenceStateMachine, StateMachineTest};
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/membership/tests/rule.rs
+++ b/crates/endpoints/tests/rule.rs
@@ -1,6 +1,6 @@
 //! The rule by examples: each hard case once, in fed time.
 
-use poppykeel_membership::*;
+use poppykeel_endpoints::*;
 use std::net::SocketAddr;
 
 const SECOND: Micros = 1_000_000;
--- a/crates/streams/tests/streams.rs
+++ b/crates/stream-recovery/tests/streams.rs
@@ -1,6 +1,6 @@
 //! Health, story and recovery with fed events and time.
 
-use poppykeel_streams::*;
+use poppykeel_stream_recovery::*;
 use proptest::prelude::*;
 use serde_json::{json, Value};
 
--- a/crates/dns-standin/src/main.rs
+++ b/crates/stub-dns-server/src/main.rs
@@ -1,7 +1,7 @@
-//! The stand-in by hand: `poppykeel-dns-standin --script FILE`. A line on standard input reads a script anew.
+//! The stand-in by hand: `poppykeel-stub-dns-server --script FILE`. A line on standard input reads a script anew.
 
 use clap::Parser;
-use poppykeel_dns_standin::{Script, Standin};
+use poppykeel_stub_dns_server::{Script, Standin};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -9,7 +9,7 @@
 
 #[derive(Parser)]
 #[command(
-    name = "poppykeel-dns-standin",
+    name = "poppykeel-stub-dns-server",
     version,
     about = "A name server on loopback that lies by a script"
 )]
@@ -65,7 +65,7 @@
     match run(&Cli::parse()) {
         Ok(()) => ExitCode::SUCCESS,
         Err(text) => {
-            eprintln!("poppykeel-dns-standin: {text}");
+            eprintln!("poppykeel-stub-dns-server: {text}");
             ExitCode::FAILURE
         }
     }
--- a/crates/standin/src/main.rs
+++ b/crates/stub-model-server/src/main.rs
@@ -1,15 +1,15 @@
-//! Stand-ins by hand: `poppykeel-standin --script FILE --script FILE`. A line on standard input, the number of a
+//! Stand-ins by hand: `poppykeel-stub-model-server --script FILE --script FILE`. A line on standard input, the number of a
 //! server and a file's name, gives that server another script.
 
 use clap::Parser;
-use poppykeel_standin::{Script, Standin};
+use poppykeel_stub_model_server::{Script, Standin};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use std::time::Duration;
 
 #[derive(Parser)]
 #[command(
-    name = "poppykeel-standin",
+    name = "poppykeel-stub-model-server",
     version,
     about = "Model servers on loopback that answer by scripts"
 )]
@@ -65,7 +65,7 @@
     match run(&Cli::parse()) {
         Ok(()) => ExitCode::SUCCESS,
         Err(text) => {
-            eprintln!("poppykeel-standin: {text}");
+            eprintln!("poppykeel-stub-model-server: {text}");
             ExitCode::FAILURE
         }
     }
--- a/crates/lab/benches/emulator.rs
+++ b/crates/testbed/benches/emulator.rs
@@ -1,8 +1,8 @@
-//! Speeds of the emulator and costs of decisions: `cargo bench -p poppykeel-lab --bench emulator -- speed|decisions|large`.
+//! Speeds of the emulator and costs of decisions: `cargo bench -p poppykeel-testbed --bench emulator -- speed|decisions|large`.
 
-use poppykeel_lab::emulator::description::Run;
-use poppykeel_lab::emulator::policies::Policy;
-use poppykeel_lab::emulator::World;
+use poppykeel_testbed::emulator::description::Run;
+use poppykeel_testbed::emulator::policies::Policy;
+use poppykeel_testbed::emulator::World;
 use rayon::prelude::*;
 use std::time::Instant;
 
--- a/crates/lab/src/emulator/together.rs
+++ b/crates/testbed/src/emulator/together.rs
@@ -6,10 +6,10 @@
 use crate::Micros;
 use poppykeel::interface::{Allowed, Budget, Spend};
 use poppykeel::transport::fleet::budgets::{Budgets, TASK};
-use poppykeel_fleet::budget::{Party, Settings, Whole};
-use poppykeel_fleet::envelope::{self, Body, Envelope};
-use poppykeel_fleet::lease::Record;
-use poppykeel_fleet::{Node, Out, Settings as Place};
+use poppykeel_coordination::budget::{Party, Settings, Whole};
+use poppykeel_coordination::envelope::{self, Body, Envelope};
+use poppykeel_coordination::lease::Record;
+use poppykeel_coordination::{Node, Out, Settings as Place};
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr};
 
--- a/crates/lab/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -1,21 +1,21 @@
-//! The lab's command line: see `poppykeel-lab --help`.
+//! The lab's command line: see `poppykeel-testbed --help`.
 
 use clap::{Args, Parser, Subcommand};
 use indicatif::{ProgressBar, ProgressStyle};
-use poppykeel_lab::breaks::{self, Budgeted, Fault, Kind, Roll, Shape, Wanted};
-use poppykeel_lab::emulator::description::Run as Description;
-use poppykeel_lab::emulator::policies::Policy;
-use poppykeel_lab::emulator::World;
-use poppykeel_lab::experiment::table::{compare, table, Figure};
-use poppykeel_lab::experiment::{runner, Experiment, Found, Results};
-use poppykeel_lab::sockets;
-use poppykeel_lab::view;
+use poppykeel_testbed::breaks::{self, Budgeted, Fault, Kind, Roll, Shape, Wanted};
+use poppykeel_testbed::emulator::description::Run as Description;
+use poppykeel_testbed::emulator::policies::Policy;
+use poppykeel_testbed::emulator::World;
+use poppykeel_testbed::experiment::table::{compare, table, Figure};
+use poppykeel_testbed::experiment::{runner, Experiment, Found, Results};
+use poppykeel_testbed::sockets;
+use poppykeel_testbed::view;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
 #[derive(Parser)]
 #[command(
-    name = "poppykeel-lab",
+    name = "poppykeel-testbed",
     version,
     about = "Tries designs on an emulated fleet, and a node on sockets"
 )]
@@ -595,7 +595,7 @@
             .out
             .clone()
             .unwrap_or_else(|| self.folder.join("report.html"));
-        let page = poppykeel_lab::report::page(&name, &found)?;
+        let page = poppykeel_testbed::report::page(&name, &found)?;
         std::fs::write(&out, page).map_err(|e| format!("report {}: {e}", out.display()))?;
         println!("{}", out.display());
         Ok(())
@@ -647,7 +647,7 @@
     match done {
         Ok(()) => ExitCode::SUCCESS,
         Err(text) => {
-            eprintln!("poppykeel-lab: {text}");
+            eprintln!("poppykeel-testbed: {text}");
             ExitCode::FAILURE
         }
     }
--- a/crates/lab/src/sockets/load.rs
+++ b/crates/testbed/src/sockets/load.rs
@@ -7,7 +7,7 @@
 use crate::Micros;
 use futures_util::{SinkExt, StreamExt};
 use poppykeel::protocol::http::{Http, Out, Part, Side, Start};
-use poppykeel_standin::text;
+use poppykeel_stub_model_server::text;
 use rand::{RngExt, SeedableRng};
 use serde_json::{json, Value};
 use std::cell::RefCell;
--- a/crates/lab/src/sockets/model.rs
+++ b/crates/testbed/src/sockets/model.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use futures_util::{SinkExt, StreamExt};
 use poppykeel::protocol::http::{Http, Out, Part, Side, Start};
-use poppykeel_standin::{prompt, token};
+use poppykeel_stub_model_server::{prompt, token};
 use serde_json::{json, Value};
 use std::cell::RefCell;
 use std::collections::HashMap;
--- a/crates/lab/tests/breaks.rs
+++ b/crates/testbed/tests/breaks.rs
@@ -1,10 +1,10 @@
 //! Several processes of the program under faults: never two holders, and soon one again. The verdict is the stand-in's.
 
-use poppykeel_lab::breaks::{
+use poppykeel_testbed::breaks::{
     budgets, judge, judge_budget, roll, run, Act, Budgeted, Division, Fault, Found, Kind, Roll,
     Shape, Spent, Wanted,
 };
-use poppykeel_lab::sockets::Arrival;
+use poppykeel_testbed::sockets::Arrival;
 use std::path::{Path, PathBuf};
 
 fn folder(name: &str) -> PathBuf {
@@ -13,7 +13,10 @@
 
 /// Plays a run with the lab's own program as the node; what it leaves is kept where it was not good.
 fn play(name: &str, wanted: &Wanted) -> Found {
-    let (folder, program) = (folder(name), Path::new(env!("CARGO_BIN_EXE_poppykeel-lab")));
+    let (folder, program) = (
+        folder(name),
+        Path::new(env!("CARGO_BIN_EXE_poppykeel-testbed")),
+    );
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
@@ -291,7 +294,7 @@
 fn all_nodes_are_taken_out_in_turn_while_the_one_in_charge_is_lost_again_and_again() {
     let (folder, program) = (
         folder("roll"),
-        Path::new(env!("CARGO_BIN_EXE_poppykeel-lab")),
+        Path::new(env!("CARGO_BIN_EXE_poppykeel-testbed")),
     );
     let wanted = Roll {
         shape: Shape::default(),
@@ -313,7 +316,10 @@
 }
 
 fn spend(name: &str, wanted: Budgeted) -> Spent {
-    let (folder, program) = (folder(name), Path::new(env!("CARGO_BIN_EXE_poppykeel-lab")));
+    let (folder, program) = (
+        folder(name),
+        Path::new(env!("CARGO_BIN_EXE_poppykeel-testbed")),
+    );
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
@@ -438,7 +444,7 @@
 #[test]
 fn a_lab_that_is_killed_leaves_no_process_behind() {
     let folder = folder("killed");
-    let mut lab = std::process::Command::new(env!("CARGO_BIN_EXE_poppykeel-lab"))
+    let mut lab = std::process::Command::new(env!("CARGO_BIN_EXE_poppykeel-testbed"))
         .args([
             "break",
             "leases",
--- a/crates/lab/tests/emulator.rs
+++ b/crates/testbed/tests/emulator.rs
@@ -1,8 +1,8 @@
 //! Runs of the emulator: the same bytes for the same seed, the rules under whatever goes wrong, and what faults do.
 
-use poppykeel_lab::emulator::description::{Class, Fault, Repeats, Run, Tenant, What};
-use poppykeel_lab::emulator::policies::Policy;
-use poppykeel_lab::emulator::{Outcome, World};
+use poppykeel_testbed::emulator::description::{Class, Fault, Repeats, Run, Tenant, What};
+use poppykeel_testbed::emulator::policies::Policy;
+use poppykeel_testbed::emulator::{Outcome, World};
 use proptest::prelude::*;
 
 const WHATS: [What; 12] = [
@@ -166,7 +166,7 @@
     for policy in Policy::ALL {
         let out = play(&run, policy, 5);
         assert_eq!(out.broken.sum(), 0, "{policy}: {:?}", out.broken);
-        let of = |groups: &[(String, poppykeel_lab::emulator::Tally)]| {
+        let of = |groups: &[(String, poppykeel_testbed::emulator::Tally)]| {
             groups.iter().map(|g| g.1.requests()).collect::<Vec<_>>()
         };
         let (classes, tenants) = (of(&out.classes), of(&out.tenants));
--- a/crates/lab/tests/experiment.rs
+++ b/crates/testbed/tests/experiment.rs
@@ -1,8 +1,8 @@
 //! Experiments: their files, results that are taken up again, tables, and the program itself.
 
-use poppykeel_lab::experiment::table::{compare, table, Figure, Mean};
-use poppykeel_lab::experiment::{Experiment, Results};
-use poppykeel_lab::report;
+use poppykeel_testbed::experiment::table::{compare, table, Figure, Mean};
+use poppykeel_testbed::experiment::{Experiment, Results};
+use poppykeel_testbed::report;
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
 
@@ -32,7 +32,7 @@
 }
 
 fn lab(args: &[&str], file: &Path, more: &[&str]) -> Output {
-    Command::new(env!("CARGO_BIN_EXE_poppykeel-lab"))
+    Command::new(env!("CARGO_BIN_EXE_poppykeel-testbed"))
         .args(args)
         .arg(file)
         .args(more)
--- a/crates/lab/tests/sockets.rs
+++ b/crates/testbed/tests/sockets.rs
@@ -1,13 +1,13 @@
 //! The fleet on loopback sockets: `up` answers the line that it prints, and a load is played to its end.
 
-use poppykeel_lab::emulator::description::{Fault, Run, What};
-use poppykeel_lab::sockets;
+use poppykeel_testbed::emulator::description::{Fault, Run, What};
+use poppykeel_testbed::sockets;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
 /// The lab's own program serves as the node, too.
 fn program() -> &'static Path {
-    Path::new(env!("CARGO_BIN_EXE_poppykeel-lab"))
+    Path::new(env!("CARGO_BIN_EXE_poppykeel-testbed"))
 }
 
 fn folder(name: &str) -> PathBuf {
--- a/crates/lab/tests/together.rs
+++ b/crates/testbed/tests/together.rs
@@ -1,8 +1,8 @@
 //! Emulated nodes that talk to each other: one holder, a budget for all, and the same bytes for the same seed.
 
-use poppykeel_lab::emulator::description::{Division, Fault, Run, Together, What};
-use poppykeel_lab::emulator::policies::Policy;
-use poppykeel_lab::emulator::{Outcome, World};
+use poppykeel_testbed::emulator::description::{Division, Fault, Run, Together, What};
+use poppykeel_testbed::emulator::policies::Policy;
+use poppykeel_testbed::emulator::{Outcome, World};
 
 fn play(nodes: usize, division: Division, faults: Vec<Fault>, seed: u64) -> Outcome {
     let burst = 2.0 * nodes as f64;
--- a/crates/lab/tests/view.rs
+++ b/crates/testbed/tests/view.rs
@@ -1,9 +1,9 @@
 //! The view on ratatui's test backend.
 
-use poppykeel_lab::emulator::description::Run;
-use poppykeel_lab::emulator::policies::Policy;
-use poppykeel_lab::emulator::World;
-use poppykeel_lab::view::{draw, State};
+use poppykeel_testbed::emulator::description::Run;
+use poppykeel_testbed::emulator::policies::Policy;
+use poppykeel_testbed::emulator::World;
+use poppykeel_testbed::view::{draw, State};
 use ratatui::backend::TestBackend;
 use ratatui::Terminal;
 
--- a/src/program/config/fleet.rs
+++ b/src/program/config/fleet.rs
@@ -3,7 +3,7 @@
 use super::operator::Span;
 use crate::transport::fleet::budgets::{self as transport, TENANT};
 use crate::transport::fleet::{Place, Report};
-use poppykeel_fleet::budget::{self, Whole};
+use poppykeel_coordination::budget::{self, Whole};
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -263,7 +263,7 @@
         }
         let addr = self.advertise.unwrap_or(self.listen);
         Ok(Place {
-            node: poppykeel_fleet::Settings {
+            node: poppykeel_coordination::Settings {
                 fleet: self.name.clone(),
                 me: me.into(),
                 addr,
--- a/src/program/resolve.rs
+++ b/src/program/resolve.rs
@@ -9,7 +9,7 @@
 use crate::transport::messages::{Message, LIST, SRV};
 use crate::transport::srv::{Lookups, Newest};
 use crate::transport::Bounds;
-use poppykeel_membership::{Membership, Told};
+use poppykeel_endpoints::{Membership, Told};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -220,7 +220,7 @@
     members: &Membership,
     said: &BTreeMap<String, Said>,
     newest: &Newest,
-    now: poppykeel_dns::Micros,
+    now: poppykeel_dns_resolver::Micros,
 ) -> Value {
     let servers: Vec<Value> = members
         .servers()
@@ -257,7 +257,7 @@
     json!({"usable": members.usable(), "servers": servers, "sources": sources})
 }
 
-fn records(value: &mut Value, newest: &Newest, now: poppykeel_dns::Micros) {
+fn records(value: &mut Value, newest: &Newest, now: poppykeel_dns_resolver::Micros) {
     let left = |at: u64| at.saturating_sub(now) as f64 / 1e6;
     match &*newest.borrow() {
         Some(Ok(found)) => {
--- a/src/protocol/discovery.rs
+++ b/src/protocol/discovery.rs
@@ -1,6 +1,6 @@
 //! Discovery's lists, read from JSON to what the account of membership is told.
 
-use poppykeel_membership::{Entry, State, Told};
+use poppykeel_endpoints::{Entry, State, Told};
 use serde_json::Value;
 
 /// One answer of discovery.
--- a/src/protocol/srv.rs
+++ b/src/protocol/srv.rs
@@ -1,8 +1,8 @@
 //! What a look-up of SRV records comes to as a source of servers. The zone and the kind of a server follow from its
 //! target's name.
 
-use poppykeel_dns::Endpoint;
-use poppykeel_membership::{Entry, State};
+use poppykeel_dns_resolver::Endpoint;
+use poppykeel_endpoints::{Entry, State};
 use regex_lite::Regex;
 use std::collections::BTreeMap;
 
--- a/src/routing/directory.rs
+++ b/src/routing/directory.rs
@@ -3,7 +3,7 @@
 
 use crate::interface::{Listing, ReplicaId, ReplicaState, Seconds};
 use crate::wire::Boot;
-use poppykeel_membership::{Membership, Micros, Server, Settings, Standing, Told};
+use poppykeel_endpoints::{Membership, Micros, Server, Settings, Standing, Told};
 use std::collections::BTreeMap;
 use std::net::{Ipv6Addr, SocketAddr};
 use std::rc::Rc;
--- a/src/transport/discovery.rs
+++ b/src/transport/discovery.rs
@@ -15,7 +15,7 @@
 use crate::routing::seconds;
 use crate::Spendings;
 use futures_util::{SinkExt, StreamExt};
-use poppykeel_membership::Told;
+use poppykeel_endpoints::Told;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
--- a/src/transport/fleet/budgets.rs
+++ b/src/transport/fleet/budgets.rs
@@ -1,12 +1,12 @@
 //! Budgets of the whole fleet: what the core has wanted goes to this node's part in them, and what that may spend goes
-//! to the core. The decisions are `poppykeel_fleet::budget`'s, and spending is the module's.
+//! to the core. The decisions are `poppykeel_coordination::budget`'s, and spending is the module's.
 
 use super::Fleet;
 use crate::interface::{Allowed, Budget, Spend, Wanted};
 use crate::routing::{seconds, Micros};
 use crate::transport::messages::Message;
-use poppykeel_fleet::budget::{self, Count, Party};
-use poppykeel_fleet::envelope::Body;
+use poppykeel_coordination::budget::{self, Count, Party};
+use poppykeel_coordination::envelope::Body;
 use serde_json::{json, Value};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
--- a/src/transport/fleet/disk.rs
+++ b/src/transport/fleet/disk.rs
@@ -1,7 +1,7 @@
 //! A keeper's disk: a thread of its own, so that no sync holds up the loop that routes.
 
-use poppykeel_fleet::lease::Record;
-use poppykeel_store::{Fault, Files, Log, Troubled};
+use poppykeel_coordination::lease::Record;
+use poppykeel_durable_log::{Fault, Files, Log, Troubled};
 use std::collections::BTreeMap;
 use std::path::Path;
 use std::sync::mpsc::{sync_channel, Receiver, SyncSender};
--- a/src/transport/fleet/disk/tests.rs
+++ b/src/transport/fleet/disk/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use poppykeel_fleet::lease::{Entry, Holder};
+use poppykeel_coordination::lease::{Entry, Holder};
 
 fn entry(epoch: u64) -> Record {
     let holder = Some(Holder {
--- a/src/transport/fleet/mod.rs
+++ b/src/transport/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! The fleet's driver: sockets, timers and the disk round [`poppykeel_fleet::Node`]. Without `[fleet]` none of this
+//! The fleet's driver: sockets, timers and the disk round [`poppykeel_coordination::Node`]. Without `[fleet]` none of this
 //! exists: no listener, no thread, no file.
 
 pub mod budgets;
@@ -14,8 +14,8 @@
 use crate::transport::messages::{Message, Phase};
 use clock::SleepClock;
 use disk::{Disk, Told};
-use poppykeel_fleet::envelope::{self, Body, Dropped, Envelope};
-use poppykeel_fleet::{Node, Out};
+use poppykeel_coordination::envelope::{self, Body, Dropped, Envelope};
+use poppykeel_coordination::{Node, Out};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -40,7 +40,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Place {
     /// What the machine is told.
-    pub node: poppykeel_fleet::Settings,
+    pub node: poppykeel_coordination::Settings,
     /// Where this node listens, by UDP and TCP.
     pub listen: SocketAddr,
     /// Where nodes are reached from here, where that differs from what they say.
--- a/src/transport/fleet/report.rs
+++ b/src/transport/fleet/report.rs
@@ -3,7 +3,7 @@
 
 use super::{Fleet, Report};
 use crate::transport::messages::Message;
-use poppykeel_fleet::envelope::{Body, Figures, Totals};
+use poppykeel_coordination::envelope::{Body, Figures, Totals};
 use serde_json::json;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
--- a/src/transport/fleet/roll.rs
+++ b/src/transport/fleet/roll.rs
@@ -1,11 +1,11 @@
-//! A task of the whole fleet: taking its nodes out one after the other. The decisions are `poppykeel_fleet::roll`'s.
+//! A task of the whole fleet: taking its nodes out one after the other. The decisions are `poppykeel_coordination::roll`'s.
 
 use super::Fleet;
 use crate::routing::Micros;
 use crate::transport::admin::{evacuate, rejoin};
 use crate::transport::messages::Message;
-use poppykeel_fleet::envelope::Body;
-use poppykeel_fleet::roll::{self, Charge, Order, Own};
+use poppykeel_coordination::envelope::Body;
+use poppykeel_coordination::roll::{self, Charge, Order, Own};
 use serde_json::{json, Value};
 use std::cell::RefCell;
 use std::rc::Rc;
--- a/src/transport/fleet/status.rs
+++ b/src/transport/fleet/status.rs
@@ -1,7 +1,7 @@
 //! What operators are shown of the fleet.
 
 use super::Fleet;
-use poppykeel_fleet::lease::{Holder, Standing};
+use poppykeel_coordination::lease::{Holder, Standing};
 use serde_json::{json, Value};
 
 fn holder(holder: &Option<Holder>) -> Value {
@@ -55,7 +55,7 @@
             self.dropped.get(),
         );
         let keepers = self.node.borrow().keepers();
-        let member = |m: &poppykeel_fleet::members::Member| {
+        let member = |m: &poppykeel_coordination::members::Member| {
             json!({"name": m.name, "addr": m.addr.to_string(), "incarnation": format!("{:016x}", m.incarnation),
                 "keeper": keepers.contains_key(&m.name)})
         };
--- a/src/transport/fleet/trials.rs
+++ b/src/transport/fleet/trials.rs
@@ -1,11 +1,11 @@
-//! A task of the whole fleet: trials of ejected servers. The decisions are `poppykeel_fleet::trials`' and, on what to
+//! A task of the whole fleet: trials of ejected servers. The decisions are `poppykeel_coordination::trials`' and, on what to
 //! do about advice, the module's.
 
 use super::Fleet;
 use crate::routing::Micros;
 use crate::transport::messages::{Message, Replica};
-use poppykeel_fleet::envelope::Body;
-use poppykeel_fleet::trials::{self, Charge, Own, Standing, MOST_NAMES};
+use poppykeel_coordination::envelope::Body;
+use poppykeel_coordination::trials::{self, Charge, Own, Standing, MOST_NAMES};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::rc::Rc;
--- a/src/transport/hub.rs
+++ b/src/transport/hub.rs
@@ -8,7 +8,7 @@
 use crate::protocol::admin::Figures;
 use crate::routing::directory::{Changed, Directory};
 use crate::routing::{Command, Input, Micros, Router};
-use poppykeel_membership::Told;
+use poppykeel_endpoints::Told;
 use std::cell::Cell;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::rc::Rc;
--- a/src/transport/messages.rs
+++ b/src/transport/messages.rs
@@ -6,7 +6,7 @@
 use crate::routing::{Input, Micros};
 use crate::wire::Boot;
 use bytes::Bytes;
-use poppykeel_membership::Told;
+use poppykeel_endpoints::Told;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::time::Duration;
--- a/src/transport/relay.rs
+++ b/src/transport/relay.rs
@@ -1,6 +1,6 @@
 //! Saves streams that their server did not end, where the operators allow it: what was passed is kept in mind, the
 //! rest is asked for as a request of its own, and both become one answer. The module decides about that request as
-//! about any other; whether there is one at all is judged by `poppykeel_streams`.
+//! about any other; whether there is one at all is judged by `poppykeel_stream_recovery`.
 
 use super::messages::Payload;
 use super::streams::{Continues, Streams};
@@ -9,7 +9,7 @@
 use crate::protocol::request;
 use crate::wire::Boot;
 use bytes::Bytes;
-use poppykeel_streams::{judge, Case, Ends, Progress, Refusal, Story};
+use poppykeel_stream_recovery::{judge, Case, Ends, Progress, Refusal, Story};
 use std::rc::Rc;
 
 /// One client's stream that may be saved.
--- a/src/transport/srv.rs
+++ b/src/transport/srv.rs
@@ -3,8 +3,8 @@
 use super::clock::Clock;
 use super::messages::{Message, SRV};
 use crate::protocol::srv::Naming;
-use poppykeel_dns::{driver, Config, Event, Found};
-use poppykeel_membership::{Entry, Told};
+use poppykeel_dns_resolver::{driver, Config, Event, Found};
+use poppykeel_endpoints::{Entry, Told};
 use std::cell::RefCell;
 use std::rc::Rc;
 use tokio::sync::mpsc;
--- a/src/transport/streams.rs
+++ b/src/transport/streams.rs
@@ -1,9 +1,9 @@
 //! What all streams of a node share: how long a silence may last at each replica, the budgets of continuing, and
-//! counts. What follows from them is decided by `poppykeel_streams`.
+//! counts. What follows from them is decided by `poppykeel_stream_recovery`.
 
 use super::clock::Clock;
 use crate::interface::ReplicaId;
-use poppykeel_streams::{Budget, Budgets, Gaps, Health, Limits, Micros, State};
+use poppykeel_stream_recovery::{Budget, Budgets, Gaps, Health, Limits, Micros, State};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::rc::Rc;
--- a/tests/admin.rs
+++ b/tests/admin.rs
@@ -3,7 +3,7 @@
 #[allow(dead_code)] // the rest is for tests of streams
 mod support;
 
-use poppykeel_standin::{Outcome, Script, Standin};
+use poppykeel_stub_model_server::{Outcome, Script, Standin};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::process::Command;
--- a/tests/exchanges.rs
+++ b/tests/exchanges.rs
@@ -3,7 +3,7 @@
 //! of the same name ends in `.toml`, it is the operators' file, with a stand-in name server at `DNS`. A file whose
 //! first line is `#= FROM => TO` plays against `config.json` with that text replaced.
 
-use poppykeel_dns_standin::{Lie, Script, Standin};
+use poppykeel_stub_dns_server::{Lie, Script, Standin};
 use std::collections::HashMap;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{Shutdown, TcpListener, TcpStream};
--- a/tests/faults.rs
+++ b/tests/faults.rs
@@ -4,7 +4,7 @@
 #[allow(dead_code)] // each file of tests uses a part
 mod support;
 
-use poppykeel_standin::{Outcome, Script, Standin};
+use poppykeel_stub_model_server::{Outcome, Script, Standin};
 use std::io::{Read, Write};
 use std::path::PathBuf;
 use std::time::Duration;
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -4,9 +4,9 @@
 mod support;
 
 use poppykeel::program::config::operator::Operator;
-use poppykeel_fleet::envelope::{self, Body, Envelope};
-use poppykeel_fleet::trials;
-use poppykeel_standin::{Fault, Outcome, Script, Standin};
+use poppykeel_coordination::envelope::{self, Body, Envelope};
+use poppykeel_coordination::trials;
+use poppykeel_stub_model_server::{Fault, Outcome, Script, Standin};
 use std::collections::BTreeSet;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream, UdpSocket};
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -10,7 +10,7 @@
 use poppykeel::interface::*;
 use poppykeel::routing::handover::{read, write, Doubt};
 use poppykeel::wire::Names;
-use poppykeel_standin::{Outcome as Seen, Script, Standin};
+use poppykeel_stub_model_server::{Outcome as Seen, Script, Standin};
 use proptest::prelude::*;
 use rig::*;
 use std::process::Command;
--- a/tests/operator.rs
+++ b/tests/operator.rs
@@ -1,7 +1,7 @@
 //! The operators' file and the commands that read it, as a person runs them.
 
 use poppykeel::program::config::operator::Operator;
-use poppykeel_dns_standin::{Lie, Script, Standin};
+use poppykeel_stub_dns_server::{Lie, Script, Standin};
 use serde_json::Value;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -177,14 +177,14 @@
 
 #[test]
 fn resolve_takes_truncated_answers_over_tcp_and_zones_from_names() {
-    let zone = include_str!("../crates/dns-standin/examples/zone.toml");
+    let zone = include_str!("../crates/stub-dns-server/examples/zone.toml");
     let dns = standin(
         Script::read(zone)
             .unwrap()
             .lying(Lie::Truncate)
             .lying(Lie::Drip),
     );
-    let example = include_str!("../crates/dns-standin/examples/operator.toml");
+    let example = include_str!("../crates/stub-dns-server/examples/operator.toml");
     let path = file(
         "zones",
         &example.replace("127.0.0.1:5353", &dns.addr().to_string()),
--- a/tests/rare.rs
+++ b/tests/rare.rs
@@ -4,7 +4,7 @@
 #[allow(dead_code)] // each file of tests uses a part
 mod support;
 
-use poppykeel_standin::{Outcome, Script, Standin};
+use poppykeel_stub_model_server::{Outcome, Script, Standin};
 use socket2::{Domain, Socket, Type};
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
--- a/tests/shutdown.rs
+++ b/tests/shutdown.rs
@@ -4,7 +4,7 @@
 #[allow(dead_code)] // each file of tests uses a part
 mod support;
 
-use poppykeel_standin::{Script, Standin};
+use poppykeel_stub_model_server::{Script, Standin};
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
 use std::time::Duration;
--- a/tests/streams.rs
+++ b/tests/streams.rs
@@ -3,7 +3,9 @@
 
 mod support;
 
-use poppykeel_standin::{check, Fault, Outcome, Part, Rule, Script, Seen, Standin, Verdict};
+use poppykeel_stub_model_server::{
+    check, Fault, Outcome, Part, Rule, Script, Seen, Standin, Verdict,
+};
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpListener};
 use std::process::Command;
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -1,6 +1,6 @@
 //! A node with stand-in model servers, and clients that ask it: for tests and measurements alike.
 
-use poppykeel_standin::{Outcome, Seen};
+use poppykeel_stub_model_server::{Outcome, Seen};
 use std::io::{BufRead, BufReader, ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::path::PathBuf;
--- a/tests/watch.rs
+++ b/tests/watch.rs
@@ -5,7 +5,7 @@
 use poppykeel::transport::discovery::Watch;
 use poppykeel::transport::messages::Message;
 use poppykeel::transport::Bounds;
-use poppykeel_membership::Told;
+use poppykeel_endpoints::Told;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
