--- a/tests/brain.rs
+++ b/crates/scheduler/tests/brain.rs
@@ -1,7 +1,7 @@
 //! The decision module alone: hand-made events in, actions out.
 
-use poppykeel::interface::*;
-use poppykeel::Brain;
+use poppykeel_scheduler::interface::*;
+use poppykeel_scheduler::Brain;
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/tests/budgets.rs
+++ b/crates/scheduler/tests/budgets.rs
@@ -4,7 +4,7 @@
 #[path = "support/rig.rs"]
 mod rig;
 
-use poppykeel::interface::*;
+use poppykeel_scheduler::interface::*;
 use rig::*;
 
 impl Rig {
--- a/tests/cold_start.rs
+++ b/crates/scheduler/tests/cold_start.rs
@@ -5,8 +5,8 @@
 #[path = "support/rig.rs"]
 mod rig;
 
-use poppykeel::interface::*;
-use poppykeel::Brain;
+use poppykeel_scheduler::interface::*;
+use poppykeel_scheduler::Brain;
 use proptest::prelude::*;
 use rig::*;
 
--- a/tests/support/rig.rs
+++ b/crates/scheduler/tests/support/rig.rs
@@ -1,7 +1,7 @@
 //! The decision module on a bench of its own: hand-made events in, actions out.
 
-use poppykeel::interface::*;
-use poppykeel::Brain;
+use poppykeel_scheduler::interface::*;
+use poppykeel_scheduler::Brain;
 
 pub fn class(worth: f64, effect: Effect) -> Class {
     Class {
--- a/src/bin/poppykeel-simhost.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -4,12 +4,15 @@
 
 #![forbid(unsafe_code)]
 
-use poppykeel::interface::{Event, Seconds};
-use poppykeel::wire::{self, Boot, Line, Row, Told};
-use poppykeel::Brain;
+mod wire;
+
+use poppykeel_scheduler::interface::{Event, Seconds};
+use poppykeel_scheduler::Brain;
+use poppykeel_site_settings::Boot;
 use std::collections::BTreeMap;
 use std::io::{BufRead, Write};
 use std::process::ExitCode;
+use wire::{Line, Row, Told};
 
 struct Instance {
     brain: Brain,
@@ -142,7 +145,7 @@
     match run() {
         Ok(()) => ExitCode::SUCCESS,
         Err(text) => {
-            eprintln!("poppykeel-simhost: {text}");
+            eprintln!("poppykeel-simulator-adapter: {text}");
             ExitCode::FAILURE
         }
     }
--- a/tests/adapter.rs
+++ b/crates/simulator-adapter/tests/adapter.rs
@@ -10,7 +10,7 @@
 "costs":{},"membershipMode":"pushed","somethingNew":{"x":1}}"#;
 
 fn run(input: &str) -> Output {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_poppykeel-simhost"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_poppykeel-simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
--- a/crates/testbed/src/emulator/faults.rs
+++ b/crates/testbed/src/emulator/faults.rs
@@ -5,7 +5,7 @@
 use super::server::Key;
 use super::world::{micros, Event, Word, World};
 use crate::Micros;
-use poppykeel::interface::{self, ReplicaState};
+use poppykeel_scheduler::interface::{self, ReplicaState};
 use std::ops::Range;
 
 /// A server that ends is started again after so long, where the fault does not say when.
--- a/crates/testbed/src/emulator/node.rs
+++ b/crates/testbed/src/emulator/node.rs
@@ -3,9 +3,9 @@
 use super::description::{Repeats, Run};
 use super::policies::{Policy, Simple};
 use crate::Micros;
-use poppykeel::interface::*;
 use poppykeel::routing::{Command, Input, Router};
-use poppykeel::Brain;
+use poppykeel_scheduler::interface::*;
+use poppykeel_scheduler::Brain;
 use rand::SeedableRng;
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr};
--- a/crates/testbed/src/emulator/policies.rs
+++ b/crates/testbed/src/emulator/policies.rs
@@ -2,10 +2,10 @@
 //! sends at once, holds nothing back, tries again elsewhere where that is allowed, and leaves a server alone for a
 //! while after failures in a row (as passive checks of common proxies do).
 
-use poppykeel::interface::{
+use poppykeel::routing::{Command, Input, Micros};
+use poppykeel_scheduler::interface::{
     Arrival, Effect, Listing, Outcome, ReplicaId, ReplicaState, RequestId, Settings,
 };
-use poppykeel::routing::{Command, Input, Micros};
 use rand::RngExt;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
--- a/crates/testbed/src/emulator/together.rs
+++ b/crates/testbed/src/emulator/together.rs
@@ -4,12 +4,12 @@
 use super::measure::Talked;
 use super::world::{micros, Event, World};
 use crate::Micros;
-use poppykeel::interface::{Allowed, Budget, Spend};
 use poppykeel::transport::fleet::budgets::{Budgets, TASK};
 use poppykeel_coordination::budget::{Party, Settings, Whole};
 use poppykeel_coordination::envelope::{self, Body, Envelope};
 use poppykeel_coordination::lease::Record;
 use poppykeel_coordination::{Node, Out, Settings as Place};
+use poppykeel_scheduler::interface::{Allowed, Budget, Spend};
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr};
 
--- a/crates/testbed/src/view/state.rs
+++ b/crates/testbed/src/view/state.rs
@@ -1,7 +1,7 @@
 //! What the view knows: from an emulated world, or line by line from a node's log in JSON.
 
 use crate::emulator::{End, Outcome, World};
-use poppykeel::interface::ReplicaState;
+use poppykeel_scheduler::interface::ReplicaState;
 use serde_json::Value;
 use std::collections::{BTreeMap, VecDeque};
 
--- a/src/program/config/mod.rs
+++ b/src/program/config/mod.rs
@@ -10,7 +10,7 @@
 use crate::transport::listener::MOST_TURNED_AWAY;
 use crate::transport::shutdown;
 use crate::transport::Bounds;
-use crate::wire::Boot;
+use poppykeel_site_settings::Boot;
 use serde_json::Value;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -126,7 +126,7 @@
                 ));
             }
         }
-        let pushed = boot.settings.discovery == crate::interface::Discovery::Pushed;
+        let pushed = boot.settings.discovery == poppykeel_scheduler::interface::Discovery::Pushed;
         let grace = boot.settings.rules.drain_grace.clamp(LEAST_GRACE, 86_400.0);
         let agent = Duration::from_secs_f64(grace * AGENT_PART);
         let bounds = Bounds {
--- a/src/program/serve.rs
+++ b/src/program/serve.rs
@@ -18,8 +18,8 @@
 use crate::transport::srv::Lookups;
 use crate::transport::streams::Streams;
 use crate::transport::upstream::Upstream;
-use crate::wire::Boot;
-use crate::Brain;
+use poppykeel_scheduler::Brain;
+use poppykeel_site_settings::Boot;
 use std::cell::Cell;
 use std::future::Future;
 use std::net::SocketAddr;
@@ -148,7 +148,7 @@
         discovery.version(known.version());
     }
     // Where lists are pushed the module never asks: the agent's list is watched from the start.
-    let pushed = boot.settings.discovery == crate::interface::Discovery::Pushed;
+    let pushed = boot.settings.discovery == poppykeel_scheduler::interface::Discovery::Pushed;
     let discovery = if pushed {
         discovery.pushed()
     } else {
--- a/src/protocol/answer.rs
+++ b/src/protocol/answer.rs
@@ -1,11 +1,11 @@
 //! A replica's answer: fed the parts of one message, it says what to pass on and how the attempt ended.
 
-use crate::interface::{Outcome, Report};
 use crate::protocol::events::Scan;
 use crate::protocol::http::{Head, Headers, Part, Start};
 use crate::protocol::report::report;
-use crate::wire::Boot;
 use bytes::{Bytes, BytesMut};
+use poppykeel_scheduler::interface::{Outcome, Report};
+use poppykeel_site_settings::Boot;
 use std::rc::Rc;
 
 /// The longest event: a stream that goes on without completing one is spoilt, and would never end.
--- a/src/protocol/events.rs
+++ b/src/protocol/events.rs
@@ -1,9 +1,9 @@
 //! The event stream of an answer, looked at while it passes: where its first event ends, the load report in a
 //! comment line, and how much of the prompt was found kept. Nothing is changed.
 
-use crate::interface::Report;
 use crate::protocol::report::report;
-use crate::wire::Boot;
+use poppykeel_scheduler::interface::Report;
+use poppykeel_site_settings::Boot;
 use serde_json::Value;
 
 /// Lines longer than this are events for certain and are not kept to be looked at.
--- a/src/protocol/report.rs
+++ b/src/protocol/report.rs
@@ -1,7 +1,7 @@
 //! What a replica says of itself: load reports in answers and streams, and the outcome of a probe.
 
-use crate::interface::{Outcome, Report};
-use crate::wire::Boot;
+use poppykeel_scheduler::interface::{Outcome, Report};
+use poppykeel_site_settings::Boot;
 use serde_json::Value;
 use std::sync::atomic::{AtomicU64, Ordering};
 
--- a/src/protocol/request.rs
+++ b/src/protocol/request.rs
@@ -1,9 +1,9 @@
 //! A client's request: its route, the module's arrival, and the heads that go out for it.
 
-use crate::interface::{Arrival, RequestId};
 use crate::protocol::http::{Head, Headers, Start};
-use crate::wire::Names;
 use bytes::Bytes;
+use poppykeel_scheduler::interface::{Arrival, RequestId};
+use poppykeel_site_settings::Names;
 use std::fmt::Write;
 use std::str::FromStr;
 
--- a/src/routing/directory.rs
+++ b/src/routing/directory.rs
@@ -1,9 +1,9 @@
 //! The account of membership as the module sees it: servers by its own name for them, with zones, kinds and starts
 //! in its terms, and where each of them listens.
 
-use crate::interface::{Listing, ReplicaId, ReplicaState, Seconds};
-use crate::wire::Boot;
 use poppykeel_endpoints::{Membership, Micros, Server, Settings, Standing, Told};
+use poppykeel_scheduler::interface::{Listing, ReplicaId, ReplicaState, Seconds};
+use poppykeel_site_settings::Boot;
 use std::collections::BTreeMap;
 use std::net::{Ipv6Addr, SocketAddr};
 use std::rc::Rc;
--- a/src/routing/handover.rs
+++ b/src/routing/handover.rs
@@ -1,7 +1,7 @@
 //! What one process of a node leaves to the next: when it is believed. Bytes in and out, no file and no clock.
 
-use crate::interface::Memory;
-use crate::wire::Names;
+use poppykeel_scheduler::interface::Memory;
+use poppykeel_site_settings::Names;
 use serde::{Deserialize, Serialize};
 
 /// What is older than this, in milliseconds, tells of a fleet that has moved on: sessions' turns have gone elsewhere.
--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -7,8 +7,8 @@
 pub mod directory;
 pub mod handover;
 
-use crate::interface::*;
-use crate::Brain;
+use poppykeel_scheduler::interface::*;
+use poppykeel_scheduler::Brain;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// Microseconds on the monotonic clock.
--- a/src/transport/clients.rs
+++ b/src/transport/clients.rs
@@ -5,7 +5,7 @@
 use super::shutdown::Shutdown;
 use super::streams::Streams;
 use super::Bounds;
-use crate::wire::Boot;
+use poppykeel_site_settings::Boot;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::rc::Rc;
--- a/src/transport/discovery.rs
+++ b/src/transport/discovery.rs
@@ -8,14 +8,14 @@
 use super::clock::Clock;
 use super::messages::{Message, LIST};
 use super::{Bounds, Wire};
-use crate::interface::{Allowed, Spend, Wanted};
 use crate::protocol::discovery::{read, Update};
 use crate::protocol::http::{Http, Out, Part, Side, Start};
 use crate::protocol::request;
 use crate::routing::seconds;
-use crate::Spendings;
 use futures_util::{SinkExt, StreamExt};
 use poppykeel_endpoints::Told;
+use poppykeel_scheduler::interface::{Allowed, Spend, Wanted};
+use poppykeel_scheduler::Spendings;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
--- a/src/transport/fleet/budgets.rs
+++ b/src/transport/fleet/budgets.rs
@@ -2,11 +2,11 @@
 //! to the core. The decisions are `poppykeel_coordination::budget`'s, and spending is the module's.
 
 use super::Fleet;
-use crate::interface::{Allowed, Budget, Spend, Wanted};
 use crate::routing::{seconds, Micros};
 use crate::transport::messages::Message;
 use poppykeel_coordination::budget::{self, Count, Party};
 use poppykeel_coordination::envelope::Body;
+use poppykeel_scheduler::interface::{Allowed, Budget, Spend, Wanted};
 use serde_json::{json, Value};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
--- a/src/transport/handover.rs
+++ b/src/transport/handover.rs
@@ -4,7 +4,7 @@
 use super::clock::Clock;
 use super::messages::Message;
 use crate::routing::handover::{self, MOST};
-use crate::wire::Boot;
+use poppykeel_site_settings::Boot;
 use std::cell::Cell;
 use std::fs;
 use std::io;
--- a/src/transport/messages.rs
+++ b/src/transport/messages.rs
@@ -1,12 +1,14 @@
 //! What drivers tell each other. Everything here is plain data; each driver uses this file and those below it.
 
-use crate::interface::{Allowed, Arrival, Memory, ReplicaId, RequestId, Spend, Wanted};
 use crate::protocol::admin::Figures;
 use crate::routing::directory::Members;
 use crate::routing::{Input, Micros};
-use crate::wire::Boot;
 use bytes::Bytes;
 use poppykeel_endpoints::Told;
+use poppykeel_scheduler::interface::{
+    Allowed, Arrival, Memory, ReplicaId, RequestId, Spend, Wanted,
+};
+use poppykeel_site_settings::Boot;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::time::Duration;
--- a/src/transport/pool.rs
+++ b/src/transport/pool.rs
@@ -1,8 +1,8 @@
 //! Connections to replicas: bounded in number, used again newest first.
 
 use super::Wire;
-use crate::interface::ReplicaId;
 use crate::protocol::http::{Http, Side};
+use poppykeel_scheduler::interface::ReplicaId;
 use rustix::io::Errno;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
--- a/src/transport/relay.rs
+++ b/src/transport/relay.rs
@@ -4,11 +4,11 @@
 
 use super::messages::Payload;
 use super::streams::{Continues, Streams};
-use crate::interface::{Arrival, Effect, ReplicaId, RequestId};
 use crate::protocol::http::Head;
 use crate::protocol::request;
-use crate::wire::Boot;
 use bytes::Bytes;
+use poppykeel_scheduler::interface::{Arrival, Effect, ReplicaId, RequestId};
+use poppykeel_site_settings::Boot;
 use poppykeel_stream_recovery::{judge, Case, Ends, Progress, Refusal, Story};
 use std::rc::Rc;
 
--- a/src/transport/streams.rs
+++ b/src/transport/streams.rs
@@ -2,7 +2,7 @@
 //! counts. What follows from them is decided by `poppykeel_stream_recovery`.
 
 use super::clock::Clock;
-use crate::interface::ReplicaId;
+use poppykeel_scheduler::interface::ReplicaId;
 use poppykeel_stream_recovery::{Budget, Budgets, Gaps, Health, Limits, Micros, State};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
--- a/tests/decision_module.rs
+++ b/tests/decision_module.rs
@@ -4,11 +4,11 @@
 
 /// Where the decision module's sources are: files, and folders that hold nothing else.
 const SOURCES: [&str; 5] = [
-    "src/brain.rs",
-    "src/brain",
-    "src/interface.rs",
-    "src/state.rs",
-    "src/state",
+    "crates/scheduler/src/brain.rs",
+    "crates/scheduler/src/brain",
+    "crates/scheduler/src/interface.rs",
+    "crates/scheduler/src/state.rs",
+    "crates/scheduler/src/state",
 ];
 
 /// Paths through which a program reaches files, sockets, clocks, threads, the environment or other processes.
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -2,14 +2,14 @@
 //! side by side.
 
 #[allow(dead_code)] // each file of tests uses a part
-#[path = "support/rig.rs"]
+#[path = "../crates/scheduler/tests/support/rig.rs"]
 mod rig;
 #[allow(dead_code)] // the rest is for tests of streams
 mod support;
 
-use poppykeel::interface::*;
 use poppykeel::routing::handover::{read, write, Doubt};
-use poppykeel::wire::Names;
+use poppykeel_scheduler::interface::*;
+use poppykeel_site_settings::Names;
 use poppykeel_stub_model_server::{Outcome as Seen, Script, Standin};
 use proptest::prelude::*;
 use rig::*;
--- a/tests/hub.rs
+++ b/tests/hub.rs
@@ -1,8 +1,6 @@
 //! The hub round the core, fed with what drivers tell it in an order that sockets bring about only now and then; its
 //! replica is a real socket.
 
-use poppykeel::brain::Brain;
-use poppykeel::interface::{Arrival, RequestId};
 use poppykeel::program::config::operator::Operator;
 use poppykeel::program::config::Config;
 use poppykeel::routing::directory::Directory;
@@ -14,6 +12,8 @@
 use poppykeel::transport::pool::Pool;
 use poppykeel::transport::streams::Streams;
 use poppykeel::transport::upstream::Upstream;
+use poppykeel_scheduler::interface::{Arrival, RequestId};
+use poppykeel_scheduler::Brain;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
--- a/tests/protocol.rs
+++ b/tests/protocol.rs
@@ -1,14 +1,14 @@
 //! Bytes to messages, without a socket: pieces of any size, lists, configuration.
 
 use bytes::BytesMut;
-use poppykeel::interface::Outcome;
 use poppykeel::program::config::operator::Operator;
 use poppykeel::program::config::Config;
 use poppykeel::protocol::answer::{Answer, Step};
 use poppykeel::protocol::discovery::read;
 use poppykeel::protocol::http::{Fault, Http, Part, Side};
 use poppykeel::routing::directory::{identity, Directory, Moment};
-use poppykeel::wire::Boot;
+use poppykeel_scheduler::interface::Outcome;
+use poppykeel_site_settings::Boot;
 use serde_json::json;
 use std::rc::Rc;
 use tokio_util::codec::Decoder;
--- a/tests/routing.rs
+++ b/tests/routing.rs
@@ -1,10 +1,10 @@
 //! The core with fed time: events in, commands out, no socket.
 
-use poppykeel::interface::*;
 use poppykeel::routing::directory::identity;
 use poppykeel::routing::{Command, Input, Micros, Router};
-use poppykeel::wire::Boot;
-use poppykeel::Brain;
+use poppykeel_scheduler::interface::*;
+use poppykeel_scheduler::Brain;
+use poppykeel_site_settings::Boot;
 
 const R: RequestId = RequestId(1);
 
--- a/tests/transport.rs
+++ b/tests/transport.rs
@@ -5,7 +5,6 @@
 
 use drivers::{config, shared};
 use futures_util::{SinkExt, StreamExt};
-use poppykeel::interface::RequestId;
 use poppykeel::protocol::http::{Out, Part};
 use poppykeel::routing::directory::identity;
 use poppykeel::transport::client::Client;
@@ -16,6 +15,7 @@
 use poppykeel::transport::streams::Streams;
 use poppykeel::transport::upstream::{Job, Upstream};
 use poppykeel::transport::Bounds;
+use poppykeel_scheduler::interface::RequestId;
 use std::io::{Read, Write};
 use std::net::TcpListener;
 use std::rc::Rc;
