--- a/crates/scheduler/src/brain.rs
+++ b/crates/scheduler/src/brain.rs
@@ -12,7 +12,7 @@
 mod ledger;
 mod shutdown;
 use estimate::{BASE_TOKENS, EVEN};
-pub use ledger::Brain;
+pub use ledger::Scheduler;
 
 /// How often all requests are looked over; small against any aim, cheap against the CPU.
 const TICK: Seconds = 0.02;
@@ -68,10 +68,10 @@
 /// An even part is widened by this, since the front does not spread clients evenly over routers and zones.
 const SHARE_SLACK: f64 = 1.3;
 
-impl Brain {
+impl Scheduler {
     /// Takes one event and appends the actions it calls for. Events about something unknown are passed over;
     /// so are all but the first event of a request id. A time before the last one counts as the last one.
-    pub fn handle(&mut self, now: Seconds, event: Event, out: &mut Vec<Action>) {
+    pub fn handle_event(&mut self, now: Seconds, event: Event, out: &mut Vec<Action>) {
         self.now = if now.is_finite() {
             self.now.max(now)
         } else {
@@ -79,33 +79,34 @@
         };
         if !self.started {
             self.started = true;
-            out.push(Action::Wake { after: TICK });
+            out.push(Action::SetTimer { after: TICK });
             // Routers that start together must not ask together: the list is one slow service for all.
             self.ask_at = Some(
-                self.now + self.place() * (self.settings.rules.ask_every / 4.0).min(LIST_SPREAD),
+                self.now
+                    + self.place() * (self.settings.lifecycle.poll_interval / 4.0).min(LIST_SPREAD),
             );
         }
         match event {
-            Event::ListFull(list) => self.relist(list, true),
-            Event::ListChanged(list) => self.relist(list, false),
-            Event::ListFailed => {
+            Event::EndpointsReplaced(list) => self.relist(list, true),
+            Event::EndpointsChanged(list) => self.relist(list, false),
+            Event::EndpointListFailed => {
                 self.ask_at = Some(self.now + LIST_RETRY * (0.1 + 0.9 * self.place()))
             }
-            Event::Arrived(arrival) if self.requests.contains_key(&arrival.id) => {}
-            Event::Arrived(arrival) => self.arrive(arrival, out),
-            Event::Started {
+            Event::RequestArrived(arrival) if self.requests.contains_key(&arrival.id) => {}
+            Event::RequestArrived(arrival) => self.arrive(arrival, out),
+            Event::FirstToken {
                 request,
                 attempt,
                 elapsed,
             } => self.first_token(request, attempt, elapsed, out),
-            Event::Ended { .. } => self.ended(event, out),
-            Event::ClientGone(id) => self.close(id, out),
-            Event::Probed {
+            Event::AttemptEnded { .. } => self.ended(event, out),
+            Event::ClientDisconnected(id) => self.close(id, out),
+            Event::ProbeEnded {
                 replica,
                 outcome,
                 report,
             } => {
-                if outcome == Outcome::Served {
+                if outcome == AttemptOutcome::Completed {
                     self.alive(replica, false);
                 }
                 self.replicas.entry(replica).and_modify(|r| r.asked = false);
@@ -114,33 +115,33 @@
                     self.unpark();
                 }
             }
-            Event::Advised {
+            Event::OutlierAdvice {
                 replica,
-                well: true,
+                is_healthy: true,
             } => self.alive(replica, true),
-            Event::Advised { replica, .. } => {
+            Event::OutlierAdvice { replica, .. } => {
                 let until = self.now + PAUSE;
                 self.replicas
                     .entry(replica)
                     .and_modify(|r| r.paused_until = r.paused_until.max(until));
             }
-            Event::Woke => self.tick(out),
+            Event::TimerFired => self.tick(out),
         }
         self.release(out);
     }
 
     /// Departure: with more routers than replicas answers are rare. Each counts for more, reports are asked
     /// for, and a replica that says it is idle has room beside the pool, which is too coarse.
-    fn relist(&mut self, list: Vec<Listing>, full: bool) {
+    fn relist(&mut self, list: Vec<Endpoint>, full: bool) {
         if full {
             self.replicas
                 .values_mut()
                 .for_each(|r| (r.up, r.gone) = (false, true));
         }
         for entry in list {
-            let cold = self.settings.rules.cold;
+            let cold = self.settings.lifecycle.slow_start_duration;
             let born = entry
-                .born
+                .started_at
                 .filter(|b| self.now - b < cold)
                 .map(|b| b.min(self.now));
             let r = self
@@ -159,7 +160,8 @@
             .pool
             .most_up
             .max(self.replicas.values().filter(|r| r.up).count());
-        self.pool.rare = (self.settings.routers as f64 / self.pool.most_up.max(1) as f64).max(1.0);
+        self.pool.rare =
+            (self.settings.router_count as f64 / self.pool.most_up.max(1) as f64).max(1.0);
         self.resize();
     }
 
@@ -171,36 +173,39 @@
             .filter(|r| r.up && !self.cold(r))
             .count();
         self.pool
-            .resize(warm, FIRST_POOL / self.settings.routers as f64);
+            .resize(warm, FIRST_POOL / self.settings.router_count as f64);
     }
 
-    fn arrive(&mut self, arrival: Arrival, out: &mut Vec<Action>) {
+    fn arrive(&mut self, arrival: IncomingRequest, out: &mut Vec<Action>) {
         let id = arrival.id;
         let Some(class) = self.settings.classes.get(arrival.class) else {
-            return out.push(Action::Refuse {
+            return out.push(Action::Reject {
                 request: id,
                 retry_after: 0.0,
             });
         };
         let time_left = self.time_left(&arrival);
-        let (aim, deadline) = (class.aim_of(&arrival), self.now + time_left);
-        let useful_until = if class.late_worth > 0.0 {
+        let (aim, deadline) = (class.ttft_objective_for(&arrival), self.now + time_left);
+        let useful_until = if class.late_weight > 0.0 {
             deadline
         } else {
             deadline.min(self.now + aim)
         };
-        let (worth, tenant) = (class.worth, arrival.tenant.min(self.allowances.len() - 1));
+        let (worth, tenant) = (
+            class.priority_weight,
+            arrival.tenant.min(self.allowances.len() - 1),
+        );
         // Departure: what a tenant sends beyond its share waits in the tier of what that is worth.
         let worth = if self.within_share(tenant) {
             worth
         } else {
-            worth * self.settings.over_share_worth
+            worth * self.settings.over_quota_weight
         };
         let tier = self.backlog.tier_of(worth);
-        let cost = (arrival.prompt_tokens + arrival.answer_limit).max(1) as f64;
+        let cost = (arrival.prompt_tokens + arrival.max_output_tokens).max(1) as f64;
         let cost = self.count_arrival(&arrival, cost);
         let key = (micros(deadline), self.arrivals);
-        let arrival = Arrival {
+        let arrival = IncomingRequest {
             tenant,
             time_left,
             ..arrival
@@ -216,7 +221,7 @@
                 }
             {
                 let retry_after = wait.min(self.settings.limits.max_retry_after);
-                return out.push(Action::Refuse {
+                return out.push(Action::Reject {
                     request: id,
                     retry_after,
                 });
@@ -239,14 +244,20 @@
         }
     }
 
-    fn ask_reports(&mut self, arrival: &Arrival, out: &mut Vec<Action>) -> bool {
-        let (from, probes) = (self.settings.reports, self.settings.limits.probes);
-        let inline = from == ReportSource::Inline && self.pool.rare > 1.0;
-        let lacking = probes && (inline || from == ReportSource::Probes);
+    fn ask_reports(&mut self, arrival: &IncomingRequest, out: &mut Vec<Action>) -> bool {
+        let (from, probes) = (
+            self.settings.load_report_source,
+            self.settings.limits.allows_probes,
+        );
+        let inline = from == LoadReportSource::Inline && self.pool.rare > 1.0;
+        let lacking = probes && (inline || from == LoadReportSource::Probes);
         let due = |r: &Replica| r.next_probe.max(r.reported_at + PROBE_EVERY);
         let stale = |id: &ReplicaId| lacking && self.now >= due(&self.replicas[id]);
         let mut asked: Vec<ReplicaId> = self.homes(arrival).into_iter().filter(stale).collect();
-        asked.retain(|_| self.spending.take(self.now, Spend::Probes, 0.0));
+        asked.retain(|_| {
+            self.spending
+                .request_unit(self.now, BudgetKind::Probes, 0.0)
+        });
         for replica in asked.iter().copied() {
             let asked = |r: &mut Replica| (r.asked, r.next_probe) = (true, self.now + PROBE_EVERY);
             self.replicas.entry(replica).and_modify(asked);
@@ -256,11 +267,13 @@
     }
 
     fn within_share(&mut self, tenant: usize) -> bool {
-        let part = |t: &Tenant| t.allowance * SHARE_SLACK / self.settings.routers as f64;
-        let (fleet, tenants) = (Spend::Tenant(tenant), &self.settings.tenants);
-        let own = tenants.get(tenant).filter(|_| !self.spending.has(fleet));
+        let part = |t: &Tenant| t.rate_limit * SHARE_SLACK / self.settings.router_count as f64;
+        let (fleet, tenants) = (BudgetKind::Tenant(tenant), &self.settings.tenants);
+        let own = tenants
+            .get(tenant)
+            .filter(|_| !self.spending.has_budget(fleet));
         let rate = own.map_or(f64::INFINITY, part);
-        let may = self.spending.take(self.now, fleet, 1.0);
+        let may = self.spending.request_unit(self.now, fleet, 1.0);
         may && self.allowances[tenant].take(self.now, rate, rate.max(SHARE_DEPTH))
     }
 
@@ -323,7 +336,7 @@
     }
 
     fn cold(&self, r: &Replica) -> bool {
-        r.warmth(&self.settings.rules, self.now) < 1.0
+        r.warmth(&self.settings.lifecycle, self.now) < 1.0
     }
 
     /// Departure: what a cold replica may get is bounded by time; the pool is for the warm ones.
@@ -360,12 +373,12 @@
     /// first of the own zone and one beyond, since a zone may have more traffic than its replicas can carry.
     fn order(
         &self,
-        arrival: &Arrival,
+        arrival: &IncomingRequest,
         will_do: impl Fn(&ReplicaId, &Replica) -> bool,
     ) -> Vec<ReplicaId> {
         let session = arrival.session.unwrap_or(arrival.id.0);
         let near =
-            |r: &Replica| r.zone == self.settings.zone || self.settings.prices.cross_zone <= 0.0;
+            |r: &Replica| r.zone == self.settings.zone || self.settings.costs.cross_zone <= 0.0;
         let fit = self.replicas.iter().filter(|(id, r)| will_do(id, r));
         let mut order: Vec<_> = fit
             .map(|(id, r)| (!near(r), self.rank(session, r), *id))
@@ -380,7 +393,7 @@
         order.into_iter().take(most).map(|place| place.2).collect()
     }
 
-    fn homes(&self, arrival: &Arrival) -> Vec<ReplicaId> {
+    fn homes(&self, arrival: &IncomingRequest) -> Vec<ReplicaId> {
         // One whose streams broke would never get its trial while others have room, but as a home.
         let trial = |r: &Replica| r.failures < EJECT_AFTER && r.silent_since.is_none();
         let due = |r: &Replica| trial(r) && self.now >= r.paused_until;
@@ -399,13 +412,15 @@
         let request = &self.requests[&id];
         let pooled = self.pool_free(request.tier);
         // Classes of less than the highest worth leave a part of the fleet's budget of crossings to that.
-        let worth = self.settings.classes[request.arrival.class].worth;
+        let worth = self.settings.classes[request.arrival.class].priority_weight;
         let reserve = if worth < self.backlog.tiers[0].worth {
             CROSSINGS_KEPT
         } else {
             0.0
         };
-        let cross = self.spending.may(self.now, Spend::Crossings, reserve);
+        let cross = self
+            .spending
+            .has_unit(self.now, BudgetKind::CrossZone, reserve);
         // Departure: what a session has at its home is read anew elsewhere: no pool binds there.
         let home = self
             .homes(&request.arrival)
@@ -452,7 +467,8 @@
         }
         if chosen.is_none() && !cross {
             // It looks again each tick: so long a wait counts as one crossing wanted.
-            self.spending.want(Spend::Crossings, TICK, worth);
+            self.spending
+                .record_demand(BudgetKind::CrossZone, TICK, worth);
         }
         chosen
     }
@@ -462,10 +478,13 @@
         let Some(first) = request.may_have_run() else {
             return true;
         };
-        match self.settings.classes[request.arrival.class].effect {
-            Effect::Safe => true,
-            Effect::Unsafe => false,
-            Effect::Keyed { group, memory } => {
+        match self.settings.classes[request.arrival.class].idempotency {
+            Idempotency::Idempotent => true,
+            Idempotency::NonIdempotent => false,
+            Idempotency::Keyed {
+                scope: group,
+                retention: memory,
+            } => {
                 let known = self
                     .replicas
                     .get(&first.replica)
@@ -481,7 +500,7 @@
         };
         let (replica, unread, estimate) = (attempt.replica, attempt.unread, attempt.estimate);
         request.attempts.push(attempt);
-        out.push(Action::Send {
+        out.push(Action::StartAttempt {
             request: id,
             replica,
             timeout: request.deadline - self.now,
@@ -559,11 +578,11 @@
     }
 
     fn ended(&mut self, event: Event, out: &mut Vec<Action>) {
-        let Event::Ended {
+        let Event::AttemptEnded {
             request: id,
             attempt,
             outcome,
-            last,
+            is_request_finished: last,
             report,
         } = event
         else {
@@ -574,12 +593,15 @@
             found.map(|a| a.sent),
             found.is_some_and(|a| a.phase == Phase::Streaming),
         );
-        if let Some(sent) = sent.filter(|_| outcome == Outcome::Served) {
+        if let Some(sent) = sent.filter(|_| outcome == AttemptOutcome::Completed) {
             // An answer that does not stream is its own first token: its window would never grow else.
             self.first_token(id, attempt, self.now - sent, out);
         }
-        use Outcome::*;
-        let may_have_run = !matches!(outcome, Full | ConnectFailed | Moot | Rejected);
+        use AttemptOutcome::*;
+        let may_have_run = !matches!(
+            outcome,
+            AtCapacity | ConnectFailed | NotSent | InvalidRequest
+        );
         let ended = self
             .requests
             .get_mut(&id)
@@ -587,9 +609,9 @@
         let Some((replica, sent, unread)) = ended else {
             return;
         };
-        self.count_end((id, attempt), replica, unread, report, outcome == Served);
+        self.count_end((id, attempt), replica, unread, report, outcome == Completed);
         match outcome {
-            Outcome::Served => {
+            AttemptOutcome::Completed => {
                 if let Some(r) = self.replicas.get_mut(&replica).filter(|r| r.broken > 0) {
                     r.paused_until = if Self::ejected(r) {
                         self.now
@@ -602,7 +624,7 @@
                 self.learned.hold(kind, self.now - sent, LEARN / 2.0);
                 self.alive(replica, true);
             }
-            Outcome::Full => {
+            AttemptOutcome::AtCapacity => {
                 // What was turned away is no measure of what a warm replica bears: rule 4 rests on that.
                 self.learned.sent.add(self.now, -1.0);
                 self.pool.cut(POOL_CUT.powf(self.pool.rare));
@@ -610,7 +632,10 @@
                     (r.paused_until, r.life) = (r.paused_until.max(self.now + PAUSE), self.now);
                 }
             }
-            Outcome::TimedOut | Outcome::Error | Outcome::Reset | Outcome::ConnectFailed => {
+            AttemptOutcome::TimedOut
+            | AttemptOutcome::ServerError
+            | AttemptOutcome::ConnectionReset
+            | AttemptOutcome::ConnectFailed => {
                 if streaming || outcome == TimedOut {
                     // A broken stream is a sign of load, as a time-out is.
                     self.pool.cut(POOL_CUT.powf(self.pool.rare));
@@ -631,12 +656,12 @@
                     .into_iter()
                     .for_each(|r| r.failed(self.now, EJECT_AFTER, PAUSE));
             }
-            Outcome::Rejected => self.alive(replica, false),
-            Outcome::Cancelled | Outcome::Moot => {}
+            AttemptOutcome::InvalidRequest => self.alive(replica, false),
+            AttemptOutcome::Cancelled | AttemptOutcome::NotSent => {}
         }
         if last {
             self.close(id, out);
-        } else if outcome == Rejected && self.requests.get(&id).is_some_and(|r| !r.ended) {
+        } else if outcome == InvalidRequest && self.requests.get(&id).is_some_and(|r| !r.ended) {
             out.push(Action::Fail { request: id });
             self.close(id, out);
         } else if self
@@ -644,7 +669,7 @@
             .get(&id)
             .is_some_and(|r| !r.ended && !r.queued && r.out().next().is_none())
         {
-            match self.may_repeat(&self.requests[&id]) && self.spend(Spend::Retries, id) {
+            match self.may_repeat(&self.requests[&id]) && self.spend(BudgetKind::Retries, id) {
                 true => self.hold(id, true),
                 false => self.answer(id, out),
             }
@@ -654,8 +679,8 @@
 
     /// Whether another attempt is in time, allowed, and by rule 2 without a second effect.
     fn may_repeat(&self, request: &Request) -> bool {
-        let effect = self.settings.classes[request.arrival.class].effect;
-        let harmless = effect != Effect::Unsafe || request.may_have_run().is_none();
+        let effect = self.settings.classes[request.arrival.class].idempotency;
+        let harmless = effect != Idempotency::NonIdempotent || request.may_have_run().is_none();
         let in_time = self.now + EXPIRY_MARGIN < request.useful_until;
         harmless && in_time && request.attempts.len() < self.settings.limits.max_attempts
     }
@@ -665,17 +690,18 @@
         let Some(request) = self.requests.get(&id).filter(|r| !r.ended) else {
             return;
         };
-        let harmless = match self.settings.classes[request.arrival.class].effect {
-            Effect::Safe
-            | Effect::Keyed {
-                group: Group::All, ..
+        let harmless = match self.settings.classes[request.arrival.class].idempotency {
+            Idempotency::Idempotent
+            | Idempotency::Keyed {
+                scope: DeduplicationScope::AllReplicas,
+                ..
             } => true,
             _ => request.may_have_run().is_none(),
         };
         let wait = self
             .backlog_wait(request)
             .min(self.settings.limits.max_retry_after);
-        let refusal = Action::Refuse {
+        let refusal = Action::Reject {
             request: id,
             retry_after: wait,
         };
@@ -688,12 +714,12 @@
     }
 
     fn tick(&mut self, out: &mut Vec<Action>) {
-        out.push(Action::Wake { after: TICK });
-        if self.settings.discovery == Discovery::Asked
+        out.push(Action::SetTimer { after: TICK });
+        if self.settings.endpoint_list_mode == EndpointListMode::Polled
             && self.ask_at.is_some_and(|at| self.now >= at)
         {
             self.ask_at = None;
-            out.push(Action::Subscribe);
+            out.push(Action::WatchEndpoints);
         }
         self.unpark();
         while let Some(id) = self
@@ -715,17 +741,20 @@
             .settings
             .tenants
             .iter()
-            .map(|t| t.allowance)
+            .map(|t| t.rate_limit)
             .sum::<f64>();
-        let rate = match allowed > 0.0 && allowed < NO_ALLOWANCE {
-            true => allowed / (self.pool.most_up.max(1) * self.settings.routers) as f64,
+        let rate = match allowed > 0.0 && allowed < UNLIMITED_RATE {
+            true => allowed / (self.pool.most_up.max(1) * self.settings.router_count) as f64,
             false => self.learned.sent.get(self.now) / self.pool.warm.max(1) as f64,
         };
-        let rate = self.spending.rate(self.now, Spend::Cold).unwrap_or(rate);
+        let rate = self
+            .spending
+            .rate(self.now, BudgetKind::SlowStart)
+            .unwrap_or(rate);
         // What an idle router may send a cold replica lapses: with a burst all of them would send it at once.
         let idle = self.learned.sent.get(self.now) < IDLE_RATE;
         for (id, r) in &mut self.replicas {
-            let credit = r.warmth(&self.settings.rules, self.now) * rate * TICK;
+            let credit = r.warmth(&self.settings.lifecycle, self.now) * rate * TICK;
             r.cold_credit = (r.cold_credit + credit).min(credit)
                 - if idle && r.cold_credit > 0.0 {
                     1.0
@@ -733,12 +762,14 @@
                     0.0
                 };
             if r.silent_since.is_some()
-                && self.settings.limits.probes
+                && self.settings.limits.allows_probes
                 && r.up
                 && self.now >= r.next_probe
             {
                 r.next_probe = self.now + PROBE_EVERY;
-                let may = self.spending.take(self.now, Spend::Probes, 0.0);
+                let may = self
+                    .spending
+                    .request_unit(self.now, BudgetKind::Probes, 0.0);
                 out.extend(may.then_some(Action::Probe { replica: *id }));
             }
         }
@@ -766,7 +797,7 @@
         let mut stuck = request.out().next().is_some();
         // Departure: a copy goes out once the only attempt is overdue, while it can still be in time.
         let overdue = |a: &Attempt| self.now - a.sent > OVERDUE * a.estimate + TICK;
-        let one = request.out().count() == 1 && self.settings.limits.second_copies;
+        let one = request.out().count() == 1 && self.settings.limits.allows_hedging;
         let copy = one && request.out().all(overdue) && !self.parked.contains(&id);
         let copy = copy && self.now + self.learned.first < request.useful_until;
         for a in request.out() {
@@ -777,7 +808,7 @@
                 // A silent replica keeps what it holds until the time-out: nothing may follow it there.
                 (r.silent_since, r.next_probe) = (Some(self.now), self.now);
                 // Where probes may, they find it alive again; else a trial request must.
-                r.paused_until = if self.settings.limits.probes {
+                r.paused_until = if self.settings.limits.allows_probes {
                     f64::INFINITY
                 } else {
                     self.now + PAUSE
@@ -789,7 +820,7 @@
             (stuck || copy) && !self.most_ejected && !request.queued && self.may_repeat(request);
         let part = COPIES * self.learned.sent.get(self.now);
         if may && (stuck || self.copies.take(self.now, part, 1.0 + part)) && self.spend_copy(id) {
-            match self.settings.limits.second_copies {
+            match self.settings.limits.allows_hedging {
                 true => self.hold(id, true),
                 false => self.call_off(id, out),
             }
--- a/crates/scheduler/src/brain/estimate.rs
+++ b/crates/scheduler/src/brain/estimate.rs
@@ -46,7 +46,7 @@
     others: f64,
 }
 
-impl Brain {
+impl Scheduler {
     /// How much a replica's last report still counts, from 1 when new to 0.
     pub(super) fn freshness(&self, r: &Replica) -> f64 {
         (1.0 - (self.now - r.reported_at) / REPORT_LIFE).max(0.0)
@@ -70,7 +70,7 @@
             .copied()
             .filter(|h| place.is_none() && !silent(&self.replicas[h]));
         let left = (request.useful_until - self.now).max(EXPIRY_MARGIN);
-        let (prefix, others) = ((a.prefix_tokens as f64).min(prompt), self.others());
+        let (prefix, others) = ((a.shared_prefix_tokens as f64).min(prompt), self.others());
         Outlook {
             prompt,
             prefix,
@@ -134,7 +134,7 @@
         let crossing = if r.zone == self.settings.zone {
             0.0
         } else {
-            self.settings.prices.cross_zone
+            self.settings.costs.cross_zone
         };
         // Where reports do not say what a replica holds, half of this guess is believed.
         let sure = if r.holding.is_some() { 1.0 } else { 0.5 };
--- a/crates/scheduler/src/brain/ledger.rs
+++ b/crates/scheduler/src/brain/ledger.rs
@@ -5,8 +5,8 @@
 use std::collections::BTreeMap;
 
 /// The decisions of one router.
-pub struct Brain {
-    pub(super) settings: Settings,
+pub struct Scheduler {
+    pub(super) settings: SchedulerSettings,
     pub(super) rng: Rand64,
     pub(super) now: Seconds,
     pub(super) started: bool,
@@ -27,15 +27,15 @@
     /// Second copies that may still be sent.
     pub(super) copies: Allowance,
     /// What the fleet allows.
-    pub(super) spending: Spendings,
+    pub(super) spending: BudgetLedger,
 }
 
-impl Brain {
+impl Scheduler {
     /// A router that knows no replica yet. The same settings, seed and events give the same actions.
-    pub fn new(settings: Settings, seed: u64) -> Result<Brain, SettingsError> {
+    pub fn new(settings: SchedulerSettings, seed: u64) -> Result<Scheduler, SettingsError> {
         settings.check()?;
         let tenants = settings.tenants.len().max(1);
-        Ok(Brain {
+        Ok(Scheduler {
             backlog: Backlog::new(&settings),
             allowances: vec![Allowance::default(); tenants],
             rng: Rand64::new(u128::from(seed)),
@@ -67,7 +67,7 @@
     }
 
     /// Replicas listed that get nothing, or trials only.
-    pub fn avoided(&self) -> usize {
+    pub fn unavailable_replica_count(&self) -> usize {
         self.replicas
             .values()
             .filter(|r| !r.gone && (!r.up || Self::ejected(r)))
@@ -76,7 +76,7 @@
 
     /// Counts a second copy where they are allowed at all; what is called off is counted as the retry that follows.
     pub(super) fn spend_copy(&mut self, id: RequestId) -> bool {
-        !self.settings.limits.second_copies || self.spend(Spend::Copies, id)
+        !self.settings.limits.allows_hedging || self.spend(BudgetKind::HedgedAttempts, id)
     }
 
     /// Counts a send against the fleet's budgets: what of it a cold replica would get, and a crossing.
@@ -85,25 +85,29 @@
             .requests
             .get(&id)
             .and_then(|r| self.settings.classes.get(r.arrival.class));
-        let worth = class.map_or(0.0, |c| c.worth);
-        self.spending
-            .want(Spend::Cold, 1.0 / self.pool.most_up.max(1) as f64, worth);
+        let worth = class.map_or(0.0, |c| c.priority_weight);
+        self.spending.record_demand(
+            BudgetKind::SlowStart,
+            1.0 / self.pool.most_up.max(1) as f64,
+            worth,
+        );
         if self
             .replicas
             .get(&to)
             .is_some_and(|r| r.zone != self.settings.zone)
         {
-            self.spending.take(self.now, Spend::Crossings, worth);
+            self.spending
+                .request_unit(self.now, BudgetKind::CrossZone, worth);
         }
     }
 
     /// Counts a request that has come, and learns from it what requests cost; its cost with what its hint adds.
-    pub(super) fn count_arrival(&mut self, arrival: &Arrival, cost: f64) -> f64 {
+    pub(super) fn count_arrival(&mut self, arrival: &IncomingRequest, cost: f64) -> f64 {
         let cost = self.learned.hinted(cost, arrival.expected_work, LEARN);
         if self.arrivals == 0 {
             self.learned.begin(
                 &self.settings.classes[arrival.class],
-                arrival.answer_limit,
+                arrival.max_output_tokens,
                 cost,
             );
         }
@@ -118,12 +122,15 @@
         (id, attempt): (RequestId, usize),
         replica: ReplicaId,
         unread: f64,
-        report: Option<Report>,
+        report: Option<LoadReport>,
         served: bool,
     ) {
         // A report at an answer's end was made while the replica still held it.
         self.take_report(replica, report);
-        if let Some(found) = report.and_then(|r| r.kept).filter(|_| served) {
+        if let Some(found) = report
+            .and_then(|r| r.cached_prompt_tokens)
+            .filter(|_| served)
+        {
             if let Some(request) = self.requests.get(&id) {
                 self.learned.found(
                     &request.arrival,
@@ -146,36 +153,36 @@
         let request = self
             .requests
             .get_mut(&id)
-            .filter(|_| self.settings.limits.cancel);
+            .filter(|_| self.settings.limits.allows_cancellation);
         let called = request.map(Request::call_off).into_iter().flatten();
-        out.extend(called.map(|attempt| Action::Cancel {
+        out.extend(called.map(|attempt| Action::CancelAttempt {
             request: id,
             attempt,
         }));
     }
 
     /// Takes a unit of a budget of the fleet for a request.
-    pub(super) fn spend(&mut self, what: Spend, id: RequestId) -> bool {
+    pub(super) fn spend(&mut self, what: BudgetKind, id: RequestId) -> bool {
         let class = self
             .requests
             .get(&id)
             .and_then(|r| self.settings.classes.get(r.arrival.class));
         self.spending
-            .take(self.now, what, class.map_or(0.0, |c| c.worth))
+            .request_unit(self.now, what, class.map_or(0.0, |c| c.priority_weight))
     }
 
     /// What the fleet allows from now on.
-    pub fn allow(&mut self, allowed: &Allowed) {
-        self.spending.set(self.now, allowed);
+    pub fn set_budget_grants(&mut self, allowed: &BudgetGrants) {
+        self.spending.set_grants(self.now, allowed);
     }
 
     /// What has been wanted since the start of what the fleet has budgets for.
-    pub fn wanted(&self) -> BTreeMap<Spend, Wanted> {
-        self.spending.wanted()
+    pub fn budget_demand(&self) -> BTreeMap<BudgetKind, BudgetDemand> {
+        self.spending.demand()
     }
 
     /// Each listed replica: whether it gets trials only, and when its last answer came, if nothing has failed since.
-    pub fn standings(&self) -> Vec<(ReplicaId, bool, Option<Seconds>)> {
+    pub fn replica_health(&self) -> Vec<(ReplicaId, bool, Option<Seconds>)> {
         let well = |r: &Replica| {
             Some(r.life).filter(|life| r.failures == 0 && r.broken == 0 && *life > 0.0)
         };
@@ -187,7 +194,7 @@
 
     /// Takes new settings, whose classes and tenants keep their places: requests held move to the tier of the worth
     /// they came with, all others keep their class.
-    pub fn resettle(&mut self, settings: Settings) -> Result<(), SettingsError> {
+    pub fn update_settings(&mut self, settings: SchedulerSettings) -> Result<(), SettingsError> {
         settings.check()?;
         let held: Vec<RequestId> = self
             .requests
@@ -206,31 +213,31 @@
     }
 
     /// What has been learned, for the process that takes this one's place.
-    pub fn memory(&self) -> Memory {
+    pub fn export_learned_state(&self) -> LearnedState {
         let l = &self.learned;
-        Memory {
-            arrivals: self.arrivals,
-            quantum: l.quantum,
-            first: l.first,
-            hold_time: l.hold_time,
-            released: l.released.get(self.now),
-            sent: l.sent.get(self.now),
-            pool_part: self.pool.size / self.pool.warm.max(1) as f64,
-            paces: l
+        LearnedState {
+            requests_seen: self.arrivals,
+            mean_request_cost: l.quantum,
+            mean_time_to_first_token: l.first,
+            mean_service_time: l.hold_time,
+            dispatched_cost_rate: l.released.get(self.now),
+            attempt_rate: l.sent.get(self.now),
+            concurrency_per_replica: self.pool.size / self.pool.warm.max(1) as f64,
+            prefill_times: l
                 .paces
                 .iter()
                 .map(|(kind, pace)| (*kind, pace.0, pace.1))
                 .collect(),
-            holds: l.holds.iter().map(|(kind, hold)| (*kind, *hold)).collect(),
-            batches: l
+            service_times: l.holds.iter().map(|(kind, hold)| (*kind, *hold)).collect(),
+            batch_sizes: l
                 .batches
                 .iter()
                 .map(|(kind, batch)| (*kind, *batch))
                 .collect(),
-            kept: l.kept,
-            tokens_a_second: l.tokens_a_second,
-            typical: l.typical,
-            places: l
+            cache_hit_rates: l.kept,
+            tokens_per_work_second: l.tokens_a_second,
+            mean_queued_tokens: l.typical,
+            sessions: l
                 .places
                 .all()
                 .map(|(session, at, read)| (session, at.0, read))
@@ -240,36 +247,45 @@
 
     /// Takes over what another process has learned: sessions' places that are not known here, and all else if that
     /// process had seen more.
-    pub fn recall(&mut self, memory: &Memory) {
-        for (session, at, read) in &memory.places {
+    pub fn import_learned_state(&mut self, memory: &LearnedState) {
+        for (session, at, read) in &memory.sessions {
             if self.learned.places.get(*session).is_none() {
                 self.learned.places.put(*session, ReplicaId(*at), *read);
             }
         }
-        if self.arrivals >= memory.arrivals {
+        if self.arrivals >= memory.requests_seen {
             return;
         }
         let (l, now) = (&mut self.learned, self.now);
-        (l.quantum, l.first, l.hold_time) = (memory.quantum, memory.first, memory.hold_time);
-        (l.kept, l.tokens_a_second, l.typical) =
-            (memory.kept, memory.tokens_a_second, memory.typical);
+        (l.quantum, l.first, l.hold_time) = (
+            memory.mean_request_cost,
+            memory.mean_time_to_first_token,
+            memory.mean_service_time,
+        );
+        (l.kept, l.tokens_a_second, l.typical) = (
+            memory.cache_hit_rates,
+            memory.tokens_per_work_second,
+            memory.mean_queued_tokens,
+        );
         l.paces = memory
-            .paces
+            .prefill_times
             .iter()
             .map(|(kind, count, mean)| (*kind, (*count, *mean)))
             .collect();
-        l.holds = memory.holds.iter().copied().collect();
-        l.batches = memory.batches.iter().copied().collect();
+        l.holds = memory.service_times.iter().copied().collect();
+        l.batches = memory.batch_sizes.iter().copied().collect();
         for (rate, learned) in [
-            (&mut l.released, memory.released),
-            (&mut l.sent, memory.sent),
+            (&mut l.released, memory.dispatched_cost_rate),
+            (&mut l.sent, memory.attempt_rate),
         ] {
             (rate.value, rate.at) = (learned, now);
         }
-        self.arrivals = memory.arrivals;
+        self.arrivals = memory.requests_seen;
         if self.pool.warm > 0 {
-            (self.pool.size, self.pool.fresh) =
-                ((memory.pool_part * self.pool.warm as f64).max(1.0), false);
+            (self.pool.size, self.pool.fresh) = (
+                (memory.concurrency_per_replica * self.pool.warm as f64).max(1.0),
+                false,
+            );
         }
     }
 
@@ -297,15 +313,15 @@
     pub(super) fn others(&self) -> f64 {
         let up = self.replicas.values().filter(|r| r.up);
         let (out, up) = up.fold((0, 0), |(out, up), r| (out + r.in_flight, up + 1));
-        (self.settings.routers - 1) as f64 * out as f64 / up.max(1) as f64
+        (self.settings.router_count - 1) as f64 * out as f64 / up.max(1) as f64
     }
 
-    pub(super) fn take_report(&mut self, replica: ReplicaId, report: Option<Report>) {
+    pub(super) fn take_report(&mut self, replica: ReplicaId, report: Option<LoadReport>) {
         let others = self.others();
         if let (Some(r), Some(report)) = (self.replicas.get_mut(&replica), report) {
             r.take_report(report, self.now);
-            match report.queued {
-                Some(queued) if report.holding.is_none() => {
+            match report.requests_queued {
+                Some(queued) if report.requests_held.is_none() => {
                     self.learned
                         .queue_shown(r.kind, r.in_flight as f64 + others, queued);
                 }
@@ -330,7 +346,8 @@
     /// Where this router stands among all of them, from 0 to 1, drawn within its own part: what all routers do at
     /// once is spread evenly by it.
     pub(super) fn place(&mut self) -> f64 {
-        (self.settings.me as f64 + self.rng.rand_float()) / self.settings.routers as f64
+        (self.settings.router_index as f64 + self.rng.rand_float())
+            / self.settings.router_count as f64
     }
 
     pub(super) fn forget(&mut self, id: RequestId) {
--- a/crates/scheduler/src/brain/shutdown.rs
+++ b/crates/scheduler/src/brain/shutdown.rs
@@ -3,10 +3,10 @@
 
 use super::*;
 
-impl Brain {
+impl Scheduler {
     /// The router ends: every request that waits for its first token, now or later, has its final answer
     /// by this time. Streams that have begun go on.
-    pub fn answer_all_by(&mut self, time: Seconds) {
+    pub fn set_answer_deadline(&mut self, time: Seconds) {
         self.answer_by = self.answer_by.min(time);
         let waits = self
             .requests
@@ -29,7 +29,7 @@
     }
 
     /// The time in which an arrival needs its first token: its client's patience, within the router's life.
-    pub(super) fn time_left(&self, arrival: &Arrival) -> Seconds {
+    pub(super) fn time_left(&self, arrival: &IncomingRequest) -> Seconds {
         let patience = if arrival.time_left.is_finite() {
             arrival.time_left
         } else {
--- a/crates/scheduler/src/interface.rs
+++ b/crates/scheduler/src/interface.rs
@@ -25,103 +25,106 @@
 
 /// What a router is told once, at its start.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Settings {
+pub struct SchedulerSettings {
     /// This router's number among its peers, from zero.
-    pub me: usize,
+    pub router_index: usize,
     /// How many routers share the fleet.
-    pub routers: usize,
+    pub router_count: usize,
     /// The zone this router stands in.
     pub zone: usize,
     /// The classes of requests.
-    pub classes: Vec<Class>,
+    pub classes: Vec<RequestClass>,
     /// The tenants; may be empty.
     pub tenants: Vec<Tenant>,
     /// What a request beyond its tenant's share is worth, as a part of its class's worth.
-    pub over_share_worth: f64,
+    pub over_quota_weight: f64,
     /// What the site allows.
-    pub limits: Limits,
+    pub limits: SiteLimits,
     /// What the site charges.
-    pub prices: Prices,
+    pub costs: CostWeights,
     /// Where load reports come from.
-    pub reports: ReportSource,
+    pub load_report_source: LoadReportSource,
     /// The figures behind drains and cold starts.
-    pub rules: Rules,
+    pub lifecycle: LifecycleRules,
     /// How the list of replicas is learned.
-    pub discovery: Discovery,
+    pub endpoint_list_mode: EndpointListMode,
 }
 
 /// One class of requests.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Class {
+pub struct RequestClass {
     /// Worth of one answer inside the aim.
-    pub worth: f64,
+    pub priority_weight: f64,
     /// The part of the worth that an answer after the aim still earns.
-    pub late_worth: f64,
+    pub late_weight: f64,
     /// First token wanted within this time.
-    pub aim: Seconds,
+    pub ttft_objective: Seconds,
     /// The aim grows by this much for each prompt token.
-    pub aim_per_prompt_token: Seconds,
+    pub ttft_objective_per_prompt_token: Seconds,
     /// Time wanted from one token of the answer to the next; infinite where none is wanted.
-    pub token_aim: Seconds,
+    pub inter_token_objective: Seconds,
     /// The aim grows by this many times the request's expected work.
-    pub aim_stretch: f64,
+    pub ttft_objective_per_work_second: f64,
     /// What repeating a request may do.
-    pub effect: Effect,
+    pub idempotency: Idempotency,
     /// Answers are streams: their first token is seen.
     pub streaming: bool,
 }
 
-impl Class {
+impl RequestClass {
     /// The aim of one request: the class's, and what it grows by for prompt tokens and expected work.
-    pub fn aim_of(&self, arrival: &Arrival) -> Seconds {
+    pub fn ttft_objective_for(&self, arrival: &IncomingRequest) -> Seconds {
         let work = arrival
             .expected_work
             .filter(|w| w.is_finite())
             .map_or(0.0, |w| w.max(0.0));
-        self.aim
-            + self.aim_per_prompt_token * arrival.prompt_tokens as f64
-            + self.aim_stretch * work
+        self.ttft_objective
+            + self.ttft_objective_per_prompt_token * arrival.prompt_tokens as f64
+            + self.ttft_objective_per_work_second * work
     }
 }
 
 /// What repeating a request of a class may do.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Effect {
+pub enum Idempotency {
     /// May be repeated at will.
-    Safe,
+    Idempotent,
     /// Repeats are dropped inside one group of replicas, for as long as they remember.
-    Keyed { group: Group, memory: Seconds },
+    Keyed {
+        scope: DeduplicationScope,
+        retention: Seconds,
+    },
     /// Must never run twice.
-    Unsafe,
+    NonIdempotent,
 }
 
 /// The replicas that drop each other's repeats.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Group {
-    All,
+pub enum DeduplicationScope {
+    AllReplicas,
     Zone,
     Cell,
 }
 
 /// The allowance of tenants that have none.
-pub const NO_ALLOWANCE: f64 = 1e9;
+pub const UNLIMITED_RATE: f64 = 1e9;
 
 /// One tenant.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
     /// Its part of the service; parts are compared with each other.
-    pub share: f64,
-    /// Requests a second, over all routers, that count as within its share; [`NO_ALLOWANCE`] where none is set.
-    pub allowance: f64,
+    pub quota: f64,
+    /// Requests a second, over all routers, that count as within its share; [`UNLIMITED_RATE`] where none is set.
+    pub rate_limit: f64,
 }
 
 /// What the site allows.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Limits {
-    pub probes: bool,
-    pub cancel: bool,
+pub struct SiteLimits {
+    pub allows_probes: bool,
+    pub allows_cancellation: bool,
     /// Two attempts of one request may be out together.
-    pub second_copies: bool,
+    pub allows_hedging: bool,
     /// Attempts for one request, at least 1.
     pub max_attempts: usize,
     /// The longest advice to stay away that clients heed; 0 where they heed none.
@@ -130,7 +133,7 @@
 
 /// What the site charges, in parts of the service per unit.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Prices {
+pub struct CostWeights {
     pub cross_zone: f64,
     pub probe: f64,
     pub waste: f64,
@@ -138,7 +141,7 @@
 
 /// Where load reports come from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ReportSource {
+pub enum LoadReportSource {
     /// With outcomes and with probes.
     Inline,
     /// With probes only.
@@ -148,118 +151,118 @@
 
 /// The figures behind drains and cold starts.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Rules {
+pub struct LifecycleRules {
     /// Sends must have stopped this long after a drain was learned.
     pub drain_grace: Seconds,
     /// A replica starts at this part of its capacity or higher ...
-    pub cold_from: f64,
+    pub slow_start_initial_fraction: f64,
     /// ... and is warm after this long.
-    pub cold: Seconds,
+    pub slow_start_duration: Seconds,
     /// A cold replica falls over above this many times its present capacity ...
     pub overload_factor: f64,
     /// ... over this long.
-    pub fall: Seconds,
+    pub overload_window: Seconds,
     /// An asked list must be asked for at least this often.
-    pub ask_every: Seconds,
+    pub poll_interval: Seconds,
 }
 
 /// How the list of replicas is learned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Discovery {
+pub enum EndpointListMode {
     /// Changes arrive by themselves.
     Pushed,
-    /// Only after [`Action::Subscribe`].
-    Asked,
+    /// Only after [`Action::WatchEndpoints`].
+    Polled,
 }
 
 /// One entry of a list of replicas.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Listing {
+pub struct Endpoint {
     pub id: ReplicaId,
     pub zone: usize,
     pub cell: usize,
     /// What kind of machine it is; equal numbers are alike.
-    pub kind: usize,
-    pub state: ReplicaState,
+    pub host_type: usize,
+    pub state: EndpointState,
     /// Its size compared with others', where the list gives one that does not change with load.
-    pub size: Option<f64>,
+    pub capacity_weight: Option<f64>,
     /// When it last started, if that was seen.
-    pub born: Option<Seconds>,
+    pub started_at: Option<Seconds>,
 }
 
 /// What the list says of a replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ReplicaState {
-    Up,
+pub enum EndpointState {
+    Available,
     Draining,
-    Gone,
+    Removed,
 }
 
 /// A load report. What a site does not report is `None`.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Report {
+pub struct LoadReport {
     /// Prompt tokens waiting to be read.
-    pub waiting_prompt_tokens: Option<f64>,
+    pub queued_prompt_tokens: Option<f64>,
     /// The share of memory held by running requests.
-    pub memory_held: Option<f64>,
+    pub memory_utilization: Option<f64>,
     /// Requests the replica holds, running or waiting.
-    pub holding: Option<f64>,
+    pub requests_held: Option<f64>,
     /// Requests waiting there for a place in the batch.
-    pub queued: Option<f64>,
+    pub requests_queued: Option<f64>,
     /// Prompt tokens of this answer that the replica found kept.
-    pub kept: Option<f64>,
+    pub cached_prompt_tokens: Option<f64>,
 }
 
 /// A client's request.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Arrival {
+pub struct IncomingRequest {
     pub id: RequestId,
     pub class: usize,
     pub tenant: usize,
     /// The session; its next prompt begins with this one.
     pub session: Option<u64>,
     /// The beginning shared with other sessions.
-    pub prefix: Option<u64>,
+    pub shared_prefix: Option<u64>,
     /// Time until the client gives up this try.
     pub time_left: Seconds,
     /// Expected work, where it is told.
     pub expected_work: Option<Seconds>,
     pub prompt_tokens: u64,
-    pub prefix_tokens: u64,
+    pub shared_prefix_tokens: u64,
     /// The most tokens the answer may have.
-    pub answer_limit: u64,
+    pub max_output_tokens: u64,
     /// The client marked it as a repeat of an earlier try.
-    pub repeat: bool,
+    pub is_client_retry: bool,
 }
 
 /// This router's part of a budget of the whole fleet, in units and units a second.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Budget {
+pub struct BudgetGrant {
     /// Its share, beside the floor, until then.
     pub rate: f64,
     /// The share's part of what may be spent at once.
     pub burst: f64,
     /// What it may spend with no share.
-    pub floor: f64,
+    pub guaranteed_rate: f64,
     /// And at once.
-    pub floor_burst: f64,
+    pub guaranteed_burst: f64,
     /// The share's end.
-    pub until: Seconds,
+    pub expires_at: Seconds,
 }
 
 /// What a budget of the whole fleet is spent on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Spend {
+pub enum BudgetKind {
     /// Attempts after a request's first.
     Retries,
     /// Second copies of requests that are overdue.
-    Copies,
+    HedgedAttempts,
     /// Questions to replicas how they are.
     Probes,
     /// Sends to replicas of other zones.
-    Crossings,
+    CrossZone,
     /// Sends to each replica that is cold: the budget is that of one.
-    Cold,
+    SlowStart,
     /// Calls for the list of replicas.
     Discovery,
     /// Requests of a tenant that count as within its share.
@@ -267,143 +270,147 @@
 }
 
 /// What the fleet allows; where there is no budget the router's own limits alone hold.
-pub type Allowed = BTreeMap<Spend, Budget>;
+pub type BudgetGrants = BTreeMap<BudgetKind, BudgetGrant>;
 
 /// What has been wanted of a budget since the start, got or not.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Wanted {
+pub struct BudgetDemand {
     /// Units.
     pub units: f64,
     /// What they were worth together.
-    pub worth: f64,
+    pub priority_weight: f64,
 }
 
 /// What a router has learned, for the process that takes its place. Replicas and kinds are named as in its settings.
 #[derive(Clone, Debug, Default, PartialEq, serde::Serialize, serde::Deserialize)]
-pub struct Memory {
+pub struct LearnedState {
     /// Requests that it has been learned from.
-    pub arrivals: u64,
+    pub requests_seen: u64,
     /// Mean cost of a request.
-    pub quantum: f64,
+    pub mean_request_cost: f64,
     /// Mean times to the first token and to the end.
-    pub first: Seconds,
-    pub hold_time: Seconds,
+    pub mean_time_to_first_token: Seconds,
+    pub mean_service_time: Seconds,
     /// Cost released, and attempts sent, a second.
-    pub released: f64,
-    pub sent: f64,
+    pub dispatched_cost_rate: f64,
+    pub attempt_rate: f64,
     /// Requests that may be out, for each warm replica.
-    pub pool_part: f64,
+    pub concurrency_per_replica: f64,
     /// By kind: first tokens seen and their mean logarithm of pace, time that answers hold a place, places in a batch.
-    pub paces: Vec<(usize, f64, f64)>,
-    pub holds: Vec<(usize, Seconds)>,
-    pub batches: Vec<(usize, f64)>,
+    pub prefill_times: Vec<(usize, f64, f64)>,
+    pub service_times: Vec<(usize, Seconds)>,
+    pub batch_sizes: Vec<(usize, f64)>,
     /// The parts of prompts that were found kept.
-    pub kept: [f64; 3],
-    pub tokens_a_second: Option<f64>,
-    pub typical: f64,
+    pub cache_hit_rates: [f64; 3],
+    pub tokens_per_work_second: Option<f64>,
+    pub mean_queued_tokens: f64,
     /// Sessions, where their last turn went, and the prompt tokens read there; the oldest first.
-    pub places: Vec<(u64, SocketAddr, f64)>,
+    pub sessions: Vec<(u64, SocketAddr, f64)>,
 }
 
-impl Memory {
+impl LearnedState {
     /// Whether all figures are such as a router may have learned: what comes from outside may be anything.
-    pub fn sane(&self) -> bool {
+    pub fn is_plausible(&self) -> bool {
         let figures = [
-            self.quantum,
-            self.first,
-            self.hold_time,
-            self.released,
-            self.sent,
-            self.pool_part,
+            self.mean_request_cost,
+            self.mean_time_to_first_token,
+            self.mean_service_time,
+            self.dispatched_cost_rate,
+            self.attempt_rate,
+            self.concurrency_per_replica,
         ];
-        let kinds = self.holds.iter().chain(&self.batches).map(|k| k.1);
+        let kinds = self
+            .service_times
+            .iter()
+            .chain(&self.batch_sizes)
+            .map(|k| k.1);
         let rest = kinds
-            .chain(self.kept)
-            .chain(self.tokens_a_second)
-            .chain([self.typical]);
+            .chain(self.cache_hit_rates)
+            .chain(self.tokens_per_work_second)
+            .chain([self.mean_queued_tokens]);
         let all = figures
             .into_iter()
             .chain(rest)
-            .chain(self.places.iter().map(|p| p.2));
+            .chain(self.sessions.iter().map(|p| p.2));
         let sound = |x: f64| (0.0..=1e9).contains(&x);
         let paces = self
-            .paces
+            .prefill_times
             .iter()
             .all(|p| sound(p.1) && (-30.0..=30.0).contains(&p.2));
         paces
             && all.into_iter().all(sound)
-            && self.hold_time > 0.0
-            && self.kept.iter().all(|k| *k <= 1.0)
+            && self.mean_service_time > 0.0
+            && self.cache_hit_rates.iter().all(|k| *k <= 1.0)
     }
 }
 
 /// How an attempt or a probe ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Outcome {
-    Served,
-    Error,
-    Full,
+pub enum AttemptOutcome {
+    Completed,
+    ServerError,
+    AtCapacity,
     TimedOut,
     ConnectFailed,
-    Reset,
+    ConnectionReset,
     Cancelled,
     /// Never sent.
-    Moot,
+    NotSent,
     /// The replica finds the request itself at fault: any other would say the same.
-    Rejected,
+    InvalidRequest,
 }
 
 /// What happens to a router.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// The whole list; what it lacks is gone.
-    ListFull(Vec<Listing>),
+    EndpointsReplaced(Vec<Endpoint>),
     /// Changed entries only.
-    ListChanged(Vec<Listing>),
+    EndpointsChanged(Vec<Endpoint>),
     /// Asking failed or the subscription broke.
-    ListFailed,
-    Arrived(Arrival),
+    EndpointListFailed,
+    RequestArrived(IncomingRequest),
     /// The first token came; the request has no deadline from here on.
-    Started {
+    FirstToken {
         request: RequestId,
         attempt: usize,
         elapsed: Seconds,
     },
     /// Exactly one for each attempt. `last` where the request is finished.
-    Ended {
+    AttemptEnded {
         request: RequestId,
         attempt: usize,
-        outcome: Outcome,
-        last: bool,
-        report: Option<Report>,
+        outcome: AttemptOutcome,
+        is_request_finished: bool,
+        report: Option<LoadReport>,
     },
     /// The client left; nothing more is owed.
-    ClientGone(RequestId),
-    Probed {
+    ClientDisconnected(RequestId),
+    ProbeEnded {
         replica: ReplicaId,
-        outcome: Outcome,
-        report: Option<Report>,
+        outcome: AttemptOutcome,
+        report: Option<LoadReport>,
     },
     /// Another router of the fleet tries ejected replicas for all; it is still at it, or found this one well.
-    Advised {
+    OutlierAdvice {
         replica: ReplicaId,
-        well: bool,
+        is_healthy: bool,
     },
-    /// The timer of [`Action::Wake`].
-    Woke,
+    /// The timer of [`Action::SetTimer`].
+    TimerFired,
 }
 
 /// What a router is to do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Start an attempt; attempts of a request count from zero.
-    Send {
+    StartAttempt {
         request: RequestId,
         replica: ReplicaId,
         timeout: Seconds,
     },
     /// Final: turned away, a retry does no harm.
-    Refuse {
+    Reject {
         request: RequestId,
         retry_after: Seconds,
     },
@@ -412,7 +419,7 @@
         request: RequestId,
     },
     /// Stop waiting for one attempt.
-    Cancel {
+    CancelAttempt {
         request: RequestId,
         attempt: usize,
     },
@@ -420,14 +427,14 @@
         replica: ReplicaId,
     },
     /// Ask for the list and its changes from now on.
-    Subscribe,
-    /// Send [`Event::Woke`] after so long.
-    Wake {
+    WatchEndpoints,
+    /// Send [`Event::TimerFired`] after so long.
+    SetTimer {
         after: Seconds,
     },
 }
 
-/// Settings that cannot be worked with.
+/// SchedulerSettings that cannot be worked with.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettingsError(pub String);
 
@@ -439,46 +446,52 @@
 
 impl std::error::Error for SettingsError {}
 
-impl Settings {
+impl SchedulerSettings {
     /// Checks what the types leave open: at least one class, finite figures, limits above zero.
     pub fn check(&self) -> Result<(), SettingsError> {
         let bad = |text: String| Err(SettingsError(text));
-        if self.routers == 0 || self.me >= self.routers {
-            return bad(format!("router {} of {}", self.me, self.routers));
+        if self.router_count == 0 || self.router_index >= self.router_count {
+            return bad(format!(
+                "router {} of {}",
+                self.router_index, self.router_count
+            ));
         }
         if self.classes.is_empty() {
             return bad("no classes".into());
         }
         let class_figures = self.classes.iter().flat_map(|c| {
-            let memory = if let Effect::Keyed { memory, .. } = c.effect {
+            let memory = if let Idempotency::Keyed {
+                retention: memory, ..
+            } = c.idempotency
+            {
                 memory
             } else {
                 0.0
             };
             [
-                c.worth,
-                c.late_worth,
-                c.aim,
-                c.aim_per_prompt_token,
-                c.aim_stretch,
+                c.priority_weight,
+                c.late_weight,
+                c.ttft_objective,
+                c.ttft_objective_per_prompt_token,
+                c.ttft_objective_per_work_second,
                 memory,
             ]
         });
-        let tenant_figures = self.tenants.iter().flat_map(|t| [t.share, t.allowance]);
-        let (r, p) = (&self.rules, &self.prices);
+        let tenant_figures = self.tenants.iter().flat_map(|t| [t.quota, t.rate_limit]);
+        let (r, p) = (&self.lifecycle, &self.costs);
         let figures = [
             r.drain_grace,
-            r.cold_from,
-            r.cold,
+            r.slow_start_initial_fraction,
+            r.slow_start_duration,
             r.overload_factor,
-            r.fall,
-            r.ask_every,
+            r.overload_window,
+            r.poll_interval,
         ];
         let others = [
             p.cross_zone,
             p.probe,
             p.waste,
-            self.over_share_worth,
+            self.over_quota_weight,
             self.limits.max_retry_after,
         ];
         let mut all = class_figures
@@ -488,13 +501,13 @@
         if let Some(x) = all.find(|x| !x.is_finite() || *x < 0.0) {
             return bad(format!("{x} where a finite figure of 0 or more is needed"));
         }
-        if !self.tenants.is_empty() && self.tenants.iter().map(|t| t.share).sum::<f64>() <= 0.0 {
+        if !self.tenants.is_empty() && self.tenants.iter().map(|t| t.quota).sum::<f64>() <= 0.0 {
             return bad("tenant shares sum to 0".into());
         }
         if self.limits.max_attempts == 0 {
             return bad("max_attempts is 0".into());
         }
-        if self.discovery == Discovery::Asked && r.ask_every <= 0.0 {
+        if self.endpoint_list_mode == EndpointListMode::Polled && r.poll_interval <= 0.0 {
             return bad("ask_every is 0 where the list must be asked for".into());
         }
         Ok(())
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -5,66 +5,75 @@
 //! events with the time of its own clock and carries out the actions it gets back.
 //!
 //! ```
-//! use poppykeel_scheduler::{interface::*, Brain};
+//! use poppykeel_scheduler::{interface::*, Scheduler};
 //!
 //! # fn main() -> Result<(), SettingsError> {
-//! let class = Class {
-//!     worth: 1.0,
-//!     late_worth: 0.0,
-//!     aim: 1.0,
-//!     aim_per_prompt_token: 40e-6,
-//!     token_aim: 0.06,
-//!     aim_stretch: 0.0,
-//!     effect: Effect::Safe,
+//! let class = RequestClass {
+//!     priority_weight: 1.0,
+//!     late_weight: 0.0,
+//!     ttft_objective: 1.0,
+//!     ttft_objective_per_prompt_token: 40e-6,
+//!     inter_token_objective: 0.06,
+//!     ttft_objective_per_work_second: 0.0,
+//!     idempotency: Idempotency::Idempotent,
 //!     streaming: true,
 //! };
-//! let settings = Settings {
-//!     me: 0,
-//!     routers: 1,
+//! let settings = SchedulerSettings {
+//!     router_index: 0,
+//!     router_count: 1,
 //!     zone: 0,
 //!     classes: vec![class],
 //!     tenants: vec![],
-//!     over_share_worth: 1.0,
-//!     limits: Limits {
-//!         probes: true,
-//!         cancel: true,
-//!         second_copies: false,
+//!     over_quota_weight: 1.0,
+//!     limits: SiteLimits {
+//!         allows_probes: true,
+//!         allows_cancellation: true,
+//!         allows_hedging: false,
 //!         max_attempts: 3,
 //!         max_retry_after: 2.0,
 //!     },
-//!     prices: Prices::default(),
-//!     reports: ReportSource::Inline,
-//!     rules: Rules {
+//!     costs: CostWeights::default(),
+//!     load_report_source: LoadReportSource::Inline,
+//!     lifecycle: LifecycleRules {
 //!         drain_grace: 0.5,
-//!         cold_from: 0.1,
-//!         cold: 20.0,
+//!         slow_start_initial_fraction: 0.1,
+//!         slow_start_duration: 20.0,
 //!         overload_factor: 3.0,
-//!         fall: 2.0,
-//!         ask_every: 10.0,
+//!         overload_window: 2.0,
+//!         poll_interval: 10.0,
 //!     },
-//!     discovery: Discovery::Pushed,
+//!     endpoint_list_mode: EndpointListMode::Pushed,
 //! };
-//! let mut brain = Brain::new(settings, 7)?;
+//! let mut scheduler = Scheduler::new(settings, 7)?;
 //! let mut actions = Vec::new();
 //! let id = ReplicaId("10.0.0.1:8000".parse().unwrap());
-//! let state = ReplicaState::Up;
-//! let listing = Listing { id, zone: 0, cell: 0, kind: 0, state, size: None, born: None };
-//! brain.handle(0.0, Event::ListFull(vec![listing]), &mut actions);
-//! let request = Arrival {
+//! let endpoint = Endpoint {
+//!     id,
+//!     zone: 0,
+//!     cell: 0,
+//!     host_type: 0,
+//!     state: EndpointState::Available,
+//!     capacity_weight: None,
+//!     started_at: None,
+//! };
+//! scheduler.handle_event(0.0, Event::EndpointsReplaced(vec![endpoint]), &mut actions);
+//! let request = IncomingRequest {
 //!     id: RequestId(1),
 //!     class: 0,
 //!     tenant: 0,
 //!     session: None,
-//!     prefix: None,
+//!     shared_prefix: None,
 //!     time_left: 5.0,
 //!     expected_work: None,
 //!     prompt_tokens: 900,
-//!     prefix_tokens: 0,
-//!     answer_limit: 200,
-//!     repeat: false,
+//!     shared_prefix_tokens: 0,
+//!     max_output_tokens: 200,
+//!     is_client_retry: false,
 //! };
-//! brain.handle(0.1, Event::Arrived(request), &mut actions);
-//! assert!(actions.iter().any(|a| matches!(a, Action::Send { replica, .. } if *replica == id)));
+//! scheduler.handle_event(0.1, Event::RequestArrived(request), &mut actions);
+//! assert!(actions
+//!     .iter()
+//!     .any(|action| matches!(action, Action::StartAttempt { replica, .. } if *replica == id)));
 //! # Ok(())
 //! # }
 //! ```
@@ -73,5 +82,5 @@
 pub mod interface;
 mod state;
 
-pub use brain::Brain;
-pub use state::Spendings;
+pub use brain::Scheduler;
+pub use state::BudgetLedger;
--- a/crates/scheduler/src/state.rs
+++ b/crates/scheduler/src/state.rs
@@ -7,7 +7,7 @@
 mod rates;
 
 pub(crate) use learned::*;
-pub use rates::Spendings;
+pub use rates::BudgetLedger;
 pub(crate) use rates::{Allowance, Rate};
 
 #[derive(Clone, Copy, PartialEq)]
@@ -41,7 +41,7 @@
 }
 
 pub(crate) struct Request {
-    pub(crate) arrival: Arrival,
+    pub(crate) arrival: IncomingRequest,
     pub(crate) tier: usize,
     pub(crate) cost: f64,
     pub(crate) aim: Seconds,
@@ -57,7 +57,7 @@
 
 impl Request {
     pub(crate) fn new(
-        arrival: Arrival,
+        arrival: IncomingRequest,
         key: (u64, u64),
         tier: usize,
         cost: f64,
@@ -225,22 +225,22 @@
 
 impl Backlog {
     /// A tier for each worth there is, within a share and beyond it.
-    pub(crate) fn new(settings: &Settings) -> Self {
+    pub(crate) fn new(settings: &SchedulerSettings) -> Self {
         let (classes, tenants) = (&settings.classes, settings.tenants.len().max(1));
         let over = if settings.tenants.is_empty() {
             1.0
         } else {
-            settings.over_share_worth
+            settings.over_quota_weight
         };
         let mut worths: Vec<f64> = classes
             .iter()
-            .flat_map(|c| [c.worth, c.worth * over])
+            .flat_map(|c| [c.priority_weight, c.priority_weight * over])
             .collect();
         worths.sort_by(|a, b| b.total_cmp(a));
         worths.dedup();
         let least = classes
             .iter()
-            .map(|c| c.worth)
+            .map(|c| c.priority_weight)
             .fold(f64::INFINITY, f64::min);
         let tiers = worths
             .into_iter()
@@ -356,13 +356,13 @@
 
 impl Replica {
     /// Takes over what the list says.
-    pub(crate) fn listed(&mut self, entry: &Listing) {
+    pub(crate) fn listed(&mut self, entry: &Endpoint) {
         self.zone = entry.zone;
         self.cell = entry.cell;
-        self.kind = entry.kind;
-        self.size = entry.size;
-        self.up = entry.state == ReplicaState::Up;
-        self.gone = entry.state == ReplicaState::Gone;
+        self.kind = entry.host_type;
+        self.size = entry.capacity_weight;
+        self.up = entry.state == EndpointState::Available;
+        self.gone = entry.state == EndpointState::Removed;
     }
 
     /// A new process forgets what the one before it could bear.
@@ -414,11 +414,13 @@
     }
 
     /// The part of its capacity that the rules promise of it.
-    pub(crate) fn warmth(&self, rules: &Rules, now: Seconds) -> f64 {
-        let Some(since) = self.cold_since.filter(|_| rules.cold > 0.0) else {
+    pub(crate) fn warmth(&self, rules: &LifecycleRules, now: Seconds) -> f64 {
+        let Some(since) = self.cold_since.filter(|_| rules.slow_start_duration > 0.0) else {
             return 1.0;
         };
-        (rules.cold_from + (1.0 - rules.cold_from) * (now - since) / rules.cold).min(1.0)
+        (rules.slow_start_initial_fraction
+            + (1.0 - rules.slow_start_initial_fraction) * (now - since) / rules.slow_start_duration)
+            .min(1.0)
     }
 
     /// An even chance from 0 to 1 that is the same for a session and this replica at every router.
@@ -426,31 +428,37 @@
         (mix(session ^ self.hash) >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    pub(crate) fn same_group(&self, other: &Replica, group: Group) -> bool {
+    pub(crate) fn same_group(&self, other: &Replica, group: DeduplicationScope) -> bool {
         match group {
-            Group::All => true,
-            Group::Zone => self.zone == other.zone,
-            Group::Cell => self.cell == other.cell,
+            DeduplicationScope::AllReplicas => true,
+            DeduplicationScope::Zone => self.zone == other.zone,
+            DeduplicationScope::Cell => self.cell == other.cell,
         }
     }
 
-    pub(crate) fn take_report(&mut self, report: Report, now: Seconds) {
+    pub(crate) fn take_report(&mut self, report: LoadReport, now: Seconds) {
         if let Some(tokens) = report
-            .waiting_prompt_tokens
+            .queued_prompt_tokens
             .filter(|t| (0.0..MOST_TOKENS).contains(t))
         {
             (self.reported, self.reported_at) = (tokens, now);
         }
         if let Some(held) = report
-            .memory_held
+            .memory_utilization
             .filter(|m| (0.0..f64::INFINITY).contains(m))
         {
             self.memory_held = held;
         }
-        if let Some(queued) = report.queued.filter(|q| (0.0..MOST_TOKENS).contains(q)) {
+        if let Some(queued) = report
+            .requests_queued
+            .filter(|q| (0.0..MOST_TOKENS).contains(q))
+        {
             self.queued = queued;
         }
-        if let Some(holding) = report.holding.filter(|h| (0.0..MOST_TOKENS).contains(h)) {
+        if let Some(holding) = report
+            .requests_held
+            .filter(|h| (0.0..MOST_TOKENS).contains(h))
+        {
             self.holding = Some((holding, self.in_flight));
             if self.queued >= 0.5 {
                 self.batch = Some((holding - self.queued).round().max(1.0));
--- a/crates/scheduler/src/state/learned.rs
+++ b/crates/scheduler/src/state/learned.rs
@@ -144,14 +144,21 @@
         cost
     }
     /// Before any answer has ended: they run to a quarter of their limit, four times as fast as they must.
-    pub(crate) fn begin(&mut self, class: &Class, answer_limit: u64, cost: f64) {
-        self.hold_time = (class.token_aim.min(1.0) * answer_limit as f64 / 16.0).max(1.0);
+    pub(crate) fn begin(&mut self, class: &RequestClass, answer_limit: u64, cost: f64) {
+        self.hold_time =
+            (class.inter_token_objective.min(1.0) * answer_limit as f64 / 16.0).max(1.0);
         self.quantum = cost;
     }
     /// Takes what an answer found kept of its prompt: how far homes, and the places of turns, can be relied on.
-    pub(crate) fn found(&mut self, arrival: &Arrival, sent: &Attempt, found: f64, weight: f64) {
+    pub(crate) fn found(
+        &mut self,
+        arrival: &IncomingRequest,
+        sent: &Attempt,
+        found: f64,
+        weight: f64,
+    ) {
         let prompt = arrival.prompt_tokens as f64;
-        let prefix = (arrival.prefix_tokens as f64).min(prompt);
+        let prefix = (arrival.shared_prefix_tokens as f64).min(prompt);
         let read = arrival
             .session
             .and_then(|s| self.places.get(s))
--- a/crates/scheduler/src/state/rates.rs
+++ b/crates/scheduler/src/state/rates.rs
@@ -1,16 +1,16 @@
 //! Token buckets and rates over time.
 
-use crate::interface::{Allowed, Budget, Seconds, Spend, Wanted};
+use crate::interface::{BudgetDemand, BudgetGrant, BudgetGrants, BudgetKind, Seconds};
 use std::collections::BTreeMap;
 
 /// What is spent of a budget of the fleet: a bucket that starts empty, since a router that starts again and again must
 /// not bring a burst along each time.
 #[derive(Clone)]
 struct Spending {
-    budget: Budget,
+    budget: BudgetGrant,
     left: f64,
     at: Seconds,
-    wanted: Wanted,
+    wanted: BudgetDemand,
 }
 
 impl Spending {
@@ -19,12 +19,12 @@
     }
     fn level(&self, now: Seconds) -> f64 {
         let (b, now) = (self.budget, now.max(self.at));
-        let shared = (now.min(b.until) - self.at).max(0.0);
-        (self.left + b.floor * (now - self.at) + b.rate * shared).min(self.most(now))
+        let shared = (now.min(b.expires_at) - self.at).max(0.0);
+        (self.left + b.guaranteed_rate * (now - self.at) + b.rate * shared).min(self.most(now))
     }
     fn most(&self, now: Seconds) -> f64 {
-        self.budget.floor_burst
-            + if now < self.budget.until {
+        self.budget.guaranteed_burst
+            + if now < self.budget.expires_at {
                 self.budget.burst
             } else {
                 0.0
@@ -34,18 +34,18 @@
 
 /// What is spent of all budgets of the fleet. What has no budget may be spent.
 #[derive(Clone, Default)]
-pub struct Spendings(BTreeMap<Spend, Spending>);
+pub struct BudgetLedger(BTreeMap<BudgetKind, Spending>);
 
-impl Spendings {
+impl BudgetLedger {
     /// What the fleet allows from now on.
-    pub fn set(&mut self, now: Seconds, allowed: &Allowed) {
+    pub fn set_grants(&mut self, now: Seconds, allowed: &BudgetGrants) {
         self.0.retain(|what, _| allowed.contains_key(what));
         for (what, budget) in allowed {
             let fresh = Spending {
                 budget: *budget,
                 left: 0.0,
                 at: now,
-                wanted: Wanted::default(),
+                wanted: BudgetDemand::default(),
             };
             let s = self.0.entry(*what).or_insert(fresh);
             // What has come in until now came in by the budget until now.
@@ -56,14 +56,14 @@
     }
 
     /// Whether a unit may be spent; then it is.
-    pub fn take(&mut self, now: Seconds, what: Spend, worth: f64) -> bool {
-        self.want(what, 1.0, worth);
-        self.spend(now, what)
+    pub fn request_unit(&mut self, now: Seconds, what: BudgetKind, worth: f64) -> bool {
+        self.record_demand(what, 1.0, worth);
+        self.spend_unit(now, what)
     }
 
     /// The same for a unit whose wish has been counted.
-    pub fn spend(&mut self, now: Seconds, what: Spend) -> bool {
-        let may = self.may(now, what, 0.0);
+    pub fn spend_unit(&mut self, now: Seconds, what: BudgetKind) -> bool {
+        let may = self.has_unit(now, what, 0.0);
         if let Some(s) = self.0.get_mut(&what).filter(|_| may) {
             s.fill(now);
             s.left -= 1.0;
@@ -72,7 +72,7 @@
     }
 
     /// Whether a unit may be spent and this part of what can be saved up is left behind it.
-    pub fn may(&self, now: Seconds, what: Spend, reserve: f64) -> bool {
+    pub fn has_unit(&self, now: Seconds, what: BudgetKind, reserve: f64) -> bool {
         let most = |s: &Spending| (s.most(now) - 1.0).max(0.0);
         self.0
             .get(&what)
@@ -80,30 +80,30 @@
     }
 
     /// So much of it is wanted, whoever decides about it.
-    pub fn want(&mut self, what: Spend, units: f64, worth: f64) {
+    pub fn record_demand(&mut self, what: BudgetKind, units: f64, worth: f64) {
         if let Some(s) = self.0.get_mut(&what) {
             s.wanted.units += units;
-            s.wanted.worth += units * worth;
+            s.wanted.priority_weight += units * worth;
         }
     }
 
     /// Whether there is a budget for it.
-    pub fn has(&self, what: Spend) -> bool {
+    pub fn has_budget(&self, what: BudgetKind) -> bool {
         self.0.contains_key(&what)
     }
 
     /// Units a second that come in now.
-    pub fn rate(&self, now: Seconds, what: Spend) -> Option<f64> {
+    pub fn rate(&self, now: Seconds, what: BudgetKind) -> Option<f64> {
         let b = self.0.get(&what)?.budget;
-        Some(if now < b.until {
-            b.floor + b.rate
+        Some(if now < b.expires_at {
+            b.guaranteed_rate + b.rate
         } else {
-            b.floor
+            b.guaranteed_rate
         })
     }
 
     /// What has been wanted since the start of what there are budgets for.
-    pub fn wanted(&self) -> BTreeMap<Spend, Wanted> {
+    pub fn demand(&self) -> BTreeMap<BudgetKind, BudgetDemand> {
         self.0.iter().map(|(what, s)| (*what, s.wanted)).collect()
     }
 }
--- a/crates/scheduler/tests/brain.rs
+++ b/crates/scheduler/tests/brain.rs
@@ -1,7 +1,7 @@
 //! The decision module alone: hand-made events in, actions out.
 
 use poppykeel_scheduler::interface::*;
-use poppykeel_scheduler::Brain;
+use poppykeel_scheduler::Scheduler;
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -14,25 +14,28 @@
 fn higher_worth_leaves_first() {
     let mut rig = Rig::new(settings(), 1);
     let out = rig.fill();
-    rig.tell(Event::Arrived(request(1, 1, 0, 30.0)));
-    rig.tell(Event::Arrived(request(2, 0, 0, 30.0)));
-    rig.tell(Event::ClientGone(RequestId(1000 + out)));
-    assert_eq!(sends(&rig.end(1000, 0, Outcome::Served, true))[0].0, 2);
+    rig.tell(Event::RequestArrived(request(1, 1, 0, 30.0)));
+    rig.tell(Event::RequestArrived(request(2, 0, 0, 30.0)));
+    rig.tell(Event::ClientDisconnected(RequestId(1000 + out)));
+    assert_eq!(
+        sends(&rig.end(1000, 0, AttemptOutcome::Completed, true))[0].0,
+        2
+    );
 }
 
 #[test]
 fn tenants_take_turns_whatever_their_backlogs() {
     let mut rig = Rig::new(settings(), 1);
     let out = rig.fill();
-    rig.tell(Event::ClientGone(RequestId(1000 + out)));
+    rig.tell(Event::ClientDisconnected(RequestId(1000 + out)));
     for n in 0..3 {
-        rig.tell(Event::Arrived(request(n, 1, 0, 30.0)));
+        rig.tell(Event::RequestArrived(request(n, 1, 0, 30.0)));
     }
-    rig.tell(Event::Arrived(request(10, 1, 1, 30.0)));
+    rig.tell(Event::RequestArrived(request(10, 1, 1, 30.0)));
     let mut order = vec![];
     for n in 0..out {
         order.extend(
-            sends(&rig.end(1000 + n, 0, Outcome::Served, true))
+            sends(&rig.end(1000 + n, 0, AttemptOutcome::Completed, true))
                 .iter()
                 .map(|s| s.0),
         );
@@ -48,17 +51,20 @@
 fn the_earliest_deadline_of_a_tenant_leaves_first() {
     let mut rig = Rig::new(settings(), 1);
     let out = rig.fill();
-    rig.tell(Event::ClientGone(RequestId(1000 + out)));
-    rig.tell(Event::Arrived(request(1, 1, 0, 30.0)));
-    rig.tell(Event::Arrived(request(2, 1, 0, 20.0)));
-    assert_eq!(sends(&rig.end(1000, 0, Outcome::Served, true))[0].0, 2);
+    rig.tell(Event::ClientDisconnected(RequestId(1000 + out)));
+    rig.tell(Event::RequestArrived(request(1, 1, 0, 30.0)));
+    rig.tell(Event::RequestArrived(request(2, 1, 0, 20.0)));
+    assert_eq!(
+        sends(&rig.end(1000, 0, AttemptOutcome::Completed, true))[0].0,
+        2
+    );
 }
 
 #[test]
 fn nothing_is_refused_while_a_window_has_room() {
     let mut rig = Rig::new(settings(), 3);
     for n in 0..12 {
-        let actions = rig.tell(Event::Arrived(request(n, 1, 0, 5.0)));
+        let actions = rig.tell(Event::RequestArrived(request(n, 1, 0, 5.0)));
         assert!(
             answers(&actions).is_empty() && sends(&actions).len() == 1,
             "request {n}: {actions:?}"
@@ -72,8 +78,8 @@
     rig.fill();
     let mut refused = None;
     for n in 0..400 {
-        let actions = rig.tell(Event::Arrived(request(n, 1, 0, 5.0)));
-        if let Some(Action::Refuse { retry_after, .. }) = actions.first() {
+        let actions = rig.tell(Event::RequestArrived(request(n, 1, 0, 5.0)));
+        if let Some(Action::Reject { retry_after, .. }) = actions.first() {
             refused = Some(*retry_after);
             break;
         }
@@ -85,7 +91,7 @@
 #[test]
 fn a_held_request_is_refused_before_its_time_is_over() {
     let mut rig = Rig::new(settings(), 0);
-    rig.tell(Event::Arrived(request(1, 1, 0, 0.5)));
+    rig.tell(Event::RequestArrived(request(1, 1, 0, 0.5)));
     let early = answers(&rig.wait(0.4));
     let late = answers(&rig.wait(0.1));
     assert_eq!((early.len(), late), (0, vec![1]));
@@ -95,7 +101,7 @@
 #[test]
 fn a_request_with_less_than_a_tick_left_is_answered_at_once() {
     let mut rig = Rig::new(settings(), 0);
-    let actions = rig.tell(Event::Arrived(request(1, 1, 0, 0.008)));
+    let actions = rig.tell(Event::RequestArrived(request(1, 1, 0, 0.008)));
     assert_eq!(answers(&actions), vec![1]);
 }
 
@@ -107,24 +113,24 @@
         rig.start(1000 + n, 0.01);
     }
     for n in 0..before {
-        rig.end(1000 + n, 0, Outcome::Served, true);
+        rig.end(1000 + n, 0, AttemptOutcome::Completed, true);
     }
     rig.wait(1.1);
-    rig.tell(Event::ClientGone(RequestId(1000 + before)));
-    rig.end(1000 + before, 0, Outcome::Cancelled, true);
+    rig.tell(Event::ClientDisconnected(RequestId(1000 + before)));
+    rig.end(1000 + before, 0, AttemptOutcome::Cancelled, true);
     let grown = rig.fill();
     assert!(grown > before, "{before} then {grown}");
     let mut rig = Rig::new(settings(), 1);
     let before = rig.fill();
-    rig.end(1000, 0, Outcome::Full, false);
+    rig.end(1000, 0, AttemptOutcome::AtCapacity, false);
     for n in 1..before {
-        rig.end(1000 + n, 0, Outcome::Cancelled, true);
+        rig.end(1000 + n, 0, AttemptOutcome::Cancelled, true);
     }
     rig.wait(30.0);
     rig.last.clear();
     let mut sent = 0;
     for n in 5000..5020 {
-        sent += sends(&rig.tell(Event::Arrived(request(n, 0, 0, 30.0)))).len() as u64;
+        sent += sends(&rig.tell(Event::RequestArrived(request(n, 0, 0, 30.0)))).len() as u64;
     }
     assert!(sent < before, "{before} then {sent}");
 }
@@ -132,39 +138,43 @@
 #[test]
 fn drained_and_gone_replicas_get_nothing_more() {
     let mut rig = Rig::new(settings(), 2);
-    rig.tell(Event::ListChanged(vec![listing(
+    rig.tell(Event::EndpointsChanged(vec![listing(
         0,
-        ReplicaState::Draining,
+        EndpointState::Draining,
         None,
     )]));
     for n in 0..4 {
-        let to = sends(&rig.tell(Event::Arrived(request(n, 1, 0, 5.0))));
+        let to = sends(&rig.tell(Event::RequestArrived(request(n, 1, 0, 5.0))));
         assert!(to.iter().all(|s| s.1 == replica(1)), "{to:?}");
     }
-    rig.tell(Event::ListFull(vec![listing(0, ReplicaState::Up, None)]));
-    let to = sends(&rig.tell(Event::Arrived(request(9, 1, 0, 5.0))));
+    rig.tell(Event::EndpointsReplaced(vec![listing(
+        0,
+        EndpointState::Available,
+        None,
+    )]));
+    let to = sends(&rig.tell(Event::RequestArrived(request(9, 1, 0, 5.0))));
     assert!(to.iter().all(|s| s.1 == replica(0)), "{to:?}");
 }
 
 #[test]
 fn a_cold_replica_gets_a_trickle_at_first() {
     let mut rig = Rig::new(settings(), 1);
-    rig.tell(Event::ListChanged(vec![listing(
+    rig.tell(Event::EndpointsChanged(vec![listing(
         1,
-        ReplicaState::Up,
+        EndpointState::Available,
         Some(100.0),
     )]));
     let mut to_cold = 0;
     for n in 0..60 {
-        let sent = sends(&rig.tell(Event::Arrived(request(n, 0, 0, 5.0))));
+        let sent = sends(&rig.tell(Event::RequestArrived(request(n, 0, 0, 5.0))));
         for (id, to) in &sent {
             to_cold += usize::from(*to == replica(1));
-            rig.tell(Event::Started {
+            rig.tell(Event::FirstToken {
                 request: RequestId(*id),
                 attempt: 0,
                 elapsed: 0.05,
             });
-            rig.end(*id, 0, Outcome::Served, true);
+            rig.end(*id, 0, AttemptOutcome::Completed, true);
         }
         rig.wait(0.04);
     }
@@ -177,17 +187,21 @@
     let mut at_once = 0;
     for seed in 0..12 {
         let mut rig = Rig::new(settings(), 1);
-        let mut s = Settings {
-            routers: 12,
+        let mut s = SchedulerSettings {
+            router_count: 12,
             ..settings()
         };
-        s.limits.probes = false;
-        rig.brain = Brain::new(s, seed).unwrap();
-        rig.tell(Event::ListFull(vec![listing(0, ReplicaState::Up, None)]));
+        s.limits.allows_probes = false;
+        rig.brain = Scheduler::new(s, seed).unwrap();
+        rig.tell(Event::EndpointsReplaced(vec![listing(
+            0,
+            EndpointState::Available,
+            None,
+        )]));
         let out = rig.fill();
-        rig.tell(Event::ListChanged(vec![listing(
+        rig.tell(Event::EndpointsChanged(vec![listing(
             1,
-            ReplicaState::Up,
+            EndpointState::Available,
             Some(100.0),
         )]));
         at_once += sends(&rig.wait(0.1)).len();
@@ -198,9 +212,12 @@
 
 #[test]
 fn an_unsafe_request_that_may_have_run_is_neither_repeated_nor_refused() {
-    for (outcome, again) in [(Outcome::Error, false), (Outcome::Full, true)] {
+    for (outcome, again) in [
+        (AttemptOutcome::ServerError, false),
+        (AttemptOutcome::AtCapacity, true),
+    ] {
         let mut rig = Rig::new(settings(), 2);
-        rig.tell(Event::Arrived(request(1, 2, 0, 5.0)));
+        rig.tell(Event::RequestArrived(request(1, 2, 0, 5.0)));
         let actions = rig.end(1, 0, outcome, false);
         assert_eq!(sends(&actions).len(), usize::from(again), "{outcome:?}");
         assert_eq!(
@@ -216,15 +233,18 @@
 #[test]
 fn a_keyed_request_stays_in_its_group_and_its_time() {
     for (group, memory, where_to) in [
-        (Group::All, 5.0, 3),
-        (Group::Zone, 5.0, 1),
-        (Group::Cell, 0.0, 0),
+        (DeduplicationScope::AllReplicas, 5.0, 3),
+        (DeduplicationScope::Zone, 5.0, 1),
+        (DeduplicationScope::Cell, 0.0, 0),
     ] {
         let mut s = settings();
-        s.classes[0].effect = Effect::Keyed { group, memory };
+        s.classes[0].idempotency = Idempotency::Keyed {
+            scope: group,
+            retention: memory,
+        };
         let mut rig = Rig::new(s, 4);
-        let first = sends(&rig.tell(Event::Arrived(request(1, 0, 0, 5.0))))[0].1;
-        let actions = rig.end(1, 0, Outcome::Reset, false);
+        let first = sends(&rig.tell(Event::RequestArrived(request(1, 0, 0, 5.0))))[0].1;
+        let actions = rig.end(1, 0, AttemptOutcome::ConnectionReset, false);
         let again = sends(&actions);
         assert_eq!(
             again.len(),
@@ -241,26 +261,35 @@
 /// Guards against first tokens that clear the failures of a replica whose streams never end whole.
 #[test]
 fn a_replica_whose_streams_break_in_a_row_gets_little_until_one_is_whole() {
-    for outcome in [Outcome::TimedOut, Outcome::Reset] {
+    for outcome in [AttemptOutcome::TimedOut, AttemptOutcome::ConnectionReset] {
         let mut rig = Rig::new(settings(), 3);
         let mut sent = [[0; 3]; 2];
         for n in 0..800 {
-            let out = rig.tell(Event::Arrived(request(n, 0, 0, 5.0)));
+            let out = rig.tell(Event::RequestArrived(request(n, 0, 0, 5.0)));
             let to = out.iter().find_map(|a| match a {
-                Action::Send { replica, .. } => Some(*replica),
+                Action::StartAttempt { replica, .. } => Some(*replica),
                 _ => None,
             });
             let to = (0..3).find(|r| Some(replica(*r)) == to).unwrap();
             // First tokens come from it as from the others, and for the second half its streams are whole.
             let late = usize::from(n >= 400);
             sent[late][to] += 1;
-            rig.tell(Event::Started {
+            rig.tell(Event::FirstToken {
                 request: RequestId(n),
                 attempt: 0,
                 elapsed: 0.01,
             });
             let whole = to != 0 || late == 1;
-            rig.end(n, 0, if whole { Outcome::Served } else { outcome }, true);
+            rig.end(
+                n,
+                0,
+                if whole {
+                    AttemptOutcome::Completed
+                } else {
+                    outcome
+                },
+                true,
+            );
             rig.wait(0.02);
         }
         // Three, then a trial after 0.7, 1.4 and 2.8 s, of 8.
@@ -275,8 +304,8 @@
     let mut rig = Rig::new(settings(), 3);
     let mut at_first = Vec::new();
     for n in 0..24 {
-        let out = rig.tell(Event::Arrived(request(n, 0, 0, 5.0)));
-        rig.tell(Event::Started {
+        let out = rig.tell(Event::RequestArrived(request(n, 0, 0, 5.0)));
+        rig.tell(Event::FirstToken {
             request: RequestId(n),
             attempt: 0,
             elapsed: 0.01,
@@ -291,23 +320,23 @@
             n,
             0,
             if at_first.contains(&n) {
-                Outcome::TimedOut
+                AttemptOutcome::TimedOut
             } else {
-                Outcome::Served
+                AttemptOutcome::Completed
             },
             true,
         );
     }
     let mut again = 0;
     for n in 100..130 {
-        let out = rig.tell(Event::Arrived(request(n, 0, 0, 5.0)));
+        let out = rig.tell(Event::RequestArrived(request(n, 0, 0, 5.0)));
         again += sends(&out).iter().filter(|s| s.1 == replica(0)).count();
-        rig.tell(Event::Started {
+        rig.tell(Event::FirstToken {
             request: RequestId(n),
             attempt: 0,
             elapsed: 0.01,
         });
-        rig.end(n, 0, Outcome::Served, true);
+        rig.end(n, 0, AttemptOutcome::Completed, true);
     }
     assert!(again > 3, "{again} of 30 went there");
 }
@@ -318,20 +347,20 @@
     let mut rig = Rig::new(settings(), 3);
     let mut bad = 0;
     for n in 0..60 {
-        let mut sent = sends(&rig.tell(Event::Arrived(request(n, 0, 0, 5.0))));
+        let mut sent = sends(&rig.tell(Event::RequestArrived(request(n, 0, 0, 5.0))));
         let mut attempt = 0;
         while let Some((id, to)) = sent.pop() {
             if to == replica(0) {
                 bad += 1;
-                sent = sends(&rig.end(id, attempt, Outcome::Error, false));
+                sent = sends(&rig.end(id, attempt, AttemptOutcome::ServerError, false));
                 attempt += 1;
             } else {
-                rig.tell(Event::Started {
+                rig.tell(Event::FirstToken {
                     request: RequestId(id),
                     attempt,
                     elapsed: 0.05,
                 });
-                rig.end(id, attempt, Outcome::Served, true);
+                rig.end(id, attempt, AttemptOutcome::Completed, true);
             }
         }
         rig.wait(0.1);
@@ -346,18 +375,18 @@
 #[test]
 fn what_a_silent_replica_holds_moves_on_while_time_is_left() {
     let mut s = settings();
-    s.classes[0].late_worth = 0.5;
+    s.classes[0].late_weight = 0.5;
     let mut rig = Rig::new(s, 3);
-    let first = sends(&rig.tell(Event::Arrived(request(1, 0, 0, 8.0))))[0].1;
+    let first = sends(&rig.tell(Event::RequestArrived(request(1, 0, 0, 8.0))))[0].1;
     let actions = rig.wait(1.3);
     assert!(
-        actions.contains(&Action::Cancel {
+        actions.contains(&Action::CancelAttempt {
             request: RequestId(1),
             attempt: 0
         }),
         "{actions:?}"
     );
-    let again = sends(&rig.end(1, 0, Outcome::Cancelled, false));
+    let again = sends(&rig.end(1, 0, AttemptOutcome::Cancelled, false));
     assert!(again.len() == 1 && again[0].1 != first, "{again:?}");
 }
 
@@ -367,11 +396,11 @@
     let mut rig = Rig::new(settings(), 3);
     let mut tried = 0;
     for n in 0..40 {
-        let mut sent = sends(&rig.tell(Event::Arrived(request(n, 0, 0, 5.0))));
+        let mut sent = sends(&rig.tell(Event::RequestArrived(request(n, 0, 0, 5.0))));
         let mut attempt = 0;
         while let Some((id, _)) = sent.pop() {
             tried += usize::from(n >= 20);
-            sent = sends(&rig.end(id, attempt, Outcome::Error, false));
+            sent = sends(&rig.end(id, attempt, AttemptOutcome::ServerError, false));
             attempt += 1;
         }
         rig.wait(0.1);
@@ -384,15 +413,15 @@
     let mut rig = Rig::new(settings(), 4);
     let mut homes = BTreeSet::new();
     for n in 0..10 {
-        let next = Arrival {
+        let next = IncomingRequest {
             session: Some(7),
             prompt_tokens: 8000 + 100 * n,
             ..request(n, 0, 0, 5.0)
         };
-        let to = sends(&rig.tell(Event::Arrived(next)))[0].1;
+        let to = sends(&rig.tell(Event::RequestArrived(next)))[0].1;
         homes.insert(to);
         rig.start(n, 0.1);
-        rig.end(n, 0, Outcome::Served, true);
+        rig.end(n, 0, AttemptOutcome::Completed, true);
         rig.now += 0.5;
     }
     assert_eq!(homes.len(), 1, "{homes:?}");
@@ -401,22 +430,25 @@
 #[test]
 fn work_beyond_a_share_waits_behind_work_within() {
     let mut s = settings();
-    s.tenants[0].allowance = 1.0;
+    s.tenants[0].rate_limit = 1.0;
     let mut rig = Rig::new(s, 1);
     let out = rig.fill();
-    rig.tell(Event::ClientGone(RequestId(1000 + out)));
-    rig.tell(Event::Arrived(request(1, 1, 0, 30.0)));
-    rig.tell(Event::Arrived(request(2, 1, 1, 30.0)));
-    assert_eq!(sends(&rig.end(1000, 0, Outcome::Served, true))[0].0, 2);
+    rig.tell(Event::ClientDisconnected(RequestId(1000 + out)));
+    rig.tell(Event::RequestArrived(request(1, 1, 0, 30.0)));
+    rig.tell(Event::RequestArrived(request(2, 1, 1, 30.0)));
+    assert_eq!(
+        sends(&rig.end(1000, 0, AttemptOutcome::Completed, true))[0].0,
+        2
+    );
 }
 
 #[test]
 fn a_late_outcome_frees_its_slot_and_sends_nothing() {
     let mut rig = Rig::new(settings(), 1);
     let out = rig.fill();
-    rig.tell(Event::ClientGone(RequestId(1000)));
-    assert!(answers(&rig.end(1000, 0, Outcome::TimedOut, true)).is_empty());
-    assert!(out >= 1 && rig.end(1000, 0, Outcome::TimedOut, true).is_empty());
+    rig.tell(Event::ClientDisconnected(RequestId(1000)));
+    assert!(answers(&rig.end(1000, 0, AttemptOutcome::TimedOut, true)).is_empty());
+    assert!(out >= 1 && rig.end(1000, 0, AttemptOutcome::TimedOut, true).is_empty());
 }
 
 /// Guards against routers that ask the list together, and against one that never asks again.
@@ -424,22 +456,28 @@
 fn an_asked_list_is_asked_for_apart_and_again_after_a_failure() {
     let mut at = BTreeSet::new();
     for me in 0..4 {
-        let s = Settings {
-            me,
-            routers: 4,
-            discovery: Discovery::Asked,
+        let s = SchedulerSettings {
+            router_index: me,
+            router_count: 4,
+            endpoint_list_mode: EndpointListMode::Polled,
             ..settings()
         };
         let mut rig = Rig::new(s, 1);
         let mut waited = 0;
-        while !rig.wait(0.02).contains(&Action::Subscribe) {
+        while !rig.wait(0.02).contains(&Action::WatchEndpoints) {
             waited += 1;
             assert!(waited < 200, "router {me} never asked");
         }
         at.insert(waited);
-        rig.tell(Event::ListFailed);
+        rig.tell(Event::EndpointListFailed);
         let again = rig.wait(10.0);
-        assert_eq!(again.iter().filter(|a| **a == Action::Subscribe).count(), 1);
+        assert_eq!(
+            again
+                .iter()
+                .filter(|a| **a == Action::WatchEndpoints)
+                .count(),
+            1
+        );
     }
     assert_eq!(at.len(), 4, "asked after {at:?} ticks");
 }
@@ -447,23 +485,23 @@
 #[test]
 fn nothing_forbidden_is_done_where_the_settings_allow_nothing() {
     let mut s = settings();
-    s.limits = Limits {
-        probes: false,
-        cancel: false,
-        second_copies: false,
+    s.limits = SiteLimits {
+        allows_probes: false,
+        allows_cancellation: false,
+        allows_hedging: false,
         max_attempts: 1,
         max_retry_after: 0.0,
     };
-    (s.tenants, s.reports) = (vec![], ReportSource::Off);
+    (s.tenants, s.load_report_source) = (vec![], LoadReportSource::Off);
     let mut rig = Rig::new(s, 2);
-    rig.tell(Event::Arrived(request(1, 0, 0, 3.0)));
+    rig.tell(Event::RequestArrived(request(1, 0, 0, 3.0)));
     let mut actions = rig.wait(2.0);
-    actions.extend(rig.end(1, 0, Outcome::Error, false));
+    actions.extend(rig.end(1, 0, AttemptOutcome::ServerError, false));
     assert_eq!((sends(&actions).len(), answers(&actions)), (0, vec![1]));
     assert!(
         !actions
             .iter()
-            .any(|a| matches!(a, Action::Probe { .. } | Action::Cancel { .. })),
+            .any(|a| matches!(a, Action::Probe { .. } | Action::CancelAttempt { .. })),
         "{actions:?}"
     );
 }
@@ -474,11 +512,11 @@
     let mut rig = Rig::new(settings(), 1);
     let before = rig.fill();
     for n in 0..=before {
-        rig.end(1000 + n, 0, Outcome::Served, true);
+        rig.end(1000 + n, 0, AttemptOutcome::Completed, true);
     }
     rig.wait(1.1);
-    let sent =
-        (5000..5040).map(|n| sends(&rig.tell(Event::Arrived(request(n, 0, 0, 30.0)))).len() as u64);
+    let sent = (5000..5040)
+        .map(|n| sends(&rig.tell(Event::RequestArrived(request(n, 0, 0, 30.0)))).len() as u64);
     let after: u64 = sent.sum();
     assert!(after > before, "{before} then {after}");
 }
@@ -489,33 +527,33 @@
     let mut homes = BTreeSet::new();
     for me in 0..20 {
         let mut rig = Rig::new(
-            Settings {
-                me,
-                routers: 20,
+            SchedulerSettings {
+                router_index: me,
+                router_count: 20,
                 ..settings()
             },
             1,
         );
-        rig.brain = Brain::new(
-            Settings {
-                me,
-                routers: 20,
+        rig.brain = Scheduler::new(
+            SchedulerSettings {
+                router_index: me,
+                router_count: 20,
                 ..settings()
             },
             me as u64,
         )
         .unwrap();
-        rig.tell(Event::ListFull(
+        rig.tell(Event::EndpointsReplaced(
             (0..30)
-                .map(|n| listing(n, ReplicaState::Up, None))
+                .map(|n| listing(n, EndpointState::Available, None))
                 .collect(),
         ));
-        let turn = Arrival {
+        let turn = IncomingRequest {
             session: Some(7),
             prompt_tokens: 9000,
             ..request(1, 0, 0, 5.0)
         };
-        homes.insert(sends(&rig.tell(Event::Arrived(turn)))[0].1);
+        homes.insert(sends(&rig.tell(Event::RequestArrived(turn)))[0].1);
     }
     assert_eq!(homes.len(), 1, "{homes:?}");
 }
@@ -524,16 +562,16 @@
 #[test]
 fn larger_replicas_are_home_to_more_sessions() {
     let mut rig = Rig::new(settings(), 0);
-    let sized = |n| Listing {
-        size: Some(if n < 5 { 3.0 } else { 1.0 }),
-        ..listing(n, ReplicaState::Up, None)
+    let sized = |n| Endpoint {
+        capacity_weight: Some(if n < 5 { 3.0 } else { 1.0 }),
+        ..listing(n, EndpointState::Available, None)
     };
-    rig.tell(Event::ListFull((0..10).map(sized).collect()));
+    rig.tell(Event::EndpointsReplaced((0..10).map(sized).collect()));
     let mut large = 0;
     for n in 0..200 {
-        let to = sends(&rig.tell(Event::Arrived(request(n, 0, 0, 5.0))))[0].1;
+        let to = sends(&rig.tell(Event::RequestArrived(request(n, 0, 0, 5.0))))[0].1;
         large += usize::from((0..5).any(|l| replica(l) == to));
-        rig.end(n, 0, Outcome::Cancelled, true);
+        rig.end(n, 0, AttemptOutcome::Cancelled, true);
     }
     assert!(
         (130..=170).contains(&large),
@@ -547,10 +585,10 @@
     let mut rig = Rig::new(settings(), 50);
     let mut homes: BTreeMap<ReplicaId, usize> = BTreeMap::new();
     for n in 0..2000 {
-        let to = sends(&rig.tell(Event::Arrived(request(n, 0, 0, 5.0))))[0].1;
+        let to = sends(&rig.tell(Event::RequestArrived(request(n, 0, 0, 5.0))))[0].1;
         *homes.entry(to).or_default() += usize::from(n >= 1000);
         rig.start(n, 0.0005);
-        rig.end(n, 0, Outcome::Served, true);
+        rig.end(n, 0, AttemptOutcome::Completed, true);
     }
     let (most, least) = (homes.values().max().unwrap(), homes.values().min().unwrap());
     assert!(
@@ -560,14 +598,14 @@
 }
 
 fn reported(rig: &mut Rig, replica: ReplicaId, tokens: f64) -> Vec<Action> {
-    let report = Report {
-        waiting_prompt_tokens: Some(tokens),
-        memory_held: Some(0.1),
-        ..Report::default()
+    let report = LoadReport {
+        queued_prompt_tokens: Some(tokens),
+        memory_utilization: Some(0.1),
+        ..LoadReport::default()
     };
-    rig.tell(Event::Probed {
+    rig.tell(Event::ProbeEnded {
         replica,
-        outcome: Outcome::Served,
+        outcome: AttemptOutcome::Completed,
         report: Some(report),
     })
 }
@@ -586,21 +624,21 @@
     let mut away = 0;
     for session in 0..20 {
         let mut rig = Rig::new(
-            Settings {
-                reports: ReportSource::Probes,
+            SchedulerSettings {
+                load_report_source: LoadReportSource::Probes,
                 ..settings()
             },
             8,
         );
-        let turn = Arrival {
+        let turn = IncomingRequest {
             session: Some(session),
             ..request(1, 0, 0, 5.0)
         };
-        let actions = rig.tell(Event::Arrived(turn));
+        let actions = rig.tell(Event::RequestArrived(turn));
         let asked = probes(&actions);
         assert_eq!((asked.len(), sends(&actions).len()), (2, 0), "{actions:?}");
         rig.brain
-            .handle(rig.now, Event::ListChanged(vec![]), &mut vec![]);
+            .handle_event(rig.now, Event::EndpointsChanged(vec![]), &mut vec![]);
         let mut sent = sends(&reported(&mut rig, asked[0], 60_000.0));
         sent.extend(sends(&reported(&mut rig, asked[1], 0.0)));
         assert_eq!(sent.len(), 1);
@@ -608,13 +646,13 @@
     }
     assert!(away >= 18, "{away} of 20");
     let mut rig = Rig::new(
-        Settings {
-            reports: ReportSource::Probes,
+        SchedulerSettings {
+            load_report_source: LoadReportSource::Probes,
             ..settings()
         },
         8,
     );
-    rig.tell(Event::Arrived(request(1, 0, 0, 5.0)));
+    rig.tell(Event::RequestArrived(request(1, 0, 0, 5.0)));
     assert_eq!(
         sends(&rig.wait(0.02)).len(),
         1,
@@ -627,18 +665,18 @@
 fn a_report_that_cannot_be_true_counts_as_missing() {
     for tokens in [f64::NAN, f64::INFINITY, 1e300, -1e300] {
         let mut rig = Rig::new(
-            Settings {
-                reports: ReportSource::Probes,
+            SchedulerSettings {
+                load_report_source: LoadReportSource::Probes,
                 ..settings()
             },
             8,
         );
         for n in 0..20 {
-            let turn = Arrival {
+            let turn = IncomingRequest {
                 prompt_tokens: 9000,
                 ..request(n, 0, 0, 5.0)
             };
-            let mut actions = rig.tell(Event::Arrived(turn));
+            let mut actions = rig.tell(Event::RequestArrived(turn));
             let home = probes(&actions).first().copied();
             for asked in probes(&actions) {
                 actions.extend(reported(
@@ -656,7 +694,7 @@
                 [home],
                 "{tokens}"
             );
-            rig.end(n, 0, Outcome::Cancelled, true);
+            rig.end(n, 0, AttemptOutcome::Cancelled, true);
             rig.now += 2.0;
         }
     }
@@ -666,11 +704,11 @@
 #[test]
 fn many_routers_share_what_a_replica_may_hold() {
     for (routers, sent) in [(1, 32), (4, 8), (32, 1), (300, 1)] {
-        let mut s = Settings {
-            routers,
+        let mut s = SchedulerSettings {
+            router_count: routers,
             ..settings()
         };
-        s.limits.probes = false;
+        s.limits.allows_probes = false;
         let mut rig = Rig::new(s, 4);
         assert_eq!(rig.fill(), sent, "{routers} routers");
     }
@@ -681,14 +719,14 @@
 fn late_first_tokens_shrink_the_pool_and_early_ones_grow_it_again() {
     let mut rig = Rig::new(settings(), 4);
     let before = rig.fill();
-    rig.tell(Event::ClientGone(RequestId(1000 + before)));
+    rig.tell(Event::ClientDisconnected(RequestId(1000 + before)));
     for n in 0..before {
         rig.start(1000 + n, 0.9);
-        rig.end(1000 + n, 0, Outcome::Served, true);
+        rig.end(1000 + n, 0, AttemptOutcome::Completed, true);
     }
     let in_flight = |rig: &mut Rig, from: u64| {
         let sent = (from..from + 60)
-            .map(|n| sends(&rig.tell(Event::Arrived(request(n, 0, 0, 30.0)))).len());
+            .map(|n| sends(&rig.tell(Event::RequestArrived(request(n, 0, 0, 30.0)))).len());
         sent.sum::<usize>() as u64
     };
     let small = in_flight(&mut rig, 5000);
@@ -698,7 +736,7 @@
     );
     for n in 5000..5000 + small {
         rig.start(n, 0.01);
-        rig.end(n, 0, Outcome::Served, true);
+        rig.end(n, 0, AttemptOutcome::Completed, true);
     }
     let grown = in_flight(&mut rig, 6000) + 60 - small;
     assert!(grown > small, "{small} then {grown}");
@@ -707,15 +745,15 @@
 /// Guards against an even part of an allowance under one request a second that turns work within it away.
 #[test]
 fn a_small_part_of_an_allowance_still_covers_requests_that_come_together() {
-    let mut s = Settings {
-        routers: 100,
+    let mut s = SchedulerSettings {
+        router_count: 100,
         ..settings()
     };
-    s.tenants[0].allowance = 20.0;
+    s.tenants[0].rate_limit = 20.0;
     let mut rig = Rig::new(s, 200);
     for n in 0..8 {
-        rig.tell(Event::Arrived(request(n, 1, 0, 5.0)));
-        assert_eq!(rig.end(n, 0, Outcome::Cancelled, true).len(), 0);
+        rig.tell(Event::RequestArrived(request(n, 1, 0, 5.0)));
+        assert_eq!(rig.end(n, 0, AttemptOutcome::Cancelled, true).len(), 0);
     }
     let held = rig.fill();
     assert!(held >= 1, "{held}");
@@ -725,13 +763,14 @@
 #[test]
 fn work_beyond_a_share_takes_only_spare_room() {
     let mut s = settings();
-    s.tenants[0].allowance = 0.0;
+    s.tenants[0].rate_limit = 0.0;
     let mut rig = Rig::new(s, 4);
-    let sent = (0..60).map(|n| sends(&rig.tell(Event::Arrived(request(n, 1, 0, 30.0)))).len());
+    let sent =
+        (0..60).map(|n| sends(&rig.tell(Event::RequestArrived(request(n, 1, 0, 30.0)))).len());
     let (beyond, all) = (sent.sum::<usize>(), 32);
     assert!(beyond > 8 && beyond < all / 2 + 8, "{beyond} of {all}");
     assert_eq!(
-        sends(&rig.tell(Event::Arrived(request(90, 1, 1, 30.0)))).len(),
+        sends(&rig.tell(Event::RequestArrived(request(90, 1, 1, 30.0)))).len(),
         1,
         "within its share"
     );
@@ -739,37 +778,39 @@
 
 #[test]
 fn illegal_settings_are_errors() {
-    let spoil: [fn(&mut Settings); 5] = [
+    let spoil: [fn(&mut SchedulerSettings); 5] = [
         |s| s.classes.clear(),
-        |s| s.routers = 0,
+        |s| s.router_count = 0,
         |s| s.limits.max_attempts = 0,
-        |s| s.rules.cold = f64::NAN,
-        |s| s.tenants.iter_mut().for_each(|t| t.share = 0.0),
+        |s| s.lifecycle.slow_start_duration = f64::NAN,
+        |s| s.tenants.iter_mut().for_each(|t| t.quota = 0.0),
     ];
     for (n, spoil) in spoil.iter().enumerate() {
         let mut s = settings();
         spoil(&mut s);
-        assert!(Brain::new(s, 0).is_err(), "case {n}");
+        assert!(Scheduler::new(s, 0).is_err(), "case {n}");
     }
 }
 
 #[test]
 fn odd_events_are_harmless() {
     let mut rig = Rig::new(settings(), 1);
-    let odd = Arrival {
+    let odd = IncomingRequest {
         class: 99,
         ..request(1, 0, 0, 5.0)
     };
-    assert_eq!(answers(&rig.tell(Event::Arrived(odd))), vec![1]);
-    let nan = Arrival {
+    assert_eq!(answers(&rig.tell(Event::RequestArrived(odd))), vec![1]);
+    let nan = IncomingRequest {
         time_left: f64::NAN,
         tenant: 77,
         ..request(2, 0, 0, 0.0)
     };
-    rig.tell(Event::Arrived(nan));
-    assert!(rig.end(55, 3, Outcome::Served, true).is_empty());
+    rig.tell(Event::RequestArrived(nan));
+    assert!(rig.end(55, 3, AttemptOutcome::Completed, true).is_empty());
     rig.now = f64::NAN;
-    assert!(rig.tell(Event::ClientGone(RequestId(55))).is_empty());
+    assert!(rig
+        .tell(Event::ClientDisconnected(RequestId(55)))
+        .is_empty());
 }
 
 /// One step of a random but legal history.
@@ -807,10 +848,10 @@
 /// Plays a history as a fair world would and checks every action; returns all actions.
 fn play(steps: &[Step], copies: bool) -> Vec<Action> {
     let mut s = settings();
-    s.limits.second_copies = copies;
-    s.classes[1].effect = Effect::Keyed {
-        group: Group::Zone,
-        memory: 1.0,
+    s.limits.allows_hedging = copies;
+    s.classes[1].idempotency = Idempotency::Keyed {
+        scope: DeduplicationScope::Zone,
+        retention: 1.0,
     };
     let mut rig = Rig::new(s, 4);
     let mut open: BTreeMap<u64, Seconds> = BTreeMap::new();
@@ -827,7 +868,7 @@
         let actions = rig.tell(event);
         for action in &actions {
             match action {
-                Action::Send {
+                Action::StartAttempt {
                     request, replica, ..
                 } => {
                     assert!(
@@ -847,7 +888,7 @@
                     *count += 1;
                     assert!(*count <= 4);
                 }
-                Action::Refuse { request, .. } | Action::Fail { request } => {
+                Action::Reject { request, .. } | Action::Fail { request } => {
                     assert!(
                         open.remove(&request.0).is_some(),
                         "a second answer for {request:?}"
@@ -867,7 +908,7 @@
             } => {
                 next += 1;
                 open.insert(next, rig.now + f64::from(*left) / 1000.0);
-                Event::Arrived(request(next, *class, *tenant, f64::from(*left) / 1000.0))
+                Event::RequestArrived(request(next, *class, *tenant, f64::from(*left) / 1000.0))
             }
             Step::Start(n) => {
                 let Some(a) = attempts
@@ -879,7 +920,7 @@
                 a.3 = true;
                 rig.pool = (rig.pool + 1.0).max(rig.pool * 1.04);
                 open.insert(a.0, f64::INFINITY);
-                Event::Started {
+                Event::FirstToken {
                     request: RequestId(a.0),
                     attempt: a.1,
                     elapsed: 0.1,
@@ -889,26 +930,26 @@
                 let a = attempts.remove(*n);
                 rig.pool = (rig.pool + 1.0).max(rig.pool * 1.04);
                 let all = [
-                    Outcome::Served,
-                    Outcome::Error,
-                    Outcome::Full,
-                    Outcome::Reset,
-                    Outcome::ConnectFailed,
+                    AttemptOutcome::Completed,
+                    AttemptOutcome::ServerError,
+                    AttemptOutcome::AtCapacity,
+                    AttemptOutcome::ConnectionReset,
+                    AttemptOutcome::ConnectFailed,
                 ];
                 let outcome = if a.3 {
-                    [Outcome::Served, Outcome::Reset][*o as usize % 2]
+                    [AttemptOutcome::Completed, AttemptOutcome::ConnectionReset][*o as usize % 2]
                 } else {
                     all[*o as usize % 5]
                 };
-                let last = outcome == Outcome::Served || a.3 || !open.contains_key(&a.0);
+                let last = outcome == AttemptOutcome::Completed || a.3 || !open.contains_key(&a.0);
                 if last {
                     open.remove(&a.0);
                 }
-                Event::Ended {
+                Event::AttemptEnded {
                     request: RequestId(a.0),
                     attempt: a.1,
                     outcome,
-                    last,
+                    is_request_finished: last,
                     report: None,
                 }
             }
@@ -917,26 +958,26 @@
                     continue;
                 };
                 open.remove(&id);
-                Event::ClientGone(RequestId(id))
+                Event::ClientDisconnected(RequestId(id))
             }
             Step::Drain(n) => {
                 drained.insert(replica(*n));
-                Event::ListChanged(vec![listing(*n, ReplicaState::Draining, None)])
+                Event::EndpointsChanged(vec![listing(*n, EndpointState::Draining, None)])
             }
             Step::Up(n) => {
                 drained.remove(&replica(*n));
-                Event::ListChanged(vec![listing(*n, ReplicaState::Up, None)])
+                Event::EndpointsChanged(vec![listing(*n, EndpointState::Available, None)])
             }
             Step::Fresh(n) => {
                 drained.remove(&replica(*n));
-                Event::ListChanged(vec![listing(*n, ReplicaState::Up, Some(rig.now))])
+                Event::EndpointsChanged(vec![listing(*n, EndpointState::Available, Some(rig.now))])
             }
             Step::Wait(n) => {
                 for _ in 0..*n {
                     rig.now += 0.02;
                     all.extend(tell(
                         &mut rig,
-                        Event::Woke,
+                        Event::TimerFired,
                         &mut open,
                         &mut attempts,
                         &mut made,
@@ -979,21 +1020,21 @@
 /// Sends of `n` sessions to the router's own zone, of four replicas that are half there, after as many early
 /// first tokens.
 fn near_sends(cross_zone: f64, n: u64) -> usize {
-    let settings = Settings {
-        prices: Prices {
+    let settings = SchedulerSettings {
+        costs: CostWeights {
             cross_zone,
-            ..Prices::default()
+            ..CostWeights::default()
         },
         ..settings()
     };
     let mut rig = Rig::new(settings, 4);
     let mut near = 0;
     for id in 1..=n {
-        let out = rig.tell(Event::Arrived(request(id, 0, 0, 30.0)));
-        let zone_0 = |a: &Action| matches!(a, Action::Send { replica: r, .. } if *r == replica(0) || *r == replica(2));
+        let out = rig.tell(Event::RequestArrived(request(id, 0, 0, 30.0)));
+        let zone_0 = |a: &Action| matches!(a, Action::StartAttempt { replica: r, .. } if *r == replica(0) || *r == replica(2));
         near += out.iter().filter(|a| zone_0(a)).count();
         rig.start(id, 0.001);
-        rig.end(id, 0, Outcome::Served, true);
+        rig.end(id, 0, AttemptOutcome::Completed, true);
     }
     near
 }
@@ -1012,33 +1053,37 @@
     let room_after = |outcome| {
         let mut rig = Rig::new(settings(), 1);
         for id in 1..=60 {
-            rig.tell(Event::Arrived(request(id, 0, 0, 30.0)));
+            rig.tell(Event::RequestArrived(request(id, 0, 0, 30.0)));
             rig.start(id, 0.2);
             rig.end(id, 0, outcome, true);
         }
         rig.wait(0.8);
         rig.fill()
     };
-    assert!(room_after(Outcome::Reset) < room_after(Outcome::Served));
+    assert!(room_after(AttemptOutcome::ConnectionReset) < room_after(AttemptOutcome::Completed));
 }
 
 #[test]
 fn replicas_that_have_gone_are_forgotten_once_they_owe_nothing() {
     let mut rig = Rig::new(settings(), 1);
     assert_eq!(
-        sends(&rig.tell(Event::Arrived(request(1, 1, 0, 5.0)))).len(),
+        sends(&rig.tell(Event::RequestArrived(request(1, 1, 0, 5.0)))).len(),
         1
     );
     for n in 0..50 {
-        rig.tell(Event::ListChanged(vec![
-            listing(n, ReplicaState::Gone, None),
-            listing(n + 1, ReplicaState::Up, None),
+        rig.tell(Event::EndpointsChanged(vec![
+            listing(n, EndpointState::Removed, None),
+            listing(n + 1, EndpointState::Available, None),
         ]));
     }
     // The first one still holds a request.
     assert_eq!(rig.brain.gauges().3, 2);
-    rig.end(1, 0, Outcome::Served, true);
-    rig.tell(Event::ListFull(vec![listing(50, ReplicaState::Up, None)]));
+    rig.end(1, 0, AttemptOutcome::Completed, true);
+    rig.tell(Event::EndpointsReplaced(vec![listing(
+        50,
+        EndpointState::Available,
+        None,
+    )]));
     assert_eq!(rig.brain.gauges().3, 1);
 }
 
@@ -1052,17 +1097,22 @@
     for n in 0..40 {
         // The next one has been held for longer than its first token then takes.
         rig.wait(0.5);
-        rig.end(1000 + n, 0, Outcome::Served, true);
+        rig.end(1000 + n, 0, AttemptOutcome::Completed, true);
         rig.start(1000 + before + n, 0.4);
-        rig.tell(Event::Arrived(request(1001 + before + n, 0, 0, 30.0)));
+        rig.tell(Event::RequestArrived(request(
+            1001 + before + n,
+            0,
+            0,
+            30.0,
+        )));
     }
     for n in 40..=before + 40 {
-        rig.end(1000 + n, 0, Outcome::Served, true);
+        rig.end(1000 + n, 0, AttemptOutcome::Completed, true);
     }
-    rig.tell(Event::ClientGone(RequestId(1000 + before + 40)));
+    rig.tell(Event::ClientDisconnected(RequestId(1000 + before + 40)));
     let mut sent = 0;
     for n in 5000..5030 {
-        sent += sends(&rig.tell(Event::Arrived(request(n, 0, 0, 30.0)))).len() as u64;
+        sent += sends(&rig.tell(Event::RequestArrived(request(n, 0, 0, 30.0)))).len() as u64;
     }
     assert!(sent >= before, "{before} then {sent}");
 }
@@ -1072,11 +1122,11 @@
     let mut rig = Rig::new(settings(), 1);
     for n in 0..6 {
         assert_eq!(
-            sends(&rig.tell(Event::Arrived(request(n, 0, 0, 30.0)))).len(),
+            sends(&rig.tell(Event::RequestArrived(request(n, 0, 0, 30.0)))).len(),
             1,
             "request {n}"
         );
-        let actions = rig.end(n, 0, Outcome::Rejected, false);
+        let actions = rig.end(n, 0, AttemptOutcome::InvalidRequest, false);
         assert_eq!(
             actions,
             [Action::Fail {
@@ -1099,20 +1149,20 @@
     fn new(replicas: usize) -> Crowd {
         let rig = |me| {
             let tenant = Tenant {
-                share: 1.0,
-                allowance: 2.0 * replicas as f64,
+                quota: 1.0,
+                rate_limit: 2.0 * replicas as f64,
             };
-            let s = Settings {
-                me,
-                routers: 100,
+            let s = SchedulerSettings {
+                router_index: me,
+                router_count: 100,
                 tenants: vec![tenant],
                 ..settings()
             };
             let mut rig = Rig::new(s.clone(), 0);
-            rig.brain = Brain::new(s, me as u64).unwrap();
-            rig.tell(Event::ListFull(
+            rig.brain = Scheduler::new(s, me as u64).unwrap();
+            rig.tell(Event::EndpointsReplaced(
                 (0..replicas)
-                    .map(|n| listing(n, ReplicaState::Up, None))
+                    .map(|n| listing(n, EndpointState::Available, None))
                     .collect(),
             ));
             rig
@@ -1123,10 +1173,10 @@
             sent: BTreeMap::new(),
         }
     }
-    fn list(&mut self, list: Vec<Listing>) {
+    fn list(&mut self, list: Vec<Endpoint>) {
         self.rigs
             .iter_mut()
-            .for_each(|r| drop(r.tell(Event::ListChanged(list.clone()))));
+            .for_each(|r| drop(r.tell(Event::EndpointsChanged(list.clone()))));
     }
     /// Lets so many seconds pass with `rate` requests a second in all; `first` gives a replica's time to its first
     /// token. Answers end half a second later.
@@ -1138,10 +1188,10 @@
             let now = self.rigs[0].now + 0.02;
             for (n, rig) in self.rigs.iter_mut().enumerate() {
                 rig.now = now;
-                let mut out = rig.tell(Event::Woke);
+                let mut out = rig.tell(Event::TimerFired);
                 while owed >= 1.0 && (self.next % 100) as usize == n {
                     (self.next, owed) = (self.next + 1, owed - 1.0);
-                    out.extend(rig.tell(Event::Arrived(request(self.next, 0, 0, 5.0))));
+                    out.extend(rig.tell(Event::RequestArrived(request(self.next, 0, 0, 5.0))));
                 }
                 for (id, to) in sends(&out) {
                     *self.sent.entry(to).or_default() += 1;
@@ -1155,18 +1205,18 @@
                 let ((at, n, id), (elapsed, starts)) = entry.remove_entry();
                 let event = if starts {
                     due.insert((at + 500_000, n, id), (elapsed, false));
-                    Event::Started {
+                    Event::FirstToken {
                         request: RequestId(id),
                         attempt: 0,
                         elapsed,
                     }
                 } else {
-                    let (request, outcome) = (RequestId(id), Outcome::Served);
-                    Event::Ended {
+                    let (request, outcome) = (RequestId(id), AttemptOutcome::Completed);
+                    Event::AttemptEnded {
                         request,
                         attempt: 0,
                         outcome,
-                        last: true,
+                        is_request_finished: true,
                         report: None,
                     }
                 };
@@ -1192,8 +1242,8 @@
     crowd.run(10.0, 30.0, |_| 0.1);
     // Ten of the sixteen are replaced; their like bear two a second when warm, a tenth of it at the start.
     let start = crowd.rigs[0].now;
-    let gone = (0..10).map(|n| listing(n, ReplicaState::Gone, None));
-    let new = (16..26).map(|n| listing(n, ReplicaState::Up, Some(start)));
+    let gone = (0..10).map(|n| listing(n, EndpointState::Removed, None));
+    let new = (16..26).map(|n| listing(n, EndpointState::Available, Some(start)));
     crowd.list(gone.chain(new).collect());
     // What is left is slow: requests wait for room.
     let first = |to: ReplicaId| {
@@ -1217,9 +1267,9 @@
 fn the_pool_of_every_router_follows_the_warm_replicas() {
     let mut rig = Rig::new(settings(), 8);
     let before = rig.brain.gauges().0;
-    rig.tell(Event::ListChanged(
+    rig.tell(Event::EndpointsChanged(
         (0..6)
-            .map(|n| listing(n, ReplicaState::Draining, None))
+            .map(|n| listing(n, EndpointState::Draining, None))
             .collect(),
     ));
     assert!(
@@ -1227,8 +1277,10 @@
         "{:?}",
         rig.brain.gauges()
     );
-    rig.tell(Event::ListChanged(
-        (0..6).map(|n| listing(n, ReplicaState::Up, None)).collect(),
+    rig.tell(Event::EndpointsChanged(
+        (0..6)
+            .map(|n| listing(n, EndpointState::Available, None))
+            .collect(),
     ));
     assert!(
         (rig.brain.gauges().0 - before).abs() < 1e-9,
@@ -1240,16 +1292,18 @@
 /// A router among 100 on four replicas, that asks before it sends.
 fn one_of_many() -> Rig {
     let mut rig = Rig::new(settings(), 0);
-    rig.brain = Brain::new(
-        Settings {
-            routers: 100,
+    rig.brain = Scheduler::new(
+        SchedulerSettings {
+            router_count: 100,
             ..settings()
         },
         1,
     )
     .unwrap();
-    rig.tell(Event::ListFull(
-        (0..4).map(|n| listing(n, ReplicaState::Up, None)).collect(),
+    rig.tell(Event::EndpointsReplaced(
+        (0..4)
+            .map(|n| listing(n, EndpointState::Available, None))
+            .collect(),
     ));
     rig
 }
@@ -1266,14 +1320,14 @@
 }
 
 fn probed(rig: &mut Rig, replica: ReplicaId, tokens: f64, memory: f64) -> Vec<Action> {
-    let report = Report {
-        waiting_prompt_tokens: Some(tokens),
-        memory_held: Some(memory),
-        ..Report::default()
+    let report = LoadReport {
+        queued_prompt_tokens: Some(tokens),
+        memory_utilization: Some(memory),
+        ..LoadReport::default()
     };
-    rig.tell(Event::Probed {
+    rig.tell(Event::ProbeEnded {
         replica,
-        outcome: Outcome::Served,
+        outcome: AttemptOutcome::Completed,
         report: Some(report),
     })
 }
@@ -1285,7 +1339,7 @@
         let mut spared = 0;
         for n in 0..40 {
             let mut rig = one_of_many();
-            let to = asked(&rig.tell(Event::Arrived(request(n, 0, 0, 5.0))));
+            let to = asked(&rig.tell(Event::RequestArrived(request(n, 0, 0, 5.0))));
             assert_eq!((to.len(), sends(&rig.last).len()), (2, 0));
             assert_eq!(
                 sends(&probed(&mut rig, to[1], 0.0, 0.1)),
@@ -1297,7 +1351,7 @@
             spared += usize::from(sent[0].1 == to[1]);
             // What has just said how it is is not asked again.
             assert!(
-                asked(&rig.tell(Event::Arrived(request(1000 + n, 0, 0, 5.0))))
+                asked(&rig.tell(Event::RequestArrived(request(1000 + n, 0, 0, 5.0))))
                     .iter()
                     .all(|r| !to.contains(r))
             );
@@ -1311,7 +1365,7 @@
 fn a_replica_that_does_not_answer_a_probe_holds_nothing_up() {
     for n in 0..20 {
         let mut rig = one_of_many();
-        let to = asked(&rig.tell(Event::Arrived(request(n, 0, 0, 5.0))));
+        let to = asked(&rig.tell(Event::RequestArrived(request(n, 0, 0, 5.0))));
         probed(&mut rig, to[1], 0.0, 0.1);
         assert_eq!(sends(&rig.wait(0.03)), [(n, to[1])]);
     }
@@ -1323,11 +1377,11 @@
     for (tokens, more) in [(0.0, 1), (5_000.0, 0)] {
         let mut rig = one_of_many();
         // The pool of one of a hundred holds a single request.
-        for replica in asked(&rig.tell(Event::Arrived(request(1, 0, 0, 5.0)))) {
+        for replica in asked(&rig.tell(Event::RequestArrived(request(1, 0, 0, 5.0)))) {
             probed(&mut rig, replica, tokens, 0.1);
         }
         let mut sent = 0;
-        for replica in asked(&rig.tell(Event::Arrived(Arrival {
+        for replica in asked(&rig.tell(Event::RequestArrived(IncomingRequest {
             session: Some(7),
             ..request(2, 0, 0, 5.0)
         }))) {
@@ -1341,30 +1395,32 @@
 /// their home is not idle.
 #[test]
 fn a_session_goes_to_its_home_beside_a_used_up_pool() {
-    let mut s = Settings {
-        routers: 100,
+    let mut s = SchedulerSettings {
+        router_count: 100,
         ..settings()
     };
-    s.classes[0].aim = 10.0;
+    s.classes[0].ttft_objective = 10.0;
     for n in 0..20 {
         let mut rig = one_of_many();
-        rig.brain = Brain::new(s.clone(), n).unwrap();
-        rig.tell(Event::ListFull(
-            (0..4).map(|n| listing(n, ReplicaState::Up, None)).collect(),
+        rig.brain = Scheduler::new(s.clone(), n).unwrap();
+        rig.tell(Event::EndpointsReplaced(
+            (0..4)
+                .map(|n| listing(n, EndpointState::Available, None))
+                .collect(),
         ));
         // The pool of one of a hundred holds a single request, and this one stays.
-        for replica in asked(&rig.tell(Event::Arrived(request(1, 0, 0, 60.0)))) {
+        for replica in asked(&rig.tell(Event::RequestArrived(request(1, 0, 0, 60.0)))) {
             probed(&mut rig, replica, 0.0, 0.1);
         }
         rig.wait(1.1);
         // All reports are old by now: the session's whole order is asked.
         rig.wait(1.1);
-        let later = Arrival {
+        let later = IncomingRequest {
             session: Some(100 + n),
             prompt_tokens: 20_000,
             ..request(2, 0, 0, 60.0)
         };
-        let order = asked(&rig.tell(Event::Arrived(later)));
+        let order = asked(&rig.tell(Event::RequestArrived(later)));
         let mut sent = Vec::new();
         for replica in order.iter().rev() {
             let tokens = if *replica == order[0] { 1_000.0 } else { 0.0 };
@@ -1378,13 +1434,16 @@
 #[test]
 fn where_answers_are_many_nothing_is_asked() {
     let mut rig = Rig::new(
-        Settings {
-            routers: 4,
+        SchedulerSettings {
+            router_count: 4,
             ..settings()
         },
         12,
     );
-    assert_eq!(asked(&rig.tell(Event::Arrived(request(1, 0, 0, 5.0)))), []);
+    assert_eq!(
+        asked(&rig.tell(Event::RequestArrived(request(1, 0, 0, 5.0)))),
+        []
+    );
 }
 
 /// Guards against room spent on held requests whose first token cannot come in time any more.
@@ -1394,18 +1453,18 @@
     for first in [0.01, 0.5] {
         let mut rig = Rig::new(settings(), 1);
         for n in 0..80 {
-            rig.tell(Event::Arrived(request(n, 0, 0, 5.0)));
-            rig.tell(Event::Started {
+            rig.tell(Event::RequestArrived(request(n, 0, 0, 5.0)));
+            rig.tell(Event::FirstToken {
                 request: RequestId(n),
                 attempt: 0,
                 elapsed: first,
             });
-            rig.end(n, 0, Outcome::Served, true);
+            rig.end(n, 0, AttemptOutcome::Completed, true);
         }
         rig.fill();
-        rig.tell(Event::Arrived(request(1, 0, 0, 5.0)));
+        rig.tell(Event::RequestArrived(request(1, 0, 0, 5.0)));
         let start = rig.now;
-        while !rig.last.iter().any(|a| matches!(a, Action::Refuse { .. })) && rig.now < start + 5.0
+        while !rig.last.iter().any(|a| matches!(a, Action::Reject { .. })) && rig.now < start + 5.0
         {
             rig.wait(0.02);
         }
@@ -1422,13 +1481,13 @@
         let mut rig = Rig::new(settings(), 2);
         let (before, to) = (
             rig.brain.gauges().0,
-            sends(&rig.tell(Event::Arrived(request(1, 0, 0, 9.0))))[0].1,
+            sends(&rig.tell(Event::RequestArrived(request(1, 0, 0, 9.0))))[0].1,
         );
         rig.wait(1.2);
         rig.wait(silence);
-        rig.tell(Event::Probed {
+        rig.tell(Event::ProbeEnded {
             replica: to,
-            outcome: Outcome::Served,
+            outcome: AttemptOutcome::Completed,
             report: None,
         });
         rig.wait(0.02);
@@ -1443,15 +1502,15 @@
 
 /// A probe's answer of a replica with nothing to read that holds so many requests, of which so many wait.
 fn held(replica: ReplicaId, holding: Option<f64>, queued: f64) -> Event {
-    let report = Report {
-        waiting_prompt_tokens: Some(0.0),
-        holding,
-        queued: Some(queued),
-        ..Report::default()
+    let report = LoadReport {
+        queued_prompt_tokens: Some(0.0),
+        requests_held: holding,
+        requests_queued: Some(queued),
+        ..LoadReport::default()
     };
-    Event::Probed {
+    Event::ProbeEnded {
         replica,
-        outcome: Outcome::Served,
+        outcome: AttemptOutcome::Completed,
         report: Some(report),
     }
 }
@@ -1463,17 +1522,17 @@
     let mut away = 0;
     for session in 0..20 {
         let mut rig = Rig::new(
-            Settings {
-                reports: ReportSource::Probes,
+            SchedulerSettings {
+                load_report_source: LoadReportSource::Probes,
                 ..settings()
             },
             8,
         );
-        let turn = Arrival {
+        let turn = IncomingRequest {
             session: Some(session),
             ..request(1, 0, 0, 5.0)
         };
-        let asked = probes(&rig.tell(Event::Arrived(turn)));
+        let asked = probes(&rig.tell(Event::RequestArrived(turn)));
         let mut sent = sends(&rig.tell(held(asked[0], None, 12.0)));
         sent.extend(sends(&rig.tell(held(asked[1], None, 0.0))));
         assert_eq!(sent.len(), 1);
@@ -1496,12 +1555,12 @@
             rig.tell(held(replica(n), Some(3.0), 1.0));
             rig.tell(held(replica(n), Some(1.0), 0.0));
         }
-        let turn = |n| Arrival {
+        let turn = |n| IncomingRequest {
             session: Some(100 * n + session),
             ..request(n, 0, 0, 5.0)
         };
-        let first = sends(&rig.tell(Event::Arrived(turn(1))));
-        away += usize::from(sends(&rig.tell(Event::Arrived(turn(2))))[0].1 != first[0].1);
+        let first = sends(&rig.tell(Event::RequestArrived(turn(1))));
+        away += usize::from(sends(&rig.tell(Event::RequestArrived(turn(2))))[0].1 != first[0].1);
     }
     assert!(away >= 36, "{away} of 40 passed over the full batch");
 }
@@ -1509,15 +1568,15 @@
 /// A whole answer of attempt 0, with so many prompt tokens found kept.
 fn served(rig: &mut Rig, n: u64, kept: f64) {
     rig.start(n, 0.05);
-    let report = Some(Report {
-        kept: Some(kept),
-        ..Report::default()
+    let report = Some(LoadReport {
+        cached_prompt_tokens: Some(kept),
+        ..LoadReport::default()
     });
-    rig.tell(Event::Ended {
+    rig.tell(Event::AttemptEnded {
         request: RequestId(n),
         attempt: 0,
-        outcome: Outcome::Served,
-        last: true,
+        outcome: AttemptOutcome::Completed,
+        is_request_finished: true,
         report,
     });
 }
@@ -1527,23 +1586,29 @@
 fn a_turn_follows_where_this_router_sent_the_one_before() {
     let mut back = 0;
     for session in 0..20 {
-        let turn = |n| Arrival {
+        let turn = |n| IncomingRequest {
             session: Some(session),
             prompt_tokens: 6000,
             ..request(n, 0, 0, 5.0)
         };
         let mut rig = Rig::new(settings(), 8);
-        let home = sends(&rig.tell(Event::Arrived(turn(1))))[0].1;
-        rig.end(1, 0, Outcome::Cancelled, true);
-        let entry = |n: usize, state| Listing {
+        let home = sends(&rig.tell(Event::RequestArrived(turn(1))))[0].1;
+        rig.end(1, 0, AttemptOutcome::Cancelled, true);
+        let entry = |n: usize, state| Endpoint {
             id: home,
             ..listing(n, state, None)
         };
-        rig.tell(Event::ListChanged(vec![entry(0, ReplicaState::Draining)]));
-        let away = sends(&rig.tell(Event::Arrived(turn(2))))[0].1;
+        rig.tell(Event::EndpointsChanged(vec![entry(
+            0,
+            EndpointState::Draining,
+        )]));
+        let away = sends(&rig.tell(Event::RequestArrived(turn(2))))[0].1;
         served(&mut rig, 2, 0.0);
-        rig.tell(Event::ListChanged(vec![entry(0, ReplicaState::Up)]));
-        back += usize::from(sends(&rig.tell(Event::Arrived(turn(3))))[0].1 == away);
+        rig.tell(Event::EndpointsChanged(vec![entry(
+            0,
+            EndpointState::Available,
+        )]));
+        back += usize::from(sends(&rig.tell(Event::RequestArrived(turn(3))))[0].1 == away);
     }
     assert!(
         back >= 18,
@@ -1557,7 +1622,7 @@
     let sent_to = |kept: f64| {
         let mut rig = Rig::new(settings(), 8);
         for n in 0..150 {
-            rig.tell(Event::Arrived(Arrival {
+            rig.tell(Event::RequestArrived(IncomingRequest {
                 prompt_tokens: 6000,
                 ..request(n, 0, 0, 5.0)
             }));
@@ -1565,13 +1630,13 @@
         }
         let mut seen = BTreeSet::new();
         for n in 1000..1040 {
-            let turn = Arrival {
+            let turn = IncomingRequest {
                 session: Some(7777),
                 prompt_tokens: 6000,
                 ..request(n, 0, 0, 5.0)
             };
-            seen.insert(sends(&rig.tell(Event::Arrived(turn)))[0].1);
-            rig.end(n, 0, Outcome::Cancelled, true);
+            seen.insert(sends(&rig.tell(Event::RequestArrived(turn)))[0].1);
+            rig.end(n, 0, AttemptOutcome::Cancelled, true);
         }
         seen.len()
     };
@@ -1587,18 +1652,20 @@
 #[test]
 fn a_replica_that_leaves_a_send_unanswered_gets_less_at_once() {
     let mut s = settings();
-    s.classes[0].aim = 4.0;
-    s.limits.probes = false;
+    s.classes[0].ttft_objective = 4.0;
+    s.limits.allows_probes = false;
     let (mut hung_gets, mut sent) = (0, 0);
     for seed in 0..10 {
         let mut rig = Rig::new(s.clone(), 4);
-        rig.brain = Brain::new(s.clone(), seed).unwrap();
-        rig.tell(Event::ListFull(
-            (0..4).map(|n| listing(n, ReplicaState::Up, None)).collect(),
+        rig.brain = Scheduler::new(s.clone(), seed).unwrap();
+        rig.tell(Event::EndpointsReplaced(
+            (0..4)
+                .map(|n| listing(n, EndpointState::Available, None))
+                .collect(),
         ));
         let mut hung = None;
         for n in 0..60 {
-            let Some((id, to)) = sends(&rig.tell(Event::Arrived(request(n, 0, 0, 9.0))))
+            let Some((id, to)) = sends(&rig.tell(Event::RequestArrived(request(n, 0, 0, 9.0))))
                 .first()
                 .copied()
             else {
@@ -1626,25 +1693,25 @@
 #[test]
 fn an_overdue_request_gets_a_copy_elsewhere_while_it_can_be_in_time() {
     let mut s = settings();
-    s.classes[0].aim = 4.0;
+    s.classes[0].ttft_objective = 4.0;
     for (copies, due) in [(true, 1), (false, 0)] {
-        s.limits.second_copies = copies;
+        s.limits.allows_hedging = copies;
         let mut rig = Rig::new(s.clone(), 4);
         for n in 0..100 {
-            rig.tell(Event::Arrived(request(n, 0, 0, 9.0)));
+            rig.tell(Event::RequestArrived(request(n, 0, 0, 9.0)));
             served(&mut rig, n, 0.0);
             rig.wait(0.04);
         }
-        let first = sends(&rig.tell(Event::Arrived(request(500, 0, 0, 9.0))))[0].1;
+        let first = sends(&rig.tell(Event::RequestArrived(request(500, 0, 0, 9.0))))[0].1;
         let second = sends(&rig.wait(1.0));
         assert_eq!(second.len(), due, "{second:?}");
         assert!(second.iter().all(|s| s.1 != first));
     }
-    s.limits.second_copies = true;
+    s.limits.allows_hedging = true;
     let mut rig = Rig::new(s, 8);
     let (mut firsts, mut copied) = (0, 0);
     for n in 0..100 {
-        firsts += sends(&rig.tell(Event::Arrived(request(n, 0, 0, 3.0)))).len();
+        firsts += sends(&rig.tell(Event::RequestArrived(request(n, 0, 0, 3.0)))).len();
         copied += sends(&rig.wait(0.1)).len();
     }
     assert!(
@@ -1661,21 +1728,21 @@
         let mut elsewhere = 0;
         for session in 0..20 {
             let mut rig = Rig::new(settings(), 2);
-            let turn = |n: u64| Arrival {
+            let turn = |n: u64| IncomingRequest {
                 session: Some(100 * n + session),
                 ..request(n, 0, 0, 5.0)
             };
             for n in 10..30 {
-                rig.tell(Event::Arrived(turn(n)));
+                rig.tell(Event::RequestArrived(turn(n)));
                 rig.tell(held(replica(n as usize % 2), None, queued));
-                rig.end(n, 0, Outcome::Cancelled, true);
+                rig.end(n, 0, AttemptOutcome::Cancelled, true);
             }
             let reports = [held(replica(0), None, 0.0), held(replica(1), None, 0.0)];
             reports
                 .into_iter()
                 .for_each(|report| drop(rig.tell(report)));
             let sent: Vec<_> = (1..=6)
-                .flat_map(|n| sends(&rig.tell(Event::Arrived(turn(n)))))
+                .flat_map(|n| sends(&rig.tell(Event::RequestArrived(turn(n)))))
                 .collect();
             let first = sent.iter().filter(|s| s.1 == replica(0)).count();
             elsewhere += usize::from(sent.len() == 6 && first == 3);
@@ -1694,21 +1761,21 @@
 fn hints_of_work_weigh_in_the_round_robin_and_absurd_ones_are_bounded() {
     let light_sent = |light: Option<f64>, heavy: Option<f64>| {
         let mut s = settings();
-        s.classes[0].aim = 500.0;
+        s.classes[0].ttft_objective = 500.0;
         let mut rig = Rig::new(s, 1);
         rig.fill();
         for n in 0..40 {
             let (tenant, work) = if n % 2 == 0 { (0, light) } else { (1, heavy) };
-            let hinted = Arrival {
+            let hinted = IncomingRequest {
                 expected_work: work,
                 ..request(n, 0, tenant, 900.0)
             };
-            assert!(answers(&rig.tell(Event::Arrived(hinted))).is_empty());
+            assert!(answers(&rig.tell(Event::RequestArrived(hinted))).is_empty());
         }
         let mut sent = Vec::new();
         let mut n = 1000;
         while sent.len() < 15 && n < 1100 {
-            sent.extend(sends(&rig.end(n, 0, Outcome::Cancelled, true)));
+            sent.extend(sends(&rig.end(n, 0, AttemptOutcome::Cancelled, true)));
             n += 1;
         }
         sent.iter().filter(|s| s.0 % 2 == 0).count()
@@ -1734,27 +1801,27 @@
     const KEPT: Seconds = 2.2;
     let mut pauses = Vec::new();
     for me in 0..200 {
-        let rules = Rules {
-            ask_every: 60.0,
-            ..settings().rules
+        let rules = LifecycleRules {
+            poll_interval: 60.0,
+            ..settings().lifecycle
         };
-        let settings = Settings {
-            me,
-            routers: 200,
-            rules,
-            discovery: Discovery::Asked,
+        let settings = SchedulerSettings {
+            router_index: me,
+            router_count: 200,
+            lifecycle: rules,
+            endpoint_list_mode: EndpointListMode::Polled,
             ..settings()
         };
-        let mut brain = Brain::new(settings, me as u64).unwrap();
+        let mut brain = Scheduler::new(settings, me as u64).unwrap();
         let (mut now, mut out) = (100.0, Vec::new());
-        brain.handle(now, Event::ListFailed, &mut out);
-        while !out.contains(&Action::Subscribe) {
+        brain.handle_event(now, Event::EndpointListFailed, &mut out);
+        while !out.contains(&Action::WatchEndpoints) {
             now += 0.02;
             assert!(
                 2.0 * (now - 100.0) + KEPT < TOLD,
                 "router {me} has not asked again"
             );
-            brain.handle(now, Event::Woke, &mut out);
+            brain.handle_event(now, Event::TimerFired, &mut out);
         }
         pauses.push(now - 100.0);
     }
@@ -1774,25 +1841,25 @@
     let mut rig = Rig::new(settings(), 1);
     for (n, (due, found)) in requests.into_iter().enumerate() {
         let n = n as u64 + 1;
-        rig.tell(Event::Arrived(Arrival {
+        rig.tell(Event::RequestArrived(IncomingRequest {
             prompt_tokens: due,
             ..request(n, 0, 0, 10.0)
         }));
         rig.start(n, 0.1);
-        let (request, outcome) = (RequestId(n), Outcome::Served);
-        let report = Some(Report {
-            kept: Some(found),
-            ..Report::default()
+        let (request, outcome) = (RequestId(n), AttemptOutcome::Completed);
+        let report = Some(LoadReport {
+            cached_prompt_tokens: Some(found),
+            ..LoadReport::default()
         });
-        rig.tell(Event::Ended {
+        rig.tell(Event::AttemptEnded {
             request,
             attempt: 0,
             outcome,
-            last: true,
+            is_request_finished: true,
             report,
         });
     }
-    rig.brain.memory().kept[1]
+    rig.brain.export_learned_state().cache_hit_rates[1]
 }
 
 /// Guards against homes that are passed over since most requests are first turns, which have nothing to be found: the
@@ -1826,14 +1893,16 @@
     let mut stayed = 0;
     for seed in 0..40 {
         let mut rig = Rig {
-            brain: Brain::new(settings(), seed).unwrap(),
+            brain: Scheduler::new(settings(), seed).unwrap(),
             ..Rig::new(settings(), 0)
         };
-        rig.tell(Event::ListFull(
-            (0..2).map(|n| listing(n, ReplicaState::Up, None)).collect(),
+        rig.tell(Event::EndpointsReplaced(
+            (0..2)
+                .map(|n| listing(n, EndpointState::Available, None))
+                .collect(),
         ));
         let turn = |n: u64, prompt_tokens: u64| {
-            Event::Arrived(Arrival {
+            Event::RequestArrived(IncomingRequest {
                 session: Some(7),
                 prompt_tokens,
                 ..request(n, 0, 0, 30.0)
@@ -1841,22 +1910,22 @@
         };
         let home = sends(&rig.tell(turn(1, 600)))[0].1;
         rig.start(1, 0.1);
-        let report = Some(Report {
-            kept: Some(0.0),
-            ..Report::default()
+        let report = Some(LoadReport {
+            cached_prompt_tokens: Some(0.0),
+            ..LoadReport::default()
         });
-        let (request_id, outcome) = (RequestId(1), Outcome::Served);
-        rig.tell(Event::Ended {
+        let (request_id, outcome) = (RequestId(1), AttemptOutcome::Completed);
+        rig.tell(Event::AttemptEnded {
             request: request_id,
             attempt: 0,
             outcome,
-            last: true,
+            is_request_finished: true,
             report,
         });
         // Others come until both are busy, and the other replica gets rid of a few of its requests more.
         let mut held = std::collections::BTreeMap::new();
         for n in 100..128 {
-            for (n, to) in sends(&rig.tell(Event::Arrived(request(n, 0, 0, 30.0)))) {
+            for (n, to) in sends(&rig.tell(Event::RequestArrived(request(n, 0, 0, 30.0)))) {
                 rig.start(n, 0.05);
                 held.entry(to).or_insert_with(Vec::new).push(n);
             }
@@ -1872,7 +1941,7 @@
             requests
                 .iter()
                 .skip(keep)
-                .for_each(|n| drop(rig.end(*n, 0, Outcome::Served, true)));
+                .for_each(|n| drop(rig.end(*n, 0, AttemptOutcome::Completed, true)));
         }
         let sent = sends(&rig.tell(turn(2, 600)));
         stayed += usize::from(sent.first().is_some_and(|s| s.1 == home));
--- a/crates/scheduler/tests/budgets.rs
+++ b/crates/scheduler/tests/budgets.rs
@@ -8,18 +8,18 @@
 use rig::*;
 
 impl Rig {
-    fn allow(&mut self, budgets: impl IntoIterator<Item = (Spend, Budget)>) {
-        self.brain.allow(&budgets.into_iter().collect());
+    fn allow(&mut self, budgets: impl IntoIterator<Item = (BudgetKind, BudgetGrant)>) {
+        self.brain.set_budget_grants(&budgets.into_iter().collect());
     }
 }
 
-fn budget(rate: f64, burst: f64, floor: f64, floor_burst: f64, until: Seconds) -> Budget {
-    Budget {
+fn budget(rate: f64, burst: f64, floor: f64, floor_burst: f64, until: Seconds) -> BudgetGrant {
+    BudgetGrant {
         rate,
         burst,
-        floor,
-        floor_burst,
-        until,
+        guaranteed_rate: floor,
+        guaranteed_burst: floor_burst,
+        expires_at: until,
     }
 }
 
@@ -29,15 +29,15 @@
     for n in from..from + count {
         rig.wait(0.1);
         assert_eq!(
-            sends(&rig.tell(Event::Arrived(request(n, 0, 0, 30.0)))).len(),
+            sends(&rig.tell(Event::RequestArrived(request(n, 0, 0, 30.0)))).len(),
             1
         );
         // "Full" ejects nobody and may be tried elsewhere.
-        let again = rig.end(n, 0, Outcome::Full, false);
+        let again = rig.end(n, 0, AttemptOutcome::AtCapacity, false);
         made += sends(&again).len();
         match sends(&again).is_empty() {
             true => assert_eq!(answers(&again), [n]),
-            false => drop(rig.end(n, 1, Outcome::Served, true)),
+            false => drop(rig.end(n, 1, AttemptOutcome::Completed, true)),
         }
     }
     made
@@ -45,9 +45,9 @@
 
 #[test]
 fn retries_are_spent_out_of_the_fleets_budget_and_the_rest_is_answered_at_once() {
-    let rig = |allowed: Option<Budget>| {
+    let rig = |allowed: Option<BudgetGrant>| {
         let mut rig = Rig::new(settings(), 40);
-        rig.allow(allowed.map(|budget| (Spend::Retries, budget)));
+        rig.allow(allowed.map(|budget| (BudgetKind::Retries, budget)));
         rig
     };
     assert_eq!(retries(&mut rig(None), 1, 20), 20);
@@ -66,15 +66,15 @@
     late.wait(5.0);
     let made = retries(&mut late, 1, 20);
     assert!((1..=2).contains(&made), "{made}");
-    assert_eq!(late.brain.wanted()[&Spend::Retries].units, 20.0);
+    assert_eq!(late.brain.budget_demand()[&BudgetKind::Retries].units, 20.0);
 }
 
-const NONE: Budget = Budget {
+const NONE: BudgetGrant = BudgetGrant {
     rate: 0.0,
     burst: 0.0,
-    floor: 0.0,
-    floor_burst: 0.0,
-    until: 1e9,
+    guaranteed_rate: 0.0,
+    guaranteed_burst: 0.0,
+    expires_at: 1e9,
 };
 
 fn probes(actions: &[Action]) -> usize {
@@ -87,28 +87,28 @@
 /// A silent replica is probed each second; with a budget only as often as that has a probe, and each wish is counted.
 #[test]
 fn probes_are_spent_out_of_the_fleets_budget() {
-    let probed = |budgets: Vec<(Spend, Budget)>| {
+    let probed = |budgets: Vec<(BudgetKind, BudgetGrant)>| {
         let mut rig = Rig::new(settings(), 2);
         rig.allow(budgets);
-        rig.tell(Event::Arrived(request(1, 0, 0, 30.0)));
+        rig.tell(Event::RequestArrived(request(1, 0, 0, 30.0)));
         let count = probes(&rig.wait(20.0));
         (
             count,
             rig.brain
-                .wanted()
-                .get(&Spend::Probes)
+                .budget_demand()
+                .get(&BudgetKind::Probes)
                 .map_or(0.0, |w| w.units),
         )
     };
     let (free, _) = probed(vec![]);
     assert!(free >= 15, "{free}");
-    let (none, wanted) = probed(vec![(Spend::Probes, NONE)]);
+    let (none, wanted) = probed(vec![(BudgetKind::Probes, NONE)]);
     assert!(none == 0 && wanted >= 15.0, "{none} {wanted}");
     let (some, _) = probed(vec![(
-        Spend::Probes,
-        Budget {
-            floor: 0.25,
-            floor_burst: 1.0,
+        BudgetKind::Probes,
+        BudgetGrant {
+            guaranteed_rate: 0.25,
+            guaranteed_burst: 1.0,
             ..NONE
         },
     )]);
@@ -122,25 +122,25 @@
     let crossing = |rig: &mut Rig, class: usize, from: u64| -> usize {
         let mut crossed = 0;
         for n in from..from + 20 {
-            crossed += sends(&rig.tell(Event::Arrived(request(n, class, 0, 5.0)))).len();
+            crossed += sends(&rig.tell(Event::RequestArrived(request(n, class, 0, 5.0)))).len();
         }
         crossed
     };
     // All replicas of this router's zone are gone: whatever is sent crosses.
-    let rig = |budget: Option<Budget>| {
+    let rig = |budget: Option<BudgetGrant>| {
         let mut rig = Rig::new(settings(), 8);
-        rig.tell(Event::ListChanged(
+        rig.tell(Event::EndpointsChanged(
             (0..8)
                 .step_by(2)
-                .map(|n| listing(n, ReplicaState::Gone, None))
+                .map(|n| listing(n, EndpointState::Removed, None))
                 .collect(),
         ));
-        rig.allow(budget.map(|budget| (Spend::Crossings, budget)));
+        rig.allow(budget.map(|budget| (BudgetKind::CrossZone, budget)));
         rig
     };
     assert_eq!(crossing(&mut rig(None), 1, 1), 20);
     assert_eq!(crossing(&mut rig(Some(NONE)), 0, 1), 0);
-    let saved = Budget {
+    let saved = BudgetGrant {
         rate: 10.0,
         burst: 10.0,
         ..NONE
@@ -153,9 +153,9 @@
         "{lower} {higher}"
     );
     // What could not go is wanted: the longer it waits, the more.
-    let before = low.brain.wanted()[&Spend::Crossings];
+    let before = low.brain.budget_demand()[&BudgetKind::CrossZone];
     let late = low.wait(4.9);
-    assert!(low.brain.wanted()[&Spend::Crossings].units > before.units);
+    assert!(low.brain.budget_demand()[&BudgetKind::CrossZone].units > before.units);
     assert!(sends(&late).len() > 5, "{}", sends(&late).len());
 }
 
@@ -163,9 +163,9 @@
 #[test]
 fn without_crossings_the_own_zone_serves() {
     let mut rig = Rig::new(settings(), 8);
-    rig.allow([(Spend::Crossings, NONE)]);
+    rig.allow([(BudgetKind::CrossZone, NONE)]);
     for n in 1..=12 {
-        let sent = sends(&rig.tell(Event::Arrived(request(n, 0, 0, 5.0))));
+        let sent = sends(&rig.tell(Event::RequestArrived(request(n, 0, 0, 5.0))));
         assert_eq!(sent.len(), 1);
         assert!((0..8).step_by(2).any(|near| replica(near) == sent[0].1));
     }
@@ -174,28 +174,34 @@
 /// The work that a cold replica gets is what the fleet's budget gives this router of it, by how warm it must be.
 #[test]
 fn cold_replicas_get_what_the_fleets_budget_gives() {
-    let sent = |budgets: Vec<(Spend, Budget)>| {
+    let sent = |budgets: Vec<(BudgetKind, BudgetGrant)>| {
         let mut rig = Rig::new(settings(), 1);
         rig.allow(budgets);
-        rig.tell(Event::ListChanged(vec![listing(
+        rig.tell(Event::EndpointsChanged(vec![listing(
             0,
-            ReplicaState::Up,
+            EndpointState::Available,
             Some(rig.now),
         )]));
         (1..=100)
             .map(|n| {
                 rig.wait(0.1);
-                let sent = sends(&rig.tell(Event::Arrived(request(n, 0, 0, 0.1))));
+                let sent = sends(&rig.tell(Event::RequestArrived(request(n, 0, 0, 0.1))));
                 sent.iter()
-                    .for_each(|(n, _)| drop(rig.end(*n, 0, Outcome::Served, true)));
+                    .for_each(|(n, _)| drop(rig.end(*n, 0, AttemptOutcome::Completed, true)));
                 sent.len()
             })
             .sum::<usize>()
     };
-    assert_eq!(sent(vec![(Spend::Cold, NONE)]), 0);
+    assert_eq!(sent(vec![(BudgetKind::SlowStart, NONE)]), 0);
     let (little, much) = (
-        sent(vec![(Spend::Cold, Budget { rate: 1.0, ..NONE })]),
-        sent(vec![(Spend::Cold, Budget { rate: 8.0, ..NONE })]),
+        sent(vec![(
+            BudgetKind::SlowStart,
+            BudgetGrant { rate: 1.0, ..NONE },
+        )]),
+        sent(vec![(
+            BudgetKind::SlowStart,
+            BudgetGrant { rate: 8.0, ..NONE },
+        )]),
     );
     // Ten seconds of a start of twenty, from a tenth of its capacity: a third of it in the mean.
     assert!(
@@ -207,35 +213,35 @@
 /// Requests of a tenant count as within its share by the fleet's budget for it, not by an even part.
 #[test]
 fn a_tenants_budget_decides_what_is_within_its_share() {
-    let kept = |budgets: Vec<(Spend, Budget)>| {
+    let kept = |budgets: Vec<(BudgetKind, BudgetGrant)>| {
         let site = settings();
         let tenants = site
             .tenants
             .iter()
             .map(|t| Tenant {
-                allowance: 5.0,
+                rate_limit: 5.0,
                 ..*t
             })
             .collect();
-        let mut rig = Rig::new(Settings { tenants, ..site }, 8);
+        let mut rig = Rig::new(SchedulerSettings { tenants, ..site }, 8);
         let full = rig.fill();
         rig.allow(budgets);
         rig.wait(1.5);
         for n in 1..=30 {
-            rig.tell(Event::Arrived(request(n, 0, 0, 20.0)));
+            rig.tell(Event::RequestArrived(request(n, 0, 0, 20.0)));
         }
         // What is beyond the share leaves after it.
-        rig.tell(Event::Arrived(request(99, 1, 1, 20.0)));
-        let ends = (1000..1000 + full).map(|n| rig.end(n, 0, Outcome::Served, true));
+        rig.tell(Event::RequestArrived(request(99, 1, 1, 20.0)));
+        let ends = (1000..1000 + full).map(|n| rig.end(n, 0, AttemptOutcome::Completed, true));
         let order: Vec<u64> = ends.flat_map(|out| sends(&out)).map(|s| s.0).collect();
         order.iter().position(|n| *n == 99).unwrap_or(order.len())
     };
     let even = kept(vec![]);
     let (none, much) = (
-        kept(vec![(Spend::Tenant(0), NONE)]),
+        kept(vec![(BudgetKind::Tenant(0), NONE)]),
         kept(vec![(
-            Spend::Tenant(0),
-            Budget {
+            BudgetKind::Tenant(0),
+            BudgetGrant {
                 rate: 100.0,
                 burst: 20.0,
                 ..NONE
@@ -253,11 +259,11 @@
 fn a_share_smaller_than_one_unit_adds_up() {
     let mut rig = Rig::new(settings(), 40);
     rig.allow([(
-        Spend::Retries,
-        Budget {
+        BudgetKind::Retries,
+        BudgetGrant {
             rate: 0.1,
             burst: 0.0,
-            floor_burst: 1.0,
+            guaranteed_burst: 1.0,
             ..NONE
         },
     )]);
@@ -270,11 +276,11 @@
 #[test]
 fn a_queue_of_retries_after_a_long_stop_gets_the_floor_alone() {
     let mut rig = Rig::new(settings(), 40);
-    rig.allow([(Spend::Retries, budget(50.0, 50.0, 0.0, 1.0, 102.0))]);
-    (1..=30).for_each(|n| drop(rig.tell(Event::Arrived(request(n, 0, 0, 60.0)))));
+    rig.allow([(BudgetKind::Retries, budget(50.0, 50.0, 0.0, 1.0, 102.0))]);
+    (1..=30).for_each(|n| drop(rig.tell(Event::RequestArrived(request(n, 0, 0, 60.0)))));
     rig.now += 20.0;
     let made: usize = (1..=30)
-        .map(|n| sends(&rig.end(n, 0, Outcome::Full, false)).len())
+        .map(|n| sends(&rig.end(n, 0, AttemptOutcome::AtCapacity, false)).len())
         .sum();
     assert!(made <= 1, "{made}");
 }
@@ -284,20 +290,20 @@
 fn a_tenants_burst_leaves_the_others_within_their_shares() {
     let mut rig = Rig::new(settings(), 8);
     let full = rig.fill();
-    let each = Budget {
+    let each = BudgetGrant {
         rate: 10.0,
         burst: 10.0,
         ..NONE
     };
-    rig.allow([(Spend::Tenant(0), each), (Spend::Tenant(1), each)]);
+    rig.allow([(BudgetKind::Tenant(0), each), (BudgetKind::Tenant(1), each)]);
     rig.wait(1.5);
     for n in 1..=60 {
-        rig.tell(Event::Arrived(request(n, 0, 0, 20.0)));
+        rig.tell(Event::RequestArrived(request(n, 0, 0, 20.0)));
     }
     for n in 101..=108 {
-        rig.tell(Event::Arrived(request(n, 0, 1, 20.0)));
+        rig.tell(Event::RequestArrived(request(n, 0, 1, 20.0)));
     }
-    let ends = (1000..1000 + full).map(|n| rig.end(n, 0, Outcome::Served, true));
+    let ends = (1000..1000 + full).map(|n| rig.end(n, 0, AttemptOutcome::Completed, true));
     let order: Vec<u64> = ends.flat_map(|out| sends(&out)).map(|s| s.0).collect();
     let last = (101..=108)
         .filter_map(|n| order.iter().position(|o| *o == n))
--- a/crates/scheduler/tests/cold_start.rs
+++ b/crates/scheduler/tests/cold_start.rs
@@ -6,7 +6,7 @@
 mod rig;
 
 use poppykeel_scheduler::interface::*;
-use poppykeel_scheduler::Brain;
+use poppykeel_scheduler::Scheduler;
 use proptest::prelude::*;
 use rig::*;
 
@@ -46,25 +46,25 @@
     )
 }
 
-fn router(case: &Case, me: usize) -> Brain {
+fn router(case: &Case, me: usize) -> Scheduler {
     let tenant = Tenant {
-        share: 1.0,
-        allowance: QUOTA * CAPACITY * REPLICAS as f64,
+        quota: 1.0,
+        rate_limit: QUOTA * CAPACITY * REPLICAS as f64,
     };
-    let rules = Rules {
-        cold_from: COLD_FROM,
+    let rules = LifecycleRules {
+        slow_start_initial_fraction: COLD_FROM,
         overload_factor: 4.0,
-        fall: 1.0,
-        ..settings().rules
+        overload_window: 1.0,
+        ..settings().lifecycle
     };
-    let settings = Settings {
-        me,
-        routers: case.routers,
+    let settings = SchedulerSettings {
+        router_index: me,
+        router_count: case.routers,
         tenants: vec![tenant],
-        rules,
+        lifecycle: rules,
         ..settings()
     };
-    Brain::new(settings, case.seed.wrapping_add(me as u64)).unwrap()
+    Scheduler::new(settings, case.seed.wrapping_add(me as u64)).unwrap()
 }
 
 /// Times at which one of the routers sent to the cold replica.
@@ -76,17 +76,17 @@
         let mut out = Vec::new();
         let born = |n: usize| (n == COLD).then_some(start);
         let list = (0..REPLICAS)
-            .map(|n| listing(n, ReplicaState::Up, born(n)))
+            .map(|n| listing(n, EndpointState::Available, born(n)))
             .collect();
-        brain.handle(start, Event::ListFull(list), &mut out);
+        brain.handle_event(start, Event::EndpointsReplaced(list), &mut out);
         let mut id = 0;
-        let mut arrive = |brain: &mut Brain, now: Seconds, out: &mut Vec<Action>| {
+        let mut arrive = |brain: &mut Scheduler, now: Seconds, out: &mut Vec<Action>| {
             id += 1;
-            brain.handle(now, Event::Arrived(request(id, 0, 0, 10.0)), out);
+            brain.handle_event(now, Event::RequestArrived(request(id, 0, 0, 10.0)), out);
         };
         for tick in 0..(LENGTH / TICK) as usize {
             let now = start + tick as f64 * TICK;
-            brain.handle(now, Event::Woke, &mut out);
+            brain.handle_event(now, Event::TimerFired, &mut out);
             if tick == (case.idle / TICK) as usize {
                 (0..case.burst).for_each(|_| arrive(&mut brain, now, &mut out));
             }
@@ -122,7 +122,7 @@
         for (first, at) in sent.iter().enumerate() {
             let within = sent[first..].iter().take_while(|t| **t < at + 1.0).count() as f64;
             // The rule counts against what the replica bears at the window's end.
-            let warmth = COLD_FROM + (1.0 - COLD_FROM) * (at - 100.0) / settings().rules.cold;
+            let warmth = COLD_FROM + (1.0 - COLD_FROM) * (at - 100.0) / settings().lifecycle.slow_start_duration;
             let allowed = 4.0 * CAPACITY * warmth;
             let bound = allowed + 2.0 * allowed.sqrt() + 2.0;
             prop_assert!(within <= bound, "{within} sends within a second of {at}, {bound:.1} allowed");
--- a/crates/scheduler/tests/support/rig.rs
+++ b/crates/scheduler/tests/support/rig.rs
@@ -1,60 +1,60 @@
 //! The decision module on a bench of its own: hand-made events in, actions out.
 
 use poppykeel_scheduler::interface::*;
-use poppykeel_scheduler::Brain;
+use poppykeel_scheduler::Scheduler;
 
-pub fn class(worth: f64, effect: Effect) -> Class {
-    Class {
-        worth,
-        late_worth: 0.0,
-        aim: 1.0,
-        aim_per_prompt_token: 40e-6,
-        token_aim: 0.06,
-        aim_stretch: 0.0,
-        effect,
+pub fn class(worth: f64, effect: Idempotency) -> RequestClass {
+    RequestClass {
+        priority_weight: worth,
+        late_weight: 0.0,
+        ttft_objective: 1.0,
+        ttft_objective_per_prompt_token: 40e-6,
+        inter_token_objective: 0.06,
+        ttft_objective_per_work_second: 0.0,
+        idempotency: effect,
         streaming: true,
     }
 }
 
-pub fn settings() -> Settings {
-    Settings {
-        me: 0,
-        routers: 1,
+pub fn settings() -> SchedulerSettings {
+    SchedulerSettings {
+        router_index: 0,
+        router_count: 1,
         zone: 0,
         classes: vec![
-            class(5.0, Effect::Safe),
-            class(1.0, Effect::Safe),
-            class(1.0, Effect::Unsafe),
+            class(5.0, Idempotency::Idempotent),
+            class(1.0, Idempotency::Idempotent),
+            class(1.0, Idempotency::NonIdempotent),
         ],
         tenants: vec![
             Tenant {
-                share: 0.5,
-                allowance: 1e9,
+                quota: 0.5,
+                rate_limit: 1e9,
             },
             Tenant {
-                share: 0.5,
-                allowance: 1e9,
+                quota: 0.5,
+                rate_limit: 1e9,
             },
         ],
-        over_share_worth: 0.1,
-        limits: Limits {
-            probes: true,
-            cancel: true,
-            second_copies: false,
+        over_quota_weight: 0.1,
+        limits: SiteLimits {
+            allows_probes: true,
+            allows_cancellation: true,
+            allows_hedging: false,
             max_attempts: 4,
             max_retry_after: 2.0,
         },
-        prices: Prices::default(),
-        reports: ReportSource::Inline,
-        rules: Rules {
+        costs: CostWeights::default(),
+        load_report_source: LoadReportSource::Inline,
+        lifecycle: LifecycleRules {
             drain_grace: 0.5,
-            cold_from: 0.1,
-            cold: 20.0,
+            slow_start_initial_fraction: 0.1,
+            slow_start_duration: 20.0,
             overload_factor: 3.0,
-            fall: 2.0,
-            ask_every: 10.0,
+            overload_window: 2.0,
+            poll_interval: 10.0,
         },
-        discovery: Discovery::Pushed,
+        endpoint_list_mode: EndpointListMode::Pushed,
     }
 }
 
@@ -62,37 +62,37 @@
     ReplicaId(format!("10.0.0.{}:80", n + 1).parse().unwrap())
 }
 
-pub fn listing(n: usize, state: ReplicaState, born: Option<Seconds>) -> Listing {
-    Listing {
+pub fn listing(n: usize, state: EndpointState, born: Option<Seconds>) -> Endpoint {
+    Endpoint {
         id: replica(n),
         zone: n % 2,
         cell: n % 2,
-        kind: 0,
+        host_type: 0,
         state,
-        size: None,
-        born,
+        capacity_weight: None,
+        started_at: born,
     }
 }
 
-pub fn request(n: u64, class: usize, tenant: usize, time_left: Seconds) -> Arrival {
-    Arrival {
+pub fn request(n: u64, class: usize, tenant: usize, time_left: Seconds) -> IncomingRequest {
+    IncomingRequest {
         id: RequestId(n),
         class,
         tenant,
         session: Some(n),
-        prefix: None,
+        shared_prefix: None,
         time_left,
         expected_work: None,
         prompt_tokens: 800,
-        prefix_tokens: 0,
-        answer_limit: 200,
-        repeat: false,
+        shared_prefix_tokens: 0,
+        max_output_tokens: 200,
+        is_client_retry: false,
     }
 }
 
 /// A router with `replicas` warm replicas, its time and its last actions.
 pub struct Rig {
-    pub brain: Brain,
+    pub brain: Scheduler,
     pub now: Seconds,
     pub last: Vec<Action>,
     /// What the pool can have grown to: by one, or by a twenty-fifth, with each first token and each end.
@@ -100,23 +100,23 @@
 }
 
 impl Rig {
-    pub fn new(settings: Settings, replicas: usize) -> Rig {
+    pub fn new(settings: SchedulerSettings, replicas: usize) -> Rig {
         let mut rig = Rig {
-            brain: Brain::new(settings, 1).unwrap(),
+            brain: Scheduler::new(settings, 1).unwrap(),
             now: 100.0,
             last: vec![],
             pool: 8.0 * replicas as f64,
         };
-        rig.tell(Event::ListFull(
+        rig.tell(Event::EndpointsReplaced(
             (0..replicas)
-                .map(|n| listing(n, ReplicaState::Up, None))
+                .map(|n| listing(n, EndpointState::Available, None))
                 .collect(),
         ));
         rig
     }
     pub fn tell(&mut self, event: Event) -> Vec<Action> {
         let mut out = Vec::new();
-        self.brain.handle(self.now, event, &mut out);
+        self.brain.handle_event(self.now, event, &mut out);
         self.last = out.clone();
         out
     }
@@ -125,21 +125,27 @@
         let mut all = Vec::new();
         while self.now < end {
             self.now += 0.02;
-            all.extend(self.tell(Event::Woke));
+            all.extend(self.tell(Event::TimerFired));
         }
         all
     }
-    pub fn end(&mut self, n: u64, attempt: usize, outcome: Outcome, last: bool) -> Vec<Action> {
-        self.tell(Event::Ended {
+    pub fn end(
+        &mut self,
+        n: u64,
+        attempt: usize,
+        outcome: AttemptOutcome,
+        last: bool,
+    ) -> Vec<Action> {
+        self.tell(Event::AttemptEnded {
             request: RequestId(n),
             attempt,
             outcome,
-            last,
+            is_request_finished: last,
             report: None,
         })
     }
     pub fn start(&mut self, n: u64, elapsed: Seconds) {
-        self.tell(Event::Started {
+        self.tell(Event::FirstToken {
             request: RequestId(n),
             attempt: 0,
             elapsed,
@@ -148,7 +154,7 @@
     /// Fills every window with requests numbered from 1000.
     pub fn fill(&mut self) -> u64 {
         let mut n = 1000;
-        while sends(&self.tell(Event::Arrived(request(n, 0, 0, 30.0)))).len() == 1 {
+        while sends(&self.tell(Event::RequestArrived(request(n, 0, 0, 30.0)))).len() == 1 {
             n += 1;
         }
         n - 1000
@@ -157,7 +163,7 @@
 
 pub fn sends(actions: &[Action]) -> Vec<(u64, ReplicaId)> {
     let send = |a: &Action| match a {
-        Action::Send {
+        Action::StartAttempt {
             request, replica, ..
         } => Some((request.0, *replica)),
         _ => None,
@@ -167,7 +173,7 @@
 
 pub fn answers(actions: &[Action]) -> Vec<u64> {
     let answer = |a: &Action| match a {
-        Action::Refuse { request, .. } | Action::Fail { request } => Some(request.0),
+        Action::Reject { request, .. } | Action::Fail { request } => Some(request.0),
         _ => None,
     };
     actions.iter().filter_map(answer).collect()
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -7,16 +7,16 @@
 mod wire;
 
 use poppykeel_scheduler::interface::{Event, Seconds};
-use poppykeel_scheduler::Brain;
-use poppykeel_site_settings::Boot;
+use poppykeel_scheduler::Scheduler;
+use poppykeel_site_settings::SiteSettings;
 use std::collections::BTreeMap;
 use std::io::{BufRead, Write};
 use std::process::ExitCode;
 use wire::{Line, Row, Told};
 
 struct Instance {
-    brain: Brain,
-    boot: Boot,
+    brain: Scheduler,
+    boot: SiteSettings,
 }
 
 #[derive(Default)]
@@ -65,8 +65,8 @@
             }
             Line::For(who, mut values) if values.message() == "spawn" => {
                 let (seed, boot) = values.boot().map_err(|e| e.to_string())?;
-                let brain =
-                    Brain::new(boot.settings.clone(), seed).map_err(|e| format!("spawn: {e}"))?;
+                let brain = Scheduler::new(boot.scheduler.clone(), seed)
+                    .map_err(|e| format!("spawn: {e}"))?;
                 self.instances.insert(who, Instance { brain, boot });
             }
             Line::For(who, values) => {
@@ -84,9 +84,9 @@
                         let list =
                             wire::listings(rows, &instance.boot).map_err(|e| e.to_string())?;
                         if full {
-                            Event::ListFull(list)
+                            Event::EndpointsReplaced(list)
                         } else {
-                            Event::ListChanged(list)
+                            Event::EndpointsChanged(list)
                         }
                     }
                     Told::Stop => {
@@ -96,7 +96,7 @@
                     Told::Nothing => return Ok(false),
                 };
                 let mut actions = Vec::new();
-                instance.brain.handle(now, event, &mut actions);
+                instance.brain.handle_event(now, event, &mut actions);
                 for action in &actions {
                     wire::write_action(&mut self.reply, who, action);
                 }
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -3,7 +3,7 @@
 //! Nothing is decided here. Errors say what was expected; the caller adds the line number.
 
 use poppykeel_scheduler::interface::*;
-use poppykeel_site_settings::Boot;
+use poppykeel_site_settings::SiteSettings;
 use std::fmt::Write;
 use std::str::FromStr;
 
@@ -27,7 +27,7 @@
 /// A catalog entry before the instance it goes to is known.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Row {
-    listing: Listing,
+    listing: Endpoint,
 }
 
 /// One line, as far as it can be read without knowing the instance.
@@ -165,16 +165,16 @@
         }
     }
 
-    fn outcome(&mut self) -> Result<Outcome, WireError> {
+    fn outcome(&mut self) -> Result<AttemptOutcome, WireError> {
         Ok(match self.need::<u16>("disposition")? {
-            0 => Outcome::Served,
-            255 => Outcome::Error,
-            254 => Outcome::Full,
-            253 => Outcome::TimedOut,
-            252 => Outcome::ConnectFailed,
-            251 => Outcome::Reset,
-            250 => Outcome::Cancelled,
-            249 => Outcome::Moot,
+            0 => AttemptOutcome::Completed,
+            255 => AttemptOutcome::ServerError,
+            254 => AttemptOutcome::AtCapacity,
+            253 => AttemptOutcome::TimedOut,
+            252 => AttemptOutcome::ConnectFailed,
+            251 => AttemptOutcome::ConnectionReset,
+            250 => AttemptOutcome::Cancelled,
+            249 => AttemptOutcome::NotSent,
             code => return Err(self.expected(format!("a known disposition, not {code}"))),
         })
     }
@@ -196,12 +196,12 @@
         }
     }
 
-    fn report(&mut self, boot: &Boot) -> Result<Option<Report>, WireError> {
+    fn report(&mut self, boot: &SiteSettings) -> Result<Option<LoadReport>, WireError> {
         let Some(text) = self.next() else {
             return Ok(None);
         };
         let mut numbers = Vec::new();
-        for value in text.split(',').take(boot.report_length()) {
+        for value in text.split(',').take(boot.load_report_length()) {
             let missing = value == "-" || value.is_empty();
             let number = match missing {
                 true => None,
@@ -213,11 +213,11 @@
             };
             numbers.push(number);
         }
-        Ok(Some(boot.report_in_order(numbers.into_iter())))
+        Ok(Some(boot.load_report_in_order(numbers.into_iter())))
     }
 
     /// Reads the settings of a `spawn`: the seed and the object.
-    pub fn boot(&mut self) -> Result<(u64, Boot), WireError> {
+    pub fn boot(&mut self) -> Result<(u64, SiteSettings), WireError> {
         let seed = match self.next() {
             None => return Err(self.expected("a value for nonce64")),
             Some(text) => text
@@ -229,30 +229,30 @@
             .rest
             .take()
             .ok_or_else(|| self.expected("a JSON object in bootInfo"))?;
-        let boot = Boot::read(text).map_err(|expected| self.expected(expected))?;
+        let boot = SiteSettings::parse(text).map_err(|expected| self.expected(expected))?;
         Ok((seed, boot))
     }
 
     /// Reads the rest of a message for an instance with these settings.
-    pub fn told(mut self, boot: &Boot) -> Result<Told, WireError> {
-        let settings = &boot.settings;
+    pub fn told(mut self, boot: &SiteSettings) -> Result<Told, WireError> {
+        let settings = &boot.scheduler;
         Ok(Told::Event(match self.message {
             "incoming" => {
                 let id = self.request()?;
                 let class = self.below("class", settings.classes.len(), None)?;
                 let tenant = self.below("tenant", settings.tenants.len().max(1), Some(0))?;
-                Event::Arrived(Arrival {
+                Event::RequestArrived(IncomingRequest {
                     id,
                     class,
                     tenant,
                     session: self.hex("nameKey")?,
                     time_left: self.seconds("ttl")?,
                     expected_work: self.optional("expected")?,
-                    prefix: self.hex("template")?.filter(|p| *p != 0),
+                    shared_prefix: self.hex("template")?.filter(|p| *p != 0),
                     prompt_tokens: self.optional("nPrompt")?.unwrap_or(0),
-                    prefix_tokens: self.optional("nPrefix")?.unwrap_or(0),
-                    answer_limit: self.optional("maxTokens")?.unwrap_or(0),
-                    repeat: self.optional::<u64>("flags")?.unwrap_or(0) & 2 != 0,
+                    shared_prefix_tokens: self.optional("nPrefix")?.unwrap_or(0),
+                    max_output_tokens: self.optional("maxTokens")?.unwrap_or(0),
+                    is_client_retry: self.optional::<u64>("flags")?.unwrap_or(0) & 2 != 0,
                 })
             }
             "closed_attempt" => {
@@ -264,32 +264,32 @@
                 let attempt = self.need("leg")?;
                 let kept = self.optional::<f64>("detail")?;
                 let mut report = self.report(boot)?;
-                if outcome == Outcome::Served {
+                if outcome == AttemptOutcome::Completed {
                     // The wire writes no figure where nothing was kept.
-                    report.get_or_insert_default().kept = Some(kept.unwrap_or(0.0));
+                    report.get_or_insert_default().cached_prompt_tokens = Some(kept.unwrap_or(0.0));
                 }
-                Event::Ended {
+                Event::AttemptEnded {
                     request,
                     attempt,
                     outcome,
-                    last,
+                    is_request_finished: last,
                     report,
                 }
             }
             "opened" => {
                 let (request, attempt) = (self.request()?, self.need("leg")?);
                 self.replica()?;
-                Event::Started {
+                Event::FirstToken {
                     request,
                     attempt,
                     elapsed: self.seconds("timeTaken")?,
                 }
             }
-            "client_gone" => Event::ClientGone(self.request()?),
+            "client_gone" => Event::ClientDisconnected(self.request()?),
             "pong" => {
                 let replica = self.replica()?;
                 self.seconds("timeTaken")?;
-                Event::Probed {
+                Event::ProbeEnded {
                     replica,
                     outcome: self.outcome()?,
                     report: self.report(boot)?,
@@ -297,13 +297,13 @@
             }
             "reminder" => {
                 self.need::<u64>("ref")?;
-                Event::Woke
+                Event::TimerFired
             }
             "roster_change" => {
                 let how = self.next();
                 self.need::<u64>("version")?;
                 match how {
-                    Some("failed") => Event::ListFailed,
+                    Some("failed") => Event::EndpointListFailed,
                     Some("delta") => {
                         return Ok(Told::List {
                             catalog: self.need("ref")?,
@@ -355,53 +355,56 @@
             self.optional("cell")?,
         );
         let state = match self.next() {
-            Some("up") => ReplicaState::Up,
-            Some("draining") => ReplicaState::Draining,
-            Some("removed") => ReplicaState::Gone,
+            Some("up") => EndpointState::Available,
+            Some("draining") => EndpointState::Draining,
+            Some("removed") => EndpointState::Removed,
             _ => return Err(self.expected("up, draining or removed for stageState")),
         };
         let size = self.optional::<f64>("weight")?;
         let born = self.optional::<f64>("born")?.filter(|b| *b > 0.0);
         let (cell, kind) = (cell.unwrap_or(0), kind.unwrap_or(0));
         Ok(Row {
-            listing: Listing {
+            listing: Endpoint {
                 id,
                 zone,
                 cell,
-                kind,
+                host_type: kind,
                 state,
-                size,
-                born,
+                capacity_weight: size,
+                started_at: born,
             },
         })
     }
 }
 
 /// The entries as this instance may see them: its settings must know their zones and kinds.
-pub fn listings(rows: &[Row], boot: &Boot) -> Result<Vec<Listing>, WireError> {
+pub fn listings(rows: &[Row], boot: &SiteSettings) -> Result<Vec<Endpoint>, WireError> {
     let bad = |expected: String| WireError {
         message: "roster_change".into(),
         expected,
     };
     for row in rows {
-        let (zones, kinds) = (boot.names.zones.len().max(1), boot.names.kinds.len().max(1));
+        let (zones, kinds) = (
+            boot.names.zones.len().max(1),
+            boot.names.host_types.len().max(1),
+        );
         if row.listing.zone >= zones {
             return Err(bad(format!(
                 "a zone below {zones}, not {}",
                 row.listing.zone
             )));
         }
-        if row.listing.kind >= kinds {
+        if row.listing.host_type >= kinds {
             return Err(bad(format!(
                 "a kind below {kinds}, not {}",
-                row.listing.kind
+                row.listing.host_type
             )));
         }
     }
     Ok(rows
         .iter()
-        .map(|r| Listing {
-            size: boot.size(r.listing.size),
+        .map(|r| Endpoint {
+            capacity_weight: boot.capacity_weight(r.listing.capacity_weight),
             ..r.listing.clone()
         })
         .collect())
@@ -410,7 +413,7 @@
 /// Appends the line of one action of an instance.
 pub fn write_action(out: &mut String, who: u64, action: &Action) {
     let line = match action {
-        Action::Send {
+        Action::StartAttempt {
             request,
             replica,
             timeout,
@@ -421,19 +424,19 @@
                 request.0, replica.0, timeout
             )
         }
-        Action::Refuse {
+        Action::Reject {
             request,
             retry_after,
         } => {
             writeln!(out, "say_no {who} {:016x} {:.6}", request.0, retry_after)
         }
         Action::Fail { request } => writeln!(out, "abort {who} {:016x}", request.0),
-        Action::Cancel { request, attempt } => {
+        Action::CancelAttempt { request, attempt } => {
             writeln!(out, "stop_attempt {who} {:016x} {attempt}", request.0)
         }
         Action::Probe { replica } => writeln!(out, "ping {who} {}", replica.0),
-        Action::Subscribe => writeln!(out, "subscribe {who} 1"),
-        Action::Wake { after } => writeln!(out, "set_alarm {who} {after:.6} 0"),
+        Action::WatchEndpoints => writeln!(out, "subscribe {who} 1"),
+        Action::SetTimer { after } => writeln!(out, "set_alarm {who} {after:.6} 0"),
     };
     line.expect("writing to a string does not fail");
 }
--- a/crates/site-settings/src/lib.rs
+++ b/crates/site-settings/src/lib.rs
@@ -6,43 +6,43 @@
 use serde_json::Value;
 
 /// Classes in use since the start: each change of one takes a place.
-const MOST_CLASSES: usize = 1024;
+const MAX_CLASSES_SINCE_START: usize = 1024;
 
 /// Settings with what only the wire needs: how many there are of each, and the order of report values.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Boot {
+pub struct SiteSettings {
     /// The settings of the instance.
-    pub settings: Settings,
-    /// Names and limits that only a node on real sockets needs.
-    pub names: Names,
-    fields: Vec<Field>,
+    pub scheduler: SchedulerSettings,
+    /// SiteNames and limits that only a node on real sockets needs.
+    pub names: SiteNames,
+    report_fields: Vec<ReportField>,
     /// Weights in the list are sizes, not load.
-    sized: bool,
+    weights_are_capacities: bool,
 }
 
 /// What the settings name by words, and the limits of connections. Positions are the module's numbers.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Names {
+pub struct SiteNames {
     /// Classes of requests.
     pub classes: Vec<String>,
     /// Places of classes that new settings have taken back: what is under way keeps them, new requests don't.
-    pub retired: Vec<usize>,
+    pub retired_classes: Vec<usize>,
     /// Tenants; empty at sites without.
     pub tenants: Vec<String>,
     /// Zones.
     pub zones: Vec<String>,
     /// Kinds of machine.
-    pub kinds: Vec<String>,
+    pub host_types: Vec<String>,
     /// The values of a load report, in order.
-    pub fields: Vec<String>,
+    pub report_fields: Vec<String>,
     /// A connection that is not up within this time has failed.
-    pub dial_timeout: Seconds,
+    pub connect_timeout: Seconds,
     /// A replica closes a connection that is idle for so long.
     pub keep_alive: Seconds,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Field {
+enum ReportField {
     WaitingPromptTokens,
     MemoryHeld,
     Holding,
@@ -62,23 +62,24 @@
     })
 }
 
-impl Boot {
+impl SiteSettings {
     /// Reads the settings of an instance from their JSON text.
-    pub fn read(text: &str) -> Result<Boot, String> {
-        boot(text)
+    pub fn parse(text: &str) -> Result<SiteSettings, String> {
+        parse_settings(text)
     }
 
     /// Newer settings in the place of these. A class that is as it was keeps its place; one that changes or comes
     /// gets a new one, and requests under way keep theirs. What servers and tenants are numbered by stays.
-    pub fn follow(&self, mut new: Boot) -> Result<Boot, String> {
+    pub fn updated_to(&self, mut new: SiteSettings) -> Result<SiteSettings, String> {
         let (old, next) = (&self.names, std::mem::take(&mut new.names.classes));
         for (key, same) in [
             ("tenants", old.tenants == new.names.tenants),
             ("zones", old.zones == new.names.zones),
-            ("hostTypes", old.kinds == new.names.kinds),
+            ("hostTypes", old.host_types == new.names.host_types),
             (
                 "balancers",
-                (self.settings.me, self.settings.zone) == (new.settings.me, new.settings.zone),
+                (self.scheduler.router_index, self.scheduler.zone)
+                    == (new.scheduler.router_index, new.scheduler.zone),
             ),
         ] {
             if !same {
@@ -87,20 +88,20 @@
                 ));
             }
         }
-        let fresh = std::mem::replace(&mut new.settings.classes, self.settings.classes.clone());
-        (new.names.classes, new.names.retired) =
+        let fresh = std::mem::replace(&mut new.scheduler.classes, self.scheduler.classes.clone());
+        (new.names.classes, new.names.retired_classes) =
             (old.classes.clone(), (0..old.classes.len()).collect());
         for (name, class) in next.into_iter().zip(fresh) {
             let known =
-                |at: &usize| new.names.classes[*at] == name && new.settings.classes[*at] == class;
+                |at: &usize| new.names.classes[*at] == name && new.scheduler.classes[*at] == class;
             if let Some(at) = (0..new.names.classes.len()).find(known) {
-                new.names.retired.retain(|place| *place != at);
-            } else if new.names.classes.len() < MOST_CLASSES {
+                new.names.retired_classes.retain(|place| *place != at);
+            } else if new.names.classes.len() < MAX_CLASSES_SINCE_START {
                 new.names.classes.push(name);
-                new.settings.classes.push(class);
+                new.scheduler.classes.push(class);
             } else {
                 return Err(format!(
-                    "settings: classes: {MOST_CLASSES} have been in use since the start"
+                    "settings: classes: {MAX_CLASSES_SINCE_START} have been in use since the start"
                 ));
             }
         }
@@ -108,9 +109,9 @@
     }
 
     /// A load report from its values in the order of the settings' fields; `None` where a value is missing.
-    pub fn report_in_order(&self, values: impl Iterator<Item = Option<f64>>) -> Report {
-        let mut report = Report::default();
-        for (value, field) in values.zip(&self.fields) {
+    pub fn load_report_in_order(&self, values: impl Iterator<Item = Option<f64>>) -> LoadReport {
+        let mut report = LoadReport::default();
+        for (value, field) in values.zip(&self.report_fields) {
             if let Some(value) = value {
                 field.put(&mut report, value);
             }
@@ -119,19 +120,19 @@
     }
 
     /// How many values a load report has.
-    pub fn report_length(&self) -> usize {
-        self.fields.len()
+    pub fn load_report_length(&self) -> usize {
+        self.report_fields.len()
     }
 
     /// A weight from the list as a size, where it is one.
-    pub fn size(&self, weight: Option<f64>) -> Option<f64> {
-        weight.filter(|s| self.sized && s.is_finite() && *s > 0.0)
+    pub fn capacity_weight(&self, weight: Option<f64>) -> Option<f64> {
+        weight.filter(|s| self.weights_are_capacities && s.is_finite() && *s > 0.0)
     }
 
     /// A load report from its values, named as the settings name them.
-    pub fn report(&self, value: impl Fn(&str) -> Option<f64>) -> Report {
-        let mut report = Report::default();
-        for (name, field) in self.names.fields.iter().zip(&self.fields) {
+    pub fn load_report(&self, value: impl Fn(&str) -> Option<f64>) -> LoadReport {
+        let mut report = LoadReport::default();
+        for (name, field) in self.names.report_fields.iter().zip(&self.report_fields) {
             if let Some(value) = value(name).or_else(|| other_word(name).and_then(&value)) {
                 field.put(&mut report, value);
             }
@@ -140,19 +141,19 @@
     }
 }
 
-impl Field {
-    fn put(self, report: &mut Report, value: f64) {
+impl ReportField {
+    fn put(self, report: &mut LoadReport, value: f64) {
         match self {
-            Field::WaitingPromptTokens => report.waiting_prompt_tokens = Some(value * 1000.0),
-            Field::MemoryHeld => report.memory_held = Some(value),
-            Field::Holding => report.holding = Some(value),
-            Field::Queued => report.queued = Some(value),
-            Field::Other => {}
+            ReportField::WaitingPromptTokens => report.queued_prompt_tokens = Some(value * 1000.0),
+            ReportField::MemoryHeld => report.memory_utilization = Some(value),
+            ReportField::Holding => report.requests_held = Some(value),
+            ReportField::Queued => report.requests_queued = Some(value),
+            ReportField::Other => {}
         }
     }
 }
 
-fn boot(text: &str) -> Result<Boot, String> {
+fn parse_settings(text: &str) -> Result<SiteSettings, String> {
     let v: Value = serde_json::from_str(text).map_err(|e| format!("settings in JSON ({e})"))?;
     let number = |v: &Value, key: &str, absent: f64| match &v[key] {
         Value::Null => Ok(absent),
@@ -177,18 +178,18 @@
     let mut classes = Vec::new();
     for (i, c) in list(&v, "classes")?.iter().enumerate() {
         let effect = match c["semantics"].as_str() {
-            Some("safe") => Effect::Safe,
-            Some("unsafe") => Effect::Unsafe,
+            Some("safe") => Idempotency::Idempotent,
+            Some("unsafe") => Idempotency::NonIdempotent,
             Some("keyed") => {
                 let group = match c["dedupScope"].as_str() {
-                    Some("all") => Group::All,
-                    Some("zone") => Group::Zone,
-                    Some("cell") => Group::Cell,
+                    Some("all") => DeduplicationScope::AllReplicas,
+                    Some("zone") => DeduplicationScope::Zone,
+                    Some("cell") => DeduplicationScope::Cell,
                     _ => return Err("all, zone or cell for dedupScope".into()),
                 };
-                Effect::Keyed {
-                    group,
-                    memory: need(c, "memorySpan")?,
+                Idempotency::Keyed {
+                    scope: group,
+                    retention: need(c, "memorySpan")?,
                 }
             }
             _ => return Err("safe, keyed or unsafe for semantics".into()),
@@ -196,24 +197,24 @@
         if !c["giveUp"].is_null() {
             above_zero(c, "giveUp")?;
         }
-        classes.push(Class {
-            worth: number(c, "gain", 1.0)?,
-            late_worth: number(c, "lateValue", 0.0)?,
-            aim: above_zero(c, "goalTime")?,
-            aim_per_prompt_token: per_class[i].as_f64().unwrap_or(0.0) / 1e9,
-            token_aim: v["specifics"]["tokenAim"][i]
+        classes.push(RequestClass {
+            priority_weight: number(c, "gain", 1.0)?,
+            late_weight: number(c, "lateValue", 0.0)?,
+            ttft_objective: above_zero(c, "goalTime")?,
+            ttft_objective_per_prompt_token: per_class[i].as_f64().unwrap_or(0.0) / 1e9,
+            inter_token_objective: v["specifics"]["tokenAim"][i]
                 .as_f64()
                 .unwrap_or(f64::INFINITY),
-            aim_stretch: number(c, "aimStretch", 0.0)?,
-            effect,
+            ttft_objective_per_work_second: number(c, "aimStretch", 0.0)?,
+            idempotency: effect,
             streaming: flag(c, "streaming")?,
         });
     }
     let mut tenants = Vec::new();
     for t in list(&v, "tenants")? {
         tenants.push(Tenant {
-            share: need(&t, "share")?,
-            allowance: number(&t, "allowancePerS", NO_ALLOWANCE)?,
+            quota: need(&t, "share")?,
+            rate_limit: number(&t, "allowancePerS", UNLIMITED_RATE)?,
         });
     }
     let (l, r, c) = (&v["limits"], &v["rules"], &v["costs"]);
@@ -223,23 +224,23 @@
             .is_none_or(|t| t.contains(word))
     };
     let field = |f: &Value| match f.as_str() {
-        Some("x1") if means("reportX1", "prompt tokens") => Field::WaitingPromptTokens,
-        Some("x0") if means("reportX0", "memory") => Field::MemoryHeld,
-        Some("busy_reqs" | "inflight") => Field::Holding,
-        Some("pending" | "queue") => Field::Queued,
-        _ => Field::Other,
+        Some("x1") if means("reportX1", "prompt tokens") => ReportField::WaitingPromptTokens,
+        Some("x0") if means("reportX0", "memory") => ReportField::MemoryHeld,
+        Some("busy_reqs" | "inflight") => ReportField::Holding,
+        Some("pending" | "queue") => ReportField::Queued,
+        _ => ReportField::Other,
     };
-    let settings = Settings {
-        me: need(&v, "me")? as usize,
-        routers: need(&v, "balancers")? as usize,
+    let settings = SchedulerSettings {
+        router_index: need(&v, "me")? as usize,
+        router_count: need(&v, "balancers")? as usize,
         zone: number(&v, "zone", 0.0)? as usize,
         classes,
         tenants,
-        over_share_worth: number(&v, "overShareWorth", 1.0)?,
-        limits: Limits {
-            probes: flag(l, "probes")?,
-            cancel: flag(l, "cancel")?,
-            second_copies: flag(l, "secondCopies")?,
+        over_quota_weight: number(&v, "overShareWorth", 1.0)?,
+        limits: SiteLimits {
+            allows_probes: flag(l, "probes")?,
+            allows_cancellation: flag(l, "cancel")?,
+            allows_hedging: flag(l, "secondCopies")?,
             max_attempts: match &l["mostTries"] {
                 Value::Null => 1,
                 _ => above_zero(l, "mostTries")?.max(1.0) as usize,
@@ -250,27 +251,27 @@
                 0.0
             },
         },
-        prices: Prices {
+        costs: CostWeights {
             cross_zone: number(c, "crossZone", 0.0)?,
             probe: number(c, "probe", 0.0)?,
             waste: number(c, "waste", 0.0)?,
         },
-        reports: match v["report"]["source"].as_str() {
-            Some("inline") => ReportSource::Inline,
-            Some("on_probe") => ReportSource::Probes,
-            _ => ReportSource::Off,
+        load_report_source: match v["report"]["source"].as_str() {
+            Some("inline") => LoadReportSource::Inline,
+            Some("on_probe") => LoadReportSource::Probes,
+            _ => LoadReportSource::Off,
         },
-        rules: Rules {
+        lifecycle: LifecycleRules {
             drain_grace: number(r, "drainGrace", 0.0)?,
-            cold_from: number(r, "coldFrom", 1.0)?,
-            cold: number(r, "cold", 0.0)?,
+            slow_start_initial_fraction: number(r, "coldFrom", 1.0)?,
+            slow_start_duration: number(r, "cold", 0.0)?,
             overload_factor: number(r, "overloadFactor", 1.0)?,
-            fall: number(r, "fall", 1.0)?,
-            ask_every: number(r, "askEvery", 0.0)?,
+            overload_window: number(r, "fall", 1.0)?,
+            poll_interval: number(r, "askEvery", 0.0)?,
         },
-        discovery: match v["membershipMode"].as_str() {
-            Some("on_request") => Discovery::Asked,
-            Some("pushed") => Discovery::Pushed,
+        endpoint_list_mode: match v["membershipMode"].as_str() {
+            Some("on_request") => EndpointListMode::Polled,
+            Some("pushed") => EndpointListMode::Pushed,
             _ => return Err("pushed or on_request for membershipMode".into()),
         },
     };
@@ -279,22 +280,22 @@
     let texts = |v: &Value, key: &str| list(v, key).map(|l| l.iter().map(text).collect::<Vec<_>>());
     let named =
         |v: &Value, key: &str| list(v, key).map(|l| l.iter().map(|e| text(&e["name"])).collect());
-    let names = Names {
+    let names = SiteNames {
         classes: named(&v, "classes")?,
-        retired: Vec::new(),
+        retired_classes: Vec::new(),
         tenants: named(&v, "tenants")?,
         zones: texts(&v, "zones")?,
-        kinds: texts(&v, "hostTypes")?,
-        fields: texts(&v["report"], "fields")?,
-        dial_timeout: number(l, "dialTimeout", 1.0)?,
+        host_types: texts(&v, "hostTypes")?,
+        report_fields: texts(&v["report"], "fields")?,
+        connect_timeout: number(l, "dialTimeout", 1.0)?,
         keep_alive: number(l, "keepalive", 10.0)?,
     };
     let fields = list(&v["report"], "fields")?.iter().map(field).collect();
     let sized = matches!(v["weightSource"].as_str(), Some("nominal" | "rough"));
-    Ok(Boot {
-        settings,
+    Ok(SiteSettings {
+        scheduler: settings,
         names,
-        fields,
-        sized,
+        report_fields: fields,
+        weights_are_capacities: sized,
     })
 }
--- a/crates/testbed/src/emulator/faults.rs
+++ b/crates/testbed/src/emulator/faults.rs
@@ -5,7 +5,7 @@
 use super::server::Key;
 use super::world::{micros, Event, Word, World};
 use crate::Micros;
-use poppykeel_scheduler::interface::{self, ReplicaState};
+use poppykeel_scheduler::interface::{self, EndpointState};
 use std::ops::Range;
 
 /// A server that ends is started again after so long, where the fault does not say when.
@@ -98,12 +98,16 @@
             self.say(
                 now,
                 key,
-                Word::Ended(key.1 as u8, interface::Outcome::Reset, None),
+                Word::Ended(
+                    key.1 as u8,
+                    interface::AttemptOutcome::ConnectionReset,
+                    None,
+                ),
             );
         }
         self.plan(server as u32);
         let noticed = now + self.run.fleet.notice_ms * 1000;
-        self.list(noticed, server, ReplicaState::Gone);
+        self.list(noticed, server, EndpointState::Removed);
     }
 
     fn start(&mut self, now: Micros, server: usize) {
@@ -113,7 +117,7 @@
         }
         place.born = Some(now);
         place.server.start(now);
-        self.list(now, server, ReplicaState::Up);
+        self.list(now, server, EndpointState::Available);
     }
 
     fn stall(&mut self, now: Micros, server: usize, until: Micros) {
@@ -167,7 +171,7 @@
         // Whatever was on its way is no longer wanted.
         a.lost = true;
         let epoch = self.nodes[node as usize].epoch;
-        let word = Word::Ended(attempt, interface::Outcome::TimedOut, None);
+        let word = Word::Ended(attempt, interface::AttemptOutcome::TimedOut, None);
         self.queue.put(
             now,
             Event::AtNode {
@@ -286,7 +290,7 @@
             );
         }
         for server in from..(from + size).min(count) {
-            self.list(now, server, ReplicaState::Draining);
+            self.list(now, server, EndpointState::Draining);
         }
         if from < count {
             self.queue.put(
