--- a/crates/testbed/src/emulator/node.rs
+++ b/crates/testbed/src/emulator/node.rs
@@ -5,7 +5,7 @@
 use crate::Micros;
 use poppykeel::routing::{Command, Input, Router};
 use poppykeel_scheduler::interface::*;
-use poppykeel_scheduler::Brain;
+use poppykeel_scheduler::Scheduler;
 use rand::SeedableRng;
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -47,31 +47,31 @@
 }
 
 /// What the module is told at its start.
-pub fn settings(run: &Run, me: usize) -> Settings {
+pub fn settings(run: &Run, me: usize) -> SchedulerSettings {
     let f = &run.fleet;
-    let class = |c: &super::description::Class| Class {
-        worth: c.worth,
-        late_worth: c.late_worth,
-        aim: c.aim_s,
-        aim_per_prompt_token: 0.0,
-        token_aim: c.token_aim_s,
-        aim_stretch: 0.0,
-        effect: if c.repeats == Repeats::Safe {
-            Effect::Safe
+    let class = |c: &super::description::Class| RequestClass {
+        priority_weight: c.worth,
+        late_weight: c.late_worth,
+        ttft_objective: c.aim_s,
+        ttft_objective_per_prompt_token: 0.0,
+        inter_token_objective: c.token_aim_s,
+        ttft_objective_per_work_second: 0.0,
+        idempotency: if c.repeats == Repeats::Safe {
+            Idempotency::Idempotent
         } else {
-            Effect::Unsafe
+            Idempotency::NonIdempotent
         },
         streaming: true,
     };
     let shares: f64 = run.tenant.iter().map(|t| t.share).sum();
     let rate = run.load.per_server * f.servers as f64;
     let tenants = run.tenant.iter().map(|t| Tenant {
-        share: t.share,
-        allowance: rate * t.share / shares,
+        quota: t.share,
+        rate_limit: rate * t.share / shares,
     });
-    Settings {
-        me,
-        routers: f.nodes,
+    SchedulerSettings {
+        router_index: me,
+        router_count: f.nodes,
         zone: me % f.zones,
         classes: run.class.iter().map(class).collect(),
         // One tenant is none to the module: there is nobody to be fair to.
@@ -80,29 +80,29 @@
         } else {
             Vec::new()
         },
-        over_share_worth: 1.0,
-        limits: Limits {
-            probes: f.probes,
-            cancel: true,
-            second_copies: f.second_copies,
+        over_quota_weight: 1.0,
+        limits: SiteLimits {
+            allows_probes: f.probes,
+            allows_cancellation: true,
+            allows_hedging: f.second_copies,
             max_attempts: f.attempts,
             max_retry_after: run.load.heeds_s,
         },
-        prices: Prices {
+        costs: CostWeights {
             cross_zone: 0.0,
             probe: 0.0,
             waste: 0.0,
         },
-        reports: ReportSource::Inline,
-        rules: Rules {
+        load_report_source: LoadReportSource::Inline,
+        lifecycle: LifecycleRules {
             drain_grace: 0.5,
-            cold_from: f.server.cold_from,
-            cold: f.server.cold_s,
+            slow_start_initial_fraction: f.server.cold_from,
+            slow_start_duration: f.server.cold_s,
             overload_factor: 3.0,
-            fall: 2.0,
-            ask_every: 0.1,
+            overload_window: 2.0,
+            poll_interval: 0.1,
         },
-        discovery: Discovery::Pushed,
+        endpoint_list_mode: EndpointListMode::Pushed,
     }
 }
 
@@ -114,7 +114,7 @@
         let zone = settings.zone;
         let mind = match policy {
             Policy::Poppykeel => {
-                let brain = Brain::new(settings, seed).map_err(|e| e.to_string())?;
+                let brain = Scheduler::new(settings, seed).map_err(|e| e.to_string())?;
                 Mind::Core(Box::new(Router::new(brain)))
             }
             other => {
@@ -149,14 +149,14 @@
     }
 
     /// What the fleet allows it from now on.
-    pub fn allow(&mut self, allowed: &Allowed) {
+    pub fn allow(&mut self, allowed: &BudgetGrants) {
         if let Mind::Core(router) = &mut self.mind {
             router.allow(allowed);
         }
     }
 
     /// What it has wanted since its start of what the fleet has budgets for.
-    pub fn wanted(&self) -> BTreeMap<Spend, Wanted> {
+    pub fn wanted(&self) -> BTreeMap<BudgetKind, BudgetDemand> {
         match &self.mind {
             Mind::Core(router) => router.wanted(),
             Mind::Simple(_) => BTreeMap::new(),
--- a/crates/testbed/src/emulator/policies.rs
+++ b/crates/testbed/src/emulator/policies.rs
@@ -4,7 +4,8 @@
 
 use poppykeel::routing::{Command, Input, Micros};
 use poppykeel_scheduler::interface::{
-    Arrival, Effect, Listing, Outcome, ReplicaId, ReplicaState, RequestId, Settings,
+    AttemptOutcome, Endpoint, EndpointState, Idempotency, IncomingRequest, ReplicaId, RequestId,
+    SchedulerSettings,
 };
 use rand::RngExt;
 use serde::{Deserialize, Serialize};
@@ -76,7 +77,7 @@
 }
 
 struct Held {
-    arrival: Arrival,
+    arrival: IncomingRequest,
     deadline: Micros,
     attempts: u32,
     /// The attempt under way: its server and until when it is waited for.
@@ -87,7 +88,7 @@
 /// One node that goes by a simple policy.
 pub struct Simple {
     policy: Policy,
-    classes: Vec<Effect>,
+    classes: Vec<Idempotency>,
     most_attempts: u32,
     peers: Vec<Peer>,
     places: HashMap<ReplicaId, usize>,
@@ -108,10 +109,10 @@
 
 impl Simple {
     /// A node that knows nobody yet.
-    pub fn new(policy: Policy, settings: &Settings, rng: rand_pcg::Pcg64Mcg) -> Self {
+    pub fn new(policy: Policy, settings: &SchedulerSettings, rng: rand_pcg::Pcg64Mcg) -> Self {
         Simple {
             policy,
-            classes: settings.classes.iter().map(|c| c.effect).collect(),
+            classes: settings.classes.iter().map(|c| c.idempotency).collect(),
             most_attempts: settings.limits.max_attempts as u32,
             peers: Vec::new(),
             places: HashMap::new(),
@@ -135,7 +136,7 @@
             self.timers.pop_first();
             if let Some(attempt) = self.held.get(&request).map(|h| h.attempts as usize - 1) {
                 out.push(Command::Abandon { request, attempt });
-                self.ended(now, request, attempt, Outcome::TimedOut, out);
+                self.ended(now, request, attempt, AttemptOutcome::TimedOut, out);
             }
         }
     }
@@ -187,7 +188,7 @@
             } => {
                 let place = self.held.get(&request).and_then(|h| h.at).map(|at| at.0);
                 if let (Some(place), Some(waiting)) =
-                    (place, report.and_then(|r| r.waiting_prompt_tokens))
+                    (place, report.and_then(|r| r.queued_prompt_tokens))
                 {
                     self.peers[place].reported = waiting;
                 }
@@ -198,12 +199,12 @@
         }
     }
 
-    fn list(&mut self, list: Vec<Listing>, full: bool) {
+    fn list(&mut self, list: Vec<Endpoint>, full: bool) {
         if full {
             self.peers.iter_mut().for_each(|p| p.up = false);
         }
         for entry in list {
-            let up = entry.state == ReplicaState::Up;
+            let up = entry.state == EndpointState::Available;
             match self.places.get(&entry.id) {
                 Some(place) => {
                     let peer = &mut self.peers[*place];
@@ -244,7 +245,7 @@
         now: Micros,
         id: RequestId,
         attempt: usize,
-        outcome: Outcome,
+        outcome: AttemptOutcome,
         out: &mut Vec<Command>,
     ) {
         if self
@@ -257,7 +258,10 @@
         let Some(place) = self.free(id) else { return };
         if matches!(
             outcome,
-            Outcome::ConnectFailed | Outcome::Error | Outcome::TimedOut | Outcome::Reset
+            AttemptOutcome::ConnectFailed
+                | AttemptOutcome::ServerError
+                | AttemptOutcome::TimedOut
+                | AttemptOutcome::ConnectionReset
         ) {
             let peer = &mut self.peers[place];
             peer.failures += 1;
@@ -266,19 +270,21 @@
             }
         }
         let held = &self.held[&id];
-        if held.streaming || outcome == Outcome::Served {
+        if held.streaming || outcome == AttemptOutcome::Completed {
             // A stream's end, whole or not, is its request's.
             self.held.remove(&id);
             return;
         }
-        let harmless = matches!(outcome, Outcome::Full | Outcome::ConnectFailed)
-            || self.classes[held.arrival.class] == Effect::Safe;
+        let harmless = matches!(
+            outcome,
+            AttemptOutcome::AtCapacity | AttemptOutcome::ConnectFailed
+        ) || self.classes[held.arrival.class] == Idempotency::Idempotent;
         if harmless && held.attempts < self.most_attempts && now < held.deadline {
             return self.send(now, id, Some(place), out);
         }
         self.held.remove(&id);
         out.push(match outcome {
-            Outcome::Full => Command::Refuse {
+            AttemptOutcome::AtCapacity => Command::Refuse {
                 request: id,
                 retry_after: 1_000_000,
             },
--- a/crates/testbed/src/emulator/together.rs
+++ b/crates/testbed/src/emulator/together.rs
@@ -9,7 +9,7 @@
 use poppykeel_coordination::envelope::{self, Body, Envelope};
 use poppykeel_coordination::lease::Record;
 use poppykeel_coordination::{Node, Out, Settings as Place};
-use poppykeel_scheduler::interface::{Allowed, Budget, Spend};
+use poppykeel_scheduler::interface::{BudgetGrant, BudgetGrants, BudgetKind};
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr};
 
@@ -183,14 +183,14 @@
             Division::Equal => {
                 let (parts, d) = (t.talkers.len() as f64, &t.described);
                 let (rate, burst) = (d.retries / parts, d.burst / parts);
-                let budget = Budget {
+                let budget = BudgetGrant {
                     rate,
                     burst,
-                    floor: 0.0,
-                    floor_burst: 0.0,
-                    until: f64::INFINITY,
+                    guaranteed_rate: 0.0,
+                    guaranteed_burst: 0.0,
+                    expires_at: f64::INFINITY,
                 };
-                self.nodes[node].allow(&Allowed::from([(Spend::Retries, budget)]));
+                self.nodes[node].allow(&BudgetGrants::from([(BudgetKind::Retries, budget)]));
             }
             Division::None => {}
         }
--- a/crates/testbed/src/emulator/world.rs
+++ b/crates/testbed/src/emulator/world.rs
@@ -11,7 +11,9 @@
 use super::trace::{Hop, Passage, Trace};
 use crate::Micros;
 use poppykeel::routing::{Command, Input};
-use poppykeel_scheduler::interface::{self, Arrival, Listing, ReplicaState, Report, RequestId};
+use poppykeel_scheduler::interface::{
+    self, Endpoint, EndpointState, IncomingRequest, LoadReport, RequestId,
+};
 use rand::{RngExt, SeedableRng};
 use rand_distr::{Distribution, LogNormal};
 use std::collections::HashMap;
@@ -27,7 +29,7 @@
     Arrived,
     Gone,
     First(u8),
-    Ended(u8, interface::Outcome, Option<Shown>),
+    Ended(u8, interface::AttemptOutcome, Option<Shown>),
 }
 
 /// What a client is told.
@@ -61,14 +63,14 @@
         node: u32,
         epoch: u32,
         server: u32,
-        outcome: interface::Outcome,
+        outcome: interface::AttemptOutcome,
         shown: Option<Shown>,
     },
     Listed {
         node: u32,
         epoch: u32,
         server: u32,
-        state: ReplicaState,
+        state: EndpointState,
         born: Option<Micros>,
     },
     AtServer {
@@ -171,7 +173,7 @@
     pub(super) failing: bool,
     pub(super) frozen: bool,
     pub(super) born: Option<Micros>,
-    pub(super) listed: ReplicaState,
+    pub(super) listed: EndpointState,
     shown: (Micros, Shown),
     /// Steps that were planned before count no longer.
     stamp: u32,
@@ -214,7 +216,7 @@
             failing: false,
             frozen: false,
             born: None,
-            listed: ReplicaState::Up,
+            listed: EndpointState::Available,
             shown: (0, Shown::default()),
             stamp: 0,
         };
@@ -302,7 +304,7 @@
     }
 
     /// For a view: each server's requests under way and waiting, whether it is there, and its state on the list.
-    pub fn servers(&self) -> impl Iterator<Item = (usize, usize, bool, ReplicaState)> + '_ {
+    pub fn servers(&self) -> impl Iterator<Item = (usize, usize, bool, EndpointState)> + '_ {
         self.places
             .iter()
             .map(|p| (p.server.load().0, p.server.load().1, p.up, p.listed))
@@ -384,7 +386,7 @@
                 state,
                 born,
             } => {
-                let drains = state == ReplicaState::Draining;
+                let drains = state == EndpointState::Draining;
                 if self.nodes[node as usize].epoch == epoch {
                     self.nodes[node as usize].drains[server as usize] = drains.then_some(now);
                 }
@@ -618,18 +620,18 @@
                 let (work, sent) = (&t.work, t.sent);
                 let class = &run.class[work.class];
                 let time_left = class.deadline_s - (now - sent) as f64 / 1e6;
-                Input::Arrived(Arrival {
+                Input::Arrived(IncomingRequest {
                     id: RequestId(id),
                     class: work.class,
                     tenant: work.tenant,
                     session: Some(work.session),
-                    prefix: Some(work.prefix.0).filter(|_| work.prefix.1 > 0),
+                    shared_prefix: Some(work.prefix.0).filter(|_| work.prefix.1 > 0),
                     time_left,
                     expected_work: None,
                     prompt_tokens: u64::from(work.prompt),
-                    prefix_tokens: u64::from(work.prefix.1),
-                    answer_limit: u64::from(class.answer_limit),
-                    repeat: work.tries > 1,
+                    shared_prefix_tokens: u64::from(work.prefix.1),
+                    max_output_tokens: u64::from(class.answer_limit),
+                    is_client_retry: work.tries > 1,
                 })
             }
             Word::Gone => {
@@ -663,7 +665,7 @@
                     hop.ended = Some(words(outcome));
                 }
                 let bound = t.bound == Some(place);
-                if outcome == interface::Outcome::Served {
+                if outcome == interface::AttemptOutcome::Completed {
                     let idle = self.idle.entry((node, server)).or_default();
                     *idle = (*idle + 1).min(self.run.fleet.idle);
                 }
@@ -681,7 +683,7 @@
                     },
                 );
                 if bound && streaming {
-                    let told = if outcome == interface::Outcome::Served {
+                    let told = if outcome == interface::AttemptOutcome::Completed {
                         Told::Whole
                     } else {
                         Told::Broken
@@ -830,7 +832,7 @@
         });
         self.measure.counts().broken.repeated += u64::from(again);
         let attempt = attempt as u8;
-        let failed = Word::Ended(attempt, interface::Outcome::ConnectFailed, None);
+        let failed = Word::Ended(attempt, interface::AttemptOutcome::ConnectFailed, None);
         if cut {
             self.queue.put(
                 now + dial,
@@ -890,35 +892,36 @@
     /// A node that has just started learns the whole list.
     pub(super) fn whole_list(&mut self, node: usize) {
         let now = self.queue.now();
-        let all = (0..self.places.len()).filter(|s| self.places[*s].listed != ReplicaState::Gone);
-        let list: Vec<Listing> = all
+        let all =
+            (0..self.places.len()).filter(|s| self.places[*s].listed != EndpointState::Removed);
+        let list: Vec<Endpoint> = all
             .map(|s| self.listing(s, self.places[s].listed, self.places[s].born))
             .collect();
         for (server, place) in self.places.iter().enumerate() {
             // Known since the first word of it, and no longer once the whole list says otherwise.
             let told = &mut self.nodes[node].drains[server];
-            *told = (place.listed == ReplicaState::Draining).then(|| told.unwrap_or(now));
+            *told = (place.listed == EndpointState::Draining).then(|| told.unwrap_or(now));
         }
         let epoch = self.nodes[node].epoch;
         self.tell(now, node as u32, epoch, Input::List { list, full: true });
     }
 
-    fn listing(&self, server: usize, state: ReplicaState, born: Option<Micros>) -> Listing {
+    fn listing(&self, server: usize, state: EndpointState, born: Option<Micros>) -> Endpoint {
         let zone = self.places[server].zone;
         let born = born.map(|b| b as f64 / 1e6);
-        Listing {
+        Endpoint {
             id: name(server),
             zone,
             cell: 0,
-            kind: 0,
+            host_type: 0,
             state,
-            size: Some(1.0),
-            born,
+            capacity_weight: Some(1.0),
+            started_at: born,
         }
     }
 
     /// What the list says of a server from now on; nodes hear of it a little later.
-    pub(super) fn list(&mut self, now: Micros, server: usize, state: ReplicaState) {
+    pub(super) fn list(&mut self, now: Micros, server: usize, state: EndpointState) {
         self.places[server].listed = state;
         if self.no_list {
             return;
@@ -1004,7 +1007,7 @@
             return self.say(
                 now,
                 key,
-                Word::Ended(attempt, interface::Outcome::ConnectFailed, None),
+                Word::Ended(attempt, interface::AttemptOutcome::ConnectFailed, None),
             );
         }
         a.ran = true;
@@ -1016,7 +1019,7 @@
             return self.say(
                 now + 1000,
                 key,
-                Word::Ended(attempt, interface::Outcome::Error, None),
+                Word::Ended(attempt, interface::AttemptOutcome::ServerError, None),
             );
         }
         if self.places[server as usize].server.take(now, job) {
@@ -1029,7 +1032,7 @@
             self.say(
                 now,
                 key,
-                Word::Ended(attempt, interface::Outcome::Full, Some(shown)),
+                Word::Ended(attempt, interface::AttemptOutcome::AtCapacity, Some(shown)),
             );
         }
     }
@@ -1039,12 +1042,13 @@
         let zone = self.nodes[node as usize].zone;
         let (way, cut) = (self.way(zone, place.zone), self.is_cut(zone, place.zone));
         let (outcome, delay) = match (cut || place.server.stalled(now), place.up, place.failing) {
-            (true, ..) => (interface::Outcome::TimedOut, 1_000_000),
-            (_, false, _) => (interface::Outcome::ConnectFailed, way),
-            (_, _, true) => (interface::Outcome::Error, way),
-            _ => (interface::Outcome::Served, way),
+            (true, ..) => (interface::AttemptOutcome::TimedOut, 1_000_000),
+            (_, false, _) => (interface::AttemptOutcome::ConnectFailed, way),
+            (_, _, true) => (interface::AttemptOutcome::ServerError, way),
+            _ => (interface::AttemptOutcome::Completed, way),
         };
-        let shown = (outcome == interface::Outcome::Served).then(|| self.show(now, server));
+        let shown =
+            (outcome == interface::AttemptOutcome::Completed).then(|| self.show(now, server));
         self.queue.put(
             now + delay,
             Event::Probed {
@@ -1097,7 +1101,11 @@
                         );
                     }
                     let shown = self.show(now, server);
-                    let word = Word::Ended(key.1 as u8, interface::Outcome::Served, Some(shown));
+                    let word = Word::Ended(
+                        key.1 as u8,
+                        interface::AttemptOutcome::Completed,
+                        Some(shown),
+                    );
                     self.say(now, key, word);
                 }
             }
@@ -1122,26 +1130,26 @@
     }
 }
 
-fn report(shown: Shown) -> Report {
-    Report {
-        waiting_prompt_tokens: Some(shown.waiting),
-        memory_held: Some(shown.memory),
-        ..Report::default()
+fn report(shown: Shown) -> LoadReport {
+    LoadReport {
+        queued_prompt_tokens: Some(shown.waiting),
+        memory_utilization: Some(shown.memory),
+        ..LoadReport::default()
     }
 }
 
-fn words(outcome: interface::Outcome) -> &'static str {
-    use interface::Outcome::*;
+fn words(outcome: interface::AttemptOutcome) -> &'static str {
+    use interface::AttemptOutcome;
     match outcome {
-        Served => "served",
-        Error => "error",
-        Full => "full",
-        TimedOut => "timed-out",
-        ConnectFailed => "connect-failed",
-        Reset => "reset",
-        Cancelled => "cancelled",
-        Moot => "moot",
-        Rejected => "rejected",
+        AttemptOutcome::Completed => "served",
+        AttemptOutcome::ServerError => "error",
+        AttemptOutcome::AtCapacity => "full",
+        AttemptOutcome::TimedOut => "timed-out",
+        AttemptOutcome::ConnectFailed => "connect-failed",
+        AttemptOutcome::ConnectionReset => "reset",
+        AttemptOutcome::Cancelled => "cancelled",
+        AttemptOutcome::NotSent => "moot",
+        AttemptOutcome::InvalidRequest => "rejected",
     }
 }
 
--- a/crates/testbed/src/sockets/nodes.rs
+++ b/crates/testbed/src/sockets/nodes.rs
@@ -39,8 +39,8 @@
     };
     let tenants = run.tenant.iter().zip(&settings.tenants);
     let tenants = tenants
-        .map(|(t, s)| json!({"name": t.name, "share": s.share, "allowancePerS": s.allowance}));
-    let (l, r) = (&settings.limits, &settings.rules);
+        .map(|(t, s)| json!({"name": t.name, "share": s.quota, "allowancePerS": s.rate_limit}));
+    let (l, r) = (&settings.limits, &settings.lifecycle);
     json!({
         "name": format!("lab-{me}"), "listen": listen.to_string(), "discovery": discovery.addr.to_string(),
         "seed": (me + 1).to_string(), "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 4096},
@@ -48,12 +48,12 @@
         "settings": {
             "balancers": f.nodes, "me": me, "zone": settings.zone, "zones": zones, "hostTypes": ["k"],
             "tenants": tenants.collect::<Vec<_>>(), "classes": run.class.iter().map(class).collect::<Vec<_>>(),
-            "limits": {"probes": l.probes, "cancel": l.cancel, "secondCopies": l.second_copies,
+            "limits": {"probes": l.allows_probes, "cancel": l.allows_cancellation, "secondCopies": l.allows_hedging,
                 "mostTries": l.max_attempts, "retryAfter": true, "maxRetryAfter": l.max_retry_after,
                 "dialTimeout": f.dial_s, "keepalive": 60.0},
             "report": {"source": "inline", "fields": ["x0", "x1"]},
-            "rules": {"drainGrace": r.drain_grace, "cold": r.cold, "coldFrom": r.cold_from,
-                "overloadFactor": r.overload_factor, "fall": r.fall, "askEvery": r.ask_every},
+            "rules": {"drainGrace": r.drain_grace, "cold": r.slow_start_duration, "coldFrom": r.slow_start_initial_fraction,
+                "overloadFactor": r.overload_factor, "fall": r.overload_window, "askEvery": r.poll_interval},
             "specifics": {"tokenAim": run.class.iter().map(|c| c.token_aim_s).collect::<Vec<_>>()},
             "costs": {}, "membershipMode": "pushed",
         },
--- a/crates/testbed/src/view/state.rs
+++ b/crates/testbed/src/view/state.rs
@@ -1,7 +1,7 @@
 //! What the view knows: from an emulated world, or line by line from a node's log in JSON.
 
 use crate::emulator::{End, Outcome, World};
-use poppykeel_scheduler::interface::ReplicaState;
+use poppykeel_scheduler::interface::EndpointState;
 use serde_json::Value;
 use std::collections::{BTreeMap, VecDeque};
 
@@ -111,13 +111,13 @@
         worth.into_iter().for_each(|w| self.point(w));
         self.count(at, counts);
         let row =
-            |(n, (running, waiting, up, listed)): (usize, (usize, usize, bool, ReplicaState))| {
+            |(n, (running, waiting, up, listed)): (usize, (usize, usize, bool, EndpointState))| {
                 Row {
                     name: format!("m-{n}"),
                     state: match (up, listed) {
                         (false, _) => "away",
-                        (_, ReplicaState::Draining) => "draining",
-                        (_, ReplicaState::Gone) => "not listed",
+                        (_, EndpointState::Draining) => "draining",
+                        (_, EndpointState::Removed) => "not listed",
                         _ => "up",
                     }
                     .to_string(),
--- a/src/program/config/mod.rs
+++ b/src/program/config/mod.rs
@@ -10,7 +10,7 @@
 use crate::transport::listener::MOST_TURNED_AWAY;
 use crate::transport::shutdown;
 use crate::transport::Bounds;
-use poppykeel_site_settings::Boot;
+use poppykeel_site_settings::SiteSettings;
 use serde_json::Value;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -76,7 +76,7 @@
     /// The list as it last had it.
     pub known: Option<Update>,
     /// The settings.
-    pub boot: Boot,
+    pub boot: SiteSettings,
     /// The figures of the transport.
     pub bounds: Bounds,
     /// The text as read.
@@ -108,7 +108,7 @@
         if !v["settings"].is_object() {
             return Err("config: settings: expected an object".into());
         }
-        let boot = Boot::read(&v["settings"].to_string())
+        let boot = SiteSettings::parse(&v["settings"].to_string())
             .map_err(|e| format!("config: settings: expected {e}"))?;
         let known = match &v["known"] {
             Value::Null => None,
@@ -118,7 +118,7 @@
         let sockets = limit("sockets", SOCKETS, LEAST_SOCKETS)? - SPARE_SOCKETS;
         // The scored machines are the smallest: more is not needed, so larger ones are not used up either.
         let half = sockets.min(memory / 2 / CONNECTION_BYTES) / 2;
-        let (dial, idle) = (boot.names.dial_timeout, boot.names.keep_alive);
+        let (dial, idle) = (boot.names.connect_timeout, boot.names.keep_alive);
         for (key, value) in [("dialTimeout", dial), ("keepalive", idle)] {
             if !(0.0..=86_400.0).contains(&value) {
                 return Err(format!(
@@ -126,8 +126,13 @@
                 ));
             }
         }
-        let pushed = boot.settings.discovery == poppykeel_scheduler::interface::Discovery::Pushed;
-        let grace = boot.settings.rules.drain_grace.clamp(LEAST_GRACE, 86_400.0);
+        let pushed = boot.scheduler.endpoint_list_mode
+            == poppykeel_scheduler::interface::EndpointListMode::Pushed;
+        let grace = boot
+            .scheduler
+            .lifecycle
+            .drain_grace
+            .clamp(LEAST_GRACE, 86_400.0);
         let agent = Duration::from_secs_f64(grace * AGENT_PART);
         let bounds = Bounds {
             clients: half as usize,
@@ -216,7 +221,7 @@
 
 impl std::fmt::Display for Config {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        let (s, b) = (&self.boot.settings, &self.bounds);
+        let (s, b) = (&self.boot.scheduler, &self.bounds);
         writeln!(
             f,
             "name {}, listen {}, discovery {}",
@@ -226,8 +231,8 @@
         writeln!(
             f,
             "router {} of {}, list version {known}",
-            s.me + 1,
-            s.routers
+            s.router_index + 1,
+            s.router_count
         )?;
         write!(
             f,
--- a/src/program/serve.rs
+++ b/src/program/serve.rs
@@ -18,8 +18,8 @@
 use crate::transport::srv::Lookups;
 use crate::transport::streams::Streams;
 use crate::transport::upstream::Upstream;
-use poppykeel_scheduler::Brain;
-use poppykeel_site_settings::Boot;
+use poppykeel_scheduler::Scheduler;
+use poppykeel_site_settings::SiteSettings;
 use std::cell::Cell;
 use std::future::Future;
 use std::net::SocketAddr;
@@ -86,11 +86,11 @@
 #[allow(clippy::type_complexity)]
 fn follow(
     current: &Config,
-    boot: &Boot,
+    boot: &SiteSettings,
     (config, operator): (Config, Operator),
-) -> Result<(Config, Operator, Rc<Boot>), String> {
+) -> Result<(Config, Operator, Rc<SiteSettings>), String> {
     config.replaces(current)?;
-    let next = boot.follow(config.boot.clone())?;
+    let next = boot.updated_to(config.boot.clone())?;
     Ok((config, operator, Rc::new(next)))
 }
 
@@ -123,7 +123,8 @@
     let bound = listener
         .local_addr()
         .map_err(|e| format!("config: listen: {e}"))?;
-    let brain = Brain::new(config.boot.settings.clone(), config.seed).map_err(|e| e.to_string())?;
+    let brain =
+        Scheduler::new(config.boot.scheduler.clone(), config.seed).map_err(|e| e.to_string())?;
     let mut boot = Rc::new(config.boot.clone());
     let bounds = Rc::new(config.bounds.clone());
     let (tell, told) = mpsc::channel(MESSAGES);
@@ -148,7 +149,8 @@
         discovery.version(known.version());
     }
     // Where lists are pushed the module never asks: the agent's list is watched from the start.
-    let pushed = boot.settings.discovery == poppykeel_scheduler::interface::Discovery::Pushed;
+    let pushed = boot.scheduler.endpoint_list_mode
+        == poppykeel_scheduler::interface::EndpointListMode::Pushed;
     let discovery = if pushed {
         discovery.pushed()
     } else {
@@ -202,7 +204,7 @@
         streams.clone(),
     ));
     spawn_local(accept(listener, shared.clone(), phases));
-    tracing::info!(node = %config.name, listen = %bound, zone = boot.settings.zone, "serving on {bound}");
+    tracing::info!(node = %config.name, listen = %bound, zone = boot.scheduler.zone, "serving on {bound}");
     let admin = Rc::new(Admin {
         tell: tell.clone(),
         phase: phase.clone(),
--- a/src/protocol/answer.rs
+++ b/src/protocol/answer.rs
@@ -4,8 +4,8 @@
 use crate::protocol::http::{Head, Headers, Part, Start};
 use crate::protocol::report::report;
 use bytes::{Bytes, BytesMut};
-use poppykeel_scheduler::interface::{Outcome, Report};
-use poppykeel_site_settings::Boot;
+use poppykeel_scheduler::interface::{AttemptOutcome, LoadReport};
+use poppykeel_site_settings::SiteSettings;
 use std::rc::Rc;
 
 /// The longest event: a stream that goes on without completing one is spoilt, and would never end.
@@ -22,15 +22,15 @@
     /// Bytes for the client.
     Pass(Bytes),
     /// The attempt has ended.
-    Done(Outcome, Option<Report>),
+    Done(AttemptOutcome, Option<LoadReport>),
 }
 
 /// Reads one answer.
 #[derive(Debug)]
 pub struct Answer {
-    boot: Rc<Boot>,
+    boot: Rc<SiteSettings>,
     scan: Scan,
-    report: Option<Report>,
+    report: Option<LoadReport>,
     content_type: String,
     /// The body is a stream of events, as its type says; other bodies pass as they are.
     events: bool,
@@ -41,7 +41,7 @@
 
 impl Answer {
     /// Nothing has come yet.
-    pub fn new(boot: Rc<Boot>) -> Self {
+    pub fn new(boot: Rc<SiteSettings>) -> Self {
         let (scan, content_type, held) = Default::default();
         Answer {
             boot,
@@ -94,7 +94,7 @@
                     self.start(steps);
                 }
                 self.done = true;
-                steps.push(Step::Done(Outcome::Served, self.last_report()));
+                steps.push(Step::Done(AttemptOutcome::Completed, self.last_report()));
             }
         }
     }
@@ -102,16 +102,19 @@
     /// The connection broke, or ended before the answer did.
     pub fn broke(&mut self, steps: &mut Vec<Step>) {
         if !std::mem::replace(&mut self.done, true) {
-            steps.push(Step::Done(Outcome::Reset, self.last_report()));
+            steps.push(Step::Done(
+                AttemptOutcome::ConnectionReset,
+                self.last_report(),
+            ));
         }
     }
 
     /// The report in the stream, else the one in its head; what was found kept goes with either.
-    fn last_report(&self) -> Option<Report> {
+    fn last_report(&self) -> Option<LoadReport> {
         let told = self.scan.report();
         match self.report.filter(|_| !self.scan.reported()) {
-            Some(head) => Some(Report {
-                kept: told.and_then(|r| r.kept),
+            Some(head) => Some(LoadReport {
+                cached_prompt_tokens: told.and_then(|r| r.cached_prompt_tokens),
                 ..head
             }),
             None => told,
@@ -135,13 +138,13 @@
 
 /// The outcome that a head alone tells; none where a stream follows. Only the replica's own word proves that
 /// the request never ran: a 503 without it may come from one that began.
-fn verdict(head: &Head) -> Option<Outcome> {
+fn verdict(head: &Head) -> Option<AttemptOutcome> {
     let declined = |h: &Headers| h.get("srv-declined").is_some_and(|v| v.trim() == "1");
     match head.start {
         Start::Status(200) => None,
         // What a bad client sends must neither be tried at replica after replica nor make them seem ill.
-        Start::Status(400..=407 | 409..=428 | 430..=499) => Some(Outcome::Rejected),
-        Start::Status(503 | 504) if declined(&head.headers) => Some(Outcome::Full),
-        _ => Some(Outcome::Error),
+        Start::Status(400..=407 | 409..=428 | 430..=499) => Some(AttemptOutcome::InvalidRequest),
+        Start::Status(503 | 504) if declined(&head.headers) => Some(AttemptOutcome::AtCapacity),
+        _ => Some(AttemptOutcome::ServerError),
     }
 }
--- a/src/protocol/events.rs
+++ b/src/protocol/events.rs
@@ -2,8 +2,8 @@
 //! comment line, and how much of the prompt was found kept. Nothing is changed.
 
 use crate::protocol::report::report;
-use poppykeel_scheduler::interface::Report;
-use poppykeel_site_settings::Boot;
+use poppykeel_scheduler::interface::LoadReport;
+use poppykeel_site_settings::SiteSettings;
 use serde_json::Value;
 
 /// Lines longer than this are events for certain and are not kept to be looked at.
@@ -16,13 +16,13 @@
     has_data: bool,
     events: u64,
     since: usize,
-    report: Option<Report>,
+    report: Option<LoadReport>,
     kept: Option<f64>,
 }
 
 impl Scan {
     /// Looks at the next bytes.
-    pub fn feed(&mut self, bytes: &[u8], boot: &Boot) {
+    pub fn feed(&mut self, bytes: &[u8], boot: &SiteSettings) {
         for piece in bytes.split_inclusive(|b| *b == b'\n') {
             self.since = self.since.saturating_add(piece.len());
             let room = MOST_LINE.saturating_sub(self.line.len()).min(piece.len());
@@ -36,7 +36,7 @@
         }
     }
 
-    fn take(&mut self, line: &[u8], boot: &Boot) {
+    fn take(&mut self, line: &[u8], boot: &SiteSettings) {
         if line.is_empty() {
             self.events += u64::from(std::mem::take(&mut self.has_data));
             self.since = 0;
@@ -69,9 +69,9 @@
         self.report.is_some()
     }
     /// The newest load report, with the kept part of the prompt where the stream told it.
-    pub fn report(&self) -> Option<Report> {
-        let kept = self.kept.map(|_| Report {
-            kept: self.kept,
+    pub fn report(&self) -> Option<LoadReport> {
+        let kept = self.kept.map(|_| LoadReport {
+            cached_prompt_tokens: self.kept,
             ..self.report.unwrap_or_default()
         });
         kept.or(self.report)
--- a/src/protocol/report.rs
+++ b/src/protocol/report.rs
@@ -1,7 +1,7 @@
 //! What a replica says of itself: load reports in answers and streams, and the outcome of a probe.
 
-use poppykeel_scheduler::interface::{Outcome, Report};
-use poppykeel_site_settings::Boot;
+use poppykeel_scheduler::interface::{AttemptOutcome, LoadReport};
+use poppykeel_site_settings::SiteSettings;
 use serde_json::Value;
 use std::sync::atomic::{AtomicU64, Ordering};
 
@@ -10,13 +10,13 @@
 
 /// A load report in JSON; none where it can't be read, since a bad report must not cost the answer. A field that
 /// is absent is left out; one whose value is not a finite number of zero or more is left out and counted.
-pub fn report(text: &str, boot: &Boot) -> Option<Report> {
+pub fn report(text: &str, boot: &SiteSettings) -> Option<LoadReport> {
     let value: Option<Value> = serde_json::from_str(text).ok().filter(Value::is_object);
     let Some(value) = value else {
         PASSED_OVER.fetch_add(1, Ordering::Relaxed);
         return None;
     };
-    Some(boot.report(|name| match &value[name] {
+    Some(boot.load_report(|name| match &value[name] {
         Value::Null => None,
         given => {
             let number = given.as_f64().filter(|v| v.is_finite() && *v >= 0.0);
@@ -34,10 +34,10 @@
 }
 
 /// The outcome of a probe by its status.
-pub fn probed(status: u16) -> Outcome {
+pub fn probed(status: u16) -> AttemptOutcome {
     if status == 200 {
-        Outcome::Served
+        AttemptOutcome::Completed
     } else {
-        Outcome::Error
+        AttemptOutcome::ServerError
     }
 }
--- a/src/protocol/request.rs
+++ b/src/protocol/request.rs
@@ -2,8 +2,8 @@
 
 use crate::protocol::http::{Head, Headers, Start};
 use bytes::Bytes;
-use poppykeel_scheduler::interface::{Arrival, RequestId};
-use poppykeel_site_settings::Names;
+use poppykeel_scheduler::interface::{IncomingRequest, RequestId};
+use poppykeel_site_settings::SiteNames;
 use std::fmt::Write;
 use std::str::FromStr;
 
@@ -55,7 +55,11 @@
 }
 
 /// Reads the arrival that the headers tell.
-pub fn arrival(headers: &Headers, names: &Names, body: usize) -> Result<Arrival, Reject> {
+pub fn arrival(
+    headers: &Headers,
+    names: &SiteNames,
+    body: usize,
+) -> Result<IncomingRequest, Reject> {
     for name in [
         "Req-Id",
         "Req-Kind",
@@ -74,7 +78,8 @@
     };
     let class = match one(headers, "Req-Kind")? {
         Some(kind) => {
-            let open = |at: &usize| names.classes[*at] == kind && !names.retired.contains(at);
+            let open =
+                |at: &usize| names.classes[*at] == kind && !names.retired_classes.contains(at);
             match (0..names.classes.len()).rev().find(open) {
                 Some(class) => class,
                 None => return reject(400, "Req-Kind names nothing known here"),
@@ -103,18 +108,18 @@
     let work = work
         .map(|us| us / 1e6)
         .filter(|work| work.is_finite() && *work > 0.0);
-    let mut arrival = Arrival {
+    let mut arrival = IncomingRequest {
         id: RequestId(id),
         class,
         tenant,
         session: hex(headers, "Req-Key")?,
-        prefix: None,
+        shared_prefix: None,
         time_left: time_left.min(MOST_WAIT),
         expected_work: work,
         prompt_tokens: (body / TOKEN_BYTES) as u64,
-        prefix_tokens: 0,
-        answer_limit: 0,
-        repeat,
+        shared_prefix_tokens: 0,
+        max_output_tokens: 0,
+        is_client_retry: repeat,
     };
     for field in one(headers, "Req-Extra")?
         .unwrap_or_default()
@@ -126,11 +131,11 @@
         };
         match name {
             "prefix" => {
-                arrival.prefix = Some(hex_of("Req-Extra prefix", value)?).filter(|p| *p != 0)
+                arrival.shared_prefix = Some(hex_of("Req-Extra prefix", value)?).filter(|p| *p != 0)
             }
             "prompt_len" => arrival.prompt_tokens = tokens("Req-Extra prompt_len", value)?,
-            "prefix_len" => arrival.prefix_tokens = tokens("Req-Extra prefix_len", value)?,
-            "max_out" => arrival.answer_limit = tokens("Req-Extra max_out", value)?,
+            "prefix_len" => arrival.shared_prefix_tokens = tokens("Req-Extra prefix_len", value)?,
+            "max_out" => arrival.max_output_tokens = tokens("Req-Extra max_out", value)?,
             // Fields of later clients are passed over.
             _ => {}
         }
--- a/src/routing/directory.rs
+++ b/src/routing/directory.rs
@@ -2,8 +2,8 @@
 //! in its terms, and where each of them listens.
 
 use poppykeel_endpoints::{Membership, Micros, Server, Settings, Standing, Told};
-use poppykeel_scheduler::interface::{Listing, ReplicaId, ReplicaState, Seconds};
-use poppykeel_site_settings::Boot;
+use poppykeel_scheduler::interface::{Endpoint, EndpointState, ReplicaId, Seconds};
+use poppykeel_site_settings::SiteSettings;
 use std::collections::BTreeMap;
 use std::net::{Ipv6Addr, SocketAddr};
 use std::rc::Rc;
@@ -31,14 +31,14 @@
     name: String,
     addr: SocketAddr,
     started_ms: i64,
-    listing: Listing,
+    listing: Endpoint,
 }
 
 /// A replica that the module is to be told of, under its name in the account.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Changed {
     /// For the module.
-    pub listing: Listing,
+    pub listing: Endpoint,
     /// For the log.
     pub name: String,
 }
@@ -46,7 +46,7 @@
 /// What this node knows of the replicas.
 #[derive(Debug)]
 pub struct Directory {
-    boot: Rc<Boot>,
+    boot: Rc<SiteSettings>,
     members: Membership,
     weight_unit: Option<f64>,
     known: BTreeMap<ReplicaId, Known>,
@@ -69,7 +69,7 @@
 
 impl Directory {
     /// A directory that knows nobody yet.
-    pub fn new(boot: Rc<Boot>, members: Members) -> Self {
+    pub fn new(boot: Rc<SiteSettings>, members: Members) -> Self {
         let (weight_unit, known) = (members.weight_unit, BTreeMap::new());
         Directory {
             boot,
@@ -145,7 +145,7 @@
             let started_ms = server.entry.started_ms;
             // One start keeps one time: mapped anew with each list it would seem to be a later start.
             let born = match before.filter(|k| k.started_ms == started_ms) {
-                Some(known) => known.listing.born,
+                Some(known) => known.listing.started_at,
                 None => (started_ms > 0).then(|| born(started_ms, at)),
             };
             let listing = self.listing(id, &server, born);
@@ -153,7 +153,7 @@
                 continue;
             }
             let unheard = before.is_none();
-            if listing.state == ReplicaState::Gone {
+            if listing.state == EndpointState::Removed {
                 self.known.remove(&id);
                 if unheard {
                     continue;
@@ -179,7 +179,7 @@
         list
     }
 
-    fn listing(&self, id: ReplicaId, server: &Server, born: Option<Seconds>) -> Listing {
+    fn listing(&self, id: ReplicaId, server: &Server, born: Option<Seconds>) -> Endpoint {
         let entry = &server.entry;
         // A zone or kind that the settings lack is one more: the replica serves all the same.
         let place = |name: &str, known: &[String]| {
@@ -189,20 +189,20 @@
             // What has a priority is described by DNS.
             (Some(_), Some(unit), Some(weight)) => Some(weight / unit).filter(|s| *s > 0.0),
             (Some(_), _, _) => None,
-            (None, _, weight) => self.boot.size(weight),
+            (None, _, weight) => self.boot.capacity_weight(weight),
         };
-        Listing {
+        Endpoint {
             id,
             zone: place(&entry.zone, &self.boot.names.zones),
             cell: entry.cell,
-            kind: place(&entry.kind, &self.boot.names.kinds),
+            host_type: place(&entry.kind, &self.boot.names.host_types),
             state: match server.standing {
-                Standing::In | Standing::Held => ReplicaState::Up,
-                Standing::Draining => ReplicaState::Draining,
-                Standing::Out => ReplicaState::Gone,
+                Standing::In | Standing::Held => EndpointState::Available,
+                Standing::Draining => EndpointState::Draining,
+                Standing::Out => EndpointState::Removed,
             },
-            size,
-            born,
+            capacity_weight: size,
+            started_at: born,
         }
     }
 }
--- a/src/routing/handover.rs
+++ b/src/routing/handover.rs
@@ -1,7 +1,7 @@
 //! What one process of a node leaves to the next: when it is believed. Bytes in and out, no file and no clock.
 
-use poppykeel_scheduler::interface::Memory;
-use poppykeel_site_settings::Names;
+use poppykeel_scheduler::interface::LearnedState;
+use poppykeel_site_settings::SiteNames;
 use serde::{Deserialize, Serialize};
 
 /// What is older than this, in milliseconds, tells of a fleet that has moved on: sessions' turns have gone elsewhere.
@@ -35,19 +35,19 @@
     from: u64,
     unix_ms: i64,
     site: (Vec<String>, Vec<String>, Vec<String>),
-    memory: Memory,
+    memory: LearnedState,
 }
 
-fn site(names: &Names) -> (Vec<String>, Vec<String>, Vec<String>) {
+fn site(names: &SiteNames) -> (Vec<String>, Vec<String>, Vec<String>) {
     (
-        names.kinds.clone(),
+        names.host_types.clone(),
         names.classes.clone(),
         names.zones.clone(),
     )
 }
 
 /// A record as it is left: `from` tells this process from others, `unix_ms` is now.
-pub fn write(from: u64, unix_ms: i64, names: &Names, memory: Memory) -> Vec<u8> {
+pub fn write(from: u64, unix_ms: i64, names: &SiteNames, memory: LearnedState) -> Vec<u8> {
     let record = Record {
         format: FORMAT,
         from,
@@ -64,7 +64,7 @@
 ///
 /// # Errors
 /// Why it is not believed.
-pub fn read(bytes: &[u8], me: u64, unix_ms: i64, names: &Names) -> Result<Memory, Doubt> {
+pub fn read(bytes: &[u8], me: u64, unix_ms: i64, names: &SiteNames) -> Result<LearnedState, Doubt> {
     let (sum, rest) = bytes.split_first_chunk::<4>().ok_or(Doubt::Garbled)?;
     if crc32fast::hash(rest).to_le_bytes() != *sum {
         return Err(Doubt::Garbled);
@@ -80,7 +80,7 @@
         Record { from, .. } if from == me => Err(Doubt::Own),
         _ if !(-AHEAD..=MOST_AGE).contains(&age) => Err(Doubt::Age(age)),
         Record { site: of, .. } if of != site(names) => Err(Doubt::OtherSite),
-        Record { memory, .. } if !memory.sane() => Err(Doubt::Absurd),
+        Record { memory, .. } if !memory.is_plausible() => Err(Doubt::Absurd),
         Record { memory, .. } => Ok(memory),
     }
 }
--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -8,7 +8,7 @@
 pub mod handover;
 
 use poppykeel_scheduler::interface::*;
-use poppykeel_scheduler::Brain;
+use poppykeel_scheduler::Scheduler;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// Microseconds on the monotonic clock.
@@ -18,7 +18,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Input {
     /// A client's request is complete.
-    Arrived(Arrival),
+    Arrived(IncomingRequest),
     /// Its client has left.
     ClientGone(RequestId),
     /// The first event of an attempt's answer is here.
@@ -35,23 +35,23 @@
         /// Its attempt.
         attempt: usize,
         /// How.
-        outcome: Outcome,
+        outcome: AttemptOutcome,
         /// The load report that came with it.
-        report: Option<Report>,
+        report: Option<LoadReport>,
     },
     /// A probe has ended.
     Probed {
         /// Where it went.
         replica: ReplicaId,
         /// How it ended.
-        outcome: Outcome,
+        outcome: AttemptOutcome,
         /// The load report that came with it.
-        report: Option<Report>,
+        report: Option<LoadReport>,
     },
     /// News of the list.
     List {
         /// The entries.
-        list: Vec<Listing>,
+        list: Vec<Endpoint>,
         /// What it lacks is gone.
         full: bool,
     },
@@ -128,7 +128,7 @@
     until: Micros,
     stage: Stage,
     /// How it ended.
-    outcome: Option<Outcome>,
+    outcome: Option<AttemptOutcome>,
 }
 
 #[derive(Debug, Default)]
@@ -147,14 +147,14 @@
 }
 
 /// Ends of attempts that are counted, with their names in figures.
-pub const COUNTED_ENDS: [(Outcome, &str); 7] = [
-    (Outcome::Error, "error"),
-    (Outcome::Full, "full"),
-    (Outcome::TimedOut, "timed_out"),
-    (Outcome::ConnectFailed, "connect_failed"),
-    (Outcome::Reset, "reset"),
-    (Outcome::Cancelled, "cancelled"),
-    (Outcome::Rejected, "rejected"),
+pub const COUNTED_ENDS: [(AttemptOutcome, &str); 7] = [
+    (AttemptOutcome::ServerError, "error"),
+    (AttemptOutcome::AtCapacity, "full"),
+    (AttemptOutcome::TimedOut, "timed_out"),
+    (AttemptOutcome::ConnectFailed, "connect_failed"),
+    (AttemptOutcome::ConnectionReset, "reset"),
+    (AttemptOutcome::Cancelled, "cancelled"),
+    (AttemptOutcome::InvalidRequest, "rejected"),
 ];
 
 /// Figures for the log.
@@ -180,7 +180,7 @@
 
 /// The core of one node.
 pub struct Router {
-    brain: Brain,
+    brain: Scheduler,
     live: BTreeMap<RequestId, Live>,
     timers: BTreeSet<(Micros, Due)>,
     told: VecDeque<Event>,
@@ -191,7 +191,7 @@
 
 impl Router {
     /// A core around a module that has been told nothing yet.
-    pub fn new(brain: Brain) -> Self {
+    pub fn new(brain: Scheduler) -> Self {
         let (live, timers, told, counts, replies) = Default::default();
         Router {
             brain,
@@ -225,37 +225,37 @@
         self.replies.get(class).copied().unwrap_or_default()
     }
     /// New settings for the module.
-    pub fn resettle(&mut self, settings: Settings) -> Result<(), SettingsError> {
-        self.brain.resettle(settings)
+    pub fn resettle(&mut self, settings: SchedulerSettings) -> Result<(), SettingsError> {
+        self.brain.update_settings(settings)
     }
     /// This node ends: whoever waits for a first token has a final answer by then.
     pub fn answer_all_by(&mut self, time: Micros) {
-        self.brain.answer_all_by(seconds(time));
+        self.brain.set_answer_deadline(seconds(time));
     }
     /// Replicas listed that the module leaves alone now.
     pub fn avoided(&self) -> usize {
-        self.brain.avoided()
+        self.brain.unavailable_replica_count()
     }
     /// What the fleet allows this node from now on.
-    pub fn allow(&mut self, allowed: &Allowed) {
-        self.brain.allow(allowed);
+    pub fn allow(&mut self, allowed: &BudgetGrants) {
+        self.brain.set_budget_grants(allowed);
     }
     /// What has been wanted since the start of what the fleet has budgets for.
-    pub fn wanted(&self) -> BTreeMap<Spend, Wanted> {
-        self.brain.wanted()
+    pub fn wanted(&self) -> BTreeMap<BudgetKind, BudgetDemand> {
+        self.brain.budget_demand()
     }
     /// What the module has learned, for the process that takes this one's place.
-    pub fn memory(&self) -> Memory {
-        self.brain.memory()
+    pub fn memory(&self) -> LearnedState {
+        self.brain.export_learned_state()
     }
     /// Takes over what another process has learned.
-    pub fn recall(&mut self, memory: &Memory) {
-        self.brain.recall(memory);
+    pub fn recall(&mut self, memory: &LearnedState) {
+        self.brain.import_learned_state(memory);
     }
     /// Each listed replica: whether it gets trials only, and when its last answer came, if nothing has failed since.
     pub fn standings(&self) -> Vec<(ReplicaId, bool, Option<Micros>)> {
         let micros = |s: f64| (s * 1e6) as Micros;
-        let all = self.brain.standings().into_iter();
+        let all = self.brain.replica_health().into_iter();
         all.map(|(id, ejected, well)| (id, ejected, well.map(micros)))
             .collect()
     }
@@ -272,7 +272,7 @@
             .collect()
     }
     /// How the last attempt of a request ended that has ended, if any has: why there is another one.
-    pub fn last_outcome(&self, request: RequestId) -> Option<Outcome> {
+    pub fn last_outcome(&self, request: RequestId) -> Option<AttemptOutcome> {
         self.live
             .get(&request)?
             .attempts
@@ -294,10 +294,10 @@
         while let Some((_, due)) = self.timers.first().copied().filter(|t| t.0 <= now) {
             self.timers.pop_first();
             match due {
-                Due::Wake => self.told.push_back(Event::Woke),
+                Due::Wake => self.told.push_back(Event::TimerFired),
                 Due::Timeout(request, attempt) => {
                     out.push(Command::Abandon { request, attempt });
-                    self.end(request, attempt, Outcome::TimedOut, None);
+                    self.end(request, attempt, AttemptOutcome::TimedOut, None);
                 }
             }
             self.decide(now, out);
@@ -319,7 +319,7 @@
                         ..Live::default()
                     },
                 );
-                self.told.push_back(Event::Arrived(arrival));
+                self.told.push_back(Event::RequestArrived(arrival));
             }
             Input::ClientGone(id) => {
                 let Some(live) = self.live.get_mut(&id).filter(|l| !l.finished) else {
@@ -327,7 +327,7 @@
                 };
                 (live.answered, live.finished) = (true, true);
                 self.counts.gone += 1;
-                self.told.push_back(Event::ClientGone(id));
+                self.told.push_back(Event::ClientDisconnected(id));
                 // Nobody is left to read the stream: the replica is told by the closed connection.
                 for attempt in 0..self.live[&id].attempts.len() {
                     self.abandon(id, attempt, out);
@@ -356,7 +356,7 @@
                     let elapsed = seconds(now.saturating_sub(a.sent));
                     live.answered = true;
                     out.push(Command::Bind { request, attempt });
-                    self.told.push_back(Event::Started {
+                    self.told.push_back(Event::FirstToken {
                         request,
                         attempt,
                         elapsed,
@@ -376,18 +376,19 @@
                 outcome,
                 report,
             } => {
-                self.told.push_back(Event::Probed {
+                self.told.push_back(Event::ProbeEnded {
                     replica,
                     outcome,
                     report,
                 });
             }
-            Input::List { list, full: true } => self.told.push_back(Event::ListFull(list)),
-            Input::List { list, full: false } => self.told.push_back(Event::ListChanged(list)),
-            Input::Advised { replica, well } => {
-                self.told.push_back(Event::Advised { replica, well })
-            }
-            Input::ListFailed => self.told.push_back(Event::ListFailed),
+            Input::List { list, full: true } => self.told.push_back(Event::EndpointsReplaced(list)),
+            Input::List { list, full: false } => self.told.push_back(Event::EndpointsChanged(list)),
+            Input::Advised { replica, well } => self.told.push_back(Event::OutlierAdvice {
+                replica,
+                is_healthy: well,
+            }),
+            Input::ListFailed => self.told.push_back(Event::EndpointListFailed),
         }
         self.decide(now, out);
     }
@@ -397,8 +398,8 @@
         &mut self,
         request: RequestId,
         attempt: usize,
-        outcome: Outcome,
-        report: Option<Report>,
+        outcome: AttemptOutcome,
+        report: Option<LoadReport>,
     ) {
         let Some(live) = self.live.get_mut(&request) else {
             return;
@@ -419,8 +420,8 @@
         if streaming && !live.finished {
             // The end of a stream is the end of its request, also where it broke.
             live.finished = true;
-            whole = Some((live.class, outcome == Outcome::Served));
-            match outcome == Outcome::Served {
+            whole = Some((live.class, outcome == AttemptOutcome::Completed));
+            match outcome == AttemptOutcome::Completed {
                 true => self.counts.served += 1,
                 false => self.counts.broken += 1,
             }
@@ -432,11 +433,11 @@
         if let Some((class, served)) = whole {
             self.replied(class, if served { 0 } else { 2 });
         }
-        self.told.push_back(Event::Ended {
+        self.told.push_back(Event::AttemptEnded {
             request,
             attempt,
             outcome,
-            last,
+            is_request_finished: last,
             report,
         });
     }
@@ -451,7 +452,7 @@
         };
         if a.stage != Stage::Ended {
             out.push(Command::Abandon { request, attempt });
-            self.end(request, attempt, Outcome::Cancelled, None);
+            self.end(request, attempt, AttemptOutcome::Cancelled, None);
         }
     }
 
@@ -460,10 +461,12 @@
         let mut actions = Vec::new();
         while let Some(event) = self.told.pop_front() {
             let request = match &event {
-                Event::Ended { request, .. } | Event::ClientGone(request) => Some(*request),
+                Event::AttemptEnded { request, .. } | Event::ClientDisconnected(request) => {
+                    Some(*request)
+                }
                 _ => None,
             };
-            self.brain.handle(seconds(now), event, &mut actions);
+            self.brain.handle_event(seconds(now), event, &mut actions);
             for action in actions.drain(..) {
                 self.act(now, action, out);
             }
@@ -475,7 +478,7 @@
 
     fn act(&mut self, now: Micros, action: Action, out: &mut Vec<Command>) {
         match action {
-            Action::Send {
+            Action::StartAttempt {
                 request,
                 replica,
                 timeout,
@@ -492,7 +495,7 @@
                     outcome: None,
                 });
                 if live.answered {
-                    return self.end(request, attempt, Outcome::Moot, None);
+                    return self.end(request, attempt, AttemptOutcome::NotSent, None);
                 }
                 self.counts.sent += 1;
                 self.timers.insert((until, Due::Timeout(request, attempt)));
@@ -503,7 +506,7 @@
                     until,
                 });
             }
-            Action::Refuse {
+            Action::Reject {
                 request,
                 retry_after,
             } => {
@@ -523,7 +526,7 @@
                 }
                 self.forget(request);
             }
-            Action::Cancel { request, attempt } => {
+            Action::CancelAttempt { request, attempt } => {
                 let attempts = self.live.get(&request).map(|l| &l.attempts);
                 let stage = attempts.and_then(|a| a.get(attempt)).map(|a| a.stage);
                 // A stream that has begun belongs to its client and is not called off.
@@ -532,8 +535,8 @@
                 }
             }
             Action::Probe { replica } => out.push(Command::Probe { replica }),
-            Action::Subscribe => out.push(Command::Watch),
-            Action::Wake { after } => {
+            Action::WatchEndpoints => out.push(Command::Watch),
+            Action::SetTimer { after } => {
                 self.timers
                     .insert((now.saturating_add(micros(after)), Due::Wake));
             }
--- a/src/transport/client.rs
+++ b/src/transport/client.rs
@@ -14,7 +14,7 @@
 use crate::protocol::request::{self, Reject, Route, MOST_BODY};
 use bytes::Bytes;
 use futures_util::{SinkExt, StreamExt};
-use poppykeel_scheduler::interface::{Arrival, RequestId};
+use poppykeel_scheduler::interface::{IncomingRequest, RequestId};
 use std::io::ErrorKind;
 use std::rc::Rc;
 use std::time::Duration;
@@ -308,7 +308,7 @@
     /// Gives a request to the core and waits for its answer. The outer error says that the client has left.
     async fn ask(
         &mut self,
-        arrival: Arrival,
+        arrival: IncomingRequest,
         payload: Payload,
     ) -> Result<Result<Answer, Leave>, Leave> {
         let (answer, answered) = oneshot::channel();
--- a/src/transport/clients.rs
+++ b/src/transport/clients.rs
@@ -5,7 +5,7 @@
 use super::shutdown::Shutdown;
 use super::streams::Streams;
 use super::Bounds;
-use poppykeel_site_settings::Boot;
+use poppykeel_site_settings::SiteSettings;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -16,7 +16,7 @@
 /// What all clients' connections share.
 pub struct Shared {
     /// The settings, as they are now.
-    pub boot: RefCell<Rc<Boot>>,
+    pub boot: RefCell<Rc<SiteSettings>>,
     /// The figures.
     pub bounds: Rc<Bounds>,
     /// To the core.
@@ -42,7 +42,7 @@
 impl Shared {
     /// Nobody is connected yet.
     pub fn new(
-        boot: Rc<Boot>,
+        boot: Rc<SiteSettings>,
         bounds: Rc<Bounds>,
         tell: mpsc::Sender<Message>,
         phase: watch::Receiver<Phase>,
--- a/src/transport/discovery.rs
+++ b/src/transport/discovery.rs
@@ -14,8 +14,8 @@
 use crate::routing::seconds;
 use futures_util::{SinkExt, StreamExt};
 use poppykeel_endpoints::Told;
-use poppykeel_scheduler::interface::{Allowed, Spend, Wanted};
-use poppykeel_scheduler::Spendings;
+use poppykeel_scheduler::interface::{BudgetDemand, BudgetGrants, BudgetKind};
+use poppykeel_scheduler::BudgetLedger;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -62,7 +62,7 @@
     pushed: bool,
     last_call: Rc<Cell<LastCall>>,
     /// What the fleet allows of calls.
-    calls: Rc<RefCell<Spendings>>,
+    calls: Rc<RefCell<BudgetLedger>>,
     clock: Clock,
 }
 
@@ -118,28 +118,30 @@
     }
 
     /// What the fleet allows of calls from now on.
-    pub fn allow(&self, allowed: &Allowed) {
+    pub fn allow(&self, allowed: &BudgetGrants) {
         let calls = allowed
             .iter()
-            .filter(|(what, _)| **what == Spend::Discovery);
+            .filter(|(what, _)| **what == BudgetKind::Discovery);
         let calls = calls.map(|(what, budget)| (*what, *budget)).collect();
         self.calls
             .borrow_mut()
-            .set(seconds(self.clock.now()), &calls);
+            .set_grants(seconds(self.clock.now()), &calls);
     }
 
     /// What has been wanted of that.
-    pub fn wanted(&self) -> BTreeMap<Spend, Wanted> {
-        self.calls.borrow().wanted()
+    pub fn wanted(&self) -> BTreeMap<BudgetKind, BudgetDemand> {
+        self.calls.borrow().demand()
     }
 
     /// Waits until the fleet's budget has a call for this node.
     async fn permitted(&self) {
-        self.calls.borrow_mut().want(Spend::Discovery, 1.0, 1.0);
+        self.calls
+            .borrow_mut()
+            .record_demand(BudgetKind::Discovery, 1.0, 1.0);
         while !self
             .calls
             .borrow_mut()
-            .spend(seconds(self.clock.now()), Spend::Discovery)
+            .spend_unit(seconds(self.clock.now()), BudgetKind::Discovery)
         {
             tokio::time::sleep(LOOK).await;
         }
--- a/src/transport/fleet/budgets.rs
+++ b/src/transport/fleet/budgets.rs
@@ -6,7 +6,7 @@
 use crate::transport::messages::Message;
 use poppykeel_coordination::budget::{self, Count, Party};
 use poppykeel_coordination::envelope::Body;
-use poppykeel_scheduler::interface::{Allowed, Budget, Spend, Wanted};
+use poppykeel_scheduler::interface::{BudgetDemand, BudgetGrant, BudgetGrants, BudgetKind};
 use serde_json::{json, Value};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -19,13 +19,13 @@
 /// A tenant's budget is named so, with the tenant's name behind it.
 pub const TENANT: &str = "tenant:";
 /// The names of all others.
-const NAMES: [(&str, Spend); 6] = [
-    ("retries", Spend::Retries),
-    ("copies", Spend::Copies),
-    ("probes", Spend::Probes),
-    ("crossings", Spend::Crossings),
-    ("cold", Spend::Cold),
-    ("discovery", Spend::Discovery),
+const NAMES: [(&str, BudgetKind); 6] = [
+    ("retries", BudgetKind::Retries),
+    ("copies", BudgetKind::HedgedAttempts),
+    ("probes", BudgetKind::Probes),
+    ("crossings", BudgetKind::CrossZone),
+    ("cold", BudgetKind::SlowStart),
+    ("discovery", BudgetKind::Discovery),
 ];
 
 /// The budgets of a fleet.
@@ -39,12 +39,12 @@
 
 impl Budgets {
     /// What a budget is spent on, by its name.
-    fn spend(&self, name: &str) -> Option<Spend> {
+    fn spend(&self, name: &str) -> Option<BudgetKind> {
         let tenant = |name: &str| {
             self.tenants
                 .iter()
                 .position(|t| t == name)
-                .map(Spend::Tenant)
+                .map(BudgetKind::Tenant)
         };
         let known = NAMES
             .iter()
@@ -54,16 +54,16 @@
     }
 
     /// What the core may spend, by the party's clock at `now` and the core's at `core`.
-    pub fn allowed(&self, party: &Party, now: Micros, core: Micros) -> Allowed {
+    pub fn allowed(&self, party: &Party, now: Micros, core: Micros) -> BudgetGrants {
         let thousandths = |x: u64| x as f64 / 1e3;
         let all = party.settings().wholes.iter().filter_map(|(name, whole)| {
             let (rate, burst, until) = party.share(name, now);
-            let budget = Budget {
+            let budget = BudgetGrant {
                 rate: thousandths(rate),
                 burst: thousandths(burst),
-                floor: thousandths(whole.floor),
-                floor_burst: thousandths(whole.floor_burst),
-                until: seconds(core.saturating_add(until.saturating_sub(now))),
+                guaranteed_rate: thousandths(whole.floor),
+                guaranteed_burst: thousandths(whole.floor_burst),
+                expires_at: seconds(core.saturating_add(until.saturating_sub(now))),
             };
             Some((self.spend(name)?, budget))
         });
@@ -71,14 +71,14 @@
     }
 
     /// What the core has wanted, by the budgets' names.
-    pub fn counted(&self, wanted: &BTreeMap<Spend, Wanted>) -> BTreeMap<String, Count> {
+    pub fn counted(&self, wanted: &BTreeMap<BudgetKind, BudgetDemand>) -> BTreeMap<String, Count> {
         let counted = self.settings.wholes.keys().filter_map(|name| {
             let wanted = wanted.get(&self.spend(name)?)?;
             Some((
                 name.clone(),
                 Count {
                     units: (wanted.units * 1e3) as u64,
-                    worth: wanted.worth,
+                    worth: wanted.priority_weight,
                 },
             ))
         });
@@ -156,12 +156,12 @@
         }
     }
 
-    fn allowed(&self) -> Allowed {
+    fn allowed(&self) -> BudgetGrants {
         let (now, core) = (self.clock.now(), self.uptime());
         let (party, budgets) = (self.budgets.party.borrow(), self.budgets.budgets.borrow());
         match (&*party, &*budgets) {
             (Some(party), Some(budgets)) => budgets.allowed(party, now, core),
-            _ => Allowed::new(),
+            _ => BudgetGrants::new(),
         }
     }
 
--- a/src/transport/handover.rs
+++ b/src/transport/handover.rs
@@ -4,7 +4,7 @@
 use super::clock::Clock;
 use super::messages::Message;
 use crate::routing::handover::{self, MOST};
-use poppykeel_site_settings::Boot;
+use poppykeel_site_settings::SiteSettings;
 use std::cell::Cell;
 use std::fs;
 use std::io;
@@ -31,7 +31,7 @@
     me: u64,
     clock: Clock,
     tell: mpsc::Sender<Message>,
-    boot: Rc<Boot>,
+    boot: Rc<SiteSettings>,
     /// When this process left something last; until it is taken or out of date nothing else is looked for.
     left_at: Cell<Option<Instant>>,
 }
@@ -41,7 +41,7 @@
     pub fn new(
         folder: &Path,
         name: &str,
-        boot: Rc<Boot>,
+        boot: Rc<SiteSettings>,
         tell: mpsc::Sender<Message>,
         clock: Clock,
     ) -> Self {
@@ -127,7 +127,7 @@
     async fn take(&self, bytes: &[u8]) {
         match handover::read(bytes, self.me, self.unix_ms(), &self.boot.names) {
             Ok(memory) => {
-                let (requests, sessions) = (memory.arrivals, memory.places.len());
+                let (requests, sessions) = (memory.requests_seen, memory.sessions.len());
                 tracing::info!(requests, sessions, "learned from the process before");
                 let _ = self.tell.send(Message::Recall(Box::new(memory))).await;
             }
@@ -142,7 +142,7 @@
         let Some(memory) = told
             .await
             .ok()
-            .filter(|memory| asked && memory.arrivals > 0)
+            .filter(|memory| asked && memory.requests_seen > 0)
         else {
             return;
         };
--- a/src/transport/hub.rs
+++ b/src/transport/hub.rs
@@ -8,7 +8,9 @@
 use crate::routing::directory::{Changed, Directory};
 use crate::routing::{Command, Input, Micros, Router};
 use poppykeel_endpoints::Told;
-use poppykeel_scheduler::interface::{Listing, Outcome, ReplicaId, ReplicaState, RequestId};
+use poppykeel_scheduler::interface::{
+    AttemptOutcome, Endpoint, EndpointState, ReplicaId, RequestId,
+};
 use std::cell::Cell;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::rc::Rc;
@@ -157,9 +159,9 @@
                 asker,
             } => {
                 self.remember(arrival.id, asker);
-                let class = self.upstream.boot.settings.classes.get(arrival.class);
+                let class = self.upstream.boot.scheduler.classes.get(arrival.class);
                 let token_aim = class
-                    .map(|c| c.token_aim * 1e6)
+                    .map(|c| c.inter_token_objective * 1e6)
                     .filter(|aim| aim.is_finite());
                 let token_aim = token_aim.map(|aim| aim as Micros);
                 let of = (arrival.class, arrival.tenant);
@@ -241,7 +243,7 @@
                 return self.carry_out(now);
             }
             Message::Settings(boot, done) => {
-                match self.router.resettle(boot.settings.clone()) {
+                match self.router.resettle(boot.scheduler.clone()) {
                     Ok(()) => self.upstream.boot = boot,
                     Err(e) => tracing::error!(why = %e, "settings kept as they were"),
                 }
@@ -304,10 +306,10 @@
         for Changed { listing, name } in &list {
             tracing::info!(source, replica = %listing.id.0, name, state = ?listing.state, "list changed");
         }
-        let list: Vec<Listing> = list.into_iter().map(|c| c.listing).collect();
+        let list: Vec<Endpoint> = list.into_iter().map(|c| c.listing).collect();
         let leaving = list
             .iter()
-            .filter(|l| l.state != ReplicaState::Up)
+            .filter(|l| l.state != EndpointState::Available)
             .map(|l| l.id)
             .collect();
         self.router
@@ -331,7 +333,7 @@
             .map(|(of, _)| *of);
         let mut attempts: Vec<(RequestId, usize)> = attempts.collect();
         attempts.sort_unstable();
-        let outcome = Outcome::Moot;
+        let outcome = AttemptOutcome::NotSent;
         for (request, attempt) in attempts {
             self.attempts
                 .remove(&(request, attempt))
@@ -456,7 +458,7 @@
                     let payload = self.clients.get(&request).map(|c| c.payload.clone());
                     let (Some(addr), Some(payload)) = (addr, payload) else {
                         // The list has lost it since: the attempt never left.
-                        let outcome = Outcome::Moot;
+                        let outcome = AttemptOutcome::NotSent;
                         let input = Input::Ended {
                             request,
                             attempt,
@@ -470,7 +472,7 @@
                     let client = self.clients.get(&request);
                     let token_aim = client.and_then(|c| c.token_aim);
                     let crosses =
-                        self.directory.zone(replica) != Some(self.upstream.boot.settings.zone);
+                        self.directory.zone(replica) != Some(self.upstream.boot.scheduler.zone);
                     let crosses = client.map(|c| c.of).filter(|_| crosses);
                     let begun = Rc::new(Cell::new(false));
                     let told = begun.clone();
@@ -548,8 +550,8 @@
 fn log_input(input: &Input) {
     match input {
         Input::Arrived(a) => {
-            let (session, prefix) = (a.session, a.prefix);
-            let (prompt_tokens, prefix_tokens) = (a.prompt_tokens, a.prefix_tokens);
+            let (session, prefix) = (a.session, a.shared_prefix);
+            let (prompt_tokens, prefix_tokens) = (a.prompt_tokens, a.shared_prefix_tokens);
             let (request, class, tenant) = (a.id, a.class, a.tenant);
             tracing::debug!(
                 %request, class, tenant, session, prefix, prompt_tokens, prefix_tokens, "arrived"
--- a/src/transport/messages.rs
+++ b/src/transport/messages.rs
@@ -6,9 +6,9 @@
 use bytes::Bytes;
 use poppykeel_endpoints::Told;
 use poppykeel_scheduler::interface::{
-    Allowed, Arrival, Memory, ReplicaId, RequestId, Spend, Wanted,
+    BudgetDemand, BudgetGrants, BudgetKind, IncomingRequest, LearnedState, ReplicaId, RequestId,
 };
-use poppykeel_site_settings::Boot;
+use poppykeel_site_settings::SiteSettings;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::time::Duration;
@@ -73,7 +73,7 @@
     /// A request and where its answer goes.
     Request {
         /// What the module is told.
-        arrival: Arrival,
+        arrival: IncomingRequest,
         /// What replicas are sent.
         payload: Payload,
         /// To the client's driver.
@@ -115,19 +115,19 @@
     /// Another node of the fleet tries ejected replicas for all: whether it found them well.
     Advice(Vec<(String, bool)>),
     /// What the fleet allows this node from now on.
-    Allow(Allowed),
+    Allow(BudgetGrants),
     /// What has been wanted since the start of what the fleet has budgets for.
-    Wanted(oneshot::Sender<BTreeMap<Spend, Wanted>>),
+    Wanted(oneshot::Sender<BTreeMap<BudgetKind, BudgetDemand>>),
     /// An operator asks for the account of crossings.
     Crossings(oneshot::Sender<Vec<Crossed>>),
     /// What has been learned is to be handed to another process of this node.
-    Learned(oneshot::Sender<Memory>),
+    Learned(oneshot::Sender<LearnedState>),
     /// Another process of this node has handed over what it had learned.
-    Recall(Box<Memory>),
+    Recall(Box<LearnedState>),
     /// An operator asks for the figures.
     Figures(oneshot::Sender<Figures>),
     /// New settings for the core; answered once they hold.
-    Settings(Rc<Boot>, oneshot::Sender<()>),
+    Settings(Rc<SiteSettings>, oneshot::Sender<()>),
     /// The node ends: whoever still waits for a first token after this time is given a final answer.
     AnswerAllWithin(Duration),
     /// The log is to say what has happened so far; answered once it has.
--- a/src/transport/relay.rs
+++ b/src/transport/relay.rs
@@ -7,8 +7,8 @@
 use crate::protocol::http::Head;
 use crate::protocol::request;
 use bytes::Bytes;
-use poppykeel_scheduler::interface::{Arrival, Effect, ReplicaId, RequestId};
-use poppykeel_site_settings::Boot;
+use poppykeel_scheduler::interface::{Idempotency, IncomingRequest, ReplicaId, RequestId};
+use poppykeel_site_settings::SiteSettings;
 use poppykeel_stream_recovery::{judge, Case, Ends, Progress, Refusal, Story};
 use std::rc::Rc;
 
@@ -17,7 +17,7 @@
     streams: Rc<Streams>,
     continues: Continues,
     story: Story,
-    arrival: Arrival,
+    arrival: IncomingRequest,
     head: Head,
     body: Bytes,
     repeatable: bool,
@@ -31,7 +31,7 @@
     /// These bytes end it whole.
     Complete(Bytes),
     /// This asks for the rest.
-    Ask(Box<(Arrival, Payload)>),
+    Ask(Box<(IncomingRequest, Payload)>),
     /// These bytes tell the client that it failed.
     Fail(Bytes),
 }
@@ -40,8 +40,8 @@
     /// Follows a stream; none where streams are not continued here.
     pub fn new(
         streams: &Rc<Streams>,
-        boot: &Boot,
-        arrival: Arrival,
+        boot: &SiteSettings,
+        arrival: IncomingRequest,
         head: Head,
         body: Bytes,
         replica: ReplicaId,
@@ -51,9 +51,13 @@
             .settings()
             .continues
             .filter(|_| content_type.starts_with("text/event-stream"))?;
-        let effect = boot.settings.classes.get(arrival.class).map(|c| c.effect);
+        let effect = boot
+            .scheduler
+            .classes
+            .get(arrival.class)
+            .map(|c| c.idempotency);
         let (streams, story) = (streams.clone(), Story::default());
-        let repeatable = effect == Some(Effect::Safe);
+        let repeatable = effect == Some(Idempotency::Idempotent);
         Some(Relay {
             streams,
             continues,
@@ -123,9 +127,9 @@
                 // A request of its own: a server that remembers ids must not take it for a repeat.
                 arrival.id = RequestId(next_id(self.arrival.id.0, epoch));
                 arrival.prompt_tokens += tokens;
-                arrival.answer_limit = arrival.answer_limit.saturating_sub(tokens).max(1);
+                arrival.max_output_tokens = arrival.max_output_tokens.saturating_sub(tokens).max(1);
                 arrival.time_left = arrival.time_left.min(self.continues.wait.as_secs_f64());
-                arrival.repeat = false;
+                arrival.is_client_retry = false;
                 tracing::info!(request = %self.arrival.id, next = %arrival.id, epoch, tokens, "stream continued");
                 self.arrival = arrival.clone();
                 let head = request::upstream_head(&self.head, rest.len(), Some(arrival.id));
--- a/src/transport/upstream.rs
+++ b/src/transport/upstream.rs
@@ -14,8 +14,8 @@
 use crate::routing::{Input, Micros};
 use bytes::{Buf, Bytes};
 use futures_util::{SinkExt, StreamExt};
-use poppykeel_scheduler::interface::{Outcome, ReplicaId, Report, RequestId};
-use poppykeel_site_settings::Boot;
+use poppykeel_scheduler::interface::{AttemptOutcome, LoadReport, ReplicaId, RequestId};
+use poppykeel_site_settings::SiteSettings;
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -37,7 +37,7 @@
     /// To the core.
     pub tell: mpsc::Sender<Message>,
     /// The settings.
-    pub boot: Rc<Boot>,
+    pub boot: Rc<SiteSettings>,
     /// The figures.
     pub bounds: Rc<Bounds>,
     /// What all streams share.
@@ -102,12 +102,12 @@
         }
     }
 
-    async fn exchange(&self, job: Job) -> (Outcome, Option<Report>, Option<Conn>) {
+    async fn exchange(&self, job: Job) -> (AttemptOutcome, Option<LoadReport>, Option<Conn>) {
         let mut conn = match self.pool.get(job.peer).await {
             Ok(conn) => conn,
-            Err(NoConn::Failed) => return (Outcome::ConnectFailed, None, None),
+            Err(NoConn::Failed) => return (AttemptOutcome::ConnectFailed, None, None),
             // Not the replica's fault: nothing may be held against it.
-            Err(NoConn::Exhausted) => return (Outcome::Moot, None, None),
+            Err(NoConn::Exhausted) => return (AttemptOutcome::NotSent, None, None),
         };
         // Nothing is awaited between this and the first write.
         job.begun.set(true);
@@ -117,7 +117,7 @@
             .is_err()
         {
             // Before its last byte is written a request can't have run.
-            return (Outcome::ConnectFailed, None, None);
+            return (AttemptOutcome::ConnectFailed, None, None);
         }
         self.written.set(self.written.get() + 1);
         if let Some((class, tenant)) = job.crosses {
@@ -141,7 +141,7 @@
                         // not be left waiting with it.
                         Err(_) => {
                             live.iter().for_each(|l| l.gave_up(silence));
-                            return (Outcome::TimedOut, None, None);
+                            return (AttemptOutcome::TimedOut, None, None);
                         }
                     }
                 }
@@ -187,11 +187,11 @@
                         }
                     }
                     Step::Done(outcome, report) => {
-                        if let (Some(sender), Outcome::Served) = (&to_client, outcome) {
+                        if let (Some(sender), AttemptOutcome::Completed) = (&to_client, outcome) {
                             let _ = sender.send(Piece::End).await;
                         }
-                        let broken = matches!(outcome, Outcome::Reset);
-                        if broken || outcome == Outcome::Served {
+                        let broken = matches!(outcome, AttemptOutcome::ConnectionReset);
+                        if broken || outcome == AttemptOutcome::Completed {
                             live.iter().for_each(|l| l.ended(!broken));
                         }
                         return (outcome, report, Some(conn).filter(|_| keep && !broken));
@@ -204,10 +204,10 @@
     /// Asks a replica for its load, or for its health where there are no reports.
     pub async fn probe(self, replica: ReplicaId, addr: Option<SocketAddr>) {
         let (outcome, report) = match addr {
-            None => (Outcome::ConnectFailed, None),
+            None => (AttemptOutcome::ConnectFailed, None),
             Some(addr) => tokio::time::timeout(self.bounds.probe, self.ask((replica, addr)))
                 .await
-                .unwrap_or((Outcome::TimedOut, None)),
+                .unwrap_or((AttemptOutcome::TimedOut, None)),
         };
         let _ = self
             .tell
@@ -222,11 +222,11 @@
             .await;
     }
 
-    async fn ask(&self, peer: Peer) -> (Outcome, Option<Report>) {
+    async fn ask(&self, peer: Peer) -> (AttemptOutcome, Option<LoadReport>) {
         let Ok(mut conn) = self.pool.get(peer).await else {
-            return (Outcome::ConnectFailed, None);
+            return (AttemptOutcome::ConnectFailed, None);
         };
-        let target = if self.boot.names.fields.is_empty() {
+        let target = if self.boot.names.report_fields.is_empty() {
             "/healthz"
         } else {
             "/load"
@@ -239,7 +239,7 @@
         .await
         .is_err()
         {
-            return (Outcome::ConnectFailed, None);
+            return (AttemptOutcome::ConnectFailed, None);
         }
         let (mut status, mut keep, mut body) = (0, false, Vec::new());
         loop {
@@ -253,9 +253,9 @@
                     };
                 }
                 Some(Ok(Part::Body(bytes))) if body.len() < PIECE => body.extend_from_slice(&bytes),
-                Some(Ok(Part::Body(_))) => return (Outcome::Error, None),
+                Some(Ok(Part::Body(_))) => return (AttemptOutcome::ServerError, None),
                 Some(Ok(Part::End)) => break,
-                _ => return (Outcome::Reset, None),
+                _ => return (AttemptOutcome::ConnectionReset, None),
             }
         }
         if keep {
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -9,7 +9,7 @@
 
 use poppykeel::routing::handover::{read, write, Doubt};
 use poppykeel_scheduler::interface::*;
-use poppykeel_site_settings::Names;
+use poppykeel_site_settings::SiteNames;
 use poppykeel_stub_model_server::{Outcome as Seen, Script, Standin};
 use proptest::prelude::*;
 use rig::*;
@@ -17,22 +17,22 @@
 use std::time::{Duration, Instant};
 use support::{ask, Node};
 
-fn names() -> Names {
-    Names {
-        kinds: vec!["k".into()],
+fn names() -> SiteNames {
+    SiteNames {
+        host_types: vec!["k".into()],
         classes: vec!["chat".into()],
-        ..Names::default()
+        ..SiteNames::default()
     }
 }
 
-fn memory() -> Memory {
+fn memory() -> LearnedState {
     let place = (7, "10.0.0.1:80".parse().unwrap(), 800.0);
-    Memory {
-        arrivals: 9,
-        hold_time: 1.0,
-        places: vec![place],
-        paces: vec![(0, 4.0, 0.3)],
-        ..Memory::default()
+    LearnedState {
+        requests_seen: 9,
+        mean_service_time: 1.0,
+        sessions: vec![place],
+        prefill_times: vec![(0, 4.0, 0.3)],
+        ..LearnedState::default()
     }
 }
 
@@ -50,26 +50,26 @@
         read(&bytes, 2, now - 2_000, &names),
         Err(Doubt::Age(-2_000))
     );
-    let other = Names {
-        kinds: vec!["other".into()],
+    let other = SiteNames {
+        host_types: vec!["other".into()],
         ..names.clone()
     };
     assert_eq!(read(&bytes, 2, now, &other), Err(Doubt::OtherSite));
     let absurd = [
-        Memory {
-            first: f64::NAN,
+        LearnedState {
+            mean_time_to_first_token: f64::NAN,
             ..memory()
         },
-        Memory {
-            pool_part: -1.0,
+        LearnedState {
+            concurrency_per_replica: -1.0,
             ..memory()
         },
-        Memory {
-            paces: vec![(0, 1.0, 1e6)],
+        LearnedState {
+            prefill_times: vec![(0, 1.0, 1e6)],
             ..memory()
         },
-        Memory {
-            kept: [2.0; 3],
+        LearnedState {
+            cache_hit_rates: [2.0; 3],
             ..memory()
         },
     ];
@@ -102,44 +102,47 @@
 /// requests out; without what was handed over it does neither.
 #[test]
 fn a_router_goes_on_where_the_one_before_it_was() {
-    let turn = |n: u64, session: u64| Arrival {
+    let turn = |n: u64, session: u64| IncomingRequest {
         session: Some(session),
         ..request(n, 0, 0, 30.0)
     };
     let mut old = Rig::new(settings(), 8);
     for n in 1..=400 {
-        let sent = sends(&old.tell(Event::Arrived(turn(n, n % 40))));
+        let sent = sends(&old.tell(Event::RequestArrived(turn(n, n % 40))));
         assert_eq!(sent.len(), 1);
         old.now += 0.05;
         old.start(n, 0.05);
-        let report = Report {
-            kept: Some(700.0),
-            ..Report::default()
+        let report = LoadReport {
+            cached_prompt_tokens: Some(700.0),
+            ..LoadReport::default()
         };
-        let (request, outcome) = (RequestId(n), Outcome::Served);
-        old.tell(Event::Ended {
+        let (request, outcome) = (RequestId(n), AttemptOutcome::Completed);
+        old.tell(Event::AttemptEnded {
             request,
             attempt: 0,
             outcome,
-            last: true,
+            is_request_finished: true,
             report: Some(report),
         });
     }
-    let memory = old.brain.memory();
-    assert!(memory.sane() && memory.places.len() == 40, "{memory:?}");
+    let memory = old.brain.export_learned_state();
+    assert!(
+        memory.is_plausible() && memory.sessions.len() == 40,
+        "{memory:?}"
+    );
     let same = |recall: bool| {
         let mut new = Rig::new(settings(), 8);
         if recall {
-            new.brain.recall(&memory);
+            new.brain.import_learned_state(&memory);
         }
         let places = memory
-            .places
+            .sessions
             .iter()
             .enumerate()
             .filter(|(n, (session, at, _))| {
                 let n = 1000 + *n as u64;
-                let sent = sends(&new.tell(Event::Arrived(turn(n, *session))));
-                new.end(n, 0, Outcome::Served, true);
+                let sent = sends(&new.tell(Event::RequestArrived(turn(n, *session))));
+                new.end(n, 0, AttemptOutcome::Completed, true);
                 sent.first().is_some_and(|s| s.1 .0 == *at)
             });
         (places.count(), new.brain.gauges().0)
--- a/tests/hub.rs
+++ b/tests/hub.rs
@@ -12,8 +12,8 @@
 use poppykeel::transport::pool::Pool;
 use poppykeel::transport::streams::Streams;
 use poppykeel::transport::upstream::Upstream;
-use poppykeel_scheduler::interface::{Arrival, RequestId};
-use poppykeel_scheduler::Brain;
+use poppykeel_scheduler::interface::{IncomingRequest, RequestId};
+use poppykeel_scheduler::Scheduler;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -32,7 +32,7 @@
     let config = Config::read(&config, &[]).unwrap();
     let (tell, told) = mpsc::channel(16);
     let (clock, bounds, boot) = (Clock::start(), Rc::new(config.bounds), Rc::new(config.boot));
-    let brain = Brain::new(boot.settings.clone(), config.seed).unwrap();
+    let brain = Scheduler::new(boot.scheduler.clone(), config.seed).unwrap();
     let watch = Watch::new(config.discovery, bounds.clone(), tell.clone(), clock);
     let directory = Directory::new(boot.clone(), Operator::default().members());
     let upstream = Upstream {
@@ -52,18 +52,18 @@
 }
 
 fn request(id: u64, asker: Asker) -> (Message, oneshot::Receiver<Answer>) {
-    let arrival = Arrival {
+    let arrival = IncomingRequest {
         id: RequestId(id),
         class: 0,
         tenant: 0,
         session: None,
-        prefix: None,
+        shared_prefix: None,
         time_left: PATIENCE.as_secs_f64(),
         expected_work: None,
         prompt_tokens: 1,
-        prefix_tokens: 0,
-        answer_limit: 1,
-        repeat: false,
+        shared_prefix_tokens: 0,
+        max_output_tokens: 1,
+        is_client_retry: false,
     };
     let head = format!("POST /v1/chat/completions?id={id} HTTP/1.1\r\n").into_bytes();
     let payload = Payload {
--- a/tests/protocol.rs
+++ b/tests/protocol.rs
@@ -7,8 +7,8 @@
 use poppykeel::protocol::discovery::read;
 use poppykeel::protocol::http::{Fault, Http, Part, Side};
 use poppykeel::routing::directory::{identity, Directory, Moment};
-use poppykeel_scheduler::interface::Outcome;
-use poppykeel_site_settings::Boot;
+use poppykeel_scheduler::interface::AttemptOutcome;
+use poppykeel_site_settings::SiteSettings;
 use serde_json::json;
 use std::rc::Rc;
 use tokio_util::codec::Decoder;
@@ -57,7 +57,7 @@
     // with each list seemed later each time, and the replica colder.
     let settings =
         serde_json::from_str::<serde_json::Value>(CONFIG).unwrap()["settings"].to_string();
-    let boot = Boot::read(&settings).unwrap();
+    let boot = SiteSettings::parse(&settings).unwrap();
     let list = |addr: &str, state: &str| {
         let server = json!({"id":"s-1","addr":addr,"zone":"a","kind":"k","cell":0,"state":state,
             "weight":1.0,"started_ms":1_000_000});
@@ -77,12 +77,12 @@
         },
     );
     assert_eq!(
-        (first[0].listing.id, first[0].listing.born),
+        (first[0].listing.id, first[0].listing.started_at),
         (identity("s-1"), Some(20.0))
     );
     assert_eq!(
-        (next[0].listing.id, next[0].listing.born),
-        (first[0].listing.id, first[0].listing.born)
+        (next[0].listing.id, next[0].listing.started_at),
+        (first[0].listing.id, first[0].listing.started_at)
     );
     assert_eq!(directory.addr(first[0].listing.id).unwrap().port(), 2);
     directory.told("list", list("127.0.0.1:2", "removed"), Moment { now, unix });
@@ -125,7 +125,7 @@
 fn feed(bodies: &[&str], end: bool) -> Vec<Step> {
     let settings =
         serde_json::from_str::<serde_json::Value>(CONFIG).unwrap()["settings"].to_string();
-    let mut answer = Answer::new(Rc::new(Boot::read(&settings).unwrap()));
+    let mut answer = Answer::new(Rc::new(SiteSettings::parse(&settings).unwrap()));
     let mut steps = Vec::new();
     let mut buffer = BytesMut::from("HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n");
     answer.feed(
@@ -144,7 +144,7 @@
 
 #[test]
 fn a_stream_without_an_event_was_not_served() {
-    let spoilt = [Step::Done(Outcome::Reset, None)];
+    let spoilt = [Step::Done(AttemptOutcome::ConnectionReset, None)];
     assert_eq!(feed(&["what is this"], true), spoilt);
     assert_eq!(feed(&[], true), spoilt);
     assert_eq!(feed(&["x".repeat(100_000).as_str()], false), spoilt);
@@ -154,7 +154,7 @@
     assert_eq!(late.len(), 3, "{late:?}");
     assert_eq!(
         feed(&["data: 1\n\n"], true).last(),
-        Some(&Step::Done(Outcome::Served, None))
+        Some(&Step::Done(AttemptOutcome::Completed, None))
     );
 }
 
@@ -187,24 +187,28 @@
     let mut settings =
         serde_json::from_str::<serde_json::Value>(CONFIG).unwrap()["settings"].clone();
     settings["report"]["fields"] = json!(["x0", "x1", "busy_reqs", "pending", "svc_ms"]);
-    let boot = Boot::read(&settings.to_string()).unwrap();
+    let boot = SiteSettings::parse(&settings.to_string()).unwrap();
     let read = |text: &str| poppykeel::protocol::report::report(text, &boot).unwrap();
     let report = read(r#"{"x0":0.5,"x1":2.0,"inflight":6,"queue":2,"extra":1}"#);
     let expected = (Some(0.5), Some(2000.0), Some(6.0), Some(2.0));
     assert_eq!(
         (
-            report.memory_held,
-            report.waiting_prompt_tokens,
-            report.holding,
-            report.queued
+            report.memory_utilization,
+            report.queued_prompt_tokens,
+            report.requests_held,
+            report.requests_queued
         ),
         expected
     );
-    assert_eq!(read(r#"{"pending":3}"#).queued, Some(3.0));
+    assert_eq!(read(r#"{"pending":3}"#).requests_queued, Some(3.0));
     let before = poppykeel::protocol::report::passed_over();
     let bad = read(r#"{"x0":"much","x1":-2,"pending":null}"#);
     assert_eq!(
-        (bad.memory_held, bad.waiting_prompt_tokens, bad.queued),
+        (
+            bad.memory_utilization,
+            bad.queued_prompt_tokens,
+            bad.requests_queued
+        ),
         (None, None, None)
     );
     assert_eq!(poppykeel::protocol::report::report("[1,2]", &boot), None);
--- a/tests/routing.rs
+++ b/tests/routing.rs
@@ -3,25 +3,25 @@
 use poppykeel::routing::directory::identity;
 use poppykeel::routing::{Command, Input, Micros, Router};
 use poppykeel_scheduler::interface::*;
-use poppykeel_scheduler::Brain;
-use poppykeel_site_settings::Boot;
+use poppykeel_scheduler::Scheduler;
+use poppykeel_site_settings::SiteSettings;
 
 const R: RequestId = RequestId(1);
 
 fn router() -> Router {
     let config: serde_json::Value =
         serde_json::from_str(include_str!("exchanges/config.json")).unwrap();
-    let boot = Boot::read(&config["settings"].to_string()).unwrap();
-    let mut router = Router::new(Brain::new(boot.settings, 1).unwrap());
-    let (id, state) = (identity("s-1"), ReplicaState::Up);
-    let list = vec![Listing {
+    let boot = SiteSettings::parse(&config["settings"].to_string()).unwrap();
+    let mut router = Router::new(Scheduler::new(boot.scheduler, 1).unwrap());
+    let (id, state) = (identity("s-1"), EndpointState::Available);
+    let list = vec![Endpoint {
         id,
         zone: 0,
         cell: 0,
-        kind: 0,
+        host_type: 0,
         state,
-        size: None,
-        born: None,
+        capacity_weight: None,
+        started_at: None,
     }];
     router.handle(0, Input::List { list, full: true }, &mut Vec::new());
     router
@@ -34,18 +34,18 @@
 }
 
 fn arrive(router: &mut Router, id: RequestId, time_left: Seconds) -> Vec<Command> {
-    let arrival = Arrival {
+    let arrival = IncomingRequest {
         id,
         class: 0,
         tenant: 0,
         session: None,
-        prefix: None,
+        shared_prefix: None,
         time_left,
         expected_work: None,
         prompt_tokens: 10,
-        prefix_tokens: 0,
-        answer_limit: 10,
-        repeat: false,
+        shared_prefix_tokens: 0,
+        max_output_tokens: 10,
+        is_client_retry: false,
     };
     tell(router, 1_000, Input::Arrived(arrival))
 }
@@ -58,7 +58,7 @@
     out
 }
 
-fn ended(attempt: usize, outcome: Outcome) -> Input {
+fn ended(attempt: usize, outcome: AttemptOutcome) -> Input {
     Input::Ended {
         request: R,
         attempt,
@@ -98,7 +98,7 @@
     );
     let later = run_to(&mut router, 9_000_000);
     assert!(later.iter().all(|c| *c == Command::Watch), "{later:?}");
-    tell(&mut router, 9_000_000, ended(0, Outcome::Served));
+    tell(&mut router, 9_000_000, ended(0, AttemptOutcome::Completed));
     assert_eq!((router.live(), router.counts().served), (0, 1));
 }
 
@@ -131,7 +131,7 @@
         }
     )
     .is_empty());
-    assert!(tell(&mut router, 1_060_000, ended(0, Outcome::Served)).is_empty());
+    assert!(tell(&mut router, 1_060_000, ended(0, AttemptOutcome::Completed)).is_empty());
     assert_eq!(
         (
             router.live(),
@@ -162,7 +162,12 @@
             attempt: 0
         }]
     );
-    assert!(tell(&mut router, 4_000, ended(0, Outcome::Reset)).is_empty());
+    assert!(tell(
+        &mut router,
+        4_000,
+        ended(0, AttemptOutcome::ConnectionReset)
+    )
+    .is_empty());
     assert_eq!((router.live(), router.counts().ends[5]), (0, 1));
 }
 
@@ -178,7 +183,12 @@
             attempt: 0,
         },
     );
-    assert!(tell(&mut router, 3_000, ended(0, Outcome::Reset)).is_empty());
+    assert!(tell(
+        &mut router,
+        3_000,
+        ended(0, AttemptOutcome::ConnectionReset)
+    )
+    .is_empty());
     assert_eq!((router.live(), router.counts().broken), (0, 1));
 }
 
@@ -194,7 +204,7 @@
             attempt: 0,
         },
     );
-    tell(&mut router, 3_000, ended(0, Outcome::Served));
+    tell(&mut router, 3_000, ended(0, AttemptOutcome::Completed));
     arrive(&mut router, R, 9.0);
     let out = run_to(&mut router, 2_000_000);
     assert!(
