--- /dev/null
+++ b/tests/golden.rs
@@ -0,0 +1,135 @@
+//! Golden files of the program's stored forms: the record of what a node has learned, and the JSON log that
+//! `poppykeel streams` reads. Files that a landed version wrote must stay readable.
+
+mod support;
+
+use poppykeel::interface::Memory as Learned;
+use poppykeel::routing::handover::{read, write};
+use poppykeel::wire::Names;
+use poppykeel_standin::{Script, Standin};
+use serde_json::Value;
+use std::collections::{BTreeMap, BTreeSet};
+use std::fs;
+use std::path::{Path, PathBuf};
+use std::process::Command;
+use support::Node;
+
+/// The record of what a node has learned.
+const LEARNED_STATE: &str = "learned-state.record";
+/// The log of a node, as `serve --log-format json` wrote it.
+const NODE_LOG: &str = "node-log.jsonl";
+/// What `poppykeel streams` printed of that log.
+const STREAMS_TABLE: &str = "streams-table.txt";
+/// Messages of the log that `poppykeel streams` and the lab's view read, but for changes of the list.
+const SUMMARIES: [&str; 3] = ["summary", "streams", "streams of a replica"];
+/// The process that wrote the record.
+const WRITER: u64 = 0x0123_4567_89ab_cdef;
+/// The process that reads the record.
+const READER: u64 = 2;
+/// When the record was written, in milliseconds of Unix time.
+const WRITTEN_AT: i64 = 1_700_000_000_123;
+
+/// The committed file of this name.
+fn golden_path(name: &str) -> PathBuf {
+    Path::new(env!("CARGO_MANIFEST_DIR"))
+        .join("tests/golden")
+        .join(name)
+}
+
+/// Asserts that what the present code has written equals the committed file.
+fn assert_equals_golden_file(name: &str, written: &[u8]) {
+    let committed = fs::read(golden_path(name)).unwrap();
+    assert!(written == committed, "{name}: the bytes differ");
+}
+
+/// The names of the site at which the record was written.
+fn names() -> Names {
+    Names {
+        classes: vec!["chat".into(), "batch".into()],
+        zones: vec!["east".into(), "west".into(), "north".into()],
+        kinds: vec!["small".into(), "large".into()],
+        ..Names::default()
+    }
+}
+
+/// Learned state with a distinct value in every field.
+fn learned_state() -> Learned {
+    Learned {
+        arrivals: 1_000_001,
+        quantum: 2.5,
+        first: 0.375,
+        hold_time: 4.25,
+        released: 5.125,
+        sent: 6.0625,
+        pool_part: 7.75,
+        paces: vec![(0, 801.0, -8.25), (1, 802.0, 8.5)],
+        holds: vec![(0, 9.25), (1, 9.5)],
+        batches: vec![(0, 10.25), (1, 10.5)],
+        kept: [0.125, 0.25, 0.5],
+        tokens_a_second: Some(1_200.5),
+        typical: 13.75,
+        places: vec![
+            (141, "192.0.2.14:8014".parse().unwrap(), 1_400.5),
+            (u64::MAX, "[2001:db8::15]:8015".parse().unwrap(), 1_500.25),
+        ],
+    }
+}
+
+#[test]
+fn learned_state_of_landed_version_stays_readable() {
+    let record = fs::read(golden_path(LEARNED_STATE)).unwrap();
+    let one_second_later = WRITTEN_AT + 1_000;
+    let read_back = read(&record, READER, one_second_later, &names());
+    assert_eq!(read_back, Ok(learned_state()));
+}
+
+#[test]
+fn same_learned_state_is_written_as_the_same_record() {
+    let record = write(WRITER, WRITTEN_AT, &names(), learned_state());
+    assert_equals_golden_file(LEARNED_STATE, &record);
+}
+
+#[test]
+fn streams_table_of_landed_log_stays_the_same() {
+    let output = Command::new(env!("CARGO_BIN_EXE_poppykeel"))
+        .arg("streams")
+        .arg(golden_path(NODE_LOG))
+        .output()
+        .unwrap();
+    assert!(output.status.success(), "{output:?}");
+    assert_equals_golden_file(STREAMS_TABLE, &output.stdout);
+}
+
+/// The names of the fields of each message of a log in JSON.
+fn fields_by_message(log: &str) -> BTreeMap<String, BTreeSet<String>> {
+    let mut fields = BTreeMap::new();
+    for line in log.lines() {
+        let event: Value = serde_json::from_str(line).unwrap();
+        let message = event["message"].as_str().unwrap().to_string();
+        let names = event.as_object().unwrap().keys().cloned().collect();
+        fields.insert(message, names);
+    }
+    fields
+}
+
+/// The log of a node that has served a few streams, up to its first summary.
+fn log_of_present_program() -> String {
+    let servers = Standin::start(vec![Script::default()]).unwrap();
+    let node = Node::start("golden-log", servers.addrs(), "", "safe");
+    let answers = support::run(&node, 2, 4, 12, |number| format!("prompt {number}"));
+    assert_eq!(answers.len(), 4);
+    node.until_logged("streams of a replica");
+    let lines = node.log.lock().unwrap();
+    lines.join("\n")
+}
+
+#[test]
+fn summaries_of_present_program_have_the_fields_of_the_landed_log() {
+    let landed_log = fs::read_to_string(golden_path(NODE_LOG)).unwrap();
+    let landed = fields_by_message(&landed_log);
+    let present = fields_by_message(&log_of_present_program());
+    for message in SUMMARIES {
+        assert_eq!(present.get(message), landed.get(message), "{message}");
+        assert!(present.contains_key(message), "{message}");
+    }
+}
