--- a/src/transport/hub.rs
+++ b/src/transport/hub.rs
@@ -311,7 +311,7 @@
             return;
         }
         for Changed { listing, name } in &list {
-            tracing::info!(source, replica = %listing.id.0, name, state = ?listing.state, "list changed");
+            tracing::info!(source, replica = %listing.id.0, name, state = state_label(listing.state), "list changed");
         }
         let list: Vec<Endpoint> = list.into_iter().map(|c| c.listing).collect();
         let leaving = list
@@ -554,6 +554,15 @@
     }
 }
 
+/// The word for an endpoint's state in the log, which readers of logs know.
+fn state_label(state: EndpointState) -> &'static str {
+    match state {
+        EndpointState::Available => "Up",
+        EndpointState::Draining => "Draining",
+        EndpointState::Removed => "Gone",
+    }
+}
+
 fn log_input(input: &Input) {
     match input {
         Input::Arrived(a) => {
