--- /dev/null
+++ b/crates/scheduler/src/fair_queue.rs
@@ -0,0 +1,233 @@
+//! The queue of requests that wait for capacity: priority tiers, within a tier deficit round robin over tenants, within a
+//! tenant earliest deadline first.
+//!
+//! Deficit round robin gives each tenant with queued requests a quantum in its turn and dispatches its requests while
+//! their cost is covered, so that tenants get even parts of the capacity in tokens, whatever their requests cost.
+
+use crate::time::to_micros;
+use crate::types::{RequestId, SchedulerSettings, Seconds};
+use std::collections::{BTreeMap, BTreeSet, VecDeque};
+
+/// The order of requests within one tenant's queue: by deadline, then by arrival.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(crate) struct QueueKey {
+    pub(crate) deadline_micros: u64,
+    pub(crate) sequence: u64,
+}
+
+/// A request as the queue keeps it. The same entry must be given to take it out again.
+#[derive(Clone, Copy)]
+pub(crate) struct QueueEntry {
+    pub(crate) request: RequestId,
+    pub(crate) tenant: usize,
+    pub(crate) tier: usize,
+    pub(crate) key: QueueKey,
+    /// Tokens.
+    pub(crate) cost: f64,
+    /// Past this time an answer earns nothing.
+    pub(crate) useful_until: Seconds,
+}
+
+impl QueueEntry {
+    fn expiry_key(&self) -> (u64, RequestId) {
+        (to_micros(self.useful_until), self.request)
+    }
+}
+
+#[derive(Clone, Copy)]
+struct QueuedRequest {
+    request: RequestId,
+    cost: f64,
+}
+
+/// The queued requests of one tenant in one tier.
+#[derive(Default)]
+struct TenantQueue {
+    requests: BTreeMap<QueueKey, QueuedRequest>,
+    /// The sum of their costs.
+    cost: f64,
+    /// Cost that the tenant may still dispatch in its turn.
+    deficit: f64,
+    /// It has got its quantum in this turn.
+    has_quantum: bool,
+}
+
+/// All queued requests of one priority weight.
+struct Tier {
+    priority_weight: f64,
+    /// Its weight is below that of any request within its tenant's quota.
+    is_best_effort: bool,
+    queues: Vec<TenantQueue>,
+    /// Tenants with queued requests, in round-robin order.
+    turns: VecDeque<usize>,
+}
+
+impl Tier {
+    fn new(priority_weight: f64, is_best_effort: bool, tenants: usize) -> Self {
+        Tier {
+            priority_weight,
+            is_best_effort,
+            queues: (0..tenants).map(|_| TenantQueue::default()).collect(),
+            turns: VecDeque::new(),
+        }
+    }
+
+    fn is_empty(&self) -> bool {
+        self.turns.is_empty()
+    }
+
+    fn cost(&self) -> f64 {
+        self.queues.iter().map(|queue| queue.cost).sum()
+    }
+
+    fn insert(&mut self, entry: &QueueEntry) {
+        let queue = &mut self.queues[entry.tenant];
+        if queue.requests.is_empty() {
+            self.turns.push_back(entry.tenant);
+        }
+        let queued = QueuedRequest {
+            request: entry.request,
+            cost: entry.cost,
+        };
+        queue.requests.insert(entry.key, queued);
+        queue.cost += entry.cost;
+    }
+
+    /// An emptied queue starts anew, its deficit too.
+    fn remove(&mut self, entry: &QueueEntry) {
+        let queue = &mut self.queues[entry.tenant];
+        queue.requests.remove(&entry.key);
+        queue.cost -= entry.cost;
+        if queue.requests.is_empty() {
+            *queue = TenantQueue::default();
+            self.turns.retain(|tenant| *tenant != entry.tenant);
+        }
+    }
+
+    /// The request whose turn it is; its cost is taken from its tenant's deficit.
+    fn charge_next(&mut self, quantum: f64) -> Option<RequestId> {
+        loop {
+            let tenant = *self.turns.front()?;
+            let queue = &mut self.queues[tenant];
+            let next = *queue.requests.values().next()?;
+            if !queue.has_quantum {
+                queue.has_quantum = true;
+                queue.deficit += quantum;
+            }
+            if queue.deficit >= next.cost {
+                queue.deficit -= next.cost;
+                return Some(next.request);
+            }
+            queue.has_quantum = false;
+            self.turns.rotate_left(1);
+        }
+    }
+}
+
+/// All queued requests.
+pub(crate) struct FairQueue {
+    /// The highest priority weight first.
+    tiers: Vec<Tier>,
+    /// By the time after which an answer earns nothing.
+    expiries: BTreeSet<(u64, RequestId)>,
+}
+
+impl FairQueue {
+    /// A tier for each priority weight there is, within a quota and beyond it.
+    pub(crate) fn new(settings: &SchedulerSettings) -> Self {
+        let over_quota = if settings.tenants.is_empty() {
+            1.0
+        } else {
+            settings.over_quota_weight
+        };
+        let class_weights = settings.classes.iter().map(|class| class.priority_weight);
+        let mut weights: Vec<f64> = class_weights
+            .clone()
+            .flat_map(|weight| [weight, weight * over_quota])
+            .collect();
+        weights.sort_by(|x, y| y.total_cmp(x));
+        weights.dedup();
+        let lowest_class_weight = class_weights.fold(f64::INFINITY, f64::min);
+        let tenants = settings.tenants.len().max(1);
+        let new_tier = |weight| Tier::new(weight, weight < lowest_class_weight, tenants);
+        FairQueue {
+            tiers: weights.into_iter().map(new_tier).collect(),
+            expiries: BTreeSet::new(),
+        }
+    }
+
+    /// The highest tier of no more than this priority weight.
+    pub(crate) fn tier_for(&self, priority_weight: f64) -> usize {
+        let position = self
+            .tiers
+            .iter()
+            .position(|tier| tier.priority_weight <= priority_weight);
+        position.unwrap_or(self.tiers.len() - 1)
+    }
+
+    pub(crate) fn priority_weight(&self, tier: usize) -> f64 {
+        self.tiers[tier].priority_weight
+    }
+
+    pub(crate) fn highest_priority_weight(&self) -> f64 {
+        self.tiers[0].priority_weight
+    }
+
+    pub(crate) fn is_best_effort(&self, tier: usize) -> bool {
+        self.tiers[tier].is_best_effort
+    }
+
+    pub(crate) fn enqueue(&mut self, entry: &QueueEntry) {
+        self.expiries.insert(entry.expiry_key());
+        self.tiers[entry.tier].insert(entry);
+    }
+
+    pub(crate) fn remove(&mut self, entry: &QueueEntry) {
+        self.expiries.remove(&entry.expiry_key());
+        self.tiers[entry.tier].remove(entry);
+    }
+
+    /// The highest tier with queued requests.
+    pub(crate) fn first_backlogged_tier(&self) -> Option<usize> {
+        self.tiers.iter().position(|tier| !tier.is_empty())
+    }
+
+    /// The request whose turn it is in the highest tier that has any. Its cost is charged to its tenant; the caller takes
+    /// it out of the queue.
+    pub(crate) fn charge_next(&mut self, quantum: f64) -> Option<RequestId> {
+        let tier = self.tiers.iter_mut().find(|tier| !tier.is_empty())?;
+        tier.charge_next(quantum)
+    }
+
+    /// The cost, in tokens, that round robin would dispatch before it comes to a request that joined the queue now.
+    pub(crate) fn cost_ahead_of(&self, entry: &QueueEntry) -> f64 {
+        let higher: f64 = self.tiers[..entry.tier].iter().map(Tier::cost).sum();
+        let queues = &self.tiers[entry.tier].queues;
+        let own = queues[entry.tenant].cost;
+        let turn_end = own + entry.cost;
+        let others = queues
+            .iter()
+            .map(|queue| queue.cost.min(turn_end))
+            .sum::<f64>()
+            - own;
+        higher + own + others
+    }
+
+    /// The queued request whose answer must come first, if that is no later than `time`.
+    pub(crate) fn first_expiring_by(&self, time: Seconds) -> Option<RequestId> {
+        let (expiry, request) = *self.expiries.first()?;
+        (expiry <= to_micros(time)).then_some(request)
+    }
+
+    /// Numbers of queued requests by tenant.
+    pub(crate) fn queued_by_tenant(&self) -> Vec<usize> {
+        let tenants = self.tiers.first().map_or(0, |tier| tier.queues.len());
+        let mut counts = vec![0; tenants];
+        for tier in &self.tiers {
+            for (count, queue) in counts.iter_mut().zip(&tier.queues) {
+                *count += queue.requests.len();
+            }
+        }
+        counts
+    }
+}
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -5,7 +5,11 @@
 //! events with the time of its own clock and carries out the actions it gets back.
 //!
 //! ```
-//! use poppykeel_scheduler::{interface::*, Scheduler};
+//! use poppykeel_scheduler::{
+//!     Action, CostWeights, Endpoint, EndpointListMode, EndpointState, Event, Idempotency, IncomingRequest,
+//!     LifecycleRules, LoadReportSource, ReplicaId, RequestClass, RequestId, Scheduler,
+//!     SchedulerSettings, SettingsError, SiteLimits,
+//! };
 //!
 //! # fn main() -> Result<(), SettingsError> {
 //! let class = RequestClass {
@@ -77,10 +81,37 @@
 //! # Ok(())
 //! # }
 //! ```
-pub mod brain;
-#[allow(missing_docs)] // variants and fields that say all by their names
-pub mod interface;
-mod state;
 
-pub use brain::Scheduler;
-pub use state::BudgetLedger;
+mod admission;
+mod affinity;
+mod attempt;
+mod budgets;
+mod concurrency;
+mod endpoint_poll;
+mod fair_queue;
+mod fleet_view;
+mod hedging;
+mod host_types;
+mod latency_estimate;
+mod outlier_detection;
+mod placement;
+mod prompt_cache;
+mod rendezvous;
+mod replica;
+mod replicas;
+mod request;
+mod retry;
+mod scheduler;
+mod slow_start;
+mod statistics;
+mod time;
+mod types;
+
+/// The same types under the name of an earlier module.
+pub mod interface {
+    pub use crate::types::*;
+}
+
+pub use budgets::BudgetLedger;
+pub use scheduler::{ReplicaHealthStatus, Scheduler, SchedulerGauges};
+pub use types::*;
--- /dev/null
+++ b/crates/scheduler/src/placement.rs
@@ -0,0 +1,87 @@
+//! Placement: which replica the next attempt of a request goes to.
+//!
+//! Among the replicas that have capacity and may run the request, one is chosen at random, weighted by the estimated cost
+//! (a softmax): routers that choose the cheapest replica all at once would overload it. Where there are more routers than
+//! replicas only the first replicas of the session's order are candidates, since they have just been asked for their load.
+
+use crate::affinity;
+use crate::fleet_view::FleetView;
+use crate::latency_estimate::{estimate_all, Candidate, EstimateInput, EstimateTiming};
+use crate::replica::Replica;
+use crate::request::Request;
+use crate::retry;
+use crate::types::ReplicaId;
+
+/// Costs that differ by less than this make the choice nearly even.
+const SOFTMAX_TEMPERATURE: f64 = 0.005;
+
+/// What limits the placement of one attempt.
+pub(crate) struct PlacementLimits {
+    /// The request's tier may use only a part of the concurrency limit.
+    pub(crate) is_best_effort: bool,
+    /// The fleet's budget allows an attempt at a replica of another zone.
+    pub(crate) may_cross_zones: bool,
+}
+
+/// The replicas that an attempt of this request may go to, with their estimates; best the ones that have had no attempt
+/// of it yet.
+pub(crate) fn candidates(
+    view: &FleetView<'_>,
+    request: &Request,
+    limits: &PlacementLimits,
+    timing: &EstimateTiming,
+) -> Vec<Candidate> {
+    let affinity = affinity::affinity_candidates(view, request.incoming());
+    let has_sparse_feedback = view.concurrency.has_sparse_feedback();
+    let has_free_slot = view.has_free_slot(limits.is_best_effort);
+    // What a session has in the cache of its affinity replica would be read anew elsewhere: the router's concurrency
+    // limit does not bind there.
+    let unlimited = affinity.first().copied().filter(|_| has_sparse_feedback);
+    let is_open = |id: ReplicaId, replica: &Replica| {
+        view.has_capacity(replica, has_free_slot || unlimited == Some(id))
+            && retry::may_run_at(view, request, replica)
+            && (limits.may_cross_zones || view.is_local_zone(replica))
+    };
+    let is_new = |id: ReplicaId| {
+        request
+            .attempts()
+            .iter()
+            .all(|attempt| attempt.replica != id)
+    };
+    let select = |qualifies: &dyn Fn(ReplicaId, &Replica) -> bool| -> Vec<ReplicaId> {
+        if has_sparse_feedback {
+            return affinity::rendezvous_order(view, request.incoming(), qualifies);
+        }
+        let all = view.replicas.iter();
+        let qualified = all.filter(|(id, replica)| qualifies(*id, replica));
+        qualified.map(|(id, _)| id).collect()
+    };
+    let mut selected = select(&|id, replica| is_open(id, replica) && is_new(id));
+    if selected.is_empty() {
+        selected = select(&is_open);
+    }
+    let input = EstimateInput::new(view, request, &affinity, timing);
+    estimate_all(view, &input, &selected)
+}
+
+/// Chooses one candidate at random, weighted by cost. `random` gives a number from 0 to 1 for each candidate.
+pub(crate) fn choose(
+    candidates: Vec<Candidate>,
+    mut random: impl FnMut() -> f64,
+) -> Option<Candidate> {
+    // Weights are against the lowest cost: where all candidates are dear, all weights would be zero else, and the last
+    // candidate would be chosen.
+    let costs = candidates.iter().map(|candidate| candidate.cost);
+    let lowest_cost = costs.fold(f64::INFINITY, f64::min);
+    let mut chosen = None;
+    let mut total_weight = 0.0;
+    for candidate in candidates {
+        let advantage = (lowest_cost - candidate.cost) / SOFTMAX_TEMPERATURE;
+        let weight = candidate.choice_weight * advantage.exp();
+        total_weight += weight;
+        if random() * total_weight <= weight {
+            chosen = Some(candidate);
+        }
+    }
+    chosen
+}
--- /dev/null
+++ b/crates/scheduler/src/request.rs
@@ -0,0 +1,203 @@
+//! One request with its attempts, as an explicit state machine.
+
+use crate::attempt::Attempt;
+use crate::fair_queue::{QueueEntry, QueueKey};
+use crate::types::{IncomingRequest, RequestId, Seconds};
+
+/// The state of a request.
+///
+/// | from | event | to |
+/// |---|---|---|
+/// | `NotQueued` | it is queued: at its arrival, for a retry or for a hedged attempt | `Queued` |
+/// | `Queued` | it is dispatched, deferred, answered elsewhere or expires | `NotQueued` |
+/// | `NotQueued`, `Queued` | it has its final answer, or its client has left | `Finished` |
+///
+/// A request that is not queued has attempts in flight, or is deferred until load reports or capacity change. A finished
+/// request is kept until its last attempt has ended, and is never queued again.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub(crate) enum RequestState {
+    NotQueued,
+    Queued,
+    Finished,
+}
+
+/// When a request must be answered.
+#[derive(Clone, Copy)]
+pub(crate) struct RequestDeadlines {
+    /// The time to first token that is wanted.
+    pub(crate) ttft_objective: Seconds,
+    /// Past this time the client has given up.
+    pub(crate) deadline: Seconds,
+    /// Past this time an answer earns nothing.
+    pub(crate) useful_until: Seconds,
+}
+
+/// Where a request stands in the fair queue.
+#[derive(Clone, Copy)]
+pub(crate) struct QueuePosition {
+    pub(crate) tier: usize,
+    pub(crate) key: QueueKey,
+    /// Tokens.
+    pub(crate) cost: f64,
+}
+
+/// One request.
+pub(crate) struct Request {
+    incoming: IncomingRequest,
+    arrived_at: Seconds,
+    deadlines: RequestDeadlines,
+    position: QueuePosition,
+    state: RequestState,
+    attempts: Vec<Attempt>,
+}
+
+impl Request {
+    /// A request that is not queued yet.
+    pub(crate) fn new(
+        incoming: IncomingRequest,
+        position: QueuePosition,
+        deadlines: RequestDeadlines,
+    ) -> Self {
+        Request {
+            arrived_at: deadlines.deadline - incoming.time_left,
+            incoming,
+            deadlines,
+            position,
+            state: RequestState::NotQueued,
+            attempts: Vec::new(),
+        }
+    }
+
+    pub(crate) fn incoming(&self) -> &IncomingRequest {
+        &self.incoming
+    }
+
+    pub(crate) fn id(&self) -> RequestId {
+        self.incoming.id
+    }
+
+    pub(crate) fn class(&self) -> usize {
+        self.incoming.class
+    }
+
+    pub(crate) fn arrived_at(&self) -> Seconds {
+        self.arrived_at
+    }
+
+    pub(crate) fn deadlines(&self) -> RequestDeadlines {
+        self.deadlines
+    }
+
+    /// Brings its times within the life of the router. The request must not be queued: the queue finds it by its times.
+    pub(crate) fn shorten_deadlines(&mut self, answer_deadline: Seconds) {
+        debug_assert!(!self.is_queued());
+        self.deadlines.deadline = self.deadlines.deadline.min(answer_deadline);
+        self.deadlines.useful_until = self.deadlines.useful_until.min(answer_deadline);
+    }
+
+    pub(crate) fn tier(&self) -> usize {
+        self.position.tier
+    }
+
+    /// Moves it to another tier. The request must not be queued: the queue finds it by its tier.
+    pub(crate) fn set_tier(&mut self, tier: usize) {
+        debug_assert!(!self.is_queued());
+        self.position.tier = tier;
+    }
+
+    /// Tokens.
+    pub(crate) fn cost(&self) -> f64 {
+        self.position.cost
+    }
+
+    /// What the queue keeps of it.
+    pub(crate) fn queue_entry(&self) -> QueueEntry {
+        QueueEntry {
+            request: self.id(),
+            tenant: self.incoming.tenant,
+            tier: self.position.tier,
+            key: self.position.key,
+            cost: self.position.cost,
+            useful_until: self.deadlines.useful_until,
+        }
+    }
+
+    pub(crate) fn is_queued(&self) -> bool {
+        self.state == RequestState::Queued
+    }
+
+    pub(crate) fn is_finished(&self) -> bool {
+        self.state == RequestState::Finished
+    }
+
+    /// Marks it as queued; false where it is queued already or finished.
+    pub(crate) fn mark_queued(&mut self) -> bool {
+        let is_queueable = self.state == RequestState::NotQueued;
+        if is_queueable {
+            self.state = RequestState::Queued;
+        }
+        is_queueable
+    }
+
+    /// Marks it as not queued; false where it was not queued.
+    pub(crate) fn mark_dequeued(&mut self) -> bool {
+        let was_queued = self.is_queued();
+        if was_queued {
+            self.state = RequestState::NotQueued;
+        }
+        was_queued
+    }
+
+    /// Marks it as finished. It must have been taken out of the queue.
+    pub(crate) fn mark_finished(&mut self) {
+        debug_assert!(!self.is_queued());
+        self.state = RequestState::Finished;
+    }
+
+    pub(crate) fn add_attempt(&mut self, attempt: Attempt) {
+        self.attempts.push(attempt);
+    }
+
+    pub(crate) fn attempts(&self) -> &[Attempt] {
+        &self.attempts
+    }
+
+    pub(crate) fn attempt_mut(&mut self, number: usize) -> Option<&mut Attempt> {
+        self.attempts.get_mut(number)
+    }
+
+    pub(crate) fn in_flight(&self) -> impl Iterator<Item = &Attempt> {
+        self.attempts
+            .iter()
+            .filter(|attempt| attempt.is_in_flight())
+    }
+
+    pub(crate) fn has_attempt_in_flight(&self) -> bool {
+        self.in_flight().next().is_some()
+    }
+
+    pub(crate) fn is_streaming(&self) -> bool {
+        self.attempts.iter().any(Attempt::is_streaming)
+    }
+
+    /// It has neither its final answer nor a first token.
+    pub(crate) fn awaits_first_token(&self) -> bool {
+        !self.is_finished() && !self.is_streaming()
+    }
+
+    /// The first attempt that a replica may have worked on, or that is in flight.
+    pub(crate) fn first_attempt_that_may_have_run(&self) -> Option<&Attempt> {
+        self.attempts.iter().find(|attempt| attempt.may_have_run())
+    }
+
+    /// Requests the cancellation, once, of the attempts without a first token, and returns their numbers.
+    pub(crate) fn cancel_attempts(&mut self) -> Vec<usize> {
+        let mut cancelled = Vec::new();
+        for (number, attempt) in self.attempts.iter_mut().enumerate() {
+            if attempt.cancel() {
+                cancelled.push(number);
+            }
+        }
+        cancelled
+    }
+}
--- /dev/null
+++ b/crates/scheduler/src/scheduler/attempt_events.rs
@@ -0,0 +1,259 @@
+//! An attempt has its first token, or ends: what is learned from it, and what becomes of its request.
+
+use super::{Scheduler, EXPIRY_MARGIN};
+use crate::attempt::Attempt;
+use crate::concurrency::Promptness;
+use crate::fleet_view::BASE_TOKENS;
+use crate::outlier_detection::RESTART_SUSPICION;
+use crate::request::Request;
+use crate::retry;
+use crate::types::{Action, AttemptOutcome, BudgetKind, LoadReport, ReplicaId, RequestId, Seconds};
+
+/// A time to first token below this counts as this long where prefill times are learned.
+const MIN_PREFILL_SAMPLE: Seconds = 0.001;
+
+/// The end of an attempt, as the event tells it.
+pub(super) struct AttemptEnd {
+    pub(super) request: RequestId,
+    pub(super) attempt: usize,
+    pub(super) outcome: AttemptOutcome,
+    pub(super) is_request_finished: bool,
+    pub(super) report: Option<LoadReport>,
+}
+
+/// An attempt as it was when it ended.
+struct EndedAttempt {
+    replica: ReplicaId,
+    sent_at: Seconds,
+    was_streaming: bool,
+    /// Prompt tokens that were still to be read.
+    unread_tokens: f64,
+}
+
+impl Scheduler {
+    pub(super) fn on_first_token(
+        &mut self,
+        id: RequestId,
+        attempt: usize,
+        elapsed: Seconds,
+        actions: &mut Vec<Action>,
+    ) {
+        let Some(request) = self.requests.get_mut(&id) else {
+            return;
+        };
+        let ttft_objective = request.deadlines().ttft_objective;
+        let arrived_at = request.arrived_at();
+        let Some(attempt) = request.attempt_mut(attempt) else {
+            return;
+        };
+        if !attempt.start_streaming() {
+            return;
+        }
+        let replica_id = attempt.replica;
+        let unread_tokens = attempt.unread_tokens;
+        let estimate = attempt.estimate;
+        let waited = attempt.sent_at - arrived_at;
+        self.dequeue(id);
+        self.cancel_attempts(id, actions);
+        let Some(replica) = self.replicas.get_mut(replica_id) else {
+            return;
+        };
+        replica.record_first_token(unread_tokens, estimate, elapsed);
+        self.traffic.record_time_to_first_token(elapsed);
+        let per_token = elapsed.max(MIN_PREFILL_SAMPLE) / (unread_tokens + BASE_TOKENS);
+        self.host_types
+            .record_prefill_time(replica.host_type(), per_token);
+        let promptness = Promptness::of(elapsed, ttft_objective, waited);
+        let rules = &self.settings.lifecycle;
+        let in_flight = || self.replicas.in_flight_at_warm(rules, self.now);
+        self.concurrency.record_first_token(promptness, in_flight);
+        self.record_response(replica_id, true);
+    }
+
+    pub(super) fn on_attempt_ended(&mut self, end: &AttemptEnd, actions: &mut Vec<Action>) {
+        let Some(ended) = self.end_attempt(end, actions) else {
+            return;
+        };
+        self.record_attempt_end(end, &ended);
+        self.learn_from_outcome(end.outcome, &ended);
+        if end.is_request_finished {
+            self.finish_request(end.request, actions);
+        } else {
+            self.continue_request(end.request, end.outcome, actions);
+        }
+        self.forget_if_done(end.request);
+    }
+
+    /// Ends an attempt, once.
+    fn end_attempt(&mut self, end: &AttemptEnd, actions: &mut Vec<Action>) -> Option<EndedAttempt> {
+        let request = self.requests.get(&end.request)?;
+        let attempt = request.attempts().get(end.attempt)?;
+        let sent_at = attempt.sent_at;
+        let was_streaming = attempt.is_streaming();
+        if end.outcome == AttemptOutcome::Completed {
+            // An answer that does not stream is its own first token: the concurrency limit would never grow else.
+            self.on_first_token(end.request, end.attempt, self.now - sent_at, actions);
+        }
+        let request = self.requests.get_mut(&end.request)?;
+        let attempt = request.attempt_mut(end.attempt)?;
+        let unread_tokens = attempt.end(end.outcome)?;
+        Some(EndedAttempt {
+            replica: attempt.replica,
+            sent_at,
+            was_streaming,
+            unread_tokens,
+        })
+    }
+
+    /// Takes an attempt out of what its replica has, and learns from its load report.
+    fn record_attempt_end(&mut self, end: &AttemptEnd, ended: &EndedAttempt) {
+        if let Some(report) = end.report {
+            // The replica made the report while it still held the attempt.
+            self.record_load_report(ended.replica, report);
+            let cached_tokens = report.cached_prompt_tokens;
+            if end.outcome == AttemptOutcome::Completed {
+                self.record_cached_tokens(end.request, end.attempt, cached_tokens);
+            }
+        }
+        if let Some(replica) = self.replicas.get_mut(ended.replica) {
+            replica.record_attempt_end(ended.unread_tokens);
+        }
+    }
+
+    fn record_cached_tokens(&mut self, id: RequestId, attempt: usize, cached: Option<f64>) {
+        let Some(request) = self.requests.get(&id) else {
+            return;
+        };
+        let attempt: Option<&Attempt> = request.attempts().get(attempt);
+        if let (Some(attempt), Some(cached)) = (attempt, cached) {
+            self.prompt_cache.record_cached_tokens(
+                request.incoming(),
+                attempt.replica,
+                attempt.cache_source,
+                cached,
+            );
+        }
+    }
+
+    fn learn_from_outcome(&mut self, outcome: AttemptOutcome, ended: &EndedAttempt) {
+        match outcome {
+            AttemptOutcome::Completed => self.learn_from_completion(ended),
+            AttemptOutcome::AtCapacity => {
+                // What was turned away is no measure of what a warm replica bears, on which slow start rests.
+                self.traffic.uncount_attempt(self.now);
+                self.concurrency.cut();
+                if let Some(replica) = self.replicas.get_mut(ended.replica) {
+                    replica.health.record_at_capacity(self.now);
+                }
+            }
+            AttemptOutcome::TimedOut
+            | AttemptOutcome::ServerError
+            | AttemptOutcome::ConnectionReset
+            | AttemptOutcome::ConnectFailed => self.learn_from_failure(outcome, ended),
+            AttemptOutcome::InvalidRequest => self.record_response(ended.replica, false),
+            AttemptOutcome::Cancelled | AttemptOutcome::NotSent => {}
+        }
+    }
+
+    fn learn_from_completion(&mut self, ended: &EndedAttempt) {
+        let mut host_type = 0;
+        if let Some(replica) = self.replicas.get_mut(ended.replica) {
+            replica.health.record_stream_completed(self.now);
+            host_type = replica.host_type();
+        }
+        let service_time = self.now - ended.sent_at;
+        self.host_types.record_service_time(host_type, service_time);
+        self.record_response(ended.replica, true);
+    }
+
+    fn learn_from_failure(&mut self, outcome: AttemptOutcome, ended: &EndedAttempt) {
+        let has_timed_out = outcome == AttemptOutcome::TimedOut;
+        if ended.was_streaming || has_timed_out {
+            // A broken stream is a sign of load, as a timeout is.
+            self.concurrency.cut();
+        }
+        let Some(replica) = self.replicas.get_mut(ended.replica) else {
+            return;
+        };
+        if ended.was_streaming {
+            replica
+                .health
+                .record_stream_failure(self.now, ended.sent_at);
+        }
+        if !has_timed_out {
+            replica.health.record_failure(self.now);
+        }
+    }
+
+    /// What becomes of a request that is not finished after one of its attempts has ended.
+    fn continue_request(
+        &mut self,
+        id: RequestId,
+        outcome: AttemptOutcome,
+        actions: &mut Vec<Action>,
+    ) {
+        let Some(request) = self
+            .requests
+            .get(&id)
+            .filter(|request| !request.is_finished())
+        else {
+            return;
+        };
+        if outcome == AttemptOutcome::InvalidRequest {
+            actions.push(Action::Fail { request: id });
+            self.finish_request(id, actions);
+        } else if !request.is_queued() && !request.has_attempt_in_flight() {
+            let may_retry = self.may_retry(request);
+            if may_retry && self.request_budget(BudgetKind::Retries, id) {
+                self.enqueue(id);
+            } else {
+                self.answer_request(id, actions);
+            }
+        }
+    }
+
+    pub(super) fn may_retry(&self, request: &Request) -> bool {
+        retry::may_retry(&self.settings, request, self.now + EXPIRY_MARGIN)
+    }
+
+    /// A replica has responded: to a request, or to a probe (`is_answer` false), which shows only that its process runs.
+    pub(super) fn record_response(&mut self, id: ReplicaId, is_answer: bool) {
+        let Some(replica) = self.replicas.get_mut(id) else {
+            return;
+        };
+        if let Some(since) = replica.health.record_response(self.now, is_answer) {
+            // A replica back from being unresponsive may have been restarted, whatever the endpoint list says; one that
+            // was only slow has not, and is no less warm for it.
+            let started_at = if self.now - since > RESTART_SUSPICION {
+                Some(self.now)
+            } else {
+                replica.slow_start.started_at()
+            };
+            replica.restart(started_at, self.rng.rand_float());
+        }
+    }
+
+    pub(super) fn record_load_report(&mut self, id: ReplicaId, report: LoadReport) {
+        let router_count = self.settings.router_count;
+        let others = self.replicas.mean_in_flight_of_others(router_count);
+        let Some(replica) = self.replicas.get_mut(id) else {
+            return;
+        };
+        replica.record_report(report, self.now);
+        let host_type = replica.host_type();
+        match (report.requests_queued, report.requests_held) {
+            (Some(queued), None) => {
+                let held = replica.in_flight() as f64 + others;
+                self.host_types
+                    .record_reported_queue(host_type, held, queued);
+            }
+            _ => {
+                if let Some(batch_size) = replica.load.batch_size {
+                    self.host_types.record_batch_size(host_type, batch_size);
+                }
+            }
+        }
+        self.traffic
+            .record_queued_tokens(replica.load.queued_prompt_tokens());
+    }
+}
--- /dev/null
+++ b/crates/scheduler/src/scheduler/endpoint_events.rs
@@ -0,0 +1,67 @@
+//! The endpoint list changes, a probe ends, or another router advises on an ejected replica.
+
+use super::Scheduler;
+use crate::types::{AttemptOutcome, Endpoint, LoadReport, ReplicaId};
+
+impl Scheduler {
+    /// Takes over the entries of an endpoint list.
+    pub(super) fn apply_endpoints(&mut self, endpoints: &[Endpoint]) {
+        for endpoint in endpoints {
+            self.apply_endpoint(endpoint);
+        }
+        self.replicas.forget_removed();
+        let available = self.replicas.available().count();
+        let router_count = self.settings.router_count;
+        self.concurrency.observe_available(available, router_count);
+        self.resize_concurrency_limit();
+    }
+
+    fn apply_endpoint(&mut self, endpoint: &Endpoint) {
+        let now = self.now;
+        let slow_start_duration = self.settings.lifecycle.slow_start_duration;
+        let started_at = endpoint
+            .started_at
+            .filter(|started_at| now - started_at < slow_start_duration)
+            .map(|started_at| started_at.min(now));
+        let replica = self.replicas.get_or_insert(endpoint.id);
+        replica.apply_endpoint(endpoint);
+        if started_at.is_some() && started_at > replica.slow_start.started_at() {
+            replica.restart(started_at, self.rng.rand_float());
+        }
+    }
+
+    /// The concurrency limit follows the number of warm replicas at once: a router that sends little would learn of a
+    /// change too late.
+    pub(super) fn resize_concurrency_limit(&mut self) {
+        let warm = self.replicas.warm_count(&self.settings.lifecycle, self.now);
+        self.concurrency.resize(warm, self.settings.router_count);
+    }
+
+    pub(super) fn on_probe_ended(
+        &mut self,
+        id: ReplicaId,
+        outcome: AttemptOutcome,
+        report: Option<LoadReport>,
+    ) {
+        if outcome == AttemptOutcome::Completed {
+            self.record_response(id, false);
+        }
+        if let Some(replica) = self.replicas.get_mut(id) {
+            replica.probe.record_ended();
+        }
+        if let Some(report) = report {
+            self.record_load_report(id, report);
+        }
+        if !self.replicas.has_probe_in_flight() {
+            self.enqueue_deferred();
+        }
+    }
+
+    pub(super) fn on_outlier_advice(&mut self, id: ReplicaId, is_healthy: bool) {
+        if is_healthy {
+            self.record_response(id, true);
+        } else if let Some(replica) = self.replicas.get_mut(id) {
+            replica.health.pause(self.now);
+        }
+    }
+}
--- /dev/null
+++ b/crates/scheduler/src/types/endpoint.rs
@@ -0,0 +1,38 @@
+//! Replicas and what an endpoint list says of them.
+
+use super::Seconds;
+use std::net::SocketAddr;
+
+/// A replica: one language-model server, identified by an address.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct ReplicaId(pub SocketAddr);
+
+/// One entry of an endpoint list.
+#[derive(Clone, Debug, PartialEq)]
+pub struct Endpoint {
+    /// The replica.
+    pub id: ReplicaId,
+    /// Its zone.
+    pub zone: usize,
+    /// Its cell: replicas of a cell may share a memory of idempotency keys.
+    pub cell: usize,
+    /// What kind of machine it is; equal numbers are alike.
+    pub host_type: usize,
+    /// Whether it may be sent requests.
+    pub state: EndpointState,
+    /// Its capacity compared with others', where the list gives one that does not change with load.
+    pub capacity_weight: Option<f64>,
+    /// When its process started, if that is known.
+    pub started_at: Option<Seconds>,
+}
+
+/// Whether a listed replica may be sent requests.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum EndpointState {
+    /// It takes requests.
+    Available,
+    /// It finishes what it has and is to get nothing new.
+    Draining,
+    /// It has left the list.
+    Removed,
+}
--- a/crates/scheduler/tests/brain.rs
+++ b/crates/scheduler/tests/brain.rs
@@ -1085,14 +1085,14 @@
         ]));
     }
     // The first one still holds a request.
-    assert_eq!(rig.brain.gauges().3, 2);
+    assert_eq!(rig.brain.gauges().replica_count, 2);
     rig.end(1, 0, AttemptOutcome::Completed, true);
     rig.tell(Event::EndpointsReplaced(vec![listing(
         50,
         EndpointState::Available,
         None,
     )]));
-    assert_eq!(rig.brain.gauges().3, 1);
+    assert_eq!(rig.brain.gauges().replica_count, 1);
 }
 
 #[test]
@@ -1274,14 +1274,14 @@
 #[test]
 fn the_pool_of_every_router_follows_the_warm_replicas() {
     let mut rig = Rig::new(settings(), 8);
-    let before = rig.brain.gauges().0;
+    let before = rig.brain.gauges().concurrency_limit;
     rig.tell(Event::EndpointsChanged(
         (0..6)
             .map(|n| listing(n, EndpointState::Draining, None))
             .collect(),
     ));
     assert!(
-        (rig.brain.gauges().0 - before / 4.0).abs() < 1e-9,
+        (rig.brain.gauges().concurrency_limit - before / 4.0).abs() < 1e-9,
         "{:?}",
         rig.brain.gauges()
     );
@@ -1291,7 +1291,7 @@
             .collect(),
     ));
     assert!(
-        (rig.brain.gauges().0 - before).abs() < 1e-9,
+        (rig.brain.gauges().concurrency_limit - before).abs() < 1e-9,
         "{:?}",
         rig.brain.gauges()
     );
@@ -1488,7 +1488,7 @@
     for (silence, warm) in [(0.5, true), (4.0, false)] {
         let mut rig = Rig::new(settings(), 2);
         let (before, to) = (
-            rig.brain.gauges().0,
+            rig.brain.gauges().concurrency_limit,
             sends(&rig.tell(Event::RequestArrived(request(1, 0, 0, 9.0))))[0].1,
         );
         rig.wait(1.2);
@@ -1500,7 +1500,7 @@
         });
         rig.wait(0.02);
         assert_eq!(
-            rig.brain.gauges().0 == before,
+            rig.brain.gauges().concurrency_limit == before,
             warm,
             "{silence} s: {:?}",
             rig.brain.gauges()
@@ -1867,7 +1867,10 @@
             report,
         });
     }
-    rig.brain.export_learned_state().cache_hit_rates[1]
+    rig.brain
+        .export_learned_state()
+        .cache_hit_rates
+        .affinity_replica
 }
 
 /// Guards against homes that are passed over since most requests are first turns, which have nothing to be found: the
--- /dev/null
+++ b/crates/scheduler/tests/isolation.rs
@@ -0,0 +1,107 @@
+//! The scheduler's isolation: no input or output, no clock, no async runtime, and the deploy file names every source.
+//!
+//! `clippy.toml` of this package forbids the types and functions; this test also covers what only a macro or a dependency
+//! could bring in.
+
+use std::path::{Path, PathBuf};
+
+/// The packages that the scheduler may depend on.
+const ALLOWED_DEPENDENCIES: [&str; 3] = ["oorandom", "serde", "thiserror"];
+
+/// Paths through which a program reaches files, sockets, clocks, threads, the environment or other processes.
+const FORBIDDEN: [&str; 17] = [
+    "std::time",
+    "std::fs",
+    "std::io",
+    "std::env",
+    "std::process",
+    "std::thread",
+    "std::sync",
+    "std::os",
+    "TcpStream",
+    "UdpSocket",
+    "tokio",
+    "futures",
+    "socket2",
+    "rustix",
+    "tracing",
+    "println!",
+    "unsafe",
+];
+
+fn package() -> &'static Path {
+    Path::new(env!("CARGO_MANIFEST_DIR"))
+}
+
+fn repository() -> PathBuf {
+    package()
+        .join("../..")
+        .canonicalize()
+        .expect("the repository's root exists")
+}
+
+fn read(path: &Path) -> String {
+    std::fs::read_to_string(path).unwrap_or_else(|e| panic!("{}: {e}", path.display()))
+}
+
+/// All source files of the package; test files beside private code are not among them.
+fn source_files() -> Vec<PathBuf> {
+    let mut files = Vec::new();
+    let mut folders = vec![repository().join("crates/scheduler/src")];
+    while let Some(folder) = folders.pop() {
+        for entry in std::fs::read_dir(&folder).expect("the folder can be read") {
+            let path = entry.expect("the entry can be read").path();
+            if path.is_dir() {
+                folders.push(path);
+            } else if !path.ends_with("tests.rs") {
+                files.push(path);
+            }
+        }
+    }
+    files.sort();
+    files
+}
+
+#[test]
+fn sources_use_no_input_output_or_clock() {
+    for file in source_files() {
+        let text = read(&file);
+        for forbidden in FORBIDDEN {
+            assert!(!text.contains(forbidden), "{}: {forbidden}", file.display());
+        }
+    }
+}
+
+#[test]
+fn package_depends_on_no_input_output_or_async_package() {
+    let manifest: toml::Table = read(&package().join("Cargo.toml"))
+        .parse()
+        .expect("a manifest");
+    let dependencies = manifest["dependencies"]
+        .as_table()
+        .expect("a table of dependencies");
+    for name in dependencies.keys() {
+        assert!(ALLOWED_DEPENDENCIES.contains(&name.as_str()), "{name}");
+    }
+}
+
+#[test]
+fn source_files_hold_no_tests() {
+    for file in source_files() {
+        assert!(!read(&file).contains("#[test]"), "{}", file.display());
+    }
+}
+
+#[test]
+fn deploy_file_lists_every_source() {
+    let deploy: toml::Table = read(&repository().join("deploy/balancer.toml"))
+        .parse()
+        .expect("TOML");
+    let policy = deploy["policy"].as_array().expect("policy is a list");
+    let mut listed = Vec::new();
+    for path in policy {
+        listed.push(repository().join(path.as_str().expect("a path")));
+    }
+    listed.sort();
+    assert_eq!(listed, source_files());
+}
--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -223,12 +223,12 @@
     }
     /// Replicas that the module keeps in mind.
     pub fn replicas(&self) -> usize {
-        self.brain.gauges().3
+        self.brain.gauges().replica_count
     }
     /// Requests that may be out together as things stand, and that are.
     pub fn window(&self) -> (f64, usize) {
-        let (size, out, _, _) = self.brain.gauges();
-        (size, out)
+        let gauges = self.brain.gauges();
+        (gauges.concurrency_limit, gauges.in_flight)
     }
     /// Requests of a class that were served, refused and failed, broken streams among the last.
     pub fn replies(&self, class: usize) -> [u64; 3] {
@@ -266,12 +266,18 @@
     pub fn standings(&self) -> Vec<(ReplicaId, bool, Option<Micros>)> {
         let micros = |s: f64| (s * 1e6) as Micros;
         let all = self.brain.replica_health().into_iter();
-        all.map(|(id, ejected, well)| (id, ejected, well.map(micros)))
-            .collect()
+        all.map(|health| {
+            (
+                health.replica,
+                health.is_ejected,
+                health.last_success_at.map(micros),
+            )
+        })
+        .collect()
     }
     /// Requests that the module holds, by tenant.
     pub fn waiting(&self) -> Vec<usize> {
-        self.brain.gauges().2
+        self.brain.gauges().queued_by_tenant
     }
     /// Attempts that ended otherwise than served, by the names of [`COUNTED_ENDS`].
     pub fn attempt_ends(&self) -> Vec<(&'static str, u64)> {
--- a/src/transport/hub.rs
+++ b/src/transport/hub.rs
@@ -311,7 +311,7 @@
             return;
         }
         for Changed { listing, name } in &list {
-            tracing::info!(source, replica = %listing.id.0, name, state = state_label(listing.state), "list changed");
+            tracing::info!(source, replica = %listing.id.0, name, state = %state_label(listing.state), "list changed");
         }
         let list: Vec<Endpoint> = list.into_iter().map(|c| c.listing).collect();
         let leaving = list
--- a/tests/golden.rs
+++ b/tests/golden.rs
@@ -6,7 +6,9 @@
 mod support;
 
 use poppykeel::routing::handover::{read, write};
-use poppykeel_scheduler::interface::LearnedState;
+use poppykeel_scheduler::{
+    BatchSize, CacheHitRates, LearnedState, PrefillTime, ServiceTime, SessionRecord,
+};
 use poppykeel_site_settings::SiteNames;
 use poppykeel_stub_model_server::{Script, Standin};
 use serde_json::Value;
@@ -54,6 +56,33 @@
     }
 }
 
+fn prefill_time(host_type: usize, samples: f64, mean_logarithm: f64) -> PrefillTime {
+    PrefillTime {
+        host_type,
+        samples,
+        mean_logarithm,
+    }
+}
+
+fn service_time(host_type: usize, mean: f64) -> ServiceTime {
+    ServiceTime { host_type, mean }
+}
+
+fn batch_size(host_type: usize, requests: f64) -> BatchSize {
+    BatchSize {
+        host_type,
+        requests,
+    }
+}
+
+fn session_record(session: u64, replica: &str, prompt_tokens: f64) -> SessionRecord {
+    SessionRecord {
+        session,
+        replica: replica.parse().unwrap(),
+        prompt_tokens,
+    }
+}
+
 /// Learned state with a distinct value in every field.
 fn learned_state() -> LearnedState {
     LearnedState {
@@ -64,15 +93,19 @@
         dispatched_cost_rate: 5.125,
         attempt_rate: 6.0625,
         concurrency_per_replica: 7.75,
-        prefill_times: vec![(0, 801.0, -8.25), (1, 802.0, 8.5)],
-        service_times: vec![(0, 9.25), (1, 9.5)],
-        batch_sizes: vec![(0, 10.25), (1, 10.5)],
-        cache_hit_rates: [0.125, 0.25, 0.5],
+        prefill_times: vec![prefill_time(0, 801.0, -8.25), prefill_time(1, 802.0, 8.5)],
+        service_times: vec![service_time(0, 9.25), service_time(1, 9.5)],
+        batch_sizes: vec![batch_size(0, 10.25), batch_size(1, 10.5)],
+        cache_hit_rates: CacheHitRates {
+            shared_prefix: 0.125,
+            affinity_replica: 0.25,
+            previous_turn: 0.5,
+        },
         tokens_per_work_second: Some(1_200.5),
         mean_queued_tokens: 13.75,
         sessions: vec![
-            (141, "192.0.2.14:8014".parse().unwrap(), 1_400.5),
-            (u64::MAX, "[2001:db8::15]:8015".parse().unwrap(), 1_500.25),
+            session_record(141, "192.0.2.14:8014", 1_400.5),
+            session_record(u64::MAX, "[2001:db8::15]:8015", 1_500.25),
         ],
     }
 }
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -33,12 +33,20 @@
 }
 
 fn memory() -> LearnedState {
-    let place = (7, "10.0.0.1:80".parse().unwrap(), 800.0);
+    let place = SessionRecord {
+        session: 7,
+        replica: "10.0.0.1:80".parse().unwrap(),
+        prompt_tokens: 800.0,
+    };
     LearnedState {
         requests_seen: 9,
         mean_service_time: 1.0,
         sessions: vec![place],
-        prefill_times: vec![(0, 4.0, 0.3)],
+        prefill_times: vec![PrefillTime {
+            host_type: 0,
+            samples: 4.0,
+            mean_logarithm: 0.3,
+        }],
         ..LearnedState::default()
     }
 }
@@ -72,11 +80,19 @@
             ..memory()
         },
         LearnedState {
-            prefill_times: vec![(0, 1.0, 1e6)],
+            prefill_times: vec![PrefillTime {
+                host_type: 0,
+                samples: 1.0,
+                mean_logarithm: 1e6,
+            }],
             ..memory()
         },
         LearnedState {
-            cache_hit_rates: [2.0; 3],
+            cache_hit_rates: CacheHitRates {
+                shared_prefix: 2.0,
+                affinity_replica: 2.0,
+                previous_turn: 2.0,
+            },
             ..memory()
         },
     ];
@@ -142,24 +158,20 @@
         if recall {
             new.brain.import_learned_state(&memory);
         }
-        let places = memory
-            .sessions
-            .iter()
-            .enumerate()
-            .filter(|(n, (session, at, _))| {
-                let n = 1000 + *n as u64;
-                let sent = sends(&new.tell(Event::RequestArrived(turn(n, *session))));
-                new.end(n, 0, AttemptOutcome::Completed, true);
-                sent.first().is_some_and(|s| s.1 .0 == *at)
-            });
-        (places.count(), new.brain.gauges().0)
+        let places = memory.sessions.iter().enumerate().filter(|(n, record)| {
+            let n = 1000 + *n as u64;
+            let sent = sends(&new.tell(Event::RequestArrived(turn(n, record.session))));
+            new.end(n, 0, AttemptOutcome::Completed, true);
+            sent.first().is_some_and(|s| s.1 .0 == record.replica)
+        });
+        (places.count(), new.brain.gauges().concurrency_limit)
     };
     let (with, without) = (same(true), same(false));
     assert!(with.0 >= 36 && without.0 < 30, "{with:?} {without:?}");
     assert!(
-        (with.1 - old.brain.gauges().0).abs() < 60.0,
+        (with.1 - old.brain.gauges().concurrency_limit).abs() < 60.0,
         "{with:?} {}",
-        old.brain.gauges().0
+        old.brain.gauges().concurrency_limit
     );
 }
 
