--- a/crates/scheduler/src/attempt.rs
+++ b/crates/scheduler/src/attempt.rs
@@ -122,3 +122,6 @@
         | AttemptOutcome::Cancelled => true,
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/scheduler/src/attempt/tests.rs
@@ -0,0 +1,59 @@
+//! The table of transitions of an attempt.
+
+use super::Attempt;
+use crate::prompt_cache::CacheSource;
+use crate::types::{AttemptOutcome, ReplicaId};
+
+fn attempt() -> Attempt {
+    let replica = ReplicaId("10.0.0.1:80".parse().unwrap());
+    Attempt::new(replica, 1.0, 500.0, CacheSource::SharedPrefix, 0.2)
+}
+
+#[test]
+fn attempt_is_cancelled_once_and_may_still_stream() {
+    let mut attempt = attempt();
+    assert!(attempt.cancel());
+    assert!(!attempt.cancel());
+    assert!(attempt.start_streaming());
+    assert!(!attempt.cancel());
+}
+
+#[test]
+fn first_token_is_taken_once() {
+    let mut attempt = attempt();
+    assert!(attempt.start_streaming());
+    assert!(!attempt.start_streaming());
+    assert!(attempt.is_streaming() && attempt.is_in_flight());
+}
+
+#[test]
+fn end_is_taken_once_and_tells_what_was_still_to_be_read() {
+    let mut waiting = attempt();
+    assert_eq!(waiting.end(AttemptOutcome::TimedOut), Some(500.0));
+    assert_eq!(waiting.end(AttemptOutcome::TimedOut), None);
+    let mut streaming = attempt();
+    streaming.start_streaming();
+    assert_eq!(streaming.end(AttemptOutcome::Completed), Some(0.0));
+    assert!(!streaming.is_in_flight());
+}
+
+#[test]
+fn only_attempts_that_never_reached_a_replica_or_were_turned_away_cannot_have_run() {
+    let cannot_have_run = [
+        AttemptOutcome::AtCapacity,
+        AttemptOutcome::ConnectFailed,
+        AttemptOutcome::NotSent,
+        AttemptOutcome::InvalidRequest,
+    ];
+    for outcome in cannot_have_run {
+        let mut attempt = attempt();
+        assert!(attempt.may_have_run());
+        attempt.end(outcome);
+        assert!(!attempt.may_have_run(), "{outcome:?}");
+    }
+    for outcome in [AttemptOutcome::ServerError, AttemptOutcome::TimedOut] {
+        let mut attempt = attempt();
+        attempt.end(outcome);
+        assert!(attempt.may_have_run(), "{outcome:?}");
+    }
+}
--- a/crates/scheduler/src/budgets.rs
+++ b/crates/scheduler/src/budgets.rs
@@ -190,3 +190,6 @@
             .collect()
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/scheduler/src/concurrency.rs
+++ b/crates/scheduler/src/concurrency.rs
@@ -168,3 +168,6 @@
         self.max_available_replicas
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/scheduler/src/endpoint_poll.rs
+++ b/crates/scheduler/src/endpoint_poll.rs
@@ -39,3 +39,6 @@
         is_due
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/scheduler/src/fair_queue.rs
+++ b/crates/scheduler/src/fair_queue.rs
@@ -231,3 +231,6 @@
         counts
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/scheduler/src/host_types.rs
+++ b/crates/scheduler/src/host_types.rs
@@ -175,3 +175,6 @@
             .collect();
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -107,6 +107,9 @@
 mod time;
 mod types;
 
+#[cfg(test)]
+mod tests;
+
 /// The same types under the name of an earlier module.
 pub mod interface {
     pub use crate::types::*;
--- a/crates/scheduler/src/outlier_detection.rs
+++ b/crates/scheduler/src/outlier_detection.rs
@@ -191,3 +191,6 @@
 pub(crate) fn is_panic_mode(ejected_count: usize, available_count: usize) -> bool {
     2 * ejected_count > available_count
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/scheduler/src/prompt_cache.rs
+++ b/crates/scheduler/src/prompt_cache.rs
@@ -193,3 +193,6 @@
         self.previous_turn.rate = rates.previous_turn;
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/scheduler/src/rendezvous.rs
+++ b/crates/scheduler/src/rendezvous.rs
@@ -33,3 +33,6 @@
     let key = (key ^ (key >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     key ^ (key >> 31)
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/scheduler/src/request.rs
+++ b/crates/scheduler/src/request.rs
@@ -201,3 +201,6 @@
         cancelled
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/scheduler/src/slow_start.rs
+++ b/crates/scheduler/src/slow_start.rs
@@ -102,3 +102,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/scheduler/src/statistics.rs
+++ b/crates/scheduler/src/statistics.rs
@@ -173,3 +173,6 @@
         self.attempts.restore(now, state.attempt_rate);
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/scheduler/tests/fair_queue.rs
@@ -0,0 +1,115 @@
+//! The fair queue: priority tiers, deficit round robin over tenants, earliest deadline first.
+
+#![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
+
+mod support;
+
+use poppykeel_scheduler::{AttemptOutcome, Event, IncomingRequest, RequestId};
+use support::{answered_requests, incoming_request, settings, started_attempts, SchedulerHarness};
+
+#[test]
+fn dispatches_higher_priority_first() {
+    let mut harness = SchedulerHarness::new(settings(), 1);
+    let out = harness.fill_capacity();
+    harness.arrive(incoming_request(1, 1, 0, 30.0));
+    harness.arrive(incoming_request(2, 0, 0, 30.0));
+    harness.handle(Event::ClientDisconnected(RequestId(1000 + out)));
+    assert_eq!(
+        started_attempts(&harness.end_attempt(1000, 0, AttemptOutcome::Completed, true))[0].request,
+        2
+    );
+}
+
+#[test]
+fn gives_tenants_turns_whatever_their_backlogs() {
+    let mut harness = SchedulerHarness::new(settings(), 1);
+    let out = harness.fill_capacity();
+    harness.handle(Event::ClientDisconnected(RequestId(1000 + out)));
+    for n in 0..3 {
+        harness.arrive(incoming_request(n, 1, 0, 30.0));
+    }
+    harness.arrive(incoming_request(10, 1, 1, 30.0));
+    let mut order = vec![];
+    for n in 0..out {
+        order.extend(
+            started_attempts(&harness.end_attempt(1000 + n, 0, AttemptOutcome::Completed, true))
+                .iter()
+                .map(|attempt| attempt.request),
+        );
+    }
+    let place = order
+        .iter()
+        .position(|n| *n == 10)
+        .expect("the second tenant is served");
+    assert!(place <= 1, "order {order:?}");
+}
+
+#[test]
+fn dispatches_earliest_deadline_of_a_tenant_first() {
+    let mut harness = SchedulerHarness::new(settings(), 1);
+    let out = harness.fill_capacity();
+    harness.handle(Event::ClientDisconnected(RequestId(1000 + out)));
+    harness.arrive(incoming_request(1, 1, 0, 30.0));
+    harness.arrive(incoming_request(2, 1, 0, 20.0));
+    assert_eq!(
+        started_attempts(&harness.end_attempt(1000, 0, AttemptOutcome::Completed, true))[0].request,
+        2
+    );
+}
+
+#[test]
+fn queues_requests_beyond_quota_behind_those_within() {
+    let mut site = settings();
+    site.tenants[0].rate_limit = 1.0;
+    let mut harness = SchedulerHarness::new(site, 1);
+    let out = harness.fill_capacity();
+    harness.handle(Event::ClientDisconnected(RequestId(1000 + out)));
+    harness.arrive(incoming_request(1, 1, 0, 30.0));
+    harness.arrive(incoming_request(2, 1, 1, 30.0));
+    assert_eq!(
+        started_attempts(&harness.end_attempt(1000, 0, AttemptOutcome::Completed, true))[0].request,
+        2
+    );
+}
+
+/// A hint that is absent, zero or absurd harms nobody.
+#[test]
+fn weighs_hints_of_work_in_round_robin_and_bounds_absurd_ones() {
+    let light_sent = |light: Option<f64>, heavy: Option<f64>| {
+        let mut site = settings();
+        site.classes[0].ttft_objective = 500.0;
+        let mut harness = SchedulerHarness::new(site, 1);
+        harness.fill_capacity();
+        for n in 0..40 {
+            let (tenant, work) = if n % 2 == 0 { (0, light) } else { (1, heavy) };
+            let hinted = IncomingRequest {
+                expected_work: work,
+                ..incoming_request(n, 0, tenant, 900.0)
+            };
+            assert!(answered_requests(&harness.arrive(hinted)).is_empty());
+        }
+        let mut sent = Vec::new();
+        let mut n = 1000;
+        while sent.len() < 15 && n < 1100 {
+            sent.extend(started_attempts(&harness.end_attempt(
+                n,
+                0,
+                AttemptOutcome::Cancelled,
+                true,
+            )));
+            n += 1;
+        }
+        sent.iter()
+            .filter(|attempt| attempt.request % 2 == 0)
+            .count()
+    };
+    let (even, uneven) = (light_sent(None, None), light_sent(Some(0.5), Some(1.5)));
+    assert!(
+        uneven > even + 1,
+        "{even} of 15 without hints, {uneven} of the light ones"
+    );
+    for absurd in [0.0, -1.0, f64::NAN, f64::INFINITY, 1e300, 1e-300] {
+        let light = light_sent(Some(1.0), Some(absurd));
+        assert!((2..=13).contains(&light), "{absurd}: {light} of 15");
+    }
+}
--- /dev/null
+++ b/crates/scheduler/tests/outlier_detection.rs
@@ -0,0 +1,275 @@
+//! Ejection, trials, unresponsive replicas and panic mode.
+
+#![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
+
+mod support;
+
+use poppykeel_scheduler::{Action, AttemptOutcome, EndpointState, Event, RequestId, Scheduler};
+use support::{
+    available_endpoints, endpoint, incoming_request, replica_id, settings, started_attempts,
+    SchedulerHarness, StartedAttempt,
+};
+
+/// First tokens must not clear the failures of a replica whose streams never complete.
+#[test]
+fn ejects_replica_whose_streams_break_in_a_row_until_one_completes() {
+    for outcome in [AttemptOutcome::TimedOut, AttemptOutcome::ConnectionReset] {
+        let mut harness = SchedulerHarness::new(settings(), 3);
+        let mut sent = [[0; 3]; 2];
+        for n in 0..800 {
+            let out = harness.arrive(incoming_request(n, 0, 0, 5.0));
+            let to = out.iter().find_map(|action| match action {
+                Action::StartAttempt { replica, .. } => Some(*replica),
+                _ => None,
+            });
+            let to = (0..3)
+                .find(|number| Some(replica_id(*number)) == to)
+                .unwrap();
+            // First tokens come from it as from the others, and in the second half its streams complete.
+            let late = usize::from(n >= 400);
+            sent[late][to] += 1;
+            harness.handle(Event::FirstToken {
+                request: RequestId(n),
+                attempt: 0,
+                elapsed: 0.01,
+            });
+            let whole = to != 0 || late == 1;
+            harness.end_attempt(
+                n,
+                0,
+                if whole {
+                    AttemptOutcome::Completed
+                } else {
+                    outcome
+                },
+                true,
+            );
+            harness.advance(0.02);
+        }
+        // Three attempts, then trials after 0.7, 1.4 and 2.8 s of the 8 s.
+        assert!((5..=7).contains(&sent[0][0]), "{outcome:?}: {sent:?}");
+        assert!(sent[1][0] > 50, "{outcome:?}: {sent:?}");
+    }
+}
+
+/// One pause of a replica, which ends all its streams together, must not be taken for streams that break in a row.
+#[test]
+fn counts_streams_that_break_together_once() {
+    let mut harness = SchedulerHarness::new(settings(), 3);
+    let mut at_first = Vec::new();
+    for n in 0..24 {
+        let out = harness.arrive(incoming_request(n, 0, 0, 5.0));
+        harness.handle(Event::FirstToken {
+            request: RequestId(n),
+            attempt: 0,
+            elapsed: 0.01,
+        });
+        if started_attempts(&out)
+            .iter()
+            .any(|attempt| attempt.replica == replica_id(0))
+        {
+            at_first.push(n);
+        }
+    }
+    assert!(at_first.len() > 2, "{at_first:?}");
+    for n in 0..24 {
+        harness.end_attempt(
+            n,
+            0,
+            if at_first.contains(&n) {
+                AttemptOutcome::TimedOut
+            } else {
+                AttemptOutcome::Completed
+            },
+            true,
+        );
+    }
+    let mut again = 0;
+    for n in 100..130 {
+        let out = harness.arrive(incoming_request(n, 0, 0, 5.0));
+        again += started_attempts(&out)
+            .iter()
+            .filter(|attempt| attempt.replica == replica_id(0))
+            .count();
+        harness.handle(Event::FirstToken {
+            request: RequestId(n),
+            attempt: 0,
+            elapsed: 0.01,
+        });
+        harness.end_attempt(n, 0, AttemptOutcome::Completed, true);
+    }
+    assert!(again > 3, "{again} of 30 went there");
+}
+
+/// A replica that fails at once has capacity again at once, and must not draw every queued request.
+#[test]
+fn ejects_replica_that_fails_at_once_and_tries_it_again_later() {
+    let mut harness = SchedulerHarness::new(settings(), 3);
+    let mut bad = 0;
+    for n in 0..60 {
+        let mut sent = started_attempts(&harness.arrive(incoming_request(n, 0, 0, 5.0)));
+        let mut attempt = 0;
+        while let Some(StartedAttempt {
+            request: id,
+            replica: to,
+        }) = sent.pop()
+        {
+            if to == replica_id(0) {
+                bad += 1;
+                sent = started_attempts(&harness.end_attempt(
+                    id,
+                    attempt,
+                    AttemptOutcome::ServerError,
+                    false,
+                ));
+                attempt += 1;
+            } else {
+                harness.handle(Event::FirstToken {
+                    request: RequestId(id),
+                    attempt,
+                    elapsed: 0.05,
+                });
+                harness.end_attempt(id, attempt, AttemptOutcome::Completed, true);
+            }
+        }
+        harness.advance(0.1);
+    }
+    assert!(
+        (3..=12).contains(&bad),
+        "{bad} attempts at the failing replica"
+    );
+}
+
+/// Requests must not be left with a replica that answers nothing at all.
+#[test]
+fn moves_requests_away_from_unresponsive_replica_while_time_is_left() {
+    let mut site = settings();
+    site.classes[0].late_weight = 0.5;
+    let mut harness = SchedulerHarness::new(site, 3);
+    let first = started_attempts(&harness.arrive(incoming_request(1, 0, 0, 8.0)))[0].replica;
+    let actions = harness.advance(1.3);
+    assert!(
+        actions.contains(&Action::CancelAttempt {
+            request: RequestId(1),
+            attempt: 0
+        }),
+        "{actions:?}"
+    );
+    let again = started_attempts(&harness.end_attempt(1, 0, AttemptOutcome::Cancelled, false));
+    assert!(again.len() == 1 && again[0].replica != first, "{again:?}");
+}
+
+/// Panic mode: a whole fleet must not be ejected for a cause that all replicas share.
+#[test]
+fn still_tries_replicas_when_all_fail() {
+    let mut harness = SchedulerHarness::new(settings(), 3);
+    let mut tried = 0;
+    for n in 0..40 {
+        let mut sent = started_attempts(&harness.arrive(incoming_request(n, 0, 0, 5.0)));
+        let mut attempt = 0;
+        while let Some(StartedAttempt { request: id, .. }) = sent.pop() {
+            tried += usize::from(n >= 20);
+            sent = started_attempts(&harness.end_attempt(
+                id,
+                attempt,
+                AttemptOutcome::ServerError,
+                false,
+            ));
+            attempt += 1;
+        }
+        harness.advance(0.1);
+    }
+    assert!(tried >= 20, "{tried} attempts in the later half");
+}
+
+/// A hung replica must not go on getting its part until a whole latency objective is over: once its first attempt is
+/// overdue, the others are preferred.
+#[test]
+fn prefers_others_to_a_replica_with_an_overdue_attempt() {
+    let mut site = settings();
+    site.classes[0].ttft_objective = 4.0;
+    site.limits.allows_probes = false;
+    let (mut hung_gets, mut sent) = (0, 0);
+    for seed in 0..10 {
+        let mut harness = SchedulerHarness::new(site.clone(), 4);
+        harness.scheduler = Scheduler::new(site.clone(), seed).unwrap();
+        harness.handle(Event::EndpointsReplaced(available_endpoints(4)));
+        let mut hung = None;
+        for n in 0..60 {
+            let Some(StartedAttempt {
+                request: id,
+                replica: to,
+            }) = started_attempts(&harness.arrive(incoming_request(n, 0, 0, 9.0)))
+                .first()
+                .copied()
+            else {
+                continue;
+            };
+            hung = hung.or((n >= 20).then_some(to));
+            let counted = n >= 40;
+            (sent, hung_gets) = (
+                sent + u32::from(counted),
+                hung_gets + u32::from(counted && hung == Some(to)),
+            );
+            if hung != Some(to) {
+                harness.complete_with_cached_tokens(id, 0.0);
+            }
+            harness.advance(0.06);
+        }
+    }
+    assert!(
+        sent >= 190 && hung_gets * 20 <= sent,
+        "{hung_gets} of {sent} to the hung replica of four"
+    );
+}
+
+#[test]
+fn sends_nothing_to_draining_and_removed_replicas() {
+    let mut harness = SchedulerHarness::new(settings(), 2);
+    harness.handle(Event::EndpointsChanged(vec![endpoint(
+        0,
+        EndpointState::Draining,
+        None,
+    )]));
+    for n in 0..4 {
+        let to = started_attempts(&harness.arrive(incoming_request(n, 1, 0, 5.0)));
+        assert!(
+            to.iter().all(|attempt| attempt.replica == replica_id(1)),
+            "{to:?}"
+        );
+    }
+    harness.handle(Event::EndpointsReplaced(vec![endpoint(
+        0,
+        EndpointState::Available,
+        None,
+    )]));
+    let to = started_attempts(&harness.arrive(incoming_request(9, 1, 0, 5.0)));
+    assert!(
+        to.iter().all(|attempt| attempt.replica == replica_id(0)),
+        "{to:?}"
+    );
+}
+
+#[test]
+fn forgets_removed_replicas_without_attempts_in_flight() {
+    let mut harness = SchedulerHarness::new(settings(), 1);
+    assert_eq!(
+        started_attempts(&harness.arrive(incoming_request(1, 1, 0, 5.0))).len(),
+        1
+    );
+    for n in 0..50 {
+        harness.handle(Event::EndpointsChanged(vec![
+            endpoint(n, EndpointState::Removed, None),
+            endpoint(n + 1, EndpointState::Available, None),
+        ]));
+    }
+    // The first one still has an attempt in flight.
+    assert_eq!(harness.scheduler.gauges().replica_count, 2);
+    harness.end_attempt(1, 0, AttemptOutcome::Completed, true);
+    harness.handle(Event::EndpointsReplaced(vec![endpoint(
+        50,
+        EndpointState::Available,
+        None,
+    )]));
+    assert_eq!(harness.scheduler.gauges().replica_count, 1);
+}
--- /dev/null
+++ b/crates/scheduler/tests/retry.rs
@@ -0,0 +1,148 @@
+//! Retries and what idempotency allows.
+
+#![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
+
+mod support;
+
+use poppykeel_scheduler::{
+    Action, AttemptOutcome, DeduplicationScope, Idempotency, LoadReportSource, ReplicaId,
+    RequestId, SiteLimits,
+};
+use support::{
+    answered_requests, incoming_request, replica_id, settings, started_attempts, SchedulerHarness,
+};
+
+#[test]
+fn fails_non_idempotent_request_that_may_have_run() {
+    for (outcome, again) in [
+        (AttemptOutcome::ServerError, false),
+        (AttemptOutcome::AtCapacity, true),
+    ] {
+        let mut harness = SchedulerHarness::new(settings(), 2);
+        harness.arrive(incoming_request(1, 2, 0, 5.0));
+        let actions = harness.end_attempt(1, 0, outcome, false);
+        assert_eq!(
+            started_attempts(&actions).len(),
+            usize::from(again),
+            "{outcome:?}"
+        );
+        assert_eq!(
+            actions.contains(&Action::Fail {
+                request: RequestId(1)
+            }),
+            !again,
+            "{outcome:?}"
+        );
+    }
+}
+
+#[test]
+fn retries_keyed_request_within_its_scope_and_retention() {
+    for (group, memory, where_to) in [
+        (DeduplicationScope::AllReplicas, 5.0, 3),
+        (DeduplicationScope::Zone, 5.0, 1),
+        (DeduplicationScope::Cell, 0.0, 0),
+    ] {
+        let mut site = settings();
+        site.classes[0].idempotency = Idempotency::Keyed {
+            scope: group,
+            retention: memory,
+        };
+        let mut harness = SchedulerHarness::new(site, 4);
+        let first = started_attempts(&harness.arrive(incoming_request(1, 0, 0, 5.0)))[0].replica;
+        let actions = harness.end_attempt(1, 0, AttemptOutcome::ConnectionReset, false);
+        let again = started_attempts(&actions);
+        assert_eq!(
+            again.len(),
+            usize::from(where_to > 0),
+            "{group:?}: {actions:?}"
+        );
+        if where_to == 1 {
+            let zone = |replica: ReplicaId| {
+                let number = (0..4).find(|number| replica_id(*number) == replica);
+                number.unwrap() % 2
+            };
+            assert_eq!(zone(again[0].replica), zone(first));
+        }
+    }
+}
+
+#[test]
+fn keeps_to_settings_that_allow_nothing() {
+    let mut site = settings();
+    site.limits = SiteLimits {
+        allows_probes: false,
+        allows_cancellation: false,
+        allows_hedging: false,
+        max_attempts: 1,
+        max_retry_after: 0.0,
+    };
+    (site.tenants, site.load_report_source) = (vec![], LoadReportSource::Off);
+    let mut harness = SchedulerHarness::new(site, 2);
+    harness.arrive(incoming_request(1, 0, 0, 3.0));
+    let mut actions = harness.advance(2.0);
+    actions.extend(harness.end_attempt(1, 0, AttemptOutcome::ServerError, false));
+    assert_eq!(
+        (
+            started_attempts(&actions).len(),
+            answered_requests(&actions)
+        ),
+        (0, vec![1])
+    );
+    assert!(
+        !actions
+            .iter()
+            .any(|action| matches!(action, Action::Probe { .. } | Action::CancelAttempt { .. })),
+        "{actions:?}"
+    );
+}
+
+#[test]
+fn fails_invalid_request_at_once_without_blame_for_the_replica() {
+    let mut harness = SchedulerHarness::new(settings(), 1);
+    for n in 0..6 {
+        assert_eq!(
+            started_attempts(&harness.arrive(incoming_request(n, 0, 0, 30.0))).len(),
+            1,
+            "request {n}"
+        );
+        let actions = harness.end_attempt(n, 0, AttemptOutcome::InvalidRequest, false);
+        assert_eq!(
+            actions,
+            [Action::Fail {
+                request: RequestId(n)
+            }]
+        );
+    }
+}
+
+/// Hedged attempts go to another replica in time, for a part of all attempts only.
+#[test]
+fn hedges_overdue_request_elsewhere_while_it_can_be_in_time() {
+    let mut site = settings();
+    site.classes[0].ttft_objective = 4.0;
+    for (copies, due) in [(true, 1), (false, 0)] {
+        site.limits.allows_hedging = copies;
+        let mut harness = SchedulerHarness::new(site.clone(), 4);
+        for n in 0..100 {
+            harness.arrive(incoming_request(n, 0, 0, 9.0));
+            harness.complete_with_cached_tokens(n, 0.0);
+            harness.advance(0.04);
+        }
+        let first = started_attempts(&harness.arrive(incoming_request(500, 0, 0, 9.0)))[0].replica;
+        let second = started_attempts(&harness.advance(1.0));
+        assert_eq!(second.len(), due, "{second:?}");
+        assert!(second.iter().all(|attempt| attempt.replica != first));
+    }
+    site.limits.allows_hedging = true;
+    let mut harness = SchedulerHarness::new(site, 8);
+    let (mut firsts, mut copied) = (0, 0);
+    for n in 0..100 {
+        firsts += started_attempts(&harness.arrive(incoming_request(n, 0, 0, 3.0))).len();
+        copied += started_attempts(&harness.advance(0.1)).len();
+    }
+    assert!(
+        copied <= 3 + firsts / 8,
+        "{copied} hedged attempts of {firsts} where nothing answers"
+    );
+}
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -2,15 +2,8 @@
 //! side by side.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
-#![expect(
-    clippy::min_ident_chars,
-    clippy::too_many_lines,
-    reason = "not yet converted"
-)]
+#![expect(clippy::too_many_lines, reason = "not yet converted")]
 
-#[allow(dead_code)] // each file of tests uses a part
-#[path = "../crates/scheduler/tests/support/rig.rs"]
-mod rig;
 #[allow(dead_code)] // the rest is for tests of streams
 mod support;
 
@@ -19,7 +12,6 @@
 use poppykeel_site_settings::SiteNames;
 use poppykeel_stub_model_server::{Outcome as Seen, Script, Standin};
 use proptest::prelude::*;
-use rig::*;
 use std::process::Command;
 use std::time::{Duration, Instant};
 use support::{ask, Node};
@@ -121,60 +113,6 @@
     }
 }
 
-/// A router that takes over sends a session's next turn where the one before it sent the last, and lets as many
-/// requests out; without what was handed over it does neither.
-#[test]
-fn a_router_goes_on_where_the_one_before_it_was() {
-    let turn = |n: u64, session: u64| IncomingRequest {
-        session: Some(session),
-        ..request(n, 0, 0, 30.0)
-    };
-    let mut old = Rig::new(settings(), 8);
-    for n in 1..=400 {
-        let sent = sends(&old.tell(Event::RequestArrived(turn(n, n % 40))));
-        assert_eq!(sent.len(), 1);
-        old.now += 0.05;
-        old.start(n, 0.05);
-        let report = LoadReport {
-            cached_prompt_tokens: Some(700.0),
-            ..LoadReport::default()
-        };
-        let (request, outcome) = (RequestId(n), AttemptOutcome::Completed);
-        old.tell(Event::AttemptEnded {
-            request,
-            attempt: 0,
-            outcome,
-            is_request_finished: true,
-            report: Some(report),
-        });
-    }
-    let memory = old.brain.export_learned_state();
-    assert!(
-        memory.is_plausible() && memory.sessions.len() == 40,
-        "{memory:?}"
-    );
-    let same = |recall: bool| {
-        let mut new = Rig::new(settings(), 8);
-        if recall {
-            new.brain.import_learned_state(&memory);
-        }
-        let places = memory.sessions.iter().enumerate().filter(|(n, record)| {
-            let n = 1000 + *n as u64;
-            let sent = sends(&new.tell(Event::RequestArrived(turn(n, record.session))));
-            new.end(n, 0, AttemptOutcome::Completed, true);
-            sent.first().is_some_and(|s| s.1 .0 == record.replica)
-        });
-        (places.count(), new.brain.gauges().concurrency_limit)
-    };
-    let (with, without) = (same(true), same(false));
-    assert!(with.0 >= 36 && without.0 < 30, "{with:?} {without:?}");
-    assert!(
-        (with.1 - old.brain.gauges().concurrency_limit).abs() < 60.0,
-        "{with:?} {}",
-        old.brain.gauges().concurrency_limit
-    );
-}
-
 /// The new process asks, the old one leaves what it has learned, and once more when it is told to end.
 #[test]
 fn a_second_process_learns_from_the_first_one() {
