--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,152 +1,77 @@
-//! Hosts instances of the decision module on the simulator's wire: standard input to standard output.
+//! Hosts instances of the scheduler on the simulator's line protocol: standard input to standard output.
 //!
-//! Batches in, one reply a batch out. What cannot be read ends the program with one line on standard error.
+//! The simulator sends batches of lines and gets one reply a batch. Input that cannot be read ends the program with one
+//! line on standard error, and a failure as its exit code.
 
-#![expect(clippy::too_many_lines, reason = "not yet converted")]
 #![forbid(unsafe_code)]
 
-mod wire;
+mod host;
+mod protocol;
 
-use poppykeel_scheduler::interface::{Event, Seconds};
-use poppykeel_scheduler::Scheduler;
-use poppykeel_site_settings::SiteSettings;
-use std::collections::BTreeMap;
+use host::{Host, HostError, Progress};
 use std::io::{BufRead, Write};
 use std::process::ExitCode;
-use wire::{Line, Row, Told};
 
-struct Instance {
-    brain: Scheduler,
-    boot: SiteSettings,
-}
-
-#[derive(Default)]
-struct Host {
-    now: Option<Seconds>,
-    catalogs: BTreeMap<u64, Vec<Row>>,
-    /// The catalog being read and how many of its entries are still to come.
-    filling: (u64, usize),
-    instances: BTreeMap<u64, Instance>,
-    reply: String,
-}
-
-impl Host {
-    /// Takes one line; true at the end of a batch, when the reply is complete.
-    fn take(&mut self, text: &str) -> Result<bool, String> {
-        let line = wire::line(text).map_err(|e| e.to_string())?;
-        let Some(now) = self.now else {
-            let Line::Frame(now) = line else {
-                return Err(format!("{}: expected frame", name(text)));
-            };
-            self.now = Some(now);
-            return Ok(false);
-        };
-        if self.filling.1 > 0 {
-            let Line::Entry(row) = line else {
-                return Err(format!(
-                    "{}: expected {} more worker lines",
-                    name(text),
-                    self.filling.1
-                ));
-            };
-            self.filling.1 -= 1;
-            self.catalogs.entry(self.filling.0).or_default().push(row);
-            return Ok(false);
-        }
-        match line {
-            Line::Frame(_) => return Err("frame: expected eob before the next batch".into()),
-            Line::Entry(_) => return Err("worker: expected a catalog before it".into()),
-            Line::EndOfBatch => {
-                self.now = None;
-                return Ok(true);
-            }
-            Line::Catalog { number, entries } => {
-                self.catalogs.insert(number, Vec::new());
-                self.filling = (number, entries);
-            }
-            Line::For(who, mut values) if values.message() == "spawn" => {
-                let (seed, boot) = values.boot().map_err(|e| e.to_string())?;
-                let brain = Scheduler::new(boot.scheduler.clone(), seed)
-                    .map_err(|e| format!("spawn: {e}"))?;
-                self.instances.insert(who, Instance { brain, boot });
-            }
-            Line::For(who, values) => {
-                let message = values.message();
-                let instance = self.instances.get_mut(&who);
-                let instance = instance
-                    .ok_or_else(|| format!("{message}: expected a known instance, not {who}"))?;
-                let event = match values.told(&instance.boot).map_err(|e| e.to_string())? {
-                    Told::Event(event) => event,
-                    Told::List { catalog, full } => {
-                        let rows = self.catalogs.get(&catalog);
-                        let rows = rows.ok_or_else(|| {
-                            format!("{message}: expected a known catalog, not {catalog}")
-                        })?;
-                        let list =
-                            wire::listings(rows, &instance.boot).map_err(|e| e.to_string())?;
-                        if full {
-                            Event::EndpointsReplaced(list)
-                        } else {
-                            Event::EndpointsChanged(list)
-                        }
-                    }
-                    Told::Stop => {
-                        self.instances.remove(&who);
-                        return Ok(false);
-                    }
-                    Told::Nothing => return Ok(false),
-                };
-                let mut actions = Vec::new();
-                instance.brain.handle_event(now, event, &mut actions);
-                for action in &actions {
-                    wire::write_action(&mut self.reply, who, action);
-                }
-            }
-        }
-        Ok(false)
-    }
-}
+/// Ends each reply.
+const END_OF_REPLY: &str = "done\n";
 
-fn name(text: &str) -> &str {
-    text.split(' ').next().unwrap_or(text)
+/// Why the program ends before its input does.
+#[derive(Debug, thiserror::Error)]
+enum AdapterError {
+    /// A line cannot be read from standard input.
+    #[error("line {number}: {source}")]
+    Read { number: u64, source: std::io::Error },
+    /// A line is not text.
+    #[error("line {number}: expected UTF-8 text")]
+    NotText { number: u64 },
+    /// A line makes no sense where it stands.
+    #[error("line {number}: {source}")]
+    Line { number: u64, source: HostError },
+    /// The input has ended within a batch.
+    #[error("line {number}: end of input: expected eob")]
+    EndOfInput { number: u64 },
+    /// A reply cannot be written.
+    #[error("standard output: {0}")]
+    Write(#[source] std::io::Error),
 }
 
-fn run() -> Result<(), String> {
-    let (mut input, mut output) = (std::io::stdin().lock(), std::io::stdout().lock());
-    let (mut host, mut text, mut number) = (Host::default(), Vec::new(), 0u64);
+/// Reads batches and writes replies until the input ends.
+fn run(mut input: impl BufRead, mut output: impl Write) -> Result<(), AdapterError> {
+    let mut host = Host::default();
+    let mut line = Vec::new();
+    let mut number = 0;
     loop {
-        text.clear();
+        line.clear();
         number += 1;
         let length = input
-            .read_until(b'\n', &mut text)
-            .map_err(|e| format!("line {number}: {e}"))?;
+            .read_until(b'\n', &mut line)
+            .map_err(|source| AdapterError::Read { number, source })?;
         if length == 0 {
-            return match host.now {
-                None => Ok(()),
-                Some(_) => Err(format!("line {number}: end of input: expected eob")),
+            return if host.is_within_batch() {
+                Err(AdapterError::EndOfInput { number })
+            } else {
+                Ok(())
             };
         }
-        let line = std::str::from_utf8(&text)
-            .map_err(|_| format!("line {number}: expected UTF-8 text"))?;
-        let complete = host
-            .take(line.trim_end_matches(['\n', '\r']))
-            .map_err(|e| format!("line {number}: {e}"))?;
-        if complete {
-            host.reply.push_str("done\n");
-            let sent = output
-                .write_all(host.reply.as_bytes())
-                .and_then(|()| output.flush());
-            sent.map_err(|e| format!("standard output: {e}"))?;
-            host.reply.clear();
+        let text = std::str::from_utf8(&line).map_err(|_| AdapterError::NotText { number })?;
+        let progress = host
+            .take_line(text.trim_end_matches(['\n', '\r']))
+            .map_err(|source| AdapterError::Line { number, source })?;
+        if progress == Progress::BatchComplete {
+            let reply = host.take_reply() + END_OF_REPLY;
+            output
+                .write_all(reply.as_bytes())
+                .map_err(AdapterError::Write)?;
+            output.flush().map_err(AdapterError::Write)?;
         }
     }
 }
 
 fn main() -> ExitCode {
-    match run() {
+    match run(std::io::stdin().lock(), std::io::stdout().lock()) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(text) => {
-            eprintln!("poppykeel-simulator-adapter: {text}");
+        Err(error) => {
+            eprintln!("poppykeel-simulator-adapter: {error}");
             ExitCode::FAILURE
         }
     }
--- /dev/null
+++ b/crates/simulator-adapter/src/protocol/catalog.rs
@@ -0,0 +1,78 @@
+//! The rows of a catalog: one endpoint each.
+
+use super::{ProtocolError, Values};
+use poppykeel_scheduler::{Endpoint, EndpointState};
+use poppykeel_site_settings::SiteSettings;
+
+/// A row before the instance that it goes to is known.
+#[derive(Clone, Debug, PartialEq)]
+pub(crate) struct CatalogRow {
+    /// Its weight is a capacity only if the instance's settings say so.
+    endpoint: Endpoint,
+}
+
+pub(crate) fn parse_row(values: &mut Values<'_>) -> Result<CatalogRow, ProtocolError> {
+    let id = values.replica()?;
+    let zone = values.required("hall")?;
+    let host_type = values.optional("generationHw")?;
+    let cell = values.optional("cell")?;
+    let state = match values.next() {
+        Some("up") => EndpointState::Available,
+        Some("draining") => EndpointState::Draining,
+        Some("removed") => EndpointState::Removed,
+        _ => return Err(values.expected("up, draining or removed for stageState")),
+    };
+    let weight = values.optional::<f64>("weight")?;
+    let started_at = values.optional::<f64>("born")?;
+    Ok(CatalogRow {
+        endpoint: Endpoint {
+            id,
+            zone,
+            cell: cell.unwrap_or(0),
+            host_type: host_type.unwrap_or(0),
+            state,
+            capacity_weight: weight,
+            started_at: started_at.filter(|time| *time > 0.0),
+        },
+    })
+}
+
+/// The rows as an instance may see them: its settings must know their zones and host types.
+pub(crate) fn endpoints(
+    rows: &[CatalogRow],
+    settings: &SiteSettings,
+) -> Result<Vec<Endpoint>, ProtocolError> {
+    for row in rows {
+        check_positions(&row.endpoint, settings)?;
+    }
+    let endpoints = rows.iter().map(|row| Endpoint {
+        capacity_weight: settings.capacity_weight(row.endpoint.capacity_weight),
+        ..row.endpoint.clone()
+    });
+    Ok(endpoints.collect())
+}
+
+fn check_positions(endpoint: &Endpoint, settings: &SiteSettings) -> Result<(), ProtocolError> {
+    let zones = settings.names.zones.len().max(1);
+    let host_types = settings.names.host_types.len().max(1);
+    if endpoint.zone >= zones {
+        return Err(roster_error(format!(
+            "a zone below {zones}, not {}",
+            endpoint.zone
+        )));
+    }
+    if endpoint.host_type >= host_types {
+        let host_type = endpoint.host_type;
+        return Err(roster_error(format!(
+            "a kind below {host_types}, not {host_type}"
+        )));
+    }
+    Ok(())
+}
+
+fn roster_error(expected: String) -> ProtocolError {
+    ProtocolError {
+        message: "roster_change".into(),
+        expected,
+    }
+}
--- a/src/program/serve.rs
+++ b/src/program/serve.rs
@@ -99,7 +99,9 @@
     (config, operator): (Config, Operator),
 ) -> Result<(Config, Operator, Rc<SiteSettings>), String> {
     config.replaces(current)?;
-    let next = boot.updated_to(config.boot.clone())?;
+    let next = boot
+        .updated_to(config.boot.clone())
+        .map_err(|e| e.to_string())?;
     Ok((config, operator, Rc::new(next)))
 }
 
