--- a/benches/streams.rs
+++ b/benches/streams.rs
@@ -12,7 +12,7 @@
 mod support;
 
 use oorandom::Rand64;
-use poppykeel_stream_recovery::{Gaps, Health, Limits, Story};
+use poppykeel_stream_recovery::{GapHistogram, StallDetector, StallLimits, StreamTranscript};
 use poppykeel_stub_model_server::{check, Fault, Outcome, Rule, Script, Seen, Standin};
 use std::sync::Mutex;
 use std::time::Instant;
@@ -199,21 +199,21 @@
 /// False stalls among healthy but slow streams, and the time until a dead one is noticed, in fed time.
 fn detection() {
     let rules = [
-        ("the rule", Limits::default()),
+        ("the rule", StallLimits::default()),
         (
             "fixed 3 s",
-            Limits {
-                least: 3_000_000,
-                most: 3_000_000,
-                ..Limits::default()
+            StallLimits {
+                min_silence: 3_000_000,
+                max_silence: 3_000_000,
+                ..StallLimits::default()
             },
         ),
         (
             "fixed 4.6 s",
-            Limits {
-                least: 4_600_000,
-                most: 4_600_000,
-                ..Limits::default()
+            StallLimits {
+                min_silence: 4_600_000,
+                max_silence: 4_600_000,
+                ..StallLimits::default()
             },
         ),
     ];
@@ -225,10 +225,10 @@
     ] {
         for (name, limits) in &rules {
             let (mut rng, mut gaps, mut lost, mut found) =
-                (Rand64::new(7), Gaps::default(), 0, Vec::new());
+                (Rand64::new(7), GapHistogram::default(), 0, Vec::new());
             let streams = 2000;
             for _ in 0..streams {
-                let limit = gaps.limit(None, limits);
+                let limit = gaps.silence_limit(None, limits);
                 for _ in 0..100 {
                     let pause = rng.rand_float() < chance;
                     let gap = if pause {
@@ -238,13 +238,13 @@
                     };
                     let gap = (gap * 1e6) as u64;
                     if gap >= limit {
-                        gaps.gave_up(limit);
+                        gaps.record_abandoned(limit);
                         lost += 1;
                         break;
                     }
-                    gaps.add(gap);
+                    gaps.record(gap);
                 }
-                found.push(gaps.limit(None, limits) as f64 / 1e6);
+                found.push(gaps.silence_limit(None, limits) as f64 / 1e6);
             }
             println!(
                 "detection: {what}, {name}: {:.2}% of healthy streams given up; a dead one noticed after p50 {:.2} s",
@@ -258,11 +258,14 @@
 /// What is added to each event that passes.
 fn cost() {
     let events = 1_000_000_u64;
-    let (mut gaps, mut health) = (Gaps::default(), Health::new(0, 3_000_000, None));
+    let (mut gaps, mut health) = (
+        GapHistogram::default(),
+        StallDetector::new(0, 3_000_000, None),
+    );
     let start = Instant::now();
     for n in 0..events {
-        if let Some(gap) = health.event(n * 20_000) {
-            gaps.add(gap);
+        if let Some(gap) = health.record_event(n * 20_000) {
+            gaps.record(gap);
         }
     }
     println!(
@@ -270,11 +273,11 @@
         start.elapsed().as_nanos() as f64 / events as f64
     );
     let event = b"data: {\"id\":\"x\",\"choices\":[{\"index\":0,\"delta\":{\"content\":\"abc \"},\"finish_reason\":null}]}\n\n";
-    let mut story = Story::default();
+    let mut story = StreamTranscript::default();
     let start = Instant::now();
     let some = events / 40;
     for _ in 0..some {
-        story.feed(0, event);
+        story.forward(0, event);
     }
     println!(
         "cost: {:.0} ns an event more where streams are continued",
--- a/crates/stream-recovery/src/lib.rs
+++ b/crates/stream-recovery/src/lib.rs
@@ -1,14 +1,24 @@
-//! Answers that stream: whether they flow, stall or break, and what can be saved of them.
+//! Answers that stream: whether they flow, stall or break, and what can be recovered of them.
 //!
-//! Nothing here reads a socket or a clock: events, bytes and the time are fed in. `health` says how a stream fares
-//! and how long a silence may last, `story` keeps what has been passed on to the client and makes one coherent
-//! stream of several upstreams, `recovery` judges how a stream that has ended before its end is to end, within
-//! budgets. `docs/streams.md` has the table of states and the ways weighed.
+//! Nothing here reads a socket or a clock: events, bytes and the time are fed in. Times are microseconds on a monotonic
+//! clock. `docs/streams.md` has the table of states and the alternatives that were weighed.
+//!
+//! - [`GapHistogram`] and [`StallDetector`]: how long a silence may last in a stream, and what state the stream is in.
+//! - [`StreamTranscript`]: what has been forwarded to a client, and how the streams of several replicas become one.
+//! - [`decide`]: how a stream that ended too early is to end, within a [`ContinuationBudget`].
 
-mod health;
+mod budget;
+mod gaps;
 mod recovery;
-mod story;
+mod sse;
+mod stall_detection;
+mod transcript;
+
+pub use budget::{ContinuationBudget, ContinuationLimits};
+pub use gaps::{GapHistogram, StallLimits};
+pub use recovery::{decide, InterruptedStream, RecoveryDecision, RecoveryRefusal};
+pub use stall_detection::{StallDetector, StreamState};
+pub use transcript::{ContinuationObstacle, ForwardedBytes, StreamProgress, StreamTranscript};
 
-pub use health::{Gaps, Health, Limits, Micros, State};
-pub use recovery::{judge, Budget, Budgets, Case, Ends, Refusal};
-pub use story::{Passed, Progress, Story};
+/// Microseconds on a monotonic clock, or a span of them.
+pub type Micros = u64;
--- /dev/null
+++ b/crates/stream-recovery/src/sse.rs
@@ -0,0 +1,27 @@
+//! Server-sent events, as far as forwarding needs them: where an event ends, and its data.
+
+/// The length of the first whole event, with the empty line after it.
+pub(crate) fn event_length(bytes: &[u8]) -> Option<usize> {
+    let mut line_start = 0;
+    for (position, byte) in bytes.iter().enumerate() {
+        if *byte != b'\n' {
+            continue;
+        }
+        let line = &bytes[line_start..position];
+        line_start = position + 1;
+        if line.strip_suffix(b"\r").unwrap_or(line).is_empty() {
+            return Some(line_start);
+        }
+    }
+    None
+}
+
+/// The data of an event, its lines joined.
+pub(crate) fn event_data(event: &[u8]) -> String {
+    let text = String::from_utf8_lossy(event);
+    let data_lines = text.lines().filter_map(|line| line.strip_prefix("data:"));
+    let data: Vec<&str> = data_lines
+        .map(|line| line.strip_prefix(' ').unwrap_or(line))
+        .collect();
+    data.join("\n")
+}
--- /dev/null
+++ b/crates/stream-recovery/tests/stall_detection.rs
@@ -0,0 +1,98 @@
+//! Limits of silence and the state of a stream, with fed events and time.
+
+mod support;
+
+use poppykeel_stream_recovery::{GapHistogram, StallDetector, StallLimits, StreamState};
+use support::SECOND;
+
+fn record_many(gaps: &mut GapHistogram, count: usize, gap: u64) {
+    for _ in 0..count {
+        gaps.record(gap);
+    }
+}
+
+#[test]
+fn limit_of_silence_follows_the_replica_within_its_bounds() {
+    let limits = StallLimits {
+        min_silence: SECOND,
+        max_silence: 5 * SECOND,
+        objective_factor: 20.0,
+        long_gap_factor: 2.0,
+    };
+    let mut gaps = GapHistogram::default();
+    assert_eq!(gaps.silence_limit(None, &limits), SECOND);
+    assert_eq!(gaps.silence_limit(Some(100_000), &limits), 2 * SECOND);
+    record_many(&mut gaps, 500, 40_000);
+    assert_eq!(gaps.silence_limit(None, &limits), SECOND);
+    // A slow healthy replica: one gap in ten lasts 1.5 s.
+    for n in 0..500 {
+        gaps.record(if n % 10 == 0 { 1_500_000 } else { 100_000 });
+    }
+    let limit = gaps.silence_limit(None, &limits);
+    assert!((3 * SECOND..4 * SECOND).contains(&limit), "{limit}");
+    record_many(&mut gaps, 500, 20 * SECOND);
+    assert_eq!(gaps.silence_limit(None, &limits), 5 * SECOND);
+    // The past fades.
+    record_many(&mut gaps, 20_000, 40_000);
+    assert_eq!(gaps.silence_limit(None, &limits), SECOND);
+}
+
+#[test]
+fn limit_grows_after_streams_were_given_up_too_early() {
+    let limits = StallLimits {
+        min_silence: 3 * SECOND,
+        max_silence: 5 * SECOND,
+        objective_factor: 0.0,
+        long_gap_factor: 1.5,
+    };
+    let mut gaps = GapHistogram::default();
+    record_many(&mut gaps, 300, 20_000);
+    let mut given_up = 0;
+    while gaps.silence_limit(None, &limits) <= 3 * SECOND {
+        gaps.record_abandoned(3 * SECOND);
+        given_up += 1;
+        assert!(
+            given_up < 5,
+            "one stream after the other is lost to the same limit"
+        );
+    }
+}
+
+#[test]
+fn state_follows_events_and_time() {
+    let mut detector = StallDetector::new(0, 3 * SECOND, Some(SECOND / 2));
+    assert_eq!(detector.state(0), StreamState::Flowing);
+    assert_eq!(detector.stall_deadline(), Some(3 * SECOND));
+    assert_eq!(detector.state(SECOND), StreamState::Slow);
+    assert_eq!(detector.record_event(SECOND), Some(SECOND));
+    assert_eq!(detector.state(SECOND), StreamState::Slow);
+    detector.record_event(SECOND + 1000);
+    assert_eq!(detector.state(SECOND + 1000), StreamState::Flowing);
+    assert_eq!(detector.state(5 * SECOND), StreamState::Stalled);
+}
+
+#[test]
+fn waiting_for_the_client_is_neither_a_stall_nor_a_gap() {
+    let mut detector = StallDetector::new(0, 3 * SECOND, Some(SECOND / 2));
+    detector.record_event(SECOND);
+    detector.record_event(SECOND + 1000);
+    detector.client_blocked(2 * SECOND);
+    assert_eq!(detector.state(90 * SECOND), StreamState::ClientSlow);
+    assert_eq!(detector.stall_deadline(), None);
+    assert_eq!(detector.record_event(80 * SECOND), None);
+    detector.client_resumed(90 * SECOND);
+    assert_eq!(detector.state(91 * SECOND), StreamState::Slow);
+    assert_eq!(detector.stall_deadline(), Some(93 * SECOND));
+}
+
+#[test]
+fn ended_stream_is_no_longer_watched() {
+    let mut broken = StallDetector::new(0, 3 * SECOND, None);
+    let mut completed = broken.clone();
+    broken.record_end(false);
+    completed.record_end(true);
+    assert_eq!(broken.state(95 * SECOND), StreamState::Broken);
+    assert_eq!(completed.state(95 * SECOND), StreamState::Completed);
+    assert_eq!(completed.stall_deadline(), None);
+    assert_eq!(completed.record_event(96 * SECOND), None);
+}
--- a/src/program/config/operator.rs
+++ b/src/program/config/operator.rs
@@ -17,7 +17,7 @@
 use crate::transport::streams::{self, Continues};
 use poppykeel_dns_resolver::{Config, Family, Lifetimes};
 use poppykeel_endpoints::{Absence, Flaps, Guard, Kind, Micros, Settings, SourceSettings};
-use poppykeel_stream_recovery::{Budget, Limits};
+use poppykeel_stream_recovery::{ContinuationLimits, StallLimits};
 use regex_lite::Regex;
 use serde::de::{Error, Visitor};
 use serde::{Deserialize, Deserializer};
@@ -214,17 +214,17 @@
 
 impl Default for Streams {
     fn default() -> Self {
-        let (limits, budget) = (Limits::default(), Budget::default());
+        let (limits, budget) = (StallLimits::default(), ContinuationLimits::default());
         Streams {
-            stall_least: Span(limits.least),
-            stall_most: Span(limits.most),
-            stall_aims: limits.aims,
-            stall_gaps: limits.gaps,
+            stall_least: Span(limits.min_silence),
+            stall_most: Span(limits.max_silence),
+            stall_aims: limits.objective_factor,
+            stall_gaps: limits.long_gap_factor,
             continues: false,
-            tries: budget.tries,
+            tries: budget.max_per_stream,
             share: budget.share,
             replica_share: 0.5,
-            free: budget.free,
+            free: budget.min_allowed,
             window: Span(budget.window),
             wait: Span(5_000_000),
         }
@@ -439,16 +439,16 @@
     pub fn streams(&self) -> streams::Settings {
         let s = &self.streams;
         let (least, most) = (s.stall_least.0, s.stall_most.0);
-        let limits = Limits {
-            least,
-            most,
-            aims: s.stall_aims,
-            gaps: s.stall_gaps,
+        let limits = StallLimits {
+            min_silence: least,
+            max_silence: most,
+            objective_factor: s.stall_aims,
+            long_gap_factor: s.stall_gaps,
         };
-        let budget = Budget {
-            tries: s.tries,
+        let budget = ContinuationLimits {
+            max_per_stream: s.tries,
             share: s.share,
-            free: s.free,
+            min_allowed: s.free,
             window: s.window.0,
         };
         let wait = std::time::Duration::from_micros(s.wait.0);
--- a/src/transport/relay.rs
+++ b/src/transport/relay.rs
@@ -11,14 +11,16 @@
 use bytes::Bytes;
 use poppykeel_scheduler::interface::{Idempotency, IncomingRequest, ReplicaId, RequestId};
 use poppykeel_site_settings::SiteSettings;
-use poppykeel_stream_recovery::{judge, Case, Ends, Progress, Refusal, Story};
+use poppykeel_stream_recovery::{
+    decide, InterruptedStream, RecoveryDecision, RecoveryRefusal, StreamProgress, StreamTranscript,
+};
 use std::rc::Rc;
 
 /// One client's stream that may be saved.
 pub struct Relay {
     streams: Rc<Streams>,
     continues: Continues,
-    story: Story,
+    story: StreamTranscript,
     arrival: IncomingRequest,
     head: Head,
     body: Bytes,
@@ -58,7 +60,7 @@
             .classes
             .get(arrival.class)
             .map(|c| c.idempotency);
-        let (streams, story) = (streams.clone(), Story::default());
+        let (streams, story) = (streams.clone(), StreamTranscript::default());
         let repeatable = effect == Some(Idempotency::Idempotent);
         Some(Relay {
             streams,
@@ -80,23 +82,25 @@
 
     /// What of an upstream's bytes goes to the client now.
     pub fn pass(&mut self, bytes: &Bytes) -> Bytes {
-        let passed = self.story.feed(self.story.epoch(), bytes);
-        if passed.dropped > 0 {
-            self.streams.count(|c| c.dropped += passed.dropped as u64);
+        let passed = self.story.forward(self.story.epoch(), bytes);
+        if passed.dropped_bytes > 0 {
+            self.streams
+                .count(|c| c.dropped += passed.dropped_bytes as u64);
         }
         passed.bytes.into()
     }
 
     /// What is left of an event that was never completed, where the upstream says that all has passed.
     pub fn rest(&mut self) -> Bytes {
-        self.story.rest().into()
+        self.story.take_partial_event().into()
     }
 
     /// The upstream says that all has passed: whether it has by the answer's own words, if those can be judged.
     pub fn whole(&mut self) -> bool {
         let story = &self.story;
-        let whole =
-            story.progress() == Progress::Done || story.closed().is_some() || !story.known();
+        let whole = story.progress() == StreamProgress::Done
+            || story.obstacle().is_some()
+            || !story.has_chunks();
         if whole && self.tries > 0 {
             self.streams.count(|c| c.saved += 1);
         }
@@ -105,26 +109,26 @@
 
     /// The upstream has stalled or broken.
     pub fn ended(&mut self, ending: bool) -> Next {
-        let case = Case {
-            allowed: true,
-            repeatable: self.repeatable,
-            tries: self.tries,
-            reader: true,
-            ending,
+        let case = InterruptedStream {
+            max_continuations: Some(self.continues.budget.max_per_stream),
+            is_idempotent: self.repeatable,
+            continuations: self.tries,
+            has_client: true,
+            is_shutting_down: ending,
         };
         let (streams, continues, replica) = (&self.streams, &self.continues, self.replica);
         let take = || streams.take(replica, continues);
-        match judge(&case, &self.story, &self.body, &continues.budget, take) {
-            Ends::Complete => {
+        match decide(&case, &self.story, &self.body, take) {
+            RecoveryDecision::Complete => {
                 self.streams.count(|c| c.completed += 1);
-                Next::Complete(self.story.ending().into())
+                Next::Complete(self.story.closing_events().into())
             }
-            Ends::Fail(why) => self.fail(&why),
-            Ends::Continue(rest) => {
+            RecoveryDecision::Fail(why) => self.fail(&why),
+            RecoveryDecision::Continue(rest) => {
                 self.tries += 1;
-                let epoch = self.story.next_epoch();
+                let epoch = self.story.begin_epoch();
                 self.streams.count(|c| c.continued += 1);
-                let tokens = self.story.tokens();
+                let tokens = self.story.token_count();
                 let mut arrival = self.arrival.clone();
                 // A request of its own: a server that remembers ids must not take it for a repeat.
                 arrival.id = RequestId(next_id(self.arrival.id.0, epoch));
@@ -151,12 +155,12 @@
 
     /// It was not to be had: the module has refused or failed the request for the rest.
     pub fn refused(&mut self) -> Next {
-        self.fail(&Refusal::Story("no other server took it on"))
+        self.fail(&RecoveryRefusal::NoReplica)
     }
 
-    fn fail(&mut self, why: &Refusal) -> Next {
+    fn fail(&mut self, why: &RecoveryRefusal) -> Next {
         self.streams.count(|c| c.failed += 1);
-        tracing::info!(request = %self.arrival.id, why = %why, tokens = self.story.tokens(), "stream failed");
+        tracing::info!(request = %self.arrival.id, why = %why, tokens = self.story.token_count(), "stream failed");
         let error = serde_json::json!({"error": {
             "message": format!("the answer broke off and cannot be continued: {why}"),
             "type": "stream_broken", "code": 502,
--- a/src/transport/streams.rs
+++ b/src/transport/streams.rs
@@ -5,7 +5,10 @@
 
 use super::clock::Clock;
 use poppykeel_scheduler::interface::ReplicaId;
-use poppykeel_stream_recovery::{Budget, Budgets, Gaps, Health, Limits, Micros, State};
+use poppykeel_stream_recovery::{
+    ContinuationBudget, ContinuationLimits, GapHistogram, Micros, StallDetector, StallLimits,
+    StreamState,
+};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -20,7 +23,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Settings {
     /// Bounds of the rule for stalls.
-    pub limits: Limits,
+    pub limits: StallLimits,
     /// Whether streams are continued, and the budget for it; of none, answers pass unchanged from one server.
     pub continues: Option<Continues>,
 }
@@ -29,7 +32,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Continues {
     /// The budget of all.
-    pub budget: Budget,
+    pub budget: ContinuationLimits,
     /// Of a replica's streams at most this part is continued elsewhere.
     pub replica_share: f64,
     /// A continuation must have begun within this time.
@@ -59,8 +62,8 @@
 
 #[derive(Default)]
 struct Replica {
-    gaps: Gaps,
-    budget: Budgets,
+    gaps: GapHistogram,
+    budget: ContinuationBudget,
     /// Streams begun, whole, stalled and broken.
     begun: u64,
     ends: [u64; 3],
@@ -75,14 +78,14 @@
 }
 
 /// How a stream fares, for its own driver and for the log.
-type Fare = Rc<RefCell<Health>>;
+type Fare = Rc<RefCell<StallDetector>>;
 
 impl Live {
     /// Something of it has come.
     pub fn event(&self) {
-        let gap = self.health.borrow_mut().event(self.streams.now());
+        let gap = self.health.borrow_mut().record_event(self.streams.now());
         if let Some(gap) = gap {
-            self.streams.at(self.replica, |r| r.gaps.add(gap));
+            self.streams.at(self.replica, |r| r.gaps.record(gap));
         }
     }
 
@@ -90,30 +93,31 @@
     pub fn patience(&self) -> Option<Micros> {
         self.health
             .borrow()
-            .due()
+            .stall_deadline()
             .map(|due| due.saturating_sub(self.streams.now()))
     }
 
     /// The reader takes nothing: from here on silence is the node's own.
     pub fn reader_waits(&self) {
-        self.health.borrow_mut().reader_waits(self.streams.now());
+        self.health.borrow_mut().client_blocked(self.streams.now());
     }
 
     /// The reader has taken what there was.
     pub fn reader_took(&self) {
-        self.health.borrow_mut().reader_took(self.streams.now());
+        self.health.borrow_mut().client_resumed(self.streams.now());
     }
 
     /// It is given up after this silence.
     pub fn gave_up(&self, silence: Micros) {
-        self.streams
-            .at(self.replica, |r| (r.gaps.gave_up(silence), r.ends[1] += 1));
+        self.streams.at(self.replica, |r| {
+            (r.gaps.record_abandoned(silence), r.ends[1] += 1)
+        });
         self.streams.count(|c| c.stalled += 1);
     }
 
     /// Its replica has ended it, whole or not.
     pub fn ended(&self, whole: bool) {
-        self.health.borrow_mut().ended(whole);
+        self.health.borrow_mut().record_end(whole);
         self.streams
             .at(self.replica, |r| r.ends[if whole { 0 } else { 2 }] += 1);
         self.streams
@@ -132,7 +136,7 @@
     clock: Clock,
     settings: Cell<Settings>,
     replicas: RefCell<BTreeMap<ReplicaId, Replica>>,
-    budget: RefCell<Budgets>,
+    budget: RefCell<ContinuationBudget>,
     counts: Cell<Counts>,
     /// What is under way; as many as there are attempts.
     live: RefCell<BTreeMap<u64, (ReplicaId, Fare)>>,
@@ -193,15 +197,17 @@
     pub fn begin(self: &Rc<Self>, replica: ReplicaId, token_aim: Option<Micros>) -> Live {
         let (now, settings) = (self.now(), self.settings());
         if let Some(continues) = &settings.continues {
-            self.budget.borrow_mut().begun(now, &continues.budget);
-            self.at(replica, |r| r.budget.begun(now, &continues.budget));
+            self.budget
+                .borrow_mut()
+                .record_stream(now, &continues.budget);
+            self.at(replica, |r| r.budget.record_stream(now, &continues.budget));
         }
         let health = self.at(replica, |r| {
             r.begun += 1;
-            Health::new(
+            StallDetector::new(
                 now,
-                r.gaps.limit(token_aim, &settings.limits),
-                r.gaps.long(),
+                r.gaps.silence_limit(token_aim, &settings.limits),
+                r.gaps.long_gap(),
             )
         });
         let (health, number) = (Rc::new(RefCell::new(health)), self.next.get());
@@ -220,12 +226,12 @@
     /// Takes one continuation of a stream of this replica from both budgets, where both have one left.
     pub fn take(&self, replica: ReplicaId, continues: &Continues) -> bool {
         let now = self.now();
-        let own = Budget {
+        let own = ContinuationLimits {
             share: continues.replica_share,
             ..continues.budget
         };
-        self.at(replica, |r| r.budget.take(now, &own))
-            && self.budget.borrow_mut().take(now, &continues.budget)
+        self.at(replica, |r| r.budget.try_take(now, &own))
+            && self.budget.borrow_mut().try_take(now, &continues.budget)
     }
 
     /// Writes counts, and for each replica how its streams fare and the histogram of their gaps, to the log;
@@ -235,10 +241,10 @@
         let mut states: BTreeMap<ReplicaId, [usize; 4]> = BTreeMap::new();
         for (replica, health) in self.live.borrow().values() {
             let place = match health.borrow().state(now) {
-                State::Slow => 1,
-                State::Stalled => 2,
-                State::Outrun => 3,
-                State::Flowing | State::Broken | State::Whole => 0,
+                StreamState::Slow => 1,
+                StreamState::Stalled => 2,
+                StreamState::ClientSlow => 3,
+                StreamState::Flowing | StreamState::Broken | StreamState::Completed => 0,
             };
             states.entry(*replica).or_default()[place] += 1;
         }
@@ -256,11 +262,11 @@
         );
         let replicas = self.replicas.borrow();
         let mut told: Vec<_> = replicas.iter().filter(|(_, r)| r.begun > 0).collect();
-        told.sort_by_key(|(_, r)| std::cmp::Reverse(r.gaps.at(0.98)));
+        told.sort_by_key(|(_, r)| std::cmp::Reverse(r.gaps.quantile(0.98)));
         for (id, r) in told.into_iter().take(MOST_LOGGED) {
             let [flowing, slow, stalled_now, outrun] = states.get(id).copied().unwrap_or_default();
             let [whole, stalled, broken] = r.ends;
-            let gap = |part| r.gaps.at(part).map_or(0, |gap| gap / 1000);
+            let gap = |part| r.gaps.quantile(part).map_or(0, |gap| gap / 1000);
             tracing::info!(
                 replica = name(*id).unwrap_or_else(|| id.0.to_string()),
                 flowing,
@@ -275,7 +281,7 @@
                 gap_p90_ms = gap(0.9),
                 gap_p98_ms = gap(0.98),
                 gap_most_ms = gap(1.0),
-                limit_ms = r.gaps.limit(None, &self.settings().limits) / 1000,
+                limit_ms = r.gaps.silence_limit(None, &self.settings().limits) / 1000,
                 "streams of a replica"
             );
         }
