--- a/crates/endpoints/src/book.rs
+++ b/crates/endpoints/src/book.rs
@@ -8,9 +8,9 @@
     reason = "not yet converted"
 )]
 
-use crate::opinion::Opinion;
-use crate::settings::{Absence, Kind, SourceSettings};
-use crate::told::{Entry, Micros, State, Told};
+use crate::opinion::SourceVerdict;
+use crate::settings::{AbsencePolicy, EndpointIdentity, SourceSettings};
+use crate::told::{ListedEndpoint, ListedState, MonotonicMicros, SourceUpdate};
 use std::collections::{BTreeMap, BTreeSet, HashSet, VecDeque};
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -23,37 +23,37 @@
 type Place = (String, Option<SocketAddr>);
 
 #[derive(Clone, Debug)]
-pub(crate) struct Known {
-    pub(crate) entry: Arc<Entry>,
+pub(crate) struct TrackedEndpoint {
+    pub(crate) entry: Arc<ListedEndpoint>,
     /// Since when it is said to be in its present state.
-    pub(crate) since: Micros,
+    pub(crate) since: MonotonicMicros,
     /// When its present start was seen to be new; `None` where it was there in the first answer.
-    pub(crate) started: Option<Micros>,
+    pub(crate) started: Option<MonotonicMicros>,
     /// Lacking in so many answers since then, and not believed yet.
-    missing: Option<(Micros, u32)>,
+    missing: Option<(MonotonicMicros, u32)>,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Flap {
     returns: u32,
-    last: Micros,
+    last: MonotonicMicros,
     /// Kept out until then.
-    until: Micros,
+    until: MonotonicMicros,
 }
 
 /// One source's book.
 #[derive(Debug)]
-pub(crate) struct Book {
+pub(crate) struct SourceState {
     pub(crate) settings: SourceSettings,
     answered: bool,
-    pub(crate) failing: Option<Micros>,
-    live: BTreeMap<Place, Known>,
+    pub(crate) failing: Option<MonotonicMicros>,
+    live: BTreeMap<Place, TrackedEndpoint>,
     at: BTreeMap<SocketAddr, BTreeSet<Place>>,
     /// Since when addresses and names are taken away.
-    gone_addrs: BTreeMap<SocketAddr, Micros>,
-    gone_names: BTreeMap<String, Micros>,
+    gone_addrs: BTreeMap<SocketAddr, MonotonicMicros>,
+    gone_names: BTreeMap<String, MonotonicMicros>,
     /// Believed losses of the last hold time.
-    losses: VecDeque<(Micros, usize)>,
+    losses: VecDeque<(MonotonicMicros, usize)>,
     flaps: BTreeMap<SocketAddr, Flap>,
     /// Where something has changed that an opinion may rest on since it was asked last ...
     dirty: BTreeSet<SocketAddr>,
@@ -62,34 +62,34 @@
 }
 
 /// What of a book has changed.
-pub(crate) enum Dirty {
+pub(crate) enum ChangedAddresses {
     All,
     At(BTreeSet<SocketAddr>),
 }
 
 /// An opinion, since when, and what it rests on.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) struct Held {
-    pub(crate) opinion: Opinion,
-    pub(crate) since: Micros,
+pub(crate) struct DatedVerdict {
+    pub(crate) opinion: SourceVerdict,
+    pub(crate) since: MonotonicMicros,
     /// For held ones: answers that said the same so far. For flapping ones: until when.
-    pub(crate) detail: Detail,
+    pub(crate) detail: VerdictDetail,
 }
 
 /// What a reason names beside the opinion.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) enum Detail {
+pub(crate) enum VerdictDetail {
     None,
     Lacking(u32),
-    Flapping(Micros),
+    Flapping(MonotonicMicros),
 }
 
-impl Book {
+impl SourceState {
     pub(crate) fn new(settings: SourceSettings) -> Self {
         let (answered, failing, live, at) = Default::default();
         let (gone_addrs, gone_names, losses, flaps) = Default::default();
         let (dirty, all_dirty) = (BTreeSet::new(), true);
-        Book {
+        SourceState {
             settings,
             answered,
             failing,
@@ -105,26 +105,27 @@
     }
 
     /// What has changed since this was asked last.
-    pub(crate) fn dirty(&mut self) -> Dirty {
+    pub(crate) fn dirty(&mut self) -> ChangedAddresses {
         match std::mem::take(&mut self.all_dirty) {
             true => {
                 self.dirty.clear();
-                Dirty::All
+                ChangedAddresses::All
             }
-            false => Dirty::At(std::mem::take(&mut self.dirty)),
+            false => ChangedAddresses::At(std::mem::take(&mut self.dirty)),
         }
     }
 
     /// Takes what the source tells.
-    pub(crate) fn told(&mut self, now: Micros, told: Told) {
-        self.all_dirty |= self.failing.is_some() != (told == Told::Failed) || !self.answered;
+    pub(crate) fn told(&mut self, now: MonotonicMicros, told: SourceUpdate) {
+        self.all_dirty |=
+            self.failing.is_some() != (told == SourceUpdate::Failed) || !self.answered;
         match told {
-            Told::Failed => {
+            SourceUpdate::Failed => {
                 self.failing.get_or_insert(now);
                 return;
             }
-            Told::Whole(entries) => self.whole(now, entries),
-            Told::Changes(entries) => {
+            SourceUpdate::FullList(entries) => self.whole(now, entries),
+            SourceUpdate::Changes(entries) => {
                 for entry in entries {
                     self.entry(now, entry);
                 }
@@ -136,18 +137,18 @@
         self.failing = None;
     }
 
-    fn place(&self, entry: &Entry) -> Place {
-        let addr = (self.settings.kind == Kind::Addressing).then_some(entry.addr);
+    fn place(&self, entry: &ListedEndpoint) -> Place {
+        let addr = (self.settings.identity == EndpointIdentity::ByAddress).then_some(entry.addr);
         (entry.name.clone(), addr)
     }
 
-    fn whole(&mut self, now: Micros, entries: Vec<Entry>) {
-        let by_addr = self.settings.kind == Kind::Addressing;
+    fn whole(&mut self, now: MonotonicMicros, entries: Vec<ListedEndpoint>) {
+        let by_addr = self.settings.identity == EndpointIdentity::ByAddress;
         let listed: HashSet<(&str, Option<SocketAddr>)> = entries
             .iter()
             .map(|e| (e.name.as_str(), by_addr.then_some(e.addr)))
             .collect();
-        let alive = |k: &Known| k.entry.state == State::Up;
+        let alive = |k: &TrackedEndpoint| k.entry.state == ListedState::Available;
         let up = self.live.values().filter(|k| alive(k)).count();
         let (lost, drained): (Vec<Place>, Vec<Place>) = self
             .live
@@ -188,22 +189,22 @@
     }
 
     /// Whether a loss is too large to be believed at once. What was lost bit by bit within one hold counts too.
-    fn sudden(&mut self, now: Micros, lost: usize, up: usize, nothing: bool) -> bool {
-        let Some(guard) = self.settings.guard else {
+    fn sudden(&mut self, now: MonotonicMicros, lost: usize, up: usize, nothing: bool) -> bool {
+        let Some(guard) = self.settings.sudden_loss_guard else {
             return false;
         };
         while self
             .losses
             .front()
-            .is_some_and(|l| now.saturating_sub(l.0) >= guard.hold)
+            .is_some_and(|l| now.saturating_sub(l.0) >= guard.hold_time)
         {
             self.losses.pop_front();
         }
         let before: usize = self.losses.iter().map(|l| l.1).sum();
-        nothing || (lost + before) as f64 > guard.part * (up + before) as f64
+        nothing || (lost + before) as f64 > guard.max_loss_fraction * (up + before) as f64
     }
 
-    fn confirm(&mut self, now: Micros) {
+    fn confirm(&mut self, now: MonotonicMicros) {
         for known in self.live.values_mut() {
             if let Some((since, count)) = known.missing {
                 known.missing = Some((since, count + 1));
@@ -213,12 +214,13 @@
         self.believe(now);
     }
 
-    fn believe(&mut self, now: Micros) {
-        let Some(guard) = self.settings.guard else {
+    fn believe(&mut self, now: MonotonicMicros) {
+        let Some(guard) = self.settings.sudden_loss_guard else {
             return;
         };
-        let ripe =
-            |m: (Micros, u32)| now.saturating_sub(m.0) >= guard.hold && m.1 >= guard.confirmations;
+        let ripe = |m: (MonotonicMicros, u32)| {
+            now.saturating_sub(m.0) >= guard.hold_time && m.1 >= guard.confirmation_count
+        };
         let gone: Vec<Place> = self
             .live
             .iter()
@@ -228,12 +230,16 @@
         gone.iter().for_each(|p| self.withdraw(now, p));
     }
 
-    fn withdraw(&mut self, now: Micros, place: &Place) {
-        self.take_away(now, place, self.settings.absence == Absence::Removes);
+    fn withdraw(&mut self, now: MonotonicMicros, place: &Place) {
+        self.take_away(
+            now,
+            place,
+            self.settings.absence_policy == AbsencePolicy::Removes,
+        );
     }
 
     /// Takes an entry out of the book; `mark` says that the server itself is taken away.
-    fn take_away(&mut self, now: Micros, place: &Place, mark: bool) {
+    fn take_away(&mut self, now: MonotonicMicros, place: &Place, mark: bool) {
         let Some(known) = self.live.remove(place) else {
             return;
         };
@@ -242,7 +248,7 @@
         if self.leave(place, addr) && mark {
             self.gone_addrs.insert(addr, now);
         }
-        if mark && self.settings.kind == Kind::Naming {
+        if mark && self.settings.identity == EndpointIdentity::ByName {
             self.gone_names.insert(place.0.clone(), now);
         }
     }
@@ -260,7 +266,7 @@
         last
     }
 
-    fn entry(&mut self, now: Micros, entry: Entry) {
+    fn entry(&mut self, now: MonotonicMicros, entry: ListedEndpoint) {
         let place = self.place(&entry);
         if self
             .live
@@ -270,7 +276,7 @@
             return;
         }
         self.dirty.insert(entry.addr);
-        if entry.state == State::Removed {
+        if entry.state == ListedState::Removed {
             if self.live.contains_key(&place) {
                 return self.take_away(now, &place, true);
             }
@@ -278,7 +284,7 @@
             if !self.at.contains_key(&entry.addr) {
                 self.gone_addrs.entry(entry.addr).or_insert(now);
             }
-            if self.settings.kind == Kind::Naming {
+            if self.settings.identity == EndpointIdentity::ByName {
                 self.gone_names.entry(entry.name).or_insert(now);
             }
             return;
@@ -314,7 +320,7 @@
         self.at.entry(addr).or_default().insert(place.clone());
         self.live.insert(
             place,
-            Known {
+            TrackedEndpoint {
                 entry,
                 since,
                 started,
@@ -324,9 +330,9 @@
     }
 
     /// Counts the returns of an address that was taken away.
-    fn returned(&mut self, now: Micros, addr: SocketAddr) {
+    fn returned(&mut self, now: MonotonicMicros, addr: SocketAddr) {
         let left = self.gone_addrs.get(&addr).filter(|since| **since < now);
-        let (Some(flaps), Some(_)) = (self.settings.flaps, left) else {
+        let (Some(flaps), Some(_)) = (self.settings.flap_limits, left) else {
             return;
         };
         let mut flap = self.flaps.get(&addr).copied().unwrap_or_default();
@@ -335,11 +341,11 @@
         }
         flap.returns += 1;
         flap.last = now;
-        if let Some(beyond) = flap.returns.checked_sub(flaps.free + 1) {
+        if let Some(beyond) = flap.returns.checked_sub(flaps.free_return_count + 1) {
             let hold = flaps
-                .hold
+                .initial_hold
                 .saturating_mul(1 << beyond.min(20))
-                .min(flaps.most);
+                .min(flaps.max_hold);
             flap.until = now.saturating_add(hold);
         }
         self.flaps.insert(addr, flap);
@@ -355,12 +361,12 @@
 
     /// Addresses that are kept out now because their records come and go. Where that would keep out more than
     /// half of what is listed, the source is as it is and none is kept out.
-    pub(crate) fn calmed(&self, now: Micros) -> BTreeMap<SocketAddr, Micros> {
+    pub(crate) fn calmed(&self, now: MonotonicMicros) -> BTreeMap<SocketAddr, MonotonicMicros> {
         let out = self
             .flaps
             .iter()
             .filter(|(a, f)| f.until > now && self.at.contains_key(a));
-        let out: BTreeMap<SocketAddr, Micros> = out.map(|(a, f)| (*a, f.until)).collect();
+        let out: BTreeMap<SocketAddr, MonotonicMicros> = out.map(|(a, f)| (*a, f.until)).collect();
         if out.len() * 2 > self.at.len() {
             return BTreeMap::new();
         }
@@ -368,7 +374,7 @@
     }
 
     /// When a flapping record may be let in next.
-    pub(crate) fn due(&self, now: Micros) -> Option<Micros> {
+    pub(crate) fn due(&self, now: MonotonicMicros) -> Option<MonotonicMicros> {
         self.flaps
             .values()
             .map(|f| f.until)
@@ -376,13 +382,13 @@
             .min()
     }
 
-    pub(crate) fn known(&self, name: &str) -> Option<&Known> {
+    pub(crate) fn known(&self, name: &str) -> Option<&TrackedEndpoint> {
         // Only naming sources are asked by name.
         self.live.get(&(name.to_string(), None))
     }
 
     /// What is listed at an address, by name.
-    pub(crate) fn at(&self, addr: SocketAddr) -> impl Iterator<Item = &Known> {
+    pub(crate) fn at(&self, addr: SocketAddr) -> impl Iterator<Item = &TrackedEndpoint> {
         self.at
             .get(&addr)
             .into_iter()
@@ -400,20 +406,21 @@
         &self,
         name: Option<&str>,
         addr: SocketAddr,
-        start: Option<Micros>,
-        calmed: &BTreeMap<SocketAddr, Micros>,
-    ) -> Held {
-        let named = name.filter(|_| self.settings.kind == Kind::Naming);
+        start: Option<MonotonicMicros>,
+        calmed: &BTreeMap<SocketAddr, MonotonicMicros>,
+    ) -> DatedVerdict {
+        let named = name.filter(|_| self.settings.identity == EndpointIdentity::ByName);
         let own = named.and_then(|n| self.known(n));
-        let mut found: Option<Held> = None;
-        let here: Vec<&Known> = match (own, self.settings.kind) {
+        let mut found: Option<DatedVerdict> = None;
+        let here: Vec<&TrackedEndpoint> = match (own, self.settings.identity) {
             (Some(known), _) => vec![known],
-            (None, Kind::Addressing) => self.at(addr).collect(),
-            (None, Kind::Naming) => Vec::new(),
+            (None, EndpointIdentity::ByAddress) => self.at(addr).collect(),
+            (None, EndpointIdentity::ByName) => Vec::new(),
         };
         for known in here {
             let held = self.of(known);
-            if held.opinion == Opinion::Draining && start > Some(held.since) && own.is_none() {
+            if held.opinion == SourceVerdict::Draining && start > Some(held.since) && own.is_none()
+            {
                 continue;
             }
             // Two names of one address: the one that says more of it counts.
@@ -422,9 +429,9 @@
             }
         }
         if let (Some(held), Some(until)) = (found, calmed.get(&addr)) {
-            let detail = Detail::Flapping(*until);
-            return Held {
-                opinion: Opinion::Removed,
+            let detail = VerdictDetail::Flapping(*until);
+            return DatedVerdict {
+                opinion: SourceVerdict::Removed,
                 since: held.since,
                 detail,
             };
@@ -435,55 +442,55 @@
         let gone = named
             .and_then(|n| self.gone_names.get(n))
             .or(self.gone_addrs.get(&addr));
-        let detail = Detail::None;
+        let detail = VerdictDetail::None;
         match gone {
-            Some(since) if start <= Some(*since) => Held {
-                opinion: Opinion::Removed,
+            Some(since) if start <= Some(*since) => DatedVerdict {
+                opinion: SourceVerdict::Removed,
                 since: *since,
                 detail,
             },
-            _ if self.answered => Held {
-                opinion: Opinion::Absent,
+            _ if self.answered => DatedVerdict {
+                opinion: SourceVerdict::Absent,
                 since: 0,
                 detail,
             },
-            _ => Held {
-                opinion: Opinion::Silent,
+            _ => DatedVerdict {
+                opinion: SourceVerdict::Silent,
                 since: 0,
                 detail,
             },
         }
     }
 
-    fn of(&self, known: &Known) -> Held {
-        if known.entry.state == State::Draining {
-            return Held {
-                opinion: Opinion::Draining,
+    fn of(&self, known: &TrackedEndpoint) -> DatedVerdict {
+        if known.entry.state == ListedState::Draining {
+            return DatedVerdict {
+                opinion: SourceVerdict::Draining,
                 since: known.since,
-                detail: Detail::None,
+                detail: VerdictDetail::None,
             };
         }
         match (known.missing, self.failing) {
-            (Some((since, count)), _) => Held {
-                opinion: Opinion::Held,
+            (Some((since, count)), _) => DatedVerdict {
+                opinion: SourceVerdict::Held,
                 since,
-                detail: Detail::Lacking(count),
+                detail: VerdictDetail::Lacking(count),
             },
-            (None, Some(since)) => Held {
-                opinion: Opinion::Stale,
+            (None, Some(since)) => DatedVerdict {
+                opinion: SourceVerdict::Stale,
                 since,
-                detail: Detail::None,
+                detail: VerdictDetail::None,
             },
-            (None, None) => Held {
-                opinion: Opinion::Listed,
+            (None, None) => DatedVerdict {
+                opinion: SourceVerdict::Listed,
                 since: known.since,
-                detail: Detail::None,
+                detail: VerdictDetail::None,
             },
         }
     }
 
     /// Forgets what was taken away before `until` and is listed by nobody.
-    pub(crate) fn forget(&mut self, until: Micros, listed: impl Fn(&SocketAddr) -> bool) {
+    pub(crate) fn forget(&mut self, until: MonotonicMicros, listed: impl Fn(&SocketAddr) -> bool) {
         self.gone_addrs
             .retain(|addr, since| *since >= until || listed(addr));
         self.gone_names.retain(|_, since| *since >= until);
@@ -492,9 +499,9 @@
 
     /// Keeps at most so many marks of what was taken away, the newest ones.
     pub(crate) fn bound(&mut self, most: usize) {
-        fn newest<K: Ord + Clone>(map: &mut BTreeMap<K, Micros>, most: usize) {
+        fn newest<K: Ord + Clone>(map: &mut BTreeMap<K, MonotonicMicros>, most: usize) {
             if map.len() > most {
-                let mut order: Vec<(Micros, K)> =
+                let mut order: Vec<(MonotonicMicros, K)> =
                     map.iter().map(|(k, s)| (*s, k.clone())).collect();
                 order.sort();
                 for (_, key) in &order[..map.len() - most] {
--- a/crates/endpoints/src/lib.rs
+++ b/crates/endpoints/src/lib.rs
@@ -6,19 +6,24 @@
 //! wins, `book` what one source has told so far and how far it is believed, `merge` the list that follows. `docs/membership.md` explains the rule and states its table.
 //!
 //! ```
-//! use poppykeel_endpoints::{Entry, Kind, Membership, Settings, SourceSettings, Standing, State, Told};
+//! use poppykeel_endpoints::{
+//!     EndpointIdentity, EndpointRegistry, EndpointStatus, ListedEndpoint, ListedState, RegistrySettings,
+//!     SourceSettings, SourceUpdate,
+//! };
 //!
-//! let srv = SourceSettings::new("srv", Kind::Addressing);
-//! let list = SourceSettings::new("list", Kind::Naming);
-//! let mut members = Membership::new(Settings { sources: vec![list, srv], ..Settings::default() });
+//! let list = SourceSettings::new("list", EndpointIdentity::ByName);
+//! let srv = SourceSettings::new("srv", EndpointIdentity::ByAddress);
+//! let settings = RegistrySettings { sources: vec![list, srv], ..RegistrySettings::default() };
+//! let mut registry = EndpointRegistry::new(settings);
 //! let addr = "127.0.0.1:8000".parse().unwrap();
-//! let changes = members.told(0, 1, Told::Whole(vec![Entry::new("s1.example.test:8000", addr)]));
-//! assert_eq!(changes[0].standing, Standing::In);
-//! // The list drains the same server under its own name: it is one server, and DNS does not keep it in.
-//! let drained = Entry { state: State::Draining, ..Entry::new("s-1", addr) };
-//! members.told(1_000, 0, Told::Whole(vec![drained]));
-//! let servers = members.servers();
-//! assert_eq!((servers.len(), servers[0].standing), (1, Standing::Draining));
+//! let record = ListedEndpoint::new("s1.example.test:8000", addr);
+//! let changes = registry.apply_update(0, 1, SourceUpdate::FullList(vec![record]));
+//! assert_eq!(changes[0].status, EndpointStatus::InService);
+//! // The list drains the same endpoint under its own name: it is one endpoint, and DNS does not keep it in service.
+//! let drained = ListedEndpoint { state: ListedState::Draining, ..ListedEndpoint::new("s-1", addr) };
+//! registry.apply_update(1_000, 0, SourceUpdate::FullList(vec![drained]));
+//! let endpoints = registry.endpoints();
+//! assert_eq!((endpoints.len(), endpoints[0].status), (1, EndpointStatus::Draining));
 //! ```
 
 mod book;
@@ -27,7 +32,11 @@
 mod settings;
 mod told;
 
-pub use merge::{Membership, Server};
-pub use opinion::{standing, wins, Opinion, Standing, OPINIONS, TABLE};
-pub use settings::{Absence, Flaps, Guard, Kind, Settings, SourceSettings};
-pub use told::{Entry, Micros, State, Told};
+pub use merge::{EndpointRegistry, RegisteredEndpoint};
+pub use opinion::{
+    prevailing_verdict, status_for_verdict, EndpointStatus, SourceVerdict, ALL_VERDICTS, PRECEDENCE,
+};
+pub use settings::{
+    AbsencePolicy, EndpointIdentity, FlapLimits, RegistrySettings, SourceSettings, SuddenLossGuard,
+};
+pub use told::{ListedEndpoint, ListedState, MonotonicMicros, SourceUpdate};
--- a/crates/endpoints/src/merge.rs
+++ b/crates/endpoints/src/merge.rs
@@ -8,10 +8,10 @@
     reason = "not yet converted"
 )]
 
-use crate::book::{Book, Detail, Dirty, Held, Known};
-use crate::opinion::{standing, wins, Opinion, Standing};
-use crate::settings::{Kind, Settings};
-use crate::told::{Entry, Micros, Told};
+use crate::book::{ChangedAddresses, DatedVerdict, SourceState, TrackedEndpoint, VerdictDetail};
+use crate::opinion::{prevailing_verdict, status_for_verdict, EndpointStatus, SourceVerdict};
+use crate::settings::{EndpointIdentity, RegistrySettings};
+use crate::told::{ListedEndpoint, MonotonicMicros, SourceUpdate};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -19,32 +19,32 @@
 /// Marks of what was taken away, for each source.
 const MOST_GONE: usize = 65_536;
 /// Servers that are out stay in the account this long after they have left it, for whoever asks why.
-const SHOWN: Micros = 600_000_000;
+const SHOWN: MonotonicMicros = 600_000_000;
 /// ... and so many of them at most.
 const MOST_LEFT: usize = 4096;
 
 /// One server of the list.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Server {
+pub struct RegisteredEndpoint {
     /// Its name, which no other server has or has had: a naming source's id, or its first name in DNS.
     pub name: String,
     /// How it stands.
-    pub standing: Standing,
+    pub status: EndpointStatus,
     /// What is told of it, by the first source that describes it.
-    pub entry: Arc<Entry>,
+    pub listing: Arc<ListedEndpoint>,
     /// Weight and priority, from whichever source has them.
     pub weight: Option<f64>,
     /// See there.
     pub priority: Option<u16>,
     /// Each source's opinion, in the order of the settings.
-    pub opinions: Vec<Opinion>,
+    pub verdicts: Vec<SourceVerdict>,
     decided: Decided,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Decided {
     source: usize,
-    held: Held,
+    held: DatedVerdict,
     standby: bool,
 }
 
@@ -54,32 +54,37 @@
     names: BTreeSet<String>,
     server: String,
     births: u32,
-    seen: Micros,
+    seen: MonotonicMicros,
 }
 
 /// Addresses kept out, and until when.
-type Calmed = BTreeMap<SocketAddr, Micros>;
+type Calmed = BTreeMap<SocketAddr, MonotonicMicros>;
 
 /// The account.
 #[derive(Debug)]
-pub struct Membership {
-    settings: Settings,
-    books: Vec<Book>,
+pub struct EndpointRegistry {
+    settings: RegistrySettings,
+    books: Vec<SourceState>,
     unnamed: BTreeMap<SocketAddr, Unnamed>,
-    servers: BTreeMap<String, Server>,
-    left: BTreeMap<String, (Micros, Server)>,
+    servers: BTreeMap<String, RegisteredEndpoint>,
+    left: BTreeMap<String, (MonotonicMicros, RegisteredEndpoint)>,
     /// What flapping keeps out now, for each source.
     calmed: Vec<Calmed>,
-    forgot: Micros,
-    now: Micros,
+    forgot: MonotonicMicros,
+    now: MonotonicMicros,
 }
 
-impl Membership {
+impl EndpointRegistry {
     /// An account that has been told nothing yet.
-    pub fn new(settings: Settings) -> Self {
-        let books = settings.sources.iter().cloned().map(Book::new).collect();
+    pub fn new(settings: RegistrySettings) -> Self {
+        let books = settings
+            .sources
+            .iter()
+            .cloned()
+            .map(SourceState::new)
+            .collect();
         let (unnamed, servers, left, calmed) = Default::default();
-        Membership {
+        EndpointRegistry {
             settings,
             books,
             unnamed,
@@ -92,46 +97,55 @@
     }
 
     /// The settings in force.
-    pub fn settings(&self) -> &Settings {
+    pub fn settings(&self) -> &RegistrySettings {
         &self.settings
     }
 
     /// Takes new settings. A source that stays, by its name, keeps what it has told.
-    pub fn set(&mut self, now: Micros, settings: Settings) -> Vec<Server> {
+    pub fn update_settings(
+        &mut self,
+        now: MonotonicMicros,
+        settings: RegistrySettings,
+    ) -> Vec<RegisteredEndpoint> {
         let mut old = std::mem::take(&mut self.books);
         for source in &settings.sources {
             let kept = old.iter().position(|b| b.settings.name == source.name);
             let mut book = match kept {
                 Some(at) => old.swap_remove(at),
-                None => Book::new(source.clone()),
+                None => SourceState::new(source.clone()),
             };
             book.settings = source.clone();
             self.books.push(book);
         }
         self.settings = settings;
         self.calmed.clear();
-        self.turn(now)
+        self.on_timer(now)
     }
 
     /// What a source tells, by its place in the settings. Returned are the servers that have changed, those that
     /// have left included, as out.
-    pub fn told(&mut self, now: Micros, source: usize, told: Told) -> Vec<Server> {
+    pub fn apply_update(
+        &mut self,
+        now: MonotonicMicros,
+        source: usize,
+        told: SourceUpdate,
+    ) -> Vec<RegisteredEndpoint> {
         let now = self.at(now);
         let Some(book) = self.books.get_mut(source) else {
             return Vec::new();
         };
         book.told(now, told);
         book.bound(MOST_GONE);
-        self.turn(now)
+        self.on_timer(now)
     }
 
     /// When `turn` must be called next, if nothing comes before.
-    pub fn due(&self) -> Option<Micros> {
+    pub fn next_timer(&self) -> Option<MonotonicMicros> {
         self.books.iter().filter_map(|b| b.due(self.now)).min()
     }
 
     /// Looks at the time: what was held until now may be let in.
-    pub fn turn(&mut self, now: Micros) -> Vec<Server> {
+    pub fn on_timer(&mut self, now: MonotonicMicros) -> Vec<RegisteredEndpoint> {
         let now = self.at(now);
         self.forget(now);
         let calmed: Vec<Calmed> = self.books.iter().map(|b| b.calmed(now)).collect();
@@ -146,7 +160,7 @@
                 let there = self
                     .servers
                     .iter()
-                    .filter(|(_, s)| addrs.contains(&s.entry.addr));
+                    .filter(|(_, s)| addrs.contains(&s.listing.addr));
                 let names: Vec<String> = there.map(|(n, _)| n.clone()).collect();
                 names
                     .into_iter()
@@ -155,7 +169,7 @@
             }
             None => std::mem::take(&mut self.servers),
         };
-        let mut changes: Vec<Server> = Vec::new();
+        let mut changes: Vec<RegisteredEndpoint> = Vec::new();
         for (name, server) in &next {
             let left = self.left.remove(name).map(|l| l.1);
             if before
@@ -169,8 +183,8 @@
         self.servers.extend(next);
         for (name, mut server) in before {
             if !self.servers.contains_key(&name) {
-                let was = std::mem::replace(&mut server.standing, Standing::Out);
-                if was != Standing::Out {
+                let was = std::mem::replace(&mut server.status, EndpointStatus::OutOfService);
+                if was != EndpointStatus::OutOfService {
                     changes.push(server.clone());
                 }
                 self.left.insert(name, (now, server));
@@ -185,7 +199,7 @@
         let naming = self
             .books
             .iter()
-            .filter(|b| b.settings.kind == Kind::Naming)
+            .filter(|b| b.settings.identity == EndpointIdentity::ByName)
             .count();
         let mut all = calmed.len() != self.calmed.len();
         let mut addrs = BTreeSet::new();
@@ -195,37 +209,37 @@
         }
         for book in &mut self.books {
             match book.dirty() {
-                Dirty::All => all = true,
-                Dirty::At(changed) => addrs.extend(changed),
+                ChangedAddresses::All => all = true,
+                ChangedAddresses::At(changed) => addrs.extend(changed),
             }
         }
         let any = all || !addrs.is_empty();
-        let everywhere = all || (any && (naming > 1 || self.settings.standby));
+        let everywhere = all || (any && (naming > 1 || self.settings.has_priority_standby));
         (!everywhere).then_some(addrs)
     }
 
     /// The list: every server that a source lists or has taken away, by name.
-    pub fn servers(&self) -> Vec<Server> {
+    pub fn endpoints(&self) -> Vec<RegisteredEndpoint> {
         // One that has left under one name and is still listed under another is shown once.
-        let there: BTreeSet<SocketAddr> = self.servers.values().map(|s| s.entry.addr).collect();
+        let there: BTreeSet<SocketAddr> = self.servers.values().map(|s| s.listing.addr).collect();
         let left = self
             .left
             .values()
             .map(|l| &l.1)
-            .filter(|s| !there.contains(&s.entry.addr));
+            .filter(|s| !there.contains(&s.listing.addr));
         self.servers.values().chain(left).cloned().collect()
     }
 
     /// Servers that take work now.
-    pub fn usable(&self) -> usize {
+    pub fn usable_count(&self) -> usize {
         self.servers
             .values()
-            .filter(|s| s.standing <= Standing::Held)
+            .filter(|s| s.status <= EndpointStatus::Held)
             .count()
     }
 
     /// Why a server stands as it does, in words.
-    pub fn reason(&self, server: &Server) -> String {
+    pub fn status_reason(&self, server: &RegisteredEndpoint) -> String {
         let Decided {
             source,
             held,
@@ -246,40 +260,40 @@
             return "no source lists it any more".to_string();
         }
         match (held.opinion, held.detail) {
-            (_, Detail::Flapping(until)) => {
+            (_, VerdictDetail::Flapping(until)) => {
                 let more = until.saturating_sub(self.now) as f64 / 1e6;
                 format!("its record in {by} comes and goes; kept out for {more:.1} s more")
             }
-            (Opinion::Held, Detail::Lacking(count)) => {
+            (SourceVerdict::Held, VerdictDetail::Lacking(count)) => {
                 format!("{by} lacks it since {ago}, among many; {count} answers said so and it is not believed yet")
             }
-            (Opinion::Listed, _) => format!("{by} lists it"),
-            (Opinion::Draining, _) => format!("{by} drains it since {ago}"),
-            (Opinion::Stale, _) => {
+            (SourceVerdict::Listed, _) => format!("{by} lists it"),
+            (SourceVerdict::Draining, _) => format!("{by} drains it since {ago}"),
+            (SourceVerdict::Stale, _) => {
                 format!("{by} listed it at last and cannot be asked since {ago}")
             }
-            (Opinion::Removed, _) => format!("{by} took it away {ago} ago"),
+            (SourceVerdict::Removed, _) => format!("{by} took it away {ago} ago"),
             _ => "no source lists it".to_string(),
         }
     }
 
     /// Sources by name with their opinion of a server, those without one left out.
-    pub fn sources(&self, server: &Server) -> Vec<(String, Opinion)> {
-        let named = self.settings.sources.iter().zip(&server.opinions);
+    pub fn source_verdicts(&self, server: &RegisteredEndpoint) -> Vec<(String, SourceVerdict)> {
+        let named = self.settings.sources.iter().zip(&server.verdicts);
         named
-            .filter(|(_, o)| **o > Opinion::Absent)
+            .filter(|(_, o)| **o > SourceVerdict::Absent)
             .map(|(s, o)| (s.name.clone(), *o))
             .collect()
     }
 
-    fn at(&mut self, now: Micros) -> Micros {
+    fn at(&mut self, now: MonotonicMicros) -> MonotonicMicros {
         self.now = self.now.max(now);
         self.now
     }
 
     /// Now and then, what nobody has listed for long is forgotten.
-    fn forget(&mut self, now: Micros) {
-        let keep = self.settings.forget;
+    fn forget(&mut self, now: MonotonicMicros) {
+        let keep = self.settings.withdrawal_retention;
         self.left.retain(|_, l| now.saturating_sub(l.0) < SHOWN);
         while self.left.len() > MOST_LEFT {
             self.left.pop_first();
@@ -305,9 +319,9 @@
     /// The servers at these addresses, or all.
     fn merge(
         &mut self,
-        now: Micros,
+        now: MonotonicMicros,
         only: Option<&BTreeSet<SocketAddr>>,
-    ) -> BTreeMap<String, Server> {
+    ) -> BTreeMap<String, RegisteredEndpoint> {
         let all: BTreeSet<SocketAddr>;
         let wanted = match only {
             Some(addrs) => addrs,
@@ -316,12 +330,12 @@
                 &all
             }
         };
-        let mut named: BTreeMap<&str, Vec<&Known>> = BTreeMap::new();
-        let mut addrs: BTreeMap<SocketAddr, Vec<&Known>> = BTreeMap::new();
-        let (naming, addressing): (Vec<&Book>, Vec<&Book>) = self
+        let mut named: BTreeMap<&str, Vec<&TrackedEndpoint>> = BTreeMap::new();
+        let mut addrs: BTreeMap<SocketAddr, Vec<&TrackedEndpoint>> = BTreeMap::new();
+        let (naming, addressing): (Vec<&SourceState>, Vec<&SourceState>) = self
             .books
             .iter()
-            .partition(|b| b.settings.kind == Kind::Naming);
+            .partition(|b| b.settings.identity == EndpointIdentity::ByName);
         for book in &naming {
             for known in wanted.iter().flat_map(|a| book.at(*a)) {
                 named.entry(&known.entry.name).or_default().push(known);
@@ -330,7 +344,8 @@
         // Addresses that no name stands at: what lists them, and what has been taken away from them.
         let free = |a: &&SocketAddr| naming.iter().all(|b| b.at(**a).next().is_none());
         for addr in wanted.iter().filter(free) {
-            let known: Vec<&Known> = addressing.iter().flat_map(|b| b.at(*addr)).collect();
+            let known: Vec<&TrackedEndpoint> =
+                addressing.iter().flat_map(|b| b.at(*addr)).collect();
             if !known.is_empty() {
                 addrs.insert(*addr, known);
             }
@@ -340,7 +355,7 @@
             let start = known.iter().filter_map(|k| k.started).max();
             let addr = known[0].entry.addr;
             let asked = self.books.iter().zip(&self.calmed);
-            let opinions: Vec<Held> = asked
+            let opinions: Vec<DatedVerdict> = asked
                 .map(|(b, c)| b.opinion(Some(name), addr, start, c))
                 .collect();
             let also = self
@@ -375,11 +390,12 @@
             place.seen = now;
             let (name, entry) = (place.server.clone(), known[0].entry.clone());
             let asked = self.books.iter().zip(&self.calmed);
-            let opinions: Vec<Held> = asked.map(|(b, c)| b.opinion(None, addr, None, c)).collect();
+            let opinions: Vec<DatedVerdict> =
+                asked.map(|(b, c)| b.opinion(None, addr, None, c)).collect();
             let server = decide(name, entry, known.into_iter().skip(1), &opinions);
             next.insert(server.name.clone(), server);
         }
-        if self.settings.standby {
+        if self.settings.has_priority_standby {
             stand_by(&mut next);
         }
         next
@@ -389,11 +405,14 @@
 /// Folds the opinions by the table; the first source that holds the one that counts is named as the reason.
 fn decide<'a>(
     name: String,
-    entry: Arc<Entry>,
-    also: impl Iterator<Item = &'a Known>,
-    held: &[Held],
-) -> Server {
-    let counts = held.iter().map(|h| h.opinion).fold(Opinion::Silent, wins);
+    entry: Arc<ListedEndpoint>,
+    also: impl Iterator<Item = &'a TrackedEndpoint>,
+    held: &[DatedVerdict],
+) -> RegisteredEndpoint {
+    let counts = held
+        .iter()
+        .map(|h| h.opinion)
+        .fold(SourceVerdict::Silent, prevailing_verdict);
     let source = held.iter().position(|h| h.opinion == counts).unwrap_or(0);
     let (mut weight, mut priority) = (entry.weight, entry.priority);
     for known in also {
@@ -406,20 +425,20 @@
         standby: false,
     };
     let opinions = held.iter().map(|h| h.opinion).collect();
-    Server {
+    RegisteredEndpoint {
         name,
-        standing: standing(counts),
-        entry,
+        status: status_for_verdict(counts),
+        listing: entry,
         weight,
         priority,
-        opinions,
+        verdicts: opinions,
         decided,
     }
 }
 
 /// RFC 2782: a target of a higher priority number is for when no other can be had.
-fn stand_by(servers: &mut BTreeMap<String, Server>) {
-    let usable = |s: &Server| s.standing <= Standing::Held;
+fn stand_by(servers: &mut BTreeMap<String, RegisteredEndpoint>) {
+    let usable = |s: &RegisteredEndpoint| s.status <= EndpointStatus::Held;
     let least = servers
         .values()
         .filter(|s| usable(s))
@@ -427,15 +446,15 @@
         .min();
     for server in servers.values_mut() {
         if usable(server) && Some(server.priority.unwrap_or(0)) > least {
-            server.standing = Standing::Out;
+            server.status = EndpointStatus::OutOfService;
             server.decided.standby = true;
         }
     }
 }
 
 /// Whether a change is worth telling. What it rests on may change unseen.
-fn differs(old: &Server, new: &Server) -> bool {
-    let told = |s: &Server| (s.standing, s.weight, s.priority);
-    let same = Arc::ptr_eq(&old.entry, &new.entry) || old.entry == new.entry;
+fn differs(old: &RegisteredEndpoint, new: &RegisteredEndpoint) -> bool {
+    let told = |s: &RegisteredEndpoint| (s.status, s.weight, s.priority);
+    let same = Arc::ptr_eq(&old.listing, &new.listing) || old.listing == new.listing;
     told(old) != told(new) || !same
 }
--- a/crates/endpoints/src/opinion.rs
+++ b/crates/endpoints/src/opinion.rs
@@ -4,7 +4,7 @@
 
 /// What one source thinks of one server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Opinion {
+pub enum SourceVerdict {
     /// The source has never said anything.
     Silent,
     /// It has answered and knows nothing of this server.
@@ -22,23 +22,23 @@
 }
 
 /// All opinions in the order of the table's rows and columns.
-pub const OPINIONS: [Opinion; 7] = [
-    Opinion::Silent,
-    Opinion::Absent,
-    Opinion::Stale,
-    Opinion::Held,
-    Opinion::Listed,
-    Opinion::Draining,
-    Opinion::Removed,
+pub const ALL_VERDICTS: [SourceVerdict; 7] = [
+    SourceVerdict::Silent,
+    SourceVerdict::Absent,
+    SourceVerdict::Stale,
+    SourceVerdict::Held,
+    SourceVerdict::Listed,
+    SourceVerdict::Draining,
+    SourceVerdict::Removed,
 ];
 
-use Opinion::{
+use SourceVerdict::{
     Absent as A, Draining as D, Held as H, Listed as L, Removed as R, Silent as S, Stale as T,
 };
 
-/// Which of two sources' opinions counts: `TABLE[one][other]`. Rows and columns are in the order of [`Opinion`];
+/// Which of two sources' opinions counts: `TABLE[one][other]`. Rows and columns are in the order of [`SourceVerdict`];
 /// a test holds `docs/membership.md` and the folding over more than two sources to it.
-pub const TABLE: [[Opinion; 7]; 7] = [
+pub const PRECEDENCE: [[SourceVerdict; 7]; 7] = [
     [S, A, T, H, L, D, R],
     [A, A, T, H, L, D, R],
     [T, T, T, H, L, D, R],
@@ -49,56 +49,58 @@
 ];
 
 /// The opinion that counts where two sources have these.
-pub fn wins(one: Opinion, other: Opinion) -> Opinion {
-    TABLE[one as usize][other as usize]
+pub fn prevailing_verdict(one: SourceVerdict, other: SourceVerdict) -> SourceVerdict {
+    PRECEDENCE[one as usize][other as usize]
 }
 
 /// How a server stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Standing {
+pub enum EndpointStatus {
     /// It takes work.
-    In,
+    InService,
     /// It takes work though the source that listed it can't say so, or has suddenly stopped saying so.
     Held,
     /// It ends what it has.
     Draining,
     /// It takes nothing.
-    Out,
+    OutOfService,
 }
 
-impl Standing {
+impl EndpointStatus {
     /// The word for it in logs and tables.
-    pub fn word(self) -> &'static str {
+    pub fn label(self) -> &'static str {
         match self {
-            Standing::In => "in",
-            Standing::Held => "held",
-            Standing::Draining => "draining",
-            Standing::Out => "out",
+            EndpointStatus::InService => "in",
+            EndpointStatus::Held => "held",
+            EndpointStatus::Draining => "draining",
+            EndpointStatus::OutOfService => "out",
         }
     }
 }
 
-impl Opinion {
+impl SourceVerdict {
     /// The word for it in logs and tables.
-    pub fn word(self) -> &'static str {
+    pub fn label(self) -> &'static str {
         match self {
-            Opinion::Silent => "silent",
-            Opinion::Absent => "absent",
-            Opinion::Stale => "stale",
-            Opinion::Held => "held",
-            Opinion::Listed => "listed",
-            Opinion::Draining => "draining",
-            Opinion::Removed => "removed",
+            SourceVerdict::Silent => "silent",
+            SourceVerdict::Absent => "absent",
+            SourceVerdict::Stale => "stale",
+            SourceVerdict::Held => "held",
+            SourceVerdict::Listed => "listed",
+            SourceVerdict::Draining => "draining",
+            SourceVerdict::Removed => "removed",
         }
     }
 }
 
 /// How a server stands by the opinion that counts.
-pub fn standing(opinion: Opinion) -> Standing {
+pub fn status_for_verdict(opinion: SourceVerdict) -> EndpointStatus {
     match opinion {
-        Opinion::Listed => Standing::In,
-        Opinion::Stale | Opinion::Held => Standing::Held,
-        Opinion::Draining => Standing::Draining,
-        Opinion::Silent | Opinion::Absent | Opinion::Removed => Standing::Out,
+        SourceVerdict::Listed => EndpointStatus::InService,
+        SourceVerdict::Stale | SourceVerdict::Held => EndpointStatus::Held,
+        SourceVerdict::Draining => EndpointStatus::Draining,
+        SourceVerdict::Silent | SourceVerdict::Absent | SourceVerdict::Removed => {
+            EndpointStatus::OutOfService
+        }
     }
 }
--- a/crates/endpoints/src/told.rs
+++ b/crates/endpoints/src/told.rs
@@ -3,13 +3,13 @@
 use std::net::SocketAddr;
 
 /// Microseconds on a monotonic clock.
-pub type Micros = u64;
+pub type MonotonicMicros = u64;
 
 /// What a source says of one server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum State {
+pub enum ListedState {
     /// It takes work.
-    Up,
+    Available,
     /// It ends what it has and takes nothing new.
     Draining,
     /// It has been taken away.
@@ -18,17 +18,17 @@
 
 /// One server as one source tells it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Entry {
+pub struct ListedEndpoint {
     /// A naming source's id of the server, which is the same everywhere; an addressing one's target and port.
     pub name: String,
     /// Where it listens.
     pub addr: SocketAddr,
     /// What is said of it.
-    pub state: State,
+    pub state: ListedState,
     /// Its zone by name; empty where that is not told.
     pub zone: String,
     /// Its kind of machine by name; empty where that is not told.
-    pub kind: String,
+    pub host_type: String,
     /// Its cell.
     pub cell: usize,
     /// Its weight, without a unit.
@@ -39,17 +39,17 @@
     pub started_ms: i64,
 }
 
-impl Entry {
+impl ListedEndpoint {
     /// A server that is up, of which nothing else is known.
     pub fn new(name: impl Into<String>, addr: SocketAddr) -> Self {
         let (zone, kind) = Default::default();
         let (weight, priority) = (None, None);
-        Entry {
+        ListedEndpoint {
             name: name.into(),
             addr,
-            state: State::Up,
+            state: ListedState::Available,
             zone,
-            kind,
+            host_type: kind,
             cell: 0,
             weight,
             priority,
@@ -60,11 +60,11 @@
 
 /// What a source tells at one time.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Told {
+pub enum SourceUpdate {
     /// All that it lists. What it listed before and does not list now has been withdrawn.
-    Whole(Vec<Entry>),
+    FullList(Vec<ListedEndpoint>),
     /// What has changed; none is news too: all else is as it was.
-    Changes(Vec<Entry>),
+    Changes(Vec<ListedEndpoint>),
     /// It cannot say, and what it said before is past its lifetime.
     Failed,
 }
--- a/crates/endpoints/tests/invariants.rs
+++ b/crates/endpoints/tests/invariants.rs
@@ -21,16 +21,16 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-const SECOND: Micros = 1_000_000;
+const SECOND: MonotonicMicros = 1_000_000;
 const SERVERS: u16 = 12;
 const PART: f64 = 0.5;
-const HOLD: Micros = 30 * SECOND;
+const HOLD: MonotonicMicros = 30 * SECOND;
 const CONFIRMATIONS: usize = 2;
 
 #[derive(Clone, Debug)]
 enum Step {
     /// The list changes one entry.
-    Word(u16, State),
+    Word(u16, ListedState),
     /// The list tells a new start of one.
     Start(u16),
     /// The whole list.
@@ -60,7 +60,7 @@
         let one = 0..SERVERS;
         let some = || prop::collection::btree_set(0..SERVERS, 0..=SERVERS as usize);
         prop_oneof![
-            3 => (one.clone(), prop_oneof![Just(State::Up), Just(State::Draining), Just(State::Removed)])
+            3 => (one.clone(), prop_oneof![Just(ListedState::Available), Just(ListedState::Draining), Just(ListedState::Removed)])
                 .prop_map(|(n, state)| Step::Word(n, state)),
             1 => one.prop_map(Step::Start),
             2 => some().prop_map(Step::List),
@@ -73,7 +73,7 @@
 
     fn apply(mut state: Model, step: &Step) -> Model {
         match step {
-            Step::Word(n, State::Up) => drop(state.blocked.remove(n)),
+            Step::Word(n, ListedState::Available) => drop(state.blocked.remove(n)),
             Step::Word(n, _) => drop(state.blocked.insert(*n)),
             Step::Start(n) => {
                 state.blocked.remove(n);
@@ -87,33 +87,37 @@
 }
 
 struct Account {
-    members: Membership,
-    now: Micros,
-    mirror: BTreeMap<String, Server>,
+    members: EndpointRegistry,
+    now: MonotonicMicros,
+    mirror: BTreeMap<String, RegisteredEndpoint>,
     /// What DNS has listed, and when.
-    answers: Vec<(Micros, BTreeSet<SocketAddr>)>,
+    answers: Vec<(MonotonicMicros, BTreeSet<SocketAddr>)>,
 }
 
 fn addr(n: u16) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 8000 + n))
 }
 
-fn id(n: u16, model: &Model) -> Entry {
+fn id(n: u16, model: &Model) -> ListedEndpoint {
     let started_ms = model.starts.get(&n).copied().unwrap_or(0);
-    Entry {
+    ListedEndpoint {
         started_ms,
-        ..Entry::new(format!("s-{n}"), addr(n))
+        ..ListedEndpoint::new(format!("s-{n}"), addr(n))
     }
 }
 
-fn usable<'a>(servers: impl IntoIterator<Item = &'a Server>) -> BTreeMap<String, SocketAddr> {
-    let servers = servers.into_iter().filter(|s| s.standing <= Standing::Held);
-    servers.map(|s| (s.name.clone(), s.entry.addr)).collect()
+fn usable<'a>(
+    servers: impl IntoIterator<Item = &'a RegisteredEndpoint>,
+) -> BTreeMap<String, SocketAddr> {
+    let servers = servers
+        .into_iter()
+        .filter(|s| s.status <= EndpointStatus::Held);
+    servers.map(|s| (s.name.clone(), s.listing.addr)).collect()
 }
 
 impl Account {
     /// Whether enough answers in a row have lacked an address for long enough.
-    fn confirmed(&self, now: Micros, addr: &SocketAddr) -> bool {
+    fn confirmed(&self, now: MonotonicMicros, addr: &SocketAddr) -> bool {
         let lacking: Vec<_> = self
             .answers
             .iter()
@@ -129,32 +133,32 @@
     type Reference = Model;
 
     fn init_test(_: &Model) -> Account {
-        let guard = Some(Guard {
-            hold: HOLD,
-            confirmations: CONFIRMATIONS as u32,
-            part: PART,
+        let guard = Some(SuddenLossGuard {
+            hold_time: HOLD,
+            confirmation_count: CONFIRMATIONS as u32,
+            max_loss_fraction: PART,
         });
-        let flaps = Some(Flaps {
-            free: 2,
+        let flaps = Some(FlapLimits {
+            free_return_count: 2,
             window: 60 * SECOND,
-            hold: 10 * SECOND,
-            most: 60 * SECOND,
+            initial_hold: 10 * SECOND,
+            max_hold: 60 * SECOND,
         });
         let list = SourceSettings {
-            guard,
-            ..SourceSettings::new("list", Kind::Naming)
+            sudden_loss_guard: guard,
+            ..SourceSettings::new("list", EndpointIdentity::ByName)
         };
         let srv = SourceSettings {
-            guard,
-            flaps,
-            ..SourceSettings::new("srv", Kind::Addressing)
+            sudden_loss_guard: guard,
+            flap_limits: flaps,
+            ..SourceSettings::new("srv", EndpointIdentity::ByAddress)
         };
-        let settings = Settings {
+        let settings = RegistrySettings {
             sources: vec![list, srv],
-            ..Settings::default()
+            ..RegistrySettings::default()
         };
         Account {
-            members: Membership::new(settings),
+            members: EndpointRegistry::new(settings),
             now: 0,
             mirror: BTreeMap::new(),
             answers: Vec::new(),
@@ -162,42 +166,50 @@
     }
 
     fn apply(mut account: Account, model: &Model, step: Step) -> Account {
-        let before = usable(&account.members.servers());
+        let before = usable(&account.members.endpoints());
         account.now += SECOND / 10;
         let now = account.now;
-        let mut tell = |source: usize, told: Told| account.members.told(now, source, told);
+        let mut tell =
+            |source: usize, told: SourceUpdate| account.members.apply_update(now, source, told);
         let changes = match &step {
             Step::Word(n, state) => tell(
                 0,
-                Told::Changes(vec![Entry {
+                SourceUpdate::Changes(vec![ListedEndpoint {
                     state: *state,
                     ..id(*n, model)
                 }]),
             ),
-            Step::Start(n) => tell(0, Told::Changes(vec![id(*n, model)])),
-            Step::List(up) => tell(0, Told::Whole(up.iter().map(|n| id(*n, model)).collect())),
+            Step::Start(n) => tell(0, SourceUpdate::Changes(vec![id(*n, model)])),
+            Step::List(up) => tell(
+                0,
+                SourceUpdate::FullList(up.iter().map(|n| id(*n, model)).collect()),
+            ),
             Step::Srv(one, other) => {
                 let entry = |name: &str, n: &u16| {
-                    Entry::new(format!("{name}{n}.test:{}", 8000 + n), addr(*n))
+                    ListedEndpoint::new(format!("{name}{n}.test:{}", 8000 + n), addr(*n))
                 };
                 let names = one
                     .iter()
                     .map(|n| entry("a", n))
                     .chain(other.iter().map(|n| entry("b", n)));
-                tell(1, Told::Whole(names.collect()))
+                tell(1, SourceUpdate::FullList(names.collect()))
             }
-            Step::Failed(source) => tell(*source, Told::Failed),
+            Step::Failed(source) => tell(*source, SourceUpdate::Failed),
             Step::Pass(seconds) => {
                 account.now += seconds * SECOND;
-                account.members.turn(account.now)
+                account.members.on_timer(account.now)
             }
         };
         for server in changes {
             account.mirror.insert(server.name.clone(), server);
         }
         let settings = account.members.settings().clone();
-        assert_eq!(account.members.set(account.now, settings), [], "6");
-        let after = usable(&account.members.servers());
+        assert_eq!(
+            account.members.update_settings(account.now, settings),
+            [],
+            "6"
+        );
+        let after = usable(&account.members.endpoints());
         if matches!(step, Step::Failed(_)) {
             assert_eq!(before, after, "2: a failure changed the list");
         }
@@ -207,7 +219,7 @@
                 .push((now, one.union(other).map(|n| addr(*n)).collect()));
             let lost = before.values().filter(|a| !after.values().any(|b| b == *a));
             let unconfirmed = lost.filter(|a| !account.confirmed(now, a)).count();
-            let all = account.members.servers().len();
+            let all = account.members.endpoints().len();
             assert!(
                 unconfirmed as f64 <= PART * all.max(1) as f64 + 0.5,
                 "3: {unconfirmed} of {all}"
@@ -217,7 +229,7 @@
     }
 
     fn check_invariants(account: &Account, model: &Model) {
-        let servers = account.members.servers();
+        let servers = account.members.endpoints();
         let takes = usable(&servers);
         for n in &model.blocked {
             assert!(
--- a/src/program/config/mod.rs
+++ b/src/program/config/mod.rs
@@ -12,7 +12,7 @@
 pub mod fleet;
 pub mod operator;
 
-use crate::protocol::discovery::{self, Update};
+use crate::protocol::discovery::{self, EndpointListResponse};
 use crate::transport::admin::MOST_CALLERS;
 use crate::transport::clients::MOST_LEAVING;
 use crate::transport::listener::MOST_TURNED_AWAY;
@@ -82,7 +82,7 @@
     /// For random numbers.
     pub seed: u64,
     /// The list as it last had it.
-    pub known: Option<Update>,
+    pub known: Option<EndpointListResponse>,
     /// The settings.
     pub boot: SiteSettings,
     /// The figures of the transport.
@@ -120,7 +120,9 @@
             .map_err(|e| format!("config: settings: expected {e}"))?;
         let known = match &v["known"] {
             Value::Null => None,
-            known => Some(discovery::read(known).map_err(|e| format!("config: known.{e}"))?),
+            known => Some(
+                discovery::parse_endpoint_list(known).map_err(|e| format!("config: known.{e}"))?,
+            ),
         };
         let memory = limit("memory_mb", MEMORY_MB, LEAST_MEMORY_MB)? << 20;
         let sockets = limit("sockets", SOCKETS, LEAST_SOCKETS)? - SPARE_SOCKETS;
--- a/src/program/config/operator.rs
+++ b/src/program/config/operator.rs
@@ -10,13 +10,16 @@
 )]
 
 use super::fleet::Fleet;
-use crate::protocol::srv::Naming;
+use crate::protocol::srv::SrvEndpointMapping;
 use crate::routing::directory::Members;
 use crate::transport::messages::{LIST, SRV};
-use crate::transport::srv::Service;
+use crate::transport::srv::SrvLookupSettings;
 use crate::transport::streams::{self, Continues};
 use poppykeel_dns_resolver::{Config, Family, Lifetimes};
-use poppykeel_endpoints::{Absence, Flaps, Guard, Kind, Micros, Settings, SourceSettings};
+use poppykeel_endpoints::{
+    AbsencePolicy, EndpointIdentity, FlapLimits, MonotonicMicros, RegistrySettings, SourceSettings,
+    SuddenLossGuard,
+};
 use poppykeel_stream_recovery::{Budget, Limits};
 use regex_lite::Regex;
 use serde::de::{Error, Visitor};
@@ -26,7 +29,7 @@
 use std::path::PathBuf;
 
 /// The longest time that a key takes: a year.
-const MOST_SPAN: Micros = 365 * 86_400_000_000;
+const MOST_SPAN: MonotonicMicros = 365 * 86_400_000_000;
 
 /// What the operators' file says.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq)]
@@ -82,7 +85,7 @@
 
 /// A time, in microseconds; written as seconds or as text with units, such as "250ms".
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Span(pub Micros);
+pub struct Span(pub MonotonicMicros);
 
 /// The sources of servers.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
@@ -307,7 +310,7 @@
             fn visit_f64<E: Error>(self, seconds: f64) -> Result<Span, E> {
                 let most = MOST_SPAN as f64 / 1e6;
                 match (0.0..=most).contains(&seconds) {
-                    true => Ok(Span((seconds * 1e6).round() as Micros)),
+                    true => Ok(Span((seconds * 1e6).round() as MonotonicMicros)),
                     false => Err(E::invalid_value(
                         serde::de::Unexpected::Float(seconds),
                         &self,
@@ -491,23 +494,23 @@
     }
 
     /// What is looked up in DNS, where anything is.
-    pub fn service(&self) -> Option<Service> {
+    pub fn service(&self) -> Option<SrvLookupSettings> {
         let members = self
             .membership
             .as_ref()
             .filter(|m| m.sources.contains(&Source::Srv))?;
         let srv = members.srv.as_ref()?;
-        let naming = Naming {
-            pattern: srv.target.as_ref().and_then(|t| Regex::new(t).ok()),
-            zones: srv.zones.clone(),
-            kinds: srv.kinds.clone(),
-            zone: srv.zone.clone(),
-            kind: srv.kind.clone(),
+        let naming = SrvEndpointMapping {
+            target_pattern: srv.target.as_ref().and_then(|t| Regex::new(t).ok()),
+            zone_names: srv.zones.clone(),
+            host_type_names: srv.kinds.clone(),
+            default_zone: srv.zone.clone(),
+            default_host_type: srv.kind.clone(),
             drain_priority: srv.drain_priority,
         };
-        Some(Service {
+        Some(SrvLookupSettings {
             resolver: self.resolver(srv),
-            naming,
+            endpoint_mapping: naming,
         })
     }
 
@@ -521,10 +524,10 @@
     /// The settings of the account of membership.
     pub fn members(&self) -> Members {
         let Some(members) = &self.membership else {
-            let sources = vec![SourceSettings::new(LIST, Kind::Naming)];
-            let settings = Settings {
+            let sources = vec![SourceSettings::new(LIST, EndpointIdentity::ByName)];
+            let settings = RegistrySettings {
                 sources,
-                ..Settings::default()
+                ..RegistrySettings::default()
             };
             return Members {
                 settings,
@@ -532,13 +535,13 @@
             };
         };
         let absence = |a: Absent| match a {
-            Absent::Removes => Absence::Removes,
-            Absent::Abstains => Absence::Abstains,
+            Absent::Removes => AbsencePolicy::Removes,
+            Absent::Abstains => AbsencePolicy::Abstains,
         };
-        let guard = (members.hold.0 > 0).then_some(Guard {
-            hold: members.hold.0,
-            confirmations: members.confirmations,
-            part: members.loss_part,
+        let guard = (members.hold.0 > 0).then_some(SuddenLossGuard {
+            hold_time: members.hold.0,
+            confirmation_count: members.confirmations,
+            max_loss_fraction: members.loss_part,
         });
         let mut weight_unit = None;
         let mut sources = Vec::new();
@@ -546,39 +549,39 @@
             sources.push(match (source, &members.srv) {
                 (Source::Srv, Some(srv)) => {
                     weight_unit = srv.weight_unit;
-                    let flaps = (srv.flap_hold.0 > 0).then_some(Flaps {
-                        free: srv.flap_free,
+                    let flaps = (srv.flap_hold.0 > 0).then_some(FlapLimits {
+                        free_return_count: srv.flap_free,
                         window: srv.flap_window.0,
-                        hold: srv.flap_hold.0,
-                        most: srv.flap_most.0,
+                        initial_hold: srv.flap_hold.0,
+                        max_hold: srv.flap_most.0,
                     });
-                    let (name, kind) = (SRV.to_string(), Kind::Addressing);
+                    let (name, kind) = (SRV.to_string(), EndpointIdentity::ByAddress);
                     SourceSettings {
                         name,
-                        kind,
-                        absence: absence(srv.absence),
-                        guard,
-                        flaps,
+                        identity: kind,
+                        absence_policy: absence(srv.absence),
+                        sudden_loss_guard: guard,
+                        flap_limits: flaps,
                     }
                 }
                 (Source::Srv, None) => continue,
                 (Source::List, _) => {
-                    let (name, kind) = (LIST.to_string(), Kind::Naming);
+                    let (name, kind) = (LIST.to_string(), EndpointIdentity::ByName);
                     let absence = absence(members.list.absence);
                     SourceSettings {
                         name,
-                        kind,
-                        absence,
-                        guard,
-                        flaps: None,
+                        identity: kind,
+                        absence_policy: absence,
+                        sudden_loss_guard: guard,
+                        flap_limits: None,
                     }
                 }
             });
         }
-        let settings = Settings {
+        let settings = RegistrySettings {
             sources,
-            standby: members.standby,
-            forget: members.forget.0,
+            has_priority_standby: members.standby,
+            withdrawal_retention: members.forget.0,
         };
         Members {
             settings,
@@ -592,13 +595,13 @@
         let Members { settings, .. } = self.members();
         let names: Vec<&str> = settings.sources.iter().map(|s| s.name.as_str()).collect();
         write!(f, "servers from {}", names.join(" and "))?;
-        match settings.sources.first().and_then(|s| s.guard) {
+        match settings.sources.first().and_then(|s| s.sudden_loss_guard) {
             Some(guard) => write!(
                 f,
                 "; more than {:.0}% lost at once is held for {} and {} answers",
-                guard.part * 100.0,
-                seconds(guard.hold),
-                guard.confirmations
+                guard.max_loss_fraction * 100.0,
+                seconds(guard.hold_time),
+                guard.confirmation_count
             )?,
             None => write!(f, "; every loss is believed at once")?,
         }
@@ -615,7 +618,7 @@
     }
 }
 
-fn seconds(span: Micros) -> String {
+fn seconds(span: MonotonicMicros) -> String {
     format!("{} s", span as f64 / 1e6)
 }
 
--- a/src/program/mod.rs
+++ b/src/program/mod.rs
@@ -32,7 +32,7 @@
     /// Read and check the configuration, the operators' file or both, and say what they come to
     Check(Check),
     /// Ask each source of servers and show what it says and the list that follows, with reasons
-    Resolve(resolve::Resolve),
+    Resolve(resolve::ResolveCommand),
     /// Show how streams fare, from a node's log in JSON
     Streams(streams::Streams),
     /// Ask a running node about its fleet
--- a/src/program/resolve.rs
+++ b/src/program/resolve.rs
@@ -11,11 +11,11 @@
 use super::config::Config;
 use super::files::{OperatorFile, Over};
 use crate::transport::clock::Clock;
-use crate::transport::discovery::Watch;
+use crate::transport::discovery::EndpointWatcher;
 use crate::transport::messages::{Message, LIST, SRV};
-use crate::transport::srv::{Lookups, Newest};
+use crate::transport::srv::{LatestSrvLookup, SrvWatcher};
 use crate::transport::Bounds;
-use poppykeel_endpoints::{Membership, Told};
+use poppykeel_endpoints::{EndpointRegistry, SourceUpdate};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -36,7 +36,7 @@
 const AGAIN: Duration = Duration::from_secs(2);
 
 #[derive(clap::Args)]
-pub(super) struct Resolve {
+pub(super) struct ResolveCommand {
     #[command(flatten)]
     operator: OperatorFile,
     /// The platform's configuration, as JSON, for where discovery listens
@@ -62,7 +62,7 @@
     Failed,
 }
 
-impl Resolve {
+impl ResolveCommand {
     /// Whether there is a list in the end.
     pub(super) fn run(&self) -> Result<bool, String> {
         let operator = self.operator.read()?;
@@ -101,11 +101,12 @@
     ) -> Result<bool, String> {
         let clock = Clock::start();
         let (tell, mut told) = mpsc::channel(MESSAGES);
-        let mut members = Membership::new(operator.members().settings);
-        let mut lookups = Lookups::new(clock, tell.clone());
-        let newest = lookups.newest();
-        lookups.set(operator.service());
-        let watch = discovery.map(|addr| Watch::new(addr, Rc::new(bounds()), tell.clone(), clock));
+        let mut members = EndpointRegistry::new(operator.members().settings);
+        let mut lookups = SrvWatcher::new(clock, tell.clone());
+        let newest = lookups.latest_lookup();
+        lookups.watch(operator.service());
+        let watch = discovery
+            .map(|addr| EndpointWatcher::new(addr, Rc::new(bounds()), tell.clone(), clock));
         if let Some(watch) = &watch {
             watch.start();
         } else if operator.lists() {
@@ -142,12 +143,12 @@
                 break;
             }
             let due = members
-                .due()
+                .next_timer()
                 .map(|at| Duration::from_micros(at.saturating_sub(clock.now())));
             let message = tokio::select! {
                 message = told.recv() => message,
                 () = tokio::time::sleep(due.unwrap_or(Duration::from_secs(3600))) => {
-                    members.turn(clock.now());
+                    members.on_timer(clock.now());
                     continue;
                 }
                 () = tokio::time::sleep_until(end), if !self.watch => break,
@@ -155,7 +156,7 @@
             let Some(Message::Told { source, told }) = message else {
                 continue;
             };
-            let word = if told == Told::Failed {
+            let word = if told == SourceUpdate::Failed {
                 Said::Failed
             } else {
                 Said::Answered
@@ -173,10 +174,10 @@
                 .sources
                 .iter()
                 .position(|s| s.name == source);
-            place.map(|place| members.told(clock.now(), place, told));
+            place.map(|place| members.apply_update(clock.now(), place, told));
         }
         self.show(&describe(&members, &said, &newest, clock.now()))?;
-        Ok(members.usable() > 0)
+        Ok(members.usable_count() > 0)
     }
 
     fn show(&self, what: &Value) -> Result<(), String> {
@@ -223,23 +224,23 @@
 }
 
 fn describe(
-    members: &Membership,
+    members: &EndpointRegistry,
     said: &BTreeMap<String, Said>,
-    newest: &Newest,
+    newest: &LatestSrvLookup,
     now: poppykeel_dns_resolver::Micros,
 ) -> Value {
     let servers: Vec<Value> = members
-        .servers()
+        .endpoints()
         .iter()
         .map(|s| {
-            let opinions = members.sources(s);
+            let opinions = members.source_verdicts(s);
             let sources: Vec<&str> = opinions.iter().map(|o| o.0.as_str()).collect();
             let opinions: BTreeMap<&str, &str> =
-                opinions.iter().map(|(name, o)| (name.as_str(), o.word())).collect();
+                opinions.iter().map(|(name, o)| (name.as_str(), o.label())).collect();
             json!({
-                "name": s.name, "addr": s.entry.addr.to_string(), "state": s.standing.word(),
-                "sources": sources, "opinions": opinions, "reason": members.reason(s),
-                "zone": s.entry.zone, "kind": s.entry.kind, "weight": s.weight, "priority": s.priority,
+                "name": s.name, "addr": s.listing.addr.to_string(), "state": s.status.label(),
+                "sources": sources, "opinions": opinions, "reason": members.status_reason(s),
+                "zone": s.listing.zone, "kind": s.listing.host_type, "weight": s.weight, "priority": s.priority,
             })
         })
         .collect();
@@ -260,10 +261,10 @@
             value
         })
         .collect();
-    json!({"usable": members.usable(), "servers": servers, "sources": sources})
+    json!({"usable": members.usable_count(), "servers": servers, "sources": sources})
 }
 
-fn records(value: &mut Value, newest: &Newest, now: poppykeel_dns_resolver::Micros) {
+fn records(value: &mut Value, newest: &LatestSrvLookup, now: poppykeel_dns_resolver::Micros) {
     let left = |at: u64| at.saturating_sub(now) as f64 / 1e6;
     match &*newest.borrow() {
         Some(Ok(found)) => {
--- a/src/program/serve.rs
+++ b/src/program/serve.rs
@@ -16,7 +16,7 @@
 use crate::transport::admin::Admin;
 use crate::transport::clients::Shared;
 use crate::transport::clock::Clock;
-use crate::transport::discovery::Watch;
+use crate::transport::discovery::EndpointWatcher;
 use crate::transport::fleet::Fleet;
 use crate::transport::handover::Handover;
 use crate::transport::hub::Hub;
@@ -24,7 +24,7 @@
 use crate::transport::messages::{Message, Phase};
 use crate::transport::pool::Pool;
 use crate::transport::shutdown::FINAL_ANSWERS;
-use crate::transport::srv::Lookups;
+use crate::transport::srv::SrvWatcher;
 use crate::transport::streams::Streams;
 use crate::transport::upstream::Upstream;
 use poppykeel_scheduler::Scheduler;
@@ -154,16 +154,16 @@
         crossings: Rc::default(),
         clock,
     };
-    let discovery = Watch::new(config.discovery, bounds.clone(), tell.clone(), clock);
-    discovery.enable(operator.lists());
+    let discovery = EndpointWatcher::new(config.discovery, bounds.clone(), tell.clone(), clock);
+    discovery.set_enabled(operator.lists());
     if let Some(known) = &config.known {
-        discovery.version(known.version());
+        discovery.set_known_version(known.version());
     }
     // Where lists are pushed the module never asks: the agent's list is watched from the start.
     let pushed = boot.scheduler.endpoint_list_mode
         == poppykeel_scheduler::interface::EndpointListMode::Pushed;
     let discovery = if pushed {
-        discovery.pushed()
+        discovery.into_pushed()
     } else {
         discovery
     };
@@ -171,7 +171,7 @@
         .known
         .clone()
         .filter(|_| operator.lists())
-        .map(|k| k.told());
+        .map(|k| k.into_source_update());
     let directory = Directory::new(boot.clone(), operator.members());
     let hub = Hub::new(
         clock,
@@ -181,8 +181,8 @@
         discovery.clone(),
         known,
     );
-    let mut lookups = Lookups::new(clock, tell.clone());
-    lookups.set(operator.service());
+    let mut lookups = SrvWatcher::new(clock, tell.clone());
+    lookups.watch(operator.service());
     spawn_local(hub.run(told));
     spawn_local(async move {
         loop {
@@ -255,10 +255,10 @@
                     tracing::info!(node = %read.name, discovery = %read.discovery, "read again");
                     // First the settings: what a new source tells must find its place.
                     let _ = tell.send(Message::Members(operator.members())).await;
-                    discovery.enable(operator.lists());
-                    discovery.move_to(read.discovery);
+                    discovery.set_enabled(operator.lists());
+                    discovery.set_service_addr(read.discovery);
                     config = read;
-                    lookups.set(operator.service());
+                    lookups.watch(operator.service());
                     streams.set(operator.streams());
                     taken += 1;
                 }
--- a/src/protocol/discovery.rs
+++ b/src/protocol/discovery.rs
@@ -6,49 +6,49 @@
     reason = "not yet converted"
 )]
 
-use poppykeel_endpoints::{Entry, State, Told};
+use poppykeel_endpoints::{ListedEndpoint, ListedState, SourceUpdate};
 use serde_json::Value;
 
 /// One answer of discovery.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Update {
+pub struct EndpointListResponse {
     version: u64,
     full: bool,
-    entries: Vec<Entry>,
+    entries: Vec<ListedEndpoint>,
 }
 
-impl Update {
+impl EndpointListResponse {
     /// The version of the list after it.
     pub fn version(&self) -> u64 {
         self.version
     }
 
     /// What the source has told by it.
-    pub fn told(self) -> Told {
+    pub fn into_source_update(self) -> SourceUpdate {
         if self.full {
-            Told::Whole(self.entries)
+            SourceUpdate::FullList(self.entries)
         } else {
-            Told::Changes(self.entries)
+            SourceUpdate::Changes(self.entries)
         }
     }
 }
 
 /// Reads an answer; an error names what is wrong.
-pub fn read(v: &Value) -> Result<Update, String> {
+pub fn parse_endpoint_list(v: &Value) -> Result<EndpointListResponse, String> {
     let version = v["version"]
         .as_u64()
         .ok_or("version: expected a whole number")?;
     let full = v["full"].as_bool().ok_or("full: expected true or false")?;
     let servers = v["servers"].as_array().ok_or("servers: expected a list")?;
     let entries = servers.iter().map(entry).collect::<Result<_, _>>()?;
-    Ok(Update {
+    Ok(EndpointListResponse {
         version,
         full,
         entries,
     })
 }
 
-fn entry(v: &Value) -> Result<Entry, String> {
+fn entry(v: &Value) -> Result<ListedEndpoint, String> {
     let text = |key: &str| {
         v[key]
             .as_str()
@@ -56,9 +56,9 @@
     };
     let addr = text("addr")?;
     let state = match text("state")? {
-        "up" => State::Up,
-        "draining" => State::Draining,
-        "removed" => State::Removed,
+        "up" => ListedState::Available,
+        "draining" => ListedState::Draining,
+        "removed" => ListedState::Removed,
         other => {
             return Err(format!(
                 "servers: expected up, draining or removed, not {other}"
@@ -66,14 +66,14 @@
         }
     };
     let name = |key: &str| v[key].as_str().unwrap_or_default().to_string();
-    Ok(Entry {
+    Ok(ListedEndpoint {
         name: text("id")?.to_string(),
         addr: addr
             .parse()
             .map_err(|_| format!("servers: expected an address for addr, not {addr}"))?,
         state,
         zone: name("zone"),
-        kind: name("kind"),
+        host_type: name("kind"),
         cell: v["cell"].as_u64().unwrap_or(0) as usize,
         weight: v["weight"].as_f64(),
         priority: None,
--- a/src/protocol/srv.rs
+++ b/src/protocol/srv.rs
@@ -4,41 +4,57 @@
 #![expect(clippy::min_ident_chars, reason = "not yet converted")]
 
 use poppykeel_dns_resolver::Endpoint;
-use poppykeel_endpoints::{Entry, State};
+use poppykeel_endpoints::{ListedEndpoint, ListedState};
 use regex_lite::Regex;
 use std::collections::BTreeMap;
 
 /// How a target's name and record are understood.
 #[derive(Clone, Debug)]
-pub struct Naming {
+pub struct SrvEndpointMapping {
     /// Matched with the target's name in lower case; its groups `zone`, `kind` and `cell` say what they name.
-    pub pattern: Option<Regex>,
+    pub target_pattern: Option<Regex>,
     /// Names found there to names of the settings; others are taken as they are.
-    pub zones: BTreeMap<String, String>,
+    pub zone_names: BTreeMap<String, String>,
     /// The same for kinds.
-    pub kinds: BTreeMap<String, String>,
+    pub host_type_names: BTreeMap<String, String>,
     /// Where the name does not tell.
-    pub zone: String,
+    pub default_zone: String,
     /// Where the name does not tell.
-    pub kind: String,
+    pub default_host_type: String,
     /// Records of this priority say that their server drains.
     pub drain_priority: Option<u16>,
 }
 
-impl PartialEq for Naming {
+impl PartialEq for SrvEndpointMapping {
     fn eq(&self, other: &Self) -> bool {
-        let parts = |n: &Naming| (n.zones.clone(), n.kinds.clone(), n.drain_priority);
-        let pattern = |n: &Naming| n.pattern.as_ref().map(|p| p.as_str().to_string());
-        (parts(self), pattern(self), &self.zone, &self.kind)
-            == (parts(other), pattern(other), &other.zone, &other.kind)
+        let parts = |n: &SrvEndpointMapping| {
+            (
+                n.zone_names.clone(),
+                n.host_type_names.clone(),
+                n.drain_priority,
+            )
+        };
+        let pattern =
+            |n: &SrvEndpointMapping| n.target_pattern.as_ref().map(|p| p.as_str().to_string());
+        (
+            parts(self),
+            pattern(self),
+            &self.default_zone,
+            &self.default_host_type,
+        ) == (
+            parts(other),
+            pattern(other),
+            &other.default_zone,
+            &other.default_host_type,
+        )
     }
 }
 
-impl Naming {
+impl SrvEndpointMapping {
     /// The entry of one address.
-    pub fn entry(&self, endpoint: &Endpoint) -> Entry {
+    pub fn to_listed_endpoint(&self, endpoint: &Endpoint) -> ListedEndpoint {
         let found = self
-            .pattern
+            .target_pattern
             .as_ref()
             .and_then(|p| p.captures(&endpoint.target));
         let group = |name: &str| {
@@ -53,12 +69,20 @@
                 None => absent.to_string(),
             };
         let drains = self.drain_priority == Some(endpoint.priority);
-        Entry {
+        ListedEndpoint {
             name: format!("{}:{}", endpoint.target, endpoint.addr.port()),
             addr: endpoint.addr,
-            state: if drains { State::Draining } else { State::Up },
-            zone: place(group("zone"), &self.zones, &self.zone),
-            kind: place(group("kind"), &self.kinds, &self.kind),
+            state: if drains {
+                ListedState::Draining
+            } else {
+                ListedState::Available
+            },
+            zone: place(group("zone"), &self.zone_names, &self.default_zone),
+            host_type: place(
+                group("kind"),
+                &self.host_type_names,
+                &self.default_host_type,
+            ),
             cell: group("cell").and_then(|c| c.parse().ok()).unwrap_or(0),
             weight: Some(f64::from(endpoint.weight)),
             priority: Some(endpoint.priority),
--- a/src/routing/directory.rs
+++ b/src/routing/directory.rs
@@ -3,7 +3,10 @@
 
 #![expect(clippy::min_ident_chars, reason = "not yet converted")]
 
-use poppykeel_endpoints::{Membership, Micros, Server, Settings, Standing, Told};
+use poppykeel_endpoints::{
+    EndpointRegistry, EndpointStatus, MonotonicMicros, RegisteredEndpoint, RegistrySettings,
+    SourceUpdate,
+};
 use poppykeel_scheduler::interface::{Endpoint, EndpointState, ReplicaId, Seconds};
 use poppykeel_site_settings::SiteSettings;
 use std::collections::BTreeMap;
@@ -14,7 +17,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Moment {
     /// Microseconds on the monotonic clock.
-    pub now: Micros,
+    pub now: MonotonicMicros,
     /// Microseconds of Unix time.
     pub unix: i64,
 }
@@ -23,7 +26,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Members {
     /// The account's settings.
-    pub settings: Settings,
+    pub settings: RegistrySettings,
     /// A weight of this much in DNS is an ordinary server's size; none takes no sizes from there.
     pub weight_unit: Option<f64>,
 }
@@ -49,7 +52,7 @@
 #[derive(Debug)]
 pub struct Directory {
     boot: Rc<SiteSettings>,
-    members: Membership,
+    members: EndpointRegistry,
     weight_unit: Option<f64>,
     known: BTreeMap<ReplicaId, Known>,
 }
@@ -75,7 +78,7 @@
         let (weight_unit, known) = (members.weight_unit, BTreeMap::new());
         Directory {
             boot,
-            members: Membership::new(members.settings),
+            members: EndpointRegistry::new(members.settings),
             weight_unit,
             known,
         }
@@ -97,13 +100,13 @@
     }
 
     /// The account itself.
-    pub fn members(&self) -> &Membership {
+    pub fn members(&self) -> &EndpointRegistry {
         &self.members
     }
 
     /// When `turn` must be called next, if nothing comes before.
-    pub fn due(&self) -> Option<Micros> {
-        self.members.due()
+    pub fn due(&self) -> Option<MonotonicMicros> {
+        self.members.next_timer()
     }
 
     /// Servers listed, draining ones too.
@@ -112,7 +115,7 @@
     }
 
     /// What a source tells, by its name; returned is what the module is to be told.
-    pub fn told(&mut self, source: &str, told: Told, at: Moment) -> Vec<Changed> {
+    pub fn told(&mut self, source: &str, told: SourceUpdate, at: Moment) -> Vec<Changed> {
         let place = self
             .members
             .settings()
@@ -122,36 +125,36 @@
         let Some(place) = place else {
             return Vec::new();
         };
-        let changes = self.members.told(at.now, place, told);
+        let changes = self.members.apply_update(at.now, place, told);
         self.listings(changes, at)
     }
 
     /// Lets the time pass.
     pub fn turn(&mut self, at: Moment) -> Vec<Changed> {
-        let changes = self.members.turn(at.now);
+        let changes = self.members.on_timer(at.now);
         self.listings(changes, at)
     }
 
     /// Takes new settings; sources that stay keep what they have told.
     pub fn set(&mut self, members: Members, at: Moment) -> Vec<Changed> {
         self.weight_unit = members.weight_unit;
-        let changes = self.members.set(at.now, members.settings);
+        let changes = self.members.update_settings(at.now, members.settings);
         self.listings(changes, at)
     }
 
-    fn listings(&mut self, changes: Vec<Server>, at: Moment) -> Vec<Changed> {
+    fn listings(&mut self, changes: Vec<RegisteredEndpoint>, at: Moment) -> Vec<Changed> {
         let mut list = Vec::new();
         for server in changes {
             let id = identity(&server.name);
             let before = self.known.get(&id);
-            let started_ms = server.entry.started_ms;
+            let started_ms = server.listing.started_ms;
             // One start keeps one time: mapped anew with each list it would seem to be a later start.
             let born = match before.filter(|k| k.started_ms == started_ms) {
                 Some(known) => known.listing.started_at,
                 None => (started_ms > 0).then(|| born(started_ms, at)),
             };
             let listing = self.listing(id, &server, born);
-            if before.is_some_and(|k| k.listing == listing && k.addr == server.entry.addr) {
+            if before.is_some_and(|k| k.listing == listing && k.addr == server.listing.addr) {
                 continue;
             }
             let unheard = before.is_none();
@@ -162,7 +165,7 @@
                 }
             } else {
                 let (addr, name, listing) =
-                    (server.entry.addr, server.name.clone(), listing.clone());
+                    (server.listing.addr, server.name.clone(), listing.clone());
                 self.known.insert(
                     id,
                     Known {
@@ -181,8 +184,13 @@
         list
     }
 
-    fn listing(&self, id: ReplicaId, server: &Server, born: Option<Seconds>) -> Endpoint {
-        let entry = &server.entry;
+    fn listing(
+        &self,
+        id: ReplicaId,
+        server: &RegisteredEndpoint,
+        born: Option<Seconds>,
+    ) -> Endpoint {
+        let entry = &server.listing;
         // A zone or kind that the settings lack is one more: the replica serves all the same.
         let place = |name: &str, known: &[String]| {
             known.iter().position(|k| k == name).unwrap_or(known.len())
@@ -197,11 +205,11 @@
             id,
             zone: place(&entry.zone, &self.boot.names.zones),
             cell: entry.cell,
-            host_type: place(&entry.kind, &self.boot.names.host_types),
-            state: match server.standing {
-                Standing::In | Standing::Held => EndpointState::Available,
-                Standing::Draining => EndpointState::Draining,
-                Standing::Out => EndpointState::Removed,
+            host_type: place(&entry.host_type, &self.boot.names.host_types),
+            state: match server.status {
+                EndpointStatus::InService | EndpointStatus::Held => EndpointState::Available,
+                EndpointStatus::Draining => EndpointState::Draining,
+                EndpointStatus::OutOfService => EndpointState::Removed,
             },
             capacity_weight: size,
             started_at: born,
--- a/src/transport/discovery.rs
+++ b/src/transport/discovery.rs
@@ -14,12 +14,12 @@
 use super::clock::Clock;
 use super::messages::{Message, LIST};
 use super::{Bounds, Wire};
-use crate::protocol::discovery::{read, Update};
+use crate::protocol::discovery::{parse_endpoint_list, EndpointListResponse};
 use crate::protocol::http::{Http, Out, Part, Side, Start};
 use crate::protocol::request;
 use crate::routing::seconds;
 use futures_util::{SinkExt, StreamExt};
-use poppykeel_endpoints::Told;
+use poppykeel_endpoints::SourceUpdate;
 use poppykeel_scheduler::interface::{BudgetDemand, BudgetGrants, BudgetKind};
 use poppykeel_scheduler::BudgetLedger;
 use std::cell::{Cell, RefCell};
@@ -53,7 +53,7 @@
 
 /// The watch of one node.
 #[derive(Clone)]
-pub struct Watch {
+pub struct EndpointWatcher {
     addr: Rc<Cell<SocketAddr>>,
     moved: Rc<Notify>,
     bounds: Rc<Bounds>,
@@ -72,7 +72,7 @@
     clock: Clock,
 }
 
-impl Watch {
+impl EndpointWatcher {
     /// A watch that has not begun.
     pub fn new(
         addr: SocketAddr,
@@ -83,7 +83,7 @@
         let (moved, running, version, lately, calls) = Default::default();
         let (addr, enabled, pushed) = (Rc::new(Cell::new(addr)), Rc::new(Cell::new(true)), false);
         let last_call = Rc::default();
-        Watch {
+        EndpointWatcher {
             addr,
             moved,
             bounds,
@@ -100,8 +100,8 @@
     }
 
     /// The same watch where the list is pushed: it runs from now on, whether or not the module asks.
-    pub fn pushed(self) -> Self {
-        let watch = Watch {
+    pub fn into_pushed(self) -> Self {
+        let watch = EndpointWatcher {
             pushed: true,
             ..self
         };
@@ -110,12 +110,12 @@
     }
 
     /// The list that the node has now.
-    pub fn version(&self, version: u64) {
+    pub fn set_known_version(&self, version: u64) {
         self.version.set(version);
     }
 
     /// Whether the list is a source at all; it is watched from the next order on, or not asked again.
-    pub fn enable(&self, enabled: bool) {
+    pub fn set_enabled(&self, enabled: bool) {
         if !self.enabled.replace(enabled) && enabled {
             // What was told before is forgotten with the source: all of it is wanted again.
             self.version.set(0);
@@ -124,7 +124,7 @@
     }
 
     /// What the fleet allows of calls from now on.
-    pub fn allow(&self, allowed: &BudgetGrants) {
+    pub fn set_budget_grants(&self, allowed: &BudgetGrants) {
         let calls = allowed
             .iter()
             .filter(|(what, _)| **what == BudgetKind::Discovery);
@@ -135,7 +135,7 @@
     }
 
     /// What has been wanted of that.
-    pub fn wanted(&self) -> BTreeMap<BudgetKind, BudgetDemand> {
+    pub fn budget_demand(&self) -> BTreeMap<BudgetKind, BudgetDemand> {
         self.calls.borrow().demand()
     }
 
@@ -162,7 +162,7 @@
 
     /// Watches at another address from now on. A call that waits at the old one is dropped, and so is the pause
     /// after a failed one: the old service may never answer either.
-    pub fn move_to(&self, addr: SocketAddr) {
+    pub fn set_service_addr(&self, addr: SocketAddr) {
         if self.addr.replace(addr) != addr {
             if self.running.get() {
                 self.moved.notify_one();
@@ -225,7 +225,7 @@
                     self.version.set(update.version());
                     let told = Message::Told {
                         source: LIST,
-                        told: update.told(),
+                        told: update.into_source_update(),
                     };
                     if self.tell.send(told).await.is_err() {
                         return false;
@@ -255,13 +255,17 @@
             .tell
             .send(Message::Told {
                 source: LIST,
-                told: Told::Failed,
+                told: SourceUpdate::Failed,
             })
             .await;
         self.pushed && told.is_ok()
     }
 
-    async fn call(&self, wire: &mut Option<Wire>, wait: Duration) -> Result<Update, String> {
+    async fn call(
+        &self,
+        wire: &mut Option<Wire>,
+        wait: Duration,
+    ) -> Result<EndpointListResponse, String> {
         let mut conn = match wire.take() {
             Some(conn) => conn,
             None => {
@@ -308,6 +312,6 @@
         }
         let value =
             serde_json::from_slice(&body).map_err(|e| format!("answer not in JSON ({e})"))?;
-        read(&value)
+        parse_endpoint_list(&value)
     }
 }
--- a/src/transport/hub.rs
+++ b/src/transport/hub.rs
@@ -8,13 +8,13 @@
 )]
 
 use super::clock::Clock;
-use super::discovery::Watch;
+use super::discovery::EndpointWatcher;
 use super::messages::{Answer, Asker, Crossed, Message, Payload, Piece, Replica, LIST};
 use super::upstream::{Job, Upstream};
 use crate::protocol::admin::Figures;
 use crate::routing::directory::{Changed, Directory};
 use crate::routing::{Command, Input, Micros, Router};
-use poppykeel_endpoints::Told;
+use poppykeel_endpoints::SourceUpdate;
 use poppykeel_scheduler::interface::{
     AttemptOutcome, Endpoint, EndpointState, ReplicaId, RequestId,
 };
@@ -56,7 +56,7 @@
     router: Router,
     directory: Directory,
     upstream: Upstream,
-    watch: Watch,
+    watch: EndpointWatcher,
     clients: HashMap<RequestId, Client>,
     /// Who has asked for which request; those of requests that are over are forgotten now and then.
     askers: HashMap<RequestId, Asker>,
@@ -73,8 +73,8 @@
         router: Router,
         directory: Directory,
         upstream: Upstream,
-        watch: Watch,
-        known: Option<Told>,
+        watch: EndpointWatcher,
+        known: Option<SourceUpdate>,
     ) -> Self {
         let (clients, askers, attempts, offered, commands) = Default::default();
         let mut hub = Hub {
@@ -205,13 +205,13 @@
                 return;
             }
             Message::Allow(allowed) => {
-                self.watch.allow(&allowed);
+                self.watch.set_budget_grants(&allowed);
                 return self.router.allow(&allowed);
             }
             Message::Wanted(told) => {
                 // Calls for the list are the watch's to count.
                 let mut wanted = self.router.wanted();
-                wanted.extend(self.watch.wanted());
+                wanted.extend(self.watch.budget_demand());
                 let _ = told.send(wanted);
                 return;
             }
@@ -278,7 +278,7 @@
                 Input::First { request, attempt }
             }
             Message::Told { source, told } => {
-                let failed = told == Told::Failed;
+                let failed = told == SourceUpdate::Failed;
                 let list = self.directory.told(source, told, self.clock.moment());
                 self.list(now, source, list);
                 // The module says when discovery is asked again; other sources see to that themselves.
--- a/src/transport/messages.rs
+++ b/src/transport/messages.rs
@@ -4,7 +4,7 @@
 use crate::routing::directory::Members;
 use crate::routing::{Input, Micros};
 use bytes::Bytes;
-use poppykeel_endpoints::Told;
+use poppykeel_endpoints::SourceUpdate;
 use poppykeel_scheduler::interface::{
     BudgetDemand, BudgetGrants, BudgetKind, IncomingRequest, LearnedState, ReplicaId, RequestId,
 };
@@ -106,7 +106,7 @@
         /// Its name.
         source: &'static str,
         /// What it tells.
-        told: Told,
+        told: SourceUpdate,
     },
     /// New settings of the account of membership.
     Members(Members),
--- a/src/transport/srv.rs
+++ b/src/transport/srv.rs
@@ -4,9 +4,9 @@
 
 use super::clock::Clock;
 use super::messages::{Message, SRV};
-use crate::protocol::srv::Naming;
+use crate::protocol::srv::SrvEndpointMapping;
 use poppykeel_dns_resolver::{driver, Config, Event, Found};
-use poppykeel_endpoints::{Entry, Told};
+use poppykeel_endpoints::{ListedEndpoint, SourceUpdate};
 use std::cell::RefCell;
 use std::rc::Rc;
 use tokio::sync::mpsc;
@@ -17,42 +17,42 @@
 
 /// Where and how servers are looked up.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Service {
+pub struct SrvLookupSettings {
     /// The resolver's settings.
     pub resolver: Config,
     /// How names are understood.
-    pub naming: Naming,
+    pub endpoint_mapping: SrvEndpointMapping,
 }
 
 /// The newest answer, for whoever shows records and lifetimes.
-pub type Newest = Rc<RefCell<Option<Result<Found, String>>>>;
+pub type LatestSrvLookup = Rc<RefCell<Option<Result<Found, String>>>>;
 
 /// The look-ups of one node; nothing is looked up until they are set.
-pub struct Lookups {
+pub struct SrvWatcher {
     clock: Clock,
     tell: mpsc::Sender<Message>,
-    running: Option<(Service, AbortHandle)>,
-    newest: Newest,
+    running: Option<(SrvLookupSettings, AbortHandle)>,
+    newest: LatestSrvLookup,
 }
 
-impl Lookups {
+impl SrvWatcher {
     /// None yet.
     pub fn new(clock: Clock, tell: mpsc::Sender<Message>) -> Self {
-        Lookups {
+        SrvWatcher {
             clock,
             tell,
             running: None,
-            newest: Newest::default(),
+            newest: LatestSrvLookup::default(),
         }
     }
 
     /// What was found last, or why nothing was.
-    pub fn newest(&self) -> Newest {
+    pub fn latest_lookup(&self) -> LatestSrvLookup {
         self.newest.clone()
     }
 
     /// Looks this service up from now on, or none. One that is looked up already goes on undisturbed.
-    pub fn set(&mut self, service: Option<Service>) {
+    pub fn watch(&mut self, service: Option<SrvLookupSettings>) {
         if self.running.as_ref().map(|r| &r.0) == service.as_ref() {
             return;
         }
@@ -71,19 +71,27 @@
     }
 }
 
-async fn run(service: Service, clock: Clock, tell: mpsc::Sender<Message>, newest: Newest) {
+async fn run(
+    service: SrvLookupSettings,
+    clock: Clock,
+    tell: mpsc::Sender<Message>,
+    newest: LatestSrvLookup,
+) {
     let (events, mut found) = mpsc::channel(EVENTS);
-    let Service { resolver, naming } = service;
+    let SrvLookupSettings {
+        resolver,
+        endpoint_mapping: naming,
+    } = service;
     let driver = driver::run(resolver, move || clock.now(), events);
     // What is listed as it was is no news, but one more answer that says so.
-    let mut last: Option<Vec<Entry>> = None;
+    let mut last: Option<Vec<ListedEndpoint>> = None;
     let take = async {
         while let Some(event) = found.recv().await {
             let told = match &event {
                 Event::Listed(found) => news(&mut last, listed(found, &naming)),
                 Event::Failed { why, .. } => {
                     tracing::warn!(source = SRV, why = %why, "no list");
-                    Told::Failed
+                    SourceUpdate::Failed
                 }
             };
             *newest.borrow_mut() = Some(match event {
@@ -107,15 +115,15 @@
     }
 }
 
-fn news(last: &mut Option<Vec<Entry>>, listed: Vec<Entry>) -> Told {
+fn news(last: &mut Option<Vec<ListedEndpoint>>, listed: Vec<ListedEndpoint>) -> SourceUpdate {
     if last.as_ref() == Some(&listed) {
-        return Told::Changes(Vec::new());
+        return SourceUpdate::Changes(Vec::new());
     }
     *last = Some(listed.clone());
-    Told::Whole(listed)
+    SourceUpdate::FullList(listed)
 }
 
-fn listed(found: &Found, naming: &Naming) -> Vec<Entry> {
+fn listed(found: &Found, naming: &SrvEndpointMapping) -> Vec<ListedEndpoint> {
     if let Some(why) = &found.nothing {
         tracing::warn!(source = SRV, why = %why, "nothing listed");
     }
@@ -129,5 +137,9 @@
             "more targets than may be"
         );
     }
-    found.endpoints.iter().map(|e| naming.entry(e)).collect()
+    found
+        .endpoints
+        .iter()
+        .map(|e| naming.to_listed_endpoint(e))
+        .collect()
 }
--- a/tests/hub.rs
+++ b/tests/hub.rs
@@ -12,7 +12,7 @@
 use poppykeel::routing::directory::Directory;
 use poppykeel::routing::Router;
 use poppykeel::transport::clock::Clock;
-use poppykeel::transport::discovery::Watch;
+use poppykeel::transport::discovery::EndpointWatcher;
 use poppykeel::transport::hub::Hub;
 use poppykeel::transport::messages::{Answer, Asker, Message, Payload};
 use poppykeel::transport::pool::Pool;
@@ -39,7 +39,7 @@
     let (tell, told) = mpsc::channel(16);
     let (clock, bounds, boot) = (Clock::start(), Rc::new(config.bounds), Rc::new(config.boot));
     let brain = Scheduler::new(boot.scheduler.clone(), config.seed).unwrap();
-    let watch = Watch::new(config.discovery, bounds.clone(), tell.clone(), clock);
+    let watch = EndpointWatcher::new(config.discovery, bounds.clone(), tell.clone(), clock);
     let directory = Directory::new(boot.clone(), Operator::default().members());
     let upstream = Upstream {
         pool: Pool::new(bounds.upstream, bounds.dial, bounds.idle),
@@ -51,7 +51,7 @@
         crossings: Rc::default(),
         clock,
     };
-    let known = config.known.map(|known| known.told());
+    let known = config.known.map(|known| known.into_source_update());
     let hub = Hub::new(clock, Router::new(brain), directory, upstream, watch, known);
     tokio::task::spawn_local(hub.run(told));
     tell
--- a/tests/protocol.rs
+++ b/tests/protocol.rs
@@ -7,7 +7,7 @@
 use poppykeel::program::config::operator::Operator;
 use poppykeel::program::config::Config;
 use poppykeel::protocol::answer::{Answer, Step};
-use poppykeel::protocol::discovery::read;
+use poppykeel::protocol::discovery::parse_endpoint_list;
 use poppykeel::protocol::http::{Fault, Http, Part, Side};
 use poppykeel::routing::directory::{identity, Directory, Moment};
 use poppykeel_scheduler::interface::AttemptOutcome;
@@ -64,9 +64,9 @@
     let list = |addr: &str, state: &str| {
         let server = json!({"id":"s-1","addr":addr,"zone":"a","kind":"k","cell":0,"state":state,
             "weight":1.0,"started_ms":1_000_000});
-        read(&json!({"version":42,"full":false,"servers":[server]}))
+        parse_endpoint_list(&json!({"version":42,"full":false,"servers":[server]}))
             .unwrap()
-            .told()
+            .into_source_update()
     };
     let mut directory = Directory::new(Rc::new(boot), Operator::default().members());
     let (now, unix) = (50_000_000, 1_030_000_000);
--- a/tests/watch.rs
+++ b/tests/watch.rs
@@ -4,10 +4,10 @@
 
 use poppykeel::program::config::Config;
 use poppykeel::transport::clock::Clock;
-use poppykeel::transport::discovery::Watch;
+use poppykeel::transport::discovery::EndpointWatcher;
 use poppykeel::transport::messages::Message;
 use poppykeel::transport::Bounds;
-use poppykeel_endpoints::Told;
+use poppykeel_endpoints::SourceUpdate;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -64,7 +64,7 @@
     stream.write_all((head + body).as_bytes()).await.unwrap();
 }
 
-async fn told(core: &mut mpsc::Receiver<Message>) -> Told {
+async fn told(core: &mut mpsc::Receiver<Message>) -> SourceUpdate {
     match tokio::time::timeout(PATIENCE, core.recv())
         .await
         .expect("the core is told")
@@ -75,17 +75,20 @@
 }
 
 /// One watch of a service: what the service sees, and what the core is told.
-async fn watching(slack: Duration, pushed: bool) -> (TcpListener, Watch, mpsc::Receiver<Message>) {
+async fn watching(
+    slack: Duration,
+    pushed: bool,
+) -> (TcpListener, EndpointWatcher, mpsc::Receiver<Message>) {
     let service = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let (tell, core) = mpsc::channel(16);
-    let watch = Watch::new(
+    let watch = EndpointWatcher::new(
         service.local_addr().unwrap(),
         bounds(slack),
         tell,
         Clock::start(),
     );
-    watch.version(41);
-    let watch = if pushed { watch.pushed() } else { watch };
+    watch.set_known_version(41);
+    let watch = if pushed { watch.into_pushed() } else { watch };
     watch.start();
     (service, watch, core)
 }
@@ -113,7 +116,7 @@
                 "{text}"
             );
             answer(&mut anew, DRAIN).await;
-            let Told::Changes(changes) = told(&mut core).await else {
+            let SourceUpdate::Changes(changes) = told(&mut core).await else {
                 panic!("the core heard of a failure")
             };
             assert_eq!(changes[0].name, "s-1");
@@ -136,7 +139,7 @@
         let _silent = called(&service, None).await;
         let (_silent_too, text) = called(&service, None).await;
         assert!(text.contains("timeout_ms=0 "), "{text}");
-        assert_eq!(told(&mut core).await, Told::Failed);
+        assert_eq!(told(&mut core).await, SourceUpdate::Failed);
         let none = tokio::time::timeout(Duration::from_millis(300), service.accept()).await;
         assert!(none.is_err(), "called again unasked");
         // Asked to, it finds out at once whether anybody answers.
@@ -144,7 +147,7 @@
         let (mut anew, text) = called(&service, None).await;
         assert!(text.contains("timeout_ms=0 "), "{text}");
         answer(&mut anew, NOTHING).await;
-        assert_eq!(told(&mut core).await, Told::Changes(Vec::new()));
+        assert_eq!(told(&mut core).await, SourceUpdate::Changes(Vec::new()));
     };
     LocalSet::new().run_until(test).await;
 }
@@ -157,7 +160,7 @@
         let (reset, _) = called(&service, None).await;
         reset.set_zero_linger().unwrap();
         drop(reset);
-        assert_eq!(told(&mut core).await, Told::Failed);
+        assert_eq!(told(&mut core).await, SourceUpdate::Failed);
     };
     LocalSet::new().run_until(test).await;
 }
@@ -177,7 +180,7 @@
             let (mut refused, _) = called(&service, None).await;
             refused.write_all(refusal.as_bytes()).await.unwrap();
             drop(refused);
-            assert_eq!(told(&mut core).await, Told::Failed);
+            assert_eq!(told(&mut core).await, SourceUpdate::Failed);
             // When to call again is the module's to say.
             watch.start();
             let (_silent, text) = called(&service, None).await;
@@ -185,7 +188,9 @@
             let (mut anew, text) = called(&service, None).await;
             assert!(text.contains("since=41&timeout_ms=0 "), "{text}");
             answer(&mut anew, DRAIN).await;
-            assert!(matches!(told(&mut core).await, Told::Changes(changes) if changes.len() == 1));
+            assert!(
+                matches!(told(&mut core).await, SourceUpdate::Changes(changes) if changes.len() == 1)
+            );
             let (_anew, text) = called(&service, Some(anew)).await;
             assert!(text.contains("since=42&timeout_ms=50 "), "{text}");
         }
@@ -209,9 +214,9 @@
             let (mut stream, _) = called(&service, None).await;
             answer(&mut stream, body).await;
             match told(&mut core).await {
-                Told::Whole(list) => assert!(full && list.len() == entries),
-                Told::Changes(list) => assert!(!full && list.len() == entries),
-                Told::Failed => panic!("the core heard of a failure"),
+                SourceUpdate::FullList(list) => assert!(full && list.len() == entries),
+                SourceUpdate::Changes(list) => assert!(!full && list.len() == entries),
+                SourceUpdate::Failed => panic!("the core heard of a failure"),
             }
             let (_stream, text) = called(&service, Some(stream)).await;
             assert!(
@@ -244,10 +249,12 @@
         let (old, watch, mut core) = watching(PATIENCE, false).await;
         let (_waits, _) = called(&old, None).await;
         let new = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        watch.move_to(new.local_addr().unwrap());
+        watch.set_service_addr(new.local_addr().unwrap());
         let (mut moved, _) = called(&new, None).await;
         answer(&mut moved, DRAIN).await;
-        assert!(matches!(told(&mut core).await, Told::Changes(changes) if changes.len() == 1));
+        assert!(
+            matches!(told(&mut core).await, SourceUpdate::Changes(changes) if changes.len() == 1)
+        );
     };
     LocalSet::new().run_until(test).await;
 }
@@ -268,9 +275,9 @@
         answer(&mut speaks, DRAIN).await;
         loop {
             match told(&mut core).await {
-                Told::Failed => {}
-                Told::Changes(changes) => break assert_eq!(changes[0].name, "s-1"),
-                Told::Whole(_) => panic!("never told"),
+                SourceUpdate::Failed => {}
+                SourceUpdate::Changes(changes) => break assert_eq!(changes[0].name, "s-1"),
+                SourceUpdate::FullList(_) => panic!("never told"),
             }
         }
     };
