--- a/benches/membership.rs
+++ b/benches/endpoints/main.rs
@@ -1,5 +1,5 @@
 //! Measurements of membership on loopback sockets, with the node as a process of its own:
-//! `cargo bench --bench membership -- drains|records|scale|latency`. Nothing here is asserted; the figures of
+//! `cargo bench --bench endpoints -- drains|records|scale|latency`. Nothing here is asserted; the figures of
 //! `docs/membership.md` come from it. Every part is bounded in number and time.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
@@ -180,7 +180,7 @@
             std::fs::write(&path, text).unwrap();
             path
         };
-        let config = include_str!("../tests/exchanges/config.json");
+        let config = include_str!("../../tests/exchanges/config.json");
         let known = config.find("\"known\"").unwrap()..config.find("\"settings\"").unwrap();
         let config = config
             .replace(&config[known], "")
--- a/crates/endpoints/src/lib.rs
+++ b/crates/endpoints/src/lib.rs
@@ -2,8 +2,8 @@
 //! reason why it is in, draining, held or out.
 //!
 //! Nothing here reads a socket or a clock: the time comes with every call, in whole microseconds on a clock that
-//! never runs backwards. `told` is what sources say and `settings` what is set, `opinion` the table of who
-//! wins, `book` what one source has told so far and how far it is believed, `merge` the list that follows. `docs/membership.md` explains the rule and states its table.
+//! never runs backwards. `update` is what sources say and `settings` what is set, `verdict` the table of who
+//! wins, `source_state` what one source has told so far and how far it is believed, `registry` the list that follows. `docs/membership.md` explains the rule and states its table.
 //!
 //! ```
 //! use poppykeel_endpoints::{
@@ -26,17 +26,17 @@
 //! assert_eq!((endpoints.len(), endpoints[0].status), (1, EndpointStatus::Draining));
 //! ```
 
-mod book;
-mod merge;
-mod opinion;
+mod registry;
 mod settings;
-mod told;
+mod source_state;
+mod update;
+mod verdict;
 
-pub use merge::{EndpointRegistry, RegisteredEndpoint};
-pub use opinion::{
-    prevailing_verdict, status_for_verdict, EndpointStatus, SourceVerdict, ALL_VERDICTS, PRECEDENCE,
-};
+pub use registry::{EndpointRegistry, RegisteredEndpoint};
 pub use settings::{
     AbsencePolicy, EndpointIdentity, FlapLimits, RegistrySettings, SourceSettings, SuddenLossGuard,
 };
-pub use told::{ListedEndpoint, ListedState, MonotonicMicros, SourceUpdate};
+pub use update::{ListedEndpoint, ListedState, MonotonicMicros, SourceUpdate};
+pub use verdict::{
+    prevailing_verdict, status_for_verdict, EndpointStatus, SourceVerdict, ALL_VERDICTS, PRECEDENCE,
+};
--- a/crates/endpoints/src/merge.rs
+++ b/crates/endpoints/src/registry.rs
@@ -8,10 +8,12 @@
     reason = "not yet converted"
 )]
 
-use crate::book::{ChangedAddresses, DatedVerdict, SourceState, TrackedEndpoint, VerdictDetail};
-use crate::opinion::{prevailing_verdict, status_for_verdict, EndpointStatus, SourceVerdict};
 use crate::settings::{EndpointIdentity, RegistrySettings};
-use crate::told::{ListedEndpoint, MonotonicMicros, SourceUpdate};
+use crate::source_state::{
+    ChangedAddresses, DatedVerdict, SourceState, TrackedEndpoint, VerdictDetail,
+};
+use crate::update::{ListedEndpoint, MonotonicMicros, SourceUpdate};
+use crate::verdict::{prevailing_verdict, status_for_verdict, EndpointStatus, SourceVerdict};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::sync::Arc;
--- a/crates/endpoints/src/settings.rs
+++ b/crates/endpoints/src/settings.rs
@@ -1,6 +1,6 @@
 //! Settings of the registry and of each source.
 
-use crate::told::MonotonicMicros;
+use crate::update::MonotonicMicros;
 
 /// What the names of a source's entries are.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/endpoints/src/book.rs
+++ b/crates/endpoints/src/source_state.rs
@@ -8,9 +8,9 @@
     reason = "not yet converted"
 )]
 
-use crate::opinion::SourceVerdict;
 use crate::settings::{AbsencePolicy, EndpointIdentity, SourceSettings};
-use crate::told::{ListedEndpoint, ListedState, MonotonicMicros, SourceUpdate};
+use crate::update::{ListedEndpoint, ListedState, MonotonicMicros, SourceUpdate};
+use crate::verdict::SourceVerdict;
 use std::collections::{BTreeMap, BTreeSet, HashSet, VecDeque};
 use std::net::SocketAddr;
 use std::sync::Arc;
--- a/src/program/config/operator.rs
+++ b/src/program/config/operator.rs
@@ -12,8 +12,8 @@
 use super::fleet::Fleet;
 use crate::protocol::srv::SrvEndpointMapping;
 use crate::routing::directory::Members;
+use crate::transport::endpoints::srv::SrvLookupSettings;
 use crate::transport::messages::{LIST, SRV};
-use crate::transport::srv::SrvLookupSettings;
 use crate::transport::streams::{self, Continues};
 use poppykeel_dns_resolver::{Config, Family, Lifetimes};
 use poppykeel_endpoints::{
--- a/src/transport/discovery.rs
+++ b/src/transport/endpoints/discovery.rs
@@ -11,13 +11,13 @@
     reason = "not yet converted"
 )]
 
-use super::clock::Clock;
-use super::messages::{Message, LIST};
-use super::{Bounds, Wire};
 use crate::protocol::discovery::{parse_endpoint_list, EndpointListResponse};
 use crate::protocol::http::{Http, Out, Part, Side, Start};
 use crate::protocol::request;
 use crate::routing::seconds;
+use crate::transport::clock::Clock;
+use crate::transport::messages::{Message, LIST};
+use crate::transport::{Bounds, Wire};
 use futures_util::{SinkExt, StreamExt};
 use poppykeel_endpoints::SourceUpdate;
 use poppykeel_scheduler::interface::{BudgetDemand, BudgetGrants, BudgetKind};
--- a/src/transport/srv.rs
+++ b/src/transport/endpoints/srv.rs
@@ -2,9 +2,9 @@
 
 #![expect(clippy::min_ident_chars, reason = "not yet converted")]
 
-use super::clock::Clock;
-use super::messages::{Message, SRV};
 use crate::protocol::srv::SrvEndpointMapping;
+use crate::transport::clock::Clock;
+use crate::transport::messages::{Message, SRV};
 use poppykeel_dns_resolver::{driver, Config, Event, Found};
 use poppykeel_endpoints::{ListedEndpoint, SourceUpdate};
 use std::cell::RefCell;
--- a/src/transport/hub.rs
+++ b/src/transport/hub.rs
@@ -8,7 +8,7 @@
 )]
 
 use super::clock::Clock;
-use super::discovery::EndpointWatcher;
+use super::endpoints::discovery::EndpointWatcher;
 use super::messages::{Answer, Asker, Crossed, Message, Payload, Piece, Replica, LIST};
 use super::upstream::{Job, Upstream};
 use crate::protocol::admin::Figures;
--- a/src/transport/mod.rs
+++ b/src/transport/mod.rs
@@ -6,7 +6,7 @@
 pub mod clients;
 pub mod clock;
 pub mod closes;
-pub mod discovery;
+pub mod endpoints;
 pub mod fleet;
 pub mod handover;
 pub mod hub;
@@ -16,7 +16,6 @@
 pub mod relay;
 pub mod shutdown;
 pub mod socket;
-pub mod srv;
 pub mod streams;
 pub mod upstream;
 
--- a/tests/watch.rs
+++ b/tests/endpoint_watcher.rs
@@ -4,7 +4,7 @@
 
 use poppykeel::program::config::Config;
 use poppykeel::transport::clock::Clock;
-use poppykeel::transport::discovery::EndpointWatcher;
+use poppykeel::transport::endpoints::discovery::EndpointWatcher;
 use poppykeel::transport::messages::Message;
 use poppykeel::transport::Bounds;
 use poppykeel_endpoints::SourceUpdate;
--- a/tests/hub.rs
+++ b/tests/hub.rs
@@ -12,7 +12,7 @@
 use poppykeel::routing::directory::Directory;
 use poppykeel::routing::Router;
 use poppykeel::transport::clock::Clock;
-use poppykeel::transport::discovery::EndpointWatcher;
+use poppykeel::transport::endpoints::discovery::EndpointWatcher;
 use poppykeel::transport::hub::Hub;
 use poppykeel::transport::messages::{Answer, Asker, Message, Payload};
 use poppykeel::transport::pool::Pool;
