--- /dev/null
+++ b/crates/endpoints/src/endpoint.rs
@@ -0,0 +1,98 @@
+//! One endpoint of the combined list, with the decision on its status and the reason for it in words.
+
+use crate::dated_verdict::{DatedVerdict, VerdictDetail};
+use crate::update::{DurationMicros, ListedEndpoint, MonotonicMicros};
+use crate::verdict::{EndpointStatus, SourceVerdict};
+use std::sync::Arc;
+
+/// One endpoint of the combined list.
+#[derive(Clone, Debug, PartialEq)]
+pub struct RegisteredEndpoint {
+    /// Its name, which no other endpoint has or has had: the id from a source that identifies endpoints by name, or
+    /// the first of its names in DNS with its address.
+    pub name: String,
+    /// Whether it takes requests.
+    pub status: EndpointStatus,
+    /// Its description by the first source that lists it.
+    pub listing: Arc<ListedEndpoint>,
+    /// Its weight, by the first source that has one.
+    pub weight: Option<f64>,
+    /// Its priority, by the first source that has one.
+    pub priority: Option<u16>,
+    /// The verdict of each source, in the order of the settings.
+    pub verdicts: Vec<SourceVerdict>,
+    pub(crate) decision: StatusDecision,
+}
+
+/// What an endpoint's status rests on.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub(crate) struct StatusDecision {
+    /// The index of the source whose verdict prevails.
+    pub(crate) source_index: usize,
+    /// Its verdict.
+    pub(crate) dated_verdict: DatedVerdict,
+    /// Whether the endpoint is out of service only because others have a lower priority number.
+    pub(crate) is_standby: bool,
+}
+
+impl RegisteredEndpoint {
+    /// Whether a change from `previous` to this is reported. A change of reason or verdicts alone is not.
+    pub(crate) fn differs_from(&self, previous: &RegisteredEndpoint) -> bool {
+        let has_same_listing =
+            Arc::ptr_eq(&previous.listing, &self.listing) || previous.listing == self.listing;
+        let is_same = previous.status == self.status
+            && previous.weight == self.weight
+            && previous.priority == self.priority
+            && has_same_listing;
+        !is_same
+    }
+}
+
+impl StatusDecision {
+    /// The reason in words. `source_name` is the name of the source whose verdict prevails, `is_listed` whether any
+    /// source still lists or withholds the endpoint.
+    pub(crate) fn explain(
+        &self,
+        now: MonotonicMicros,
+        source_name: &str,
+        is_listed: bool,
+    ) -> String {
+        if self.is_standby {
+            return format!(
+                "{source_name} lists it with a higher priority number than others that are in"
+            );
+        }
+        if !is_listed {
+            return "no source lists it any more".to_string();
+        }
+        let DatedVerdict {
+            verdict,
+            since,
+            detail,
+        } = self.dated_verdict;
+        let age = in_seconds(now.saturating_sub(since));
+        match (verdict, detail) {
+            (_, VerdictDetail::DampedUntil(damped_until)) => {
+                let remaining = in_seconds(damped_until.saturating_sub(now));
+                format!(
+                    "its record in {source_name} comes and goes; kept out for {remaining} more"
+                )
+            }
+            (SourceVerdict::Held, VerdictDetail::MissingFromAnswers(answer_count)) => format!(
+                "{source_name} lacks it since {age}, among many; {answer_count} answers said so and it is not \
+                 believed yet"
+            ),
+            (SourceVerdict::Listed, _) => format!("{source_name} lists it"),
+            (SourceVerdict::Draining, _) => format!("{source_name} drains it since {age}"),
+            (SourceVerdict::Stale, _) => {
+                format!("{source_name} listed it at last and cannot be asked since {age}")
+            }
+            (SourceVerdict::Removed, _) => format!("{source_name} took it away {age} ago"),
+            _ => "no source lists it".to_string(),
+        }
+    }
+}
+
+fn in_seconds(duration: DurationMicros) -> String {
+    format!("{:.1} s", duration as f64 / 1e6)
+}
--- a/crates/endpoints/src/lib.rs
+++ b/crates/endpoints/src/lib.rs
@@ -1,9 +1,25 @@
-//! One account of membership: sources tell which servers there are, one list comes out, and for each server the
-//! reason why it is in, draining, held or out.
+//! One endpoint list out of several sources that may disagree, fail or fall silent.
 //!
-//! Nothing here reads a socket or a clock: the time comes with every call, in whole microseconds on a clock that
-//! never runs backwards. `update` is what sources say and `settings` what is set, `verdict` the table of who
-//! wins, `source_state` what one source has told so far and how far it is believed, `registry` the list that follows. `docs/membership.md` explains the rule and states its table.
+//! Each source reports which endpoints there are: discovery by an endpoint list, DNS by SRV records. The
+//! [`EndpointRegistry`] combines them into one list, and says for each endpoint whether it is in service, held,
+//! draining or out of service, and why. `src/routing/directory.rs` hands the changes to the scheduler, and
+//! `poppykeel resolve` shows the list.
+//!
+//! The crate does no input or output and reads no clock: the time comes with every call, in whole microseconds on a
+//! clock that never runs backwards. By module:
+//!
+//! * `settings`: settings of the registry and of each source.
+//! * `update`: what a source reports.
+//! * `verdict`: what a source says of an endpoint, and **the table of precedence**, which decides whose verdict
+//!   prevails; see [`PRECEDENCE`] and [`SourceVerdict`].
+//! * `source_state`: the state of one source. It owns a `listing` (what it lists now), `withdrawals` (what it has
+//!   removed), `sudden_loss` (whether a loss is believed) and `flap_damping` (records that come and go), and gives
+//!   a `dated_verdict` on each endpoint.
+//! * `merge`: the verdicts of all sources combined into `endpoint`s; `address_identity` names those that only DNS
+//!   lists.
+//! * `registry`: the list itself and its changes.
+//!
+//! `docs/membership.md` explains the rules to operators.
 //!
 //! ```
 //! use poppykeel_endpoints::{
@@ -26,17 +42,24 @@
 //! assert_eq!((endpoints.len(), endpoints[0].status), (1, EndpointStatus::Draining));
 //! ```
 
+mod address_identity;
+mod dated_verdict;
+mod endpoint;
+mod flap_damping;
+mod listing;
+mod merge;
 mod registry;
 mod settings;
 mod source_state;
+mod sudden_loss;
 mod update;
 mod verdict;
+mod withdrawals;
 
-pub use registry::{EndpointRegistry, RegisteredEndpoint};
+pub use endpoint::RegisteredEndpoint;
+pub use registry::{EndpointRegistry, NamedVerdict};
 pub use settings::{
     AbsencePolicy, EndpointIdentity, FlapLimits, RegistrySettings, SourceSettings, SuddenLossGuard,
 };
-pub use update::{ListedEndpoint, ListedState, MonotonicMicros, SourceUpdate};
-pub use verdict::{
-    prevailing_verdict, status_for_verdict, EndpointStatus, SourceVerdict, ALL_VERDICTS, PRECEDENCE,
-};
+pub use update::{DurationMicros, ListedEndpoint, ListedState, MonotonicMicros, SourceUpdate};
+pub use verdict::{prevailing_verdict, EndpointStatus, SourceVerdict, PRECEDENCE};
--- a/crates/endpoints/src/registry.rs
+++ b/crates/endpoints/src/registry.rs
@@ -1,99 +1,80 @@
-//! The one list: every source's opinion of every server, folded by the table.
+//! The combined list of endpoints.
+//!
+//! [`EndpointRegistry`] owns the state of each source, takes their updates and the time, and reports the endpoints that
+//! have changed. Invariants, which `tests/invariants.rs` checks with generated sequences:
+//!
+//! * The reported changes, applied one after the other, give the list.
+//! * Looking at every address gives the same list as looking only at those that have changed.
+//! * One address has at most one usable endpoint.
 
-#![expect(
-    clippy::min_ident_chars,
-    clippy::redundant_closure_for_method_calls,
-    clippy::single_match_else,
-    clippy::too_many_lines,
-    reason = "not yet converted"
-)]
-
-use crate::settings::{EndpointIdentity, RegistrySettings};
-use crate::source_state::{
-    ChangedAddresses, DatedVerdict, SourceState, TrackedEndpoint, VerdictDetail,
-};
-use crate::update::{ListedEndpoint, MonotonicMicros, SourceUpdate};
-use crate::verdict::{prevailing_verdict, status_for_verdict, EndpointStatus, SourceVerdict};
+use crate::address_identity::AddressIdentities;
+use crate::endpoint::RegisteredEndpoint;
+use crate::flap_damping::DampedAddresses;
+use crate::merge::{apply_priority_standby, MergePass};
+use crate::settings::RegistrySettings;
+use crate::source_state::{ChangedAddresses, SourceState};
+use crate::update::{DurationMicros, MonotonicMicros, SourceUpdate};
+use crate::verdict::{EndpointStatus, SourceVerdict};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
-use std::sync::Arc;
-
-/// Marks of what was taken away, for each source.
-const MOST_GONE: usize = 65_536;
-/// Servers that are out stay in the account this long after they have left it, for whoever asks why.
-const SHOWN: MonotonicMicros = 600_000_000;
-/// ... and so many of them at most.
-const MOST_LEFT: usize = 4096;
 
-/// One server of the list.
-#[derive(Clone, Debug, PartialEq)]
-pub struct RegisteredEndpoint {
-    /// Its name, which no other server has or has had: a naming source's id, or its first name in DNS.
-    pub name: String,
-    /// How it stands.
-    pub status: EndpointStatus,
-    /// What is told of it, by the first source that describes it.
-    pub listing: Arc<ListedEndpoint>,
-    /// Weight and priority, from whichever source has them.
-    pub weight: Option<f64>,
-    /// See there.
-    pub priority: Option<u16>,
-    /// Each source's opinion, in the order of the settings.
-    pub verdicts: Vec<SourceVerdict>,
-    decided: Decided,
-}
+/// The number of withdrawn addresses, and of withdrawn names, that are remembered for each source.
+const MAX_WITHDRAWALS: usize = 65_536;
+/// How long an endpoint that no source lists any more is still shown, for whoever asks for the reason: 10 minutes.
+const DEPARTED_RETENTION: DurationMicros = 600_000_000;
+/// The number of such endpoints that are shown.
+const MAX_DEPARTED: usize = 4096;
+/// Withdrawals are cleaned up this many times within their retention.
+const CLEANUPS_PER_RETENTION: u64 = 16;
 
-#[derive(Clone, Copy, Debug, PartialEq)]
-struct Decided {
-    source: usize,
-    held: DatedVerdict,
-    standby: bool,
-}
-
-/// Names that lead to an address of which no naming source knows, and the server's name that follows.
+/// An endpoint that no source lists any more.
 #[derive(Clone, Debug)]
-struct Unnamed {
-    names: BTreeSet<String>,
-    server: String,
-    births: u32,
-    seen: MonotonicMicros,
+struct DepartedEndpoint {
+    departed_at: MonotonicMicros,
+    endpoint: RegisteredEndpoint,
 }
 
-/// Addresses kept out, and until when.
-type Calmed = BTreeMap<SocketAddr, MonotonicMicros>;
+/// A source's verdict on an endpoint, with the source's name.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct NamedVerdict {
+    /// The name of the source.
+    pub source: String,
+    /// Its verdict.
+    pub verdict: SourceVerdict,
+}
 
-/// The account.
+/// The combined list of endpoints out of all sources.
 #[derive(Debug)]
 pub struct EndpointRegistry {
     settings: RegistrySettings,
-    books: Vec<SourceState>,
-    unnamed: BTreeMap<SocketAddr, Unnamed>,
-    servers: BTreeMap<String, RegisteredEndpoint>,
-    left: BTreeMap<String, (MonotonicMicros, RegisteredEndpoint)>,
-    /// What flapping keeps out now, for each source.
-    calmed: Vec<Calmed>,
-    forgot: MonotonicMicros,
+    /// In the order of the settings.
+    sources: Vec<SourceState>,
+    identities: AddressIdentities,
+    endpoints: BTreeMap<String, RegisteredEndpoint>,
+    departed: BTreeMap<String, DepartedEndpoint>,
+    /// The addresses that are kept out, one map per source; empty after a change of settings.
+    damped: Vec<DampedAddresses>,
+    last_cleanup_at: MonotonicMicros,
     now: MonotonicMicros,
 }
 
 impl EndpointRegistry {
-    /// An account that has been told nothing yet.
+    /// A registry whose sources have not answered yet.
     pub fn new(settings: RegistrySettings) -> Self {
-        let books = settings
+        let sources = settings
             .sources
             .iter()
             .cloned()
             .map(SourceState::new)
             .collect();
-        let (unnamed, servers, left, calmed) = Default::default();
         EndpointRegistry {
             settings,
-            books,
-            unnamed,
-            servers,
-            left,
-            calmed,
-            forgot: 0,
+            sources,
+            identities: AddressIdentities::default(),
+            endpoints: BTreeMap::new(),
+            departed: BTreeMap::new(),
+            damped: Vec::new(),
+            last_cleanup_at: 0,
             now: 0,
         }
     }
@@ -103,360 +84,282 @@
         &self.settings
     }
 
-    /// Takes new settings. A source that stays, by its name, keeps what it has told.
+    /// Replaces the settings and returns the endpoints that have changed by it. A source that is in both, by its
+    /// name, keeps its state.
     pub fn update_settings(
         &mut self,
         now: MonotonicMicros,
         settings: RegistrySettings,
     ) -> Vec<RegisteredEndpoint> {
-        let mut old = std::mem::take(&mut self.books);
-        for source in &settings.sources {
-            let kept = old.iter().position(|b| b.settings.name == source.name);
-            let mut book = match kept {
-                Some(at) => old.swap_remove(at),
-                None => SourceState::new(source.clone()),
+        let mut previous = std::mem::take(&mut self.sources);
+        for source_settings in &settings.sources {
+            let kept = previous
+                .iter()
+                .position(|source| source.settings().name == source_settings.name);
+            let mut source = if let Some(index) = kept {
+                previous.swap_remove(index)
+            } else {
+                SourceState::new(source_settings.clone())
             };
-            book.settings = source.clone();
-            self.books.push(book);
+            source.set_settings(source_settings.clone());
+            self.sources.push(source);
         }
         self.settings = settings;
-        self.calmed.clear();
+        self.damped.clear();
         self.on_timer(now)
     }
 
-    /// What a source tells, by its place in the settings. Returned are the servers that have changed, those that
-    /// have left included, as out.
+    /// Applies one report of the source with this index in the settings; an unknown index is ignored. Returns the
+    /// endpoints that have changed; those that no source lists any more are out of service.
     pub fn apply_update(
         &mut self,
         now: MonotonicMicros,
-        source: usize,
-        told: SourceUpdate,
+        source_index: usize,
+        update: SourceUpdate,
     ) -> Vec<RegisteredEndpoint> {
-        let now = self.at(now);
-        let Some(book) = self.books.get_mut(source) else {
+        let now = self.advance_clock(now);
+        let Some(source) = self.sources.get_mut(source_index) else {
             return Vec::new();
         };
-        book.told(now, told);
-        book.bound(MOST_GONE);
+        source.apply_update(now, update);
+        source.limit_withdrawals(MAX_WITHDRAWALS);
         self.on_timer(now)
     }
 
-    /// When `turn` must be called next, if nothing comes before.
+    /// When [`Self::on_timer`] must be called, unless an update comes first.
     pub fn next_timer(&self) -> Option<MonotonicMicros> {
-        self.books.iter().filter_map(|b| b.due(self.now)).min()
+        self.sources
+            .iter()
+            .filter_map(|source| source.next_release(self.now))
+            .min()
     }
 
-    /// Looks at the time: what was held until now may be let in.
+    /// Lets the time pass, so that addresses which were kept out until now are let in. Returns the endpoints that
+    /// have changed.
     pub fn on_timer(&mut self, now: MonotonicMicros) -> Vec<RegisteredEndpoint> {
-        let now = self.at(now);
-        self.forget(now);
-        let calmed: Vec<Calmed> = self.books.iter().map(|b| b.calmed(now)).collect();
-        let only = self.dirty(&calmed);
-        self.calmed = calmed;
-        if only.as_ref().is_some_and(BTreeSet::is_empty) {
-            return Vec::new();
+        let now = self.advance_clock(now);
+        self.clean_up(now);
+        let damped: Vec<DampedAddresses> = self
+            .sources
+            .iter()
+            .map(|source| source.damped_addresses(now))
+            .collect();
+        let changed = self.take_changed_addresses(&damped);
+        self.damped = damped;
+        if let ChangedAddresses::Only(addrs) = &changed {
+            if addrs.is_empty() {
+                return Vec::new();
+            }
         }
-        let next = self.merge(now, only.as_ref());
-        let before = match &only {
-            Some(addrs) => {
-                let there = self
-                    .servers
-                    .iter()
-                    .filter(|(_, s)| addrs.contains(&s.listing.addr));
-                let names: Vec<String> = there.map(|(n, _)| n.clone()).collect();
-                names
-                    .into_iter()
-                    .filter_map(|n| self.servers.remove(&n).map(|s| (n, s)))
-                    .collect()
+        let merged = self.merge(now, &changed);
+        let previous = self.take_endpoints(&changed);
+        self.replace(now, previous, merged)
+    }
+
+    /// The addresses to look at. Where several sources identify endpoints by name, an endpoint may be listed at
+    /// other addresses than those that have changed, and a priority standby depends on all endpoints: then these
+    /// are all addresses.
+    fn take_changed_addresses(&mut self, damped: &[DampedAddresses]) -> ChangedAddresses {
+        let mut has_changed_everywhere = damped.len() != self.damped.len();
+        let mut addrs = BTreeSet::new();
+        for (current, previous) in damped.iter().zip(&self.damped) {
+            for addr in current.keys().chain(previous.keys()) {
+                if current.get(addr) != previous.get(addr) {
+                    addrs.insert(*addr);
+                }
             }
-            None => std::mem::take(&mut self.servers),
-        };
-        let mut changes: Vec<RegisteredEndpoint> = Vec::new();
-        for (name, server) in &next {
-            let left = self.left.remove(name).map(|l| l.1);
-            if before
-                .get(name)
-                .or(left.as_ref())
-                .is_none_or(|old| differs(old, server))
-            {
-                changes.push(server.clone());
+        }
+        for source in &mut self.sources {
+            match source.take_changed_addresses() {
+                ChangedAddresses::All => has_changed_everywhere = true,
+                ChangedAddresses::Only(changed) => addrs.extend(changed),
             }
         }
-        self.servers.extend(next);
-        for (name, mut server) in before {
-            if !self.servers.contains_key(&name) {
-                let was = std::mem::replace(&mut server.status, EndpointStatus::OutOfService);
-                if was != EndpointStatus::OutOfService {
-                    changes.push(server.clone());
-                }
-                self.left.insert(name, (now, server));
+        let by_name_count = self
+            .sources
+            .iter()
+            .filter(|source| source.identifies_by_name())
+            .count();
+        let depends_on_all = by_name_count > 1 || self.settings.has_priority_standby;
+        if has_changed_everywhere || (!addrs.is_empty() && depends_on_all) {
+            ChangedAddresses::All
+        } else {
+            ChangedAddresses::Only(addrs)
+        }
+    }
+
+    /// The endpoints at the changed addresses as they are now.
+    fn merge(
+        &mut self,
+        now: MonotonicMicros,
+        changed: &ChangedAddresses,
+    ) -> BTreeMap<String, RegisteredEndpoint> {
+        let all_addrs;
+        let addrs = match changed {
+            ChangedAddresses::Only(addrs) => addrs,
+            ChangedAddresses::All => {
+                all_addrs = self.listed_addrs();
+                &all_addrs
             }
+        };
+        let pass = MergePass {
+            sources: &self.sources,
+            damped: &self.damped,
+            addrs,
+        };
+        let mut merged = pass.merge(now, &mut self.identities);
+        if self.settings.has_priority_standby {
+            apply_priority_standby(&mut merged);
         }
-        changes
+        merged
     }
 
-    /// Where servers must be looked at anew; none means everywhere. A name in several sources may stand at other
-    /// addresses than those that changed, and who stands by hangs on all: then it is everywhere, too.
-    fn dirty(&mut self, calmed: &[Calmed]) -> Option<BTreeSet<SocketAddr>> {
-        let naming = self
-            .books
+    /// Takes the endpoints at the changed addresses out of the list.
+    fn take_endpoints(
+        &mut self,
+        changed: &ChangedAddresses,
+    ) -> BTreeMap<String, RegisteredEndpoint> {
+        let addrs = match changed {
+            ChangedAddresses::All => return std::mem::take(&mut self.endpoints),
+            ChangedAddresses::Only(addrs) => addrs,
+        };
+        let names: Vec<String> = self
+            .endpoints
             .iter()
-            .filter(|b| b.settings.identity == EndpointIdentity::ByName)
-            .count();
-        let mut all = calmed.len() != self.calmed.len();
-        let mut addrs = BTreeSet::new();
-        for (now, before) in calmed.iter().zip(&self.calmed) {
-            let changed = |a: &&SocketAddr| now.get(*a) != before.get(*a);
-            addrs.extend(now.keys().chain(before.keys()).filter(changed));
+            .filter(|(_, endpoint)| addrs.contains(&endpoint.listing.addr))
+            .map(|(name, _)| name.clone())
+            .collect();
+        let mut taken = BTreeMap::new();
+        for name in names {
+            if let Some(endpoint) = self.endpoints.remove(&name) {
+                taken.insert(name, endpoint);
+            }
+        }
+        taken
+    }
+
+    /// Puts the merged endpoints in the place of the previous ones and returns those that have changed.
+    fn replace(
+        &mut self,
+        now: MonotonicMicros,
+        previous: BTreeMap<String, RegisteredEndpoint>,
+        merged: BTreeMap<String, RegisteredEndpoint>,
+    ) -> Vec<RegisteredEndpoint> {
+        let mut changes = Vec::new();
+        for (name, endpoint) in &merged {
+            let departed = self.departed.remove(name);
+            let before = previous
+                .get(name)
+                .or(departed.as_ref().map(|departed| &departed.endpoint));
+            if before.is_none_or(|before| endpoint.differs_from(before)) {
+                changes.push(endpoint.clone());
+            }
         }
-        for book in &mut self.books {
-            match book.dirty() {
-                ChangedAddresses::All => all = true,
-                ChangedAddresses::At(changed) => addrs.extend(changed),
+        self.endpoints.extend(merged);
+        for (name, mut endpoint) in previous {
+            if self.endpoints.contains_key(&name) {
+                continue;
+            }
+            let last_status = std::mem::replace(&mut endpoint.status, EndpointStatus::OutOfService);
+            if last_status != EndpointStatus::OutOfService {
+                changes.push(endpoint.clone());
             }
+            let departed = DepartedEndpoint {
+                departed_at: now,
+                endpoint,
+            };
+            self.departed.insert(name, departed);
         }
-        let any = all || !addrs.is_empty();
-        let everywhere = all || (any && (naming > 1 || self.settings.has_priority_standby));
-        (!everywhere).then_some(addrs)
+        changes
     }
 
-    /// The list: every server that a source lists or has taken away, by name.
+    /// The list: every endpoint that a source lists, then those that no source lists any more for a while, each by
+    /// name. An endpoint that has departed under one name and is listed under another is in it once.
     pub fn endpoints(&self) -> Vec<RegisteredEndpoint> {
-        // One that has left under one name and is still listed under another is shown once.
-        let there: BTreeSet<SocketAddr> = self.servers.values().map(|s| s.listing.addr).collect();
-        let left = self
-            .left
+        let listed_addrs: BTreeSet<SocketAddr> = self
+            .endpoints
             .values()
-            .map(|l| &l.1)
-            .filter(|s| !there.contains(&s.listing.addr));
-        self.servers.values().chain(left).cloned().collect()
+            .map(|endpoint| endpoint.listing.addr)
+            .collect();
+        let departed = self
+            .departed
+            .values()
+            .map(|departed| &departed.endpoint)
+            .filter(|endpoint| !listed_addrs.contains(&endpoint.listing.addr));
+        self.endpoints.values().chain(departed).cloned().collect()
     }
 
-    /// Servers that take work now.
+    /// The number of endpoints that take requests now.
     pub fn usable_count(&self) -> usize {
-        self.servers
+        self.endpoints
             .values()
-            .filter(|s| s.status <= EndpointStatus::Held)
+            .filter(|endpoint| endpoint.status.is_usable())
             .count()
     }
 
-    /// Why a server stands as it does, in words.
-    pub fn status_reason(&self, server: &RegisteredEndpoint) -> String {
-        let Decided {
-            source,
-            held,
-            standby,
-        } = server.decided;
-        let name = |n: usize| {
-            self.settings
-                .sources
-                .get(n)
-                .map_or("?", |s| s.name.as_str())
-        };
-        let by = name(source);
-        let ago = format!("{:.1} s", self.now.saturating_sub(held.since) as f64 / 1e6);
-        if standby {
-            return format!("{by} lists it with a higher priority number than others that are in");
-        }
-        if !self.servers.contains_key(&server.name) {
-            return "no source lists it any more".to_string();
-        }
-        match (held.opinion, held.detail) {
-            (_, VerdictDetail::Flapping(until)) => {
-                let more = until.saturating_sub(self.now) as f64 / 1e6;
-                format!("its record in {by} comes and goes; kept out for {more:.1} s more")
-            }
-            (SourceVerdict::Held, VerdictDetail::Lacking(count)) => {
-                format!("{by} lacks it since {ago}, among many; {count} answers said so and it is not believed yet")
-            }
-            (SourceVerdict::Listed, _) => format!("{by} lists it"),
-            (SourceVerdict::Draining, _) => format!("{by} drains it since {ago}"),
-            (SourceVerdict::Stale, _) => {
-                format!("{by} listed it at last and cannot be asked since {ago}")
-            }
-            (SourceVerdict::Removed, _) => format!("{by} took it away {ago} ago"),
-            _ => "no source lists it".to_string(),
-        }
+    /// The reason for an endpoint's status, in words.
+    pub fn status_reason(&self, endpoint: &RegisteredEndpoint) -> String {
+        let source_name = self
+            .settings
+            .sources
+            .get(endpoint.decision.source_index)
+            .map_or("?", |source| source.name.as_str());
+        let is_listed = self.endpoints.contains_key(&endpoint.name);
+        endpoint.decision.explain(self.now, source_name, is_listed)
     }
 
-    /// Sources by name with their opinion of a server, those without one left out.
-    pub fn source_verdicts(&self, server: &RegisteredEndpoint) -> Vec<(String, SourceVerdict)> {
-        let named = self.settings.sources.iter().zip(&server.verdicts);
-        named
-            .filter(|(_, o)| **o > SourceVerdict::Absent)
-            .map(|(s, o)| (s.name.clone(), *o))
+    /// The verdicts on an endpoint, without those of sources that have never answered or do not list it.
+    pub fn source_verdicts(&self, endpoint: &RegisteredEndpoint) -> Vec<NamedVerdict> {
+        self.settings
+            .sources
+            .iter()
+            .zip(&endpoint.verdicts)
+            .filter(|(_, verdict)| **verdict > SourceVerdict::Absent)
+            .map(|(source, verdict)| NamedVerdict {
+                source: source.name.clone(),
+                verdict: *verdict,
+            })
             .collect()
     }
 
-    fn at(&mut self, now: MonotonicMicros) -> MonotonicMicros {
+    /// The time now, which never runs backwards.
+    fn advance_clock(&mut self, now: MonotonicMicros) -> MonotonicMicros {
         self.now = self.now.max(now);
         self.now
     }
 
-    /// Now and then, what nobody has listed for long is forgotten.
-    fn forget(&mut self, now: MonotonicMicros) {
-        let keep = self.settings.withdrawal_retention;
-        self.left.retain(|_, l| now.saturating_sub(l.0) < SHOWN);
-        while self.left.len() > MOST_LEFT {
-            self.left.pop_first();
-        }
-        if self.unnamed.len() > MOST_GONE {
-            let books = &self.books;
-            self.unnamed
-                .retain(|addr, _| books.iter().any(|b| b.at(*addr).next().is_some()));
-        }
-        if now.saturating_sub(self.forgot) < keep / 16 + 1 || now < keep {
-            return;
-        }
-        self.forgot = now;
-        let listed: BTreeSet<SocketAddr> =
-            self.books.iter().flat_map(|b| b.addrs().copied()).collect();
-        for book in &mut self.books {
-            book.forget(now - keep, |addr| listed.contains(addr));
-        }
-        self.unnamed
-            .retain(|addr, u| u.seen >= now - keep || listed.contains(addr));
+    /// The addresses that any source lists.
+    fn listed_addrs(&self) -> BTreeSet<SocketAddr> {
+        self.sources
+            .iter()
+            .flat_map(|source| source.listing().addrs().copied())
+            .collect()
     }
 
-    /// The servers at these addresses, or all.
-    fn merge(
-        &mut self,
-        now: MonotonicMicros,
-        only: Option<&BTreeSet<SocketAddr>>,
-    ) -> BTreeMap<String, RegisteredEndpoint> {
-        let all: BTreeSet<SocketAddr>;
-        let wanted = match only {
-            Some(addrs) => addrs,
-            None => {
-                all = self.books.iter().flat_map(|b| b.addrs().copied()).collect();
-                &all
-            }
-        };
-        let mut named: BTreeMap<&str, Vec<&TrackedEndpoint>> = BTreeMap::new();
-        let mut addrs: BTreeMap<SocketAddr, Vec<&TrackedEndpoint>> = BTreeMap::new();
-        let (naming, addressing): (Vec<&SourceState>, Vec<&SourceState>) = self
-            .books
-            .iter()
-            .partition(|b| b.settings.identity == EndpointIdentity::ByName);
-        for book in &naming {
-            for known in wanted.iter().flat_map(|a| book.at(*a)) {
-                named.entry(&known.entry.name).or_default().push(known);
-            }
+    /// Forgets departed endpoints, and now and then what was withdrawn long ago.
+    fn clean_up(&mut self, now: MonotonicMicros) {
+        self.departed
+            .retain(|_, departed| now.saturating_sub(departed.departed_at) < DEPARTED_RETENTION);
+        while self.departed.len() > MAX_DEPARTED {
+            self.departed.pop_first();
         }
-        // Addresses that no name stands at: what lists them, and what has been taken away from them.
-        let free = |a: &&SocketAddr| naming.iter().all(|b| b.at(**a).next().is_none());
-        for addr in wanted.iter().filter(free) {
-            let known: Vec<&TrackedEndpoint> =
-                addressing.iter().flat_map(|b| b.at(*addr)).collect();
-            if !known.is_empty() {
-                addrs.insert(*addr, known);
-            }
-        }
-        let mut next = BTreeMap::new();
-        for (name, known) in named {
-            let start = known.iter().filter_map(|k| k.started).max();
-            let addr = known[0].entry.addr;
-            let asked = self.books.iter().zip(&self.calmed);
-            let opinions: Vec<DatedVerdict> = asked
-                .map(|(b, c)| b.opinion(Some(name), addr, start, c))
-                .collect();
-            let also = self
-                .books
-                .iter()
-                .flat_map(|b| b.at(addr))
-                .filter(|k| k.entry.name != name);
-            let server = decide(name.to_string(), known[0].entry.clone(), also, &opinions);
-            next.insert(server.name.clone(), server);
-        }
-        for (addr, known) in addrs {
-            let names: BTreeSet<&str> = known.iter().map(|k| k.entry.name.as_str()).collect();
-            let first = names.first().copied().unwrap_or_default();
-            let place = self.unnamed.entry(addr).or_insert_with(|| Unnamed {
-                names: names.iter().map(|n| n.to_string()).collect(),
-                server: format!("{first}@{addr}"),
-                births: 1,
-                seen: now,
-            });
-            if names.iter().all(|n| !place.names.contains(*n)) {
-                // Other names altogether: another server at the old address, which inherits nothing.
-                place.births += 1;
-                place.server = format!("{first}@{addr}#{}", place.births);
-            }
-            if !names
-                .iter()
-                .copied()
-                .eq(place.names.iter().map(String::as_str))
-            {
-                place.names = names.iter().map(|n| n.to_string()).collect();
-            }
-            place.seen = now;
-            let (name, entry) = (place.server.clone(), known[0].entry.clone());
-            let asked = self.books.iter().zip(&self.calmed);
-            let opinions: Vec<DatedVerdict> =
-                asked.map(|(b, c)| b.opinion(None, addr, None, c)).collect();
-            let server = decide(name, entry, known.into_iter().skip(1), &opinions);
-            next.insert(server.name.clone(), server);
+        if self.identities.len() > MAX_WITHDRAWALS {
+            let sources = &self.sources;
+            self.identities
+                .retain_listed(|addr| sources.iter().any(|source| source.listing().has_addr(addr)));
         }
-        if self.settings.has_priority_standby {
-            stand_by(&mut next);
+        let retention = self.settings.withdrawal_retention;
+        let interval = retention / CLEANUPS_PER_RETENTION + 1;
+        if now.saturating_sub(self.last_cleanup_at) < interval || now < retention {
+            return;
         }
-        next
-    }
-}
-
-/// Folds the opinions by the table; the first source that holds the one that counts is named as the reason.
-fn decide<'a>(
-    name: String,
-    entry: Arc<ListedEndpoint>,
-    also: impl Iterator<Item = &'a TrackedEndpoint>,
-    held: &[DatedVerdict],
-) -> RegisteredEndpoint {
-    let counts = held
-        .iter()
-        .map(|h| h.opinion)
-        .fold(SourceVerdict::Silent, prevailing_verdict);
-    let source = held.iter().position(|h| h.opinion == counts).unwrap_or(0);
-    let (mut weight, mut priority) = (entry.weight, entry.priority);
-    for known in also {
-        weight = weight.or(known.entry.weight);
-        priority = priority.or(known.entry.priority);
-    }
-    let decided = Decided {
-        source,
-        held: held[source],
-        standby: false,
-    };
-    let opinions = held.iter().map(|h| h.opinion).collect();
-    RegisteredEndpoint {
-        name,
-        status: status_for_verdict(counts),
-        listing: entry,
-        weight,
-        priority,
-        verdicts: opinions,
-        decided,
-    }
-}
-
-/// RFC 2782: a target of a higher priority number is for when no other can be had.
-fn stand_by(servers: &mut BTreeMap<String, RegisteredEndpoint>) {
-    let usable = |s: &RegisteredEndpoint| s.status <= EndpointStatus::Held;
-    let least = servers
-        .values()
-        .filter(|s| usable(s))
-        .map(|s| s.priority.unwrap_or(0))
-        .min();
-    for server in servers.values_mut() {
-        if usable(server) && Some(server.priority.unwrap_or(0)) > least {
-            server.status = EndpointStatus::OutOfService;
-            server.decided.standby = true;
+        self.last_cleanup_at = now;
+        let cutoff = now - retention;
+        let listed_addrs = self.listed_addrs();
+        for source in &mut self.sources {
+            source.forget_before(cutoff, |addr| listed_addrs.contains(addr));
         }
+        self.identities
+            .forget_before(cutoff, |addr| listed_addrs.contains(addr));
     }
 }
-
-/// Whether a change is worth telling. What it rests on may change unseen.
-fn differs(old: &RegisteredEndpoint, new: &RegisteredEndpoint) -> bool {
-    let told = |s: &RegisteredEndpoint| (s.status, s.weight, s.priority);
-    let same = Arc::ptr_eq(&old.listing, &new.listing) || old.listing == new.listing;
-    told(old) != told(new) || !same
-}
--- a/crates/endpoints/src/source_state.rs
+++ b/crates/endpoints/src/source_state.rs
@@ -1,515 +1,386 @@
-//! What one source has told so far and how far it is believed: sudden losses are held, returns of flapping
-//! records are delayed, and what was taken away is remembered.
-
-#![expect(
-    clippy::match_bool,
-    clippy::min_ident_chars,
-    clippy::too_many_lines,
-    reason = "not yet converted"
-)]
-
+//! One source's state: what it lists, what it has withdrawn, and how far its answers are believed.
+//!
+//! The [`EndpointRegistry`](crate::EndpointRegistry) owns one [`SourceState`] per source, feeds it the source's
+//! updates and asks it for its verdict on each endpoint. Invariants:
+//!
+//! * An endpoint is listed or withdrawn, never both.
+//! * A sudden loss is held back by the [`SuddenLossGuard`](crate::SuddenLossGuard); explicit drains and removals
+//!   never are.
+//! * A failed update changes nothing in the listing.
+//! * Every address whose verdict may have changed is reported once by [`SourceState::take_changed_addresses`].
+
+use crate::dated_verdict::{DatedVerdict, EndpointQuery, VerdictDetail};
+use crate::flap_damping::{DampedAddresses, FlapDamping};
+use crate::listing::{
+    Listing, ListingKey, ListingKeyRef, MissingStreak, TrackedEndpoint, Unlisted, UnlistedEndpoint,
+};
 use crate::settings::{AbsencePolicy, EndpointIdentity, SourceSettings};
+use crate::sudden_loss::{Loss, RecentLosses};
 use crate::update::{ListedEndpoint, ListedState, MonotonicMicros, SourceUpdate};
 use crate::verdict::SourceVerdict;
-use std::collections::{BTreeMap, BTreeSet, HashSet, VecDeque};
+use crate::withdrawals::Withdrawals;
+use std::collections::BTreeSet;
 use std::net::SocketAddr;
-use std::sync::Arc;
-
-/// Addresses whose returns are remembered; the quietest are forgotten first.
-const MOST_FLAPS: usize = 16_384;
-
-/// An entry's place in the book: its name, and for addressing sources its address too, since one name may lead
-/// to several.
-type Place = (String, Option<SocketAddr>);
-
-#[derive(Clone, Debug)]
-pub(crate) struct TrackedEndpoint {
-    pub(crate) entry: Arc<ListedEndpoint>,
-    /// Since when it is said to be in its present state.
-    pub(crate) since: MonotonicMicros,
-    /// When its present start was seen to be new; `None` where it was there in the first answer.
-    pub(crate) started: Option<MonotonicMicros>,
-    /// Lacking in so many answers since then, and not believed yet.
-    missing: Option<(MonotonicMicros, u32)>,
-}
-
-#[derive(Clone, Copy, Debug, Default)]
-struct Flap {
-    returns: u32,
-    last: MonotonicMicros,
-    /// Kept out until then.
-    until: MonotonicMicros,
-}
-
-/// One source's book.
-#[derive(Debug)]
-pub(crate) struct SourceState {
-    pub(crate) settings: SourceSettings,
-    answered: bool,
-    pub(crate) failing: Option<MonotonicMicros>,
-    live: BTreeMap<Place, TrackedEndpoint>,
-    at: BTreeMap<SocketAddr, BTreeSet<Place>>,
-    /// Since when addresses and names are taken away.
-    gone_addrs: BTreeMap<SocketAddr, MonotonicMicros>,
-    gone_names: BTreeMap<String, MonotonicMicros>,
-    /// Believed losses of the last hold time.
-    losses: VecDeque<(MonotonicMicros, usize)>,
-    flaps: BTreeMap<SocketAddr, Flap>,
-    /// Where something has changed that an opinion may rest on since it was asked last ...
-    dirty: BTreeSet<SocketAddr>,
-    /// ... or that it has everywhere.
-    all_dirty: bool,
-}
 
-/// What of a book has changed.
+/// The addresses on which a source's verdict may have changed.
 pub(crate) enum ChangedAddresses {
+    /// All addresses.
     All,
-    At(BTreeSet<SocketAddr>),
+    /// These addresses only.
+    Only(BTreeSet<SocketAddr>),
 }
 
-/// An opinion, since when, and what it rests on.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) struct DatedVerdict {
-    pub(crate) opinion: SourceVerdict,
-    pub(crate) since: MonotonicMicros,
-    /// For held ones: answers that said the same so far. For flapping ones: until when.
-    pub(crate) detail: VerdictDetail,
-}
-
-/// What a reason names beside the opinion.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) enum VerdictDetail {
-    None,
-    Lacking(u32),
-    Flapping(MonotonicMicros),
+/// The state of one source.
+#[derive(Debug)]
+pub(crate) struct SourceState {
+    settings: SourceSettings,
+    has_answered: bool,
+    /// Since when the source cannot be asked.
+    failing_since: Option<MonotonicMicros>,
+    listing: Listing,
+    withdrawals: Withdrawals,
+    recent_losses: RecentLosses,
+    flap_damping: FlapDamping,
+    changed_addrs: BTreeSet<SocketAddr>,
+    has_changed_everywhere: bool,
 }
 
 impl SourceState {
+    /// A source that has not answered yet.
     pub(crate) fn new(settings: SourceSettings) -> Self {
-        let (answered, failing, live, at) = Default::default();
-        let (gone_addrs, gone_names, losses, flaps) = Default::default();
-        let (dirty, all_dirty) = (BTreeSet::new(), true);
         SourceState {
             settings,
-            answered,
-            failing,
-            live,
-            at,
-            gone_addrs,
-            gone_names,
-            losses,
-            flaps,
-            dirty,
-            all_dirty,
+            has_answered: false,
+            failing_since: None,
+            listing: Listing::default(),
+            withdrawals: Withdrawals::default(),
+            recent_losses: RecentLosses::default(),
+            flap_damping: FlapDamping::default(),
+            changed_addrs: BTreeSet::new(),
+            has_changed_everywhere: true,
         }
     }
 
-    /// What has changed since this was asked last.
-    pub(crate) fn dirty(&mut self) -> ChangedAddresses {
-        match std::mem::take(&mut self.all_dirty) {
-            true => {
-                self.dirty.clear();
-                ChangedAddresses::All
-            }
-            false => ChangedAddresses::At(std::mem::take(&mut self.dirty)),
+    /// The settings in force.
+    pub(crate) fn settings(&self) -> &SourceSettings {
+        &self.settings
+    }
+
+    /// Replaces the settings and keeps everything else.
+    pub(crate) fn set_settings(&mut self, settings: SourceSettings) {
+        self.settings = settings;
+    }
+
+    /// Whether this source identifies endpoints by name.
+    pub(crate) fn identifies_by_name(&self) -> bool {
+        self.settings.identity == EndpointIdentity::ByName
+    }
+
+    /// What the source lists now.
+    pub(crate) fn listing(&self) -> &Listing {
+        &self.listing
+    }
+
+    /// The addresses on which the verdict may have changed since the previous call.
+    pub(crate) fn take_changed_addresses(&mut self) -> ChangedAddresses {
+        if std::mem::take(&mut self.has_changed_everywhere) {
+            self.changed_addrs.clear();
+            return ChangedAddresses::All;
         }
+        ChangedAddresses::Only(std::mem::take(&mut self.changed_addrs))
     }
 
-    /// Takes what the source tells.
-    pub(crate) fn told(&mut self, now: MonotonicMicros, told: SourceUpdate) {
-        self.all_dirty |=
-            self.failing.is_some() != (told == SourceUpdate::Failed) || !self.answered;
-        match told {
+    /// Applies one report of the source.
+    pub(crate) fn apply_update(&mut self, now: MonotonicMicros, update: SourceUpdate) {
+        let was_failing = self.failing_since.is_some();
+        let is_failing = update == SourceUpdate::Failed;
+        if was_failing != is_failing || !self.has_answered {
+            self.has_changed_everywhere = true;
+        }
+        match update {
             SourceUpdate::Failed => {
-                self.failing.get_or_insert(now);
+                self.failing_since.get_or_insert(now);
                 return;
             }
-            SourceUpdate::FullList(entries) => self.whole(now, entries),
-            SourceUpdate::Changes(entries) => {
-                for entry in entries {
-                    self.entry(now, entry);
+            SourceUpdate::FullList(endpoints) => self.apply_full_list(now, endpoints),
+            SourceUpdate::Changes(endpoints) => {
+                for endpoint in endpoints {
+                    self.apply_endpoint(now, endpoint);
                 }
-                // Nothing new about what is lacking: that is one more answer that lacks it.
-                self.confirm(now);
+                // A change list leaves what is missing as it was: it counts as one more answer that lacks it.
+                self.count_missing_answer(now);
             }
         }
-        self.answered = true;
-        self.failing = None;
-    }
-
-    fn place(&self, entry: &ListedEndpoint) -> Place {
-        let addr = (self.settings.identity == EndpointIdentity::ByAddress).then_some(entry.addr);
-        (entry.name.clone(), addr)
+        self.has_answered = true;
+        self.failing_since = None;
     }
 
-    fn whole(&mut self, now: MonotonicMicros, entries: Vec<ListedEndpoint>) {
-        let by_addr = self.settings.identity == EndpointIdentity::ByAddress;
-        let listed: HashSet<(&str, Option<SocketAddr>)> = entries
-            .iter()
-            .map(|e| (e.name.as_str(), by_addr.then_some(e.addr)))
-            .collect();
-        let alive = |k: &TrackedEndpoint| k.entry.state == ListedState::Available;
-        let up = self.live.values().filter(|k| alive(k)).count();
-        let (lost, drained): (Vec<Place>, Vec<Place>) = self
-            .live
-            .keys()
-            .filter(|p| !listed.contains(&(p.0.as_str(), p.1)))
-            .cloned()
-            .partition(|p| alive(&self.live[p]));
-        let nothing = listed.is_empty();
-        let addrs: HashSet<SocketAddr> = match lost.is_empty() {
-            true => HashSet::new(),
-            false => entries.iter().map(|e| e.addr).collect(),
-        };
-        let renamed = |p: &Place| p.1.is_some_and(|addr| addrs.contains(&addr));
-        let (renamed, lost): (Vec<Place>, Vec<Place>) = lost.into_iter().partition(renamed);
-        // Neither the end of a drain nor another name for an address is a surprise.
-        drained
-            .iter()
-            .chain(&renamed)
-            .for_each(|p| self.withdraw(now, p));
-        let sudden = !lost.is_empty() && self.sudden(now, lost.len(), up - renamed.len(), nothing);
-        if sudden {
-            for place in lost {
-                let Some(known) = self.live.get_mut(&place) else {
-                    continue;
-                };
-                let (since, count) = known.missing.unwrap_or((now, 0));
-                known.missing = Some((since, count + 1));
-                self.dirty.insert(known.entry.addr);
+    fn apply_full_list(&mut self, now: MonotonicMicros, endpoints: Vec<ListedEndpoint>) {
+        let unlisted = self
+            .listing
+            .find_unlisted(&endpoints, self.settings.identity);
+        for key in unlisted.draining.iter().chain(&unlisted.renamed) {
+            self.withdraw(now, key);
+        }
+        if !unlisted.lost.is_empty() {
+            if self.is_sudden_loss(now, &unlisted, endpoints.is_empty()) {
+                self.hold_back(now, &unlisted.lost);
+            } else {
+                self.recent_losses.record(now, unlisted.lost.len());
+                for key in &unlisted.lost {
+                    self.withdraw(now, key);
+                }
             }
-            self.believe(now);
-        } else if !lost.is_empty() {
-            self.losses.push_back((now, lost.len()));
-            lost.iter().for_each(|p| self.withdraw(now, p));
         }
-        for entry in entries {
-            self.entry(now, entry);
+        for endpoint in endpoints {
+            self.apply_endpoint(now, endpoint);
         }
     }
 
-    /// Whether a loss is too large to be believed at once. What was lost bit by bit within one hold counts too.
-    fn sudden(&mut self, now: MonotonicMicros, lost: usize, up: usize, nothing: bool) -> bool {
-        let Some(guard) = self.settings.sudden_loss_guard else {
+    fn is_sudden_loss(
+        &mut self,
+        now: MonotonicMicros,
+        unlisted: &Unlisted,
+        is_empty_list: bool,
+    ) -> bool {
+        let Some(guard) = &self.settings.sudden_loss_guard else {
             return false;
         };
-        while self
-            .losses
-            .front()
-            .is_some_and(|l| now.saturating_sub(l.0) >= guard.hold_time)
-        {
-            self.losses.pop_front();
+        let loss = Loss {
+            lost_count: unlisted.lost.len(),
+            available_count: unlisted.available_count - unlisted.renamed.len(),
+            is_empty_list,
+        };
+        self.recent_losses.is_sudden(now, guard, loss)
+    }
+
+    /// Counts an answer that lacks these endpoints, and withdraws those that enough answers have lacked.
+    fn hold_back(&mut self, now: MonotonicMicros, lost: &[ListingKey]) {
+        for key in lost {
+            let Some(endpoint) = self.listing.get_mut(key) else {
+                continue;
+            };
+            let streak = endpoint.missing.unwrap_or(MissingStreak {
+                since: now,
+                answer_count: 0,
+            });
+            endpoint.missing = Some(MissingStreak {
+                answer_count: streak.answer_count + 1,
+                ..streak
+            });
+            self.changed_addrs.insert(endpoint.listed.addr);
         }
-        let before: usize = self.losses.iter().map(|l| l.1).sum();
-        nothing || (lost + before) as f64 > guard.max_loss_fraction * (up + before) as f64
+        self.withdraw_confirmed_losses(now);
     }
 
-    fn confirm(&mut self, now: MonotonicMicros) {
-        for known in self.live.values_mut() {
-            if let Some((since, count)) = known.missing {
-                known.missing = Some((since, count + 1));
-                self.dirty.insert(known.entry.addr);
+    /// Counts one more answer that lacks every endpoint that is missing already.
+    fn count_missing_answer(&mut self, now: MonotonicMicros) {
+        for endpoint in self.listing.values_mut() {
+            if let Some(streak) = &mut endpoint.missing {
+                streak.answer_count += 1;
+                self.changed_addrs.insert(endpoint.listed.addr);
             }
         }
-        self.believe(now);
+        self.withdraw_confirmed_losses(now);
     }
 
-    fn believe(&mut self, now: MonotonicMicros) {
+    /// Withdraws the endpoints that have been missing for long enough, in enough answers.
+    fn withdraw_confirmed_losses(&mut self, now: MonotonicMicros) {
         let Some(guard) = self.settings.sudden_loss_guard else {
             return;
         };
-        let ripe = |m: (MonotonicMicros, u32)| {
-            now.saturating_sub(m.0) >= guard.hold_time && m.1 >= guard.confirmation_count
+        let is_confirmed = |streak: MissingStreak| {
+            now.saturating_sub(streak.since) >= guard.hold_time
+                && streak.answer_count >= guard.confirmation_count
         };
-        let gone: Vec<Place> = self
-            .live
+        let confirmed: Vec<ListingKey> = self
+            .listing
             .iter()
-            .filter(|(_, k)| k.missing.is_some_and(ripe))
-            .map(|(p, _)| p.clone())
+            .filter(|(_, endpoint)| endpoint.missing.is_some_and(is_confirmed))
+            .map(|(key, _)| key.clone())
             .collect();
-        gone.iter().for_each(|p| self.withdraw(now, p));
+        for key in &confirmed {
+            self.withdraw(now, key);
+        }
     }
 
-    fn withdraw(&mut self, now: MonotonicMicros, place: &Place) {
-        self.take_away(
-            now,
-            place,
-            self.settings.absence_policy == AbsencePolicy::Removes,
-        );
+    /// Takes an endpoint out of the listing because the source no longer lists it.
+    fn withdraw(&mut self, now: MonotonicMicros, key: &ListingKey) {
+        if self.settings.absence_policy == AbsencePolicy::Removes {
+            self.remove(now, key);
+        } else {
+            self.unlist(key);
+        }
     }
 
-    /// Takes an entry out of the book; `mark` says that the server itself is taken away.
-    fn take_away(&mut self, now: MonotonicMicros, place: &Place, mark: bool) {
-        let Some(known) = self.live.remove(place) else {
+    /// Takes an endpoint out of the listing and remembers that the source has removed it.
+    fn remove(&mut self, now: MonotonicMicros, key: &ListingKey) {
+        let Some(unlisted) = self.unlist(key) else {
             return;
         };
-        let addr = known.entry.addr;
-        self.dirty.insert(addr);
-        if self.leave(place, addr) && mark {
-            self.gone_addrs.insert(addr, now);
+        if unlisted.was_last_at_addr {
+            self.withdrawals.record_addr(unlisted.addr, now);
         }
-        if mark && self.settings.identity == EndpointIdentity::ByName {
-            self.gone_names.insert(place.0.clone(), now);
+        if self.identifies_by_name() {
+            self.withdrawals.record_name(key.name.clone(), now);
         }
     }
 
-    /// Unhooks an entry from an address; true where it was the last one there.
-    fn leave(&mut self, place: &Place, addr: SocketAddr) -> bool {
-        let Some(places) = self.at.get_mut(&addr) else {
-            return false;
-        };
-        places.remove(place);
-        let last = places.is_empty();
-        if last {
-            self.at.remove(&addr);
-        }
-        last
+    fn unlist(&mut self, key: &ListingKey) -> Option<UnlistedEndpoint> {
+        let unlisted = self.listing.remove(key)?;
+        self.changed_addrs.insert(unlisted.addr);
+        Some(unlisted)
     }
 
-    fn entry(&mut self, now: MonotonicMicros, entry: ListedEndpoint) {
-        let place = self.place(&entry);
-        if self
-            .live
-            .get(&place)
-            .is_some_and(|k| k.missing.is_none() && *k.entry == entry)
-        {
-            return;
-        }
-        self.dirty.insert(entry.addr);
-        if entry.state == ListedState::Removed {
-            if self.live.contains_key(&place) {
-                return self.take_away(now, &place, true);
-            }
-            // Never listed here, and taken away all the same: others may list it.
-            if !self.at.contains_key(&entry.addr) {
-                self.gone_addrs.entry(entry.addr).or_insert(now);
-            }
-            if self.settings.identity == EndpointIdentity::ByName {
-                self.gone_names.entry(entry.name).or_insert(now);
-            }
+    /// Applies one listed endpoint: nothing new, a removal, a change, or a new endpoint.
+    fn apply_endpoint(&mut self, now: MonotonicMicros, listed: ListedEndpoint) {
+        let key = ListingKeyRef::of(&listed, self.settings.identity).to_key();
+        let previous = self.listing.get(&key);
+        if previous.is_some_and(|known| known.missing.is_none() && *known.listed == listed) {
             return;
         }
-        let (addr, before) = (entry.addr, self.live.get(&place).cloned());
-        let started = match &before {
-            Some(known) if entry.started_ms > known.entry.started_ms => Some(now),
-            Some(known) => known.started,
-            None => self.answered.then_some(now),
-        };
-        let same = before.as_ref().filter(|k| k.entry.state == entry.state);
-        let since = same.map_or(now, |k| k.since);
-        if let Some(old) = before
-            .as_ref()
-            .map(|k| k.entry.addr)
-            .filter(|old| *old != addr)
-        {
-            // It has moved: nobody is known to be at the old address now.
-            self.dirty.insert(old);
-            if self.leave(&place, old) {
-                self.gone_addrs.insert(old, now);
-            }
-        }
-        if before.is_none() {
-            self.returned(now, addr);
+        self.changed_addrs.insert(listed.addr);
+        if listed.state == ListedState::Removed {
+            self.apply_removal(now, &key, listed);
+        } else {
+            self.apply_listing(now, key, listed);
         }
-        let entry = match before {
-            Some(known) if *known.entry == entry => known.entry,
-            _ => Arc::new(entry),
-        };
-        self.gone_addrs.remove(&addr);
-        self.gone_names.remove(&place.0);
-        self.at.entry(addr).or_default().insert(place.clone());
-        self.live.insert(
-            place,
-            TrackedEndpoint {
-                entry,
-                since,
-                started,
-                missing: None,
-            },
-        );
     }
 
-    /// Counts the returns of an address that was taken away.
-    fn returned(&mut self, now: MonotonicMicros, addr: SocketAddr) {
-        let left = self.gone_addrs.get(&addr).filter(|since| **since < now);
-        let (Some(flaps), Some(_)) = (self.settings.flap_limits, left) else {
+    fn apply_removal(&mut self, now: MonotonicMicros, key: &ListingKey, listed: ListedEndpoint) {
+        if self.listing.get(key).is_some() {
+            self.remove(now, key);
             return;
-        };
-        let mut flap = self.flaps.get(&addr).copied().unwrap_or_default();
-        if now.saturating_sub(flap.last) > flaps.window.max(flap.until.saturating_sub(flap.last)) {
-            flap = Flap::default();
         }
-        flap.returns += 1;
-        flap.last = now;
-        if let Some(beyond) = flap.returns.checked_sub(flaps.free_return_count + 1) {
-            let hold = flaps
-                .initial_hold
-                .saturating_mul(1 << beyond.min(20))
-                .min(flaps.max_hold);
-            flap.until = now.saturating_add(hold);
+        // It was not listed here, but another source may list it.
+        if !self.listing.has_addr(&listed.addr) {
+            self.withdrawals.record_addr_once(listed.addr, now);
         }
-        self.flaps.insert(addr, flap);
-        if self.flaps.len() > MOST_FLAPS {
-            let quietest = self
-                .flaps
-                .iter()
-                .min_by_key(|(a, f)| (f.last, **a))
-                .map(|(a, _)| *a);
-            quietest.map(|a| self.flaps.remove(&a));
+        if self.identifies_by_name() {
+            self.withdrawals.record_name_once(listed.name, now);
         }
     }
 
-    /// Addresses that are kept out now because their records come and go. Where that would keep out more than
-    /// half of what is listed, the source is as it is and none is kept out.
-    pub(crate) fn calmed(&self, now: MonotonicMicros) -> BTreeMap<SocketAddr, MonotonicMicros> {
-        let out = self
-            .flaps
-            .iter()
-            .filter(|(a, f)| f.until > now && self.at.contains_key(a));
-        let out: BTreeMap<SocketAddr, MonotonicMicros> = out.map(|(a, f)| (*a, f.until)).collect();
-        if out.len() * 2 > self.at.len() {
-            return BTreeMap::new();
+    fn apply_listing(&mut self, now: MonotonicMicros, key: ListingKey, listed: ListedEndpoint) {
+        let addr = listed.addr;
+        let previous = self.listing.get(&key).cloned();
+        match &previous {
+            Some(known) if known.listed.addr != addr => {
+                self.leave_previous_addr(now, &key, known.listed.addr);
+            }
+            Some(_) => {}
+            None => self.count_return(now, addr),
         }
-        out
+        let tracked = match previous {
+            Some(known) => known.relisted(now, listed),
+            None => TrackedEndpoint::new(now, listed, self.has_answered),
+        };
+        self.withdrawals.end(&addr, &key.name);
+        self.listing.insert(key, tracked);
     }
 
-    /// When a flapping record may be let in next.
-    pub(crate) fn due(&self, now: MonotonicMicros) -> Option<MonotonicMicros> {
-        self.flaps
-            .values()
-            .map(|f| f.until)
-            .filter(|until| *until > now)
-            .min()
+    /// An endpoint has moved: nobody is known to be at its previous address now.
+    fn leave_previous_addr(&mut self, now: MonotonicMicros, key: &ListingKey, addr: SocketAddr) {
+        self.changed_addrs.insert(addr);
+        if self.listing.detach(key, addr) {
+            self.withdrawals.record_addr(addr, now);
+        }
     }
 
-    pub(crate) fn known(&self, name: &str) -> Option<&TrackedEndpoint> {
-        // Only naming sources are asked by name.
-        self.live.get(&(name.to_string(), None))
+    /// Counts the return of an address that was withdrawn before now.
+    fn count_return(&mut self, now: MonotonicMicros, addr: SocketAddr) {
+        let withdrawn_at = self.withdrawals.addr_withdrawn_at(&addr);
+        let was_withdrawn = withdrawn_at.is_some_and(|withdrawn_at| withdrawn_at < now);
+        if let (Some(limits), true) = (&self.settings.flap_limits, was_withdrawn) {
+            self.flap_damping.record_return(now, addr, limits);
+        }
     }
 
-    /// What is listed at an address, by name.
-    pub(crate) fn at(&self, addr: SocketAddr) -> impl Iterator<Item = &TrackedEndpoint> {
-        self.at
-            .get(&addr)
-            .into_iter()
-            .flatten()
-            .filter_map(|p| self.live.get(p))
+    /// The addresses that are kept out now because their records come and go.
+    pub(crate) fn damped_addresses(&self, now: MonotonicMicros) -> DampedAddresses {
+        self.flap_damping.damped_addresses(now, &self.listing)
     }
 
-    pub(crate) fn addrs(&self) -> impl Iterator<Item = &SocketAddr> {
-        self.at.keys()
+    /// When the next address that is kept out may be let in.
+    pub(crate) fn next_release(&self, now: MonotonicMicros) -> Option<MonotonicMicros> {
+        self.flap_damping.next_release(now)
     }
 
-    /// What this source thinks of a server: its name where it has one, its address, and when its present start
-    /// was first seen, which is stronger than an earlier drain or removal told by another source.
-    pub(crate) fn opinion(
+    /// The source's verdict on an endpoint, given the addresses of this source that are kept out.
+    pub(crate) fn verdict(
         &self,
-        name: Option<&str>,
-        addr: SocketAddr,
-        start: Option<MonotonicMicros>,
-        calmed: &BTreeMap<SocketAddr, MonotonicMicros>,
+        query: EndpointQuery<'_>,
+        damped: &DampedAddresses,
     ) -> DatedVerdict {
-        let named = name.filter(|_| self.settings.identity == EndpointIdentity::ByName);
-        let own = named.and_then(|n| self.known(n));
-        let mut found: Option<DatedVerdict> = None;
-        let here: Vec<&TrackedEndpoint> = match (own, self.settings.identity) {
-            (Some(known), _) => vec![known],
-            (None, EndpointIdentity::ByAddress) => self.at(addr).collect(),
-            (None, EndpointIdentity::ByName) => Vec::new(),
+        let name = query.name.filter(|_| self.identifies_by_name());
+        let listed = self.verdict_of_listing(name, query);
+        let Some(listed) = listed else {
+            return self.verdict_of_absence(name, query);
         };
-        for known in here {
-            let held = self.of(known);
-            if held.opinion == SourceVerdict::Draining && start > Some(held.since) && own.is_none()
-            {
-                continue;
-            }
-            // Two names of one address: the one that says more of it counts.
-            if found.is_none_or(|f| held.opinion > f.opinion) {
-                found = Some(held);
-            }
-        }
-        if let (Some(held), Some(until)) = (found, calmed.get(&addr)) {
-            let detail = VerdictDetail::Flapping(*until);
+        if let Some(damped_until) = damped.get(&query.addr) {
             return DatedVerdict {
-                opinion: SourceVerdict::Removed,
-                since: held.since,
-                detail,
+                verdict: SourceVerdict::Removed,
+                since: listed.since,
+                detail: VerdictDetail::DampedUntil(*damped_until),
             };
         }
-        if let Some(held) = found {
-            return held;
+        listed
+    }
+
+    /// The verdict if the source lists the endpoint.
+    fn verdict_of_listing(
+        &self,
+        name: Option<&str>,
+        query: EndpointQuery<'_>,
+    ) -> Option<DatedVerdict> {
+        if let Some(named) = name.and_then(|name| self.listing.by_name(name)) {
+            return Some(named.verdict(self.failing_since));
+        }
+        if self.identifies_by_name() {
+            return None;
         }
-        let gone = named
-            .and_then(|n| self.gone_names.get(n))
-            .or(self.gone_addrs.get(&addr));
-        let detail = VerdictDetail::None;
-        match gone {
-            Some(since) if start <= Some(*since) => DatedVerdict {
-                opinion: SourceVerdict::Removed,
-                since: *since,
-                detail,
-            },
-            _ if self.answered => DatedVerdict {
-                opinion: SourceVerdict::Absent,
-                since: 0,
-                detail,
-            },
-            _ => DatedVerdict {
-                opinion: SourceVerdict::Silent,
-                since: 0,
-                detail,
-            },
+        let mut strongest: Option<DatedVerdict> = None;
+        for tracked in self.listing.at(query.addr) {
+            let dated = tracked.verdict(self.failing_since);
+            let is_outdated_drain =
+                dated.verdict == SourceVerdict::Draining && query.start_seen_at > Some(dated.since);
+            if is_outdated_drain {
+                continue;
+            }
+            // Several names of one address: the strongest verdict counts.
+            if strongest.is_none_or(|strongest| dated.verdict > strongest.verdict) {
+                strongest = Some(dated);
+            }
         }
+        strongest
     }
 
-    fn of(&self, known: &TrackedEndpoint) -> DatedVerdict {
-        if known.entry.state == ListedState::Draining {
-            return DatedVerdict {
-                opinion: SourceVerdict::Draining,
-                since: known.since,
-                detail: VerdictDetail::None,
-            };
-        }
-        match (known.missing, self.failing) {
-            (Some((since, count)), _) => DatedVerdict {
-                opinion: SourceVerdict::Held,
-                since,
-                detail: VerdictDetail::Lacking(count),
-            },
-            (None, Some(since)) => DatedVerdict {
-                opinion: SourceVerdict::Stale,
-                since,
-                detail: VerdictDetail::None,
-            },
-            (None, None) => DatedVerdict {
-                opinion: SourceVerdict::Listed,
-                since: known.since,
-                detail: VerdictDetail::None,
-            },
+    /// The verdict if the source does not list the endpoint.
+    fn verdict_of_absence(&self, name: Option<&str>, query: EndpointQuery<'_>) -> DatedVerdict {
+        let withdrawn_at = name
+            .and_then(|name| self.withdrawals.name_withdrawn_at(name))
+            .or(self.withdrawals.addr_withdrawn_at(&query.addr));
+        match withdrawn_at {
+            Some(withdrawn_at) if query.start_seen_at <= Some(withdrawn_at) => {
+                DatedVerdict::new(SourceVerdict::Removed, withdrawn_at)
+            }
+            _ if self.has_answered => DatedVerdict::new(SourceVerdict::Absent, 0),
+            _ => DatedVerdict::new(SourceVerdict::Silent, 0),
         }
     }
 
-    /// Forgets what was taken away before `until` and is listed by nobody.
-    pub(crate) fn forget(&mut self, until: MonotonicMicros, listed: impl Fn(&SocketAddr) -> bool) {
-        self.gone_addrs
-            .retain(|addr, since| *since >= until || listed(addr));
-        self.gone_names.retain(|_, since| *since >= until);
-        self.flaps.retain(|_, f| f.last >= until);
+    /// Forgets withdrawals and returns from before `cutoff`, except withdrawals of addresses that some source lists.
+    pub(crate) fn forget_before(
+        &mut self,
+        cutoff: MonotonicMicros,
+        is_listed: impl Fn(&SocketAddr) -> bool,
+    ) {
+        self.withdrawals.forget_before(cutoff, is_listed);
+        self.flap_damping.forget_before(cutoff);
     }
 
-    /// Keeps at most so many marks of what was taken away, the newest ones.
-    pub(crate) fn bound(&mut self, most: usize) {
-        fn newest<K: Ord + Clone>(map: &mut BTreeMap<K, MonotonicMicros>, most: usize) {
-            if map.len() > most {
-                let mut order: Vec<(MonotonicMicros, K)> =
-                    map.iter().map(|(k, s)| (*s, k.clone())).collect();
-                order.sort();
-                for (_, key) in &order[..map.len() - most] {
-                    map.remove(key);
-                }
-            }
-        }
-        newest(&mut self.gone_addrs, most);
-        newest(&mut self.gone_names, most);
+    /// Keeps at most this many withdrawn addresses and as many withdrawn names, the newest ones.
+    pub(crate) fn limit_withdrawals(&mut self, max_count: usize) {
+        self.withdrawals.keep_newest(max_count);
     }
 }
--- a/crates/endpoints/src/update.rs
+++ b/crates/endpoints/src/update.rs
@@ -1,70 +1,75 @@
-//! What sources tell: entries, whole lists, changes, failures.
+//! What an endpoint source reports: everything it lists, what has changed since, or that it cannot be asked.
+//!
+//! Plain data without behaviour. The watchers of discovery and of DNS build a [`SourceUpdate`] out of each answer
+//! and hand it to [`EndpointRegistry::apply_update`](crate::EndpointRegistry::apply_update).
 
 use std::net::SocketAddr;
 
-/// Microseconds on a monotonic clock.
+/// A point in time in whole microseconds, counted on a monotonic clock whose zero the caller chooses.
 pub type MonotonicMicros = u64;
 
-/// What a source says of one server.
+/// A span of time in whole microseconds.
+pub type DurationMicros = u64;
+
+/// The state in which a source lists an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListedState {
-    /// It takes work.
+    /// The endpoint takes new requests.
     Available,
-    /// It ends what it has and takes nothing new.
+    /// The endpoint finishes the requests it has and takes no new ones.
     Draining,
-    /// It has been taken away.
+    /// The endpoint has been removed explicitly.
     Removed,
 }
 
-/// One server as one source tells it.
+/// One endpoint as one source lists it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ListedEndpoint {
-    /// A naming source's id of the server, which is the same everywhere; an addressing one's target and port.
+    /// The name under which the source lists it. A source that identifies endpoints by name uses an id that is the
+    /// same on every node; one that identifies them by address uses the target's host name and port.
     pub name: String,
-    /// Where it listens.
+    /// The address where the endpoint listens.
     pub addr: SocketAddr,
-    /// What is said of it.
+    /// The state in which it is listed.
     pub state: ListedState,
-    /// Its zone by name; empty where that is not told.
+    /// The name of its zone; empty if the source does not say.
     pub zone: String,
-    /// Its kind of machine by name; empty where that is not told.
+    /// The name of its host type; empty if the source does not say.
     pub host_type: String,
-    /// Its cell.
+    /// The number of its cell within the zone; 0 if the source does not say.
     pub cell: usize,
-    /// Its weight, without a unit.
+    /// Its relative weight, without a unit.
     pub weight: Option<f64>,
-    /// RFC 2782: lower ones come first.
+    /// Its priority as in RFC 2782: a lower number is preferred.
     pub priority: Option<u16>,
-    /// Its last start, Unix time in milliseconds; 0 where that is not known.
+    /// The time of its last start in milliseconds of Unix time; 0 if the source does not say.
     pub started_ms: i64,
 }
 
 impl ListedEndpoint {
-    /// A server that is up, of which nothing else is known.
+    /// An available endpoint of which nothing but name and address is known.
     pub fn new(name: impl Into<String>, addr: SocketAddr) -> Self {
-        let (zone, kind) = Default::default();
-        let (weight, priority) = (None, None);
         ListedEndpoint {
             name: name.into(),
             addr,
             state: ListedState::Available,
-            zone,
-            host_type: kind,
+            zone: String::new(),
+            host_type: String::new(),
             cell: 0,
-            weight,
-            priority,
+            weight: None,
+            priority: None,
             started_ms: 0,
         }
     }
 }
 
-/// What a source tells at one time.
+/// One report of a source.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SourceUpdate {
-    /// All that it lists. What it listed before and does not list now has been withdrawn.
+    /// Everything that the source lists. An endpoint that it listed before and does not list now is withdrawn.
     FullList(Vec<ListedEndpoint>),
-    /// What has changed; none is news too: all else is as it was.
+    /// What has changed. Everything else is as it was before, so an empty change list confirms the previous state.
     Changes(Vec<ListedEndpoint>),
-    /// It cannot say, and what it said before is past its lifetime.
+    /// The source cannot be asked, and what it reported before is past its lifetime.
     Failed,
 }
--- a/crates/endpoints/tests/precedence.rs
+++ b/crates/endpoints/tests/precedence.rs
@@ -86,7 +86,7 @@
     let mut rows = 0;
     for line in page.lines() {
         let cells: Vec<&str> = line.split('|').map(str::trim).collect();
-        let word = |w: &str| ALL_VERDICTS.iter().copied().find(|o| o.label() == w);
+        let word = |w: &str| SourceVerdict::ALL.iter().copied().find(|o| o.label() == w);
         let [_, one, other, winner, stands, _] = cells[..] else {
             continue;
         };
@@ -99,7 +99,7 @@
             "{line}"
         );
         assert_eq!(
-            status_for_verdict(prevailing_verdict(one, other)).label(),
+            prevailing_verdict(one, other).status().label(),
             stands,
             "{line}"
         );
@@ -107,14 +107,14 @@
     }
     assert_eq!(
         rows,
-        ALL_VERDICTS.len() * ALL_VERDICTS.len(),
+        SourceVerdict::ALL.len() * SourceVerdict::ALL.len(),
         "every pair is a row"
     );
-    for a in ALL_VERDICTS {
+    for a in SourceVerdict::ALL {
         assert_eq!(prevailing_verdict(a, a), a);
-        for b in ALL_VERDICTS {
+        for b in SourceVerdict::ALL {
             assert_eq!(prevailing_verdict(a, b), prevailing_verdict(b, a));
-            for c in ALL_VERDICTS {
+            for c in SourceVerdict::ALL {
                 assert_eq!(
                     prevailing_verdict(prevailing_verdict(a, b), c),
                     prevailing_verdict(a, prevailing_verdict(b, c))
--- a/src/program/config/operator.rs
+++ b/src/program/config/operator.rs
@@ -17,7 +17,7 @@
 use crate::transport::streams::{self, Continues};
 use poppykeel_dns_resolver::{Config, Family, Lifetimes};
 use poppykeel_endpoints::{
-    AbsencePolicy, EndpointIdentity, FlapLimits, MonotonicMicros, RegistrySettings, SourceSettings,
+    AbsencePolicy, DurationMicros, EndpointIdentity, FlapLimits, RegistrySettings, SourceSettings,
     SuddenLossGuard,
 };
 use poppykeel_stream_recovery::{Budget, Limits};
@@ -29,7 +29,7 @@
 use std::path::PathBuf;
 
 /// The longest time that a key takes: a year.
-const MOST_SPAN: MonotonicMicros = 365 * 86_400_000_000;
+const MOST_SPAN: DurationMicros = 365 * 86_400_000_000;
 
 /// What the operators' file says.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq)]
@@ -85,7 +85,7 @@
 
 /// A time, in microseconds; written as seconds or as text with units, such as "250ms".
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Span(pub MonotonicMicros);
+pub struct Span(pub DurationMicros);
 
 /// The sources of servers.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
@@ -310,7 +310,7 @@
             fn visit_f64<E: Error>(self, seconds: f64) -> Result<Span, E> {
                 let most = MOST_SPAN as f64 / 1e6;
                 match (0.0..=most).contains(&seconds) {
-                    true => Ok(Span((seconds * 1e6).round() as MonotonicMicros)),
+                    true => Ok(Span((seconds * 1e6).round() as DurationMicros)),
                     false => Err(E::invalid_value(
                         serde::de::Unexpected::Float(seconds),
                         &self,
@@ -618,7 +618,7 @@
     }
 }
 
-fn seconds(span: MonotonicMicros) -> String {
+fn seconds(span: DurationMicros) -> String {
     format!("{} s", span as f64 / 1e6)
 }
 
--- a/src/program/resolve.rs
+++ b/src/program/resolve.rs
@@ -234,9 +234,11 @@
         .iter()
         .map(|s| {
             let opinions = members.source_verdicts(s);
-            let sources: Vec<&str> = opinions.iter().map(|o| o.0.as_str()).collect();
-            let opinions: BTreeMap<&str, &str> =
-                opinions.iter().map(|(name, o)| (name.as_str(), o.label())).collect();
+            let sources: Vec<&str> = opinions.iter().map(|named| named.source.as_str()).collect();
+            let opinions: BTreeMap<&str, &str> = opinions
+                .iter()
+                .map(|named| (named.source.as_str(), named.verdict.label()))
+                .collect();
             json!({
                 "name": s.name, "addr": s.listing.addr.to_string(), "state": s.status.label(),
                 "sources": sources, "opinions": opinions, "reason": members.status_reason(s),
