--- a/src/program/mod.rs
+++ b/src/program/mod.rs
@@ -112,7 +112,7 @@
             Ok(true) => Ok(()),
             // What there is to say has been shown.
             Ok(false) => return ExitCode::FAILURE,
-            Err(e) => Err(e),
+            Err(e) => Err(e.to_string()),
         },
         Command::Streams(streams) => streams.run(),
         Command::Fleet(fleet) => fleet.run(),
--- a/src/program/resolve.rs
+++ b/src/program/resolve.rs
@@ -1,11 +1,7 @@
-//! `poppykeel resolve`: asks each source once, or for as long as it is watched, and shows what it says and the list
-//! that follows. It serves nobody and sends nothing to any server.
+//! `poppykeel resolve`: asks each endpoint source once, or for as long as it is watched, and shows what the sources
+//! answer and the combined list. It accepts no clients and sends nothing to any endpoint.
 
-#![expect(
-    clippy::min_ident_chars,
-    clippy::too_many_lines,
-    reason = "not yet converted"
-)]
+mod report;
 
 use super::config::operator::Operator;
 use super::config::Config;
@@ -13,13 +9,12 @@
 use crate::transport::clock::Clock;
 use crate::transport::endpoints::discovery::EndpointWatcher;
 use crate::transport::endpoints::srv::{LatestSrvLookup, SrvWatcher};
-use crate::transport::messages::{Message, LIST, SRV};
+use crate::transport::messages::{Message, LIST};
 use crate::transport::Bounds;
 use poppykeel_endpoints::{EndpointRegistry, SourceUpdate};
-use serde_json::{json, Value};
+use report::{EndpointFingerprint, ResolveReport, SourceProgress};
 use std::collections::BTreeMap;
-use std::fmt::Write;
-use std::io::Write as _;
+use std::io::Write;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::rc::Rc;
@@ -28,12 +23,18 @@
 use tokio::task::LocalSet;
 use tokio::time::Instant;
 
-/// Messages of the sources that wait to be looked at.
-const MESSAGES: usize = 64;
-/// One watch of discovery waits so long where nothing is newer.
-const WATCH: Duration = Duration::from_millis(1000);
-/// A source that failed is watched again after this.
-const AGAIN: Duration = Duration::from_secs(2);
+/// The updates of the sources that wait to be applied. The watchers wait while the channel is full.
+const UPDATE_CHANNEL_CAPACITY: usize = 64;
+/// How long one poll of discovery waits for a newer list.
+const LONG_POLL_WAIT: Duration = Duration::from_millis(1000);
+/// How much longer the answer to a poll may take.
+const POLL_SLACK: Duration = Duration::from_millis(1500);
+/// A list that could not be had is polled again after this time.
+const RETRY_PAUSE: Duration = Duration::from_secs(2);
+/// How long to sleep if the registry has no timer.
+const NO_TIMER: Duration = Duration::from_secs(3600);
+/// The longest time to wait for the sources that the command line may ask for, in seconds: one day.
+const MAX_WAIT_S: f64 = 86_400.0;
 
 #[derive(clap::Args)]
 pub(super) struct ResolveCommand {
@@ -55,290 +56,257 @@
     wait: f64,
 }
 
-/// What a source has come to.
-enum Said {
-    Nothing,
-    Answered,
-    Failed,
+/// Why the command could not do its work.
+#[derive(Debug, thiserror::Error)]
+pub(super) enum ResolveError {
+    /// A file of settings could not be read.
+    #[error("{0}")]
+    Settings(String),
+    /// The address of discovery on the command line is not an address.
+    #[error("discovery: expected ADDRESS:PORT, not '{0}'")]
+    DiscoveryAddress(String),
+    /// The runtime could not be built.
+    #[error("runtime: {0}")]
+    Runtime(#[source] std::io::Error),
+    /// The report could not be written.
+    #[error("standard output: {0}")]
+    Output(#[source] std::io::Error),
 }
 
 impl ResolveCommand {
-    /// Whether there is a list in the end.
-    pub(super) fn run(&self) -> Result<bool, String> {
-        let operator = self.operator.read()?;
+    /// Asks the sources and shows the list. Returns whether any endpoint of it takes requests.
+    ///
+    /// # Errors
+    /// Settings that cannot be read, or a standard output that cannot be written.
+    pub(super) fn run(&self) -> Result<bool, ResolveError> {
+        let operator = self.operator.read().map_err(ResolveError::Settings)?;
         let discovery = if operator.lists() {
-            self.discovery(&operator)?
+            self.discovery_addr(&operator)?
         } else {
             None
         };
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_all()
-            .build();
-        let runtime = runtime.map_err(|e| format!("runtime: {e}"))?;
-        LocalSet::new().block_on(&runtime, self.ask(&operator, discovery))
+            .build()
+            .map_err(ResolveError::Runtime)?;
+        LocalSet::new().block_on(&runtime, self.resolve(&operator, discovery))
     }
 
-    /// Where discovery listens: the command line's, the operators' or the platform's word, in this order.
-    fn discovery(&self, operator: &Operator) -> Result<Option<SocketAddr>, String> {
+    /// Where discovery listens, by the command line, the operators' file or the platform's configuration, in this
+    /// order. `None` if none of them says.
+    fn discovery_addr(&self, operator: &Operator) -> Result<Option<SocketAddr>, ResolveError> {
         if let Some(text) = &self.over.discovery {
-            let addr = text.parse();
-            return addr
+            return text
+                .parse()
                 .map(Some)
-                .map_err(|_| format!("discovery: expected ADDRESS:PORT, not '{text}'"));
+                .map_err(|_| ResolveError::DiscoveryAddress(text.clone()));
         }
-        let own = operator.membership.as_ref().and_then(|m| m.list.discovery);
-        match (own, &self.config) {
-            (Some(addr), _) => Ok(Some(addr)),
-            (None, Some(path)) => self.over.read(path).map(|c: Config| Some(c.discovery)),
-            (None, None) => Ok(None),
+        let from_operator = operator
+            .membership
+            .as_ref()
+            .and_then(|membership| membership.list.discovery);
+        if from_operator.is_some() {
+            return Ok(from_operator);
         }
+        let Some(path) = &self.config else {
+            return Ok(None);
+        };
+        let config: Config = self.over.read(path).map_err(ResolveError::Settings)?;
+        Ok(Some(config.discovery))
     }
 
-    async fn ask(
+    async fn resolve(
         &self,
         operator: &Operator,
         discovery: Option<SocketAddr>,
-    ) -> Result<bool, String> {
+    ) -> Result<bool, ResolveError> {
         let clock = Clock::start();
-        let (tell, mut told) = mpsc::channel(MESSAGES);
-        let mut members = EndpointRegistry::new(operator.members().settings);
-        let mut lookups = SrvWatcher::new(clock, tell.clone());
-        let newest = lookups.latest_lookup();
-        lookups.watch(operator.service());
-        let watch = discovery
-            .map(|addr| EndpointWatcher::new(addr, Rc::new(bounds()), tell.clone(), clock));
-        if let Some(watch) = &watch {
-            watch.start();
+        let (update_sender, updates) = mpsc::channel(UPDATE_CHANNEL_CAPACITY);
+        // Owns the look-ups: they end when this is dropped.
+        let mut srv_watcher = SrvWatcher::new(clock, update_sender.clone());
+        srv_watcher.watch(operator.service());
+        let list_watcher = discovery.map(|addr| {
+            EndpointWatcher::new(addr, Rc::new(bounds()), update_sender.clone(), clock)
+        });
+        if let Some(watcher) = &list_watcher {
+            watcher.start();
         } else if operator.lists() {
             eprintln!("poppykeel: list: where discovery listens is not told: expected --discovery, --config or membership.list.discovery");
         }
-        let sources = members
-            .settings()
-            .sources
-            .iter()
-            .map(|s| (s.name.clone(), Said::Nothing));
-        let mut said: BTreeMap<String, Said> = sources.collect();
-        if watch.is_none() {
-            said.entry(LIST.to_string())
-                .and_modify(|s| *s = Said::Failed);
-        }
-        let end = Instant::now() + Duration::from_secs_f64(self.wait.clamp(0.0, 86_400.0));
-        let mut shown = Value::Null;
-        loop {
-            let waiting = said.values().any(|s| matches!(s, Said::Nothing));
-            if self.watch && !waiting {
-                let next = describe(&members, &said, &newest, clock.now());
-                // Times and counts go on; only a change of the list is one.
-                let key: Value = next["servers"]
-                    .as_array()
-                    .into_iter()
-                    .flatten()
-                    .map(essence)
-                    .collect();
-                if key != shown {
-                    self.show(&next)?;
-                    shown = key;
-                }
-            } else if !waiting {
-                break;
-            }
-            let due = members
-                .next_timer()
-                .map(|at| Duration::from_micros(at.saturating_sub(clock.now())));
-            let message = tokio::select! {
-                message = told.recv() => message,
-                () = tokio::time::sleep(due.unwrap_or(Duration::from_secs(3600))) => {
-                    members.on_timer(clock.now());
-                    continue;
-                }
-                () = tokio::time::sleep_until(end), if !self.watch => break,
-            };
-            let Some(Message::Told { source, told }) = message else {
-                continue;
-            };
-            let word = if told == SourceUpdate::Failed {
-                Said::Failed
-            } else {
-                Said::Answered
-            };
-            if let (Said::Failed, LIST, Some(watch), true) = (&word, source, &watch, self.watch) {
-                let watch = watch.clone();
-                tokio::task::spawn_local(async move {
-                    tokio::time::sleep(AGAIN).await;
-                    watch.start();
-                });
-            }
-            said.insert(source.to_string(), word);
-            let place = members
-                .settings()
-                .sources
-                .iter()
-                .position(|s| s.name == source);
-            place.map(|place| members.apply_update(clock.now(), place, told));
-        }
-        self.show(&describe(&members, &said, &newest, clock.now()))?;
-        Ok(members.usable_count() > 0)
+        let registry = EndpointRegistry::new(operator.members().settings);
+        let mut session = ResolveSession {
+            command: self,
+            clock,
+            progress: initial_progress(&registry, list_watcher.is_some()),
+            registry,
+            list_watcher,
+            latest_lookup: srv_watcher.latest_lookup(),
+            shown: None,
+        };
+        session.run(updates).await?;
+        Ok(session.registry.usable_count() > 0)
     }
 
-    fn show(&self, what: &Value) -> Result<(), String> {
+    fn show(&self, report: &ResolveReport) -> Result<(), ResolveError> {
         let text = if self.json {
-            format!("{what}\n")
+            // By way of a value, whose keys are in alphabetical order.
+            let value = serde_json::to_value(report)
+                .map_err(|e| ResolveError::Output(std::io::Error::other(e)))?;
+            format!("{value}\n")
         } else {
-            table(what)
+            report.to_string()
         };
         std::io::stdout()
             .write_all(text.as_bytes())
-            .map_err(|e| format!("standard output: {e}"))
+            .map_err(ResolveError::Output)
     }
 }
 
-fn bounds() -> Bounds {
-    let none = Duration::ZERO;
-    Bounds {
-        clients: 0,
-        upstream: 0,
-        held_bytes: 0,
-        dial: none,
-        idle: none,
-        rest: none,
-        stall: none,
-        client_idle: none,
-        read: none,
-        probe: none,
-        watch: WATCH,
-        watch_slack: Duration::from_millis(1500),
-        retry_watch: WATCH,
-        retry_slack: Duration::from_millis(1500),
-        linger: none,
-    }
-}
-
-/// What of a server counts as a change.
-fn essence(server: &Value) -> Value {
-    json!([
-        server["name"],
-        server["addr"],
-        server["state"],
-        server["opinions"]
-    ])
-}
-
-fn describe(
-    members: &EndpointRegistry,
-    said: &BTreeMap<String, Said>,
-    newest: &LatestSrvLookup,
-    now: poppykeel_dns_resolver::Micros,
-) -> Value {
-    let servers: Vec<Value> = members
-        .endpoints()
-        .iter()
-        .map(|s| {
-            let opinions = members.source_verdicts(s);
-            let sources: Vec<&str> = opinions.iter().map(|named| named.source.as_str()).collect();
-            let opinions: BTreeMap<&str, &str> = opinions
-                .iter()
-                .map(|named| (named.source.as_str(), named.verdict.label()))
-                .collect();
-            json!({
-                "name": s.name, "addr": s.listing.addr.to_string(), "state": s.status.label(),
-                "sources": sources, "opinions": opinions, "reason": members.status_reason(s),
-                "zone": s.listing.zone, "kind": s.listing.host_type, "weight": s.weight, "priority": s.priority,
-            })
-        })
-        .collect();
-    let sources: Vec<Value> = members
-        .settings()
-        .sources
+/// All sources are silent at first. A list of which nobody knows the address has failed.
+fn initial_progress(
+    registry: &EndpointRegistry,
+    is_list_watched: bool,
+) -> BTreeMap<String, SourceProgress> {
+    let sources = &registry.settings().sources;
+    sources
         .iter()
         .map(|source| {
-            let state = match said.get(&source.name) {
-                Some(Said::Answered) => "answered",
-                Some(Said::Failed) => "failed",
-                _ => "silent",
+            let progress = if source.name == LIST && !is_list_watched {
+                SourceProgress::Failed
+            } else {
+                SourceProgress::Silent
             };
-            let mut value = json!({"name": source.name, "state": state});
-            if source.name == SRV {
-                records(&mut value, newest, now);
-            }
-            value
+            (source.name.clone(), progress)
         })
-        .collect();
-    json!({"usable": members.usable_count(), "servers": servers, "sources": sources})
+        .collect()
 }
 
-fn records(value: &mut Value, newest: &LatestSrvLookup, now: poppykeel_dns_resolver::Micros) {
-    let left = |at: u64| at.saturating_sub(now) as f64 / 1e6;
-    match &*newest.borrow() {
-        Some(Ok(found)) => {
-            let records = found.endpoints.iter().map(|e| {
-                json!({
-                    "target": e.target, "addr": e.addr.to_string(), "priority": e.priority,
-                    "weight": e.weight, "expires_s": left(e.expires), "stale": e.stale,
-                })
+/// One run of the command.
+struct ResolveSession<'a> {
+    command: &'a ResolveCommand,
+    clock: Clock,
+    registry: EndpointRegistry,
+    list_watcher: Option<EndpointWatcher>,
+    /// How far each source has come, by name.
+    progress: BTreeMap<String, SourceProgress>,
+    latest_lookup: LatestSrvLookup,
+    /// What was shown last.
+    shown: Option<Vec<EndpointFingerprint>>,
+}
+
+impl ResolveSession<'_> {
+    /// Applies updates until every source has reported once or the time is over, and shows the list. While watching
+    /// it goes on until the process is interrupted, and shows each change.
+    async fn run(&mut self, mut updates: mpsc::Receiver<Message>) -> Result<(), ResolveError> {
+        let is_watching = self.command.watch;
+        let wait = Duration::from_secs_f64(self.command.wait.clamp(0.0, MAX_WAIT_S));
+        let deadline = Instant::now() + wait;
+        loop {
+            if self.has_every_source_reported() {
+                if !is_watching {
+                    break;
+                }
+                self.show_change()?;
+            }
+            let until_timer = self.registry.next_timer().map_or(NO_TIMER, |timer| {
+                Duration::from_micros(timer.saturating_sub(self.clock.now()))
             });
-            value["records"] = records.collect();
-            value["expires_s"] = left(found.expires).into();
-            value["nothing"] = found.nothing.clone().into();
-            let unresolved = found.unresolved.iter();
-            value["unresolved"] = unresolved
-                .map(|(t, why)| json!({"target": t, "why": why}))
-                .collect();
+            // Every branch is safe to cancel: a message stays in the channel, and timers are set anew.
+            tokio::select! {
+                message = updates.recv() => {
+                    if let Some(Message::Told { source, told }) = message {
+                        self.apply_update(source, told);
+                    }
+                }
+                () = tokio::time::sleep(until_timer) => {
+                    self.registry.on_timer(self.clock.now());
+                }
+                () = tokio::time::sleep_until(deadline), if !is_watching => break,
+            }
         }
-        Some(Err(why)) => value["why"] = why.as_str().into(),
-        None => {}
+        self.command.show(&self.report())
     }
-}
 
-fn table(what: &Value) -> String {
-    let mut out = String::new();
-    let list = |value: &Value| value.as_array().cloned().unwrap_or_default();
-    let text = |value: &Value| {
-        value
-            .as_str()
-            .map_or_else(|| value.to_string(), String::from)
-    };
-    for source in list(&what["sources"]) {
-        let why = ["why", "nothing"].iter().find_map(|k| source[*k].as_str());
-        let why = why.map_or(String::new(), |w| format!(": {w}"));
-        let _ = writeln!(
-            out,
-            "{} {}{why}",
-            text(&source["name"]),
-            text(&source["state"])
-        );
-        for r in list(&source["records"]) {
-            let _ = writeln!(
-                out,
-                "  {} priority {} weight {} at {}, {:.1} s left",
-                text(&r["target"]),
-                r["priority"],
-                r["weight"],
-                text(&r["addr"]),
-                r["expires_s"].as_f64().unwrap_or(0.0)
-            );
+    fn has_every_source_reported(&self) -> bool {
+        !self
+            .progress
+            .values()
+            .any(|progress| *progress == SourceProgress::Silent)
+    }
+
+    fn apply_update(&mut self, source: &'static str, update: SourceUpdate) {
+        let progress = if update == SourceUpdate::Failed {
+            SourceProgress::Failed
+        } else {
+            SourceProgress::Answered
+        };
+        let is_failed_list = progress == SourceProgress::Failed && source == LIST;
+        if is_failed_list && self.command.watch {
+            self.restart_list_watcher_later();
+        }
+        self.progress.insert(source.to_string(), progress);
+        let source_index = self
+            .registry
+            .settings()
+            .sources
+            .iter()
+            .position(|settings| settings.name == source);
+        if let Some(source_index) = source_index {
+            self.registry
+                .apply_update(self.clock.now(), source_index, update);
         }
-        for u in list(&source["unresolved"]) {
-            let _ = writeln!(out, "  {}: {}", text(&u["target"]), text(&u["why"]));
+    }
+
+    /// A watcher stops after a failure; in a node the scheduler says when it starts again.
+    fn restart_list_watcher_later(&self) {
+        let Some(watcher) = self.list_watcher.clone() else {
+            return;
+        };
+        tokio::task::spawn_local(async move {
+            tokio::time::sleep(RETRY_PAUSE).await;
+            watcher.start();
+        });
+    }
+
+    fn report(&self) -> ResolveReport {
+        ResolveReport::new(
+            &self.registry,
+            &self.progress,
+            &self.latest_lookup.borrow(),
+            self.clock.now(),
+        )
+    }
+
+    /// Shows the list if it is not the one shown last.
+    fn show_change(&mut self) -> Result<(), ResolveError> {
+        let report = self.report();
+        let fingerprint = Some(report.fingerprint());
+        if fingerprint != self.shown {
+            self.command.show(&report)?;
+            self.shown = fingerprint;
         }
+        Ok(())
     }
-    let servers = list(&what["servers"]);
-    let _ = writeln!(
-        out,
-        "{} of {} servers take work",
-        what["usable"],
-        servers.len()
-    );
-    for s in servers {
-        let named: Vec<String> = list(&s["sources"]).iter().map(text).collect();
-        let _ = writeln!(
-            out,
-            "  {:<9} {:<22} {:<9} {} ({})",
-            text(&s["state"]),
-            text(&s["addr"]),
-            named.join("+"),
-            text(&s["name"]),
-            text(&s["reason"])
-        );
+}
+
+/// The bounds of the list's watcher; nothing else of the transport runs.
+fn bounds() -> Bounds {
+    let unused = Duration::ZERO;
+    Bounds {
+        clients: 0,
+        upstream: 0,
+        held_bytes: 0,
+        dial: unused,
+        idle: unused,
+        rest: unused,
+        stall: unused,
+        client_idle: unused,
+        read: unused,
+        probe: unused,
+        watch: LONG_POLL_WAIT,
+        watch_slack: POLL_SLACK,
+        retry_watch: LONG_POLL_WAIT,
+        retry_slack: POLL_SLACK,
+        linger: unused,
     }
-    out
 }
--- /dev/null
+++ b/src/program/resolve/report.rs
@@ -0,0 +1,292 @@
+//! What `poppykeel resolve` shows: the answers of the sources and the combined endpoint list, as JSON or as text.
+//!
+//! The names of the fields are the keys of the JSON output, which scripts read; they must not change.
+
+use crate::transport::endpoints::srv::SrvLookupResult;
+use crate::transport::messages::SRV;
+use poppykeel_dns_resolver::{Endpoint, Found};
+use poppykeel_endpoints::{EndpointRegistry, MonotonicMicros, RegisteredEndpoint};
+use serde::Serialize;
+use std::collections::BTreeMap;
+use std::fmt;
+use std::net::SocketAddr;
+
+/// How far a source has come.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
+#[serde(rename_all = "lowercase")]
+pub(super) enum SourceProgress {
+    /// It has reported nothing yet.
+    Silent,
+    /// Its latest report is an answer.
+    Answered,
+    /// Its latest report is a failure.
+    Failed,
+}
+
+/// The whole output.
+#[derive(Debug, Serialize)]
+pub(super) struct ResolveReport {
+    /// The number of endpoints that take requests.
+    usable: usize,
+    servers: Vec<EndpointReport>,
+    sources: Vec<SourceReport>,
+}
+
+/// One endpoint of the combined list.
+#[derive(Debug, Serialize)]
+struct EndpointReport {
+    name: String,
+    addr: SocketAddr,
+    /// The label of its status.
+    state: &'static str,
+    /// The names of the sources that say something about it, in the order of the settings.
+    sources: Vec<String>,
+    /// The labels of their verdicts.
+    opinions: BTreeMap<String, &'static str>,
+    reason: String,
+    zone: String,
+    kind: String,
+    weight: Option<f64>,
+    priority: Option<u16>,
+}
+
+/// One source.
+#[derive(Debug, Serialize)]
+struct SourceReport {
+    name: String,
+    state: SourceProgress,
+    /// The latest look-up, if the source is DNS and one has ended.
+    #[serde(flatten)]
+    lookup: Option<LookupReport>,
+}
+
+/// One look-up of SRV records.
+#[derive(Debug, Serialize)]
+#[serde(untagged)]
+enum LookupReport {
+    Found {
+        records: Vec<RecordReport>,
+        /// The time until the first record expires.
+        expires_s: f64,
+        /// Why nothing is listed, if nothing is.
+        nothing: Option<String>,
+        unresolved: Vec<UnresolvedTarget>,
+    },
+    Failed {
+        why: String,
+    },
+}
+
+/// One address of one target.
+#[derive(Debug, Serialize)]
+struct RecordReport {
+    target: String,
+    addr: SocketAddr,
+    priority: u16,
+    weight: u16,
+    expires_s: f64,
+    stale: bool,
+}
+
+/// A target whose addresses could not be looked up.
+#[derive(Debug, Serialize)]
+struct UnresolvedTarget {
+    target: String,
+    why: String,
+}
+
+/// What of an endpoint counts as a change. Times and counts in the reason go on without one.
+#[derive(Debug, PartialEq)]
+pub(super) struct EndpointFingerprint {
+    name: String,
+    addr: SocketAddr,
+    state: &'static str,
+    opinions: BTreeMap<String, &'static str>,
+}
+
+impl ResolveReport {
+    /// The report at this moment.
+    pub(super) fn new(
+        registry: &EndpointRegistry,
+        progress: &BTreeMap<String, SourceProgress>,
+        latest_lookup: &SrvLookupResult,
+        now: MonotonicMicros,
+    ) -> Self {
+        let servers = registry
+            .endpoints()
+            .iter()
+            .map(|endpoint| EndpointReport::new(registry, endpoint))
+            .collect();
+        let sources = registry
+            .settings()
+            .sources
+            .iter()
+            .map(|source| SourceReport {
+                name: source.name.clone(),
+                state: progress
+                    .get(&source.name)
+                    .copied()
+                    .unwrap_or(SourceProgress::Silent),
+                lookup: if source.name == SRV {
+                    LookupReport::new(latest_lookup, now)
+                } else {
+                    None
+                },
+            })
+            .collect();
+        ResolveReport {
+            usable: registry.usable_count(),
+            servers,
+            sources,
+        }
+    }
+
+    /// What must differ for the report to be shown again.
+    pub(super) fn fingerprint(&self) -> Vec<EndpointFingerprint> {
+        self.servers
+            .iter()
+            .map(|endpoint| EndpointFingerprint {
+                name: endpoint.name.clone(),
+                addr: endpoint.addr,
+                state: endpoint.state,
+                opinions: endpoint.opinions.clone(),
+            })
+            .collect()
+    }
+}
+
+impl EndpointReport {
+    fn new(registry: &EndpointRegistry, endpoint: &RegisteredEndpoint) -> Self {
+        let verdicts = registry.source_verdicts(endpoint);
+        EndpointReport {
+            name: endpoint.name.clone(),
+            addr: endpoint.listing.addr,
+            state: endpoint.status.label(),
+            sources: verdicts.iter().map(|named| named.source.clone()).collect(),
+            opinions: verdicts
+                .into_iter()
+                .map(|named| (named.source, named.verdict.label()))
+                .collect(),
+            reason: registry.status_reason(endpoint),
+            zone: endpoint.listing.zone.clone(),
+            kind: endpoint.listing.host_type.clone(),
+            weight: endpoint.weight,
+            priority: endpoint.priority,
+        }
+    }
+}
+
+impl LookupReport {
+    /// `None` if no look-up has ended yet.
+    fn new(lookup: &SrvLookupResult, now: MonotonicMicros) -> Option<Self> {
+        match lookup {
+            SrvLookupResult::Pending => None,
+            SrvLookupResult::Found(found) => Some(LookupReport::found(found, now)),
+            SrvLookupResult::Failed(reason) => Some(LookupReport::Failed {
+                why: reason.clone(),
+            }),
+        }
+    }
+
+    fn found(found: &Found, now: MonotonicMicros) -> Self {
+        LookupReport::Found {
+            records: found
+                .endpoints
+                .iter()
+                .map(|endpoint| RecordReport::new(endpoint, now))
+                .collect(),
+            expires_s: seconds_until(found.expires, now),
+            nothing: found.nothing.clone(),
+            unresolved: found
+                .unresolved
+                .iter()
+                .map(|(target, reason)| UnresolvedTarget {
+                    target: target.clone(),
+                    why: reason.clone(),
+                })
+                .collect(),
+        }
+    }
+}
+
+impl RecordReport {
+    fn new(endpoint: &Endpoint, now: MonotonicMicros) -> Self {
+        RecordReport {
+            target: endpoint.target.clone(),
+            addr: endpoint.addr,
+            priority: endpoint.priority,
+            weight: endpoint.weight,
+            expires_s: seconds_until(endpoint.expires, now),
+            stale: endpoint.stale,
+        }
+    }
+}
+
+fn seconds_until(time: MonotonicMicros, now: MonotonicMicros) -> f64 {
+    time.saturating_sub(now) as f64 / 1e6
+}
+
+impl fmt::Display for ResolveReport {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        for source in &self.sources {
+            write!(f, "{source}")?;
+        }
+        let endpoint_count = self.servers.len();
+        writeln!(f, "{} of {endpoint_count} servers take work", self.usable)?;
+        for endpoint in &self.servers {
+            writeln!(
+                f,
+                "  {:<9} {:<22} {:<9} {} ({})",
+                endpoint.state,
+                endpoint.addr.to_string(),
+                endpoint.sources.join("+"),
+                endpoint.name,
+                endpoint.reason
+            )?;
+        }
+        Ok(())
+    }
+}
+
+impl fmt::Display for SourceReport {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        let state = match self.state {
+            SourceProgress::Silent => "silent",
+            SourceProgress::Answered => "answered",
+            SourceProgress::Failed => "failed",
+        };
+        write!(f, "{} {state}", self.name)?;
+        match &self.lookup {
+            None => writeln!(f),
+            Some(LookupReport::Failed { why }) => writeln!(f, ": {why}"),
+            Some(LookupReport::Found {
+                records,
+                nothing,
+                unresolved,
+                ..
+            }) => {
+                if let Some(reason) = nothing {
+                    write!(f, ": {reason}")?;
+                }
+                writeln!(f)?;
+                for record in records {
+                    writeln!(f, "  {record}")?;
+                }
+                for target in unresolved {
+                    writeln!(f, "  {}: {}", target.target, target.why)?;
+                }
+                Ok(())
+            }
+        }
+    }
+}
+
+impl fmt::Display for RecordReport {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(
+            f,
+            "{} priority {} weight {} at {}, {:.1} s left",
+            self.target, self.priority, self.weight, self.addr, self.expires_s
+        )
+    }
+}
--- a/src/transport/endpoints/discovery.rs
+++ b/src/transport/endpoints/discovery.rs
@@ -1,317 +1,358 @@
-//! The watch of discovery's list: one long poll after the other on one connection, each with a time limit of its
-//! own. Where the list is asked for, a call that is refused or reset ends the watch and when it starts again is the
-//! module's to say; one that falls silent is made anew at once, since the service may well be there and the
-//! connection alone is broken. After either the next call waits at the service for a short time or not at all, since
-//! silence shows only when the wait is over. Where the list is pushed, the address is an agent on the node's own machine that
-//! answers at no cost: the watch runs from the start and calls again by itself after a short pause.
+//! The watcher of discovery's endpoint list: one poll after the other on one connection, each with a time limit.
+//!
+//! [`EndpointWatcher`] is a handle that the dispatcher, `program::serve` and `program::resolve` share. While the watcher
+//! is started, one task polls the service and sends every answer to the dispatcher, and every failure that ends the
+//! polling. The module `watcher_state` has the states and their transitions.
+//!
+//! A poll first waits until the coordination's budget has a poll for this node. From then on its time is limited: by
+//! how long it waits at the service, and by the slack for the answer beyond that. Silence shows only when both are
+//! over. So after a poll without an answer the next one does not wait at the service, and after a refusal it waits
+//! for a short time.
 
-#![expect(
-    clippy::single_match_else,
-    clippy::too_many_lines,
-    reason = "not yet converted"
-)]
-
-use crate::protocol::discovery::{parse_endpoint_list, EndpointListResponse};
-use crate::protocol::http::{Http, Out, Part, Side, Start};
-use crate::protocol::request;
+use super::poll::{self, PollError, PollRequest};
+use super::watcher_state::{PollMode, WatcherEvent, WatcherState};
+use crate::protocol::discovery::EndpointListResponse;
 use crate::routing::seconds;
 use crate::transport::clock::Clock;
 use crate::transport::messages::{Message, LIST};
 use crate::transport::{Bounds, Wire};
-use futures_util::{SinkExt, StreamExt};
 use poppykeel_endpoints::SourceUpdate;
-use poppykeel_scheduler::interface::{BudgetDemand, BudgetGrants, BudgetKind};
+use poppykeel_scheduler::interface::{BudgetDemand, BudgetGrants, BudgetKind, EndpointListMode};
 use poppykeel_scheduler::BudgetLedger;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
-use tokio::net::TcpStream;
 use tokio::sync::{mpsc, Notify};
-use tokio_util::codec::Framed;
 
-/// The longest answer that is read.
-const MOST_LIST: usize = 4 * 1024 * 1024;
-/// Where lists are pushed, a failed call is made again after this pause: long enough not to spin on a refused
-/// connection, short against the time in which a drain must be heeded.
-const PUSHED_PAUSE: Duration = Duration::from_millis(100);
+/// A pushed list is polled again this long after a failed poll: long enough not to spin on a refused connection,
+/// short against the time within which a drain must be heeded.
+const PUSHED_RETRY_PAUSE: Duration = Duration::from_millis(100);
 
-/// Where the fleet's budget has no call left, it is looked again after this.
-const LOOK: Duration = Duration::from_millis(20);
+/// How often the coordination's budget is looked at while it has no poll left for this node.
+const BUDGET_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// How the last call to the service ended.
-#[derive(Clone, Copy, Default, PartialEq)]
-enum LastCall {
-    #[default]
-    Answered,
-    /// It was refused, reset or answered with an error.
-    Refused,
-    /// No whole answer came within its time.
-    Silent,
-}
+/// What one poll takes out of the budget.
+const UNITS_PER_POLL: f64 = 1.0;
 
-/// The watch of one node.
+/// The weight of a poll against other demand for the budget.
+const POLL_WEIGHT: f64 = 1.0;
+
+/// A handle to the watcher of one node. Clones share one watcher.
 #[derive(Clone)]
 pub struct EndpointWatcher {
-    addr: Rc<Cell<SocketAddr>>,
-    moved: Rc<Notify>,
+    shared: Rc<SharedState>,
+    list_mode: EndpointListMode,
+}
+
+/// What all handles of one watcher and its task share. Everything runs on one thread.
+struct SharedState {
+    service_addr: Cell<SocketAddr>,
+    /// Wakes the task if the service has another address now.
+    service_moved: Notify,
     bounds: Rc<Bounds>,
-    tell: mpsc::Sender<Message>,
-    running: Rc<Cell<bool>>,
-    /// The list is a source of this node.
-    enabled: Rc<Cell<bool>>,
-    version: Rc<Cell<u64>>,
-    /// Why the last call failed, where it did.
-    lately: Rc<RefCell<Option<String>>>,
-    /// The list is pushed: the watch never waits for the module.
-    pushed: bool,
-    last_call: Rc<Cell<LastCall>>,
-    /// What the fleet allows of calls.
-    calls: Rc<RefCell<BudgetLedger>>,
+    /// To the dispatcher. The task waits while the channel is full.
+    dispatcher: mpsc::Sender<Message>,
+    state: Cell<WatcherState>,
+    /// Whether the list is a source of this node.
+    is_enabled: Cell<bool>,
+    /// The version of the list that the node has.
+    known_version: Cell<u64>,
+    /// Why the last poll failed, if it did.
+    last_error: RefCell<Option<String>>,
+    poll_budget: RefCell<BudgetLedger>,
     clock: Clock,
 }
 
+/// How a poll ended.
+enum PollOutcome {
+    /// The service has another address now, and the poll was dropped.
+    ServiceMoved,
+    /// The service has answered with a list.
+    Answered(EndpointListResponse),
+    /// The connection was refused or reset, or the answer is no list.
+    Refused(PollError),
+    /// No complete answer came in time.
+    TimedOut,
+}
+
 impl EndpointWatcher {
-    /// A watch that has not begun.
+    /// A watcher that has not been started, of a list that is polled on request.
     pub fn new(
-        addr: SocketAddr,
+        service_addr: SocketAddr,
         bounds: Rc<Bounds>,
-        tell: mpsc::Sender<Message>,
+        dispatcher: mpsc::Sender<Message>,
         clock: Clock,
     ) -> Self {
-        let (moved, running, version, lately, calls) = Default::default();
-        let (addr, enabled, pushed) = (Rc::new(Cell::new(addr)), Rc::new(Cell::new(true)), false);
-        let last_call = Rc::default();
-        EndpointWatcher {
-            addr,
-            moved,
+        let shared = SharedState {
+            service_addr: Cell::new(service_addr),
+            service_moved: Notify::new(),
             bounds,
-            tell,
-            running,
-            enabled,
-            version,
-            lately,
-            pushed,
-            last_call,
-            calls,
+            dispatcher,
+            state: Cell::default(),
+            is_enabled: Cell::new(true),
+            known_version: Cell::default(),
+            last_error: RefCell::default(),
+            poll_budget: RefCell::default(),
             clock,
+        };
+        EndpointWatcher {
+            shared: Rc::new(shared),
+            list_mode: EndpointListMode::Polled,
         }
     }
 
-    /// The same watch where the list is pushed: it runs from now on, whether or not the module asks.
+    /// The same watcher for a pushed list. It is started now and does not wait for a request after a failed poll.
     pub fn into_pushed(self) -> Self {
-        let watch = EndpointWatcher {
-            pushed: true,
+        let watcher = EndpointWatcher {
+            list_mode: EndpointListMode::Pushed,
             ..self
         };
-        watch.start();
-        watch
+        watcher.start();
+        watcher
     }
 
-    /// The list that the node has now.
+    /// Sets the version of the list that the node has.
     pub fn set_known_version(&self, version: u64) {
-        self.version.set(version);
+        self.shared.known_version.set(version);
     }
 
-    /// Whether the list is a source at all; it is watched from the next order on, or not asked again.
-    pub fn set_enabled(&self, enabled: bool) {
-        if !self.enabled.replace(enabled) && enabled {
-            // What was told before is forgotten with the source: all of it is wanted again.
-            self.version.set(0);
+    /// Sets whether the list is a source of this node. A list that becomes one is watched at once; one that no longer
+    /// is one is not polled again, while a poll that is under way goes on.
+    pub fn set_enabled(&self, is_enabled: bool) {
+        let was_enabled = self.shared.is_enabled.replace(is_enabled);
+        if is_enabled && !was_enabled {
+            // The registry has forgotten the source's earlier answers, so the full list is needed.
+            self.shared.known_version.set(0);
             self.start();
         }
     }
 
-    /// What the fleet allows of calls from now on.
-    pub fn set_budget_grants(&self, allowed: &BudgetGrants) {
-        let calls = allowed
+    /// Sets what the coordination grants of polls from now on.
+    pub fn set_budget_grants(&self, grants: &BudgetGrants) {
+        let poll_grants = grants
             .iter()
-            .filter(|(what, _)| **what == BudgetKind::Discovery);
-        let calls = calls.map(|(what, budget)| (*what, *budget)).collect();
-        self.calls
+            .filter(|(kind, _)| **kind == BudgetKind::Discovery)
+            .map(|(kind, grant)| (*kind, *grant))
+            .collect();
+        self.shared
+            .poll_budget
             .borrow_mut()
-            .set_grants(seconds(self.clock.now()), &calls);
+            .set_grants(seconds(self.shared.clock.now()), &poll_grants);
     }
 
-    /// What has been wanted of that.
+    /// The demand for polls since the start.
     pub fn budget_demand(&self) -> BTreeMap<BudgetKind, BudgetDemand> {
-        self.calls.borrow().demand()
-    }
-
-    /// Waits until the fleet's budget has a call for this node.
-    async fn permitted(&self) {
-        self.calls
-            .borrow_mut()
-            .record_demand(BudgetKind::Discovery, 1.0, 1.0);
-        while !self
-            .calls
-            .borrow_mut()
-            .spend_unit(seconds(self.clock.now()), BudgetKind::Discovery)
-        {
-            tokio::time::sleep(LOOK).await;
-        }
+        self.shared.poll_budget.borrow().demand()
     }
 
-    /// Begins, unless it is running.
+    /// Starts to watch the list, unless that has happened or the list is no source of this node.
     pub fn start(&self) {
-        if self.enabled.get() && !self.running.replace(true) {
+        let can_start = self.shared.is_enabled.get() && !self.shared.state.get().is_started();
+        if can_start {
+            self.apply(WatcherEvent::Started);
             tokio::task::spawn_local(self.clone().run());
         }
     }
 
-    /// Watches at another address from now on. A call that waits at the old one is dropped, and so is the pause
-    /// after a failed one: the old service may never answer either.
-    pub fn set_service_addr(&self, addr: SocketAddr) {
-        if self.addr.replace(addr) != addr {
-            if self.running.get() {
-                self.moved.notify_one();
-            } else {
-                self.start();
-            }
+    /// Watches at another address from now on. A poll that waits at the previous one is dropped, and so is the pause
+    /// after a failed poll: the previous service may never answer.
+    pub fn set_service_addr(&self, service_addr: SocketAddr) {
+        if self.shared.service_addr.replace(service_addr) == service_addr {
+            return;
         }
+        if self.shared.state.get().is_started() {
+            self.shared.service_moved.notify_one();
+        } else {
+            self.start();
+        }
+    }
+
+    fn apply(&self, event: WatcherEvent) -> WatcherState {
+        let state = self.shared.state.get().after(event, self.list_mode);
+        self.shared.state.set(state);
+        state
     }
 
+    /// The task: polls until the watcher is idle or stopped. It must not look at the state after it has become idle,
+    /// since another task may have been started by then.
     async fn run(self) {
-        while self.watch().await {
-            tokio::select! {
-                () = self.moved.notified() => {}
-                () = tokio::time::sleep(PUSHED_PAUSE) => {}
+        while let Some(error) = self.poll_until_failure().await {
+            self.log_failure(&error);
+            let is_paused = matches!(self.shared.state.get(), WatcherState::Paused(_));
+            let report = self.send_update(SourceUpdate::Failed).await;
+            if !is_paused {
+                return;
             }
+            if report.is_err() {
+                self.apply(WatcherEvent::DispatcherGone);
+                return;
+            }
+            self.pause().await;
         }
     }
 
-    /// How long the next call waits at the service, and how long the node waits for its answer beyond that. Silence
-    /// shows only after both: so after a silent call the next one waits for nothing, and whether anybody answers is
-    /// known at once. After a refused one it waits for a little: a service that has just come back has every node to
-    /// answer, and a call each must do.
-    fn wait(&self) -> (Duration, Duration) {
-        match self.last_call.get() {
-            LastCall::Answered => (self.bounds.watch, self.bounds.watch_slack),
-            LastCall::Refused => (self.bounds.retry_watch, self.bounds.retry_slack),
-            LastCall::Silent => (Duration::ZERO, self.bounds.retry_slack),
-        }
+    /// Waits after a failed poll of a pushed list.
+    async fn pause(&self) {
+        // Both branches are safe to cancel: `notified` keeps a notification that comes later for the next call, and
+        // a timer holds nothing.
+        let event = tokio::select! {
+            () = self.shared.service_moved.notified() => WatcherEvent::ServiceMoved,
+            () = tokio::time::sleep(PUSHED_RETRY_PAUSE) => WatcherEvent::PauseEnded,
+        };
+        self.apply(event);
     }
 
-    /// Calls until a call fails, and tells the core that it did; whether to call again by itself.
-    async fn watch(&self) -> bool {
-        let mut wire = None;
-        let why = loop {
-            if !self.enabled.get() {
-                self.running.set(false);
-                return false;
+    /// Polls until a poll fails for good, and returns why it did. `None` if the list is no source of this node any
+    /// more, or the dispatcher has gone.
+    async fn poll_until_failure(&self) -> Option<PollError> {
+        let mut connection = None;
+        // Only this task leaves the state `Polling`.
+        while let WatcherState::Polling(mode) = self.shared.state.get() {
+            if !self.shared.is_enabled.get() {
+                self.apply(WatcherEvent::Disabled);
+                return None;
             }
-            let (wait, slack) = self.wait();
-            let limit = wait + slack;
-            let call = tokio::select! {
-                biased;
-                () = self.moved.notified() => {
-                    wire = None;
-                    continue;
+            match self.poll(&mut connection, mode).await {
+                PollOutcome::ServiceMoved => {
+                    self.apply(WatcherEvent::ServiceMoved);
+                    connection = None;
                 }
-                call = async {
-                    self.permitted().await;
-                    tokio::time::timeout(limit, self.call(&mut wire, wait)).await
-                } => call,
-            };
-            match call {
-                Ok(Ok(update)) => {
-                    self.last_call.set(LastCall::Answered);
-                    if self.lately.replace(None).is_some() {
-                        tracing::info!(source = LIST, "told again");
-                    }
-                    tracing::debug!(source = LIST, version = update.version(), "told");
-                    // The version is set before the next call goes out, whenever the core gets to it.
-                    self.version.set(update.version());
-                    let told = Message::Told {
-                        source: LIST,
-                        told: update.into_source_update(),
-                    };
-                    if self.tell.send(told).await.is_err() {
-                        return false;
+                PollOutcome::Answered(response) => {
+                    self.apply(WatcherEvent::Answered);
+                    if self.report_list(response).await.is_err() {
+                        self.apply(WatcherEvent::DispatcherGone);
                     }
                 }
-                Ok(Err(why)) => {
-                    self.last_call.set(LastCall::Refused);
-                    break why;
+                PollOutcome::Refused(error) => {
+                    self.apply(WatcherEvent::Refused);
+                    return Some(error);
                 }
-                // Silence is not a refusal: the list goes on without this node until it has called anew, and what
-                // it misses counts as told. One new call, and no more: a service that is cut off stays silent.
-                Err(_) if self.last_call.replace(LastCall::Silent) != LastCall::Silent => {
-                    tracing::info!(source = LIST, "the watch fell silent and is opened anew");
-                    wire = None;
+                PollOutcome::TimedOut => {
+                    let state = self.apply(WatcherEvent::TimedOut);
+                    if !matches!(state, WatcherState::Polling(_)) {
+                        return Some(PollError::Timeout);
+                    }
+                    tracing::info!(
+                        source = LIST,
+                        "no answer from discovery in time; polling on a new connection"
+                    );
+                    connection = None;
                 }
-                Err(_) => break "no answer in time".to_string(),
             }
+        }
+        None
+    }
+
+    /// One poll, on the connection of the previous one or on a new one.
+    async fn poll(&self, connection: &mut Option<Wire>, mode: PollMode) -> PollOutcome {
+        // `notified` is safe to cancel: a notification that comes later is kept for the next call. A poll that is
+        // dropped closes its connection with it, since the connection is taken out of `connection` while it is used,
+        // and loses nothing: the next poll asks for everything after the same version.
+        tokio::select! {
+            biased;
+            () = self.shared.service_moved.notified() => PollOutcome::ServiceMoved,
+            outcome = self.poll_in_time(connection, mode) => outcome,
+        }
+    }
+
+    /// Waits for the budget, and then polls within the time that the mode allows.
+    async fn poll_in_time(&self, connection: &mut Option<Wire>, mode: PollMode) -> PollOutcome {
+        let bounds = &self.shared.bounds;
+        let (wait, slack) = match mode {
+            PollMode::Long => (bounds.watch, bounds.watch_slack),
+            PollMode::Short => (bounds.retry_watch, bounds.retry_slack),
+            PollMode::Immediate => (Duration::ZERO, bounds.retry_slack),
         };
-        // A service that stays away is asked again and again, and complained of once.
-        if self.lately.replace(Some(why.clone())).as_ref() != Some(&why) {
-            tracing::warn!(source = LIST, why, "no list");
+        self.wait_for_budget().await;
+        let exchange = self.exchange(connection, wait);
+        match tokio::time::timeout(wait + slack, exchange).await {
+            Ok(Ok(response)) => PollOutcome::Answered(response),
+            Ok(Err(error)) => PollOutcome::Refused(error),
+            Err(_) => PollOutcome::TimedOut,
         }
-        if !self.pushed {
-            self.running.set(false);
+    }
+
+    /// Waits until the coordination's budget has a poll for this node, and takes it.
+    async fn wait_for_budget(&self) {
+        let budget = &self.shared.poll_budget;
+        budget
+            .borrow_mut()
+            .record_demand(BudgetKind::Discovery, UNITS_PER_POLL, POLL_WEIGHT);
+        loop {
+            let now = seconds(self.shared.clock.now());
+            if budget.borrow_mut().spend_unit(now, BudgetKind::Discovery) {
+                return;
+            }
+            tokio::time::sleep(BUDGET_CHECK_INTERVAL).await;
         }
-        let told = self
-            .tell
-            .send(Message::Told {
-                source: LIST,
-                told: SourceUpdate::Failed,
-            })
-            .await;
-        self.pushed && told.is_ok()
     }
 
-    async fn call(
+    /// Asks the service for what is newer than the known list. A connection that may carry another request is put
+    /// back into `connection`.
+    async fn exchange(
         &self,
-        wire: &mut Option<Wire>,
+        connection: &mut Option<Wire>,
         wait: Duration,
-    ) -> Result<EndpointListResponse, String> {
-        let mut conn = match wire.take() {
-            Some(conn) => conn,
-            None => {
-                let socket = tokio::time::timeout(
-                    self.bounds.watch_slack,
-                    TcpStream::connect(self.addr.get()),
-                )
-                .await;
-                let socket = socket
-                    .map_err(|_| "no connection in time")?
-                    .map_err(|e| e.to_string())?;
-                Framed::new(socket.into(), Http::new(Side::Client))
-            }
+    ) -> Result<EndpointListResponse, PollError> {
+        let shared = &self.shared;
+        let mut wire = if let Some(wire) = connection.take() {
+            wire
+        } else {
+            poll::connect(shared.service_addr.get(), shared.bounds.watch_slack).await?
         };
-        let (since, wait) = (self.version.get(), wait.as_millis());
-        let target = format!("/v1/servers?since={since}&timeout_ms={wait}");
-        let get = request::get(&target, &self.addr.get().to_string());
-        conn.send(Out::Raw(get)).await.map_err(|e| e.to_string())?;
-        let (mut status, mut keep, mut body) = (0, false, Vec::new());
-        loop {
-            match conn.next().await {
-                Some(Ok(Part::Head(head))) => {
-                    keep = head.keep;
-                    status = if let Start::Status(status) = head.start {
-                        status
-                    } else {
-                        0
-                    };
-                }
-                Some(Ok(Part::Body(bytes))) if body.len() + bytes.len() <= MOST_LIST => {
-                    body.extend_from_slice(&bytes);
-                }
-                Some(Ok(Part::Body(_))) => return Err("answer too long".into()),
-                Some(Ok(Part::End)) => break,
-                Some(Err(e)) => return Err(e.to_string()),
-                None => return Err("connection closed".into()),
-            }
+        let request = PollRequest {
+            service_addr: shared.service_addr.get(),
+            known_version: shared.known_version.get(),
+            wait,
+        };
+        let response = poll::exchange(&mut wire, request).await?;
+        response.check_status()?;
+        if response.keeps_connection {
+            *connection = Some(wire);
         }
-        if status != 200 {
-            return Err(format!("status {status}"));
+        response.parse()
+    }
+
+    /// Sends a list to the dispatcher.
+    async fn report_list(
+        &self,
+        response: EndpointListResponse,
+    ) -> Result<(), mpsc::error::SendError<Message>> {
+        if self.shared.last_error.replace(None).is_some() {
+            tracing::info!(source = LIST, "endpoint list available again");
         }
-        if keep {
-            *wire = Some(conn);
+        tracing::debug!(
+            source = LIST,
+            version = response.version(),
+            "endpoint list answered"
+        );
+        // The version is set before the next poll goes out, however late the dispatcher takes the list.
+        self.set_known_version(response.version());
+        self.send_update(response.into_source_update()).await
+    }
+
+    /// Sends an update to the dispatcher, and waits while its channel is full. Fails if the dispatcher has gone.
+    async fn send_update(
+        &self,
+        update: SourceUpdate,
+    ) -> Result<(), mpsc::error::SendError<Message>> {
+        let message = Message::Told {
+            source: LIST,
+            told: update,
+        };
+        self.shared.dispatcher.send(message).await
+    }
+
+    /// Logs why the list cannot be had, unless the previous poll failed for the same reason: a service that stays away
+    /// is polled many times.
+    fn log_failure(&self, error: &PollError) {
+        let reason = error.to_string();
+        let is_new = self.shared.last_error.borrow().as_ref() != Some(&reason);
+        if is_new {
+            tracing::warn!(source = LIST, reason, "no list");
         }
-        let value =
-            serde_json::from_slice(&body).map_err(|e| format!("answer not in JSON ({e})"))?;
-        parse_endpoint_list(&value)
+        self.shared.last_error.replace(Some(reason));
     }
 }
--- a/src/transport/endpoints/mod.rs
+++ b/src/transport/endpoints/mod.rs
@@ -1,5 +1,10 @@
-//! The watchers of the endpoint sources: `discovery` polls the endpoint list over HTTP, `srv` looks up DNS SRV
-//! records. Each sends what its source reports to the dispatcher, which owns the combined list.
+//! The watchers of the endpoint sources.
+//!
+//! [`discovery`] polls the endpoint list over HTTP: its states are in `watcher_state`, one exchange with the service in
+//! `poll`. [`srv`] looks up DNS SRV records. Each watcher sends what its source reports to the dispatcher, which owns
+//! the combined list; `program::serve` and `program::resolve` create them.
 
 pub mod discovery;
+mod poll;
 pub mod srv;
+mod watcher_state;
--- /dev/null
+++ b/src/transport/endpoints/poll.rs
@@ -0,0 +1,155 @@
+//! One poll of the service that keeps the endpoint list: an HTTP request and its answer on one connection.
+//!
+//! Nothing here waits beyond the connect timeout: the watcher bounds the time of an exchange, and drops it if the
+//! service moves. A dropped exchange leaves the connection in the middle of a message, so the connection must be
+//! dropped with it.
+
+use crate::protocol::discovery::{parse_endpoint_list, EndpointListError, EndpointListResponse};
+use crate::protocol::http::{Fault, Http, Out, Part, Side, Start};
+use crate::protocol::request;
+use crate::transport::Wire;
+use futures_util::{SinkExt, StreamExt};
+use std::net::SocketAddr;
+use std::time::Duration;
+use tokio::net::TcpStream;
+use tokio_util::codec::Framed;
+
+/// The longest answer that is read.
+const MAX_RESPONSE_BYTES: usize = 4 * 1024 * 1024;
+
+/// The status of an answer with a list.
+const STATUS_OK: u16 = 200;
+
+/// Why a poll brought no list.
+#[derive(Debug, thiserror::Error)]
+pub(super) enum PollError {
+    /// The connection was not up in time.
+    #[error("no connection in time")]
+    ConnectTimeout,
+    /// The connection could not be opened.
+    #[error("{0}")]
+    Connect(#[source] std::io::Error),
+    /// The connection failed, or what came is not HTTP.
+    #[error("{0}")]
+    Http(Fault),
+    /// The service closed the connection before its answer was complete.
+    #[error("connection closed")]
+    Closed,
+    /// The answer is longer than [`MAX_RESPONSE_BYTES`].
+    #[error("answer too long")]
+    TooLong,
+    /// The answer has another status than 200.
+    #[error("status {0}")]
+    Status(u16),
+    /// The answer is not JSON.
+    #[error("answer not in JSON ({0})")]
+    Json(#[source] serde_json::Error),
+    /// The answer is not an endpoint list.
+    #[error("{0}")]
+    List(#[source] EndpointListError),
+    /// No complete answer came in time.
+    #[error("no answer in time")]
+    Timeout,
+}
+
+/// What the service is asked.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct PollRequest {
+    /// The address of the service, for the request's `Host`.
+    pub(super) service_addr: SocketAddr,
+    /// The version of the list that the node has; only what is newer is asked for.
+    pub(super) known_version: u64,
+    /// How long the service waits for a newer list.
+    pub(super) wait: Duration,
+}
+
+/// A complete answer.
+pub(super) struct PollResponse {
+    status: u16,
+    body: Vec<u8>,
+    /// Whether the connection may carry another request.
+    pub(super) keeps_connection: bool,
+}
+
+/// Opens a connection to the service.
+///
+/// # Errors
+/// The connection is refused, or not up within `timeout`.
+pub(super) async fn connect(
+    service_addr: SocketAddr,
+    timeout: Duration,
+) -> Result<Wire, PollError> {
+    let socket = tokio::time::timeout(timeout, TcpStream::connect(service_addr))
+        .await
+        .map_err(|_| PollError::ConnectTimeout)?
+        .map_err(PollError::Connect)?;
+    Ok(Framed::new(socket.into(), Http::new(Side::Client)))
+}
+
+/// Sends a request and reads its answer, whatever its status.
+///
+/// # Errors
+/// The connection fails or closes before the answer is complete, or the answer is too long.
+pub(super) async fn exchange(
+    connection: &mut Wire,
+    poll: PollRequest,
+) -> Result<PollResponse, PollError> {
+    let target = format!(
+        "/v1/servers?since={}&timeout_ms={}",
+        poll.known_version,
+        poll.wait.as_millis()
+    );
+    let head = request::get(&target, &poll.service_addr.to_string());
+    connection
+        .send(Out::Raw(head))
+        .await
+        .map_err(PollError::Http)?;
+    let mut response = PollResponse {
+        status: 0,
+        body: Vec::new(),
+        keeps_connection: false,
+    };
+    loop {
+        match connection.next().await {
+            Some(Ok(Part::Head(head))) => {
+                response.keeps_connection = head.keep;
+                response.status = match head.start {
+                    Start::Status(status) => status,
+                    Start::Request { .. } => 0,
+                };
+            }
+            Some(Ok(Part::Body(bytes))) => {
+                if response.body.len() + bytes.len() > MAX_RESPONSE_BYTES {
+                    return Err(PollError::TooLong);
+                }
+                response.body.extend_from_slice(&bytes);
+            }
+            Some(Ok(Part::End)) => return Ok(response),
+            Some(Err(fault)) => return Err(PollError::Http(fault)),
+            None => return Err(PollError::Closed),
+        }
+    }
+}
+
+impl PollResponse {
+    /// Fails unless the answer's status is 200.
+    ///
+    /// # Errors
+    /// The status of the answer.
+    pub(super) fn check_status(&self) -> Result<(), PollError> {
+        if self.status == STATUS_OK {
+            Ok(())
+        } else {
+            Err(PollError::Status(self.status))
+        }
+    }
+
+    /// Reads the list.
+    ///
+    /// # Errors
+    /// The body is not JSON, or not an endpoint list.
+    pub(super) fn parse(&self) -> Result<EndpointListResponse, PollError> {
+        let answer = serde_json::from_slice(&self.body).map_err(PollError::Json)?;
+        parse_endpoint_list(&answer).map_err(PollError::List)
+    }
+}
--- a/src/transport/endpoints/srv.rs
+++ b/src/transport/endpoints/srv.rs
@@ -1,6 +1,8 @@
-//! DNS as a source of servers: the resolver's driver, and what it finds as the account of membership takes it.
-
-#![expect(clippy::min_ident_chars, reason = "not yet converted")]
+//! The watcher of DNS: keeps a service's SRV records looked up and reports the endpoints found.
+//!
+//! [`SrvWatcher`] owns the task that runs the resolver. The task sends every answer and every failure to the dispatcher
+//! and keeps the latest one for whoever shows records and lifetimes. `program::serve` and `program::resolve` own a
+//! watcher and set what it looks up.
 
 use crate::protocol::srv::SrvEndpointMapping;
 use crate::transport::clock::Clock;
@@ -12,134 +14,173 @@
 use tokio::sync::mpsc;
 use tokio::task::AbortHandle;
 
-/// Events of the resolver that wait to be taken.
-const EVENTS: usize = 16;
+/// The events of the resolver that wait to be reported. The resolver waits while the channel is full, which is while
+/// the dispatcher is busy.
+const EVENT_CHANNEL_CAPACITY: usize = 16;
 
-/// Where and how servers are looked up.
+/// What is looked up, and how the answers are understood.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SrvLookupSettings {
     /// The resolver's settings.
     pub resolver: Config,
-    /// How names are understood.
+    /// How targets and records are mapped to endpoints.
     pub endpoint_mapping: SrvEndpointMapping,
 }
 
-/// The newest answer, for whoever shows records and lifetimes.
-pub type LatestSrvLookup = Rc<RefCell<Option<Result<Found, String>>>>;
+/// How the latest look-up ended.
+#[derive(Clone, Debug, Default)]
+pub enum SrvLookupResult {
+    /// None has ended yet.
+    #[default]
+    Pending,
+    /// The service was looked up.
+    Found(Found),
+    /// The service could not be looked up, for this reason.
+    Failed(String),
+}
+
+/// The latest look-up, shared with the watcher's task, which replaces it.
+pub type LatestSrvLookup = Rc<RefCell<SrvLookupResult>>;
 
-/// The look-ups of one node; nothing is looked up until they are set.
+/// The look-ups of one node. Nothing is looked up until [`SrvWatcher::watch`] says what.
 pub struct SrvWatcher {
     clock: Clock,
-    tell: mpsc::Sender<Message>,
-    running: Option<(SrvLookupSettings, AbortHandle)>,
-    newest: LatestSrvLookup,
+    dispatcher: mpsc::Sender<Message>,
+    running: Option<RunningLookup>,
+    latest: LatestSrvLookup,
+}
+
+/// The task that looks one service up. Dropping this ends it.
+struct RunningLookup {
+    settings: SrvLookupSettings,
+    task: AbortHandle,
+}
+
+impl Drop for RunningLookup {
+    fn drop(&mut self) {
+        self.task.abort();
+    }
 }
 
 impl SrvWatcher {
-    /// None yet.
-    pub fn new(clock: Clock, tell: mpsc::Sender<Message>) -> Self {
+    /// A watcher that looks nothing up yet.
+    pub fn new(clock: Clock, dispatcher: mpsc::Sender<Message>) -> Self {
         SrvWatcher {
             clock,
-            tell,
+            dispatcher,
             running: None,
-            newest: LatestSrvLookup::default(),
+            latest: LatestSrvLookup::default(),
         }
     }
 
-    /// What was found last, or why nothing was.
+    /// The latest look-up, also of services that are set later.
     pub fn latest_lookup(&self) -> LatestSrvLookup {
-        self.newest.clone()
+        self.latest.clone()
     }
 
-    /// Looks this service up from now on, or none. One that is looked up already goes on undisturbed.
-    pub fn watch(&mut self, service: Option<SrvLookupSettings>) {
-        if self.running.as_ref().map(|r| &r.0) == service.as_ref() {
+    /// Looks this service up from now on, or none. Look-ups with the same settings go on undisturbed.
+    pub fn watch(&mut self, settings: Option<SrvLookupSettings>) {
+        let current = self.running.as_ref().map(|running| &running.settings);
+        if current == settings.as_ref() {
             return;
         }
-        if let Some((_, task)) = self.running.take() {
-            task.abort();
-        }
-        if let Some(service) = service {
-            let run = run(
-                service.clone(),
-                self.clock,
-                self.tell.clone(),
-                self.newest.clone(),
-            );
-            self.running = Some((service, tokio::task::spawn_local(run).abort_handle()));
-        }
+        self.running = None;
+        let Some(settings) = settings else {
+            return;
+        };
+        let reporter = LookupReporter {
+            mapping: settings.endpoint_mapping.clone(),
+            dispatcher: self.dispatcher.clone(),
+            latest: self.latest.clone(),
+            last_listed: None,
+        };
+        let run = run(settings.resolver.clone(), self.clock, reporter);
+        self.running = Some(RunningLookup {
+            settings,
+            task: tokio::task::spawn_local(run).abort_handle(),
+        });
     }
 }
 
-async fn run(
-    service: SrvLookupSettings,
-    clock: Clock,
-    tell: mpsc::Sender<Message>,
-    newest: LatestSrvLookup,
-) {
-    let (events, mut found) = mpsc::channel(EVENTS);
-    let SrvLookupSettings {
-        resolver,
-        endpoint_mapping: naming,
-    } = service;
-    let driver = driver::run(resolver, move || clock.now(), events);
-    // What is listed as it was is no news, but one more answer that says so.
-    let mut last: Option<Vec<ListedEndpoint>> = None;
-    let take = async {
-        while let Some(event) = found.recv().await {
-            let told = match &event {
-                Event::Listed(found) => news(&mut last, listed(found, &naming)),
-                Event::Failed { why, .. } => {
-                    tracing::warn!(source = SRV, why = %why, "no list");
-                    SourceUpdate::Failed
-                }
+/// Runs the resolver and reports its events, until the dispatcher has gone or the settings turn out to be invalid.
+async fn run(resolver: Config, clock: Clock, reporter: LookupReporter) {
+    let (event_sender, events) = mpsc::channel(EVENT_CHANNEL_CAPACITY);
+    let driver = driver::run(resolver, move || clock.now(), event_sender);
+    // Neither branch is polled again after the other has ended, so nothing depends on their cancellation: the driver
+    // owns its sockets and closes them when it is dropped, and events that were not reported are lost with it.
+    tokio::select! {
+        result = driver => if let Err(reason) = result {
+            tracing::error!(source = SRV, %reason, "look-ups stopped");
+        },
+        () = reporter.report_all(events) => {}
+    }
+}
+
+/// Turns the resolver's events into updates of the source.
+struct LookupReporter {
+    mapping: SrvEndpointMapping,
+    dispatcher: mpsc::Sender<Message>,
+    latest: LatestSrvLookup,
+    /// The endpoints reported last.
+    last_listed: Option<Vec<ListedEndpoint>>,
+}
+
+impl LookupReporter {
+    /// Reports events until there are no more, or until the dispatcher has gone.
+    async fn report_all(mut self, mut events: mpsc::Receiver<Event>) {
+        while let Some(event) = events.recv().await {
+            let update = self.update_for(&event);
+            *self.latest.borrow_mut() = match event {
+                Event::Listed(found) => SrvLookupResult::Found(found),
+                Event::Failed { why, .. } => SrvLookupResult::Failed(why),
             };
-            *newest.borrow_mut() = Some(match event {
-                Event::Listed(found) => Ok(found),
-                Event::Failed { why, .. } => Err(why),
-            });
-            if tell
-                .send(Message::Told { source: SRV, told })
-                .await
-                .is_err()
-            {
+            let message = Message::Told {
+                source: SRV,
+                told: update,
+            };
+            if self.dispatcher.send(message).await.is_err() {
                 return;
             }
         }
-    };
-    tokio::select! {
-        end = driver => if let Err(why) = end {
-            tracing::error!(source = SRV, why = %why, "no look-ups");
-        },
-        () = take => {}
     }
-}
 
-fn news(last: &mut Option<Vec<ListedEndpoint>>, listed: Vec<ListedEndpoint>) -> SourceUpdate {
-    if last.as_ref() == Some(&listed) {
-        return SourceUpdate::Changes(Vec::new());
+    fn update_for(&mut self, event: &Event) -> SourceUpdate {
+        match event {
+            Event::Listed(found) => {
+                log_incomplete_answer(found);
+                let endpoints = found.endpoints.iter();
+                let listed = endpoints.map(|endpoint| self.mapping.to_listed_endpoint(endpoint));
+                self.list_update(listed.collect())
+            }
+            Event::Failed { why, .. } => {
+                tracing::warn!(source = SRV, reason = %why, "no list");
+                SourceUpdate::Failed
+            }
+        }
+    }
+
+    /// A list that equals the previous one is an empty change list, which confirms it.
+    fn list_update(&mut self, listed: Vec<ListedEndpoint>) -> SourceUpdate {
+        if self.last_listed.as_ref() == Some(&listed) {
+            return SourceUpdate::Changes(Vec::new());
+        }
+        self.last_listed = Some(listed.clone());
+        SourceUpdate::FullList(listed)
     }
-    *last = Some(listed.clone());
-    SourceUpdate::FullList(listed)
 }
 
-fn listed(found: &Found, naming: &SrvEndpointMapping) -> Vec<ListedEndpoint> {
-    if let Some(why) = &found.nothing {
-        tracing::warn!(source = SRV, why = %why, "nothing listed");
+fn log_incomplete_answer(found: &Found) {
+    if let Some(reason) = &found.nothing {
+        tracing::warn!(source = SRV, %reason, "nothing listed");
     }
-    for (target, why) in &found.unresolved {
-        tracing::warn!(source = SRV, target_name = %target, why = %why, "target not resolved");
+    for (target, reason) in &found.unresolved {
+        tracing::warn!(source = SRV, target_name = %target, %reason, "target not resolved");
     }
     if found.left_out > 0 {
         tracing::warn!(
             source = SRV,
-            left_out = found.left_out,
-            "more targets than may be"
+            omitted_count = found.left_out,
+            "too many targets"
         );
     }
-    found
-        .endpoints
-        .iter()
-        .map(|e| naming.to_listed_endpoint(e))
-        .collect()
 }
