--- /dev/null
+++ b/benches/endpoints/load.rs
@@ -0,0 +1,86 @@
+//! Clients of the node and the times of their requests.
+
+use std::io::{Read, Write};
+use std::net::{SocketAddr, TcpStream};
+use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
+use std::sync::Arc;
+use std::thread;
+use std::time::{Duration, Instant};
+
+/// A client whose answer takes longer than this ends the run.
+const READ_TIMEOUT: Duration = Duration::from_secs(30);
+
+/// The id of the next request, over all clients.
+static NEXT_REQUEST_ID: AtomicU64 = AtomicU64::new(1);
+
+/// Clients that send one request after the other until they are stopped.
+pub struct Clients {
+    stop: Arc<AtomicBool>,
+    threads: Vec<thread::JoinHandle<Vec<f64>>>,
+}
+
+impl Clients {
+    /// Starts so many clients of a node, each with a pause after every answer.
+    pub fn start(node: SocketAddr, client_count: usize, pause: Duration) -> Clients {
+        let stop = Arc::new(AtomicBool::new(false));
+        let threads = (0..client_count)
+            .map(|_| {
+                let stop = stop.clone();
+                thread::spawn(move || run_client(node, &stop, pause))
+            })
+            .collect();
+        Clients { stop, threads }
+    }
+
+    /// Stops the clients. Returns the time of each request in milliseconds.
+    pub fn stop(self) -> Vec<f64> {
+        self.stop.store(true, Ordering::Relaxed);
+        self.threads
+            .into_iter()
+            .flat_map(|client| client.join().unwrap())
+            .collect()
+    }
+}
+
+fn run_client(node: SocketAddr, stop: &AtomicBool, pause: Duration) -> Vec<f64> {
+    let mut times_ms = Vec::new();
+    let mut stream = TcpStream::connect(node).unwrap();
+    stream.set_nodelay(true).unwrap();
+    stream.set_read_timeout(Some(READ_TIMEOUT)).unwrap();
+    while !stop.load(Ordering::Relaxed) {
+        let id = NEXT_REQUEST_ID.fetch_add(1, Ordering::Relaxed);
+        let started_at = Instant::now();
+        let request = format!(
+            "POST /v1/chat/completions HTTP/1.1\r\nReq-Id: {id:016x}\r\nReq-Kind: chat\r\n\
+             Req-Deadline: 20\r\nContent-Length: 0\r\n\r\n"
+        );
+        stream.write_all(request.as_bytes()).unwrap();
+        read_answer(&mut stream);
+        times_ms.push(started_at.elapsed().as_secs_f64() * 1e3);
+        thread::sleep(pause);
+    }
+    times_ms
+}
+
+/// Reads a stream to its last chunk, or the first bytes of an answer that is none.
+fn read_answer(stream: &mut TcpStream) {
+    let mut buffer = [0; 4096];
+    let mut text = Vec::new();
+    while !text.ends_with(b"0\r\n\r\n") {
+        match stream.read(&mut buffer) {
+            Ok(n @ 1..) => text.extend_from_slice(&buffer[..n]),
+            end => panic!("{end:?} after {}", String::from_utf8_lossy(&text)),
+        }
+        if !text.starts_with(b"HTTP/1.1 2") {
+            break;
+        }
+    }
+}
+
+/// A quantile of times; NaN if there are none. Sorts them.
+pub fn quantile(times: &mut [f64], fraction: f64) -> f64 {
+    times.sort_by(f64::total_cmp);
+    let rank = (times.len() as f64 * fraction).ceil() as usize;
+    let index = rank.clamp(1, times.len().max(1)) - 1;
+    times.get(index).copied().unwrap_or(f64::NAN)
+}
--- a/tests/endpoint_watcher.rs
+++ b/tests/endpoint_watcher.rs
@@ -1,4 +1,5 @@
-//! The watch of discovery's list against a service on a real socket that falls silent, resets or moves when told.
+//! The watcher of discovery's endpoint list against a service on a real socket that falls silent, resets its connections
+//! or moves.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -15,9 +16,9 @@
 use tokio::sync::mpsc;
 use tokio::task::LocalSet;
 
-/// Only a hang runs into this.
-const PATIENCE: Duration = Duration::from_secs(20);
-const NOTHING: &str = r#"{"version":41,"full":false,"servers":[]}"#;
+/// The limit of every wait; only a hang runs into it.
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
+const NO_CHANGES: &str = r#"{"version":41,"full":false,"servers":[]}"#;
 const DRAIN: &str = r#"{
   "version": 42,
   "full": false,
@@ -26,7 +27,7 @@
   ]
 }"#;
 
-/// The node's bounds but for a long poll that is over soon, with `slack` for the answer.
+/// The bounds of a node, with a short long poll and `slack` for the answer.
 fn bounds(slack: Duration) -> Rc<Bounds> {
     let config = include_str!("exchanges/config.json").replace("REPLICA", "127.0.0.1:1");
     let config = Config::read(&config.replace("DISCOVERY", "127.0.0.1:2"), &[]).unwrap();
@@ -41,22 +42,22 @@
     })
 }
 
-/// Takes the next call, on the connection given or on a new one.
-async fn called(service: &TcpListener, on: Option<TcpStream>) -> (TcpStream, String) {
-    let call = async {
-        let mut stream = match on {
+/// Takes the next poll, on this connection or on a new one. Returns the connection and the head of the request.
+async fn next_poll(service: &TcpListener, connection: Option<TcpStream>) -> (TcpStream, String) {
+    let poll = async {
+        let mut stream = match connection {
             Some(stream) => stream,
             None => service.accept().await.unwrap().0,
         };
-        let mut text = Vec::new();
-        while !text.ends_with(b"\r\n\r\n") {
-            text.push(stream.read_u8().await.unwrap());
+        let mut head = Vec::new();
+        while !head.ends_with(b"\r\n\r\n") {
+            head.push(stream.read_u8().await.unwrap());
         }
-        (stream, String::from_utf8(text).unwrap())
+        (stream, String::from_utf8(head).unwrap())
     };
-    tokio::time::timeout(PATIENCE, call)
+    tokio::time::timeout(TEST_TIMEOUT, poll)
         .await
-        .expect("the node calls")
+        .expect("the watcher polls")
 }
 
 async fn answer(stream: &mut TcpStream, body: &str) {
@@ -64,64 +65,70 @@
     stream.write_all((head + body).as_bytes()).await.unwrap();
 }
 
-async fn told(core: &mut mpsc::Receiver<Message>) -> SourceUpdate {
-    match tokio::time::timeout(PATIENCE, core.recv())
+/// The next update that the watcher sends to the dispatcher.
+async fn next_update(messages: &mut mpsc::Receiver<Message>) -> SourceUpdate {
+    match tokio::time::timeout(TEST_TIMEOUT, messages.recv())
         .await
-        .expect("the core is told")
+        .expect("an update is sent")
     {
         Some(Message::Told { told, .. }) => told,
-        _ => panic!("something else was told"),
+        _ => panic!("something else was sent"),
     }
 }
 
-/// One watch of a service: what the service sees, and what the core is told.
-async fn watching(
+/// A watcher of a service: the service, the watcher, and the messages that it sends to the dispatcher.
+async fn start_watcher(
     slack: Duration,
-    pushed: bool,
+    is_pushed: bool,
 ) -> (TcpListener, EndpointWatcher, mpsc::Receiver<Message>) {
     let service = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let (tell, core) = mpsc::channel(16);
-    let watch = EndpointWatcher::new(
+    let (dispatcher, messages) = mpsc::channel(16);
+    let watcher = EndpointWatcher::new(
         service.local_addr().unwrap(),
         bounds(slack),
-        tell,
+        dispatcher,
         Clock::start(),
     );
-    watch.set_known_version(41);
-    let watch = if pushed { watch.into_pushed() } else { watch };
-    watch.start();
-    (service, watch, core)
+    watcher.set_known_version(41);
+    let watcher = if is_pushed {
+        watcher.into_pushed()
+    } else {
+        watcher
+    };
+    watcher.start();
+    (service, watcher, messages)
 }
 
-/// Guards against a node that sends on to servers that drain: the wait for the module's next turn to ask, after the
-/// silence itself, was up to half of what the settings give for asking.
+/// Guards against a node that sends requests to draining endpoints because it waits, after the silence itself, until the
+/// scheduler starts the watcher again.
 #[tokio::test]
-async fn a_watch_that_falls_silent_is_opened_anew_before_the_core_hears_of_a_failure() {
+async fn silent_poll_is_repeated_on_a_new_connection_before_a_failure_is_reported() {
     let test = async {
-        for begun in [
+        for partial_answer in [
             "",
             "HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\n{\"version\":42,\"full\"",
         ] {
-            let (service, _watch, mut core) = watching(Duration::from_secs(2), false).await;
-            let (mut silent, text) = called(&service, None).await;
+            let (service, _watcher, mut messages) =
+                start_watcher(Duration::from_secs(2), false).await;
+            let (mut silent, text) = next_poll(&service, None).await;
             assert!(
                 text.starts_with("GET /v1/servers?since=41&timeout_ms=50 "),
                 "{text}"
             );
-            // It stays open and says nothing more: also in the middle of an answer.
-            silent.write_all(begun.as_bytes()).await.unwrap();
-            let (mut anew, text) = called(&service, None).await;
+            // The connection stays open and silent, also in the middle of an answer.
+            silent.write_all(partial_answer.as_bytes()).await.unwrap();
+            let (mut reconnected, text) = next_poll(&service, None).await;
             assert!(
                 text.starts_with("GET /v1/servers?since=41&timeout_ms=0 "),
                 "{text}"
             );
-            answer(&mut anew, DRAIN).await;
-            let SourceUpdate::Changes(changes) = told(&mut core).await else {
-                panic!("the core heard of a failure")
+            answer(&mut reconnected, DRAIN).await;
+            let SourceUpdate::Changes(changes) = next_update(&mut messages).await else {
+                panic!("a failure was reported")
             };
             assert_eq!(changes[0].name, "s-1");
-            // From here on it waits again, on the connection that answers.
-            let (_anew, text) = called(&service, Some(anew)).await;
+            // The next poll is a long poll again, on the connection that answers.
+            let (_reconnected, text) = next_poll(&service, Some(reconnected)).await;
             assert!(
                 text.starts_with("GET /v1/servers?since=42&timeout_ms=50 "),
                 "{text}"
@@ -131,44 +138,48 @@
     LocalSet::new().run_until(test).await;
 }
 
-/// Guards against a herd on a service that is cut off: one new call, and then when to ask is the module's to say.
+/// Guards against a herd on a service that is cut off: after one more poll the scheduler decides when to poll.
 #[tokio::test]
-async fn a_service_that_stays_silent_gets_one_new_call_and_is_then_left_to_the_module() {
+async fn service_that_stays_silent_gets_one_more_poll_until_the_watcher_is_started_again() {
     let test = async {
-        let (service, watch, mut core) = watching(Duration::from_millis(200), false).await;
-        let _silent = called(&service, None).await;
-        let (_silent_too, text) = called(&service, None).await;
+        let (service, watcher, mut messages) =
+            start_watcher(Duration::from_millis(200), false).await;
+        let _silent = next_poll(&service, None).await;
+        let (_silent_too, text) = next_poll(&service, None).await;
         assert!(text.contains("timeout_ms=0 "), "{text}");
-        assert_eq!(told(&mut core).await, SourceUpdate::Failed);
-        let none = tokio::time::timeout(Duration::from_millis(300), service.accept()).await;
-        assert!(none.is_err(), "called again unasked");
-        // Asked to, it finds out at once whether anybody answers.
-        watch.start();
-        let (mut anew, text) = called(&service, None).await;
+        assert_eq!(next_update(&mut messages).await, SourceUpdate::Failed);
+        let unasked = tokio::time::timeout(Duration::from_millis(300), service.accept()).await;
+        assert!(unasked.is_err(), "polled again without a request");
+        // Started again, the watcher finds out at once whether anybody answers.
+        watcher.start();
+        let (mut reconnected, text) = next_poll(&service, None).await;
         assert!(text.contains("timeout_ms=0 "), "{text}");
-        answer(&mut anew, NOTHING).await;
-        assert_eq!(told(&mut core).await, SourceUpdate::Changes(Vec::new()));
+        answer(&mut reconnected, NO_CHANGES).await;
+        assert_eq!(
+            next_update(&mut messages).await,
+            SourceUpdate::Changes(Vec::new())
+        );
     };
     LocalSet::new().run_until(test).await;
 }
 
-/// Guards against a herd on a service that went down: its watches end together, and must not come back together.
+/// Guards against a herd on a service that went down: its polls end together, and must not come back together.
 #[tokio::test]
-async fn a_watch_that_is_reset_is_the_modules_to_open() {
+async fn reset_poll_is_reported_as_a_failure() {
     let test = async {
-        let (service, _watch, mut core) = watching(Duration::from_secs(2), false).await;
-        let (reset, _) = called(&service, None).await;
+        let (service, _watcher, mut messages) = start_watcher(Duration::from_secs(2), false).await;
+        let (reset, _) = next_poll(&service, None).await;
         reset.set_zero_linger().unwrap();
         drop(reset);
-        assert_eq!(told(&mut core).await, SourceUpdate::Failed);
+        assert_eq!(next_update(&mut messages).await, SourceUpdate::Failed);
     };
     LocalSet::new().run_until(test).await;
 }
 
-/// Guards against a call that waits in the dark for a whole long poll after the service was down: a refused call is
-/// followed by one that waits for little, and one that falls silent by one that waits for nothing.
+/// Guards against a poll that waits in vain for a whole long poll after the service was down: a refused poll is followed
+/// by one that waits for a short time, and a silent one by one that does not wait.
 #[tokio::test]
-async fn after_a_refusal_the_next_call_waits_for_little_and_its_silence_shows_soon() {
+async fn poll_after_a_refusal_waits_for_a_short_time_and_its_silence_shows_soon() {
     let refusals = [
         "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n",
         "HTTP/1.1 200 OK\r\nContent-Length: 90\r\nConnection: close\r\n\r\n{\"version\":42,\"full\"",
@@ -176,49 +187,51 @@
     ];
     let test = async {
         for refusal in refusals {
-            let (service, watch, mut core) = watching(Duration::from_secs(2), false).await;
-            let (mut refused, _) = called(&service, None).await;
+            let (service, watcher, mut messages) =
+                start_watcher(Duration::from_secs(2), false).await;
+            let (mut refused, _) = next_poll(&service, None).await;
             refused.write_all(refusal.as_bytes()).await.unwrap();
             drop(refused);
-            assert_eq!(told(&mut core).await, SourceUpdate::Failed);
-            // When to call again is the module's to say.
-            watch.start();
-            let (_silent, text) = called(&service, None).await;
+            assert_eq!(next_update(&mut messages).await, SourceUpdate::Failed);
+            // The scheduler decides when to poll again.
+            watcher.start();
+            let (_silent, text) = next_poll(&service, None).await;
             assert!(text.contains("since=41&timeout_ms=30 "), "{text}");
-            let (mut anew, text) = called(&service, None).await;
+            let (mut reconnected, text) = next_poll(&service, None).await;
             assert!(text.contains("since=41&timeout_ms=0 "), "{text}");
-            answer(&mut anew, DRAIN).await;
+            answer(&mut reconnected, DRAIN).await;
             assert!(
-                matches!(told(&mut core).await, SourceUpdate::Changes(changes) if changes.len() == 1)
+                matches!(next_update(&mut messages).await, SourceUpdate::Changes(changes) if changes.len() == 1)
             );
-            let (_anew, text) = called(&service, Some(anew)).await;
+            let (_reconnected, text) = next_poll(&service, Some(reconnected)).await;
             assert!(text.contains("since=42&timeout_ms=50 "), "{text}");
         }
     };
     LocalSet::new().run_until(test).await;
 }
 
-/// Guards against answers in a form that is rare: no change at all, the whole list where changes were asked for, and a
-/// list with an older number, as a service has that lost its count. What it says last is what holds.
+/// Guards against rare forms of answers: no changes, a full list where changes were asked for, and a list of an earlier
+/// version, as a service has that has lost its count. The latest answer is what counts.
 #[tokio::test]
-async fn whatever_form_an_answer_has_the_next_call_follows_its_number() {
-    let whole = DRAIN.replace("false", "true");
-    let older = whole.replace("42", "7");
+async fn next_poll_asks_for_the_version_of_any_form_of_answer() {
+    let full_list = DRAIN.replace("false", "true");
+    let older_list = full_list.replace("42", "7");
     let test = async {
-        for (body, since, entries, full) in [
-            (NOTHING, 41, 0, false),
-            (whole.as_str(), 42, 1, true),
-            (older.as_str(), 7, 1, true),
+        for (body, since, endpoint_count, is_full) in [
+            (NO_CHANGES, 41, 0, false),
+            (full_list.as_str(), 42, 1, true),
+            (older_list.as_str(), 7, 1, true),
         ] {
-            let (service, _watch, mut core) = watching(Duration::from_secs(2), false).await;
-            let (mut stream, _) = called(&service, None).await;
+            let (service, _watcher, mut messages) =
+                start_watcher(Duration::from_secs(2), false).await;
+            let (mut stream, _) = next_poll(&service, None).await;
             answer(&mut stream, body).await;
-            match told(&mut core).await {
-                SourceUpdate::FullList(list) => assert!(full && list.len() == entries),
-                SourceUpdate::Changes(list) => assert!(!full && list.len() == entries),
-                SourceUpdate::Failed => panic!("the core heard of a failure"),
+            match next_update(&mut messages).await {
+                SourceUpdate::FullList(list) => assert!(is_full && list.len() == endpoint_count),
+                SourceUpdate::Changes(list) => assert!(!is_full && list.len() == endpoint_count),
+                SourceUpdate::Failed => panic!("a failure was reported"),
             }
-            let (_stream, text) = called(&service, Some(stream)).await;
+            let (_stream, text) = next_poll(&service, Some(stream)).await;
             assert!(
                 text.contains(&format!("since={since}&timeout_ms=50 ")),
                 "{text}"
@@ -228,9 +241,9 @@
     LocalSet::new().run_until(test).await;
 }
 
-/// The time from a refused call to the list, while it can be had, is under 6 s by the node's own figures alone.
+/// By the node's own bounds alone, the time from a refused poll to the list is under 6 s while the list can be had.
 #[test]
-fn a_refused_call_a_silent_one_and_a_new_one_fit_into_six_seconds() {
+fn refused_silent_and_new_poll_fit_into_six_seconds() {
     let config = include_str!("exchanges/config.json").replace("REPLICA", "127.0.0.1:1");
     let bounds = Config::read(&config.replace("DISCOVERY", "127.0.0.1:2"), &[])
         .unwrap()
@@ -238,69 +251,72 @@
     assert!(bounds.retry_watch + bounds.retry_slack < Duration::from_secs(6));
     assert!(
         bounds.retry_slack >= Duration::from_secs(2),
-        "a crowded service answers after 2 s"
+        "an overloaded service answers after 2 s"
     );
 }
 
-/// Guards against a new address that inherits a call, or the pause after a failed one, from the old service.
+/// Guards against a new address that inherits a poll, or the pause after a failed one, from the previous service.
 #[tokio::test]
-async fn a_watch_that_moves_while_a_call_waits_calls_at_the_new_address_at_once() {
+async fn moved_service_is_polled_at_once_while_a_poll_waits_at_the_previous_address() {
     let test = async {
-        let (old, watch, mut core) = watching(PATIENCE, false).await;
-        let (_waits, _) = called(&old, None).await;
+        let (previous, watcher, mut messages) = start_watcher(TEST_TIMEOUT, false).await;
+        let (_waiting, _) = next_poll(&previous, None).await;
         let new = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        watch.set_service_addr(new.local_addr().unwrap());
-        let (mut moved, _) = called(&new, None).await;
-        answer(&mut moved, DRAIN).await;
+        watcher.set_service_addr(new.local_addr().unwrap());
+        let (mut connection, _) = next_poll(&new, None).await;
+        answer(&mut connection, DRAIN).await;
         assert!(
-            matches!(told(&mut core).await, SourceUpdate::Changes(changes) if changes.len() == 1)
+            matches!(next_update(&mut messages).await, SourceUpdate::Changes(changes) if changes.len() == 1)
         );
     };
     LocalSet::new().run_until(test).await;
 }
 
-/// Guards against an agent that was silent while discovery was down: what it has counts from the moment in which it
-/// speaks again, so it is called again and again, and no call waits for long.
+/// Guards against an agent that was silent while discovery was down: a change counts as notified from the moment in which
+/// the agent answers again, so it is polled again and again, and no poll waits for long.
 #[tokio::test]
-async fn an_agent_that_is_silent_is_called_until_it_speaks() {
+async fn silent_agent_of_a_pushed_list_is_polled_until_it_answers() {
     let test = async {
-        let (agent, _watch, mut core) = watching(Duration::from_millis(200), true).await;
-        let mut held = vec![called(&agent, None).await.0];
+        let (agent, _watcher, mut messages) = start_watcher(Duration::from_millis(200), true).await;
+        let mut held = vec![next_poll(&agent, None).await.0];
         for _ in 0..3 {
-            let (silent, text) = called(&agent, None).await;
+            let (silent, text) = next_poll(&agent, None).await;
             assert!(text.contains("timeout_ms=0 "), "{text}");
             held.push(silent);
         }
-        let (mut speaks, _) = called(&agent, None).await;
-        answer(&mut speaks, DRAIN).await;
+        let (mut answering, _) = next_poll(&agent, None).await;
+        answer(&mut answering, DRAIN).await;
         loop {
-            match told(&mut core).await {
+            match next_update(&mut messages).await {
                 SourceUpdate::Failed => {}
                 SourceUpdate::Changes(changes) => break assert_eq!(changes[0].name, "s-1"),
-                SourceUpdate::FullList(_) => panic!("never told"),
+                SourceUpdate::FullList(_) => panic!("never sent"),
             }
         }
     };
     LocalSet::new().run_until(test).await;
 }
 
-/// Guards against a drain that is heeded late since a call hung at an agent that was silent for a moment: what the agent
-/// has counts from when it speaks again, so a call in the dark must be over, and made anew, well within the time for
-/// draining. The time of either kind of call is the node's own, the answer is the agent's.
+/// Guards against a drain that is heeded late because a poll hung at an agent that was silent for a moment: a change
+/// counts as notified when the agent answers again, so a poll without an answer must be over, and be repeated, well
+/// within the drain grace.
 #[test]
-fn a_call_that_an_agent_keeps_in_the_dark_is_over_within_the_time_for_draining() {
-    for grace in [0.2, 0.35, 0.5, 0.75, 3.0, 60.0] {
+fn poll_of_a_pushed_list_ends_within_the_drain_grace() {
+    for grace_s in [0.2, 0.35, 0.5, 0.75, 3.0, 60.0] {
         let config = include_str!("exchanges/config.json")
             .replace("REPLICA", "127.0.0.1:1")
             .replace("DISCOVERY", "127.0.0.1:2")
             .replace("on_request", "pushed")
-            .replace("\"drainGrace\":0.5", &format!("\"drainGrace\":{grace}"));
+            .replace("\"drainGrace\":0.5", &format!("\"drainGrace\":{grace_s}"));
         let bounds = Config::read(&config, &[]).unwrap().bounds;
-        let dark = bounds.watch + bounds.watch_slack;
-        assert!(dark.as_secs_f64() <= 0.76 * grace, "{dark:?} of {grace} s");
+        let poll_time = bounds.watch + bounds.watch_slack;
+        assert!(
+            poll_time.as_secs_f64() <= 0.76 * grace_s,
+            "{poll_time:?} of {grace_s} s"
+        );
         assert!(
-            dark >= Duration::from_millis(100),
-            "{dark:?}: the agent is called all the time"
+            poll_time >= Duration::from_millis(100),
+            "{poll_time:?}: the agent is polled all the time"
         );
     }
 }
