--- /dev/null
+++ b/benches/endpoints/main.rs
@@ -0,0 +1,260 @@
+//! Measurements of the endpoint sources on loopback sockets, with the node as a process of its own:
+//! `cargo bench --bench endpoints -- drains|records|latency|scale`. Nothing here is asserted; the figures of
+//! `docs/membership.md` come from it. Every measurement is bounded in number and time.
+
+#![allow(clippy::unwrap_used, reason = "a benchmark fails by panicking")]
+
+mod load;
+mod node;
+mod stubs;
+
+use load::{quantile, Clients};
+use node::Node;
+use poppykeel_stub_dns_server::{Record, Script, Standin};
+use std::net::SocketAddr;
+use std::thread;
+use std::time::{Duration, Instant};
+use stubs::{listed_endpoint, Discovery, Replica};
+
+/// The name that is looked up.
+const SERVICE: &str = "_s._t";
+/// The drains of one measurement.
+const DRAIN_COUNT: usize = 1000;
+/// The new records of one measurement, for a lifetime of one second.
+const NEW_RECORD_COUNT: usize = 40;
+/// The records of a large zone.
+const LARGE_ZONE_RECORD_COUNT: usize = 2000;
+/// The seconds over which processor time is measured.
+const SCALE_ROUND_COUNT: usize = 20;
+/// The two sources of the node, as the operators' file has them.
+const LIST_AND_SRV: &str = "[\"list\", \"srv\"]";
+const SRV_ALONE: &str = "[\"srv\"]";
+
+fn main() {
+    let selected: Vec<String> = std::env::args()
+        .skip(1)
+        .filter(|argument| !argument.starts_with('-'))
+        .collect();
+    let is_selected =
+        |name: &str| selected.is_empty() || selected.iter().any(|argument| argument == name);
+    let core_count = thread::available_parallelism().map_or(0, usize::from);
+    println!("machine: {core_count} cores");
+    if is_selected("drains") {
+        measure_drains();
+    }
+    if is_selected("records") {
+        measure_new_records();
+    }
+    if is_selected("latency") {
+        measure_latency();
+    }
+    if is_selected("scale") {
+        measure_scale();
+    }
+}
+
+/// The operators' file with these sources and lifetimes of at least `ttl_floor`.
+fn operator_file(dns: &Standin, sources: &str, ttl_floor: &str) -> String {
+    format!(
+        "[membership]\nsources = {sources}\nhold = 0\n[membership.srv]\nname = \"{SERVICE}\"\n\
+         servers = [\"{}\"]\nttl_floor = \"{ttl_floor}\"\nflap_hold = 0\n",
+        dns.addr()
+    )
+}
+
+fn start_dns(script: Script) -> Standin {
+    Standin::start("127.0.0.1:0".parse().unwrap(), script).unwrap()
+}
+
+fn start_replicas(count: usize) -> (Vec<Replica>, Vec<SocketAddr>) {
+    let replicas: Vec<Replica> = (0..count).map(|_| Replica::start()).collect();
+    let addrs = replicas.iter().map(|replica| replica.addr).collect();
+    (replicas, addrs)
+}
+
+fn available_endpoints(addrs: &[SocketAddr]) -> Vec<String> {
+    addrs
+        .iter()
+        .enumerate()
+        .map(|(number, addr)| listed_endpoint(number, *addr, "up"))
+        .collect()
+}
+
+/// From a drain in discovery's list to the last new request at the replica, while DNS lists it all along.
+fn measure_drains() {
+    let (replicas, addrs) = start_replicas(4);
+    let (discovery, discovery_addr) = Discovery::start();
+    let available = available_endpoints(&addrs);
+    discovery.set_endpoints(&available);
+    let dns = start_dns(Script::service(SERVICE, 0, &addrs));
+    let operator = operator_file(&dns, LIST_AND_SRV, "50ms");
+    let node = Node::start(discovery_addr, Some(&operator));
+    let clients = Clients::start(node.addr, 16, Duration::ZERO);
+    thread::sleep(Duration::from_secs(1));
+    let mut times_ms = Vec::new();
+    let mut unused_count = 0;
+    for round in 0..DRAIN_COUNT {
+        let number = round % addrs.len();
+        let replica = &replicas[number];
+        let drained_at = Instant::now();
+        discovery.set_endpoints(&[listed_endpoint(number, replica.addr, "draining")]);
+        thread::sleep(Duration::from_millis(40));
+        let last_request_at = replica.last_request_at();
+        if let Some(last) = last_request_at.filter(|last| *last > drained_at) {
+            times_ms.push((last - drained_at).as_secs_f64() * 1e3);
+        } else {
+            times_ms.push(0.0);
+            unused_count += 1;
+        }
+        discovery.set_endpoints(&available[number..=number]);
+        thread::sleep(Duration::from_millis(10));
+    }
+    let served_count = clients.stop().len();
+    let question_count: u64 = dns.asked().values().sum();
+    println!(
+        "drains: {DRAIN_COUNT} while DNS listed the server ({question_count} questions, {served_count} requests); \
+         last new send after p50 {:.2} ms, p99 {:.2} ms, most {:.2} ms ({unused_count} had none)",
+        quantile(&mut times_ms, 0.5),
+        quantile(&mut times_ms, 0.99),
+        quantile(&mut times_ms, 1.0)
+    );
+}
+
+/// From a new record to the first request at its replica.
+fn measure_new_records() {
+    let (replicas, addrs) = start_replicas(2);
+    let (_discovery, discovery_addr) = Discovery::start();
+    for ttl_s in [1, 2] {
+        let dns = start_dns(Script::service(SERVICE, ttl_s, &addrs[..1]));
+        let operator = operator_file(&dns, SRV_ALONE, "1s");
+        let node = Node::start(discovery_addr, Some(&operator));
+        let clients = Clients::start(node.addr, 4, Duration::from_millis(1));
+        thread::sleep(Duration::from_millis(1500));
+        let mut times_ms = Vec::new();
+        for round in 0..NEW_RECORD_COUNT / ttl_s as usize {
+            // Another moment of the lifetime each time.
+            thread::sleep(Duration::from_millis(37 * (round as u64 % 17)));
+            let added_at = Instant::now();
+            dns.set(Script::service(SERVICE, ttl_s, &addrs));
+            while replicas[1]
+                .last_request_at()
+                .is_none_or(|last| last < added_at)
+                && added_at.elapsed().as_secs() < 9
+            {
+                thread::sleep(Duration::from_millis(1));
+            }
+            times_ms.push(added_at.elapsed().as_secs_f64() * 1e3);
+            dns.set(Script::service(SERVICE, ttl_s, &addrs[..1]));
+            thread::sleep(Duration::from_millis(1100 * u64::from(ttl_s)));
+        }
+        clients.stop();
+        println!(
+            "records: lifetime {ttl_s} s, first send after p50 {:.0} ms, most {:.0} ms of {} new records",
+            quantile(&mut times_ms, 0.5),
+            quantile(&mut times_ms, 1.0),
+            times_ms.len()
+        );
+    }
+}
+
+/// A zone of 2,000 records with short names, so that they fit into one message. In each round the first
+/// `changing_count` of them are new targets with new addresses.
+fn large_zone(round: usize, changing_count: usize, addr: SocketAddr) -> Script {
+    let mut script = Script {
+        chase: true,
+        ..Script::default()
+    };
+    for record in 0..LARGE_ZONE_RECORD_COUNT {
+        let is_changing = record < changing_count;
+        let change = round * changing_count + record;
+        let name = if is_changing {
+            format!("{}.t", 2000 + change)
+        } else {
+            format!("{record}.t")
+        };
+        let address_number = if is_changing {
+            2000 + change % 30_000
+        } else {
+            record
+        };
+        let ip = format!(
+            "127.{}.{}.{}",
+            2 + address_number / 40_000,
+            address_number / 200 % 200 + 1,
+            address_number % 200 + 1
+        );
+        script.record.push(Record {
+            name: SERVICE.into(),
+            kind: "SRV".into(),
+            ttl: 1,
+            data: format!("10 1 {} {name}", addr.port()),
+        });
+        script.record.push(Record {
+            name,
+            kind: "A".into(),
+            ttl: 300,
+            data: ip,
+        });
+    }
+    script
+}
+
+/// Processor time and memory of a node that looks up 2,000 records each second.
+fn measure_scale() {
+    let replica = Replica::start();
+    let (_discovery, discovery_addr) = Discovery::start();
+    for (label, changing_count) in [("none", None), ("0%", Some(0)), ("1%", Some(20))] {
+        let dns = start_dns(large_zone(0, changing_count.unwrap_or(0), replica.addr));
+        let operator = changing_count.map(|_| operator_file(&dns, SRV_ALONE, "1s"));
+        let node = Node::start(discovery_addr, operator.as_deref());
+        thread::sleep(Duration::from_secs(5));
+        let before = node.usage();
+        for round in 0..SCALE_ROUND_COUNT {
+            if let Some(changing_count) = changing_count.filter(|count| *count > 0) {
+                dns.set(large_zone(round + 1, changing_count, replica.addr));
+            }
+            thread::sleep(Duration::from_secs(1));
+        }
+        let after = node.usage();
+        let question_count: u64 = dns.asked().values().sum();
+        println!(
+            "scale: 2,000 servers, {label} of records changing a second: {:.1}% of a core, {:.1} MB at most, \
+             {question_count} questions",
+            (after.cpu_s - before.cpu_s) / SCALE_ROUND_COUNT as f64 * 100.0,
+            after.peak_memory_mb
+        );
+    }
+}
+
+/// What look-ups add to a request's time: the list alone, with 4 records and with 2,000 records, in turn.
+fn measure_latency() {
+    let (_replicas, addrs) = start_replicas(4);
+    let (discovery, discovery_addr) = Discovery::start();
+    discovery.set_endpoints(&available_endpoints(&addrs));
+    let small_zone = start_dns(Script::service(SERVICE, 1, &addrs));
+    let large_zone = start_dns(large_zone(0, 0, addrs[0]));
+    let small = operator_file(&small_zone, LIST_AND_SRV, "1s");
+    // Nobody listens at the addresses of the large zone: standby leaves all requests to those of the list.
+    let large =
+        operator_file(&large_zone, LIST_AND_SRV, "1s").replacen("hold", "standby = true\nhold", 1);
+    for _ in 0..2 {
+        for (label, operator) in [
+            ("list", None),
+            ("list and 4 records", Some(small.as_str())),
+            ("list and 2,000", Some(large.as_str())),
+        ] {
+            let node = Node::start(discovery_addr, operator);
+            thread::sleep(Duration::from_secs(3));
+            let clients = Clients::start(node.addr, 4, Duration::from_millis(2));
+            thread::sleep(Duration::from_secs(8));
+            let mut times_ms = clients.stop();
+            println!(
+                "latency: {label}: p50 {:.3} ms, p99 {:.3} ms, p99.9 {:.3} ms of {} requests",
+                quantile(&mut times_ms, 0.5),
+                quantile(&mut times_ms, 0.99),
+                quantile(&mut times_ms, 0.999),
+                times_ms.len()
+            );
+        }
+    }
+}
--- a/crates/endpoints/src/merge.rs
+++ b/crates/endpoints/src/merge.rs
@@ -1,441 +1,194 @@
-//! The one list: every source's opinion of every server, folded by the table.
-
-#![expect(
-    clippy::min_ident_chars,
-    clippy::redundant_closure_for_method_calls,
-    clippy::single_match_else,
-    clippy::too_many_lines,
-    reason = "not yet converted"
-)]
-
-use crate::book::{Book, Detail, Dirty, Held, Known};
-use crate::opinion::{standing, wins, Opinion, Standing};
-use crate::settings::{Kind, Settings};
-use crate::told::{Entry, Micros, Told};
+//! Combines the verdicts of all sources into endpoints.
+//!
+//! A pass over some or all addresses, without state of its own but for the names of endpoints that no source lists
+//! under an id. [`EndpointRegistry`](crate::EndpointRegistry) makes one pass for each update and compares the result
+//! with the previous list.
+
+use crate::address_identity::AddressIdentities;
+use crate::dated_verdict::{DatedVerdict, EndpointQuery};
+use crate::endpoint::{RegisteredEndpoint, StatusDecision};
+use crate::flap_damping::DampedAddresses;
+use crate::listing::TrackedEndpoint;
+use crate::source_state::SourceState;
+use crate::update::{ListedEndpoint, MonotonicMicros};
+use crate::verdict::{prevailing_verdict, EndpointStatus, SourceVerdict};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Marks of what was taken away, for each source.
-const MOST_GONE: usize = 65_536;
-/// Servers that are out stay in the account this long after they have left it, for whoever asks why.
-const SHOWN: Micros = 600_000_000;
-/// ... and so many of them at most.
-const MOST_LEFT: usize = 4096;
-
-/// One server of the list.
-#[derive(Clone, Debug, PartialEq)]
-pub struct Server {
-    /// Its name, which no other server has or has had: a naming source's id, or its first name in DNS.
-    pub name: String,
-    /// How it stands.
-    pub standing: Standing,
-    /// What is told of it, by the first source that describes it.
-    pub entry: Arc<Entry>,
-    /// Weight and priority, from whichever source has them.
-    pub weight: Option<f64>,
-    /// See there.
-    pub priority: Option<u16>,
-    /// Each source's opinion, in the order of the settings.
-    pub opinions: Vec<Opinion>,
-    decided: Decided,
-}
-
-#[derive(Clone, Copy, Debug, PartialEq)]
-struct Decided {
-    source: usize,
-    held: Held,
-    standby: bool,
-}
-
-/// Names that lead to an address of which no naming source knows, and the server's name that follows.
-#[derive(Clone, Debug)]
-struct Unnamed {
-    names: BTreeSet<String>,
-    server: String,
-    births: u32,
-    seen: Micros,
-}
-
-/// Addresses kept out, and until when.
-type Calmed = BTreeMap<SocketAddr, Micros>;
-
-/// The account.
-#[derive(Debug)]
-pub struct Membership {
-    settings: Settings,
-    books: Vec<Book>,
-    unnamed: BTreeMap<SocketAddr, Unnamed>,
-    servers: BTreeMap<String, Server>,
-    left: BTreeMap<String, (Micros, Server)>,
-    /// What flapping keeps out now, for each source.
-    calmed: Vec<Calmed>,
-    forgot: Micros,
-    now: Micros,
+/// One pass over the sources.
+pub(crate) struct MergePass<'a> {
+    /// All sources, in the order of the settings.
+    pub(crate) sources: &'a [SourceState],
+    /// The addresses that are kept out, one map per source.
+    pub(crate) damped: &'a [DampedAddresses],
+    /// The addresses to look at.
+    pub(crate) addrs: &'a BTreeSet<SocketAddr>,
 }
 
-impl Membership {
-    /// An account that has been told nothing yet.
-    pub fn new(settings: Settings) -> Self {
-        let books = settings.sources.iter().cloned().map(Book::new).collect();
-        let (unnamed, servers, left, calmed) = Default::default();
-        Membership {
-            settings,
-            books,
-            unnamed,
-            servers,
-            left,
-            calmed,
-            forgot: 0,
-            now: 0,
-        }
-    }
-
-    /// The settings in force.
-    pub fn settings(&self) -> &Settings {
-        &self.settings
-    }
-
-    /// Takes new settings. A source that stays, by its name, keeps what it has told.
-    pub fn set(&mut self, now: Micros, settings: Settings) -> Vec<Server> {
-        let mut old = std::mem::take(&mut self.books);
-        for source in &settings.sources {
-            let kept = old.iter().position(|b| b.settings.name == source.name);
-            let mut book = match kept {
-                Some(at) => old.swap_remove(at),
-                None => Book::new(source.clone()),
-            };
-            book.settings = source.clone();
-            self.books.push(book);
-        }
-        self.settings = settings;
-        self.calmed.clear();
-        self.turn(now)
-    }
-
-    /// What a source tells, by its place in the settings. Returned are the servers that have changed, those that
-    /// have left included, as out.
-    pub fn told(&mut self, now: Micros, source: usize, told: Told) -> Vec<Server> {
-        let now = self.at(now);
-        let Some(book) = self.books.get_mut(source) else {
-            return Vec::new();
-        };
-        book.told(now, told);
-        book.bound(MOST_GONE);
-        self.turn(now)
-    }
-
-    /// When `turn` must be called next, if nothing comes before.
-    pub fn due(&self) -> Option<Micros> {
-        self.books.iter().filter_map(|b| b.due(self.now)).min()
-    }
-
-    /// Looks at the time: what was held until now may be let in.
-    pub fn turn(&mut self, now: Micros) -> Vec<Server> {
-        let now = self.at(now);
-        self.forget(now);
-        let calmed: Vec<Calmed> = self.books.iter().map(|b| b.calmed(now)).collect();
-        let only = self.dirty(&calmed);
-        self.calmed = calmed;
-        if only.as_ref().is_some_and(BTreeSet::is_empty) {
-            return Vec::new();
-        }
-        let next = self.merge(now, only.as_ref());
-        let before = match &only {
-            Some(addrs) => {
-                let there = self
-                    .servers
+impl<'a> MergePass<'a> {
+    /// The endpoints at the addresses of this pass, by name.
+    pub(crate) fn merge(
+        &self,
+        now: MonotonicMicros,
+        identities: &mut AddressIdentities,
+    ) -> BTreeMap<String, RegisteredEndpoint> {
+        let mut endpoints = BTreeMap::new();
+        self.merge_named(&mut endpoints);
+        self.merge_unnamed(now, identities, &mut endpoints);
+        endpoints
+    }
+
+    /// Adds the endpoints that some source lists under an id.
+    fn merge_named(&self, endpoints: &mut BTreeMap<String, RegisteredEndpoint>) {
+        for (name, tracked) in self.tracked_by_name() {
+            let first = tracked[0];
+            let query = EndpointQuery {
+                name: Some(name),
+                addr: first.listed.addr,
+                start_seen_at: tracked
                     .iter()
-                    .filter(|(_, s)| addrs.contains(&s.entry.addr));
-                let names: Vec<String> = there.map(|(n, _)| n.clone()).collect();
-                names
-                    .into_iter()
-                    .filter_map(|n| self.servers.remove(&n).map(|s| (n, s)))
-                    .collect()
-            }
-            None => std::mem::take(&mut self.servers),
-        };
-        let mut changes: Vec<Server> = Vec::new();
-        for (name, server) in &next {
-            let left = self.left.remove(name).map(|l| l.1);
-            if before
-                .get(name)
-                .or(left.as_ref())
-                .is_none_or(|old| differs(old, server))
-            {
-                changes.push(server.clone());
-            }
-        }
-        self.servers.extend(next);
-        for (name, mut server) in before {
-            if !self.servers.contains_key(&name) {
-                let was = std::mem::replace(&mut server.standing, Standing::Out);
-                if was != Standing::Out {
-                    changes.push(server.clone());
+                    .filter_map(|tracked| tracked.start_seen_at)
+                    .max(),
+            };
+            let other_listings = self
+                .sources
+                .iter()
+                .flat_map(|source| source.listing().at(query.addr))
+                .filter(|tracked| tracked.listed.name != name);
+            let endpoint = combine(
+                name.to_string(),
+                first.listed.clone(),
+                other_listings,
+                &self.verdicts(query),
+            );
+            endpoints.insert(endpoint.name.clone(), endpoint);
+        }
+    }
+
+    fn tracked_by_name(&self) -> BTreeMap<&'a str, Vec<&'a TrackedEndpoint>> {
+        let mut by_name: BTreeMap<&str, Vec<&TrackedEndpoint>> = BTreeMap::new();
+        for source in self.sources_by_name() {
+            for addr in self.addrs {
+                for tracked in source.listing().at(*addr) {
+                    by_name
+                        .entry(&tracked.listed.name)
+                        .or_default()
+                        .push(tracked);
                 }
-                self.left.insert(name, (now, server));
             }
         }
-        changes
-    }
-
-    /// Where servers must be looked at anew; none means everywhere. A name in several sources may stand at other
-    /// addresses than those that changed, and who stands by hangs on all: then it is everywhere, too.
-    fn dirty(&mut self, calmed: &[Calmed]) -> Option<BTreeSet<SocketAddr>> {
-        let naming = self
-            .books
-            .iter()
-            .filter(|b| b.settings.kind == Kind::Naming)
-            .count();
-        let mut all = calmed.len() != self.calmed.len();
-        let mut addrs = BTreeSet::new();
-        for (now, before) in calmed.iter().zip(&self.calmed) {
-            let changed = |a: &&SocketAddr| now.get(*a) != before.get(*a);
-            addrs.extend(now.keys().chain(before.keys()).filter(changed));
-        }
-        for book in &mut self.books {
-            match book.dirty() {
-                Dirty::All => all = true,
-                Dirty::At(changed) => addrs.extend(changed),
+        by_name
+    }
+
+    /// Adds the endpoints at addresses where no source lists an id.
+    fn merge_unnamed(
+        &self,
+        now: MonotonicMicros,
+        identities: &mut AddressIdentities,
+        endpoints: &mut BTreeMap<String, RegisteredEndpoint>,
+    ) {
+        for addr in self.addrs {
+            let has_named_endpoint = self
+                .sources_by_name()
+                .any(|source| source.listing().has_addr(addr));
+            if has_named_endpoint {
+                continue;
             }
-        }
-        let any = all || !addrs.is_empty();
-        let everywhere = all || (any && (naming > 1 || self.settings.standby));
-        (!everywhere).then_some(addrs)
-    }
-
-    /// The list: every server that a source lists or has taken away, by name.
-    pub fn servers(&self) -> Vec<Server> {
-        // One that has left under one name and is still listed under another is shown once.
-        let there: BTreeSet<SocketAddr> = self.servers.values().map(|s| s.entry.addr).collect();
-        let left = self
-            .left
-            .values()
-            .map(|l| &l.1)
-            .filter(|s| !there.contains(&s.entry.addr));
-        self.servers.values().chain(left).cloned().collect()
-    }
-
-    /// Servers that take work now.
-    pub fn usable(&self) -> usize {
-        self.servers
-            .values()
-            .filter(|s| s.standing <= Standing::Held)
-            .count()
-    }
-
-    /// Why a server stands as it does, in words.
-    pub fn reason(&self, server: &Server) -> String {
-        let Decided {
-            source,
-            held,
-            standby,
-        } = server.decided;
-        let name = |n: usize| {
-            self.settings
+            let tracked: Vec<&TrackedEndpoint> = self
                 .sources
-                .get(n)
-                .map_or("?", |s| s.name.as_str())
-        };
-        let by = name(source);
-        let ago = format!("{:.1} s", self.now.saturating_sub(held.since) as f64 / 1e6);
-        if standby {
-            return format!("{by} lists it with a higher priority number than others that are in");
-        }
-        if !self.servers.contains_key(&server.name) {
-            return "no source lists it any more".to_string();
-        }
-        match (held.opinion, held.detail) {
-            (_, Detail::Flapping(until)) => {
-                let more = until.saturating_sub(self.now) as f64 / 1e6;
-                format!("its record in {by} comes and goes; kept out for {more:.1} s more")
-            }
-            (Opinion::Held, Detail::Lacking(count)) => {
-                format!("{by} lacks it since {ago}, among many; {count} answers said so and it is not believed yet")
-            }
-            (Opinion::Listed, _) => format!("{by} lists it"),
-            (Opinion::Draining, _) => format!("{by} drains it since {ago}"),
-            (Opinion::Stale, _) => {
-                format!("{by} listed it at last and cannot be asked since {ago}")
-            }
-            (Opinion::Removed, _) => format!("{by} took it away {ago} ago"),
-            _ => "no source lists it".to_string(),
+                .iter()
+                .filter(|source| !source.identifies_by_name())
+                .flat_map(|source| source.listing().at(*addr))
+                .collect();
+            let Some((first, other_listings)) = tracked.split_first() else {
+                continue;
+            };
+            let names: BTreeSet<&str> = tracked
+                .iter()
+                .map(|tracked| tracked.listed.name.as_str())
+                .collect();
+            let query = EndpointQuery {
+                name: None,
+                addr: *addr,
+                start_seen_at: None,
+            };
+            let endpoint = combine(
+                identities.endpoint_name(now, *addr, &names),
+                first.listed.clone(),
+                other_listings.iter().copied(),
+                &self.verdicts(query),
+            );
+            endpoints.insert(endpoint.name.clone(), endpoint);
         }
     }
 
-    /// Sources by name with their opinion of a server, those without one left out.
-    pub fn sources(&self, server: &Server) -> Vec<(String, Opinion)> {
-        let named = self.settings.sources.iter().zip(&server.opinions);
-        named
-            .filter(|(_, o)| **o > Opinion::Absent)
-            .map(|(s, o)| (s.name.clone(), *o))
-            .collect()
-    }
-
-    fn at(&mut self, now: Micros) -> Micros {
-        self.now = self.now.max(now);
-        self.now
-    }
-
-    /// Now and then, what nobody has listed for long is forgotten.
-    fn forget(&mut self, now: Micros) {
-        let keep = self.settings.forget;
-        self.left.retain(|_, l| now.saturating_sub(l.0) < SHOWN);
-        while self.left.len() > MOST_LEFT {
-            self.left.pop_first();
-        }
-        if self.unnamed.len() > MOST_GONE {
-            let books = &self.books;
-            self.unnamed
-                .retain(|addr, _| books.iter().any(|b| b.at(*addr).next().is_some()));
-        }
-        if now.saturating_sub(self.forgot) < keep / 16 + 1 || now < keep {
-            return;
-        }
-        self.forgot = now;
-        let listed: BTreeSet<SocketAddr> =
-            self.books.iter().flat_map(|b| b.addrs().copied()).collect();
-        for book in &mut self.books {
-            book.forget(now - keep, |addr| listed.contains(addr));
-        }
-        self.unnamed
-            .retain(|addr, u| u.seen >= now - keep || listed.contains(addr));
+    fn sources_by_name(&self) -> impl Iterator<Item = &'a SourceState> {
+        self.sources
+            .iter()
+            .filter(|source| source.identifies_by_name())
     }
 
-    /// The servers at these addresses, or all.
-    fn merge(
-        &mut self,
-        now: Micros,
-        only: Option<&BTreeSet<SocketAddr>>,
-    ) -> BTreeMap<String, Server> {
-        let all: BTreeSet<SocketAddr>;
-        let wanted = match only {
-            Some(addrs) => addrs,
-            None => {
-                all = self.books.iter().flat_map(|b| b.addrs().copied()).collect();
-                &all
-            }
-        };
-        let mut named: BTreeMap<&str, Vec<&Known>> = BTreeMap::new();
-        let mut addrs: BTreeMap<SocketAddr, Vec<&Known>> = BTreeMap::new();
-        let (naming, addressing): (Vec<&Book>, Vec<&Book>) = self
-            .books
+    /// The verdict of each source, in the order of the settings.
+    fn verdicts(&self, query: EndpointQuery<'_>) -> Vec<DatedVerdict> {
+        self.sources
             .iter()
-            .partition(|b| b.settings.kind == Kind::Naming);
-        for book in &naming {
-            for known in wanted.iter().flat_map(|a| book.at(*a)) {
-                named.entry(&known.entry.name).or_default().push(known);
-            }
-        }
-        // Addresses that no name stands at: what lists them, and what has been taken away from them.
-        let free = |a: &&SocketAddr| naming.iter().all(|b| b.at(**a).next().is_none());
-        for addr in wanted.iter().filter(free) {
-            let known: Vec<&Known> = addressing.iter().flat_map(|b| b.at(*addr)).collect();
-            if !known.is_empty() {
-                addrs.insert(*addr, known);
-            }
-        }
-        let mut next = BTreeMap::new();
-        for (name, known) in named {
-            let start = known.iter().filter_map(|k| k.started).max();
-            let addr = known[0].entry.addr;
-            let asked = self.books.iter().zip(&self.calmed);
-            let opinions: Vec<Held> = asked
-                .map(|(b, c)| b.opinion(Some(name), addr, start, c))
-                .collect();
-            let also = self
-                .books
-                .iter()
-                .flat_map(|b| b.at(addr))
-                .filter(|k| k.entry.name != name);
-            let server = decide(name.to_string(), known[0].entry.clone(), also, &opinions);
-            next.insert(server.name.clone(), server);
-        }
-        for (addr, known) in addrs {
-            let names: BTreeSet<&str> = known.iter().map(|k| k.entry.name.as_str()).collect();
-            let first = names.first().copied().unwrap_or_default();
-            let place = self.unnamed.entry(addr).or_insert_with(|| Unnamed {
-                names: names.iter().map(|n| n.to_string()).collect(),
-                server: format!("{first}@{addr}"),
-                births: 1,
-                seen: now,
-            });
-            if names.iter().all(|n| !place.names.contains(*n)) {
-                // Other names altogether: another server at the old address, which inherits nothing.
-                place.births += 1;
-                place.server = format!("{first}@{addr}#{}", place.births);
-            }
-            if !names
-                .iter()
-                .copied()
-                .eq(place.names.iter().map(String::as_str))
-            {
-                place.names = names.iter().map(|n| n.to_string()).collect();
-            }
-            place.seen = now;
-            let (name, entry) = (place.server.clone(), known[0].entry.clone());
-            let asked = self.books.iter().zip(&self.calmed);
-            let opinions: Vec<Held> = asked.map(|(b, c)| b.opinion(None, addr, None, c)).collect();
-            let server = decide(name, entry, known.into_iter().skip(1), &opinions);
-            next.insert(server.name.clone(), server);
-        }
-        if self.settings.standby {
-            stand_by(&mut next);
-        }
-        next
+            .zip(self.damped)
+            .map(|(source, damped)| source.verdict(query, damped))
+            .collect()
     }
 }
 
-/// Folds the opinions by the table; the first source that holds the one that counts is named as the reason.
-fn decide<'a>(
+/// Combines the verdicts by the table of precedence. The first source whose verdict prevails is the reason.
+fn combine<'a>(
     name: String,
-    entry: Arc<Entry>,
-    also: impl Iterator<Item = &'a Known>,
-    held: &[Held],
-) -> Server {
-    let counts = held.iter().map(|h| h.opinion).fold(Opinion::Silent, wins);
-    let source = held.iter().position(|h| h.opinion == counts).unwrap_or(0);
-    let (mut weight, mut priority) = (entry.weight, entry.priority);
-    for known in also {
-        weight = weight.or(known.entry.weight);
-        priority = priority.or(known.entry.priority);
-    }
-    let decided = Decided {
-        source,
-        held: held[source],
-        standby: false,
-    };
-    let opinions = held.iter().map(|h| h.opinion).collect();
-    Server {
+    listing: Arc<ListedEndpoint>,
+    other_listings: impl Iterator<Item = &'a TrackedEndpoint>,
+    verdicts: &[DatedVerdict],
+) -> RegisteredEndpoint {
+    let prevailing = verdicts
+        .iter()
+        .map(|dated| dated.verdict)
+        .fold(SourceVerdict::Silent, prevailing_verdict);
+    let source_index = verdicts
+        .iter()
+        .position(|dated| dated.verdict == prevailing)
+        .unwrap_or(0);
+    let mut weight = listing.weight;
+    let mut priority = listing.priority;
+    for other in other_listings {
+        weight = weight.or(other.listed.weight);
+        priority = priority.or(other.listed.priority);
+    }
+    RegisteredEndpoint {
         name,
-        standing: standing(counts),
-        entry,
+        status: prevailing.status(),
+        listing,
         weight,
         priority,
-        opinions,
-        decided,
+        verdicts: verdicts.iter().map(|dated| dated.verdict).collect(),
+        decision: StatusDecision {
+            source_index,
+            dated_verdict: verdicts[source_index],
+            is_standby: false,
+        },
     }
 }
 
-/// RFC 2782: a target of a higher priority number is for when no other can be had.
-fn stand_by(servers: &mut BTreeMap<String, Server>) {
-    let usable = |s: &Server| s.standing <= Standing::Held;
-    let least = servers
+/// Takes every usable endpoint out of service whose priority number is higher than the lowest one of a usable
+/// endpoint (RFC 2782). An endpoint without a priority counts as 0.
+pub(crate) fn apply_priority_standby(endpoints: &mut BTreeMap<String, RegisteredEndpoint>) {
+    let lowest_priority = endpoints
         .values()
-        .filter(|s| usable(s))
-        .map(|s| s.priority.unwrap_or(0))
+        .filter(|endpoint| endpoint.status.is_usable())
+        .map(|endpoint| endpoint.priority.unwrap_or(0))
         .min();
-    for server in servers.values_mut() {
-        if usable(server) && Some(server.priority.unwrap_or(0)) > least {
-            server.standing = Standing::Out;
-            server.decided.standby = true;
+    for endpoint in endpoints.values_mut() {
+        let is_standby =
+            endpoint.status.is_usable() && Some(endpoint.priority.unwrap_or(0)) > lowest_priority;
+        if is_standby {
+            endpoint.status = EndpointStatus::OutOfService;
+            endpoint.decision.is_standby = true;
         }
     }
 }
-
-/// Whether a change is worth telling. What it rests on may change unseen.
-fn differs(old: &Server, new: &Server) -> bool {
-    let told = |s: &Server| (s.standing, s.weight, s.priority);
-    let same = Arc::ptr_eq(&old.entry, &new.entry) || old.entry == new.entry;
-    told(old) != told(new) || !same
-}
--- a/src/program/mod.rs
+++ b/src/program/mod.rs
@@ -32,7 +32,7 @@
     /// Read and check the configuration, the operators' file or both, and say what they come to
     Check(Check),
     /// Ask each source of servers and show what it says and the list that follows, with reasons
-    Resolve(resolve::Resolve),
+    Resolve(resolve::ResolveCommand),
     /// Show how streams fare, from a node's log in JSON
     Streams(streams::Streams),
     /// Ask a running node about its fleet
@@ -112,7 +112,7 @@
             Ok(true) => Ok(()),
             // What there is to say has been shown.
             Ok(false) => return ExitCode::FAILURE,
-            Err(e) => Err(e),
+            Err(e) => Err(e.to_string()),
         },
         Command::Streams(streams) => streams.run(),
         Command::Fleet(fleet) => fleet.run(),
--- /dev/null
+++ b/src/transport/endpoints/discovery.rs
@@ -0,0 +1,358 @@
+//! The watcher of discovery's endpoint list: one poll after the other on one connection, each with a time limit.
+//!
+//! [`EndpointWatcher`] is a handle that the dispatcher, `program::serve` and `program::resolve` share. While the watcher
+//! is started, one task polls the service and sends every answer to the dispatcher, and every failure that ends the
+//! polling. The module `watcher_state` has the states and their transitions.
+//!
+//! A poll first waits until the coordination's budget has a poll for this node. From then on its time is limited: by
+//! how long it waits at the service, and by the slack for the answer beyond that. Silence shows only when both are
+//! over. So after a poll without an answer the next one does not wait at the service, and after a refusal it waits
+//! for a short time.
+
+use super::poll::{self, PollError, PollRequest};
+use super::watcher_state::{PollMode, WatcherEvent, WatcherState};
+use crate::protocol::discovery::EndpointListResponse;
+use crate::routing::seconds;
+use crate::transport::clock::Clock;
+use crate::transport::messages::{Message, LIST};
+use crate::transport::{Bounds, Wire};
+use poppykeel_endpoints::SourceUpdate;
+use poppykeel_scheduler::interface::{BudgetDemand, BudgetGrants, BudgetKind, EndpointListMode};
+use poppykeel_scheduler::BudgetLedger;
+use std::cell::{Cell, RefCell};
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::sync::{mpsc, Notify};
+
+/// A pushed list is polled again this long after a failed poll: long enough not to spin on a refused connection,
+/// short against the time within which a drain must be heeded.
+const PUSHED_RETRY_PAUSE: Duration = Duration::from_millis(100);
+
+/// How often the coordination's budget is looked at while it has no poll left for this node.
+const BUDGET_CHECK_INTERVAL: Duration = Duration::from_millis(20);
+
+/// What one poll takes out of the budget.
+const UNITS_PER_POLL: f64 = 1.0;
+
+/// The weight of a poll against other demand for the budget.
+const POLL_WEIGHT: f64 = 1.0;
+
+/// A handle to the watcher of one node. Clones share one watcher.
+#[derive(Clone)]
+pub struct EndpointWatcher {
+    shared: Rc<SharedState>,
+    list_mode: EndpointListMode,
+}
+
+/// What all handles of one watcher and its task share. Everything runs on one thread.
+struct SharedState {
+    service_addr: Cell<SocketAddr>,
+    /// Wakes the task if the service has another address now.
+    service_moved: Notify,
+    bounds: Rc<Bounds>,
+    /// To the dispatcher. The task waits while the channel is full.
+    dispatcher: mpsc::Sender<Message>,
+    state: Cell<WatcherState>,
+    /// Whether the list is a source of this node.
+    is_enabled: Cell<bool>,
+    /// The version of the list that the node has.
+    known_version: Cell<u64>,
+    /// Why the last poll failed, if it did.
+    last_error: RefCell<Option<String>>,
+    poll_budget: RefCell<BudgetLedger>,
+    clock: Clock,
+}
+
+/// How a poll ended.
+enum PollOutcome {
+    /// The service has another address now, and the poll was dropped.
+    ServiceMoved,
+    /// The service has answered with a list.
+    Answered(EndpointListResponse),
+    /// The connection was refused or reset, or the answer is no list.
+    Refused(PollError),
+    /// No complete answer came in time.
+    TimedOut,
+}
+
+impl EndpointWatcher {
+    /// A watcher that has not been started, of a list that is polled on request.
+    pub fn new(
+        service_addr: SocketAddr,
+        bounds: Rc<Bounds>,
+        dispatcher: mpsc::Sender<Message>,
+        clock: Clock,
+    ) -> Self {
+        let shared = SharedState {
+            service_addr: Cell::new(service_addr),
+            service_moved: Notify::new(),
+            bounds,
+            dispatcher,
+            state: Cell::default(),
+            is_enabled: Cell::new(true),
+            known_version: Cell::default(),
+            last_error: RefCell::default(),
+            poll_budget: RefCell::default(),
+            clock,
+        };
+        EndpointWatcher {
+            shared: Rc::new(shared),
+            list_mode: EndpointListMode::Polled,
+        }
+    }
+
+    /// The same watcher for a pushed list. It is started now and does not wait for a request after a failed poll.
+    pub fn into_pushed(self) -> Self {
+        let watcher = EndpointWatcher {
+            list_mode: EndpointListMode::Pushed,
+            ..self
+        };
+        watcher.start();
+        watcher
+    }
+
+    /// Sets the version of the list that the node has.
+    pub fn set_known_version(&self, version: u64) {
+        self.shared.known_version.set(version);
+    }
+
+    /// Sets whether the list is a source of this node. A list that becomes one is watched at once; one that no longer
+    /// is one is not polled again, while a poll that is under way goes on.
+    pub fn set_enabled(&self, is_enabled: bool) {
+        let was_enabled = self.shared.is_enabled.replace(is_enabled);
+        if is_enabled && !was_enabled {
+            // The registry has forgotten the source's earlier answers, so the full list is needed.
+            self.shared.known_version.set(0);
+            self.start();
+        }
+    }
+
+    /// Sets what the coordination grants of polls from now on.
+    pub fn set_budget_grants(&self, grants: &BudgetGrants) {
+        let poll_grants = grants
+            .iter()
+            .filter(|(kind, _)| **kind == BudgetKind::Discovery)
+            .map(|(kind, grant)| (*kind, *grant))
+            .collect();
+        self.shared
+            .poll_budget
+            .borrow_mut()
+            .set_grants(seconds(self.shared.clock.now()), &poll_grants);
+    }
+
+    /// The demand for polls since the start.
+    pub fn budget_demand(&self) -> BTreeMap<BudgetKind, BudgetDemand> {
+        self.shared.poll_budget.borrow().demand()
+    }
+
+    /// Starts to watch the list, unless that has happened or the list is no source of this node.
+    pub fn start(&self) {
+        let can_start = self.shared.is_enabled.get() && !self.shared.state.get().is_started();
+        if can_start {
+            self.apply(WatcherEvent::Started);
+            tokio::task::spawn_local(self.clone().run());
+        }
+    }
+
+    /// Watches at another address from now on. A poll that waits at the previous one is dropped, and so is the pause
+    /// after a failed poll: the previous service may never answer.
+    pub fn set_service_addr(&self, service_addr: SocketAddr) {
+        if self.shared.service_addr.replace(service_addr) == service_addr {
+            return;
+        }
+        if self.shared.state.get().is_started() {
+            self.shared.service_moved.notify_one();
+        } else {
+            self.start();
+        }
+    }
+
+    fn apply(&self, event: WatcherEvent) -> WatcherState {
+        let state = self.shared.state.get().after(event, self.list_mode);
+        self.shared.state.set(state);
+        state
+    }
+
+    /// The task: polls until the watcher is idle or stopped. It must not look at the state after it has become idle,
+    /// since another task may have been started by then.
+    async fn run(self) {
+        while let Some(error) = self.poll_until_failure().await {
+            self.log_failure(&error);
+            let is_paused = matches!(self.shared.state.get(), WatcherState::Paused(_));
+            let report = self.send_update(SourceUpdate::Failed).await;
+            if !is_paused {
+                return;
+            }
+            if report.is_err() {
+                self.apply(WatcherEvent::DispatcherGone);
+                return;
+            }
+            self.pause().await;
+        }
+    }
+
+    /// Waits after a failed poll of a pushed list.
+    async fn pause(&self) {
+        // Both branches are safe to cancel: `notified` keeps a notification that comes later for the next call, and
+        // a timer holds nothing.
+        let event = tokio::select! {
+            () = self.shared.service_moved.notified() => WatcherEvent::ServiceMoved,
+            () = tokio::time::sleep(PUSHED_RETRY_PAUSE) => WatcherEvent::PauseEnded,
+        };
+        self.apply(event);
+    }
+
+    /// Polls until a poll fails for good, and returns why it did. `None` if the list is no source of this node any
+    /// more, or the dispatcher has gone.
+    async fn poll_until_failure(&self) -> Option<PollError> {
+        let mut connection = None;
+        // Only this task leaves the state `Polling`.
+        while let WatcherState::Polling(mode) = self.shared.state.get() {
+            if !self.shared.is_enabled.get() {
+                self.apply(WatcherEvent::Disabled);
+                return None;
+            }
+            match self.poll(&mut connection, mode).await {
+                PollOutcome::ServiceMoved => {
+                    self.apply(WatcherEvent::ServiceMoved);
+                    connection = None;
+                }
+                PollOutcome::Answered(response) => {
+                    self.apply(WatcherEvent::Answered);
+                    if self.report_list(response).await.is_err() {
+                        self.apply(WatcherEvent::DispatcherGone);
+                    }
+                }
+                PollOutcome::Refused(error) => {
+                    self.apply(WatcherEvent::Refused);
+                    return Some(error);
+                }
+                PollOutcome::TimedOut => {
+                    let state = self.apply(WatcherEvent::TimedOut);
+                    if !matches!(state, WatcherState::Polling(_)) {
+                        return Some(PollError::Timeout);
+                    }
+                    tracing::info!(
+                        source = LIST,
+                        "no answer from discovery in time; polling on a new connection"
+                    );
+                    connection = None;
+                }
+            }
+        }
+        None
+    }
+
+    /// One poll, on the connection of the previous one or on a new one.
+    async fn poll(&self, connection: &mut Option<Wire>, mode: PollMode) -> PollOutcome {
+        // `notified` is safe to cancel: a notification that comes later is kept for the next call. A poll that is
+        // dropped closes its connection with it, since the connection is taken out of `connection` while it is used,
+        // and loses nothing: the next poll asks for everything after the same version.
+        tokio::select! {
+            biased;
+            () = self.shared.service_moved.notified() => PollOutcome::ServiceMoved,
+            outcome = self.poll_in_time(connection, mode) => outcome,
+        }
+    }
+
+    /// Waits for the budget, and then polls within the time that the mode allows.
+    async fn poll_in_time(&self, connection: &mut Option<Wire>, mode: PollMode) -> PollOutcome {
+        let bounds = &self.shared.bounds;
+        let (wait, slack) = match mode {
+            PollMode::Long => (bounds.watch, bounds.watch_slack),
+            PollMode::Short => (bounds.retry_watch, bounds.retry_slack),
+            PollMode::Immediate => (Duration::ZERO, bounds.retry_slack),
+        };
+        self.wait_for_budget().await;
+        let exchange = self.exchange(connection, wait);
+        match tokio::time::timeout(wait + slack, exchange).await {
+            Ok(Ok(response)) => PollOutcome::Answered(response),
+            Ok(Err(error)) => PollOutcome::Refused(error),
+            Err(_) => PollOutcome::TimedOut,
+        }
+    }
+
+    /// Waits until the coordination's budget has a poll for this node, and takes it.
+    async fn wait_for_budget(&self) {
+        let budget = &self.shared.poll_budget;
+        budget
+            .borrow_mut()
+            .record_demand(BudgetKind::Discovery, UNITS_PER_POLL, POLL_WEIGHT);
+        loop {
+            let now = seconds(self.shared.clock.now());
+            if budget.borrow_mut().spend_unit(now, BudgetKind::Discovery) {
+                return;
+            }
+            tokio::time::sleep(BUDGET_CHECK_INTERVAL).await;
+        }
+    }
+
+    /// Asks the service for what is newer than the known list. A connection that may carry another request is put
+    /// back into `connection`.
+    async fn exchange(
+        &self,
+        connection: &mut Option<Wire>,
+        wait: Duration,
+    ) -> Result<EndpointListResponse, PollError> {
+        let shared = &self.shared;
+        let mut wire = if let Some(wire) = connection.take() {
+            wire
+        } else {
+            poll::connect(shared.service_addr.get(), shared.bounds.watch_slack).await?
+        };
+        let request = PollRequest {
+            service_addr: shared.service_addr.get(),
+            known_version: shared.known_version.get(),
+            wait,
+        };
+        let response = poll::exchange(&mut wire, request).await?;
+        response.check_status()?;
+        if response.keeps_connection {
+            *connection = Some(wire);
+        }
+        response.parse()
+    }
+
+    /// Sends a list to the dispatcher.
+    async fn report_list(
+        &self,
+        response: EndpointListResponse,
+    ) -> Result<(), mpsc::error::SendError<Message>> {
+        if self.shared.last_error.replace(None).is_some() {
+            tracing::info!(source = LIST, "endpoint list available again");
+        }
+        tracing::debug!(
+            source = LIST,
+            version = response.version(),
+            "endpoint list answered"
+        );
+        // The version is set before the next poll goes out, however late the dispatcher takes the list.
+        self.set_known_version(response.version());
+        self.send_update(response.into_source_update()).await
+    }
+
+    /// Sends an update to the dispatcher, and waits while its channel is full. Fails if the dispatcher has gone.
+    async fn send_update(
+        &self,
+        update: SourceUpdate,
+    ) -> Result<(), mpsc::error::SendError<Message>> {
+        let message = Message::Told {
+            source: LIST,
+            told: update,
+        };
+        self.shared.dispatcher.send(message).await
+    }
+
+    /// Logs why the list cannot be had, unless the previous poll failed for the same reason: a service that stays away
+    /// is polled many times.
+    fn log_failure(&self, error: &PollError) {
+        let reason = error.to_string();
+        let is_new = self.shared.last_error.borrow().as_ref() != Some(&reason);
+        if is_new {
+            tracing::warn!(source = LIST, reason, "no list");
+        }
+        self.shared.last_error.replace(Some(reason));
+    }
+}
