--- a/src/transport/hub.rs
+++ b/src/transport/dispatcher/mod.rs
@@ -7,13 +7,13 @@
     reason = "not yet converted"
 )]
 
-use super::clock::Clock;
-use super::discovery::Watch;
-use super::messages::{Answer, Asker, Crossed, Message, Payload, Piece, Replica, LIST};
-use super::upstream::{Job, Upstream};
 use crate::protocol::admin::Figures;
 use crate::routing::directory::{Changed, Directory};
 use crate::routing::{Command, Input, Micros, Router};
+use crate::transport::clock::Clock;
+use crate::transport::discovery::Watch;
+use crate::transport::messages::{Answer, Asker, Crossed, Message, Payload, Piece, Replica, LIST};
+use crate::transport::upstream::{Job, Upstream};
 use poppykeel_endpoints::Told;
 use poppykeel_scheduler::interface::{
     AttemptOutcome, Endpoint, EndpointState, ReplicaId, RequestId,
--- a/src/transport/handover.rs
+++ b/src/transport/handover.rs
@@ -9,7 +9,7 @@
 
 use super::clock::Clock;
 use super::messages::Message;
-use crate::routing::handover::{self, MOST};
+use crate::routing::learned_state::{self, MOST};
 use poppykeel_site_settings::SiteSettings;
 use std::cell::Cell;
 use std::fs;
@@ -131,7 +131,7 @@
     }
 
     async fn take(&self, bytes: &[u8]) {
-        match handover::read(bytes, self.me, self.unix_ms(), &self.boot.names) {
+        match learned_state::read(bytes, self.me, self.unix_ms(), &self.boot.names) {
             Ok(memory) => {
                 let (requests, sessions) = (memory.requests_seen, memory.sessions.len());
                 tracing::info!(requests, sessions, "learned from the process before");
@@ -152,7 +152,7 @@
         else {
             return;
         };
-        let bytes = handover::write(self.me, self.unix_ms(), &self.boot.names, memory);
+        let bytes = learned_state::write(self.me, self.unix_ms(), &self.boot.names, memory);
         let draft = self.path(&format!("{:016x}", self.me));
         let left: io::Result<()> =
             fs::write(&draft, bytes).and_then(|()| fs::rename(&draft, self.path("learned")));
--- a/src/transport/upstream.rs
+++ b/src/transport/upstream.rs
@@ -17,7 +17,7 @@
 use crate::protocol::http::{Out, Part, Start};
 use crate::protocol::report::{probed, report};
 use crate::protocol::request;
-use crate::routing::crossings::Crossings;
+use crate::routing::cross_zone::Crossings;
 use crate::routing::{Input, Micros};
 use bytes::{Buf, Bytes};
 use futures_util::{SinkExt, StreamExt};
--- a/tests/hub.rs
+++ b/tests/dispatcher.rs
@@ -13,7 +13,7 @@
 use poppykeel::routing::Router;
 use poppykeel::transport::clock::Clock;
 use poppykeel::transport::discovery::Watch;
-use poppykeel::transport::hub::Hub;
+use poppykeel::transport::dispatcher::Hub;
 use poppykeel::transport::messages::{Answer, Asker, Message, Payload};
 use poppykeel::transport::pool::Pool;
 use poppykeel::transport::streams::Streams;
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -14,7 +14,7 @@
 #[allow(dead_code)] // the rest is for tests of streams
 mod support;
 
-use poppykeel::routing::handover::{read, write, Doubt};
+use poppykeel::routing::learned_state::{read, write, Doubt};
 use poppykeel_scheduler::interface::*;
 use poppykeel_site_settings::SiteNames;
 use poppykeel_stub_model_server::{Outcome as Seen, Script, Standin};
--- a/tests/routing.rs
+++ b/tests/routing.rs
@@ -226,7 +226,7 @@
 /// The account of crossings: by minute, class and tenant, an hour of minutes, and all of it in the totals.
 #[test]
 fn crossings_are_counted_by_minute_and_the_oldest_minutes_leave_the_table_alone() {
-    let mut crossings = poppykeel::routing::crossings::Crossings::default();
+    let mut crossings = poppykeel::routing::cross_zone::Crossings::default();
     for minute in 0..70i64 {
         (0..=minute % 3).for_each(|n| crossings.add(minute * 60_000_000 + n, 0, 1));
         crossings.add(minute * 60_000_000 + 59_999_999, 1, 0);
