--- a/crates/testbed/src/emulator/node.rs
+++ b/crates/testbed/src/emulator/node.rs
@@ -10,7 +10,7 @@
 use super::description::{Repeats, Run};
 use super::policies::{Policy, Simple};
 use crate::Micros;
-use poppykeel::routing::{Command, Input, Router};
+use poppykeel::routing::{RequestRouter, RouterCommand, RouterEvent};
 use poppykeel_scheduler::interface::*;
 use poppykeel_scheduler::Scheduler;
 use rand::SeedableRng;
@@ -18,7 +18,7 @@
 use std::net::{Ipv4Addr, SocketAddr};
 
 enum Mind {
-    Core(Box<Router>),
+    Core(Box<RequestRouter>),
     Simple(Box<Simple>),
 }
 
@@ -122,7 +122,7 @@
         let mind = match policy {
             Policy::Poppykeel => {
                 let brain = Scheduler::new(settings, seed).map_err(|e| e.to_string())?;
-                Mind::Core(Box::new(Router::new(brain)))
+                Mind::Core(Box::new(RequestRouter::new(brain)))
             }
             other => {
                 let rng = rand_pcg::Pcg64Mcg::seed_from_u64(seed);
@@ -140,17 +140,17 @@
     }
 
     /// Tells it something.
-    pub fn handle(&mut self, now: Micros, input: Input, out: &mut Vec<Command>) {
+    pub fn handle(&mut self, now: Micros, input: RouterEvent, out: &mut Vec<RouterCommand>) {
         match &mut self.mind {
-            Mind::Core(router) => router.handle(now, input, out),
+            Mind::Core(router) => router.handle_event(now, input, out),
             Mind::Simple(simple) => simple.handle(now, input, out),
         }
     }
 
     /// Lets its timers run.
-    pub fn turn(&mut self, now: Micros, out: &mut Vec<Command>) {
+    pub fn turn(&mut self, now: Micros, out: &mut Vec<RouterCommand>) {
         match &mut self.mind {
-            Mind::Core(router) => router.turn(now, out),
+            Mind::Core(router) => router.on_timer(now, out),
             Mind::Simple(simple) => simple.turn(now, out),
         }
     }
@@ -158,14 +158,14 @@
     /// What the fleet allows it from now on.
     pub fn allow(&mut self, allowed: &BudgetGrants) {
         if let Mind::Core(router) = &mut self.mind {
-            router.allow(allowed);
+            router.set_budget_grants(allowed);
         }
     }
 
     /// What it has wanted since its start of what the fleet has budgets for.
     pub fn wanted(&self) -> BTreeMap<BudgetKind, BudgetDemand> {
         match &self.mind {
-            Mind::Core(router) => router.wanted(),
+            Mind::Core(router) => router.budget_demand(),
             Mind::Simple(_) => BTreeMap::new(),
         }
     }
@@ -173,7 +173,7 @@
     /// Requests that wait in it, by tenant.
     pub fn waiting(&self) -> Vec<usize> {
         match &self.mind {
-            Mind::Core(router) => router.waiting(),
+            Mind::Core(router) => router.queued_by_tenant(),
             Mind::Simple(_) => Vec::new(),
         }
     }
@@ -181,7 +181,7 @@
     /// When its timers want to run.
     pub fn due(&self) -> Option<Micros> {
         match &self.mind {
-            Mind::Core(router) => router.due(),
+            Mind::Core(router) => router.next_timer(),
             Mind::Simple(simple) => simple.due(),
         }
     }
--- a/crates/testbed/src/emulator/policies.rs
+++ b/crates/testbed/src/emulator/policies.rs
@@ -9,7 +9,7 @@
     reason = "not yet converted"
 )]
 
-use poppykeel::routing::{Command, Input, Micros};
+use poppykeel::routing::{MonotonicMicros, RouterCommand, RouterEvent};
 use poppykeel_scheduler::interface::{
     AttemptOutcome, Endpoint, EndpointState, Idempotency, IncomingRequest, ReplicaId, RequestId,
     SchedulerSettings,
@@ -21,7 +21,7 @@
 /// Failures in a row after which a server is left alone ...
 const FAILURES: u32 = 3;
 /// ... for so long; then requests come again, and the next failure counts anew.
-const ALONE: Micros = 10_000_000;
+const ALONE: MonotonicMicros = 10_000_000;
 /// Points of each server on the ring of prefix-affine hashing.
 const POINTS: u64 = 40;
 /// No server holds more than so many times the mean (Mirrokni et al., "Consistent hashing with bounded loads", 2018).
@@ -80,15 +80,15 @@
     in_flight: u32,
     reported: f64,
     failures: u32,
-    alone_until: Micros,
+    alone_until: MonotonicMicros,
 }
 
 struct Held {
     arrival: IncomingRequest,
-    deadline: Micros,
+    deadline: MonotonicMicros,
     attempts: u32,
     /// The attempt under way: its server and until when it is waited for.
-    at: Option<(usize, Micros)>,
+    at: Option<(usize, MonotonicMicros)>,
     streaming: bool,
 }
 
@@ -101,7 +101,7 @@
     places: HashMap<ReplicaId, usize>,
     ring: Vec<(u64, usize)>,
     held: BTreeMap<RequestId, Held>,
-    timers: BTreeSet<(Micros, RequestId)>,
+    timers: BTreeSet<(MonotonicMicros, RequestId)>,
     next: usize,
     rng: rand_pcg::Pcg64Mcg,
     in_flight: u64,
@@ -133,27 +133,32 @@
     }
 
     /// When `turn` must be called next.
-    pub fn due(&self) -> Option<Micros> {
+    pub fn due(&self) -> Option<MonotonicMicros> {
         self.timers.first().map(|t| t.0)
     }
 
     /// Lets the timers run that are due.
-    pub fn turn(&mut self, now: Micros, out: &mut Vec<Command>) {
+    pub fn turn(&mut self, now: MonotonicMicros, out: &mut Vec<RouterCommand>) {
         while let Some((_, request)) = self.timers.first().copied().filter(|t| t.0 <= now) {
             self.timers.pop_first();
             if let Some(attempt) = self.held.get(&request).map(|h| h.attempts as usize - 1) {
-                out.push(Command::Abandon { request, attempt });
+                out.push(RouterCommand::AbandonAttempt { request, attempt });
                 self.ended(now, request, attempt, AttemptOutcome::TimedOut, out);
             }
         }
     }
 
     /// Takes one event.
-    pub fn handle(&mut self, now: Micros, input: Input, out: &mut Vec<Command>) {
+    pub fn handle(
+        &mut self,
+        now: MonotonicMicros,
+        input: RouterEvent,
+        out: &mut Vec<RouterCommand>,
+    ) {
         match input {
-            Input::Arrived(arrival) => {
+            RouterEvent::RequestArrived(arrival) => {
                 let id = arrival.id;
-                let deadline = now + (arrival.time_left * 1e6) as Micros;
+                let deadline = now + (arrival.time_left * 1e6) as MonotonicMicros;
                 self.held.insert(
                     id,
                     Held {
@@ -166,17 +171,17 @@
                 );
                 self.send(now, id, None, out);
             }
-            Input::ClientGone(request) => {
+            RouterEvent::ClientDisconnected(request) => {
                 let attempt = self
                     .held
                     .get(&request)
                     .map_or(0, |h| h.attempts.saturating_sub(1) as usize);
                 if self.free(request).is_some() {
-                    out.push(Command::Abandon { request, attempt });
+                    out.push(RouterCommand::AbandonAttempt { request, attempt });
                 }
                 self.held.remove(&request);
             }
-            Input::First { request, attempt } => {
+            RouterEvent::FirstToken { request, attempt } => {
                 let Some(held) = self.held.get_mut(&request) else {
                     return;
                 };
@@ -184,10 +189,10 @@
                     held.streaming = true;
                     self.timers.remove(&(until, request));
                     self.peers[place].failures = 0;
-                    out.push(Command::Bind { request, attempt });
+                    out.push(RouterCommand::BindStream { request, attempt });
                 }
             }
-            Input::Ended {
+            RouterEvent::AttemptEnded {
                 request,
                 attempt,
                 outcome,
@@ -201,8 +206,10 @@
                 }
                 self.ended(now, request, attempt, outcome, out);
             }
-            Input::List { list, full } => self.list(list, full),
-            Input::Probed { .. } | Input::Advised { .. } | Input::ListFailed => {}
+            RouterEvent::List { list, full } => self.list(list, full),
+            RouterEvent::ProbeEnded { .. }
+            | RouterEvent::OutlierAdvice { .. }
+            | RouterEvent::EndpointListFailed => {}
         }
     }
 
@@ -249,11 +256,11 @@
 
     fn ended(
         &mut self,
-        now: Micros,
+        now: MonotonicMicros,
         id: RequestId,
         attempt: usize,
         outcome: AttemptOutcome,
-        out: &mut Vec<Command>,
+        out: &mut Vec<RouterCommand>,
     ) {
         if self
             .held
@@ -291,24 +298,24 @@
         }
         self.held.remove(&id);
         out.push(match outcome {
-            AttemptOutcome::AtCapacity => Command::Refuse {
+            AttemptOutcome::AtCapacity => RouterCommand::Reject {
                 request: id,
                 retry_after: 1_000_000,
             },
-            _ => Command::Fail { request: id },
+            _ => RouterCommand::Fail { request: id },
         });
     }
 
     fn send(
         &mut self,
-        now: Micros,
+        now: MonotonicMicros,
         request: RequestId,
         not: Option<usize>,
-        out: &mut Vec<Command>,
+        out: &mut Vec<RouterCommand>,
     ) {
         let Some(place) = self.choose(now, request, not) else {
             self.held.remove(&request);
-            return out.push(Command::Refuse {
+            return out.push(RouterCommand::Reject {
                 request,
                 retry_after: 1_000_000,
             });
@@ -323,15 +330,15 @@
         let peer = &mut self.peers[place];
         peer.in_flight += 1;
         self.in_flight += 1;
-        out.push(Command::Send {
+        out.push(RouterCommand::StartAttempt {
             request,
             attempt,
             replica: peer.id,
-            until,
+            deadline: until,
         });
     }
 
-    fn choose(&mut self, now: Micros, id: RequestId, not: Option<usize>) -> Option<usize> {
+    fn choose(&mut self, now: MonotonicMicros, id: RequestId, not: Option<usize>) -> Option<usize> {
         // Where all are left alone, all are tried.
         let any = |alone: bool, p: &Peer| p.up && (alone || now >= p.alone_until);
         let well = self.peers.iter().any(|p| any(false, p));
--- a/crates/testbed/src/emulator/world.rs
+++ b/crates/testbed/src/emulator/world.rs
@@ -18,7 +18,7 @@
 use super::together::{Talk, Together};
 use super::trace::{Hop, Passage, Trace};
 use crate::Micros;
-use poppykeel::routing::{Command, Input};
+use poppykeel::routing::{RouterCommand, RouterEvent};
 use poppykeel_scheduler::interface::{
     self, Endpoint, EndpointState, IncomingRequest, LoadReport, RequestId,
 };
@@ -205,7 +205,7 @@
     measure: Measure,
     pub(super) cut: Option<usize>,
     pub(super) no_list: bool,
-    commands: Vec<Command>,
+    commands: Vec<RouterCommand>,
     said: Vec<Said>,
     trace: Option<Trace>,
     events: u64,
@@ -380,7 +380,7 @@
                 outcome,
                 shown,
             } => {
-                let input = Input::Probed {
+                let input = RouterEvent::ProbeEnded {
                     replica: name(server as usize),
                     outcome,
                     report: shown.map(report),
@@ -399,7 +399,7 @@
                     self.nodes[node as usize].drains[server as usize] = drains.then_some(now);
                 }
                 let list = vec![self.listing(server as usize, state, born)];
-                self.tell(now, node, epoch, Input::List { list, full: false });
+                self.tell(now, node, epoch, RouterEvent::List { list, full: false });
             }
             Event::AtServer {
                 server,
@@ -607,7 +607,7 @@
 
     // Nodes.
 
-    fn tell(&mut self, now: Micros, node: u32, epoch: u32, input: Input) {
+    fn tell(&mut self, now: Micros, node: u32, epoch: u32, input: RouterEvent) {
         let n = &mut self.nodes[node as usize];
         if n.epoch == epoch {
             n.handle(now, input, &mut self.commands);
@@ -628,7 +628,7 @@
                 let (work, sent) = (&t.work, t.sent);
                 let class = &run.class[work.class];
                 let time_left = class.deadline_s - (now - sent) as f64 / 1e6;
-                Input::Arrived(IncomingRequest {
+                RouterEvent::RequestArrived(IncomingRequest {
                     id: RequestId(id),
                     class: work.class,
                     tenant: work.tenant,
@@ -643,7 +643,12 @@
                 })
             }
             Word::Gone => {
-                self.tell(now, node, epoch, Input::ClientGone(RequestId(id)));
+                self.tell(
+                    now,
+                    node,
+                    epoch,
+                    RouterEvent::ClientDisconnected(RequestId(id)),
+                );
                 return self.tidy(id);
             }
             Word::First(attempt) => {
@@ -656,7 +661,7 @@
                     return;
                 };
                 a.streaming = true;
-                Input::First {
+                RouterEvent::FirstToken {
                     request: RequestId(id),
                     attempt: attempt as usize,
                 }
@@ -683,7 +688,7 @@
                     now,
                     node,
                     epoch,
-                    Input::Ended {
+                    RouterEvent::AttemptEnded {
                         request,
                         attempt: place,
                         outcome,
@@ -710,7 +715,7 @@
         let mut commands = std::mem::take(&mut self.commands);
         for command in commands.drain(..) {
             match command {
-                Command::Send {
+                RouterCommand::StartAttempt {
                     request,
                     attempt,
                     replica,
@@ -718,8 +723,10 @@
                 } => {
                     self.send(now, node, request.0, attempt, number(replica) as u32);
                 }
-                Command::Abandon { request, attempt } => self.abandon(now, request.0, attempt),
-                Command::Bind { request, attempt } => {
+                RouterCommand::AbandonAttempt { request, attempt } => {
+                    self.abandon(now, request.0, attempt);
+                }
+                RouterCommand::BindStream { request, attempt } => {
                     self.answered(request.0);
                     if let Some(t) = self.find(request.0) {
                         t.bound = Some(attempt);
@@ -732,7 +739,7 @@
                         );
                     }
                 }
-                Command::Refuse {
+                RouterCommand::Reject {
                     request,
                     retry_after,
                 } => {
@@ -746,7 +753,7 @@
                         },
                     );
                 }
-                Command::Fail { request } => {
+                RouterCommand::Fail { request } => {
                     self.answered(request.0);
                     self.queue.put(
                         now + near,
@@ -756,7 +763,7 @@
                         },
                     );
                 }
-                Command::Probe { replica } => {
+                RouterCommand::Probe { replica } => {
                     let server = number(replica) as u32;
                     self.measure.counts().probes += 1;
                     let way = self.way(
@@ -773,7 +780,7 @@
                         },
                     );
                 }
-                Command::Watch => {}
+                RouterCommand::WatchEndpoints => {}
             }
         }
         self.commands = commands;
@@ -911,7 +918,12 @@
             *told = (place.listed == EndpointState::Draining).then(|| told.unwrap_or(now));
         }
         let epoch = self.nodes[node].epoch;
-        self.tell(now, node as u32, epoch, Input::List { list, full: true });
+        self.tell(
+            now,
+            node as u32,
+            epoch,
+            RouterEvent::List { list, full: true },
+        );
     }
 
     fn listing(&self, server: usize, state: EndpointState, born: Option<Micros>) -> Endpoint {
--- a/src/program/config/operator.rs
+++ b/src/program/config/operator.rs
@@ -11,8 +11,8 @@
 
 use super::fleet::Fleet;
 use crate::protocol::srv::Naming;
-use crate::routing::directory::Members;
-use crate::transport::messages::{LIST, SRV};
+use crate::routing::directory::EndpointSourceSettings;
+use crate::transport::messages::{ENDPOINT_LIST_SOURCE, SRV_SOURCE};
 use crate::transport::srv::Service;
 use crate::transport::streams::{self, Continues};
 use poppykeel_dns_resolver::{Config, Family, Lifetimes};
@@ -519,15 +519,15 @@
     }
 
     /// The settings of the account of membership.
-    pub fn members(&self) -> Members {
+    pub fn members(&self) -> EndpointSourceSettings {
         let Some(members) = &self.membership else {
-            let sources = vec![SourceSettings::new(LIST, Kind::Naming)];
+            let sources = vec![SourceSettings::new(ENDPOINT_LIST_SOURCE, Kind::Naming)];
             let settings = Settings {
                 sources,
                 ..Settings::default()
             };
-            return Members {
-                settings,
+            return EndpointSourceSettings {
+                membership: settings,
                 weight_unit: None,
             };
         };
@@ -552,7 +552,7 @@
                         hold: srv.flap_hold.0,
                         most: srv.flap_most.0,
                     });
-                    let (name, kind) = (SRV.to_string(), Kind::Addressing);
+                    let (name, kind) = (SRV_SOURCE.to_string(), Kind::Addressing);
                     SourceSettings {
                         name,
                         kind,
@@ -563,7 +563,7 @@
                 }
                 (Source::Srv, None) => continue,
                 (Source::List, _) => {
-                    let (name, kind) = (LIST.to_string(), Kind::Naming);
+                    let (name, kind) = (ENDPOINT_LIST_SOURCE.to_string(), Kind::Naming);
                     let absence = absence(members.list.absence);
                     SourceSettings {
                         name,
@@ -580,8 +580,8 @@
             standby: members.standby,
             forget: members.forget.0,
         };
-        Members {
-            settings,
+        EndpointSourceSettings {
+            membership: settings,
             weight_unit,
         }
     }
@@ -589,7 +589,10 @@
 
 impl std::fmt::Display for Operator {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        let Members { settings, .. } = self.members();
+        let EndpointSourceSettings {
+            membership: settings,
+            ..
+        } = self.members();
         let names: Vec<&str> = settings.sources.iter().map(|s| s.name.as_str()).collect();
         write!(f, "servers from {}", names.join(" and "))?;
         match settings.sources.first().and_then(|s| s.guard) {
--- a/src/program/resolve.rs
+++ b/src/program/resolve.rs
@@ -12,7 +12,7 @@
 use super::files::{OperatorFile, Over};
 use crate::transport::clock::Clock;
 use crate::transport::discovery::Watch;
-use crate::transport::messages::{Message, LIST, SRV};
+use crate::transport::messages::{DispatcherMessage, ENDPOINT_LIST_SOURCE, SRV_SOURCE};
 use crate::transport::srv::{Lookups, Newest};
 use crate::transport::Bounds;
 use poppykeel_endpoints::{Membership, Told};
@@ -101,7 +101,7 @@
     ) -> Result<bool, String> {
         let clock = Clock::start();
         let (tell, mut told) = mpsc::channel(MESSAGES);
-        let mut members = Membership::new(operator.members().settings);
+        let mut members = Membership::new(operator.members().membership);
         let mut lookups = Lookups::new(clock, tell.clone());
         let newest = lookups.newest();
         lookups.set(operator.service());
@@ -118,7 +118,7 @@
             .map(|s| (s.name.clone(), Said::Nothing));
         let mut said: BTreeMap<String, Said> = sources.collect();
         if watch.is_none() {
-            said.entry(LIST.to_string())
+            said.entry(ENDPOINT_LIST_SOURCE.to_string())
                 .and_modify(|s| *s = Said::Failed);
         }
         let end = Instant::now() + Duration::from_secs_f64(self.wait.clamp(0.0, 86_400.0));
@@ -152,7 +152,11 @@
                 }
                 () = tokio::time::sleep_until(end), if !self.watch => break,
             };
-            let Some(Message::Told { source, told }) = message else {
+            let Some(DispatcherMessage::EndpointUpdate {
+                source,
+                update: told,
+            }) = message
+            else {
                 continue;
             };
             let word = if told == Told::Failed {
@@ -160,7 +164,9 @@
             } else {
                 Said::Answered
             };
-            if let (Said::Failed, LIST, Some(watch), true) = (&word, source, &watch, self.watch) {
+            if let (Said::Failed, ENDPOINT_LIST_SOURCE, Some(watch), true) =
+                (&word, source, &watch, self.watch)
+            {
                 let watch = watch.clone();
                 tokio::task::spawn_local(async move {
                     tokio::time::sleep(AGAIN).await;
@@ -254,7 +260,7 @@
                 _ => "silent",
             };
             let mut value = json!({"name": source.name, "state": state});
-            if source.name == SRV {
+            if source.name == SRV_SOURCE {
                 records(&mut value, newest, now);
             }
             value
--- a/src/program/serve.rs
+++ b/src/program/serve.rs
@@ -11,17 +11,17 @@
 
 use super::config::operator::Operator;
 use super::config::Config;
-use crate::routing::directory::Directory;
-use crate::routing::Router;
+use crate::routing::directory::EndpointDirectory;
+use crate::routing::RequestRouter;
 use crate::transport::admin::Admin;
 use crate::transport::clients::Shared;
 use crate::transport::clock::Clock;
 use crate::transport::discovery::Watch;
-use crate::transport::dispatcher::Hub;
+use crate::transport::dispatcher::Dispatcher;
 use crate::transport::fleet::Fleet;
 use crate::transport::handover::Handover;
 use crate::transport::listener::accept;
-use crate::transport::messages::{Message, Phase};
+use crate::transport::messages::{DispatcherMessage, NodePhase};
 use crate::transport::pool::Pool;
 use crate::transport::shutdown::FINAL_ANSWERS;
 use crate::transport::srv::Lookups;
@@ -106,16 +106,16 @@
 /// Says that the node drains, before all else: what is answered from here on is the last on its connection. Then hands
 /// over, for at most the time in which clients still come, and closes.
 async fn drain(
-    phase: &watch::Sender<Phase>,
+    phase: &watch::Sender<NodePhase>,
     hand_over: impl Future<Output = ()>,
     linger: Duration,
 ) {
-    let _ = phase.send(Phase::Draining);
+    let _ = phase.send(NodePhase::Draining);
     let _ = tokio::join!(
         tokio::time::timeout(linger, hand_over),
         tokio::time::sleep(linger)
     );
-    let _ = phase.send(Phase::Closing);
+    let _ = phase.send(NodePhase::Closing);
 }
 
 async fn run(
@@ -137,7 +137,7 @@
     let mut boot = Rc::new(config.boot.clone());
     let bounds = Rc::new(config.bounds.clone());
     let (tell, told) = mpsc::channel(MESSAGES);
-    let (phase, phases) = watch::channel(Phase::Serving);
+    let (phase, phases) = watch::channel(NodePhase::Serving);
     let phase = Rc::new(phase);
     let pool = Pool::new(bounds.upstream, bounds.dial, bounds.idle);
     let clock = Clock::start();
@@ -149,7 +149,7 @@
         bounds: bounds.clone(),
         streams: streams.clone(),
         written: Rc::default(),
-        crossings: Rc::default(),
+        cross_zone_traffic: Rc::default(),
         clock,
     };
     let discovery = Watch::new(config.discovery, bounds.clone(), tell.clone(), clock);
@@ -170,10 +170,10 @@
         .clone()
         .filter(|_| operator.lists())
         .map(|k| k.told());
-    let directory = Directory::new(boot.clone(), operator.members());
-    let hub = Hub::new(
+    let directory = EndpointDirectory::new(boot.clone(), operator.members());
+    let hub = Dispatcher::new(
         clock,
-        Router::new(brain),
+        RequestRouter::new(brain),
         directory,
         upstream,
         discovery.clone(),
@@ -245,14 +245,14 @@
                 Ok((read, operator, next)) => {
                     // The core first: a request of a new class must find it known there.
                     let (done, settled) = oneshot::channel();
-                    if tell.send(Message::Settings(next.clone(), done)).await.is_ok() {
+                    if tell.send(DispatcherMessage::UpdateSettings(next.clone(), done)).await.is_ok() {
                         let _ = settled.await;
                     }
                     shared.boot.replace(next.clone());
                     boot = next;
                     tracing::info!(node = %read.name, discovery = %read.discovery, "read again");
                     // First the settings: what a new source tells must find its place.
-                    let _ = tell.send(Message::Members(operator.members())).await;
+                    let _ = tell.send(DispatcherMessage::SetEndpointSources(operator.members())).await;
                     discovery.enable(operator.lists());
                     discovery.move_to(read.discovery);
                     config = read;
@@ -275,7 +275,9 @@
         fleet.leave();
     }
     let leave = async {
-        let _ = tell.send(Message::AnswerAllWithin(FINAL_ANSWERS)).await;
+        let _ = tell
+            .send(DispatcherMessage::SetAnswerDeadline(FINAL_ANSWERS))
+            .await;
         if let Some(handover) = &handover {
             handover.leave().await;
         }
@@ -288,7 +290,7 @@
         tokio::time::sleep(LOOK).await;
     }
     let (done, summed) = oneshot::channel();
-    if tell.send(Message::SumUp(done)).await.is_ok() {
+    if tell.send(DispatcherMessage::LogSummary(done)).await.is_ok() {
         let _ = summed.await;
     }
     tracing::info!(node = %config.name, since_stop_ms = shared.shutdown.elapsed_ms(), "done");
--- a/src/routing/cross_zone.rs
+++ b/src/routing/cross_zone.rs
@@ -9,15 +9,15 @@
 
 /// The account.
 #[derive(Clone, Debug, Default)]
-pub struct Crossings {
+pub struct CrossZoneTraffic {
     /// By minute, class and tenant.
     minutes: BTreeMap<(u64, usize, usize), u64>,
     totals: BTreeMap<(usize, usize), u64>,
 }
 
-impl Crossings {
+impl CrossZoneTraffic {
     /// Counts one, at a time in microseconds of Unix time.
-    pub fn add(&mut self, unix: i64, class: usize, tenant: usize) {
+    pub fn record(&mut self, unix: i64, class: usize, tenant: usize) {
         let minute = u64::try_from(unix / MINUTE).unwrap_or(0);
         *self.totals.entry((class, tenant)).or_default() += 1;
         let key = (minute, class, tenant);
--- a/src/routing/directory.rs
+++ b/src/routing/directory.rs
@@ -12,24 +12,24 @@
 
 /// The two clocks at one moment, to map a time of the one to the other.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Moment {
+pub struct ClockReading {
     /// Microseconds on the monotonic clock.
-    pub now: Micros,
+    pub monotonic: Micros,
     /// Microseconds of Unix time.
-    pub unix: i64,
+    pub unix_us: i64,
 }
 
 /// What is told beside the account's own settings.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Members {
+pub struct EndpointSourceSettings {
     /// The account's settings.
-    pub settings: Settings,
+    pub membership: Settings,
     /// A weight of this much in DNS is an ordinary server's size; none takes no sizes from there.
     pub weight_unit: Option<f64>,
 }
 
 #[derive(Clone, Debug)]
-struct Known {
+struct ListedEndpoint {
     name: String,
     addr: SocketAddr,
     started_ms: i64,
@@ -38,25 +38,25 @@
 
 /// A replica that the module is to be told of, under its name in the account.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Changed {
+pub struct EndpointChange {
     /// For the module.
-    pub listing: Endpoint,
+    pub endpoint: Endpoint,
     /// For the log.
     pub name: String,
 }
 
 /// What this node knows of the replicas.
 #[derive(Debug)]
-pub struct Directory {
+pub struct EndpointDirectory {
     boot: Rc<SiteSettings>,
     members: Membership,
     weight_unit: Option<f64>,
-    known: BTreeMap<ReplicaId, Known>,
+    known: BTreeMap<ReplicaId, ListedEndpoint>,
 }
 
 /// The module's name for a replica. It ranks replicas by this address to find a session's home, and `addr`
 /// differs from node to node, so the name comes from the server's name alone, which is the same everywhere.
-pub fn identity(name: &str) -> ReplicaId {
+pub fn replica_id(name: &str) -> ReplicaId {
     let fnv = |start: u64| {
         name.bytes()
             .fold(start, |h, b| {
@@ -69,13 +69,13 @@
     ReplicaId(SocketAddr::from((Ipv6Addr::from(bits), 0)))
 }
 
-impl Directory {
+impl EndpointDirectory {
     /// A directory that knows nobody yet.
-    pub fn new(boot: Rc<SiteSettings>, members: Members) -> Self {
+    pub fn new(boot: Rc<SiteSettings>, members: EndpointSourceSettings) -> Self {
         let (weight_unit, known) = (members.weight_unit, BTreeMap::new());
-        Directory {
+        EndpointDirectory {
             boot,
-            members: Membership::new(members.settings),
+            members: Membership::new(members.membership),
             weight_unit,
             known,
         }
@@ -97,22 +97,27 @@
     }
 
     /// The account itself.
-    pub fn members(&self) -> &Membership {
+    pub fn membership(&self) -> &Membership {
         &self.members
     }
 
     /// When `turn` must be called next, if nothing comes before.
-    pub fn due(&self) -> Option<Micros> {
+    pub fn next_timer(&self) -> Option<Micros> {
         self.members.due()
     }
 
     /// Servers listed, draining ones too.
-    pub fn listed(&self) -> usize {
+    pub fn listed_count(&self) -> usize {
         self.known.len()
     }
 
     /// What a source tells, by its name; returned is what the module is to be told.
-    pub fn told(&mut self, source: &str, told: Told, at: Moment) -> Vec<Changed> {
+    pub fn apply_update(
+        &mut self,
+        source: &str,
+        told: Told,
+        at: ClockReading,
+    ) -> Vec<EndpointChange> {
         let place = self
             .members
             .settings()
@@ -122,27 +127,31 @@
         let Some(place) = place else {
             return Vec::new();
         };
-        let changes = self.members.told(at.now, place, told);
+        let changes = self.members.told(at.monotonic, place, told);
         self.listings(changes, at)
     }
 
     /// Lets the time pass.
-    pub fn turn(&mut self, at: Moment) -> Vec<Changed> {
-        let changes = self.members.turn(at.now);
+    pub fn on_timer(&mut self, at: ClockReading) -> Vec<EndpointChange> {
+        let changes = self.members.turn(at.monotonic);
         self.listings(changes, at)
     }
 
     /// Takes new settings; sources that stay keep what they have told.
-    pub fn set(&mut self, members: Members, at: Moment) -> Vec<Changed> {
+    pub fn update_settings(
+        &mut self,
+        members: EndpointSourceSettings,
+        at: ClockReading,
+    ) -> Vec<EndpointChange> {
         self.weight_unit = members.weight_unit;
-        let changes = self.members.set(at.now, members.settings);
+        let changes = self.members.set(at.monotonic, members.membership);
         self.listings(changes, at)
     }
 
-    fn listings(&mut self, changes: Vec<Server>, at: Moment) -> Vec<Changed> {
+    fn listings(&mut self, changes: Vec<Server>, at: ClockReading) -> Vec<EndpointChange> {
         let mut list = Vec::new();
         for server in changes {
-            let id = identity(&server.name);
+            let id = replica_id(&server.name);
             let before = self.known.get(&id);
             let started_ms = server.entry.started_ms;
             // One start keeps one time: mapped anew with each list it would seem to be a later start.
@@ -165,7 +174,7 @@
                     (server.entry.addr, server.name.clone(), listing.clone());
                 self.known.insert(
                     id,
-                    Known {
+                    ListedEndpoint {
                         name,
                         addr,
                         started_ms,
@@ -173,8 +182,8 @@
                     },
                 );
             }
-            list.push(Changed {
-                listing,
+            list.push(EndpointChange {
+                endpoint: listing,
                 name: server.name,
             });
         }
@@ -210,7 +219,7 @@
 }
 
 /// `started_ms` is Unix time: it counts back from now on the monotonic clock.
-fn born(started_ms: i64, at: Moment) -> Seconds {
-    let age = at.unix.saturating_sub(started_ms.saturating_mul(1000));
-    at.now as f64 / 1e6 - age as f64 / 1e6
+fn born(started_ms: i64, at: ClockReading) -> Seconds {
+    let age = at.unix_us.saturating_sub(started_ms.saturating_mul(1000));
+    at.monotonic as f64 / 1e6 - age as f64 / 1e6
 }
--- a/src/routing/learned_state.rs
+++ b/src/routing/learned_state.rs
@@ -9,24 +9,24 @@
 /// Two looks at one wall clock may be so far apart the wrong way, in milliseconds.
 const AHEAD: i64 = 1_000;
 /// The longest record: sixteen thousand sessions take less than half of it.
-pub const MOST: u64 = 2 << 20;
+pub const MAX_RECORD_BYTES: u64 = 2 << 20;
 const FORMAT: u8 = 1;
 
 /// Why a record is not believed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Doubt {
+pub enum LearnedStateError {
     /// Not a record, or one cut short.
-    Garbled,
+    Malformed,
     /// Of another format.
-    Format(u8),
+    UnsupportedFormat(u8),
     /// This process wrote it itself.
-    Own,
+    WrittenByThisProcess,
     /// Of this many milliseconds ago.
-    Age(i64),
+    AgeOutOfRange(i64),
     /// Its kinds, classes or zones are others.
-    OtherSite,
+    DifferentSite,
     /// A figure that nothing can have taught.
-    Absurd,
+    Implausible,
 }
 
 #[derive(Serialize, Deserialize)]
@@ -47,7 +47,7 @@
 }
 
 /// A record as it is left: `from` tells this process from others, `unix_ms` is now.
-pub fn write(from: u64, unix_ms: i64, names: &SiteNames, memory: LearnedState) -> Vec<u8> {
+pub fn encode(from: u64, unix_ms: i64, names: &SiteNames, memory: LearnedState) -> Vec<u8> {
     let record = Record {
         format: FORMAT,
         from,
@@ -64,23 +64,30 @@
 ///
 /// # Errors
 /// Why it is not believed.
-pub fn read(bytes: &[u8], me: u64, unix_ms: i64, names: &SiteNames) -> Result<LearnedState, Doubt> {
-    let (sum, rest) = bytes.split_first_chunk::<4>().ok_or(Doubt::Garbled)?;
+pub fn decode(
+    bytes: &[u8],
+    me: u64,
+    unix_ms: i64,
+    names: &SiteNames,
+) -> Result<LearnedState, LearnedStateError> {
+    let (sum, rest) = bytes
+        .split_first_chunk::<4>()
+        .ok_or(LearnedStateError::Malformed)?;
     if crc32fast::hash(rest).to_le_bytes() != *sum {
-        return Err(Doubt::Garbled);
+        return Err(LearnedStateError::Malformed);
     }
     match rest.first() {
         Some(&FORMAT) => {}
-        Some(format) => return Err(Doubt::Format(*format)),
-        None => return Err(Doubt::Garbled),
+        Some(format) => return Err(LearnedStateError::UnsupportedFormat(*format)),
+        None => return Err(LearnedStateError::Malformed),
     }
-    let record: Record = postcard::from_bytes(rest).map_err(|_| Doubt::Garbled)?;
+    let record: Record = postcard::from_bytes(rest).map_err(|_| LearnedStateError::Malformed)?;
     let age = unix_ms.saturating_sub(record.unix_ms);
     match record {
-        Record { from, .. } if from == me => Err(Doubt::Own),
-        _ if !(-AHEAD..=MOST_AGE).contains(&age) => Err(Doubt::Age(age)),
-        Record { site: of, .. } if of != site(names) => Err(Doubt::OtherSite),
-        Record { memory, .. } if !memory.is_plausible() => Err(Doubt::Absurd),
+        Record { from, .. } if from == me => Err(LearnedStateError::WrittenByThisProcess),
+        _ if !(-AHEAD..=MOST_AGE).contains(&age) => Err(LearnedStateError::AgeOutOfRange(age)),
+        Record { site: of, .. } if of != site(names) => Err(LearnedStateError::DifferentSite),
+        Record { memory, .. } if !memory.is_plausible() => Err(LearnedStateError::Implausible),
         Record { memory, .. } => Ok(memory),
     }
 }
--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -6,4 +6,7 @@
 pub mod learned_state;
 mod router;
 
-pub use router::{seconds, Command, Counts, Input, Micros, Router, COUNTED_ENDS};
+pub use router::{
+    seconds, MonotonicMicros, RequestCounters, RequestRouter, RouterCommand, RouterEvent,
+    COUNTED_OUTCOMES,
+};
--- a/src/routing/router.rs
+++ b/src/routing/router.rs
@@ -18,24 +18,24 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// Microseconds on the monotonic clock.
-pub type Micros = u64;
+pub type MonotonicMicros = u64;
 
 /// What the drivers tell.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Input {
+pub enum RouterEvent {
     /// A client's request is complete.
-    Arrived(IncomingRequest),
+    RequestArrived(IncomingRequest),
     /// Its client has left.
-    ClientGone(RequestId),
+    ClientDisconnected(RequestId),
     /// The first event of an attempt's answer is here.
-    First {
+    FirstToken {
         /// The request.
         request: RequestId,
         /// Its attempt.
         attempt: usize,
     },
     /// An attempt has ended by itself.
-    Ended {
+    AttemptEnded {
         /// The request.
         request: RequestId,
         /// Its attempt.
@@ -46,7 +46,7 @@
         report: Option<LoadReport>,
     },
     /// A probe has ended.
-    Probed {
+    ProbeEnded {
         /// Where it went.
         replica: ReplicaId,
         /// How it ended.
@@ -62,21 +62,21 @@
         full: bool,
     },
     /// The watch has broken.
-    ListFailed,
+    EndpointListFailed,
     /// Another node of the fleet tries ejected replicas for all; it is still at it, or found this one well.
-    Advised {
+    OutlierAdvice {
         /// Which.
         replica: ReplicaId,
         /// See there.
-        well: bool,
+        is_healthy: bool,
     },
 }
 
 /// What the drivers are to do.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Command {
+pub enum RouterCommand {
     /// Send a request to a replica, to be answered by then.
-    Send {
+    StartAttempt {
         /// The request.
         request: RequestId,
         /// The attempt's number.
@@ -84,28 +84,28 @@
         /// Where to.
         replica: ReplicaId,
         /// When its time is out.
-        until: Micros,
+        deadline: MonotonicMicros,
     },
     /// Close the connection of an attempt; nothing it still says counts.
-    Abandon {
+    AbandonAttempt {
         /// The request.
         request: RequestId,
         /// The attempt's number.
         attempt: usize,
     },
     /// The client's answer is the stream of this attempt.
-    Bind {
+    BindStream {
         /// The request.
         request: RequestId,
         /// The attempt's number.
         attempt: usize,
     },
     /// Turn the client away, now.
-    Refuse {
+    Reject {
         /// The request.
         request: RequestId,
         /// When it may come again.
-        retry_after: Micros,
+        retry_after: MonotonicMicros,
     },
     /// Tell the client that its request failed.
     Fail {
@@ -118,11 +118,11 @@
         replica: ReplicaId,
     },
     /// Watch the list from now on.
-    Watch,
+    WatchEndpoints,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Stage {
+enum AttemptState {
     Waiting,
     Streaming,
     Ended,
@@ -130,15 +130,15 @@
 
 #[derive(Debug)]
 struct Attempt {
-    sent: Micros,
-    until: Micros,
-    stage: Stage,
+    sent: MonotonicMicros,
+    until: MonotonicMicros,
+    stage: AttemptState,
     /// How it ended.
     outcome: Option<AttemptOutcome>,
 }
 
 #[derive(Debug, Default)]
-struct Live {
+struct ActiveRequest {
     attempts: Vec<Attempt>,
     class: usize,
     /// The final answer is given, or begun, or nobody waits for it.
@@ -147,13 +147,13 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Due {
+enum Timer {
     Wake,
     Timeout(RequestId, usize),
 }
 
 /// Ends of attempts that are counted, with their names in figures.
-pub const COUNTED_ENDS: [(AttemptOutcome, &str); 7] = [
+pub const COUNTED_OUTCOMES: [(AttemptOutcome, &str); 7] = [
     (AttemptOutcome::ServerError, "error"),
     (AttemptOutcome::AtCapacity, "full"),
     (AttemptOutcome::TimedOut, "timed_out"),
@@ -165,41 +165,41 @@
 
 /// Figures for the log.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Counts {
+pub struct RequestCounters {
     /// Requests taken.
     pub arrived: u64,
     /// Streams passed on to their end.
-    pub served: u64,
+    pub completed: u64,
     /// Requests refused.
-    pub refused: u64,
+    pub rejected: u64,
     /// Requests failed.
     pub failed: u64,
     /// Streams that broke after their first event.
     pub broken: u64,
     /// Clients that left.
-    pub gone: u64,
+    pub disconnected: u64,
     /// Attempts sent.
-    pub sent: u64,
+    pub attempts_started: u64,
     /// Attempts that ended otherwise than served, in the order of [`COUNTED_ENDS`].
-    pub ends: [u64; COUNTED_ENDS.len()],
+    pub failed_attempts: [u64; COUNTED_OUTCOMES.len()],
 }
 
 /// The core of one node.
-pub struct Router {
+pub struct RequestRouter {
     brain: Scheduler,
-    live: BTreeMap<RequestId, Live>,
-    timers: BTreeSet<(Micros, Due)>,
+    live: BTreeMap<RequestId, ActiveRequest>,
+    timers: BTreeSet<(MonotonicMicros, Timer)>,
     told: VecDeque<Event>,
-    counts: Counts,
+    counts: RequestCounters,
     /// For each class, requests served, refused and failed.
     replies: Vec<[u64; 3]>,
 }
 
-impl Router {
+impl RequestRouter {
     /// A core around a module that has been told nothing yet.
     pub fn new(brain: Scheduler) -> Self {
         let (live, timers, told, counts, replies) = Default::default();
-        Router {
+        RequestRouter {
             brain,
             live,
             timers,
@@ -210,11 +210,11 @@
     }
 
     /// Whether this id is in use: an id names one request at a time.
-    pub fn is_live(&self, id: RequestId) -> bool {
+    pub fn is_active(&self, id: RequestId) -> bool {
         self.live.contains_key(&id)
     }
     /// Requests that still await something.
-    pub fn live(&self) -> usize {
+    pub fn active_count(&self) -> usize {
         self.live.len()
     }
     /// Replicas that the module keeps in mind.
@@ -227,58 +227,58 @@
         (size, out)
     }
     /// Requests of a class that were served, refused and failed, broken streams among the last.
-    pub fn replies(&self, class: usize) -> [u64; 3] {
+    pub fn response_counts(&self, class: usize) -> [u64; 3] {
         self.replies.get(class).copied().unwrap_or_default()
     }
     /// New settings for the module.
-    pub fn resettle(&mut self, settings: SchedulerSettings) -> Result<(), SettingsError> {
+    pub fn update_settings(&mut self, settings: SchedulerSettings) -> Result<(), SettingsError> {
         self.brain.update_settings(settings)
     }
     /// This node ends: whoever waits for a first token has a final answer by then.
-    pub fn answer_all_by(&mut self, time: Micros) {
+    pub fn set_answer_deadline(&mut self, time: MonotonicMicros) {
         self.brain.set_answer_deadline(seconds(time));
     }
     /// Replicas listed that the module leaves alone now.
-    pub fn avoided(&self) -> usize {
+    pub fn unavailable_replica_count(&self) -> usize {
         self.brain.unavailable_replica_count()
     }
     /// What the fleet allows this node from now on.
-    pub fn allow(&mut self, allowed: &BudgetGrants) {
+    pub fn set_budget_grants(&mut self, allowed: &BudgetGrants) {
         self.brain.set_budget_grants(allowed);
     }
     /// What has been wanted since the start of what the fleet has budgets for.
-    pub fn wanted(&self) -> BTreeMap<BudgetKind, BudgetDemand> {
+    pub fn budget_demand(&self) -> BTreeMap<BudgetKind, BudgetDemand> {
         self.brain.budget_demand()
     }
     /// What the module has learned, for the process that takes this one's place.
-    pub fn memory(&self) -> LearnedState {
+    pub fn export_learned_state(&self) -> LearnedState {
         self.brain.export_learned_state()
     }
     /// Takes over what another process has learned.
-    pub fn recall(&mut self, memory: &LearnedState) {
+    pub fn import_learned_state(&mut self, memory: &LearnedState) {
         self.brain.import_learned_state(memory);
     }
     /// Each listed replica: whether it gets trials only, and when its last answer came, if nothing has failed since.
-    pub fn standings(&self) -> Vec<(ReplicaId, bool, Option<Micros>)> {
-        let micros = |s: f64| (s * 1e6) as Micros;
+    pub fn replica_statuses(&self) -> Vec<(ReplicaId, bool, Option<MonotonicMicros>)> {
+        let micros = |s: f64| (s * 1e6) as MonotonicMicros;
         let all = self.brain.replica_health().into_iter();
         all.map(|(id, ejected, well)| (id, ejected, well.map(micros)))
             .collect()
     }
     /// Requests that the module holds, by tenant.
-    pub fn waiting(&self) -> Vec<usize> {
+    pub fn queued_by_tenant(&self) -> Vec<usize> {
         self.brain.gauges().2
     }
     /// Attempts that ended otherwise than served, by the names of [`COUNTED_ENDS`].
-    pub fn attempt_ends(&self) -> Vec<(&'static str, u64)> {
-        COUNTED_ENDS
+    pub fn failed_attempt_counts(&self) -> Vec<(&'static str, u64)> {
+        COUNTED_OUTCOMES
             .iter()
-            .zip(self.counts.ends)
+            .zip(self.counts.failed_attempts)
             .map(|((_, name), count)| (*name, count))
             .collect()
     }
     /// How the last attempt of a request ended that has ended, if any has: why there is another one.
-    pub fn last_outcome(&self, request: RequestId) -> Option<AttemptOutcome> {
+    pub fn last_attempt_outcome(&self, request: RequestId) -> Option<AttemptOutcome> {
         self.live
             .get(&request)?
             .attempts
@@ -287,22 +287,22 @@
             .find_map(|attempt| attempt.outcome)
     }
     /// What has happened so far.
-    pub fn counts(&self) -> Counts {
+    pub fn counters(&self) -> RequestCounters {
         self.counts
     }
     /// When `turn` must be called next, if nothing comes before.
-    pub fn due(&self) -> Option<Micros> {
+    pub fn next_timer(&self) -> Option<MonotonicMicros> {
         self.timers.first().map(|t| t.0)
     }
 
     /// Lets the timers run that are due.
-    pub fn turn(&mut self, now: Micros, out: &mut Vec<Command>) {
+    pub fn on_timer(&mut self, now: MonotonicMicros, out: &mut Vec<RouterCommand>) {
         while let Some((_, due)) = self.timers.first().copied().filter(|t| t.0 <= now) {
             self.timers.pop_first();
             match due {
-                Due::Wake => self.told.push_back(Event::TimerFired),
-                Due::Timeout(request, attempt) => {
-                    out.push(Command::Abandon { request, attempt });
+                Timer::Wake => self.told.push_back(Event::TimerFired),
+                Timer::Timeout(request, attempt) => {
+                    out.push(RouterCommand::AbandonAttempt { request, attempt });
                     self.end(request, attempt, AttemptOutcome::TimedOut, None);
                 }
             }
@@ -311,35 +311,40 @@
     }
 
     /// Takes one event.
-    pub fn handle(&mut self, now: Micros, input: Input, out: &mut Vec<Command>) {
+    pub fn handle_event(
+        &mut self,
+        now: MonotonicMicros,
+        input: RouterEvent,
+        out: &mut Vec<RouterCommand>,
+    ) {
         match input {
-            Input::Arrived(arrival) => {
+            RouterEvent::RequestArrived(arrival) => {
                 if self.live.contains_key(&arrival.id) {
                     return;
                 }
                 self.counts.arrived += 1;
                 self.live.insert(
                     arrival.id,
-                    Live {
+                    ActiveRequest {
                         class: arrival.class,
-                        ..Live::default()
+                        ..ActiveRequest::default()
                     },
                 );
                 self.told.push_back(Event::RequestArrived(arrival));
             }
-            Input::ClientGone(id) => {
+            RouterEvent::ClientDisconnected(id) => {
                 let Some(live) = self.live.get_mut(&id).filter(|l| !l.finished) else {
                     return;
                 };
                 (live.answered, live.finished) = (true, true);
-                self.counts.gone += 1;
+                self.counts.disconnected += 1;
                 self.told.push_back(Event::ClientDisconnected(id));
                 // Nobody is left to read the stream: the replica is told by the closed connection.
                 for attempt in 0..self.live[&id].attempts.len() {
                     self.abandon(id, attempt, out);
                 }
             }
-            Input::First { request, attempt } => {
+            RouterEvent::FirstToken { request, attempt } => {
                 let Some(live) = self.live.get_mut(&request) else {
                     return;
                 };
@@ -347,7 +352,7 @@
                 let Some(a) = live
                     .attempts
                     .get_mut(attempt)
-                    .filter(|a| a.stage == Stage::Waiting)
+                    .filter(|a| a.stage == AttemptState::Waiting)
                 else {
                     return;
                 };
@@ -355,13 +360,13 @@
                     // Another attempt has the client: a second answer must not follow.
                     self.abandon(request, attempt, out);
                 } else {
-                    a.stage = Stage::Streaming;
+                    a.stage = AttemptState::Streaming;
                     // From here on the deadline is off.
                     self.timers
-                        .remove(&(a.until, Due::Timeout(request, attempt)));
+                        .remove(&(a.until, Timer::Timeout(request, attempt)));
                     let elapsed = seconds(now.saturating_sub(a.sent));
                     live.answered = true;
-                    out.push(Command::Bind { request, attempt });
+                    out.push(RouterCommand::BindStream { request, attempt });
                     self.told.push_back(Event::FirstToken {
                         request,
                         attempt,
@@ -369,7 +374,7 @@
                     });
                 }
             }
-            Input::Ended {
+            RouterEvent::AttemptEnded {
                 request,
                 attempt,
                 outcome,
@@ -377,7 +382,7 @@
             } => {
                 self.end(request, attempt, outcome, report);
             }
-            Input::Probed {
+            RouterEvent::ProbeEnded {
                 replica,
                 outcome,
                 report,
@@ -388,13 +393,20 @@
                     report,
                 });
             }
-            Input::List { list, full: true } => self.told.push_back(Event::EndpointsReplaced(list)),
-            Input::List { list, full: false } => self.told.push_back(Event::EndpointsChanged(list)),
-            Input::Advised { replica, well } => self.told.push_back(Event::OutlierAdvice {
+            RouterEvent::List { list, full: true } => {
+                self.told.push_back(Event::EndpointsReplaced(list));
+            }
+            RouterEvent::List { list, full: false } => {
+                self.told.push_back(Event::EndpointsChanged(list));
+            }
+            RouterEvent::OutlierAdvice {
+                replica,
+                is_healthy: well,
+            } => self.told.push_back(Event::OutlierAdvice {
                 replica,
                 is_healthy: well,
             }),
-            Input::ListFailed => self.told.push_back(Event::EndpointListFailed),
+            RouterEvent::EndpointListFailed => self.told.push_back(Event::EndpointListFailed),
         }
         self.decide(now, out);
     }
@@ -413,27 +425,30 @@
         let Some(a) = live
             .attempts
             .get_mut(attempt)
-            .filter(|a| a.stage != Stage::Ended)
+            .filter(|a| a.stage != AttemptState::Ended)
         else {
             return;
         };
-        let streaming = a.stage == Stage::Streaming;
-        a.stage = Stage::Ended;
+        let streaming = a.stage == AttemptState::Streaming;
+        a.stage = AttemptState::Ended;
         a.outcome = Some(outcome);
         self.timers
-            .remove(&(a.until, Due::Timeout(request, attempt)));
+            .remove(&(a.until, Timer::Timeout(request, attempt)));
         let mut whole = None;
         if streaming && !live.finished {
             // The end of a stream is the end of its request, also where it broke.
             live.finished = true;
             whole = Some((live.class, outcome == AttemptOutcome::Completed));
             match outcome == AttemptOutcome::Completed {
-                true => self.counts.served += 1,
+                true => self.counts.completed += 1,
                 false => self.counts.broken += 1,
             }
         }
-        if let Some(kind) = COUNTED_ENDS.iter().position(|(kind, _)| *kind == outcome) {
-            self.counts.ends[kind] += 1;
+        if let Some(kind) = COUNTED_OUTCOMES
+            .iter()
+            .position(|(kind, _)| *kind == outcome)
+        {
+            self.counts.failed_attempts[kind] += 1;
         }
         let last = live.finished;
         if let Some((class, served)) = whole {
@@ -448,7 +463,7 @@
         });
     }
 
-    fn abandon(&mut self, request: RequestId, attempt: usize, out: &mut Vec<Command>) {
+    fn abandon(&mut self, request: RequestId, attempt: usize, out: &mut Vec<RouterCommand>) {
         let Some(a) = self
             .live
             .get(&request)
@@ -456,14 +471,14 @@
         else {
             return;
         };
-        if a.stage != Stage::Ended {
-            out.push(Command::Abandon { request, attempt });
+        if a.stage != AttemptState::Ended {
+            out.push(RouterCommand::AbandonAttempt { request, attempt });
             self.end(request, attempt, AttemptOutcome::Cancelled, None);
         }
     }
 
     /// Tells the module what has happened until nothing follows from it any more.
-    fn decide(&mut self, now: Micros, out: &mut Vec<Command>) {
+    fn decide(&mut self, now: MonotonicMicros, out: &mut Vec<RouterCommand>) {
         let mut actions = Vec::new();
         while let Some(event) = self.told.pop_front() {
             let request = match &event {
@@ -482,7 +497,7 @@
         }
     }
 
-    fn act(&mut self, now: Micros, action: Action, out: &mut Vec<Command>) {
+    fn act(&mut self, now: MonotonicMicros, action: Action, out: &mut Vec<RouterCommand>) {
         match action {
             Action::StartAttempt {
                 request,
@@ -497,19 +512,20 @@
                 live.attempts.push(Attempt {
                     sent: now,
                     until,
-                    stage: Stage::Waiting,
+                    stage: AttemptState::Waiting,
                     outcome: None,
                 });
                 if live.answered {
                     return self.end(request, attempt, AttemptOutcome::NotSent, None);
                 }
-                self.counts.sent += 1;
-                self.timers.insert((until, Due::Timeout(request, attempt)));
-                out.push(Command::Send {
+                self.counts.attempts_started += 1;
+                self.timers
+                    .insert((until, Timer::Timeout(request, attempt)));
+                out.push(RouterCommand::StartAttempt {
                     request,
                     attempt,
                     replica,
-                    until,
+                    deadline: until,
                 });
             }
             Action::Reject {
@@ -517,8 +533,8 @@
                 retry_after,
             } => {
                 if self.answer(request, 1) {
-                    self.counts.refused += 1;
-                    out.push(Command::Refuse {
+                    self.counts.rejected += 1;
+                    out.push(RouterCommand::Reject {
                         request,
                         retry_after: micros(retry_after),
                     });
@@ -528,7 +544,7 @@
             Action::Fail { request } => {
                 if self.answer(request, 2) {
                     self.counts.failed += 1;
-                    out.push(Command::Fail { request });
+                    out.push(RouterCommand::Fail { request });
                 }
                 self.forget(request);
             }
@@ -536,15 +552,15 @@
                 let attempts = self.live.get(&request).map(|l| &l.attempts);
                 let stage = attempts.and_then(|a| a.get(attempt)).map(|a| a.stage);
                 // A stream that has begun belongs to its client and is not called off.
-                if stage == Some(Stage::Waiting) {
+                if stage == Some(AttemptState::Waiting) {
                     self.abandon(request, attempt, out);
                 }
             }
-            Action::Probe { replica } => out.push(Command::Probe { replica }),
-            Action::WatchEndpoints => out.push(Command::Watch),
+            Action::Probe { replica } => out.push(RouterCommand::Probe { replica }),
+            Action::WatchEndpoints => out.push(RouterCommand::WatchEndpoints),
             Action::SetTimer { after } => {
                 self.timers
-                    .insert((now.saturating_add(micros(after)), Due::Wake));
+                    .insert((now.saturating_add(micros(after)), Timer::Wake));
             }
         }
     }
@@ -572,18 +588,18 @@
         let Some(live) = self.live.get(&id) else {
             return;
         };
-        if live.finished && live.attempts.iter().all(|a| a.stage == Stage::Ended) {
+        if live.finished && live.attempts.iter().all(|a| a.stage == AttemptState::Ended) {
             self.live.remove(&id);
         }
     }
 }
 
 /// A time of the core's clock as the module takes it.
-pub fn seconds(time: Micros) -> Seconds {
+pub fn seconds(time: MonotonicMicros) -> Seconds {
     time as f64 / 1e6
 }
 
 /// A span of the module's; what is no time counts as none.
-fn micros(span: Seconds) -> Micros {
-    (span.max(0.0) * 1e6).round() as Micros
+fn micros(span: Seconds) -> MonotonicMicros {
+    (span.max(0.0) * 1e6).round() as MonotonicMicros
 }
--- a/src/transport/admin.rs
+++ b/src/transport/admin.rs
@@ -5,7 +5,7 @@
 use super::client::discard;
 use super::clients::Shared;
 use super::fleet::Fleet;
-use super::messages::{Message, Phase};
+use super::messages::{DispatcherMessage, NodePhase};
 use super::Wire;
 use crate::protocol::admin::{self, Call, Figures};
 use crate::protocol::http::{Fault, Http, Out, Part, Side};
@@ -34,9 +34,9 @@
 /// What the operators' calls act on.
 pub struct Admin {
     /// To the core.
-    pub tell: mpsc::Sender<Message>,
+    pub tell: mpsc::Sender<DispatcherMessage>,
     /// How far the node's life has come.
-    pub phase: Rc<watch::Sender<Phase>>,
+    pub phase: Rc<watch::Sender<NodePhase>>,
     /// Files taken and turned down at SIGHUP.
     pub reloads: Cell<(u64, u64)>,
     /// The node's part in its fleet, where it has one.
@@ -91,11 +91,15 @@
     async fn answer(&self, call: Call) -> Bytes {
         let yes = |text: &str| request::own_answer(200, text, None, true);
         match call {
-            Call::Ready if *self.phase.borrow() == Phase::Serving => yes("ready"),
+            Call::Ready if *self.phase.borrow() == NodePhase::Serving => yes("ready"),
             Call::Ready => request::own_answer(503, "this node takes no clients now", None, true),
             Call::Telemetry => {
                 let (figures, told) = oneshot::channel();
-                let asked = self.tell.send(Message::Figures(figures)).await.is_ok();
+                let asked = self
+                    .tell
+                    .send(DispatcherMessage::Telemetry(figures))
+                    .await
+                    .is_ok();
                 match told.await.ok().filter(|_| asked) {
                     Some(told) => {
                         let fleet = self
@@ -120,7 +124,11 @@
             },
             Call::Crossings => {
                 let (ask, told) = oneshot::channel();
-                let asked = self.tell.send(Message::Crossings(ask)).await.is_ok();
+                let asked = self
+                    .tell
+                    .send(DispatcherMessage::CrossZoneTraffic(ask))
+                    .await
+                    .is_ok();
                 match told
                     .await
                     .ok()
@@ -148,25 +156,25 @@
 }
 
 /// Takes no new clients and lets those there are go.
-pub(super) fn evacuate(phase: &Rc<watch::Sender<Phase>>) {
+pub(super) fn evacuate(phase: &Rc<watch::Sender<NodePhase>>) {
     tracing::info!("evacuating at an operator's call");
-    step(phase, Phase::Serving, Phase::Evacuating);
+    step(phase, NodePhase::Serving, NodePhase::Evacuating);
     let phase = phase.clone();
     spawn_local(async move {
         tokio::time::sleep(LEAVING).await;
-        step(&phase, Phase::Evacuating, Phase::Evacuated);
+        step(&phase, NodePhase::Evacuating, NodePhase::Evacuated);
     });
 }
 
 /// Back to work.
-pub(super) fn rejoin(phase: &watch::Sender<Phase>) {
+pub(super) fn rejoin(phase: &watch::Sender<NodePhase>) {
     tracing::info!("back to work at an operator's call");
-    step(phase, Phase::Evacuating, Phase::Serving);
-    step(phase, Phase::Evacuated, Phase::Serving);
+    step(phase, NodePhase::Evacuating, NodePhase::Serving);
+    step(phase, NodePhase::Evacuated, NodePhase::Serving);
 }
 
 /// An order to stop must not be undone: a phase changes only from the one it is meant to change.
-fn step(phase: &watch::Sender<Phase>, from: Phase, to: Phase) {
+fn step(phase: &watch::Sender<NodePhase>, from: NodePhase, to: NodePhase) {
     phase.send_if_modified(|now| *now == from && std::mem::replace(now, to) != to);
 }
 
--- a/src/transport/client.rs
+++ b/src/transport/client.rs
@@ -15,7 +15,7 @@
 
 use super::clients::{Hold, Shared};
 use super::closes::CloseReason;
-use super::messages::{Answer, Asker, Message, Payload, Phase};
+use super::messages::{ClientResponse, DispatcherMessage, NodePhase, RequestOwner, RequestPayload};
 use super::relay::Relay;
 use super::socket::Socket;
 use super::Wire;
@@ -67,7 +67,7 @@
     /// The request on its way must be whole by then, however its bytes trickle in.
     until: Instant,
     /// Who asks in this connection's last request.
-    asker: Asker,
+    asker: RequestOwner,
 }
 
 /// The connection ends, for this reason.
@@ -138,7 +138,7 @@
     }
 
     fn last(&self) -> bool {
-        *self.shared.phase.borrow() > Phase::Serving
+        *self.shared.phase.borrow() > NodePhase::Serving
     }
 
     /// Answers what can't be read, where there is anyone to answer.
@@ -253,7 +253,7 @@
             return Err(self.too_late().await);
         }
         log_fate!(self, request = %id, nth = self.requests, deadline_s = arrival.time_left, "request taken");
-        let payload = Payload {
+        let payload = RequestPayload {
             head: request::upstream_head(&head, body.len(), None),
             body: body.clone(),
         };
@@ -263,12 +263,12 @@
         };
         let close = self.last() || !head.keep;
         let (content_type, replica, stream) = match answer {
-            Answer::Stream {
+            ClientResponse::Stream {
                 content_type,
                 replica,
-                body,
+                chunks: body,
             } => (content_type, replica, body),
-            Answer::Duplicate => {
+            ClientResponse::Duplicate => {
                 let reason = "Req-Id is that of a request still being served".to_string();
                 return Err(self
                     .turn_down(
@@ -280,12 +280,12 @@
                     )
                     .await);
             }
-            Answer::Refused(wait) => {
+            ClientResponse::Rejected(wait) => {
                 log_fate!(self, request = %id, status = 503, "request refused");
                 let text = "no replica has room for this request now";
                 return self.answer(503, text, Some(wait), close).await;
             }
-            Answer::Failed => {
+            ClientResponse::Failed => {
                 log_fate!(self, request = %id, status = 502, "request failed");
                 return self
                     .answer(502, "the replicas failed this request", None, close)
@@ -318,8 +318,8 @@
     async fn ask(
         &mut self,
         arrival: IncomingRequest,
-        payload: Payload,
-    ) -> Result<Result<Answer, Leave>, Leave> {
+        payload: RequestPayload,
+    ) -> Result<Result<ClientResponse, Leave>, Leave> {
         let (answer, answered) = oneshot::channel();
         let asker = self.shared.asker();
         self.asker = asker;
@@ -327,11 +327,11 @@
         let tell = self.shared.tell.clone();
         let ended = Leave(CloseReason::CoreEnded);
         match self.until_gone(tell.reserve()).await? {
-            Ok(place) => place.send(Message::Request {
-                arrival,
+            Ok(place) => place.send(DispatcherMessage::ClientRequest {
+                request: arrival,
                 payload,
-                answer,
-                asker,
+                response: answer,
+                owner: asker,
             }),
             Err(_) => return Ok(Err(ended)),
         }
@@ -344,9 +344,9 @@
         let _ = self
             .shared
             .tell
-            .send(Message::Left {
+            .send(DispatcherMessage::ClientDisconnected {
                 request: id,
-                asker: self.asker,
+                owner: self.asker,
             })
             .await;
         leave
--- a/src/transport/client/requests.rs
+++ b/src/transport/client/requests.rs
@@ -7,7 +7,7 @@
 use crate::protocol::request::{Reject, MOST_BODY};
 use crate::transport::clients::Hold;
 use crate::transport::closes::CloseReason;
-use crate::transport::messages::Phase;
+use crate::transport::messages::NodePhase;
 use crate::transport::shutdown::LAST_READ;
 use bytes::Bytes;
 use futures_util::StreamExt;
@@ -39,10 +39,10 @@
         let (known, mut phase) = (self.requests > 0, self.shared.phase.clone());
         let closing = async {
             let closed = phase
-                .wait_for(|p| matches!(p, Phase::Evacuated | Phase::Closing))
+                .wait_for(|p| matches!(p, NodePhase::Evacuated | NodePhase::Closing))
                 .await;
             let reason = match closed.as_deref() {
-                Ok(Phase::Evacuated) => CloseReason::Evacuated,
+                Ok(NodePhase::Evacuated) => CloseReason::Evacuated,
                 _ => CloseReason::Shutdown,
             };
             drop(closed);
--- a/src/transport/client/streams.rs
+++ b/src/transport/client/streams.rs
@@ -4,20 +4,23 @@
 
 use super::{Client, Leave};
 use crate::protocol::http::Out;
-use crate::transport::messages::{Answer, Piece};
+use crate::transport::messages::{ClientResponse, StreamChunk};
 use crate::transport::relay::{Next, Relay};
 use tokio::sync::mpsc;
 
 impl Client {
     /// Passes a stream on as it comes; false where it broke.
-    pub(super) async fn stream(&mut self, mut body: mpsc::Receiver<Piece>) -> Result<bool, Leave> {
+    pub(super) async fn stream(
+        &mut self,
+        mut body: mpsc::Receiver<StreamChunk>,
+    ) -> Result<bool, Leave> {
         loop {
             let mut next = self.until_gone(body.recv()).await?;
             // What has come together goes out together.
             loop {
                 match next {
-                    Some(Piece::Bytes(bytes)) => self.feed(Out::Chunk(bytes)).await?,
-                    Some(Piece::End) => {
+                    Some(StreamChunk::Bytes(bytes)) => self.feed(Out::Chunk(bytes)).await?,
+                    Some(StreamChunk::End) => {
                         self.send(Out::Last).await?;
                         return Ok(true);
                     }
@@ -40,18 +43,18 @@
     pub(super) async fn saved(
         &mut self,
         relay: &mut Relay,
-        mut body: mpsc::Receiver<Piece>,
+        mut body: mpsc::Receiver<StreamChunk>,
     ) -> Result<bool, Leave> {
         loop {
             let whole = match self.until_gone(body.recv()).await? {
-                Some(Piece::Bytes(bytes)) => {
+                Some(StreamChunk::Bytes(bytes)) => {
                     let bytes = relay.pass(&bytes);
                     if !bytes.is_empty() {
                         self.send(Out::Chunk(bytes)).await?;
                     }
                     continue;
                 }
-                Some(Piece::End) => relay.whole(),
+                Some(StreamChunk::End) => relay.whole(),
                 None => false,
             };
             if whole {
@@ -66,9 +69,9 @@
             if let Next::Ask(asked) = next {
                 let (arrival, payload) = *asked;
                 next = match self.ask(arrival, payload).await?? {
-                    Answer::Stream {
+                    ClientResponse::Stream {
                         replica,
-                        body: rest,
+                        chunks: rest,
                         ..
                     } => {
                         relay.carried_on(replica);
--- a/src/transport/clients.rs
+++ b/src/transport/clients.rs
@@ -1,7 +1,7 @@
 //! What all clients' connections share: bounds on their number and on what they hold, and who rests.
 
 use super::closes::CloseCounts;
-use super::messages::{Asker, Message, Phase};
+use super::messages::{DispatcherMessage, NodePhase, RequestOwner};
 use super::shutdown::Shutdown;
 use super::streams::Streams;
 use super::Bounds;
@@ -20,9 +20,9 @@
     /// The figures.
     pub bounds: Rc<Bounds>,
     /// To the core.
-    pub tell: mpsc::Sender<Message>,
+    pub tell: mpsc::Sender<DispatcherMessage>,
     /// How far the node's life has come.
-    pub phase: watch::Receiver<Phase>,
+    pub phase: watch::Receiver<NodePhase>,
     /// What all streams share.
     pub streams: Rc<Streams>,
     /// The order to stop.
@@ -36,7 +36,7 @@
     /// clients out whose first request was about to come; and there is no end of old ones that stay unused.
     idle: RefCell<BTreeMap<u64, Resting>>,
     marks: Cell<u64>,
-    askers: Cell<Asker>,
+    askers: Cell<RequestOwner>,
 }
 
 impl Shared {
@@ -44,8 +44,8 @@
     pub fn new(
         boot: Rc<SiteSettings>,
         bounds: Rc<Bounds>,
-        tell: mpsc::Sender<Message>,
-        phase: watch::Receiver<Phase>,
+        tell: mpsc::Sender<DispatcherMessage>,
+        phase: watch::Receiver<NodePhase>,
         streams: Rc<Streams>,
     ) -> Self {
         let (held, open, accepted, idle, marks, askers) = Default::default();
@@ -89,7 +89,7 @@
     pub(super) async fn reading_over(&self) {
         let mut phase = self.phase.clone();
         let closing = phase
-            .wait_for(|phase| *phase == Phase::Closing)
+            .wait_for(|phase| *phase == NodePhase::Closing)
             .await
             .is_ok();
         match self.shutdown.reading_ends().filter(|_| closing) {
@@ -127,7 +127,7 @@
         self.idle.borrow_mut().remove(&mark);
     }
     /// A number for one asking that no other has.
-    pub(super) fn asker(&self) -> Asker {
+    pub(super) fn asker(&self) -> RequestOwner {
         self.askers.set(self.askers.get() + 1);
         self.askers.get()
     }
--- a/src/transport/discovery.rs
+++ b/src/transport/discovery.rs
@@ -12,7 +12,7 @@
 )]
 
 use super::clock::Clock;
-use super::messages::{Message, LIST};
+use super::messages::{DispatcherMessage, ENDPOINT_LIST_SOURCE};
 use super::{Bounds, Wire};
 use crate::protocol::discovery::{read, Update};
 use crate::protocol::http::{Http, Out, Part, Side, Start};
@@ -57,7 +57,7 @@
     addr: Rc<Cell<SocketAddr>>,
     moved: Rc<Notify>,
     bounds: Rc<Bounds>,
-    tell: mpsc::Sender<Message>,
+    tell: mpsc::Sender<DispatcherMessage>,
     running: Rc<Cell<bool>>,
     /// The list is a source of this node.
     enabled: Rc<Cell<bool>>,
@@ -77,7 +77,7 @@
     pub fn new(
         addr: SocketAddr,
         bounds: Rc<Bounds>,
-        tell: mpsc::Sender<Message>,
+        tell: mpsc::Sender<DispatcherMessage>,
         clock: Clock,
     ) -> Self {
         let (moved, running, version, lately, calls) = Default::default();
@@ -218,14 +218,18 @@
                 Ok(Ok(update)) => {
                     self.last_call.set(LastCall::Answered);
                     if self.lately.replace(None).is_some() {
-                        tracing::info!(source = LIST, "told again");
+                        tracing::info!(source = ENDPOINT_LIST_SOURCE, "told again");
                     }
-                    tracing::debug!(source = LIST, version = update.version(), "told");
+                    tracing::debug!(
+                        source = ENDPOINT_LIST_SOURCE,
+                        version = update.version(),
+                        "told"
+                    );
                     // The version is set before the next call goes out, whenever the core gets to it.
                     self.version.set(update.version());
-                    let told = Message::Told {
-                        source: LIST,
-                        told: update.told(),
+                    let told = DispatcherMessage::EndpointUpdate {
+                        source: ENDPOINT_LIST_SOURCE,
+                        update: update.told(),
                     };
                     if self.tell.send(told).await.is_err() {
                         return false;
@@ -238,7 +242,10 @@
                 // Silence is not a refusal: the list goes on without this node until it has called anew, and what
                 // it misses counts as told. One new call, and no more: a service that is cut off stays silent.
                 Err(_) if self.last_call.replace(LastCall::Silent) != LastCall::Silent => {
-                    tracing::info!(source = LIST, "the watch fell silent and is opened anew");
+                    tracing::info!(
+                        source = ENDPOINT_LIST_SOURCE,
+                        "the watch fell silent and is opened anew"
+                    );
                     wire = None;
                 }
                 Err(_) => break "no answer in time".to_string(),
@@ -246,16 +253,16 @@
         };
         // A service that stays away is asked again and again, and complained of once.
         if self.lately.replace(Some(why.clone())).as_ref() != Some(&why) {
-            tracing::warn!(source = LIST, why, "no list");
+            tracing::warn!(source = ENDPOINT_LIST_SOURCE, why, "no list");
         }
         if !self.pushed {
             self.running.set(false);
         }
         let told = self
             .tell
-            .send(Message::Told {
-                source: LIST,
-                told: Told::Failed,
+            .send(DispatcherMessage::EndpointUpdate {
+                source: ENDPOINT_LIST_SOURCE,
+                update: Told::Failed,
             })
             .await;
         self.pushed && told.is_ok()
--- a/src/transport/dispatcher/mod.rs
+++ b/src/transport/dispatcher/mod.rs
@@ -8,12 +8,15 @@
 )]
 
 use crate::protocol::admin::Figures;
-use crate::routing::directory::{Changed, Directory};
-use crate::routing::{Command, Input, Micros, Router};
+use crate::routing::directory::{EndpointChange, EndpointDirectory};
+use crate::routing::{MonotonicMicros, RequestRouter, RouterCommand, RouterEvent};
 use crate::transport::clock::Clock;
 use crate::transport::discovery::Watch;
-use crate::transport::messages::{Answer, Asker, Crossed, Message, Payload, Piece, Replica, LIST};
-use crate::transport::upstream::{Job, Upstream};
+use crate::transport::messages::{
+    ClientResponse, CrossZoneMinute, DispatcherMessage, Replica, RequestOwner, RequestPayload,
+    StreamChunk, ENDPOINT_LIST_SOURCE,
+};
+use crate::transport::upstream::{AttemptRequest, Upstream};
 use poppykeel_endpoints::Told;
 use poppykeel_scheduler::interface::{
     AttemptOutcome, Endpoint, EndpointState, ReplicaId, RequestId,
@@ -31,19 +34,19 @@
 const FORGOTTEN_ASKERS: usize = 256;
 
 /// How often the log says what has happened so far.
-const SUMMARY: Micros = 10_000_000;
+const SUMMARY: MonotonicMicros = 10_000_000;
 
 struct Client {
-    payload: Rc<Payload>,
+    payload: Rc<RequestPayload>,
     /// The class's wish for the time between tokens, in microseconds.
-    token_aim: Option<Micros>,
+    token_aim: Option<MonotonicMicros>,
     /// Its class and its tenant.
     of: (usize, usize),
-    answer: oneshot::Sender<Answer>,
+    answer: oneshot::Sender<ClientResponse>,
 }
 
 /// Work on its way to a replica.
-struct Outgoing {
+struct InFlightAttempt {
     replica: ReplicaId,
     /// Something of it has been written, or may have been.
     begun: Rc<Cell<bool>>,
@@ -51,33 +54,33 @@
 }
 
 /// The hub of one node.
-pub struct Hub {
+pub struct Dispatcher {
     clock: Clock,
-    router: Router,
-    directory: Directory,
+    router: RequestRouter,
+    directory: EndpointDirectory,
     upstream: Upstream,
     watch: Watch,
     clients: HashMap<RequestId, Client>,
     /// Who has asked for which request; those of requests that are over are forgotten now and then.
-    askers: HashMap<RequestId, Asker>,
-    attempts: HashMap<(RequestId, usize), Outgoing>,
+    askers: HashMap<RequestId, RequestOwner>,
+    attempts: HashMap<(RequestId, usize), InFlightAttempt>,
     /// A stream whose first event is being told to the core.
-    offered: Option<(String, ReplicaId, mpsc::Receiver<Piece>)>,
-    commands: Vec<Command>,
+    offered: Option<(String, ReplicaId, mpsc::Receiver<StreamChunk>)>,
+    commands: Vec<RouterCommand>,
 }
 
-impl Hub {
+impl Dispatcher {
     /// A hub round a core. `known` is the list as the node last had it.
     pub fn new(
         clock: Clock,
-        router: Router,
-        directory: Directory,
+        router: RequestRouter,
+        directory: EndpointDirectory,
         upstream: Upstream,
         watch: Watch,
         known: Option<Told>,
     ) -> Self {
         let (clients, askers, attempts, offered, commands) = Default::default();
-        let mut hub = Hub {
+        let mut hub = Dispatcher {
             clock,
             router,
             directory,
@@ -92,30 +95,36 @@
         let now = hub.clock.now();
         // The module begins with what it first hears of. Without this a node that knows no replica would ask for the
         // list with its first request only, and that one would wait for it.
-        hub.router.handle(
+        hub.router.handle_event(
             now,
-            Input::List {
+            RouterEvent::List {
                 list: Vec::new(),
                 full: false,
             },
             &mut hub.commands,
         );
         if let Some(told) = known {
-            hub.take(now, Message::Told { source: LIST, told });
+            hub.take(
+                now,
+                DispatcherMessage::EndpointUpdate {
+                    source: ENDPOINT_LIST_SOURCE,
+                    update: told,
+                },
+            );
         }
         hub
     }
 
     /// Runs until every driver is gone.
-    pub async fn run(mut self, mut told: mpsc::Receiver<Message>) {
+    pub async fn run(mut self, mut told: mpsc::Receiver<DispatcherMessage>) {
         let mut turn = Vec::with_capacity(TURN);
         let mut summary_at = SUMMARY;
         loop {
             let due = self
                 .router
-                .due()
+                .next_timer()
                 .into_iter()
-                .chain(self.directory.due())
+                .chain(self.directory.next_timer())
                 .min();
             let due = due.map(|at| self.clock.instant(at));
             let timer = async {
@@ -132,11 +141,11 @@
             for message in turn.drain(..) {
                 self.take(now, message);
             }
-            if self.directory.due().is_some_and(|at| at <= now) {
-                let list = self.directory.turn(self.clock.moment());
+            if self.directory.next_timer().is_some_and(|at| at <= now) {
+                let list = self.directory.on_timer(self.clock.reading());
                 self.list(now, "time", list);
             }
-            self.router.turn(now, &mut self.commands);
+            self.router.on_timer(now, &mut self.commands);
             self.carry_out(now);
             if now >= summary_at {
                 summary_at = now + SUMMARY;
@@ -145,32 +154,36 @@
         }
     }
 
-    fn take(&mut self, now: Micros, message: Message) {
+    fn take(&mut self, now: MonotonicMicros, message: DispatcherMessage) {
         let input = match message {
-            Message::Input(input) => input,
-            Message::Request {
-                arrival, answer, ..
-            } if self.router.is_live(arrival.id) => {
-                let _ = answer.send(Answer::Duplicate);
+            DispatcherMessage::Input(input) => input,
+            DispatcherMessage::ClientRequest {
+                request: arrival,
+                response: answer,
+                ..
+            } if self.router.is_active(arrival.id) => {
+                let _ = answer.send(ClientResponse::Duplicate);
                 return;
             }
-            Message::Request {
-                arrival, answer, ..
+            DispatcherMessage::ClientRequest {
+                request: arrival,
+                response: answer,
+                ..
             } if answer.is_closed() => {
                 return tracing::debug!(request = %arrival.id, "its client left while it waited to be taken");
             }
-            Message::Request {
-                arrival,
+            DispatcherMessage::ClientRequest {
+                request: arrival,
                 payload,
-                answer,
-                asker,
+                response: answer,
+                owner: asker,
             } => {
                 self.remember(arrival.id, asker);
                 let class = self.upstream.boot.scheduler.classes.get(arrival.class);
                 let token_aim = class
                     .map(|c| c.inter_token_objective * 1e6)
                     .filter(|aim| aim.is_finite());
-                let token_aim = token_aim.map(|aim| aim as Micros);
+                let token_aim = token_aim.map(|aim| aim as MonotonicMicros);
                 let of = (arrival.class, arrival.tenant);
                 let payload = Rc::new(payload);
                 self.clients.insert(
@@ -182,145 +195,162 @@
                         answer,
                     },
                 );
-                Input::Arrived(arrival)
+                RouterEvent::RequestArrived(arrival)
             }
-            Message::Left { request, asker } if self.askers.get(&request) == Some(&asker) => {
-                Input::ClientGone(request)
+            DispatcherMessage::ClientDisconnected {
+                request,
+                owner: asker,
+            } if self.askers.get(&request) == Some(&asker) => {
+                RouterEvent::ClientDisconnected(request)
             }
-            Message::Left { request, .. } => {
+            DispatcherMessage::ClientDisconnected { request, .. } => {
                 return tracing::debug!(%request, "a client has left whose request this is not");
             }
-            Message::Crossings(told) => {
-                let crossings = self.upstream.crossings.borrow();
+            DispatcherMessage::CrossZoneTraffic(told) => {
+                let crossings = self.upstream.cross_zone_traffic.borrow();
                 let _ = told.send(crossings.by_minute().map(|row| self.named(row)).collect());
                 return;
             }
-            Message::Learned(told) => {
-                let _ = told.send(self.router.memory());
+            DispatcherMessage::ExportLearnedState(told) => {
+                let _ = told.send(self.router.export_learned_state());
                 return;
             }
-            Message::Recall(memory) => return self.router.recall(&memory),
-            Message::Figures(figures) => {
+            DispatcherMessage::ImportLearnedState(memory) => {
+                return self.router.import_learned_state(&memory)
+            }
+            DispatcherMessage::Telemetry(figures) => {
                 let _ = figures.send(self.figures());
                 return;
             }
-            Message::Allow(allowed) => {
+            DispatcherMessage::SetBudgetGrants(allowed) => {
                 self.watch.allow(&allowed);
-                return self.router.allow(&allowed);
+                return self.router.set_budget_grants(&allowed);
             }
-            Message::Wanted(told) => {
+            DispatcherMessage::BudgetDemand(told) => {
                 // Calls for the list are the watch's to count.
-                let mut wanted = self.router.wanted();
+                let mut wanted = self.router.budget_demand();
                 wanted.extend(self.watch.wanted());
                 let _ = told.send(wanted);
                 return;
             }
-            Message::Replicas(told) => {
-                let all =
-                    self.router
-                        .standings()
-                        .into_iter()
-                        .filter_map(|(id, ejected, well_since)| {
-                            Some((
-                                self.directory.name(id)?.to_string(),
-                                Replica {
-                                    ejected,
-                                    well_since,
-                                },
-                            ))
-                        });
+            DispatcherMessage::ReplicaStatuses(told) => {
+                let all = self.router.replica_statuses().into_iter().filter_map(
+                    |(id, ejected, well_since)| {
+                        Some((
+                            self.directory.name(id)?.to_string(),
+                            Replica {
+                                ejected,
+                                well_since,
+                            },
+                        ))
+                    },
+                );
                 let _ = told.send(all.collect());
                 return;
             }
-            Message::Advice(advice) => {
+            DispatcherMessage::OutlierAdvice(advice) => {
                 // A name that is not on this node's list adds nothing.
-                for (replica, ..) in self.router.standings() {
+                for (replica, ..) in self.router.replica_statuses() {
                     let verdict = advice
                         .iter()
                         .find(|(name, _)| self.directory.name(replica) == Some(name));
                     if let Some((_, well)) = verdict {
-                        let input = Input::Advised {
+                        let input = RouterEvent::OutlierAdvice {
                             replica,
-                            well: *well,
+                            is_healthy: *well,
                         };
                         log_input(&input);
-                        self.router.handle(now, input, &mut self.commands);
+                        self.router.handle_event(now, input, &mut self.commands);
                     }
                 }
                 return self.carry_out(now);
             }
-            Message::Settings(boot, done) => {
-                match self.router.resettle(boot.scheduler.clone()) {
+            DispatcherMessage::UpdateSettings(boot, done) => {
+                match self.router.update_settings(boot.scheduler.clone()) {
                     Ok(()) => self.upstream.boot = boot,
                     Err(e) => tracing::error!(why = %e, "settings kept as they were"),
                 }
                 let _ = done.send(());
                 return;
             }
-            Message::AnswerAllWithin(span) => {
+            DispatcherMessage::SetAnswerDeadline(span) => {
                 return self
                     .router
-                    .answer_all_by(now.saturating_add(span.as_micros() as Micros));
+                    .set_answer_deadline(now.saturating_add(span.as_micros() as MonotonicMicros));
             }
-            Message::SumUp(done) => {
+            DispatcherMessage::LogSummary(done) => {
                 self.sum_up();
                 let _ = done.send(());
                 return;
             }
-            Message::First {
+            DispatcherMessage::StreamStarted {
                 request,
                 attempt,
                 content_type,
                 replica,
-                body,
+                chunks: body,
             } => {
                 self.offered = Some((content_type, replica, body));
-                Input::First { request, attempt }
+                RouterEvent::FirstToken { request, attempt }
             }
-            Message::Told { source, told } => {
+            DispatcherMessage::EndpointUpdate {
+                source,
+                update: told,
+            } => {
                 let failed = told == Told::Failed;
-                let list = self.directory.told(source, told, self.clock.moment());
+                let list = self
+                    .directory
+                    .apply_update(source, told, self.clock.reading());
                 self.list(now, source, list);
                 // The module says when discovery is asked again; other sources see to that themselves.
-                if !(failed && source == LIST) {
+                if !(failed && source == ENDPOINT_LIST_SOURCE) {
                     return;
                 }
-                Input::ListFailed
+                RouterEvent::EndpointListFailed
             }
-            Message::Members(members) => {
-                let list = self.directory.set(members, self.clock.moment());
+            DispatcherMessage::SetEndpointSources(members) => {
+                let list = self
+                    .directory
+                    .update_settings(members, self.clock.reading());
                 return self.list(now, "settings", list);
             }
         };
         match &input {
-            Input::ClientGone(id) => drop(self.clients.remove(id)),
-            Input::Ended {
+            RouterEvent::ClientDisconnected(id) => drop(self.clients.remove(id)),
+            RouterEvent::AttemptEnded {
                 request, attempt, ..
             } => drop(self.attempts.remove(&(*request, *attempt))),
             _ => {}
         }
         log_input(&input);
-        self.router.handle(now, input, &mut self.commands);
+        self.router.handle_event(now, input, &mut self.commands);
         self.carry_out(now);
         self.offered = None;
     }
 
     /// Tells the core what has changed in the list, and the log why.
-    fn list(&mut self, now: Micros, source: &str, list: Vec<Changed>) {
+    fn list(&mut self, now: MonotonicMicros, source: &str, list: Vec<EndpointChange>) {
         if list.is_empty() {
             return;
         }
-        for Changed { listing, name } in &list {
+        for EndpointChange {
+            endpoint: listing,
+            name,
+        } in &list
+        {
             tracing::info!(source, replica = %listing.id.0, name, state = ?listing.state, "list changed");
         }
-        let list: Vec<Endpoint> = list.into_iter().map(|c| c.listing).collect();
+        let list: Vec<Endpoint> = list.into_iter().map(|c| c.endpoint).collect();
         let leaving = list
             .iter()
             .filter(|l| l.state != EndpointState::Available)
             .map(|l| l.id)
             .collect();
-        self.router
-            .handle(now, Input::List { list, full: false }, &mut self.commands);
+        self.router.handle_event(
+            now,
+            RouterEvent::List { list, full: false },
+            &mut self.commands,
+        );
         self.recall(now, leaving);
         self.carry_out(now);
     }
@@ -328,11 +358,11 @@
     /// Calls back what has not been written to replicas that leave: a connection that comes up late would carry it
     /// there long after they were to get nothing new. It has never run, and the module finds it another place. Probes
     /// are left alone: with their connection they take a quarter of a second at most.
-    fn recall(&mut self, now: Micros, leaving: BTreeSet<ReplicaId>) {
+    fn recall(&mut self, now: MonotonicMicros, leaving: BTreeSet<ReplicaId>) {
         if leaving.is_empty() {
             return;
         }
-        let unwritten = |o: &Outgoing| leaving.contains(&o.replica) && !o.begun.get();
+        let unwritten = |o: &InFlightAttempt| leaving.contains(&o.replica) && !o.begun.get();
         let attempts = self
             .attempts
             .iter()
@@ -347,21 +377,21 @@
                 .iter()
                 .for_each(|o| o.task.abort());
             tracing::info!(%request, attempt, "called back from a replica that leaves");
-            let input = Input::Ended {
+            let input = RouterEvent::AttemptEnded {
                 request,
                 attempt,
                 outcome,
                 report: None,
             };
-            self.router.handle(now, input, &mut self.commands);
+            self.router.handle_event(now, input, &mut self.commands);
         }
     }
 
     /// Keeps who has asked, and forgets the askers of requests that are over once they are the most.
-    fn remember(&mut self, request: RequestId, asker: Asker) {
-        if self.askers.len() > 2 * self.router.live() + FORGOTTEN_ASKERS {
+    fn remember(&mut self, request: RequestId, asker: RequestOwner) {
+        if self.askers.len() > 2 * self.router.active_count() + FORGOTTEN_ASKERS {
             let router = &self.router;
-            self.askers.retain(|request, _| router.is_live(*request));
+            self.askers.retain(|request, _| router.is_active(*request));
         }
         self.askers.insert(request, asker);
     }
@@ -370,7 +400,7 @@
         // A class whose settings have changed has had several places.
         let mut replies: Vec<(String, [u64; 3])> = Vec::new();
         for (class, name) in self.upstream.boot.names.classes.iter().enumerate() {
-            let counts = self.router.replies(class);
+            let counts = self.router.response_counts(class);
             match replies.iter_mut().find(|known| known.0 == *name) {
                 Some((_, sum)) => sum
                     .iter_mut()
@@ -382,22 +412,22 @@
         Figures {
             replies,
             dispatches: self.upstream.written.get(),
-            concurrent: self.router.live(),
-            targets: self.directory.listed(),
-            targets_disabled: self.router.avoided(),
+            concurrent: self.router.active_count(),
+            targets: self.directory.listed_count(),
+            targets_disabled: self.router.unavailable_replica_count(),
             crossings: self.crossings(),
             reloads: (0, 0),
             fleet: Vec::new(),
-            attempt_ends: self.router.attempt_ends(),
+            attempt_ends: self.router.failed_attempt_counts(),
             closes: Vec::new(),
         }
     }
 
     /// A row of the account of crossings with names in place of the module's numbers.
-    fn named(&self, (minute, class, tenant, count): (u64, usize, usize, u64)) -> Crossed {
+    fn named(&self, (minute, class, tenant, count): (u64, usize, usize, u64)) -> CrossZoneMinute {
         let names = &self.upstream.boot.names;
         let name = |all: &[String], n: usize| all.get(n).cloned().unwrap_or_default();
-        Crossed {
+        CrossZoneMinute {
             minute,
             class: name(&names.classes, class),
             tenant: name(&names.tenants, tenant),
@@ -408,7 +438,7 @@
     /// Since the start, by class and tenant; a class whose settings have changed has had several places.
     fn crossings(&self) -> Vec<(String, String, u64)> {
         let mut sums: BTreeMap<(String, String), u64> = BTreeMap::new();
-        for (class, tenant, count) in self.upstream.crossings.borrow().totals() {
+        for (class, tenant, count) in self.upstream.cross_zone_traffic.borrow().totals() {
             let row = self.named((0, class, tenant, count));
             *sums.entry((row.class, row.tenant)).or_default() += count;
         }
@@ -418,23 +448,23 @@
     }
 
     fn sum_up(&self) {
-        let (c, (window, out)) = (self.router.counts(), self.router.window());
+        let (c, (window, out)) = (self.router.counters(), self.router.window());
         tracing::info!(
             uptime_s = self.clock.now() / 1_000_000,
             window = (window * 10.0).round() / 10.0,
             out,
-            waiting = ?self.router.waiting(),
-            live = self.router.live(),
+            waiting = ?self.router.queued_by_tenant(),
+            live = self.router.active_count(),
             replicas = self.router.replicas(),
             connections = self.upstream.pool.open(),
             arrived = c.arrived,
-            served = c.served,
-            refused = c.refused,
+            served = c.completed,
+            refused = c.rejected,
             failed = c.failed,
             broken = c.broken,
-            gone = c.gone,
-            sent = c.sent,
-            ends = ?c.ends,
+            gone = c.disconnected,
+            sent = c.attempts_started,
+            ends = ?c.failed_attempts,
             reports_passed_over = crate::protocol::report::passed_over(),
             "summary"
         );
@@ -443,22 +473,25 @@
             .log(|replica| self.directory.name(replica).map(String::from));
     }
 
-    fn carry_out(&mut self, now: Micros) {
+    fn carry_out(&mut self, now: MonotonicMicros) {
         for command in std::mem::take(&mut self.commands) {
             log_command(&command);
             match command {
-                Command::Send { request, .. } if self.has_left(request) => {
+                RouterCommand::StartAttempt { request, .. } if self.has_left(request) => {
                     self.clients.remove(&request);
-                    self.router
-                        .handle(now, Input::ClientGone(request), &mut self.commands);
+                    self.router.handle_event(
+                        now,
+                        RouterEvent::ClientDisconnected(request),
+                        &mut self.commands,
+                    );
                 }
-                Command::Send {
+                RouterCommand::StartAttempt {
                     request,
                     attempt,
                     replica,
-                    until,
+                    deadline: until,
                 } => {
-                    if let Some(after) = self.router.last_outcome(request) {
+                    if let Some(after) = self.router.last_attempt_outcome(request) {
                         tracing::debug!(%request, attempt, replica = %replica.0, ?after, "retry");
                     }
                     let addr = self.directory.addr(replica);
@@ -466,13 +499,13 @@
                     let (Some(addr), Some(payload)) = (addr, payload) else {
                         // The list has lost it since: the attempt never left.
                         let outcome = AttemptOutcome::NotSent;
-                        let input = Input::Ended {
+                        let input = RouterEvent::AttemptEnded {
                             request,
                             attempt,
                             outcome,
                             report: None,
                         };
-                        self.router.handle(now, input, &mut self.commands);
+                        self.router.handle_event(now, input, &mut self.commands);
                         continue;
                     };
                     let (peer, wait) = ((replica, addr), until.saturating_sub(now));
@@ -483,55 +516,55 @@
                     let crosses = client.map(|c| c.of).filter(|_| crosses);
                     let begun = Rc::new(Cell::new(false));
                     let told = begun.clone();
-                    let job = Job {
+                    let job = AttemptRequest {
                         request,
                         attempt,
                         peer,
-                        wait,
-                        token_aim,
+                        timeout: wait,
+                        inter_token_objective: token_aim,
                         crosses,
                         payload,
-                        begun: told,
+                        has_begun: told,
                     };
                     let task =
                         tokio::task::spawn_local(self.upstream.clone().attempt(job)).abort_handle();
                     self.attempts.insert(
                         (request, attempt),
-                        Outgoing {
+                        InFlightAttempt {
                             replica,
                             begun,
                             task,
                         },
                     );
                 }
-                Command::Abandon { request, attempt } => {
+                RouterCommand::AbandonAttempt { request, attempt } => {
                     if let Some(outgoing) = self.attempts.remove(&(request, attempt)) {
                         outgoing.task.abort();
                     }
                 }
-                Command::Bind { request, .. } => {
+                RouterCommand::BindStream { request, .. } => {
                     if let (Some(client), Some((content_type, replica, body))) =
                         (self.clients.remove(&request), self.offered.take())
                     {
-                        let _ = client.answer.send(Answer::Stream {
+                        let _ = client.answer.send(ClientResponse::Stream {
                             content_type,
                             replica,
-                            body,
+                            chunks: body,
                         });
                     }
                 }
-                Command::Refuse {
+                RouterCommand::Reject {
                     request,
                     retry_after,
                 } => {
-                    self.answer(request, Answer::Refused(retry_after));
+                    self.answer(request, ClientResponse::Rejected(retry_after));
                 }
-                Command::Fail { request } => self.answer(request, Answer::Failed),
-                Command::Probe { replica } => {
+                RouterCommand::Fail { request } => self.answer(request, ClientResponse::Failed),
+                RouterCommand::Probe { replica } => {
                     let addr = self.directory.addr(replica);
                     tokio::task::spawn_local(self.upstream.clone().probe(replica, addr));
                 }
-                Command::Watch => self.watch.start(),
+                RouterCommand::WatchEndpoints => self.watch.start(),
             }
         }
         if !self.commands.is_empty() {
@@ -547,16 +580,16 @@
             .is_some_and(|client| client.answer.is_closed())
     }
 
-    fn answer(&mut self, request: RequestId, answer: Answer) {
+    fn answer(&mut self, request: RequestId, answer: ClientResponse) {
         if let Some(client) = self.clients.remove(&request) {
             let _ = client.answer.send(answer);
         }
     }
 }
 
-fn log_input(input: &Input) {
+fn log_input(input: &RouterEvent) {
     match input {
-        Input::Arrived(a) => {
+        RouterEvent::RequestArrived(a) => {
             let (session, prefix) = (a.session, a.shared_prefix);
             let (prompt_tokens, prefix_tokens) = (a.prompt_tokens, a.shared_prefix_tokens);
             let (request, class, tenant) = (a.id, a.class, a.tenant);
@@ -564,9 +597,11 @@
                 %request, class, tenant, session, prefix, prompt_tokens, prefix_tokens, "arrived"
             );
         }
-        Input::ClientGone(id) => tracing::debug!(request = %id, "client gone"),
-        Input::First { request, attempt } => tracing::debug!(%request, attempt, "first event"),
-        Input::Ended {
+        RouterEvent::ClientDisconnected(id) => tracing::debug!(request = %id, "client gone"),
+        RouterEvent::FirstToken { request, attempt } => {
+            tracing::debug!(%request, attempt, "first event");
+        }
+        RouterEvent::AttemptEnded {
             request,
             attempt,
             outcome,
@@ -574,41 +609,46 @@
         } => {
             tracing::debug!(%request, attempt, ?outcome, ?report, "ended");
         }
-        Input::Probed {
+        RouterEvent::ProbeEnded {
             replica,
             outcome,
             report,
         } => {
             tracing::debug!(replica = %replica.0, ?outcome, ?report, "probed");
         }
-        Input::List { list, full } => tracing::debug!(entries = list.len(), full, "list"),
-        Input::Advised { replica, well } => tracing::debug!(replica = %replica.0, well, "advised"),
-        Input::ListFailed => tracing::debug!("list failed"),
+        RouterEvent::List { list, full } => tracing::debug!(entries = list.len(), full, "list"),
+        RouterEvent::OutlierAdvice {
+            replica,
+            is_healthy: well,
+        } => tracing::debug!(replica = %replica.0, well, "advised"),
+        RouterEvent::EndpointListFailed => tracing::debug!("list failed"),
     }
 }
 
-fn log_command(command: &Command) {
+fn log_command(command: &RouterCommand) {
     match command {
-        Command::Send {
+        RouterCommand::StartAttempt {
             request,
             attempt,
             replica,
-            until,
+            deadline: until,
         } => {
             tracing::debug!(%request, attempt, replica = %replica.0, until, "send");
         }
-        Command::Abandon { request, attempt } => {
+        RouterCommand::AbandonAttempt { request, attempt } => {
             tracing::debug!(%request, attempt, "abandon");
         }
-        Command::Bind { request, attempt } => tracing::debug!(%request, attempt, "bind"),
-        Command::Refuse {
+        RouterCommand::BindStream { request, attempt } => {
+            tracing::debug!(%request, attempt, "bind");
+        }
+        RouterCommand::Reject {
             request,
             retry_after,
         } => {
             tracing::debug!(%request, retry_after, "refuse");
         }
-        Command::Fail { request } => tracing::debug!(%request, "fail"),
-        Command::Probe { replica } => tracing::debug!(replica = %replica.0, "probe"),
-        Command::Watch => tracing::debug!("watch"),
+        RouterCommand::Fail { request } => tracing::debug!(%request, "fail"),
+        RouterCommand::Probe { replica } => tracing::debug!(replica = %replica.0, "probe"),
+        RouterCommand::WatchEndpoints => tracing::debug!("watch"),
     }
 }
--- a/src/transport/fleet/budgets.rs
+++ b/src/transport/fleet/budgets.rs
@@ -8,8 +8,8 @@
 )]
 
 use super::Fleet;
-use crate::routing::{seconds, Micros};
-use crate::transport::messages::Message;
+use crate::routing::{seconds, MonotonicMicros};
+use crate::transport::messages::DispatcherMessage;
 use poppykeel_coordination::budget::{self, Count, Party};
 use poppykeel_coordination::envelope::Body;
 use poppykeel_scheduler::interface::{BudgetDemand, BudgetGrant, BudgetGrants, BudgetKind};
@@ -60,7 +60,12 @@
     }
 
     /// What the core may spend, by the party's clock at `now` and the core's at `core`.
-    pub fn allowed(&self, party: &Party, now: Micros, core: Micros) -> BudgetGrants {
+    pub fn allowed(
+        &self,
+        party: &Party,
+        now: MonotonicMicros,
+        core: MonotonicMicros,
+    ) -> BudgetGrants {
         let thousandths = |x: u64| x as f64 / 1e3;
         let all = party.settings().wholes.iter().filter_map(|(name, whole)| {
             let (rate, burst, until) = party.share(name, now);
@@ -110,7 +115,10 @@
         self.wake.notify_one();
         loop {
             // Floors hold from the first moment, whoever divides.
-            let _ = self.tell.send(Message::Allow(self.allowed())).await;
+            let _ = self
+                .tell
+                .send(DispatcherMessage::SetBudgetGrants(self.allowed()))
+                .await;
             let counted = self.counted().await;
             let (now, epoch) = (self.clock.now(), self.may_act(TASK));
             let ask = self
@@ -158,7 +166,9 @@
             .for_each(|back| self.tell_budget(from.clone(), back));
         if answers {
             // Where the core is behind, the next turn tells it.
-            let _ = self.tell.try_send(Message::Allow(self.allowed()));
+            let _ = self
+                .tell
+                .try_send(DispatcherMessage::SetBudgetGrants(self.allowed()));
         }
     }
 
@@ -174,7 +184,11 @@
     /// What the core has wanted of each budget since it began.
     async fn counted(&self) -> BTreeMap<String, Count> {
         let (ask, told) = oneshot::channel();
-        let asked = self.tell.send(Message::Wanted(ask)).await.is_ok();
+        let asked = self
+            .tell
+            .send(DispatcherMessage::BudgetDemand(ask))
+            .await
+            .is_ok();
         let wanted = told.await.ok().filter(|_| asked).unwrap_or_default();
         self.budgets
             .budgets
@@ -212,7 +226,7 @@
     }
 
     /// The budgets' figures: by budget, what this node may spend a second, and what it has wanted.
-    pub(super) fn budget_shares(&self) -> Vec<(String, Micros)> {
+    pub(super) fn budget_shares(&self) -> Vec<(String, MonotonicMicros)> {
         let party = self.budgets.party.borrow();
         let now = self.clock.now();
         let shares = party.iter().flat_map(|party| {
--- a/src/transport/fleet/clock.rs
+++ b/src/transport/fleet/clock.rs
@@ -1,6 +1,6 @@
 //! The clock of leases: it goes on while the machine sleeps.
 
-use crate::routing::Micros;
+use crate::routing::MonotonicMicros;
 use rustix::time::{clock_gettime, ClockId};
 
 /// For tests alone: parts in a million by which this process's clock of leases runs fast, or slow below 0.
@@ -24,10 +24,10 @@
     }
 
     /// The time now.
-    pub fn now(self) -> Micros {
+    pub fn now(self) -> MonotonicMicros {
         let now = clock_gettime(ClockId::Boottime);
         let micros = i128::from(now.tv_sec) * 1_000_000 + i128::from(now.tv_nsec) / 1000;
         let scaled = micros + micros * i128::from(self.ppm) / 1_000_000;
-        Micros::try_from(scaled).unwrap_or(0)
+        MonotonicMicros::try_from(scaled).unwrap_or(0)
     }
 }
--- a/src/transport/fleet/mod.rs
+++ b/src/transport/fleet/mod.rs
@@ -16,9 +16,9 @@
 mod status;
 mod trials;
 
-use crate::routing::Micros;
+use crate::routing::MonotonicMicros;
 use crate::transport::clock::Clock;
-use crate::transport::messages::{Message, Phase};
+use crate::transport::messages::{DispatcherMessage, NodePhase};
 use clock::SleepClock;
 use disk::{Disk, Told};
 use poppykeel_coordination::envelope::{self, Body, Dropped, Envelope};
@@ -66,7 +66,7 @@
     /// The collector.
     pub to: SocketAddr,
     /// Microseconds from one to the next.
-    pub every: Micros,
+    pub every: MonotonicMicros,
 }
 
 /// Bytes sent, and messages dropped, by reason.
@@ -89,12 +89,12 @@
     wake: Notify,
     dropped: Cell<DroppedCounts>,
     connections: Cell<usize>,
-    tell: mpsc::Sender<Message>,
+    tell: mpsc::Sender<DispatcherMessage>,
     reports: report::Counts,
     rolls: roll::Rolls,
     trials: trials::Trials,
     budgets: budgets::Divided,
-    phase: Rc<watch::Sender<Phase>>,
+    phase: Rc<watch::Sender<NodePhase>>,
     /// The clock of the routing core.
     core: Clock,
 }
@@ -106,8 +106,8 @@
     /// Names the key at fault.
     pub async fn start(
         place: Place,
-        tell: mpsc::Sender<Message>,
-        phase: Rc<watch::Sender<Phase>>,
+        tell: mpsc::Sender<DispatcherMessage>,
+        phase: Rc<watch::Sender<NodePhase>>,
         core: Clock,
     ) -> Result<Rc<Fleet>, String> {
         let named = |e: std::io::Error| format!("fleet.listen: {}: {e}", place.listen);
@@ -213,7 +213,7 @@
     }
 
     /// The clock that the routing core goes by.
-    fn uptime(&self) -> Micros {
+    fn uptime(&self) -> MonotonicMicros {
         self.core.now()
     }
 
--- a/src/transport/fleet/report.rs
+++ b/src/transport/fleet/report.rs
@@ -4,7 +4,7 @@
 #![expect(clippy::min_ident_chars, reason = "not yet converted")]
 
 use super::{Fleet, Report};
-use crate::transport::messages::Message;
+use crate::transport::messages::DispatcherMessage;
 use poppykeel_coordination::envelope::{Body, Figures, Totals};
 use serde_json::json;
 use std::cell::{Cell, RefCell};
@@ -191,7 +191,12 @@
         let own = self.clone();
         spawn_local(async move {
             let (ask, told) = oneshot::channel();
-            if own.tell.send(Message::Figures(ask)).await.is_err() {
+            if own
+                .tell
+                .send(DispatcherMessage::Telemetry(ask))
+                .await
+                .is_err()
+            {
                 return;
             }
             let Ok(told) = told.await else { return };
--- a/src/transport/fleet/roll.rs
+++ b/src/transport/fleet/roll.rs
@@ -7,9 +7,9 @@
 )]
 
 use super::Fleet;
-use crate::routing::Micros;
+use crate::routing::MonotonicMicros;
 use crate::transport::admin::{evacuate, rejoin};
-use crate::transport::messages::Message;
+use crate::transport::messages::DispatcherMessage;
 use poppykeel_coordination::envelope::Body;
 use poppykeel_coordination::roll::{self, Charge, Order, Own};
 use serde_json::{json, Value};
@@ -25,7 +25,7 @@
 const STEP: Duration = Duration::from_millis(100);
 /// A node that is out comes back by itself after so many leases without a word, and at least this much.
 const BACK_LEASES: u64 = 4;
-const BACK: Micros = 2_000_000;
+const BACK: MonotonicMicros = 2_000_000;
 
 /// What this node knows of orders.
 #[derive(Default)]
@@ -36,7 +36,7 @@
 
 impl Fleet {
     /// An operator orders it here; what to tell them.
-    pub fn order_roll(self: &Rc<Self>, out: u32, hold: Micros) -> String {
+    pub fn order_roll(self: &Rc<Self>, out: u32, hold: MonotonicMicros) -> String {
         let number = self
             .rolls
             .own
@@ -120,7 +120,11 @@
                 let own = self.clone();
                 spawn_local(async move {
                     let (ask, told) = oneshot::channel();
-                    let asked = own.tell.send(Message::Figures(ask)).await.is_ok();
+                    let asked = own
+                        .tell
+                        .send(DispatcherMessage::Telemetry(ask))
+                        .await
+                        .is_ok();
                     let idle = told
                         .await
                         .is_ok_and(|figures| asked && figures.concurrent == 0);
--- a/src/transport/fleet/trials.rs
+++ b/src/transport/fleet/trials.rs
@@ -4,8 +4,8 @@
 #![expect(clippy::min_ident_chars, reason = "not yet converted")]
 
 use super::Fleet;
-use crate::routing::Micros;
-use crate::transport::messages::{Message, Replica};
+use crate::routing::MonotonicMicros;
+use crate::transport::messages::{DispatcherMessage, Replica};
 use poppykeel_coordination::envelope::Body;
 use poppykeel_coordination::trials::{self, Charge, Own, Standing, MOST_NAMES};
 use std::cell::{Cell, RefCell};
@@ -20,9 +20,9 @@
 /// From one report to the next, and from one verdict to the next.
 const STEP: Duration = Duration::from_millis(250);
 /// What nobody has reported for so long is forgotten.
-const FORGET: Micros = 1_500_000;
+const FORGET: MonotonicMicros = 1_500_000;
 /// A wrong advice is remembered so long.
-const DOUBT: Micros = 10_000_000;
+const DOUBT: MonotonicMicros = 10_000_000;
 
 /// What this node knows of trials.
 #[derive(Default)]
@@ -43,7 +43,12 @@
 impl Fleet {
     async fn replicas(&self) -> BTreeMap<String, Replica> {
         let (ask, told) = oneshot::channel();
-        if self.tell.send(Message::Replicas(ask)).await.is_err() {
+        if self
+            .tell
+            .send(DispatcherMessage::ReplicaStatuses(ask))
+            .await
+            .is_err()
+        {
             return BTreeMap::new();
         }
         told.await.unwrap_or_default()
@@ -79,7 +84,10 @@
                         .advised
                         .set((held + advice.len() as u64 - well, back + well));
                     if !advice.is_empty() {
-                        let _ = own.tell.send(Message::Advice(advice)).await;
+                        let _ = own
+                            .tell
+                            .send(DispatcherMessage::OutlierAdvice(advice))
+                            .await;
                     }
                 });
             }
--- a/src/transport/handover.rs
+++ b/src/transport/handover.rs
@@ -8,8 +8,8 @@
 )]
 
 use super::clock::Clock;
-use super::messages::Message;
-use crate::routing::learned_state::{self, MOST};
+use super::messages::DispatcherMessage;
+use crate::routing::learned_state::{self, MAX_RECORD_BYTES};
 use poppykeel_site_settings::SiteSettings;
 use std::cell::Cell;
 use std::fs;
@@ -36,7 +36,7 @@
     /// Tells this process from the other one.
     me: u64,
     clock: Clock,
-    tell: mpsc::Sender<Message>,
+    tell: mpsc::Sender<DispatcherMessage>,
     boot: Rc<SiteSettings>,
     /// When this process left something last; until it is taken or out of date nothing else is looked for.
     left_at: Cell<Option<Instant>>,
@@ -48,7 +48,7 @@
         folder: &Path,
         name: &str,
         boot: Rc<SiteSettings>,
-        tell: mpsc::Sender<Message>,
+        tell: mpsc::Sender<DispatcherMessage>,
         clock: Clock,
     ) -> Self {
         let fits = |c: char| {
@@ -79,7 +79,7 @@
     }
 
     fn unix_ms(&self) -> i64 {
-        self.clock.moment().unix / 1000
+        self.clock.reading().unix_us / 1000
     }
 
     /// Asks, and from then on answers and takes what is left; a folder that can't be used ends it with a line.
@@ -121,7 +121,7 @@
             return None;
         }
         let length = fs::metadata(&path).ok()?.len();
-        let bytes = if length <= MOST {
+        let bytes = if length <= MAX_RECORD_BYTES {
             fs::read(&path).ok()?
         } else {
             Vec::new()
@@ -131,11 +131,14 @@
     }
 
     async fn take(&self, bytes: &[u8]) {
-        match learned_state::read(bytes, self.me, self.unix_ms(), &self.boot.names) {
+        match learned_state::decode(bytes, self.me, self.unix_ms(), &self.boot.names) {
             Ok(memory) => {
                 let (requests, sessions) = (memory.requests_seen, memory.sessions.len());
                 tracing::info!(requests, sessions, "learned from the process before");
-                let _ = self.tell.send(Message::Recall(Box::new(memory))).await;
+                let _ = self
+                    .tell
+                    .send(DispatcherMessage::ImportLearnedState(Box::new(memory)))
+                    .await;
             }
             Err(doubt) => tracing::warn!(?doubt, "what the process before left is not believed"),
         }
@@ -144,7 +147,11 @@
     /// Leaves what has been learned to another process of this node.
     pub async fn leave(&self) {
         let (ask, told) = oneshot::channel();
-        let asked = self.tell.send(Message::Learned(ask)).await.is_ok();
+        let asked = self
+            .tell
+            .send(DispatcherMessage::ExportLearnedState(ask))
+            .await
+            .is_ok();
         let Some(memory) = told
             .await
             .ok()
@@ -152,7 +159,7 @@
         else {
             return;
         };
-        let bytes = learned_state::write(self.me, self.unix_ms(), &self.boot.names, memory);
+        let bytes = learned_state::encode(self.me, self.unix_ms(), &self.boot.names, memory);
         let draft = self.path(&format!("{:016x}", self.me));
         let left: io::Result<()> =
             fs::write(&draft, bytes).and_then(|()| fs::rename(&draft, self.path("learned")));
--- a/src/transport/listener.rs
+++ b/src/transport/listener.rs
@@ -8,7 +8,7 @@
 
 use super::client::Client;
 use super::clients::Shared;
-use super::messages::Phase;
+use super::messages::NodePhase;
 use super::socket::Socket;
 use crate::protocol::request;
 use rustix::io::Errno;
@@ -32,13 +32,17 @@
 const MOST_FAILURES: usize = 64;
 
 /// Accepts until the phase says closing.
-pub async fn accept(listener: TcpListener, shared: Rc<Shared>, mut phase: watch::Receiver<Phase>) {
+pub async fn accept(
+    listener: TcpListener,
+    shared: Rc<Shared>,
+    mut phase: watch::Receiver<NodePhase>,
+) {
     let turned_away = Rc::new(());
     let mut in_a_row = 0;
     loop {
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
-            _ = phase.wait_for(|p| *p == Phase::Closing) => break,
+            _ = phase.wait_for(|p| *p == NodePhase::Closing) => break,
         };
         match accepted {
             Ok((socket, _)) => {
--- a/src/transport/messages.rs
+++ b/src/transport/messages.rs
@@ -1,8 +1,8 @@
 //! What drivers tell each other. Everything here is plain data; each driver uses this file and those below it.
 
 use crate::protocol::admin::Figures;
-use crate::routing::directory::Members;
-use crate::routing::{Input, Micros};
+use crate::routing::directory::EndpointSourceSettings;
+use crate::routing::{MonotonicMicros, RouterEvent};
 use bytes::Bytes;
 use poppykeel_endpoints::Told;
 use poppykeel_scheduler::interface::{
@@ -15,7 +15,7 @@
 use tokio::sync::{mpsc, oneshot};
 
 /// A client's request as it goes to replicas.
-pub struct Payload {
+pub struct RequestPayload {
     /// The head, but for the deadline.
     pub head: Vec<u8>,
     /// The body, unchanged.
@@ -23,9 +23,9 @@
 }
 
 /// What a client's driver is told.
-pub enum Answer {
+pub enum ClientResponse {
     /// Turned away until then.
-    Refused(Micros),
+    Rejected(MonotonicMicros),
     /// Failed.
     Failed,
     /// Another request of this id is live.
@@ -37,7 +37,7 @@
         /// Who writes it.
         replica: ReplicaId,
         /// Its bytes.
-        body: mpsc::Receiver<Piece>,
+        chunks: mpsc::Receiver<StreamChunk>,
     },
 }
 
@@ -47,12 +47,12 @@
     /// It gets trials only.
     pub ejected: bool,
     /// Nothing has failed there since its last answer, and that came at this time of the node's clock.
-    pub well_since: Option<Micros>,
+    pub well_since: Option<MonotonicMicros>,
 }
 
 /// Attempts that went to another zone in one minute.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize)]
-pub struct Crossed {
+pub struct CrossZoneMinute {
     /// Minutes of Unix time by this node's clock.
     pub minute: u64,
     /// The requests' class.
@@ -64,32 +64,32 @@
 }
 
 /// One asking of one client: no other has had this number since the node's start.
-pub type Asker = u64;
+pub type RequestOwner = u64;
 
 /// What drivers tell the hub.
-pub enum Message {
+pub enum DispatcherMessage {
     /// For the core as it is.
-    Input(Input),
+    Input(RouterEvent),
     /// A request and where its answer goes.
-    Request {
+    ClientRequest {
         /// What the module is told.
-        arrival: IncomingRequest,
+        request: IncomingRequest,
         /// What replicas are sent.
-        payload: Payload,
+        payload: RequestPayload,
         /// To the client's driver.
-        answer: oneshot::Sender<Answer>,
+        response: oneshot::Sender<ClientResponse>,
         /// Who asks: an id alone does not say it, since two clients may send the same.
-        asker: Asker,
+        owner: RequestOwner,
     },
     /// A client has left that waited for this request. Another one's of the same id is none of its business.
-    Left {
+    ClientDisconnected {
         /// The request.
         request: RequestId,
         /// Who asked.
-        asker: Asker,
+        owner: RequestOwner,
     },
     /// The first event of an attempt.
-    First {
+    StreamStarted {
         /// The request.
         request: RequestId,
         /// The attempt's number.
@@ -99,55 +99,55 @@
         /// Who writes it.
         replica: ReplicaId,
         /// The stream's bytes.
-        body: mpsc::Receiver<Piece>,
+        chunks: mpsc::Receiver<StreamChunk>,
     },
     /// A source of servers has something to say.
-    Told {
+    EndpointUpdate {
         /// Its name.
         source: &'static str,
         /// What it tells.
-        told: Told,
+        update: Told,
     },
     /// New settings of the account of membership.
-    Members(Members),
+    SetEndpointSources(EndpointSourceSettings),
     /// How each replica stands, by name.
-    Replicas(oneshot::Sender<BTreeMap<String, Replica>>),
+    ReplicaStatuses(oneshot::Sender<BTreeMap<String, Replica>>),
     /// Another node of the fleet tries ejected replicas for all: whether it found them well.
-    Advice(Vec<(String, bool)>),
+    OutlierAdvice(Vec<(String, bool)>),
     /// What the fleet allows this node from now on.
-    Allow(BudgetGrants),
+    SetBudgetGrants(BudgetGrants),
     /// What has been wanted since the start of what the fleet has budgets for.
-    Wanted(oneshot::Sender<BTreeMap<BudgetKind, BudgetDemand>>),
+    BudgetDemand(oneshot::Sender<BTreeMap<BudgetKind, BudgetDemand>>),
     /// An operator asks for the account of crossings.
-    Crossings(oneshot::Sender<Vec<Crossed>>),
+    CrossZoneTraffic(oneshot::Sender<Vec<CrossZoneMinute>>),
     /// What has been learned is to be handed to another process of this node.
-    Learned(oneshot::Sender<LearnedState>),
+    ExportLearnedState(oneshot::Sender<LearnedState>),
     /// Another process of this node has handed over what it had learned.
-    Recall(Box<LearnedState>),
+    ImportLearnedState(Box<LearnedState>),
     /// An operator asks for the figures.
-    Figures(oneshot::Sender<Figures>),
+    Telemetry(oneshot::Sender<Figures>),
     /// New settings for the core; answered once they hold.
-    Settings(Rc<SiteSettings>, oneshot::Sender<()>),
+    UpdateSettings(Rc<SiteSettings>, oneshot::Sender<()>),
     /// The node ends: whoever still waits for a first token after this time is given a final answer.
-    AnswerAllWithin(Duration),
+    SetAnswerDeadline(Duration),
     /// The log is to say what has happened so far; answered once it has.
-    SumUp(oneshot::Sender<()>),
+    LogSummary(oneshot::Sender<()>),
 }
 
 /// The name of discovery's list as a source.
-pub const LIST: &str = "list";
+pub const ENDPOINT_LIST_SOURCE: &str = "list";
 /// The name of DNS as a source.
-pub const SRV: &str = "srv";
+pub const SRV_SOURCE: &str = "srv";
 
-impl From<Input> for Message {
-    fn from(input: Input) -> Self {
-        Message::Input(input)
+impl From<RouterEvent> for DispatcherMessage {
+    fn from(input: RouterEvent) -> Self {
+        DispatcherMessage::Input(input)
     }
 }
 
 /// A piece of a stream on its way to the client.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Piece {
+pub enum StreamChunk {
     /// Bytes, unchanged.
     Bytes(Bytes),
     /// The whole stream has passed. A channel that closes without this says that it broke.
@@ -156,7 +156,7 @@
 
 /// How far the node's life has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Phase {
+pub enum NodePhase {
     /// Clients may come and stay.
     Serving,
     /// An operator has ordered clients away: each answer is the last on its connection.
--- a/src/transport/relay.rs
+++ b/src/transport/relay.rs
@@ -4,7 +4,7 @@
 
 #![expect(clippy::min_ident_chars, reason = "not yet converted")]
 
-use super::messages::Payload;
+use super::messages::RequestPayload;
 use super::streams::{Continues, Streams};
 use crate::protocol::http::Head;
 use crate::protocol::request;
@@ -33,7 +33,7 @@
     /// These bytes end it whole.
     Complete(Bytes),
     /// This asks for the rest.
-    Ask(Box<(IncomingRequest, Payload)>),
+    Ask(Box<(IncomingRequest, RequestPayload)>),
     /// These bytes tell the client that it failed.
     Fail(Bytes),
 }
@@ -135,7 +135,7 @@
                 tracing::info!(request = %self.arrival.id, next = %arrival.id, epoch, tokens, "stream continued");
                 self.arrival = arrival.clone();
                 let head = request::upstream_head(&self.head, rest.len(), Some(arrival.id));
-                let payload = Payload {
+                let payload = RequestPayload {
                     head,
                     body: rest.into(),
                 };
--- a/src/transport/srv.rs
+++ b/src/transport/srv.rs
@@ -3,7 +3,7 @@
 #![expect(clippy::min_ident_chars, reason = "not yet converted")]
 
 use super::clock::Clock;
-use super::messages::{Message, SRV};
+use super::messages::{DispatcherMessage, SRV_SOURCE};
 use crate::protocol::srv::Naming;
 use poppykeel_dns_resolver::{driver, Config, Event, Found};
 use poppykeel_endpoints::{Entry, Told};
@@ -30,14 +30,14 @@
 /// The look-ups of one node; nothing is looked up until they are set.
 pub struct Lookups {
     clock: Clock,
-    tell: mpsc::Sender<Message>,
+    tell: mpsc::Sender<DispatcherMessage>,
     running: Option<(Service, AbortHandle)>,
     newest: Newest,
 }
 
 impl Lookups {
     /// None yet.
-    pub fn new(clock: Clock, tell: mpsc::Sender<Message>) -> Self {
+    pub fn new(clock: Clock, tell: mpsc::Sender<DispatcherMessage>) -> Self {
         Lookups {
             clock,
             tell,
@@ -71,7 +71,12 @@
     }
 }
 
-async fn run(service: Service, clock: Clock, tell: mpsc::Sender<Message>, newest: Newest) {
+async fn run(
+    service: Service,
+    clock: Clock,
+    tell: mpsc::Sender<DispatcherMessage>,
+    newest: Newest,
+) {
     let (events, mut found) = mpsc::channel(EVENTS);
     let Service { resolver, naming } = service;
     let driver = driver::run(resolver, move || clock.now(), events);
@@ -82,7 +87,7 @@
             let told = match &event {
                 Event::Listed(found) => news(&mut last, listed(found, &naming)),
                 Event::Failed { why, .. } => {
-                    tracing::warn!(source = SRV, why = %why, "no list");
+                    tracing::warn!(source = SRV_SOURCE, why = %why, "no list");
                     Told::Failed
                 }
             };
@@ -91,7 +96,10 @@
                 Event::Failed { why, .. } => Err(why),
             });
             if tell
-                .send(Message::Told { source: SRV, told })
+                .send(DispatcherMessage::EndpointUpdate {
+                    source: SRV_SOURCE,
+                    update: told,
+                })
                 .await
                 .is_err()
             {
@@ -101,7 +109,7 @@
     };
     tokio::select! {
         end = driver => if let Err(why) = end {
-            tracing::error!(source = SRV, why = %why, "no look-ups");
+            tracing::error!(source = SRV_SOURCE, why = %why, "no look-ups");
         },
         () = take => {}
     }
@@ -117,14 +125,14 @@
 
 fn listed(found: &Found, naming: &Naming) -> Vec<Entry> {
     if let Some(why) = &found.nothing {
-        tracing::warn!(source = SRV, why = %why, "nothing listed");
+        tracing::warn!(source = SRV_SOURCE, why = %why, "nothing listed");
     }
     for (target, why) in &found.unresolved {
-        tracing::warn!(source = SRV, target_name = %target, why = %why, "target not resolved");
+        tracing::warn!(source = SRV_SOURCE, target_name = %target, why = %why, "target not resolved");
     }
     if found.left_out > 0 {
         tracing::warn!(
-            source = SRV,
+            source = SRV_SOURCE,
             left_out = found.left_out,
             "more targets than may be"
         );
--- a/src/transport/upstream.rs
+++ b/src/transport/upstream.rs
@@ -9,7 +9,7 @@
 )]
 
 use super::clock::Clock;
-use super::messages::{Message, Payload, Piece};
+use super::messages::{DispatcherMessage, RequestPayload, StreamChunk};
 use super::pool::{Conn, NoConn, Peer, Pool};
 use super::streams::{Live, Streams};
 use super::Bounds;
@@ -17,8 +17,8 @@
 use crate::protocol::http::{Out, Part, Start};
 use crate::protocol::report::{probed, report};
 use crate::protocol::request;
-use crate::routing::cross_zone::Crossings;
-use crate::routing::{Input, Micros};
+use crate::routing::cross_zone::CrossZoneTraffic;
+use crate::routing::{MonotonicMicros, RouterEvent};
 use bytes::{Buf, Bytes};
 use futures_util::{SinkExt, StreamExt};
 use poppykeel_scheduler::interface::{AttemptOutcome, LoadReport, ReplicaId, RequestId};
@@ -42,7 +42,7 @@
     /// The connections.
     pub pool: Pool,
     /// To the core.
-    pub tell: mpsc::Sender<Message>,
+    pub tell: mpsc::Sender<DispatcherMessage>,
     /// The settings.
     pub boot: Rc<SiteSettings>,
     /// The figures.
@@ -52,13 +52,13 @@
     /// Attempts written whole.
     pub written: Rc<Cell<u64>>,
     /// Of these the ones that went to another zone.
-    pub crossings: Rc<RefCell<Crossings>>,
+    pub cross_zone_traffic: Rc<RefCell<CrossZoneTraffic>>,
     /// What tells their minutes.
     pub clock: Clock,
 }
 
 /// One attempt.
-pub struct Job {
+pub struct AttemptRequest {
     /// The request.
     pub request: RequestId,
     /// The attempt's number.
@@ -66,26 +66,26 @@
     /// The replica and where it listens.
     pub peer: Peer,
     /// How long the node will wait.
-    pub wait: Micros,
+    pub timeout: MonotonicMicros,
     /// The class's wish for the time between tokens, in microseconds.
-    pub token_aim: Option<Micros>,
+    pub inter_token_objective: Option<MonotonicMicros>,
     /// Its class and tenant, where the replica is in another zone.
     pub crosses: Option<(usize, usize)>,
     /// What is sent.
-    pub payload: Rc<Payload>,
+    pub payload: Rc<RequestPayload>,
     /// Set when the first byte is about to be written; until then it can be called back as if never sent.
-    pub begun: Rc<Cell<bool>>,
+    pub has_begun: Rc<Cell<bool>>,
 }
 
 impl Upstream {
     /// Drives one attempt to its end and tells the core how it ended.
-    pub async fn attempt(self, job: Job) {
+    pub async fn attempt(self, job: AttemptRequest) {
         let (request, attempt, peer) = (job.request, job.attempt, job.peer);
         let (outcome, report, conn) = self.exchange(job).await;
         let _ = self
             .tell
             .send(
-                Input::Ended {
+                RouterEvent::AttemptEnded {
                     request,
                     attempt,
                     outcome,
@@ -109,7 +109,10 @@
         }
     }
 
-    async fn exchange(&self, job: Job) -> (AttemptOutcome, Option<LoadReport>, Option<Conn>) {
+    async fn exchange(
+        &self,
+        job: AttemptRequest,
+    ) -> (AttemptOutcome, Option<LoadReport>, Option<Conn>) {
         let mut conn = match self.pool.get(job.peer).await {
             Ok(conn) => conn,
             Err(NoConn::Failed) => return (AttemptOutcome::ConnectFailed, None, None),
@@ -117,8 +120,8 @@
             Err(NoConn::Exhausted) => return (AttemptOutcome::NotSent, None, None),
         };
         // Nothing is awaited between this and the first write.
-        job.begun.set(true);
-        let head = request::attempt_head(&job.payload.head, job.wait);
+        job.has_begun.set(true);
+        let head = request::attempt_head(&job.payload.head, job.timeout);
         if write(&mut conn, head, job.payload.body.clone())
             .await
             .is_err()
@@ -128,9 +131,11 @@
         }
         self.written.set(self.written.get() + 1);
         if let Some((class, tenant)) = job.crosses {
-            self.crossings
-                .borrow_mut()
-                .add(self.clock.moment().unix, class, tenant);
+            self.cross_zone_traffic.borrow_mut().record(
+                self.clock.reading().unix_us,
+                class,
+                tenant,
+            );
         }
         let mut answer = Answer::new(self.boot.clone());
         let mut steps = Vec::new();
@@ -173,19 +178,20 @@
                         to_client = Some(sender);
                         let (request, attempt) = (job.request, job.attempt);
                         let replica = job.peer.0;
-                        live = Some(self.streams.begin(replica, job.token_aim));
-                        let first = Message::First {
+                        live = Some(self.streams.begin(replica, job.inter_token_objective));
+                        let first = DispatcherMessage::StreamStarted {
                             request,
                             attempt,
                             content_type,
                             replica,
-                            body,
+                            chunks: body,
                         };
                         let _ = self.tell.send(first).await;
                     }
                     Step::Pass(bytes) => {
                         let Some(sender) = &to_client else { continue };
-                        if let Err(TrySendError::Full(piece)) = sender.try_send(Piece::Bytes(bytes))
+                        if let Err(TrySendError::Full(piece)) =
+                            sender.try_send(StreamChunk::Bytes(bytes))
                         {
                             // The reader does not keep up: the silence that follows is not the replica's.
                             live.iter().for_each(Live::reader_waits);
@@ -195,7 +201,7 @@
                     }
                     Step::Done(outcome, report) => {
                         if let (Some(sender), AttemptOutcome::Completed) = (&to_client, outcome) {
-                            let _ = sender.send(Piece::End).await;
+                            let _ = sender.send(StreamChunk::End).await;
                         }
                         let broken = matches!(outcome, AttemptOutcome::ConnectionReset);
                         if broken || outcome == AttemptOutcome::Completed {
@@ -219,7 +225,7 @@
         let _ = self
             .tell
             .send(
-                Input::Probed {
+                RouterEvent::ProbeEnded {
                     replica,
                     outcome,
                     report,
--- a/tests/closes.rs
+++ b/tests/closes.rs
@@ -9,7 +9,7 @@
 use drivers::shared;
 use poppykeel::transport::client::Client;
 use poppykeel::transport::clients::{Shared, ON_ITS_WAY};
-use poppykeel::transport::messages::{Message, Phase};
+use poppykeel::transport::messages::{DispatcherMessage, NodePhase};
 use std::future::Future;
 use std::io::{Read, Write};
 use std::pin::Pin;
@@ -68,7 +68,7 @@
 #[tokio::test]
 async fn a_request_that_comes_in_the_instant_of_a_close_by_age_or_by_eviction_is_answered() {
     for by_age in [true, false] {
-        let (_phase, phases) = watch::channel(Phase::Serving);
+        let (_phase, phases) = watch::channel(NodePhase::Serving);
         let (shared, _told) = shared(phases);
         let (mut client, mut driver) = connection(shared.clone()).await;
         client.write_all(HEALTH).unwrap();
@@ -101,12 +101,19 @@
 }
 
 /// A client whose request has come and waits, since the core has no room for it; and what the core is told.
-async fn waiting_for_room() -> (std::net::TcpStream, Driver, mpsc::Receiver<Message>) {
-    let (_phase, phases) = watch::channel(Phase::Serving);
+async fn waiting_for_room() -> (
+    std::net::TcpStream,
+    Driver,
+    mpsc::Receiver<DispatcherMessage>,
+) {
+    let (_phase, phases) = watch::channel(NodePhase::Serving);
     let (shared, told) = shared(phases);
     let (mut client, mut driver) = connection(shared.clone()).await;
     let (done, _summed) = oneshot::channel();
-    shared.tell.try_send(Message::SumUp(done)).unwrap();
+    shared
+        .tell
+        .try_send(DispatcherMessage::LogSummary(done))
+        .unwrap();
     client.write_all(REQUEST).unwrap();
     turn().await;
     assert!(poll_once(&mut driver).await.is_pending());
@@ -120,10 +127,16 @@
     drop(client);
     turn().await;
     assert!(poll_once(&mut driver).await.is_pending());
-    assert!(matches!(told.try_recv(), Ok(Message::SumUp(_))));
+    assert!(matches!(
+        told.try_recv(),
+        Ok(DispatcherMessage::LogSummary(_))
+    ));
     // It has seen the close, and the room that comes now is not for the request any more.
     let _ = poll_once(&mut driver).await;
-    assert!(matches!(told.try_recv(), Ok(Message::Left { .. })));
+    assert!(matches!(
+        told.try_recv(),
+        Ok(DispatcherMessage::ClientDisconnected { .. })
+    ));
 }
 
 /// Where room and close come in one instant the request may be told of, and its client's departure follows at once.
@@ -132,13 +145,22 @@
 ) {
     let (client, mut driver, mut told) = waiting_for_room().await;
     drop(client);
-    assert!(matches!(told.try_recv(), Ok(Message::SumUp(_))));
+    assert!(matches!(
+        told.try_recv(),
+        Ok(DispatcherMessage::LogSummary(_))
+    ));
     turn().await;
     let _ = poll_once(&mut driver).await;
-    let Ok(Message::Request { answer, .. }) = told.try_recv() else {
+    let Ok(DispatcherMessage::ClientRequest {
+        response: answer, ..
+    }) = told.try_recv()
+    else {
         panic!("the room came first")
     };
     let _ = poll_once(&mut driver).await;
     assert!(answer.is_closed(), "nobody waits for this answer");
-    assert!(matches!(told.try_recv(), Ok(Message::Left { .. })));
+    assert!(matches!(
+        told.try_recv(),
+        Ok(DispatcherMessage::ClientDisconnected { .. })
+    ));
 }
--- a/tests/dispatcher.rs
+++ b/tests/dispatcher.rs
@@ -9,12 +9,14 @@
 
 use poppykeel::program::config::operator::Operator;
 use poppykeel::program::config::Config;
-use poppykeel::routing::directory::Directory;
-use poppykeel::routing::Router;
+use poppykeel::routing::directory::EndpointDirectory;
+use poppykeel::routing::RequestRouter;
 use poppykeel::transport::clock::Clock;
 use poppykeel::transport::discovery::Watch;
-use poppykeel::transport::dispatcher::Hub;
-use poppykeel::transport::messages::{Answer, Asker, Message, Payload};
+use poppykeel::transport::dispatcher::Dispatcher;
+use poppykeel::transport::messages::{
+    ClientResponse, DispatcherMessage, RequestOwner, RequestPayload,
+};
 use poppykeel::transport::pool::Pool;
 use poppykeel::transport::streams::Streams;
 use poppykeel::transport::upstream::Upstream;
@@ -31,7 +33,7 @@
 const PATIENCE: Duration = Duration::from_secs(20);
 
 /// Starts a hub with this replica on its list; what drivers would tell it goes in here.
-fn hub(replica: &TcpListener) -> mpsc::Sender<Message> {
+fn hub(replica: &TcpListener) -> mpsc::Sender<DispatcherMessage> {
     let config = include_str!("exchanges/config.json")
         .replace("REPLICA", &replica.local_addr().unwrap().to_string())
         .replace("DISCOVERY", "127.0.0.1:1");
@@ -40,7 +42,7 @@
     let (clock, bounds, boot) = (Clock::start(), Rc::new(config.bounds), Rc::new(config.boot));
     let brain = Scheduler::new(boot.scheduler.clone(), config.seed).unwrap();
     let watch = Watch::new(config.discovery, bounds.clone(), tell.clone(), clock);
-    let directory = Directory::new(boot.clone(), Operator::default().members());
+    let directory = EndpointDirectory::new(boot.clone(), Operator::default().members());
     let upstream = Upstream {
         pool: Pool::new(bounds.upstream, bounds.dial, bounds.idle),
         tell: tell.clone(),
@@ -48,16 +50,23 @@
         bounds,
         streams: Rc::new(Streams::new(clock, Default::default())),
         written: Rc::default(),
-        crossings: Rc::default(),
+        cross_zone_traffic: Rc::default(),
         clock,
     };
     let known = config.known.map(|known| known.told());
-    let hub = Hub::new(clock, Router::new(brain), directory, upstream, watch, known);
+    let hub = Dispatcher::new(
+        clock,
+        RequestRouter::new(brain),
+        directory,
+        upstream,
+        watch,
+        known,
+    );
     tokio::task::spawn_local(hub.run(told));
     tell
 }
 
-fn request(id: u64, asker: Asker) -> (Message, oneshot::Receiver<Answer>) {
+fn request(id: u64, asker: RequestOwner) -> (DispatcherMessage, oneshot::Receiver<ClientResponse>) {
     let arrival = IncomingRequest {
         id: RequestId(id),
         class: 0,
@@ -72,17 +81,17 @@
         is_client_retry: false,
     };
     let head = format!("POST /v1/chat/completions?id={id} HTTP/1.1\r\n").into_bytes();
-    let payload = Payload {
+    let payload = RequestPayload {
         head,
         body: Default::default(),
     };
     let (answer, answered) = oneshot::channel();
     (
-        Message::Request {
-            arrival,
+        DispatcherMessage::ClientRequest {
+            request: arrival,
             payload,
-            answer,
-            asker,
+            response: answer,
+            owner: asker,
         },
         answered,
     )
@@ -123,14 +132,14 @@
         let mut stream = taken(&replica).await;
         let (second, repeated) = request(7, 2);
         tell.send(second).await.ok().unwrap();
-        tell.send(Message::Left {
+        tell.send(DispatcherMessage::ClientDisconnected {
             request: RequestId(7),
-            asker: 2,
+            owner: 2,
         })
         .await
         .ok()
         .unwrap();
-        assert!(matches!(repeated.await, Ok(Answer::Duplicate)));
+        assert!(matches!(repeated.await, Ok(ClientResponse::Duplicate)));
         stream
             .write_all(
                 b"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 9\r\n\r\ndata: 1\n\n",
@@ -139,7 +148,7 @@
             .unwrap();
         let answer = tokio::time::timeout(PATIENCE, answered).await.unwrap();
         assert!(
-            matches!(answer, Ok(Answer::Stream { .. })),
+            matches!(answer, Ok(ClientResponse::Stream { .. })),
             "the first client's request was ended"
         );
 
@@ -147,9 +156,9 @@
         let (first, answered) = request(8, 3);
         tell.send(first).await.ok().unwrap();
         let _stream = taken(&replica).await;
-        tell.send(Message::Left {
+        tell.send(DispatcherMessage::ClientDisconnected {
             request: RequestId(8),
-            asker: 3,
+            owner: 3,
         })
         .await
         .ok()
@@ -185,7 +194,10 @@
         let (done, summed) = oneshot::channel();
         // The reset is seen and answered before the last request is told.
         tokio::time::sleep(Duration::from_millis(300)).await;
-        tell.send(Message::SumUp(done)).await.ok().unwrap();
+        tell.send(DispatcherMessage::LogSummary(done))
+            .await
+            .ok()
+            .unwrap();
         summed.await.unwrap();
         tell.send(last).await.ok().unwrap();
         let (_stream, id) = taken_with_id(&replica).await;
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -14,7 +14,7 @@
 #[allow(dead_code)] // the rest is for tests of streams
 mod support;
 
-use poppykeel::routing::learned_state::{read, write, Doubt};
+use poppykeel::routing::learned_state::{decode, encode, LearnedStateError};
 use poppykeel_scheduler::interface::*;
 use poppykeel_site_settings::SiteNames;
 use poppykeel_stub_model_server::{Outcome as Seen, Script, Standin};
@@ -46,22 +46,28 @@
 #[test]
 fn a_record_is_believed_for_a_short_time_by_another_process_of_the_same_site_alone() {
     let (now, names) = (1_000_000, names());
-    let bytes = write(1, now, &names, memory());
-    assert_eq!(read(&bytes, 2, now + 9_000, &names), Ok(memory()));
-    assert_eq!(read(&bytes, 1, now, &names), Err(Doubt::Own));
+    let bytes = encode(1, now, &names, memory());
+    assert_eq!(decode(&bytes, 2, now + 9_000, &names), Ok(memory()));
     assert_eq!(
-        read(&bytes, 2, now + 11_000, &names),
-        Err(Doubt::Age(11_000))
+        decode(&bytes, 1, now, &names),
+        Err(LearnedStateError::WrittenByThisProcess)
     );
     assert_eq!(
-        read(&bytes, 2, now - 2_000, &names),
-        Err(Doubt::Age(-2_000))
+        decode(&bytes, 2, now + 11_000, &names),
+        Err(LearnedStateError::AgeOutOfRange(11_000))
+    );
+    assert_eq!(
+        decode(&bytes, 2, now - 2_000, &names),
+        Err(LearnedStateError::AgeOutOfRange(-2_000))
     );
     let other = SiteNames {
         host_types: vec!["other".into()],
         ..names.clone()
     };
-    assert_eq!(read(&bytes, 2, now, &other), Err(Doubt::OtherSite));
+    assert_eq!(
+        decode(&bytes, 2, now, &other),
+        Err(LearnedStateError::DifferentSite)
+    );
     let absurd = [
         LearnedState {
             mean_time_to_first_token: f64::NAN,
@@ -82,26 +88,30 @@
     ];
     for memory in absurd {
         assert_eq!(
-            read(&write(1, now, &names, memory), 2, now, &names),
-            Err(Doubt::Absurd)
+            decode(&encode(1, now, &names, memory), 2, now, &names),
+            Err(LearnedStateError::Implausible)
         );
     }
     for at in 0..bytes.len() {
         assert_eq!(
-            read(&bytes[..at], 2, now, &names),
-            Err(Doubt::Garbled),
+            decode(&bytes[..at], 2, now, &names),
+            Err(LearnedStateError::Malformed),
             "cut at {at}"
         );
         let mut bad = bytes.clone();
         bad[at] ^= 0x10;
-        assert_eq!(read(&bad, 2, now, &names), Err(Doubt::Garbled), "{at}");
+        assert_eq!(
+            decode(&bad, 2, now, &names),
+            Err(LearnedStateError::Malformed),
+            "{at}"
+        );
     }
 }
 
 proptest! {
     #[test]
     fn bytes_from_anywhere_are_no_record(bytes in proptest::collection::vec(any::<u8>(), 0..400)) {
-        prop_assert!(read(&bytes, 2, 0, &names()).is_err());
+        prop_assert!(decode(&bytes, 2, 0, &names()).is_err());
     }
 }
 
--- a/tests/protocol.rs
+++ b/tests/protocol.rs
@@ -9,7 +9,7 @@
 use poppykeel::protocol::answer::{Answer, Step};
 use poppykeel::protocol::discovery::read;
 use poppykeel::protocol::http::{Fault, Http, Part, Side};
-use poppykeel::routing::directory::{identity, Directory, Moment};
+use poppykeel::routing::directory::{replica_id, ClockReading, EndpointDirectory};
 use poppykeel_scheduler::interface::AttemptOutcome;
 use poppykeel_site_settings::SiteSettings;
 use serde_json::json;
@@ -68,28 +68,42 @@
             .unwrap()
             .told()
     };
-    let mut directory = Directory::new(Rc::new(boot), Operator::default().members());
+    let mut directory = EndpointDirectory::new(Rc::new(boot), Operator::default().members());
     let (now, unix) = (50_000_000, 1_030_000_000);
-    let first = directory.told("list", list("127.0.0.1:1", "up"), Moment { now, unix });
-    let next = directory.told(
+    let first = directory.apply_update(
+        "list",
+        list("127.0.0.1:1", "up"),
+        ClockReading {
+            monotonic: now,
+            unix_us: unix,
+        },
+    );
+    let next = directory.apply_update(
         "list",
         list("127.0.0.1:2", "draining"),
-        Moment {
-            now,
-            unix: unix + 77,
+        ClockReading {
+            monotonic: now,
+            unix_us: unix + 77,
         },
     );
     assert_eq!(
-        (first[0].listing.id, first[0].listing.started_at),
-        (identity("s-1"), Some(20.0))
+        (first[0].endpoint.id, first[0].endpoint.started_at),
+        (replica_id("s-1"), Some(20.0))
     );
     assert_eq!(
-        (next[0].listing.id, next[0].listing.started_at),
-        (first[0].listing.id, first[0].listing.started_at)
+        (next[0].endpoint.id, next[0].endpoint.started_at),
+        (first[0].endpoint.id, first[0].endpoint.started_at)
+    );
+    assert_eq!(directory.addr(first[0].endpoint.id).unwrap().port(), 2);
+    directory.apply_update(
+        "list",
+        list("127.0.0.1:2", "removed"),
+        ClockReading {
+            monotonic: now,
+            unix_us: unix,
+        },
     );
-    assert_eq!(directory.addr(first[0].listing.id).unwrap().port(), 2);
-    directory.told("list", list("127.0.0.1:2", "removed"), Moment { now, unix });
-    assert_eq!(directory.addr(first[0].listing.id), None);
+    assert_eq!(directory.addr(first[0].endpoint.id), None);
 }
 
 #[test]
--- a/tests/routing.rs
+++ b/tests/routing.rs
@@ -7,20 +7,20 @@
     reason = "not yet converted"
 )]
 
-use poppykeel::routing::directory::identity;
-use poppykeel::routing::{Command, Input, Micros, Router};
+use poppykeel::routing::directory::replica_id;
+use poppykeel::routing::{MonotonicMicros, RequestRouter, RouterCommand, RouterEvent};
 use poppykeel_scheduler::interface::*;
 use poppykeel_scheduler::Scheduler;
 use poppykeel_site_settings::SiteSettings;
 
 const R: RequestId = RequestId(1);
 
-fn router() -> Router {
+fn router() -> RequestRouter {
     let config: serde_json::Value =
         serde_json::from_str(include_str!("exchanges/config.json")).unwrap();
     let boot = SiteSettings::parse(&config["settings"].to_string()).unwrap();
-    let mut router = Router::new(Scheduler::new(boot.scheduler, 1).unwrap());
-    let (id, state) = (identity("s-1"), EndpointState::Available);
+    let mut router = RequestRouter::new(Scheduler::new(boot.scheduler, 1).unwrap());
+    let (id, state) = (replica_id("s-1"), EndpointState::Available);
     let list = vec![Endpoint {
         id,
         zone: 0,
@@ -30,17 +30,21 @@
         capacity_weight: None,
         started_at: None,
     }];
-    router.handle(0, Input::List { list, full: true }, &mut Vec::new());
+    router.handle_event(0, RouterEvent::List { list, full: true }, &mut Vec::new());
     router
 }
 
-fn tell(router: &mut Router, now: Micros, input: Input) -> Vec<Command> {
+fn tell(
+    router: &mut RequestRouter,
+    now: MonotonicMicros,
+    input: RouterEvent,
+) -> Vec<RouterCommand> {
     let mut out = Vec::new();
-    router.handle(now, input, &mut out);
+    router.handle_event(now, input, &mut out);
     out
 }
 
-fn arrive(router: &mut Router, id: RequestId, time_left: Seconds) -> Vec<Command> {
+fn arrive(router: &mut RequestRouter, id: RequestId, time_left: Seconds) -> Vec<RouterCommand> {
     let arrival = IncomingRequest {
         id,
         class: 0,
@@ -54,19 +58,19 @@
         max_output_tokens: 10,
         is_client_retry: false,
     };
-    tell(router, 1_000, Input::Arrived(arrival))
+    tell(router, 1_000, RouterEvent::RequestArrived(arrival))
 }
 
-fn run_to(router: &mut Router, end: Micros) -> Vec<Command> {
+fn run_to(router: &mut RequestRouter, end: MonotonicMicros) -> Vec<RouterCommand> {
     let mut out = Vec::new();
-    while let Some(due) = router.due().filter(|d| *d <= end) {
-        router.turn(due, &mut out);
+    while let Some(due) = router.next_timer().filter(|d| *d <= end) {
+        router.on_timer(due, &mut out);
     }
     out
 }
 
-fn ended(attempt: usize, outcome: AttemptOutcome) -> Input {
-    Input::Ended {
+fn ended(attempt: usize, outcome: AttemptOutcome) -> RouterEvent {
+    RouterEvent::AttemptEnded {
         request: R,
         attempt,
         outcome,
@@ -81,8 +85,8 @@
     assert!(
         matches!(
             sent[..],
-            [Command::Send {
-                until: 1_001_000,
+            [RouterCommand::StartAttempt {
+                deadline: 1_001_000,
                 ..
             }]
         ),
@@ -91,22 +95,25 @@
     let first = tell(
         &mut router,
         900_000,
-        Input::First {
+        RouterEvent::FirstToken {
             request: R,
             attempt: 0,
         },
     );
     assert_eq!(
         first,
-        [Command::Bind {
+        [RouterCommand::BindStream {
             request: R,
             attempt: 0
         }]
     );
     let later = run_to(&mut router, 9_000_000);
-    assert!(later.iter().all(|c| *c == Command::Watch), "{later:?}");
+    assert!(
+        later.iter().all(|c| *c == RouterCommand::WatchEndpoints),
+        "{later:?}"
+    );
     tell(&mut router, 9_000_000, ended(0, AttemptOutcome::Completed));
-    assert_eq!((router.live(), router.counts().served), (0, 1));
+    assert_eq!((router.active_count(), router.counters().completed), (0, 1));
 }
 
 #[test]
@@ -115,7 +122,7 @@
     arrive(&mut router, R, 1.0);
     let out = run_to(&mut router, 1_050_000);
     assert!(
-        out.contains(&Command::Abandon {
+        out.contains(&RouterCommand::AbandonAttempt {
             request: R,
             attempt: 0
         }),
@@ -123,7 +130,7 @@
     );
     assert_eq!(
         out.iter()
-            .filter(|c| matches!(c, Command::Refuse { .. }))
+            .filter(|c| matches!(c, RouterCommand::Reject { .. }))
             .count(),
         1,
         "{out:?}"
@@ -132,7 +139,7 @@
     assert!(tell(
         &mut router,
         1_060_000,
-        Input::First {
+        RouterEvent::FirstToken {
             request: R,
             attempt: 0
         }
@@ -141,9 +148,9 @@
     assert!(tell(&mut router, 1_060_000, ended(0, AttemptOutcome::Completed)).is_empty());
     assert_eq!(
         (
-            router.live(),
-            router.counts().ends[2],
-            router.counts().served
+            router.active_count(),
+            router.counters().failed_attempts[2],
+            router.counters().completed
         ),
         (0, 1, 0)
     );
@@ -156,15 +163,15 @@
     tell(
         &mut router,
         2_000,
-        Input::First {
+        RouterEvent::FirstToken {
             request: R,
             attempt: 0,
         },
     );
-    let out = tell(&mut router, 3_000, Input::ClientGone(R));
+    let out = tell(&mut router, 3_000, RouterEvent::ClientDisconnected(R));
     assert_eq!(
         out,
-        [Command::Abandon {
+        [RouterCommand::AbandonAttempt {
             request: R,
             attempt: 0
         }]
@@ -175,7 +182,10 @@
         ended(0, AttemptOutcome::ConnectionReset)
     )
     .is_empty());
-    assert_eq!((router.live(), router.counts().ends[5]), (0, 1));
+    assert_eq!(
+        (router.active_count(), router.counters().failed_attempts[5]),
+        (0, 1)
+    );
 }
 
 #[test]
@@ -185,7 +195,7 @@
     tell(
         &mut router,
         2_000,
-        Input::First {
+        RouterEvent::FirstToken {
             request: R,
             attempt: 0,
         },
@@ -196,7 +206,7 @@
         ended(0, AttemptOutcome::ConnectionReset)
     )
     .is_empty());
-    assert_eq!((router.live(), router.counts().broken), (0, 1));
+    assert_eq!((router.active_count(), router.counters().broken), (0, 1));
 }
 
 #[test]
@@ -206,7 +216,7 @@
     tell(
         &mut router,
         2_000,
-        Input::First {
+        RouterEvent::FirstToken {
             request: R,
             attempt: 0,
         },
@@ -215,7 +225,7 @@
     arrive(&mut router, R, 9.0);
     let out = run_to(&mut router, 2_000_000);
     assert!(
-        !out.contains(&Command::Abandon {
+        !out.contains(&RouterCommand::AbandonAttempt {
             request: R,
             attempt: 0
         }),
@@ -226,10 +236,10 @@
 /// The account of crossings: by minute, class and tenant, an hour of minutes, and all of it in the totals.
 #[test]
 fn crossings_are_counted_by_minute_and_the_oldest_minutes_leave_the_table_alone() {
-    let mut crossings = poppykeel::routing::cross_zone::Crossings::default();
+    let mut crossings = poppykeel::routing::cross_zone::CrossZoneTraffic::default();
     for minute in 0..70i64 {
-        (0..=minute % 3).for_each(|n| crossings.add(minute * 60_000_000 + n, 0, 1));
-        crossings.add(minute * 60_000_000 + 59_999_999, 1, 0);
+        (0..=minute % 3).for_each(|n| crossings.record(minute * 60_000_000 + n, 0, 1));
+        crossings.record(minute * 60_000_000 + 59_999_999, 1, 0);
     }
     let rows: Vec<_> = crossings.by_minute().collect();
     assert_eq!(
@@ -241,7 +251,7 @@
         [(0, 1, 139), (1, 0, 70)]
     );
     // A clock set back by a year begins its minutes anew, and the table stays bounded.
-    (0..5).for_each(|n| crossings.add(n * 60_000_000, 0, 0));
+    (0..5).for_each(|n| crossings.record(n * 60_000_000, 0, 0));
     assert!(
         crossings
             .by_minute()
@@ -263,21 +273,21 @@
     tell(
         &mut router,
         2_000,
-        Input::First {
+        RouterEvent::FirstToken {
             request: streams,
             attempt: 0,
         },
     );
     let mut sent = Vec::new();
     let mut answered = Vec::new();
-    let mut note = |out: &[Command]| {
+    let mut note = |out: &[RouterCommand]| {
         for command in out {
             match command {
-                Command::Send { request, .. } => sent.push(*request),
-                Command::Refuse { request, .. } | Command::Fail { request } => {
+                RouterCommand::StartAttempt { request, .. } => sent.push(*request),
+                RouterCommand::Reject { request, .. } | RouterCommand::Fail { request } => {
                     answered.push(*request)
                 }
-                Command::Abandon { request, .. } => assert_ne!(*request, streams),
+                RouterCommand::AbandonAttempt { request, .. } => assert_ne!(*request, streams),
                 _ => {}
             }
         }
@@ -285,7 +295,7 @@
     for number in 1..=WAITING {
         note(&arrive(&mut router, RequestId(number), 60.0));
     }
-    router.answer_all_by(3_500_000);
+    router.set_answer_deadline(3_500_000);
     note(&arrive(&mut router, RequestId(WAITING + 1), 60.0));
     note(&run_to(&mut router, 3_550_000));
     assert!(sent.len() < WAITING as usize, "some are held");
--- a/tests/support/drivers.rs
+++ b/tests/support/drivers.rs
@@ -5,7 +5,7 @@
 use poppykeel::program::config::Config;
 use poppykeel::transport::clients::Shared;
 use poppykeel::transport::clock::Clock;
-use poppykeel::transport::messages::{Message, Phase};
+use poppykeel::transport::messages::{DispatcherMessage, NodePhase};
 use poppykeel::transport::streams::Streams;
 use std::rc::Rc;
 use tokio::sync::{mpsc, watch};
@@ -17,7 +17,9 @@
 }
 
 /// What a client connection shares with the others, and where the core would take what it tells: one message at a time.
-pub fn shared(phases: watch::Receiver<Phase>) -> (Rc<Shared>, mpsc::Receiver<Message>) {
+pub fn shared(
+    phases: watch::Receiver<NodePhase>,
+) -> (Rc<Shared>, mpsc::Receiver<DispatcherMessage>) {
     let config = config();
     let (tell, told) = mpsc::channel(1);
     let streams = Rc::new(Streams::new(Clock::start(), Default::default()));
--- a/tests/transport.rs
+++ b/tests/transport.rs
@@ -12,14 +12,14 @@
 use drivers::{config, shared};
 use futures_util::{SinkExt, StreamExt};
 use poppykeel::protocol::http::{Out, Part};
-use poppykeel::routing::directory::identity;
+use poppykeel::routing::directory::replica_id;
 use poppykeel::transport::client::Client;
 use poppykeel::transport::clock::Clock;
 use poppykeel::transport::listener::accept;
-use poppykeel::transport::messages::{Payload, Phase};
+use poppykeel::transport::messages::{NodePhase, RequestPayload};
 use poppykeel::transport::pool::Pool;
 use poppykeel::transport::streams::Streams;
-use poppykeel::transport::upstream::{Job, Upstream};
+use poppykeel::transport::upstream::{AttemptRequest, Upstream};
 use poppykeel::transport::Bounds;
 use poppykeel_scheduler::interface::RequestId;
 use std::io::{Read, Write};
@@ -37,7 +37,7 @@
 #[tokio::test]
 async fn a_connection_with_bytes_left_over_or_another_replicas_is_not_used_again() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let peer = (identity("s-1"), listener.local_addr().unwrap());
+    let peer = (replica_id("s-1"), listener.local_addr().unwrap());
     let pool = Pool::new(9, MINUTE, MINUTE);
     let mut conn = pool.get(peer).await.ok().unwrap();
     let mut replica = listener.accept().unwrap().0;
@@ -52,7 +52,7 @@
     pool.put(peer, conn, Duration::ZERO);
 
     // A new replica at the old address starts with a connection of its own.
-    let other = pool.get((identity("s-2"), peer.1)).await.ok().unwrap();
+    let other = pool.get((replica_id("s-2"), peer.1)).await.ok().unwrap();
     assert_ne!(other.wire.get_ref().local_addr().unwrap(), port);
     let conn = pool.get(peer).await.ok().unwrap();
     assert_eq!(conn.wire.get_ref().local_addr().unwrap(), port);
@@ -69,7 +69,7 @@
 #[tokio::test]
 async fn a_connection_rests_after_a_stream_and_is_used_again_where_nothing_came() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let peer = (identity("s-1"), listener.local_addr().unwrap());
+    let peer = (replica_id("s-1"), listener.local_addr().unwrap());
     let pool = Pool::new(9, MINUTE, 9 * MINUTE);
     let port = |conn: &poppykeel::transport::pool::Conn| conn.wire.get_ref().local_addr().unwrap();
     for twice in [false, true] {
@@ -98,7 +98,7 @@
 #[tokio::test]
 async fn a_connection_whose_rest_was_waited_for_in_vain_is_kept() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let peer = (identity("s-1"), listener.local_addr().unwrap());
+    let peer = (replica_id("s-1"), listener.local_addr().unwrap());
     let pool = Pool::new(9, MINUTE, 9 * MINUTE);
     let conn = pool.get(peer).await.ok().unwrap();
     let (rested, _replica) = (
@@ -129,7 +129,7 @@
 #[tokio::test]
 async fn a_request_right_after_an_answer_does_not_meet_that_answer_again() {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let peer = (identity("s-1"), listener.local_addr().unwrap());
+    let peer = (replica_id("s-1"), listener.local_addr().unwrap());
     let config = config();
     let (tell, _told) = mpsc::channel(16);
     let clock = Clock::start();
@@ -143,24 +143,24 @@
         }),
         streams: Rc::new(Streams::new(clock, Default::default())),
         written: Rc::default(),
-        crossings: Rc::default(),
+        cross_zone_traffic: Rc::default(),
         clock,
     };
     let attempt = |request| {
-        let payload = Payload {
+        let payload = RequestPayload {
             head: b"POST / HTTP/1.1\r\n".to_vec(),
             body: Default::default(),
         };
         let (request, payload, begun) = (RequestId(request), Rc::new(payload), Rc::default());
-        let job = Job {
+        let job = AttemptRequest {
             request,
             attempt: 0,
             peer,
-            wait: 1,
-            token_aim: None,
+            timeout: 1,
+            inter_token_objective: None,
             crosses: None,
             payload,
-            begun,
+            has_begun: begun,
         };
         tokio::task::spawn_local(upstream.clone().attempt(job))
     };
@@ -195,7 +195,7 @@
         stream.read_to_string(&mut text).unwrap();
         text
     };
-    let (phase, phases) = watch::channel(Phase::Serving);
+    let (phase, phases) = watch::channel(NodePhase::Serving);
     let (shared, _) = shared(phases.clone());
     let test = async {
         // A connection that nobody has accepted yet.
@@ -203,7 +203,7 @@
         let at = listener.local_addr().unwrap();
         let mut new = std::net::TcpStream::connect(at).unwrap();
         new.write_all(HEALTH).unwrap();
-        phase.send(Phase::Closing).unwrap();
+        phase.send(NodePhase::Closing).unwrap();
         accept(listener, shared.clone(), phases.clone()).await;
         let new = tokio::task::spawn_blocking(move || answer(&mut new))
             .await
@@ -214,7 +214,7 @@
         );
 
         // A request on a connection that rests.
-        phase.send(Phase::Serving).unwrap();
+        phase.send(NodePhase::Serving).unwrap();
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
         let mut kept = std::net::TcpStream::connect(listener.local_addr().unwrap()).unwrap();
         let client = Client::new(listener.accept().await.unwrap().0, shared.clone());
@@ -229,7 +229,7 @@
         .unwrap();
         tokio::task::yield_now().await;
         kept.write_all(HEALTH).unwrap();
-        phase.send(Phase::Closing).unwrap();
+        phase.send(NodePhase::Closing).unwrap();
         let kept = tokio::task::spawn_blocking(move || answer(&mut kept))
             .await
             .unwrap();
@@ -246,7 +246,7 @@
 async fn a_request_that_is_never_whole_ends_its_connection() {
     let read = config().bounds.read;
     assert!(read < Duration::from_secs(3));
-    let (_phase, phases) = watch::channel(Phase::Serving);
+    let (_phase, phases) = watch::channel(NodePhase::Serving);
     let (shared, _) = shared(phases);
     for (bytes, answer) in [
         ("", ""),
--- a/tests/watch.rs
+++ b/tests/watch.rs
@@ -5,7 +5,7 @@
 use poppykeel::program::config::Config;
 use poppykeel::transport::clock::Clock;
 use poppykeel::transport::discovery::Watch;
-use poppykeel::transport::messages::Message;
+use poppykeel::transport::messages::DispatcherMessage;
 use poppykeel::transport::Bounds;
 use poppykeel_endpoints::Told;
 use std::rc::Rc;
@@ -64,18 +64,21 @@
     stream.write_all((head + body).as_bytes()).await.unwrap();
 }
 
-async fn told(core: &mut mpsc::Receiver<Message>) -> Told {
+async fn told(core: &mut mpsc::Receiver<DispatcherMessage>) -> Told {
     match tokio::time::timeout(PATIENCE, core.recv())
         .await
         .expect("the core is told")
     {
-        Some(Message::Told { told, .. }) => told,
+        Some(DispatcherMessage::EndpointUpdate { update: told, .. }) => told,
         _ => panic!("something else was told"),
     }
 }
 
 /// One watch of a service: what the service sees, and what the core is told.
-async fn watching(slack: Duration, pushed: bool) -> (TcpListener, Watch, mpsc::Receiver<Message>) {
+async fn watching(
+    slack: Duration,
+    pushed: bool,
+) -> (TcpListener, Watch, mpsc::Receiver<DispatcherMessage>) {
     let service = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let (tell, core) = mpsc::channel(16);
     let watch = Watch::new(
