--- a/crates/testbed/src/emulator/node.rs
+++ b/crates/testbed/src/emulator/node.rs
@@ -173,7 +173,7 @@
     /// Requests that wait in it, by tenant.
     pub fn waiting(&self) -> Vec<usize> {
         match &self.mind {
-            Mind::Core(router) => router.queued_by_tenant(),
+            Mind::Core(router) => router.gauges().queued_by_tenant,
             Mind::Simple(_) => Vec::new(),
         }
     }
--- a/crates/testbed/src/emulator/policies.rs
+++ b/crates/testbed/src/emulator/policies.rs
@@ -206,7 +206,8 @@
                 }
                 self.ended(now, request, attempt, outcome, out);
             }
-            RouterEvent::List { list, full } => self.list(list, full),
+            RouterEvent::EndpointsReplaced(list) => self.list(list, true),
+            RouterEvent::EndpointsChanged(list) => self.list(list, false),
             RouterEvent::ProbeEnded { .. }
             | RouterEvent::OutlierAdvice { .. }
             | RouterEvent::EndpointListFailed => {}
--- a/crates/testbed/src/emulator/world.rs
+++ b/crates/testbed/src/emulator/world.rs
@@ -399,7 +399,7 @@
                     self.nodes[node as usize].drains[server as usize] = drains.then_some(now);
                 }
                 let list = vec![self.listing(server as usize, state, born)];
-                self.tell(now, node, epoch, RouterEvent::List { list, full: false });
+                self.tell(now, node, epoch, RouterEvent::EndpointsChanged(list));
             }
             Event::AtServer {
                 server,
@@ -922,7 +922,7 @@
             now,
             node as u32,
             epoch,
-            RouterEvent::List { list, full: true },
+            RouterEvent::EndpointsReplaced(list),
         );
     }
 
--- a/src/routing/cross_zone.rs
+++ b/src/routing/cross_zone.rs
@@ -1,55 +1,92 @@
-//! The account of traffic between zones: attempts that were written whole to a replica of another zone, by minute, class
-//! and tenant. Counted where they are written, so that the servers' own count is the same.
+//! Counts of traffic between zones: attempts that were written completely to a replica of another zone, by minute, class and
+//! tenant. The driver of an attempt counts it when its last byte has been written, so that the replicas' own count is the same.
 
-use std::collections::BTreeMap;
+use std::collections::{BTreeMap, BTreeSet};
 
-/// Minutes kept; what is older is in the totals alone.
-const MOST_MINUTES: u64 = 60;
-const MINUTE: i64 = 60_000_000;
+/// How many minutes are kept; older ones are in the totals only.
+const MAX_MINUTES: usize = 60;
+const MICROS_PER_MINUTE: i64 = 60_000_000;
 
-/// The account.
+/// Requests of one class and one tenant.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct RequestGroup {
+    /// The class's index in the site's settings.
+    pub class: usize,
+    /// The tenant's index in the site's settings; 0 at sites without tenants.
+    pub tenant: usize,
+}
+
+/// Attempts of one group that went to another zone in one minute.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct MinuteCount {
+    /// The minute of Unix time.
+    pub minute: u64,
+    /// The requests' group.
+    pub group: RequestGroup,
+    /// How many attempts.
+    pub count: u64,
+}
+
+/// Attempts of one group that went to another zone since the start.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct TotalCount {
+    /// The requests' group.
+    pub group: RequestGroup,
+    /// How many attempts.
+    pub count: u64,
+}
+
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct MinuteKey {
+    minute: u64,
+    group: RequestGroup,
+}
+
+/// The traffic of one node to other zones.
 #[derive(Clone, Debug, Default)]
 pub struct CrossZoneTraffic {
-    /// By minute, class and tenant.
-    minutes: BTreeMap<(u64, usize, usize), u64>,
-    totals: BTreeMap<(usize, usize), u64>,
+    by_minute: BTreeMap<MinuteKey, u64>,
+    totals: BTreeMap<RequestGroup, u64>,
 }
 
 impl CrossZoneTraffic {
-    /// Counts one, at a time in microseconds of Unix time.
-    pub fn record(&mut self, unix: i64, class: usize, tenant: usize) {
-        let minute = u64::try_from(unix / MINUTE).unwrap_or(0);
-        *self.totals.entry((class, tenant)).or_default() += 1;
-        let key = (minute, class, tenant);
-        let fresh = !self.minutes.contains_key(&key);
-        *self.minutes.entry(key).or_default() += 1;
-        if !fresh {
+    /// Counts one attempt, written at `unix_us` microseconds of Unix time.
+    pub fn record(&mut self, unix_us: i64, group: RequestGroup) {
+        let minute = u64::try_from(unix_us / MICROS_PER_MINUTE).unwrap_or(0);
+        *self.totals.entry(group).or_default() += 1;
+        let key = MinuteKey { minute, group };
+        let is_new_key = !self.by_minute.contains_key(&key);
+        *self.by_minute.entry(key).or_default() += 1;
+        if is_new_key {
+            self.drop_oldest_minute_over_limit();
+        }
+    }
+
+    /// Limits how many minutes there are and not how old they are: a clock that was set back must not empty the table.
+    fn drop_oldest_minute_over_limit(&mut self) {
+        let minutes: BTreeSet<u64> = self.by_minute.keys().map(|key| key.minute).collect();
+        if minutes.len() <= MAX_MINUTES {
             return;
         }
-        // By how many there are, not by how old they are: a clock that was set back must not empty the account.
-        let kept = self
-            .minutes
-            .keys()
-            .map(|key| key.0)
-            .collect::<std::collections::BTreeSet<_>>();
-        if kept.len() as u64 > MOST_MINUTES {
-            if let Some(oldest) = kept.first() {
-                self.minutes.retain(|key, _| key.0 != *oldest);
-            }
+        if let Some(oldest) = minutes.first() {
+            self.by_minute.retain(|key, _| key.minute != *oldest);
         }
     }
 
-    /// Each minute with its class, tenant and count, oldest first.
-    pub fn by_minute(&self) -> impl Iterator<Item = (u64, usize, usize, u64)> + '_ {
-        self.minutes
-            .iter()
-            .map(|((minute, class, tenant), count)| (*minute, *class, *tenant, *count))
+    /// The minutes that are kept, oldest first, within a minute by class and tenant.
+    pub fn by_minute(&self) -> impl Iterator<Item = MinuteCount> + '_ {
+        self.by_minute.iter().map(|(key, count)| MinuteCount {
+            minute: key.minute,
+            group: key.group,
+            count: *count,
+        })
     }
 
-    /// Since the start: class, tenant and count.
-    pub fn totals(&self) -> impl Iterator<Item = (usize, usize, u64)> + '_ {
-        self.totals
-            .iter()
-            .map(|((class, tenant), count)| (*class, *tenant, *count))
+    /// The totals since the start, by class and tenant.
+    pub fn totals(&self) -> impl Iterator<Item = TotalCount> + '_ {
+        self.totals.iter().map(|(group, count)| TotalCount {
+            group: *group,
+            count: *count,
+        })
     }
 }
--- a/src/routing/directory.rs
+++ b/src/routing/directory.rs
@@ -1,225 +1,239 @@
-//! The account of membership as the module sees it: servers by its own name for them, with zones, kinds and starts
-//! in its terms, and where each of them listens.
-
-#![expect(clippy::min_ident_chars, reason = "not yet converted")]
-
-use poppykeel_endpoints::{Membership, Micros, Server, Settings, Standing, Told};
+//! The endpoints as the scheduler sees them: replicas by an id of its own, with zones, host types and start times in its
+//! terms, and the address at which each of them listens.
+//!
+//! The dispatcher feeds it with what the endpoint sources tell; which source is followed is decided by
+//! [`poppykeel_endpoints::Membership`]. What a call returns is exactly what has changed for the scheduler.
+
+use super::time::{seconds, ClockReading, MonotonicMicros};
+use poppykeel_endpoints::{Entry, Membership, Server, Settings, Standing, Told};
 use poppykeel_scheduler::interface::{Endpoint, EndpointState, ReplicaId, Seconds};
 use poppykeel_site_settings::SiteSettings;
 use std::collections::BTreeMap;
 use std::net::{Ipv6Addr, SocketAddr};
 use std::rc::Rc;
 
-/// The two clocks at one moment, to map a time of the one to the other.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub struct ClockReading {
-    /// Microseconds on the monotonic clock.
-    pub monotonic: Micros,
-    /// Microseconds of Unix time.
-    pub unix_us: i64,
-}
+const MICROS_PER_MILLI: i64 = 1_000;
+const MICROS_PER_SECOND: f64 = 1e6;
 
-/// What is told beside the account's own settings.
+const FNV_PRIME: u64 = 0x0000_0100_0000_01b3;
+/// The offset basis of FNV-1a, for the upper half of an id.
+const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
+/// Another basis, for the lower half.
+const SECOND_BASIS: u64 = 0x9e37_79b9_7f4a_7c15;
+/// Spreads the last byte of a name over the word.
+const ROTATION: u32 = 29;
+
+/// Which endpoint sources there are, and how their entries are read.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointSourceSettings {
-    /// The account's settings.
+    /// The sources and the rules by which their lists become one.
     pub membership: Settings,
-    /// A weight of this much in DNS is an ordinary server's size; none takes no sizes from there.
+    /// The weight in DNS that stands for a replica of ordinary capacity; with `None`, weights in DNS say nothing of capacity.
     pub weight_unit: Option<f64>,
 }
 
+/// A replica that is on the endpoint list.
 #[derive(Clone, Debug)]
 struct ListedEndpoint {
     name: String,
     addr: SocketAddr,
+    /// Milliseconds of Unix time; 0 where the source did not say.
     started_ms: i64,
-    listing: Endpoint,
+    endpoint: Endpoint,
 }
 
-/// A replica that the module is to be told of, under its name in the account.
+/// An endpoint whose entry has changed.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointChange {
-    /// For the module.
+    /// The new entry, for the scheduler.
     pub endpoint: Endpoint,
-    /// For the log.
+    /// The replica's name on the endpoint list, for the log.
     pub name: String,
 }
 
-/// What this node knows of the replicas.
+/// The endpoints that this node knows.
 #[derive(Debug)]
 pub struct EndpointDirectory {
-    boot: Rc<SiteSettings>,
-    members: Membership,
+    /// The settings that the process started with: zones and host types keep their indices.
+    site: Rc<SiteSettings>,
+    membership: Membership,
     weight_unit: Option<f64>,
-    known: BTreeMap<ReplicaId, ListedEndpoint>,
+    listed: BTreeMap<ReplicaId, ListedEndpoint>,
 }
 
-/// The module's name for a replica. It ranks replicas by this address to find a session's home, and `addr`
-/// differs from node to node, so the name comes from the server's name alone, which is the same everywhere.
+/// The scheduler's id of a replica. The scheduler ranks replicas by this address to choose a session's affinity replica, and
+/// the address at which a replica listens differs from node to node. So the id comes from the replica's name alone, which is
+/// the same on every node.
 pub fn replica_id(name: &str) -> ReplicaId {
-    let fnv = |start: u64| {
-        name.bytes()
-            .fold(start, |h, b| {
-                (h ^ u64::from(b)).wrapping_mul(0x0000_0100_0000_01b3)
-            })
-            .rotate_left(29)
-    };
-    let bits =
-        u128::from(fnv(0xcbf2_9ce4_8422_2325)) << 64 | u128::from(fnv(0x9e37_79b9_7f4a_7c15));
-    ReplicaId(SocketAddr::from((Ipv6Addr::from(bits), 0)))
+    let upper = u128::from(name_hash(name, FNV_OFFSET_BASIS));
+    let lower = u128::from(name_hash(name, SECOND_BASIS));
+    ReplicaId(SocketAddr::from((Ipv6Addr::from(upper << 64 | lower), 0)))
+}
+
+/// FNV-1a from the given basis, rotated.
+fn name_hash(name: &str, basis: u64) -> u64 {
+    let mut hash = basis;
+    for byte in name.bytes() {
+        hash = (hash ^ u64::from(byte)).wrapping_mul(FNV_PRIME);
+    }
+    hash.rotate_left(ROTATION)
 }
 
 impl EndpointDirectory {
-    /// A directory that knows nobody yet.
-    pub fn new(boot: Rc<SiteSettings>, members: EndpointSourceSettings) -> Self {
-        let (weight_unit, known) = (members.weight_unit, BTreeMap::new());
+    /// A directory without an endpoint.
+    pub fn new(site: Rc<SiteSettings>, sources: EndpointSourceSettings) -> Self {
         EndpointDirectory {
-            boot,
-            members: Membership::new(members.membership),
-            weight_unit,
-            known,
+            site,
+            membership: Membership::new(sources.membership),
+            weight_unit: sources.weight_unit,
+            listed: BTreeMap::new(),
         }
     }
 
-    /// Where a replica listens.
+    /// The address at which a replica listens.
     pub fn addr(&self, id: ReplicaId) -> Option<SocketAddr> {
-        self.known.get(&id).map(|k| k.addr)
+        self.listed.get(&id).map(|listed| listed.addr)
     }
 
-    /// The zone that a replica stands in.
+    /// The index of a replica's zone.
     pub fn zone(&self, id: ReplicaId) -> Option<usize> {
-        self.known.get(&id).map(|k| k.listing.zone)
+        self.listed.get(&id).map(|listed| listed.endpoint.zone)
     }
 
-    /// A replica's name in the account.
+    /// A replica's name on the endpoint list.
     pub fn name(&self, id: ReplicaId) -> Option<&str> {
-        self.known.get(&id).map(|k| k.name.as_str())
-    }
-
-    /// The account itself.
-    pub fn membership(&self) -> &Membership {
-        &self.members
+        self.listed.get(&id).map(|listed| listed.name.as_str())
     }
 
-    /// When `turn` must be called next, if nothing comes before.
-    pub fn next_timer(&self) -> Option<Micros> {
-        self.members.due()
+    /// Endpoints that are listed, draining ones among them.
+    pub fn listed_count(&self) -> usize {
+        self.listed.len()
     }
 
-    /// Servers listed, draining ones too.
-    pub fn listed_count(&self) -> usize {
-        self.known.len()
+    /// When [`EndpointDirectory::on_timer`] must be called next, if nothing comes before.
+    pub fn next_timer(&self) -> Option<MonotonicMicros> {
+        self.membership.due()
     }
 
-    /// What a source tells, by its name; returned is what the module is to be told.
+    /// Takes an update of the source of this name; a source that the settings do not name changes nothing.
     pub fn apply_update(
         &mut self,
         source: &str,
-        told: Told,
+        update: Told,
         at: ClockReading,
     ) -> Vec<EndpointChange> {
         let place = self
-            .members
+            .membership
             .settings()
             .sources
             .iter()
-            .position(|s| s.name == source);
+            .position(|settings| settings.name == source);
         let Some(place) = place else {
             return Vec::new();
         };
-        let changes = self.members.told(at.monotonic, place, told);
-        self.listings(changes, at)
+        let servers = self.membership.told(at.monotonic, place, update);
+        self.apply_changes(servers, at)
     }
 
-    /// Lets the time pass.
+    /// Applies what is due by this time.
     pub fn on_timer(&mut self, at: ClockReading) -> Vec<EndpointChange> {
-        let changes = self.members.turn(at.monotonic);
-        self.listings(changes, at)
+        let servers = self.membership.turn(at.monotonic);
+        self.apply_changes(servers, at)
     }
 
     /// Takes new settings; sources that stay keep what they have told.
     pub fn update_settings(
         &mut self,
-        members: EndpointSourceSettings,
+        sources: EndpointSourceSettings,
         at: ClockReading,
     ) -> Vec<EndpointChange> {
-        self.weight_unit = members.weight_unit;
-        let changes = self.members.set(at.monotonic, members.membership);
-        self.listings(changes, at)
+        self.weight_unit = sources.weight_unit;
+        let servers = self.membership.set(at.monotonic, sources.membership);
+        self.apply_changes(servers, at)
     }
 
-    fn listings(&mut self, changes: Vec<Server>, at: ClockReading) -> Vec<EndpointChange> {
-        let mut list = Vec::new();
-        for server in changes {
-            let id = replica_id(&server.name);
-            let before = self.known.get(&id);
-            let started_ms = server.entry.started_ms;
-            // One start keeps one time: mapped anew with each list it would seem to be a later start.
-            let born = match before.filter(|k| k.started_ms == started_ms) {
-                Some(known) => known.listing.started_at,
-                None => (started_ms > 0).then(|| born(started_ms, at)),
-            };
-            let listing = self.listing(id, &server, born);
-            if before.is_some_and(|k| k.listing == listing && k.addr == server.entry.addr) {
-                continue;
-            }
-            let unheard = before.is_none();
-            if listing.state == EndpointState::Removed {
-                self.known.remove(&id);
-                if unheard {
-                    continue;
-                }
-            } else {
-                let (addr, name, listing) =
-                    (server.entry.addr, server.name.clone(), listing.clone());
-                self.known.insert(
-                    id,
-                    ListedEndpoint {
-                        name,
-                        addr,
-                        started_ms,
-                        listing,
-                    },
-                );
+    fn apply_changes(&mut self, servers: Vec<Server>, at: ClockReading) -> Vec<EndpointChange> {
+        let mut changes = Vec::new();
+        for server in servers {
+            if let Some(endpoint) = self.apply_change(&server, at) {
+                changes.push(EndpointChange {
+                    endpoint,
+                    name: server.name,
+                });
             }
-            list.push(EndpointChange {
-                endpoint: listing,
-                name: server.name,
-            });
         }
-        list
+        changes
     }
 
-    fn listing(&self, id: ReplicaId, server: &Server, born: Option<Seconds>) -> Endpoint {
-        let entry = &server.entry;
-        // A zone or kind that the settings lack is one more: the replica serves all the same.
-        let place = |name: &str, known: &[String]| {
-            known.iter().position(|k| k == name).unwrap_or(known.len())
+    /// Takes one entry of the merged list; returns it in the scheduler's terms where it is new to the scheduler.
+    fn apply_change(&mut self, server: &Server, at: ClockReading) -> Option<Endpoint> {
+        let id = replica_id(&server.name);
+        let started_ms = server.entry.started_ms;
+        let known = self.listed.get(&id);
+        // One start keeps one time: mapped anew with each list it would seem to be a later start.
+        let started_at = match known.filter(|known| known.started_ms == started_ms) {
+            Some(known) => known.endpoint.started_at,
+            None => (started_ms > 0).then(|| start_time(started_ms, at)),
         };
-        let size = match (entry.priority, self.weight_unit, entry.weight) {
-            // What has a priority is described by DNS.
-            (Some(_), Some(unit), Some(weight)) => Some(weight / unit).filter(|s| *s > 0.0),
-            (Some(_), _, _) => None,
-            (None, _, weight) => self.boot.capacity_weight(weight),
+        let endpoint = self.endpoint(id, server, started_at);
+        let addr = server.entry.addr;
+        if known.is_some_and(|known| known.endpoint == endpoint && known.addr == addr) {
+            return None;
+        }
+        if endpoint.state == EndpointState::Removed {
+            // The scheduler need not hear of the removal of what it has never heard of.
+            return self.listed.remove(&id).map(|_| endpoint);
+        }
+        let listed = ListedEndpoint {
+            name: server.name.clone(),
+            addr,
+            started_ms,
+            endpoint: endpoint.clone(),
         };
+        self.listed.insert(id, listed);
+        Some(endpoint)
+    }
+
+    fn endpoint(&self, id: ReplicaId, server: &Server, started_at: Option<Seconds>) -> Endpoint {
+        let entry = &server.entry;
         Endpoint {
             id,
-            zone: place(&entry.zone, &self.boot.names.zones),
+            zone: index_of(&entry.zone, &self.site.names.zones),
             cell: entry.cell,
-            host_type: place(&entry.kind, &self.boot.names.host_types),
+            host_type: index_of(&entry.kind, &self.site.names.host_types),
             state: match server.standing {
                 Standing::In | Standing::Held => EndpointState::Available,
                 Standing::Draining => EndpointState::Draining,
                 Standing::Out => EndpointState::Removed,
             },
-            capacity_weight: size,
-            started_at: born,
+            capacity_weight: self.capacity_weight(entry),
+            started_at,
         }
     }
+
+    /// The capacity of a replica in units of an ordinary one, where its entry tells it.
+    fn capacity_weight(&self, entry: &Entry) -> Option<f64> {
+        let is_described_by_dns = entry.priority.is_some();
+        if !is_described_by_dns {
+            return self.site.capacity_weight(entry.weight);
+        }
+        let capacity = entry.weight? / self.weight_unit?;
+        (capacity > 0.0).then_some(capacity)
+    }
+}
+
+/// The index of a name. One that the settings lack gets the next index: the replica takes requests all the same.
+fn index_of(name: &str, known_names: &[String]) -> usize {
+    known_names
+        .iter()
+        .position(|known| known == name)
+        .unwrap_or(known_names.len())
 }
 
-/// `started_ms` is Unix time: it counts back from now on the monotonic clock.
-fn born(started_ms: i64, at: ClockReading) -> Seconds {
-    let age = at.unix_us.saturating_sub(started_ms.saturating_mul(1000));
-    at.monotonic as f64 / 1e6 - age as f64 / 1e6
+/// Maps a start time in milliseconds of Unix time to the monotonic clock, by its age at this reading.
+fn start_time(started_ms: i64, at: ClockReading) -> Seconds {
+    let age_us = at
+        .unix_us
+        .saturating_sub(started_ms.saturating_mul(MICROS_PER_MILLI));
+    seconds(at.monotonic) - age_us as f64 / MICROS_PER_SECOND
 }
--- a/src/routing/learned_state.rs
+++ b/src/routing/learned_state.rs
@@ -1,93 +1,135 @@
-//! What one process of a node leaves to the next: when it is believed. Bytes in and out, no file and no clock.
+//! The record in which one process of a node leaves what its scheduler has learned to the next, and the checks that decide
+//! whether the next one uses it. Bytes in and out: the file is `transport::handover`'s, and the time is given.
+//!
+//! A record is four bytes of CRC-32 (little-endian) over the rest, and the rest is `postcard`: positional, so that no field
+//! of [`LearnedState`] or of the record changes its place within a format.
 
 use poppykeel_scheduler::interface::LearnedState;
 use poppykeel_site_settings::SiteNames;
 use serde::{Deserialize, Serialize};
 
-/// What is older than this, in milliseconds, tells of a fleet that has moved on: sessions' turns have gone elsewhere.
-const MOST_AGE: i64 = 10_000;
-/// Two looks at one wall clock may be so far apart the wrong way, in milliseconds.
-const AHEAD: i64 = 1_000;
-/// The longest record: sixteen thousand sessions take less than half of it.
+/// The oldest record that is used, in milliseconds: after that the turns of its sessions have gone elsewhere.
+const MAX_AGE_MS: i64 = 10_000;
+/// How far a record may lie in the future, in milliseconds: the wall clock may have been set back between two readings.
+const MAX_CLOCK_SKEW_MS: i64 = 1_000;
+/// The longest record in bytes: sixteen thousand sessions take less than half of it.
 pub const MAX_RECORD_BYTES: u64 = 2 << 20;
+/// The format that this version writes and reads.
 const FORMAT: u8 = 1;
+const CHECKSUM_BYTES: usize = 4;
 
-/// Why a record is not believed.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+/// A random number that tells one process of a node from the others.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct ProcessToken(pub u64);
+
+/// Why a record is not used.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum LearnedStateError {
-    /// Not a record, or one cut short.
+    /// The bytes are not a record, or a part of one.
+    #[error("not a record of learned state, or one cut short")]
     Malformed,
-    /// Of another format.
+    /// The record is of another format.
+    #[error("format {0}, expected {FORMAT}")]
     UnsupportedFormat(u8),
-    /// This process wrote it itself.
+    /// This process wrote the record itself.
+    #[error("written by this process itself")]
     WrittenByThisProcess,
-    /// Of this many milliseconds ago.
+    /// The record was written this many milliseconds ago; negative where it lies in the future.
+    #[error("written {0} ms ago, expected at most {MAX_AGE_MS} ms")]
     AgeOutOfRange(i64),
-    /// Its kinds, classes or zones are others.
+    /// The host types, classes or zones of the record are not those of this site.
+    #[error("host types, classes or zones of another site")]
     DifferentSite,
-    /// A figure that nothing can have taught.
+    /// The record holds a value that no traffic can have taught.
+    #[error("a value that cannot have been learned")]
     Implausible,
 }
 
+/// What must be the same for learned indices to mean the same.
+#[derive(PartialEq, Serialize, Deserialize)]
+struct SiteIdentity {
+    host_types: Vec<String>,
+    classes: Vec<String>,
+    zones: Vec<String>,
+}
+
+impl SiteIdentity {
+    fn of(names: &SiteNames) -> Self {
+        SiteIdentity {
+            host_types: names.host_types.clone(),
+            classes: names.classes.clone(),
+            zones: names.zones.clone(),
+        }
+    }
+}
+
+/// The record as it is serialised: the order of the fields is part of the format.
 #[derive(Serialize, Deserialize)]
-struct Record {
+struct LearnedStateRecord {
     format: u8,
-    from: u64,
+    writer: ProcessToken,
     unix_ms: i64,
-    site: (Vec<String>, Vec<String>, Vec<String>),
-    memory: LearnedState,
-}
-
-fn site(names: &SiteNames) -> (Vec<String>, Vec<String>, Vec<String>) {
-    (
-        names.host_types.clone(),
-        names.classes.clone(),
-        names.zones.clone(),
-    )
+    site: SiteIdentity,
+    learned: LearnedState,
 }
 
-/// A record as it is left: `from` tells this process from others, `unix_ms` is now.
-pub fn encode(from: u64, unix_ms: i64, names: &SiteNames, memory: LearnedState) -> Vec<u8> {
-    let record = Record {
+/// Writes a record at `unix_ms` milliseconds of Unix time, as the process `writer`.
+pub fn encode(
+    writer: ProcessToken,
+    unix_ms: i64,
+    names: &SiteNames,
+    learned: LearnedState,
+) -> Vec<u8> {
+    let record = LearnedStateRecord {
         format: FORMAT,
-        from,
+        writer,
         unix_ms,
-        site: site(names),
-        memory,
+        site: SiteIdentity::of(names),
+        learned,
     };
     let bytes = postcard::to_stdvec(&record).unwrap_or_default();
-    let sum = crc32fast::hash(&bytes).to_le_bytes();
-    [&sum[..], &bytes].concat()
+    let checksum = crc32fast::hash(&bytes).to_le_bytes();
+    [&checksum[..], &bytes].concat()
 }
 
-/// Reads a record as the process `me` finds it now.
+/// Reads a record at `unix_ms` milliseconds of Unix time, as the process `reader`.
 ///
 /// # Errors
-/// Why it is not believed.
+/// Returns why the record must not be used.
 pub fn decode(
     bytes: &[u8],
-    me: u64,
+    reader: ProcessToken,
     unix_ms: i64,
     names: &SiteNames,
 ) -> Result<LearnedState, LearnedStateError> {
-    let (sum, rest) = bytes
-        .split_first_chunk::<4>()
+    let record = parse(bytes)?;
+    if record.writer == reader {
+        return Err(LearnedStateError::WrittenByThisProcess);
+    }
+    let age_ms = unix_ms.saturating_sub(record.unix_ms);
+    if !(-MAX_CLOCK_SKEW_MS..=MAX_AGE_MS).contains(&age_ms) {
+        return Err(LearnedStateError::AgeOutOfRange(age_ms));
+    }
+    if record.site != SiteIdentity::of(names) {
+        return Err(LearnedStateError::DifferentSite);
+    }
+    if !record.learned.is_plausible() {
+        return Err(LearnedStateError::Implausible);
+    }
+    Ok(record.learned)
+}
+
+fn parse(bytes: &[u8]) -> Result<LearnedStateRecord, LearnedStateError> {
+    let (checksum, body) = bytes
+        .split_first_chunk::<CHECKSUM_BYTES>()
         .ok_or(LearnedStateError::Malformed)?;
-    if crc32fast::hash(rest).to_le_bytes() != *sum {
+    if crc32fast::hash(body).to_le_bytes() != *checksum {
         return Err(LearnedStateError::Malformed);
     }
-    match rest.first() {
+    match body.first() {
         Some(&FORMAT) => {}
         Some(format) => return Err(LearnedStateError::UnsupportedFormat(*format)),
         None => return Err(LearnedStateError::Malformed),
     }
-    let record: Record = postcard::from_bytes(rest).map_err(|_| LearnedStateError::Malformed)?;
-    let age = unix_ms.saturating_sub(record.unix_ms);
-    match record {
-        Record { from, .. } if from == me => Err(LearnedStateError::WrittenByThisProcess),
-        _ if !(-AHEAD..=MOST_AGE).contains(&age) => Err(LearnedStateError::AgeOutOfRange(age)),
-        Record { site: of, .. } if of != site(names) => Err(LearnedStateError::DifferentSite),
-        Record { memory, .. } if !memory.is_plausible() => Err(LearnedStateError::Implausible),
-        Record { memory, .. } => Ok(memory),
-    }
+    postcard::from_bytes(body).map_err(|_| LearnedStateError::Malformed)
 }
--- a/src/routing/router.rs
+++ b/src/routing/router.rs
@@ -1,605 +1,375 @@
-//! The core: it owns the module, the requests, their attempts and all timers. Events with a time come in,
-//! commands go out; it knows no socket and no HTTP. Everything that is decided is decided by the module.
-//! `directory` is the account of membership in the module's terms, `crossings` that of traffic between zones, `handover` what one
-//! process leaves to the next.
+//! The router of one node: it owns the scheduler, the requests, their attempts and all timers.
+//!
+//! Invariants: the scheduler hears of the end of each attempt exactly once; a client gets at most one response; a request
+//! stays known until its last attempt has ended, so that an id names one request at a time. All events that one call causes
+//! have reached the scheduler when the call returns.
+//!
+//! This file turns what the driver tells into events of the scheduler; `actions` carries out what the scheduler decides.
 
-#![allow(clippy::wildcard_imports, reason = "not yet converted")]
-#![expect(
-    clippy::match_bool,
-    clippy::min_ident_chars,
-    clippy::missing_errors_doc,
-    clippy::needless_pass_by_value,
-    clippy::too_many_lines,
-    reason = "not yet converted"
-)]
+mod actions;
 
-use poppykeel_scheduler::interface::*;
+use super::command::RouterCommand;
+use super::event::RouterEvent;
+use super::request::{ActiveRequest, AttemptId, AttemptState};
+use super::statistics::{OutcomeCount, RequestCounters, ResponseCounts, Statistics};
+use super::time::{monotonic_micros, seconds, MonotonicMicros};
+use super::timers::{Timer, TimerQueue};
+use poppykeel_scheduler::interface::{
+    AttemptOutcome, BudgetDemand, BudgetGrants, BudgetKind, Event, IncomingRequest, LearnedState,
+    LoadReport, ReplicaId, RequestId, SchedulerSettings, SettingsError,
+};
 use poppykeel_scheduler::Scheduler;
-use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use std::collections::{BTreeMap, VecDeque};
 
-/// Microseconds on the monotonic clock.
-pub type MonotonicMicros = u64;
-
-/// What the drivers tell.
-#[derive(Clone, Debug, PartialEq)]
-pub enum RouterEvent {
-    /// A client's request is complete.
-    RequestArrived(IncomingRequest),
-    /// Its client has left.
-    ClientDisconnected(RequestId),
-    /// The first event of an attempt's answer is here.
-    FirstToken {
-        /// The request.
-        request: RequestId,
-        /// Its attempt.
-        attempt: usize,
-    },
-    /// An attempt has ended by itself.
-    AttemptEnded {
-        /// The request.
-        request: RequestId,
-        /// Its attempt.
-        attempt: usize,
-        /// How.
-        outcome: AttemptOutcome,
-        /// The load report that came with it.
-        report: Option<LoadReport>,
-    },
-    /// A probe has ended.
-    ProbeEnded {
-        /// Where it went.
-        replica: ReplicaId,
-        /// How it ended.
-        outcome: AttemptOutcome,
-        /// The load report that came with it.
-        report: Option<LoadReport>,
-    },
-    /// News of the list.
-    List {
-        /// The entries.
-        list: Vec<Endpoint>,
-        /// What it lacks is gone.
-        full: bool,
-    },
-    /// The watch has broken.
-    EndpointListFailed,
-    /// Another node of the fleet tries ejected replicas for all; it is still at it, or found this one well.
-    OutlierAdvice {
-        /// Which.
-        replica: ReplicaId,
-        /// See there.
-        is_healthy: bool,
-    },
-}
-
-/// What the drivers are to do.
+/// What the scheduler shows of its state.
 #[derive(Clone, Debug, PartialEq)]
-pub enum RouterCommand {
-    /// Send a request to a replica, to be answered by then.
-    StartAttempt {
-        /// The request.
-        request: RequestId,
-        /// The attempt's number.
-        attempt: usize,
-        /// Where to.
-        replica: ReplicaId,
-        /// When its time is out.
-        deadline: MonotonicMicros,
-    },
-    /// Close the connection of an attempt; nothing it still says counts.
-    AbandonAttempt {
-        /// The request.
-        request: RequestId,
-        /// The attempt's number.
-        attempt: usize,
-    },
-    /// The client's answer is the stream of this attempt.
-    BindStream {
-        /// The request.
-        request: RequestId,
-        /// The attempt's number.
-        attempt: usize,
-    },
-    /// Turn the client away, now.
-    Reject {
-        /// The request.
-        request: RequestId,
-        /// When it may come again.
-        retry_after: MonotonicMicros,
-    },
-    /// Tell the client that its request failed.
-    Fail {
-        /// The request.
-        request: RequestId,
-    },
-    /// Ask a replica how it is.
-    Probe {
-        /// Which.
-        replica: ReplicaId,
-    },
-    /// Watch the list from now on.
-    WatchEndpoints,
+pub struct RouterGauges {
+    /// Attempts that may be in flight together as things stand.
+    pub concurrency_limit: f64,
+    /// Attempts in flight.
+    pub in_flight: usize,
+    /// Queued requests of each tenant, in the order of the settings.
+    pub queued_by_tenant: Vec<usize>,
+    /// Replicas that the scheduler keeps a state of.
+    pub replica_count: usize,
 }
 
+/// How a listed replica stands with this node's scheduler.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum AttemptState {
-    Waiting,
-    Streaming,
-    Ended,
-}
-
-#[derive(Debug)]
-struct Attempt {
-    sent: MonotonicMicros,
-    until: MonotonicMicros,
-    stage: AttemptState,
-    /// How it ended.
-    outcome: Option<AttemptOutcome>,
-}
-
-#[derive(Debug, Default)]
-struct ActiveRequest {
-    attempts: Vec<Attempt>,
-    class: usize,
-    /// The final answer is given, or begun, or nobody waits for it.
-    answered: bool,
-    finished: bool,
+pub struct ReplicaStatus {
+    /// The replica.
+    pub replica: ReplicaId,
+    /// Whether the replica is ejected as an outlier and gets probes only.
+    pub is_ejected: bool,
+    /// When the last response came; `None` where none has come or an attempt has failed since.
+    pub last_success_at: Option<MonotonicMicros>,
 }
 
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Timer {
-    Wake,
-    Timeout(RequestId, usize),
-}
-
-/// Ends of attempts that are counted, with their names in figures.
-pub const COUNTED_OUTCOMES: [(AttemptOutcome, &str); 7] = [
-    (AttemptOutcome::ServerError, "error"),
-    (AttemptOutcome::AtCapacity, "full"),
-    (AttemptOutcome::TimedOut, "timed_out"),
-    (AttemptOutcome::ConnectFailed, "connect_failed"),
-    (AttemptOutcome::ConnectionReset, "reset"),
-    (AttemptOutcome::Cancelled, "cancelled"),
-    (AttemptOutcome::InvalidRequest, "rejected"),
-];
-
-/// Figures for the log.
-#[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct RequestCounters {
-    /// Requests taken.
-    pub arrived: u64,
-    /// Streams passed on to their end.
-    pub completed: u64,
-    /// Requests refused.
-    pub rejected: u64,
-    /// Requests failed.
-    pub failed: u64,
-    /// Streams that broke after their first event.
-    pub broken: u64,
-    /// Clients that left.
-    pub disconnected: u64,
-    /// Attempts sent.
-    pub attempts_started: u64,
-    /// Attempts that ended otherwise than served, in the order of [`COUNTED_ENDS`].
-    pub failed_attempts: [u64; COUNTED_OUTCOMES.len()],
-}
-
-/// The core of one node.
+/// The router of one node.
 pub struct RequestRouter {
-    brain: Scheduler,
-    live: BTreeMap<RequestId, ActiveRequest>,
-    timers: BTreeSet<(MonotonicMicros, Timer)>,
-    told: VecDeque<Event>,
-    counts: RequestCounters,
-    /// For each class, requests served, refused and failed.
-    replies: Vec<[u64; 3]>,
+    scheduler: Scheduler,
+    requests: BTreeMap<RequestId, ActiveRequest>,
+    timers: TimerQueue,
+    /// Events that the scheduler has not heard of yet; empty between two calls.
+    pending_events: VecDeque<Event>,
+    statistics: Statistics,
 }
 
 impl RequestRouter {
-    /// A core around a module that has been told nothing yet.
-    pub fn new(brain: Scheduler) -> Self {
-        let (live, timers, told, counts, replies) = Default::default();
+    /// A router around a scheduler that has been told nothing yet.
+    pub fn new(scheduler: Scheduler) -> Self {
         RequestRouter {
-            brain,
-            live,
-            timers,
-            told,
-            counts,
-            replies,
+            scheduler,
+            requests: BTreeMap::new(),
+            timers: TimerQueue::default(),
+            pending_events: VecDeque::new(),
+            statistics: Statistics::default(),
         }
     }
 
     /// Whether this id is in use: an id names one request at a time.
     pub fn is_active(&self, id: RequestId) -> bool {
-        self.live.contains_key(&id)
+        self.requests.contains_key(&id)
     }
-    /// Requests that still await something.
+
+    /// Requests that are not over, or still have attempts under way.
     pub fn active_count(&self) -> usize {
-        self.live.len()
+        self.requests.len()
     }
-    /// Replicas that the module keeps in mind.
-    pub fn replicas(&self) -> usize {
-        self.brain.gauges().3
+
+    /// What the scheduler shows of its state.
+    pub fn gauges(&self) -> RouterGauges {
+        let (concurrency_limit, in_flight, queued_by_tenant, replica_count) =
+            self.scheduler.gauges();
+        RouterGauges {
+            concurrency_limit,
+            in_flight,
+            queued_by_tenant,
+            replica_count,
+        }
     }
-    /// Requests that may be out together as things stand, and that are.
-    pub fn window(&self) -> (f64, usize) {
-        let (size, out, _, _) = self.brain.gauges();
-        (size, out)
+
+    /// Counts since the start.
+    pub fn counters(&self) -> RequestCounters {
+        self.statistics.counters()
     }
-    /// Requests of a class that were served, refused and failed, broken streams among the last.
-    pub fn response_counts(&self, class: usize) -> [u64; 3] {
-        self.replies.get(class).copied().unwrap_or_default()
+
+    /// Responses to the requests of a class since the start.
+    pub fn response_counts(&self, class: usize) -> ResponseCounts {
+        self.statistics.responses(class)
     }
-    /// New settings for the module.
-    pub fn update_settings(&mut self, settings: SchedulerSettings) -> Result<(), SettingsError> {
-        self.brain.update_settings(settings)
+
+    /// Attempts that ended with one of [`super::COUNTED_OUTCOMES`] since the start.
+    pub fn failed_attempt_counts(&self) -> Vec<OutcomeCount> {
+        self.statistics.failed_attempts()
     }
-    /// This node ends: whoever waits for a first token has a final answer by then.
-    pub fn set_answer_deadline(&mut self, time: MonotonicMicros) {
-        self.brain.set_answer_deadline(seconds(time));
+
+    /// The outcome of the last attempt of a request that has ended, if any has: the reason for the next one.
+    pub fn last_attempt_outcome(&self, request: RequestId) -> Option<AttemptOutcome> {
+        self.requests.get(&request)?.last_attempt_outcome()
     }
-    /// Replicas listed that the module leaves alone now.
+
+    /// Listed replicas that get no requests at present.
     pub fn unavailable_replica_count(&self) -> usize {
-        self.brain.unavailable_replica_count()
-    }
-    /// What the fleet allows this node from now on.
-    pub fn set_budget_grants(&mut self, allowed: &BudgetGrants) {
-        self.brain.set_budget_grants(allowed);
-    }
-    /// What has been wanted since the start of what the fleet has budgets for.
-    pub fn budget_demand(&self) -> BTreeMap<BudgetKind, BudgetDemand> {
-        self.brain.budget_demand()
+        self.scheduler.unavailable_replica_count()
     }
-    /// What the module has learned, for the process that takes this one's place.
-    pub fn export_learned_state(&self) -> LearnedState {
-        self.brain.export_learned_state()
+
+    /// The status of each listed replica.
+    pub fn replica_statuses(&self) -> Vec<ReplicaStatus> {
+        let mut statuses = Vec::new();
+        for (replica, is_ejected, last_success_at) in self.scheduler.replica_health() {
+            statuses.push(ReplicaStatus {
+                replica,
+                is_ejected,
+                last_success_at: last_success_at.map(monotonic_micros),
+            });
+        }
+        statuses
     }
-    /// Takes over what another process has learned.
-    pub fn import_learned_state(&mut self, memory: &LearnedState) {
-        self.brain.import_learned_state(memory);
+
+    /// Gives the scheduler new settings.
+    ///
+    /// # Errors
+    /// Returns what is wrong with the settings; those before it stay in force.
+    pub fn update_settings(&mut self, settings: SchedulerSettings) -> Result<(), SettingsError> {
+        self.scheduler.update_settings(settings)
     }
-    /// Each listed replica: whether it gets trials only, and when its last answer came, if nothing has failed since.
-    pub fn replica_statuses(&self) -> Vec<(ReplicaId, bool, Option<MonotonicMicros>)> {
-        let micros = |s: f64| (s * 1e6) as MonotonicMicros;
-        let all = self.brain.replica_health().into_iter();
-        all.map(|(id, ejected, well)| (id, ejected, well.map(micros)))
-            .collect()
+
+    /// The node shuts down: whoever waits for a first token has a final response by this time.
+    pub fn set_answer_deadline(&mut self, deadline: MonotonicMicros) {
+        self.scheduler.set_answer_deadline(seconds(deadline));
     }
-    /// Requests that the module holds, by tenant.
-    pub fn queued_by_tenant(&self) -> Vec<usize> {
-        self.brain.gauges().2
+
+    /// What this node may spend of budgets that are shared with other nodes, from now on.
+    pub fn set_budget_grants(&mut self, grants: &BudgetGrants) {
+        self.scheduler.set_budget_grants(grants);
     }
-    /// Attempts that ended otherwise than served, by the names of [`COUNTED_ENDS`].
-    pub fn failed_attempt_counts(&self) -> Vec<(&'static str, u64)> {
-        COUNTED_OUTCOMES
-            .iter()
-            .zip(self.counts.failed_attempts)
-            .map(|((_, name), count)| (*name, count))
-            .collect()
+
+    /// What this node would have spent of each budget since the start.
+    pub fn budget_demand(&self) -> BTreeMap<BudgetKind, BudgetDemand> {
+        self.scheduler.budget_demand()
     }
-    /// How the last attempt of a request ended that has ended, if any has: why there is another one.
-    pub fn last_attempt_outcome(&self, request: RequestId) -> Option<AttemptOutcome> {
-        self.live
-            .get(&request)?
-            .attempts
-            .iter()
-            .rev()
-            .find_map(|attempt| attempt.outcome)
+
+    /// What the scheduler has learned, for the process that takes this one's place.
+    pub fn export_learned_state(&self) -> LearnedState {
+        self.scheduler.export_learned_state()
     }
-    /// What has happened so far.
-    pub fn counters(&self) -> RequestCounters {
-        self.counts
+
+    /// Takes over what another process of this node has learned.
+    pub fn import_learned_state(&mut self, learned: &LearnedState) {
+        self.scheduler.import_learned_state(learned);
     }
-    /// When `turn` must be called next, if nothing comes before.
+
+    /// When [`RequestRouter::on_timer`] must be called next, if no event comes before.
     pub fn next_timer(&self) -> Option<MonotonicMicros> {
-        self.timers.first().map(|t| t.0)
+        self.timers.next_due()
     }
 
-    /// Lets the timers run that are due.
-    pub fn on_timer(&mut self, now: MonotonicMicros, out: &mut Vec<RouterCommand>) {
-        while let Some((_, due)) = self.timers.first().copied().filter(|t| t.0 <= now) {
-            self.timers.pop_first();
-            match due {
-                Timer::Wake => self.told.push_back(Event::TimerFired),
-                Timer::Timeout(request, attempt) => {
-                    out.push(RouterCommand::AbandonAttempt { request, attempt });
-                    self.end(request, attempt, AttemptOutcome::TimedOut, None);
+    /// Runs the timers that are due at `now`; what is to be done is added to `commands`.
+    pub fn on_timer(&mut self, now: MonotonicMicros, commands: &mut Vec<RouterCommand>) {
+        while let Some(timer) = self.timers.pop_due(now) {
+            match timer {
+                Timer::SchedulerWakeup => self.pending_events.push_back(Event::TimerFired),
+                Timer::AttemptDeadline(id) => {
+                    commands.push(RouterCommand::AbandonAttempt {
+                        request: id.request,
+                        attempt: id.attempt,
+                    });
+                    self.end_attempt(id, AttemptOutcome::TimedOut, None);
                 }
             }
-            self.decide(now, out);
+            self.run_scheduler(now, commands);
         }
     }
 
-    /// Takes one event.
+    /// Takes one event that came at `now`; what is to be done is added to `commands`.
     pub fn handle_event(
         &mut self,
         now: MonotonicMicros,
-        input: RouterEvent,
-        out: &mut Vec<RouterCommand>,
+        event: RouterEvent,
+        commands: &mut Vec<RouterCommand>,
     ) {
-        match input {
-            RouterEvent::RequestArrived(arrival) => {
-                if self.live.contains_key(&arrival.id) {
-                    return;
-                }
-                self.counts.arrived += 1;
-                self.live.insert(
-                    arrival.id,
-                    ActiveRequest {
-                        class: arrival.class,
-                        ..ActiveRequest::default()
-                    },
-                );
-                self.told.push_back(Event::RequestArrived(arrival));
-            }
-            RouterEvent::ClientDisconnected(id) => {
-                let Some(live) = self.live.get_mut(&id).filter(|l| !l.finished) else {
-                    return;
-                };
-                (live.answered, live.finished) = (true, true);
-                self.counts.disconnected += 1;
-                self.told.push_back(Event::ClientDisconnected(id));
-                // Nobody is left to read the stream: the replica is told by the closed connection.
-                for attempt in 0..self.live[&id].attempts.len() {
-                    self.abandon(id, attempt, out);
-                }
+        match event {
+            RouterEvent::RequestArrived(request) => self.take_request(request),
+            RouterEvent::ClientDisconnected(request) => {
+                self.drop_client(request, commands);
             }
             RouterEvent::FirstToken { request, attempt } => {
-                let Some(live) = self.live.get_mut(&request) else {
-                    return;
-                };
-                let answered = live.answered;
-                let Some(a) = live
-                    .attempts
-                    .get_mut(attempt)
-                    .filter(|a| a.stage == AttemptState::Waiting)
-                else {
-                    return;
-                };
-                if answered {
-                    // Another attempt has the client: a second answer must not follow.
-                    self.abandon(request, attempt, out);
-                } else {
-                    a.stage = AttemptState::Streaming;
-                    // From here on the deadline is off.
-                    self.timers
-                        .remove(&(a.until, Timer::Timeout(request, attempt)));
-                    let elapsed = seconds(now.saturating_sub(a.sent));
-                    live.answered = true;
-                    out.push(RouterCommand::BindStream { request, attempt });
-                    self.told.push_back(Event::FirstToken {
-                        request,
-                        attempt,
-                        elapsed,
-                    });
-                }
+                self.take_first_token(now, AttemptId { request, attempt }, commands);
             }
             RouterEvent::AttemptEnded {
                 request,
                 attempt,
                 outcome,
                 report,
-            } => {
-                self.end(request, attempt, outcome, report);
-            }
+            } => self.end_attempt(AttemptId { request, attempt }, outcome, report),
             RouterEvent::ProbeEnded {
                 replica,
                 outcome,
                 report,
-            } => {
-                self.told.push_back(Event::ProbeEnded {
-                    replica,
-                    outcome,
-                    report,
-                });
-            }
-            RouterEvent::List { list, full: true } => {
-                self.told.push_back(Event::EndpointsReplaced(list));
-            }
-            RouterEvent::List { list, full: false } => {
-                self.told.push_back(Event::EndpointsChanged(list));
+            } => self.pending_events.push_back(Event::ProbeEnded {
+                replica,
+                outcome,
+                report,
+            }),
+            RouterEvent::EndpointsReplaced(endpoints) => self
+                .pending_events
+                .push_back(Event::EndpointsReplaced(endpoints)),
+            RouterEvent::EndpointsChanged(endpoints) => self
+                .pending_events
+                .push_back(Event::EndpointsChanged(endpoints)),
+            RouterEvent::EndpointListFailed => {
+                self.pending_events.push_back(Event::EndpointListFailed);
             }
             RouterEvent::OutlierAdvice {
                 replica,
-                is_healthy: well,
-            } => self.told.push_back(Event::OutlierAdvice {
+                is_healthy,
+            } => self.pending_events.push_back(Event::OutlierAdvice {
                 replica,
-                is_healthy: well,
+                is_healthy,
             }),
-            RouterEvent::EndpointListFailed => self.told.push_back(Event::EndpointListFailed),
         }
-        self.decide(now, out);
+        self.run_scheduler(now, commands);
     }
 
-    /// The one place where an attempt ends, so that the module hears of each end once.
-    fn end(
+    /// Takes a request, unless its id is in use.
+    fn take_request(&mut self, request: IncomingRequest) {
+        if self.is_active(request.id) {
+            return;
+        }
+        self.statistics.count_arrival();
+        self.requests
+            .insert(request.id, ActiveRequest::new(request.class));
+        self.pending_events
+            .push_back(Event::RequestArrived(request));
+    }
+
+    /// Finishes the request of a client that has disconnected, and abandons all of its attempts.
+    fn drop_client(&mut self, id: RequestId, commands: &mut Vec<RouterCommand>) {
+        let Some(request) = self.requests.get_mut(&id) else {
+            return;
+        };
+        if request.is_finished() {
+            return;
+        }
+        request.finish();
+        let attempt_count = request.attempt_count();
+        self.statistics.count_disconnect();
+        self.pending_events.push_back(Event::ClientDisconnected(id));
+        // Nobody is left to read a stream; the replica learns it by the closed connection.
+        for attempt in 0..attempt_count {
+            let id = AttemptId {
+                request: id,
+                attempt,
+            };
+            self.abandon_attempt(id, commands);
+        }
+    }
+
+    /// Binds an attempt's stream to the client, or abandons the attempt where another one has the client.
+    fn take_first_token(
         &mut self,
-        request: RequestId,
-        attempt: usize,
-        outcome: AttemptOutcome,
-        report: Option<LoadReport>,
+        now: MonotonicMicros,
+        id: AttemptId,
+        commands: &mut Vec<RouterCommand>,
     ) {
-        let Some(live) = self.live.get_mut(&request) else {
+        let Some(request) = self.requests.get_mut(&id.request) else {
             return;
         };
-        let Some(a) = live
-            .attempts
-            .get_mut(attempt)
-            .filter(|a| a.stage != AttemptState::Ended)
-        else {
+        let Some(attempt) = request.attempt(id.attempt).copied() else {
             return;
         };
-        let streaming = a.stage == AttemptState::Streaming;
-        a.stage = AttemptState::Ended;
-        a.outcome = Some(outcome);
-        self.timers
-            .remove(&(a.until, Timer::Timeout(request, attempt)));
-        let mut whole = None;
-        if streaming && !live.finished {
-            // The end of a stream is the end of its request, also where it broke.
-            live.finished = true;
-            whole = Some((live.class, outcome == AttemptOutcome::Completed));
-            match outcome == AttemptOutcome::Completed {
-                true => self.counts.completed += 1,
-                false => self.counts.broken += 1,
-            }
-        }
-        if let Some(kind) = COUNTED_OUTCOMES
-            .iter()
-            .position(|(kind, _)| *kind == outcome)
-        {
-            self.counts.failed_attempts[kind] += 1;
+        if attempt.state != AttemptState::AwaitingFirstToken {
+            return;
         }
-        let last = live.finished;
-        if let Some((class, served)) = whole {
-            self.replied(class, if served { 0 } else { 2 });
+        if request.has_response() {
+            self.abandon_attempt(id, commands);
+            return;
         }
-        self.told.push_back(Event::AttemptEnded {
-            request,
-            attempt,
-            outcome,
-            is_request_finished: last,
-            report,
+        request.begin_streaming(id.attempt);
+        // The deadline holds for the first token only.
+        self.timers
+            .cancel(attempt.deadline, Timer::AttemptDeadline(id));
+        commands.push(RouterCommand::BindStream {
+            request: id.request,
+            attempt: id.attempt,
+        });
+        self.pending_events.push_back(Event::FirstToken {
+            request: id.request,
+            attempt: id.attempt,
+            elapsed: seconds(now.saturating_sub(attempt.started_at)),
         });
     }
 
-    fn abandon(&mut self, request: RequestId, attempt: usize, out: &mut Vec<RouterCommand>) {
-        let Some(a) = self
-            .live
-            .get(&request)
-            .and_then(|l| l.attempts.get(attempt))
-        else {
+    /// Has the driver close an attempt that is under way, and ends it as cancelled.
+    fn abandon_attempt(&mut self, id: AttemptId, commands: &mut Vec<RouterCommand>) {
+        let attempt = self
+            .requests
+            .get(&id.request)
+            .and_then(|request| request.attempt(id.attempt));
+        if attempt.is_some_and(|attempt| !attempt.has_ended()) {
+            commands.push(RouterCommand::AbandonAttempt {
+                request: id.request,
+                attempt: id.attempt,
+            });
+            self.end_attempt(id, AttemptOutcome::Cancelled, None);
+        }
+    }
+
+    /// Ends an attempt. This is the only place where one ends, so that the scheduler hears of each end once.
+    fn end_attempt(&mut self, id: AttemptId, outcome: AttemptOutcome, report: Option<LoadReport>) {
+        let Some(request) = self.requests.get_mut(&id.request) else {
+            return;
+        };
+        let Some(end) = request.end_attempt(id.attempt, outcome) else {
             return;
         };
-        if a.stage != AttemptState::Ended {
-            out.push(RouterCommand::AbandonAttempt { request, attempt });
-            self.end(request, attempt, AttemptOutcome::Cancelled, None);
+        let class = request.class();
+        let is_request_finished = request.is_finished();
+        self.timers.cancel(end.deadline, Timer::AttemptDeadline(id));
+        if end.has_finished_request {
+            let is_complete = outcome == AttemptOutcome::Completed;
+            self.statistics.count_stream_end(class, is_complete);
         }
+        self.statistics.count_attempt_end(outcome);
+        self.pending_events.push_back(Event::AttemptEnded {
+            request: id.request,
+            attempt: id.attempt,
+            outcome,
+            is_request_finished,
+            report,
+        });
     }
 
-    /// Tells the module what has happened until nothing follows from it any more.
-    fn decide(&mut self, now: MonotonicMicros, out: &mut Vec<RouterCommand>) {
+    /// Tells the scheduler what has happened and carries out its actions, until no event follows from them any more.
+    fn run_scheduler(&mut self, now: MonotonicMicros, commands: &mut Vec<RouterCommand>) {
         let mut actions = Vec::new();
-        while let Some(event) = self.told.pop_front() {
-            let request = match &event {
+        while let Some(event) = self.pending_events.pop_front() {
+            let request_that_may_be_over = match &event {
                 Event::AttemptEnded { request, .. } | Event::ClientDisconnected(request) => {
                     Some(*request)
                 }
                 _ => None,
             };
-            self.brain.handle_event(seconds(now), event, &mut actions);
+            self.scheduler
+                .handle_event(seconds(now), event, &mut actions);
             for action in actions.drain(..) {
-                self.act(now, action, out);
+                self.perform_action(now, &action, commands);
             }
-            if let Some(id) = request {
-                self.forget(id);
+            if let Some(id) = request_that_may_be_over {
+                self.remove_if_over(id);
             }
         }
     }
 
-    fn act(&mut self, now: MonotonicMicros, action: Action, out: &mut Vec<RouterCommand>) {
-        match action {
-            Action::StartAttempt {
-                request,
-                replica,
-                timeout,
-            } => {
-                let Some(live) = self.live.get_mut(&request) else {
-                    return;
-                };
-                let attempt = live.attempts.len();
-                let until = now.saturating_add(micros(timeout));
-                live.attempts.push(Attempt {
-                    sent: now,
-                    until,
-                    stage: AttemptState::Waiting,
-                    outcome: None,
-                });
-                if live.answered {
-                    return self.end(request, attempt, AttemptOutcome::NotSent, None);
-                }
-                self.counts.attempts_started += 1;
-                self.timers
-                    .insert((until, Timer::Timeout(request, attempt)));
-                out.push(RouterCommand::StartAttempt {
-                    request,
-                    attempt,
-                    replica,
-                    deadline: until,
-                });
-            }
-            Action::Reject {
-                request,
-                retry_after,
-            } => {
-                if self.answer(request, 1) {
-                    self.counts.rejected += 1;
-                    out.push(RouterCommand::Reject {
-                        request,
-                        retry_after: micros(retry_after),
-                    });
-                }
-                self.forget(request);
-            }
-            Action::Fail { request } => {
-                if self.answer(request, 2) {
-                    self.counts.failed += 1;
-                    out.push(RouterCommand::Fail { request });
-                }
-                self.forget(request);
-            }
-            Action::CancelAttempt { request, attempt } => {
-                let attempts = self.live.get(&request).map(|l| &l.attempts);
-                let stage = attempts.and_then(|a| a.get(attempt)).map(|a| a.stage);
-                // A stream that has begun belongs to its client and is not called off.
-                if stage == Some(AttemptState::Waiting) {
-                    self.abandon(request, attempt, out);
-                }
-            }
-            Action::Probe { replica } => out.push(RouterCommand::Probe { replica }),
-            Action::WatchEndpoints => out.push(RouterCommand::WatchEndpoints),
-            Action::SetTimer { after } => {
-                self.timers
-                    .insert((now.saturating_add(micros(after)), Timer::Wake));
-            }
-        }
-    }
-
-    /// Marks a request as answered by the node itself; false where it has its answer already.
-    fn answer(&mut self, id: RequestId, status: usize) -> bool {
-        let Some(live) = self.live.get_mut(&id).filter(|l| !l.answered) else {
-            return false;
-        };
-        (live.answered, live.finished) = (true, true);
-        let class = live.class;
-        self.replied(class, status);
-        true
-    }
-
-    fn replied(&mut self, class: usize, status: usize) {
-        if self.replies.len() <= class {
-            self.replies.resize(class + 1, [0; 3]);
-        }
-        self.replies[class][status] += 1;
-    }
-
-    /// A finished request stays until its last attempt has ended, and its timers go with it.
-    fn forget(&mut self, id: RequestId) {
-        let Some(live) = self.live.get(&id) else {
-            return;
-        };
-        if live.finished && live.attempts.iter().all(|a| a.stage == AttemptState::Ended) {
-            self.live.remove(&id);
+    /// Removes a finished request whose last attempt has ended; its timers were cancelled with its attempts.
+    fn remove_if_over(&mut self, id: RequestId) {
+        if self
+            .requests
+            .get(&id)
+            .is_some_and(ActiveRequest::can_be_removed)
+        {
+            self.requests.remove(&id);
         }
     }
 }
-
-/// A time of the core's clock as the module takes it.
-pub fn seconds(time: MonotonicMicros) -> Seconds {
-    time as f64 / 1e6
-}
-
-/// A span of the module's; what is no time counts as none.
-fn micros(span: Seconds) -> MonotonicMicros {
-    (span.max(0.0) * 1e6).round() as MonotonicMicros
-}
--- /dev/null
+++ b/src/routing/router/actions.rs
@@ -0,0 +1,113 @@
+//! Carries out the scheduler's actions: the transitions of requests and attempts that the scheduler decides on.
+
+use super::RequestRouter;
+use crate::routing::command::RouterCommand;
+use crate::routing::request::{AttemptId, AttemptState};
+use crate::routing::time::{duration_micros, MonotonicMicros};
+use crate::routing::timers::Timer;
+use poppykeel_scheduler::interface::{Action, AttemptOutcome, ReplicaId, RequestId, Seconds};
+
+impl RequestRouter {
+    /// Carries out one action of the scheduler; what its driver must do is added to `commands`.
+    pub(super) fn perform_action(
+        &mut self,
+        now: MonotonicMicros,
+        action: &Action,
+        commands: &mut Vec<RouterCommand>,
+    ) {
+        match *action {
+            Action::StartAttempt {
+                request,
+                replica,
+                timeout,
+            } => self.start_attempt(now, request, replica, timeout, commands),
+            Action::Reject {
+                request,
+                retry_after,
+            } => self.reject(request, retry_after, commands),
+            Action::Fail { request } => self.fail(request, commands),
+            Action::CancelAttempt { request, attempt } => {
+                self.cancel_attempt(AttemptId { request, attempt }, commands);
+            }
+            Action::Probe { replica } => commands.push(RouterCommand::Probe { replica }),
+            Action::WatchEndpoints => commands.push(RouterCommand::WatchEndpoints),
+            Action::SetTimer { after } => {
+                let due_at = now.saturating_add(duration_micros(after));
+                self.timers.set(due_at, Timer::SchedulerWakeup);
+            }
+        }
+    }
+
+    /// Starts an attempt; for a request that has a response already, the attempt ends at once as not sent.
+    fn start_attempt(
+        &mut self,
+        now: MonotonicMicros,
+        id: RequestId,
+        replica: ReplicaId,
+        timeout: Seconds,
+        commands: &mut Vec<RouterCommand>,
+    ) {
+        let Some(request) = self.requests.get_mut(&id) else {
+            return;
+        };
+        let deadline = now.saturating_add(duration_micros(timeout));
+        let attempt = request.add_attempt(now, deadline);
+        let attempt_id = AttemptId {
+            request: id,
+            attempt,
+        };
+        if request.has_response() {
+            self.end_attempt(attempt_id, AttemptOutcome::NotSent, None);
+            return;
+        }
+        self.statistics.count_attempt();
+        self.timers
+            .set(deadline, Timer::AttemptDeadline(attempt_id));
+        commands.push(RouterCommand::StartAttempt {
+            request: id,
+            attempt,
+            replica,
+            deadline,
+        });
+    }
+
+    fn reject(&mut self, id: RequestId, retry_after: Seconds, commands: &mut Vec<RouterCommand>) {
+        if let Some(class) = self.finish_without_response(id) {
+            self.statistics.count_rejection(class);
+            commands.push(RouterCommand::Reject {
+                request: id,
+                retry_after: duration_micros(retry_after),
+            });
+        }
+        self.remove_if_over(id);
+    }
+
+    fn fail(&mut self, id: RequestId, commands: &mut Vec<RouterCommand>) {
+        if let Some(class) = self.finish_without_response(id) {
+            self.statistics.count_failure(class);
+            commands.push(RouterCommand::Fail { request: id });
+        }
+        self.remove_if_over(id);
+    }
+
+    /// Abandons an attempt that awaits its first token. A stream that has begun belongs to its client and is not cancelled.
+    fn cancel_attempt(&mut self, id: AttemptId, commands: &mut Vec<RouterCommand>) {
+        let attempt = self
+            .requests
+            .get(&id.request)
+            .and_then(|request| request.attempt(id.attempt));
+        if attempt.is_some_and(|attempt| attempt.state == AttemptState::AwaitingFirstToken) {
+            self.abandon_attempt(id, commands);
+        }
+    }
+
+    /// Finishes a request that the node itself answers, and returns its class; `None` where it has a response already.
+    fn finish_without_response(&mut self, id: RequestId) -> Option<usize> {
+        let request = self.requests.get_mut(&id)?;
+        if request.has_response() {
+            return None;
+        }
+        request.finish();
+        Some(request.class())
+    }
+}
--- a/src/transport/clock.rs
+++ b/src/transport/clock.rs
@@ -1,36 +1,40 @@
 //! The monotonic clock in whole microseconds, and Unix time beside it.
 
-#![expect(clippy::min_ident_chars, reason = "not yet converted")]
-
-use crate::routing::directory::ClockReading;
-use crate::routing::MonotonicMicros;
+use crate::routing::{ClockReading, MonotonicMicros};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Counts from the start of the process.
+/// Counts microseconds from the moment at which it was started.
 #[derive(Clone, Copy, Debug)]
-pub struct Clock(Instant);
+pub struct Clock {
+    started_at: Instant,
+}
 
 impl Clock {
     /// Starts now.
     pub fn start() -> Self {
-        Clock(Instant::now())
+        Clock {
+            started_at: Instant::now(),
+        }
     }
+
     /// The time now.
     pub fn now(self) -> MonotonicMicros {
-        u64::try_from(self.0.elapsed().as_micros()).unwrap_or(u64::MAX)
+        u64::try_from(self.started_at.elapsed().as_micros()).unwrap_or(u64::MAX)
     }
+
     /// A time of this clock as the runtime's timers take it.
     pub fn instant(self, at: MonotonicMicros) -> tokio::time::Instant {
-        (self.0 + Duration::from_micros(at)).into()
+        (self.started_at + Duration::from_micros(at)).into()
     }
-    /// Both clocks at this moment.
+
+    /// Both clocks now. Unix time before 1970 counts as 0.
     pub fn reading(self) -> ClockReading {
-        let unix = SystemTime::now()
+        let unix_us = SystemTime::now()
             .duration_since(UNIX_EPOCH)
-            .map_or(0, |d| d.as_micros());
+            .map_or(0, |since_epoch| since_epoch.as_micros());
         ClockReading {
             monotonic: self.now(),
-            unix_us: i64::try_from(unix).unwrap_or(i64::MAX),
+            unix_us: i64::try_from(unix_us).unwrap_or(i64::MAX),
         }
     }
 }
--- a/src/transport/dispatcher/mod.rs
+++ b/src/transport/dispatcher/mod.rs
@@ -8,13 +8,14 @@
 )]
 
 use crate::protocol::admin::Figures;
+use crate::routing::cross_zone::{MinuteCount, RequestGroup, TotalCount};
 use crate::routing::directory::{EndpointChange, EndpointDirectory};
-use crate::routing::{MonotonicMicros, RequestRouter, RouterCommand, RouterEvent};
+use crate::routing::{MonotonicMicros, ReplicaStatus, RequestRouter, RouterCommand, RouterEvent};
 use crate::transport::clock::Clock;
 use crate::transport::discovery::Watch;
 use crate::transport::messages::{
-    ClientResponse, CrossZoneMinute, DispatcherMessage, Replica, RequestOwner, RequestPayload,
-    StreamChunk, ENDPOINT_LIST_SOURCE,
+    ClientResponse, CrossZoneMinute, DispatcherMessage, RequestOwner, RequestPayload, StreamChunk,
+    ENDPOINT_LIST_SOURCE,
 };
 use crate::transport::upstream::{AttemptRequest, Upstream};
 use poppykeel_endpoints::Told;
@@ -41,7 +42,7 @@
     /// The class's wish for the time between tokens, in microseconds.
     token_aim: Option<MonotonicMicros>,
     /// Its class and its tenant.
-    of: (usize, usize),
+    of: RequestGroup,
     answer: oneshot::Sender<ClientResponse>,
 }
 
@@ -97,10 +98,7 @@
         // list with its first request only, and that one would wait for it.
         hub.router.handle_event(
             now,
-            RouterEvent::List {
-                list: Vec::new(),
-                full: false,
-            },
+            RouterEvent::EndpointsChanged(Vec::new()),
             &mut hub.commands,
         );
         if let Some(told) = known {
@@ -184,7 +182,10 @@
                     .map(|c| c.inter_token_objective * 1e6)
                     .filter(|aim| aim.is_finite());
                 let token_aim = token_aim.map(|aim| aim as MonotonicMicros);
-                let of = (arrival.class, arrival.tenant);
+                let of = RequestGroup {
+                    class: arrival.class,
+                    tenant: arrival.tenant,
+                };
                 let payload = Rc::new(payload);
                 self.clients.insert(
                     arrival.id,
@@ -234,23 +235,19 @@
                 return;
             }
             DispatcherMessage::ReplicaStatuses(told) => {
-                let all = self.router.replica_statuses().into_iter().filter_map(
-                    |(id, ejected, well_since)| {
-                        Some((
-                            self.directory.name(id)?.to_string(),
-                            Replica {
-                                ejected,
-                                well_since,
-                            },
-                        ))
-                    },
-                );
+                let all = self
+                    .router
+                    .replica_statuses()
+                    .into_iter()
+                    .filter_map(|status| {
+                        Some((self.directory.name(status.replica)?.to_string(), status))
+                    });
                 let _ = told.send(all.collect());
                 return;
             }
             DispatcherMessage::OutlierAdvice(advice) => {
                 // A name that is not on this node's list adds nothing.
-                for (replica, ..) in self.router.replica_statuses() {
+                for ReplicaStatus { replica, .. } in self.router.replica_statuses() {
                     let verdict = advice
                         .iter()
                         .find(|(name, _)| self.directory.name(replica) == Some(name));
@@ -346,11 +343,8 @@
             .filter(|l| l.state != EndpointState::Available)
             .map(|l| l.id)
             .collect();
-        self.router.handle_event(
-            now,
-            RouterEvent::List { list, full: false },
-            &mut self.commands,
-        );
+        self.router
+            .handle_event(now, RouterEvent::EndpointsChanged(list), &mut self.commands);
         self.recall(now, leaving);
         self.carry_out(now);
     }
@@ -401,6 +395,7 @@
         let mut replies: Vec<(String, [u64; 3])> = Vec::new();
         for (class, name) in self.upstream.boot.names.classes.iter().enumerate() {
             let counts = self.router.response_counts(class);
+            let counts = [counts.completed, counts.rejected, counts.failed];
             match replies.iter_mut().find(|known| known.0 == *name) {
                 Some((_, sum)) => sum
                     .iter_mut()
@@ -418,28 +413,34 @@
             crossings: self.crossings(),
             reloads: (0, 0),
             fleet: Vec::new(),
-            attempt_ends: self.router.failed_attempt_counts(),
+            attempt_ends: (self.router.failed_attempt_counts().into_iter())
+                .map(|counted| (counted.outcome, counted.count))
+                .collect(),
             closes: Vec::new(),
         }
     }
 
     /// A row of the account of crossings with names in place of the module's numbers.
-    fn named(&self, (minute, class, tenant, count): (u64, usize, usize, u64)) -> CrossZoneMinute {
+    fn named(&self, row: MinuteCount) -> CrossZoneMinute {
         let names = &self.upstream.boot.names;
         let name = |all: &[String], n: usize| all.get(n).cloned().unwrap_or_default();
         CrossZoneMinute {
-            minute,
-            class: name(&names.classes, class),
-            tenant: name(&names.tenants, tenant),
-            count,
+            minute: row.minute,
+            class: name(&names.classes, row.group.class),
+            tenant: name(&names.tenants, row.group.tenant),
+            count: row.count,
         }
     }
 
     /// Since the start, by class and tenant; a class whose settings have changed has had several places.
     fn crossings(&self) -> Vec<(String, String, u64)> {
         let mut sums: BTreeMap<(String, String), u64> = BTreeMap::new();
-        for (class, tenant, count) in self.upstream.cross_zone_traffic.borrow().totals() {
-            let row = self.named((0, class, tenant, count));
+        for TotalCount { group, count } in self.upstream.cross_zone_traffic.borrow().totals() {
+            let row = self.named(MinuteCount {
+                minute: 0,
+                group,
+                count,
+            });
             *sums.entry((row.class, row.tenant)).or_default() += count;
         }
         sums.into_iter()
@@ -448,14 +449,14 @@
     }
 
     fn sum_up(&self) {
-        let (c, (window, out)) = (self.router.counters(), self.router.window());
+        let (c, gauges) = (self.router.counters(), self.router.gauges());
         tracing::info!(
             uptime_s = self.clock.now() / 1_000_000,
-            window = (window * 10.0).round() / 10.0,
-            out,
-            waiting = ?self.router.queued_by_tenant(),
+            window = (gauges.concurrency_limit * 10.0).round() / 10.0,
+            out = gauges.in_flight,
+            waiting = ?gauges.queued_by_tenant,
             live = self.router.active_count(),
-            replicas = self.router.replicas(),
+            replicas = gauges.replica_count,
             connections = self.upstream.pool.open(),
             arrived = c.arrived,
             served = c.completed,
@@ -616,7 +617,12 @@
         } => {
             tracing::debug!(replica = %replica.0, ?outcome, ?report, "probed");
         }
-        RouterEvent::List { list, full } => tracing::debug!(entries = list.len(), full, "list"),
+        RouterEvent::EndpointsReplaced(list) => {
+            tracing::debug!(entries = list.len(), full = true, "list");
+        }
+        RouterEvent::EndpointsChanged(list) => {
+            tracing::debug!(entries = list.len(), full = false, "list");
+        }
         RouterEvent::OutlierAdvice {
             replica,
             is_healthy: well,
--- a/src/transport/fleet/trials.rs
+++ b/src/transport/fleet/trials.rs
@@ -4,8 +4,8 @@
 #![expect(clippy::min_ident_chars, reason = "not yet converted")]
 
 use super::Fleet;
-use crate::routing::MonotonicMicros;
-use crate::transport::messages::{DispatcherMessage, Replica};
+use crate::routing::{MonotonicMicros, ReplicaStatus};
+use crate::transport::messages::DispatcherMessage;
 use poppykeel_coordination::envelope::Body;
 use poppykeel_coordination::trials::{self, Charge, Own, Standing, MOST_NAMES};
 use std::cell::{Cell, RefCell};
@@ -33,15 +33,15 @@
     pub(super) advised: Cell<(u64, u64)>,
 }
 
-fn standing(replica: &Replica) -> Standing {
+fn standing(replica: &ReplicaStatus) -> Standing {
     Standing {
-        ejected: replica.ejected,
-        well_since: replica.well_since,
+        ejected: replica.is_ejected,
+        well_since: replica.last_success_at,
     }
 }
 
 impl Fleet {
-    async fn replicas(&self) -> BTreeMap<String, Replica> {
+    async fn replicas(&self) -> BTreeMap<String, ReplicaStatus> {
         let (ask, told) = oneshot::channel();
         if self
             .tell
@@ -71,7 +71,7 @@
                 let own = self.clone();
                 spawn_local(async move {
                     let replicas = own.replicas().await;
-                    let ejected = |name: &str| replicas.get(name).is_some_and(|r| r.ejected);
+                    let ejected = |name: &str| replicas.get(name).is_some_and(|r| r.is_ejected);
                     let now = own.uptime();
                     let advice = own
                         .trials
@@ -101,7 +101,10 @@
         loop {
             tokio::time::sleep(STEP).await;
             let replicas = self.replicas().await;
-            let ejected = replicas.iter().filter(|r| r.1.ejected).map(|r| r.0.clone());
+            let ejected = replicas
+                .iter()
+                .filter(|r| r.1.is_ejected)
+                .map(|r| r.0.clone());
             let ejected: Vec<String> = ejected.take(MOST_NAMES).collect();
             let now = self.uptime();
             let Some(epoch) = self.may_act(TASK) else {
--- a/src/transport/handover.rs
+++ b/src/transport/handover.rs
@@ -9,7 +9,7 @@
 
 use super::clock::Clock;
 use super::messages::DispatcherMessage;
-use crate::routing::learned_state::{self, MAX_RECORD_BYTES};
+use crate::routing::learned_state::{self, ProcessToken, MAX_RECORD_BYTES};
 use poppykeel_site_settings::SiteSettings;
 use std::cell::Cell;
 use std::fs;
@@ -131,7 +131,12 @@
     }
 
     async fn take(&self, bytes: &[u8]) {
-        match learned_state::decode(bytes, self.me, self.unix_ms(), &self.boot.names) {
+        match learned_state::decode(
+            bytes,
+            ProcessToken(self.me),
+            self.unix_ms(),
+            &self.boot.names,
+        ) {
             Ok(memory) => {
                 let (requests, sessions) = (memory.requests_seen, memory.sessions.len());
                 tracing::info!(requests, sessions, "learned from the process before");
@@ -159,7 +164,12 @@
         else {
             return;
         };
-        let bytes = learned_state::encode(self.me, self.unix_ms(), &self.boot.names, memory);
+        let bytes = learned_state::encode(
+            ProcessToken(self.me),
+            self.unix_ms(),
+            &self.boot.names,
+            memory,
+        );
         let draft = self.path(&format!("{:016x}", self.me));
         let left: io::Result<()> =
             fs::write(&draft, bytes).and_then(|()| fs::rename(&draft, self.path("learned")));
--- a/src/transport/messages.rs
+++ b/src/transport/messages.rs
@@ -2,7 +2,7 @@
 
 use crate::protocol::admin::Figures;
 use crate::routing::directory::EndpointSourceSettings;
-use crate::routing::{MonotonicMicros, RouterEvent};
+use crate::routing::{MonotonicMicros, ReplicaStatus, RouterEvent};
 use bytes::Bytes;
 use poppykeel_endpoints::Told;
 use poppykeel_scheduler::interface::{
@@ -41,15 +41,6 @@
     },
 }
 
-/// How a replica stands with this node's module.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Replica {
-    /// It gets trials only.
-    pub ejected: bool,
-    /// Nothing has failed there since its last answer, and that came at this time of the node's clock.
-    pub well_since: Option<MonotonicMicros>,
-}
-
 /// Attempts that went to another zone in one minute.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize)]
 pub struct CrossZoneMinute {
@@ -111,7 +102,7 @@
     /// New settings of the account of membership.
     SetEndpointSources(EndpointSourceSettings),
     /// How each replica stands, by name.
-    ReplicaStatuses(oneshot::Sender<BTreeMap<String, Replica>>),
+    ReplicaStatuses(oneshot::Sender<BTreeMap<String, ReplicaStatus>>),
     /// Another node of the fleet tries ejected replicas for all: whether it found them well.
     OutlierAdvice(Vec<(String, bool)>),
     /// What the fleet allows this node from now on.
--- a/src/transport/upstream.rs
+++ b/src/transport/upstream.rs
@@ -17,7 +17,7 @@
 use crate::protocol::http::{Out, Part, Start};
 use crate::protocol::report::{probed, report};
 use crate::protocol::request;
-use crate::routing::cross_zone::CrossZoneTraffic;
+use crate::routing::cross_zone::{CrossZoneTraffic, RequestGroup};
 use crate::routing::{MonotonicMicros, RouterEvent};
 use bytes::{Buf, Bytes};
 use futures_util::{SinkExt, StreamExt};
@@ -70,7 +70,7 @@
     /// The class's wish for the time between tokens, in microseconds.
     pub inter_token_objective: Option<MonotonicMicros>,
     /// Its class and tenant, where the replica is in another zone.
-    pub crosses: Option<(usize, usize)>,
+    pub crosses: Option<RequestGroup>,
     /// What is sent.
     pub payload: Rc<RequestPayload>,
     /// Set when the first byte is about to be written; until then it can be called back as if never sent.
@@ -130,12 +130,10 @@
             return (AttemptOutcome::ConnectFailed, None, None);
         }
         self.written.set(self.written.get() + 1);
-        if let Some((class, tenant)) = job.crosses {
-            self.cross_zone_traffic.borrow_mut().record(
-                self.clock.reading().unix_us,
-                class,
-                tenant,
-            );
+        if let Some(group) = job.crosses {
+            self.cross_zone_traffic
+                .borrow_mut()
+                .record(self.clock.reading().unix_us, group);
         }
         let mut answer = Answer::new(self.boot.clone());
         let mut steps = Vec::new();
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -1,12 +1,7 @@
-//! What one process of a node leaves to the next: what of it is believed, what the module makes of it, and two processes
+//! What one process of a node leaves to the next: when a record is used, what the scheduler makes of it, and two processes
 //! side by side.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
-#![expect(
-    clippy::min_ident_chars,
-    clippy::too_many_lines,
-    reason = "not yet converted"
-)]
 
 #[allow(dead_code)] // each file of tests uses a part
 #[path = "../crates/scheduler/tests/support/rig.rs"]
@@ -14,16 +9,25 @@
 #[allow(dead_code)] // the rest is for tests of streams
 mod support;
 
-use poppykeel::routing::learned_state::{decode, encode, LearnedStateError};
-use poppykeel_scheduler::interface::*;
+use poppykeel::routing::learned_state::{decode, encode, LearnedStateError, ProcessToken};
+use poppykeel_scheduler::interface::{
+    AttemptOutcome, Event, IncomingRequest, LearnedState, LoadReport, RequestId,
+};
 use poppykeel_site_settings::SiteNames;
 use poppykeel_stub_model_server::{Outcome as Seen, Script, Standin};
-use proptest::prelude::*;
-use rig::*;
+use proptest::prelude::{any, prop_assert, proptest};
+use rig::{request, sends, settings, Rig};
 use std::process::Command;
 use std::time::{Duration, Instant};
 use support::{ask, Node};
 
+/// The process that writes the records, and the one that reads them.
+const WRITER: ProcessToken = ProcessToken(1);
+const READER: ProcessToken = ProcessToken(2);
+
+/// When records are written, in milliseconds of Unix time.
+const NOW_MS: i64 = 1_000_000;
+
 fn names() -> SiteNames {
     SiteNames {
         host_types: vec!["k".into()],
@@ -32,76 +36,86 @@
     }
 }
 
-fn memory() -> LearnedState {
-    let place = (7, "10.0.0.1:80".parse().unwrap(), 800.0);
+fn learned() -> LearnedState {
+    let session = (7, "10.0.0.1:80".parse().unwrap(), 800.0);
     LearnedState {
         requests_seen: 9,
         mean_service_time: 1.0,
-        sessions: vec![place],
+        sessions: vec![session],
         prefill_times: vec![(0, 4.0, 0.3)],
         ..LearnedState::default()
     }
 }
 
+/// Values that no traffic can have taught.
+fn implausible() -> [LearnedState; 4] {
+    [
+        LearnedState {
+            mean_time_to_first_token: f64::NAN,
+            ..learned()
+        },
+        LearnedState {
+            concurrency_per_replica: -1.0,
+            ..learned()
+        },
+        LearnedState {
+            prefill_times: vec![(0, 1.0, 1e6)],
+            ..learned()
+        },
+        LearnedState {
+            cache_hit_rates: [2.0; 3],
+            ..learned()
+        },
+    ]
+}
+
 #[test]
-fn a_record_is_believed_for_a_short_time_by_another_process_of_the_same_site_alone() {
-    let (now, names) = (1_000_000, names());
-    let bytes = encode(1, now, &names, memory());
-    assert_eq!(decode(&bytes, 2, now + 9_000, &names), Ok(memory()));
+fn uses_a_record_only_while_it_is_fresh_and_of_another_process_of_the_same_site() {
+    let names = names();
+    let bytes = encode(WRITER, NOW_MS, &names, learned());
+    let read_at = |unix_ms| decode(&bytes, READER, unix_ms, &names);
+    assert_eq!(read_at(NOW_MS + 9_000), Ok(learned()));
     assert_eq!(
-        decode(&bytes, 1, now, &names),
+        decode(&bytes, WRITER, NOW_MS, &names),
         Err(LearnedStateError::WrittenByThisProcess)
     );
     assert_eq!(
-        decode(&bytes, 2, now + 11_000, &names),
+        read_at(NOW_MS + 11_000),
         Err(LearnedStateError::AgeOutOfRange(11_000))
     );
     assert_eq!(
-        decode(&bytes, 2, now - 2_000, &names),
+        read_at(NOW_MS - 2_000),
         Err(LearnedStateError::AgeOutOfRange(-2_000))
     );
-    let other = SiteNames {
+    let other_site = SiteNames {
         host_types: vec!["other".into()],
         ..names.clone()
     };
     assert_eq!(
-        decode(&bytes, 2, now, &other),
+        decode(&bytes, READER, NOW_MS, &other_site),
         Err(LearnedStateError::DifferentSite)
     );
-    let absurd = [
-        LearnedState {
-            mean_time_to_first_token: f64::NAN,
-            ..memory()
-        },
-        LearnedState {
-            concurrency_per_replica: -1.0,
-            ..memory()
-        },
-        LearnedState {
-            prefill_times: vec![(0, 1.0, 1e6)],
-            ..memory()
-        },
-        LearnedState {
-            cache_hit_rates: [2.0; 3],
-            ..memory()
-        },
-    ];
-    for memory in absurd {
+    for learned in implausible() {
         assert_eq!(
-            decode(&encode(1, now, &names, memory), 2, now, &names),
+            decode(
+                &encode(WRITER, NOW_MS, &names, learned),
+                READER,
+                NOW_MS,
+                &names
+            ),
             Err(LearnedStateError::Implausible)
         );
     }
     for at in 0..bytes.len() {
         assert_eq!(
-            decode(&bytes[..at], 2, now, &names),
+            decode(&bytes[..at], READER, NOW_MS, &names),
             Err(LearnedStateError::Malformed),
             "cut at {at}"
         );
-        let mut bad = bytes.clone();
-        bad[at] ^= 0x10;
+        let mut damaged = bytes.clone();
+        damaged[at] ^= 0x10;
         assert_eq!(
-            decode(&bad, 2, now, &names),
+            decode(&damaged, READER, NOW_MS, &names),
             Err(LearnedStateError::Malformed),
             "{at}"
         );
@@ -110,69 +124,111 @@
 
 proptest! {
     #[test]
-    fn bytes_from_anywhere_are_no_record(bytes in proptest::collection::vec(any::<u8>(), 0..400)) {
-        prop_assert!(decode(&bytes, 2, 0, &names()).is_err());
+    fn refuses_arbitrary_bytes_as_a_record(bytes in proptest::collection::vec(any::<u8>(), 0..400)) {
+        prop_assert!(decode(&bytes, READER, 0, &names()).is_err());
     }
 }
 
-/// A router that takes over sends a session's next turn where the one before it sent the last, and lets as many
-/// requests out; without what was handed over it does neither.
-#[test]
-fn a_router_goes_on_where_the_one_before_it_was() {
-    let turn = |n: u64, session: u64| IncomingRequest {
+fn turn_of_session(number: u64, session: u64) -> IncomingRequest {
+    IncomingRequest {
         session: Some(session),
-        ..request(n, 0, 0, 30.0)
-    };
-    let mut old = Rig::new(settings(), 8);
-    for n in 1..=400 {
-        let sent = sends(&old.tell(Event::RequestArrived(turn(n, n % 40))));
+        ..request(number, 0, 0, 30.0)
+    }
+}
+
+/// A router that has served ten turns of each of 40 sessions on eight replicas.
+fn router_after_400_requests() -> Rig {
+    let mut router = Rig::new(settings(), 8);
+    for number in 1..=400 {
+        let turn = turn_of_session(number, number % 40);
+        let sent = sends(&router.tell(Event::RequestArrived(turn)));
         assert_eq!(sent.len(), 1);
-        old.now += 0.05;
-        old.start(n, 0.05);
+        router.now += 0.05;
+        router.start(number, 0.05);
         let report = LoadReport {
             cached_prompt_tokens: Some(700.0),
             ..LoadReport::default()
         };
-        let (request, outcome) = (RequestId(n), AttemptOutcome::Completed);
-        old.tell(Event::AttemptEnded {
-            request,
+        router.tell(Event::AttemptEnded {
+            request: RequestId(number),
             attempt: 0,
-            outcome,
+            outcome: AttemptOutcome::Completed,
             is_request_finished: true,
             report: Some(report),
         });
     }
-    let memory = old.brain.export_learned_state();
+    router
+}
+
+fn concurrency_limit(router: &Rig) -> f64 {
+    router.brain.gauges().0
+}
+
+/// Sends one turn of each learned session; counts those that go where the session's last turn went.
+fn count_sessions_at_their_replica(router: &mut Rig, learned: &LearnedState) -> usize {
+    let mut count = 0;
+    for (index, (session, replica, _)) in learned.sessions.iter().enumerate() {
+        let number = 1000 + index as u64;
+        let turn = turn_of_session(number, *session);
+        let sent = sends(&router.tell(Event::RequestArrived(turn)));
+        router.end(number, 0, AttemptOutcome::Completed, true);
+        if sent
+            .first()
+            .is_some_and(|(_, sent_to)| sent_to.0 == *replica)
+        {
+            count += 1;
+        }
+    }
+    count
+}
+
+/// A router that takes over sends a session's next turn where the one before it sent the last, and lets as many
+/// requests out; without the learned state it does neither.
+#[test]
+fn a_new_router_goes_on_where_the_previous_one_was() {
+    let old = router_after_400_requests();
+    let learned = old.brain.export_learned_state();
     assert!(
-        memory.is_plausible() && memory.sessions.len() == 40,
-        "{memory:?}"
+        learned.is_plausible() && learned.sessions.len() == 40,
+        "{learned:?}"
     );
-    let same = |recall: bool| {
-        let mut new = Rig::new(settings(), 8);
-        if recall {
-            new.brain.import_learned_state(&memory);
-        }
-        let places = memory
-            .sessions
-            .iter()
-            .enumerate()
-            .filter(|(n, (session, at, _))| {
-                let n = 1000 + *n as u64;
-                let sent = sends(&new.tell(Event::RequestArrived(turn(n, *session))));
-                new.end(n, 0, AttemptOutcome::Completed, true);
-                sent.first().is_some_and(|s| s.1 .0 == *at)
-            });
-        (places.count(), new.brain.gauges().0)
-    };
-    let (with, without) = (same(true), same(false));
-    assert!(with.0 >= 36 && without.0 < 30, "{with:?} {without:?}");
+    let mut with_state = Rig::new(settings(), 8);
+    with_state.brain.import_learned_state(&learned);
+    let count_with = count_sessions_at_their_replica(&mut with_state, &learned);
+    let mut without_state = Rig::new(settings(), 8);
+    let count_without = count_sessions_at_their_replica(&mut without_state, &learned);
+    assert!(
+        count_with >= 36 && count_without < 30,
+        "{count_with} {count_without}"
+    );
+    let new_limit = concurrency_limit(&with_state);
+    let old_limit = concurrency_limit(&old);
     assert!(
-        (with.1 - old.brain.gauges().0).abs() < 60.0,
-        "{with:?} {}",
-        old.brain.gauges().0
+        (new_limit - old_limit).abs() < 60.0,
+        "{new_limit} {old_limit}"
     );
 }
 
+/// Waits until a node has imported so many records, and returns its log.
+fn log_after_imports(node: &Node, count: usize) -> String {
+    let started_at = Instant::now();
+    loop {
+        let log = node.log.lock().unwrap().join("\n");
+        let import_count = log.matches("learned from the process before").count();
+        if import_count >= count {
+            return log;
+        }
+        assert!(started_at.elapsed() < Duration::from_secs(10), "{log}");
+        std::thread::sleep(Duration::from_millis(20));
+    }
+}
+
+fn serve_one(node: &Node) {
+    let (id, mut stream) = ask(node, "once more", 5);
+    let served = support::read(id, "once more", 5, &mut stream);
+    assert_eq!(served.outcome, Seen::Whole);
+}
+
 /// The new process asks, the old one leaves what it has learned, and once more when it is told to end.
 #[test]
 fn a_second_process_learns_from_the_first_one() {
@@ -185,40 +241,24 @@
     std::fs::create_dir_all(&folder).unwrap();
     let operator = format!("[handover]\nfolder = {:?}\n", folder.display().to_string());
     let mut old = Node::start("hand-old", server.addrs(), &operator, "safe");
-    let serve = |node: &Node| {
-        let (id, mut stream) = ask(node, "once more", 5);
-        assert_eq!(
-            support::read(id, "once more", 5, &mut stream).outcome,
-            Seen::Whole
-        );
-    };
-    (0..20).for_each(|_| serve(&old));
+    for _ in 0..20 {
+        serve_one(&old);
+    }
     let new = Node::process(
         "hand-new",
         server.addrs(),
         [&operator, "safe", "127.0.0.1:1"],
         Some(old.addr),
     );
-    let learned = |count: usize| {
-        let began = Instant::now();
-        loop {
-            let log = new.log.lock().unwrap().join("\n");
-            if log.matches("learned from the process before").count() >= count {
-                return log;
-            }
-            assert!(began.elapsed() < Duration::from_secs(10), "{log}");
-            std::thread::sleep(Duration::from_millis(20));
-        }
-    };
-    assert!(learned(1).contains("\"requests\":20"));
+    assert!(log_after_imports(&new, 1).contains("\"requests\":20"));
     assert!(Command::new("kill")
         .args(["-TERM", &old.child.id().to_string()])
         .status()
         .unwrap()
         .success());
     assert!(old.child.wait().unwrap().success());
-    learned(2);
-    serve(&new);
+    log_after_imports(&new, 2);
+    serve_one(&new);
     drop(new);
     std::fs::remove_dir_all(folder).unwrap();
 }
--- a/tests/routing.rs
+++ b/tests/routing.rs
@@ -1,51 +1,62 @@
-//! The core with fed time: events in, commands out, no socket.
+//! The request router with given times: events in, commands out, no socket.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
-#![expect(
-    clippy::min_ident_chars,
-    clippy::semicolon_if_nothing_returned,
-    reason = "not yet converted"
-)]
 
+use poppykeel::routing::cross_zone::{CrossZoneTraffic, MinuteCount, RequestGroup, TotalCount};
 use poppykeel::routing::directory::replica_id;
 use poppykeel::routing::{MonotonicMicros, RequestRouter, RouterCommand, RouterEvent};
-use poppykeel_scheduler::interface::*;
+use poppykeel_scheduler::interface::{
+    AttemptOutcome, Endpoint, EndpointState, IncomingRequest, RequestId, Seconds,
+};
 use poppykeel_scheduler::Scheduler;
 use poppykeel_site_settings::SiteSettings;
+use std::collections::BTreeSet;
 
-const R: RequestId = RequestId(1);
+const REQUEST: RequestId = RequestId(1);
 
-fn router() -> RequestRouter {
+const BIND_FIRST_ATTEMPT: RouterCommand = RouterCommand::BindStream {
+    request: REQUEST,
+    attempt: 0,
+};
+
+const ABANDON_FIRST_ATTEMPT: RouterCommand = RouterCommand::AbandonAttempt {
+    request: REQUEST,
+    attempt: 0,
+};
+
+/// A router that knows one replica.
+fn router_with_one_replica() -> RequestRouter {
     let config: serde_json::Value =
         serde_json::from_str(include_str!("exchanges/config.json")).unwrap();
-    let boot = SiteSettings::parse(&config["settings"].to_string()).unwrap();
-    let mut router = RequestRouter::new(Scheduler::new(boot.scheduler, 1).unwrap());
-    let (id, state) = (replica_id("s-1"), EndpointState::Available);
-    let list = vec![Endpoint {
-        id,
+    let site = SiteSettings::parse(&config["settings"].to_string()).unwrap();
+    let mut router = RequestRouter::new(Scheduler::new(site.scheduler, 1).unwrap());
+    let endpoints = vec![Endpoint {
+        id: replica_id("s-1"),
         zone: 0,
         cell: 0,
         host_type: 0,
-        state,
+        state: EndpointState::Available,
         capacity_weight: None,
         started_at: None,
     }];
-    router.handle_event(0, RouterEvent::List { list, full: true }, &mut Vec::new());
+    let event = RouterEvent::EndpointsReplaced(endpoints);
+    router.handle_event(0, event, &mut Vec::new());
     router
 }
 
-fn tell(
+fn handle(
     router: &mut RequestRouter,
     now: MonotonicMicros,
-    input: RouterEvent,
+    event: RouterEvent,
 ) -> Vec<RouterCommand> {
-    let mut out = Vec::new();
-    router.handle_event(now, input, &mut out);
-    out
+    let mut commands = Vec::new();
+    router.handle_event(now, event, &mut commands);
+    commands
 }
 
+/// A request arrives after one millisecond.
 fn arrive(router: &mut RequestRouter, id: RequestId, time_left: Seconds) -> Vec<RouterCommand> {
-    let arrival = IncomingRequest {
+    let request = IncomingRequest {
         id,
         class: 0,
         tenant: 0,
@@ -58,20 +69,25 @@
         max_output_tokens: 10,
         is_client_retry: false,
     };
-    tell(router, 1_000, RouterEvent::RequestArrived(arrival))
+    handle(router, 1_000, RouterEvent::RequestArrived(request))
 }
 
-fn run_to(router: &mut RequestRouter, end: MonotonicMicros) -> Vec<RouterCommand> {
-    let mut out = Vec::new();
-    while let Some(due) = router.next_timer().filter(|d| *d <= end) {
-        router.on_timer(due, &mut out);
+/// Runs all timers that are due up to this time.
+fn run_timers_until(router: &mut RequestRouter, end: MonotonicMicros) -> Vec<RouterCommand> {
+    let mut commands = Vec::new();
+    while let Some(due_at) = router.next_timer().filter(|due_at| *due_at <= end) {
+        router.on_timer(due_at, &mut commands);
     }
-    out
+    commands
 }
 
-fn ended(attempt: usize, outcome: AttemptOutcome) -> RouterEvent {
+fn first_token(request: RequestId, attempt: usize) -> RouterEvent {
+    RouterEvent::FirstToken { request, attempt }
+}
+
+fn attempt_ended(attempt: usize, outcome: AttemptOutcome) -> RouterEvent {
     RouterEvent::AttemptEnded {
-        request: R,
+        request: REQUEST,
         attempt,
         outcome,
         report: None,
@@ -79,73 +95,48 @@
 }
 
 #[test]
-fn the_first_event_binds_and_stops_the_deadline() {
-    let mut router = router();
-    let sent = arrive(&mut router, R, 1.0);
+fn binds_the_stream_and_lifts_the_deadline_at_the_first_token() {
+    let mut router = router_with_one_replica();
+    let started = arrive(&mut router, REQUEST, 1.0);
     assert!(
         matches!(
-            sent[..],
+            started[..],
             [RouterCommand::StartAttempt {
                 deadline: 1_001_000,
                 ..
             }]
         ),
-        "{sent:?}"
-    );
-    let first = tell(
-        &mut router,
-        900_000,
-        RouterEvent::FirstToken {
-            request: R,
-            attempt: 0,
-        },
+        "{started:?}"
     );
-    assert_eq!(
-        first,
-        [RouterCommand::BindStream {
-            request: R,
-            attempt: 0
-        }]
-    );
-    let later = run_to(&mut router, 9_000_000);
+    let bound = handle(&mut router, 900_000, first_token(REQUEST, 0));
+    assert_eq!(bound, [BIND_FIRST_ATTEMPT]);
+    let later = run_timers_until(&mut router, 9_000_000);
     assert!(
-        later.iter().all(|c| *c == RouterCommand::WatchEndpoints),
+        later
+            .iter()
+            .all(|command| *command == RouterCommand::WatchEndpoints),
         "{later:?}"
     );
-    tell(&mut router, 9_000_000, ended(0, AttemptOutcome::Completed));
+    let end = attempt_ended(0, AttemptOutcome::Completed);
+    handle(&mut router, 9_000_000, end);
     assert_eq!((router.active_count(), router.counters().completed), (0, 1));
 }
 
 #[test]
-fn a_request_without_an_answer_is_abandoned_and_refused_at_its_deadline() {
-    let mut router = router();
-    arrive(&mut router, R, 1.0);
-    let out = run_to(&mut router, 1_050_000);
-    assert!(
-        out.contains(&RouterCommand::AbandonAttempt {
-            request: R,
-            attempt: 0
-        }),
-        "{out:?}"
-    );
-    assert_eq!(
-        out.iter()
-            .filter(|c| matches!(c, RouterCommand::Reject { .. }))
-            .count(),
-        1,
-        "{out:?}"
-    );
-    // What an abandoned attempt still says comes to nothing.
-    assert!(tell(
-        &mut router,
-        1_060_000,
-        RouterEvent::FirstToken {
-            request: R,
-            attempt: 0
-        }
-    )
-    .is_empty());
-    assert!(tell(&mut router, 1_060_000, ended(0, AttemptOutcome::Completed)).is_empty());
+fn abandons_and_rejects_a_request_without_a_first_token_at_its_deadline() {
+    let mut router = router_with_one_replica();
+    arrive(&mut router, REQUEST, 1.0);
+    let commands = run_timers_until(&mut router, 1_050_000);
+    assert!(commands.contains(&ABANDON_FIRST_ATTEMPT), "{commands:?}");
+    let rejection_count = commands
+        .iter()
+        .filter(|command| matches!(command, RouterCommand::Reject { .. }))
+        .count();
+    assert_eq!(rejection_count, 1, "{commands:?}");
+    // What an abandoned attempt still reports is ignored.
+    assert!(handle(&mut router, 1_060_000, first_token(REQUEST, 0)).is_empty());
+    let end = attempt_ended(0, AttemptOutcome::Completed);
+    assert!(handle(&mut router, 1_060_000, end).is_empty());
     assert_eq!(
         (
             router.active_count(),
@@ -157,31 +148,15 @@
 }
 
 #[test]
-fn a_client_that_leaves_takes_its_stream_along() {
-    let mut router = router();
-    arrive(&mut router, R, 1.0);
-    tell(
-        &mut router,
-        2_000,
-        RouterEvent::FirstToken {
-            request: R,
-            attempt: 0,
-        },
-    );
-    let out = tell(&mut router, 3_000, RouterEvent::ClientDisconnected(R));
-    assert_eq!(
-        out,
-        [RouterCommand::AbandonAttempt {
-            request: R,
-            attempt: 0
-        }]
-    );
-    assert!(tell(
-        &mut router,
-        4_000,
-        ended(0, AttemptOutcome::ConnectionReset)
-    )
-    .is_empty());
+fn abandons_the_stream_of_a_client_that_disconnects() {
+    let mut router = router_with_one_replica();
+    arrive(&mut router, REQUEST, 1.0);
+    handle(&mut router, 2_000, first_token(REQUEST, 0));
+    let disconnected = RouterEvent::ClientDisconnected(REQUEST);
+    let commands = handle(&mut router, 3_000, disconnected);
+    assert_eq!(commands, [ABANDON_FIRST_ATTEMPT]);
+    let end = attempt_ended(0, AttemptOutcome::ConnectionReset);
+    assert!(handle(&mut router, 4_000, end).is_empty());
     assert_eq!(
         (router.active_count(), router.counters().failed_attempts[5]),
         (0, 1)
@@ -189,121 +164,114 @@
 }
 
 #[test]
-fn a_broken_stream_ends_its_request_and_is_not_sent_again() {
-    let mut router = router();
-    arrive(&mut router, R, 1.0);
-    tell(
-        &mut router,
-        2_000,
-        RouterEvent::FirstToken {
-            request: R,
-            attempt: 0,
-        },
-    );
-    assert!(tell(
-        &mut router,
-        3_000,
-        ended(0, AttemptOutcome::ConnectionReset)
-    )
-    .is_empty());
+fn ends_a_request_whose_stream_broke_and_does_not_retry_it() {
+    let mut router = router_with_one_replica();
+    arrive(&mut router, REQUEST, 1.0);
+    handle(&mut router, 2_000, first_token(REQUEST, 0));
+    let end = attempt_ended(0, AttemptOutcome::ConnectionReset);
+    assert!(handle(&mut router, 3_000, end).is_empty());
     assert_eq!((router.active_count(), router.counters().broken), (0, 1));
 }
 
 #[test]
-fn an_id_used_again_has_no_timer_left_over() {
-    let mut router = router();
-    arrive(&mut router, R, 1.0);
-    tell(
-        &mut router,
-        2_000,
-        RouterEvent::FirstToken {
-            request: R,
-            attempt: 0,
-        },
-    );
-    tell(&mut router, 3_000, ended(0, AttemptOutcome::Completed));
-    arrive(&mut router, R, 9.0);
-    let out = run_to(&mut router, 2_000_000);
-    assert!(
-        !out.contains(&RouterCommand::AbandonAttempt {
-            request: R,
-            attempt: 0
-        }),
-        "{out:?}"
-    );
+fn leaves_no_timer_to_a_request_that_uses_an_id_again() {
+    let mut router = router_with_one_replica();
+    arrive(&mut router, REQUEST, 1.0);
+    handle(&mut router, 2_000, first_token(REQUEST, 0));
+    let end = attempt_ended(0, AttemptOutcome::Completed);
+    handle(&mut router, 3_000, end);
+    arrive(&mut router, REQUEST, 9.0);
+    let commands = run_timers_until(&mut router, 2_000_000);
+    assert!(!commands.contains(&ABANDON_FIRST_ATTEMPT), "{commands:?}");
 }
 
-/// The account of crossings: by minute, class and tenant, an hour of minutes, and all of it in the totals.
+/// The table holds an hour of minutes by class and tenant, the totals hold everything.
 #[test]
-fn crossings_are_counted_by_minute_and_the_oldest_minutes_leave_the_table_alone() {
-    let mut crossings = poppykeel::routing::cross_zone::CrossZoneTraffic::default();
+fn counts_cross_zone_traffic_by_minute_and_drops_only_the_oldest_minutes() {
+    const MINUTE_US: i64 = 60_000_000;
+    let class_0 = RequestGroup {
+        class: 0,
+        tenant: 1,
+    };
+    let class_1 = RequestGroup {
+        class: 1,
+        tenant: 0,
+    };
+    let mut traffic = CrossZoneTraffic::default();
     for minute in 0..70i64 {
-        (0..=minute % 3).for_each(|n| crossings.record(minute * 60_000_000 + n, 0, 1));
-        crossings.record(minute * 60_000_000 + 59_999_999, 1, 0);
+        for offset in 0..=minute % 3 {
+            traffic.record(minute * MINUTE_US + offset, class_0);
+        }
+        traffic.record(minute * MINUTE_US + 59_999_999, class_1);
     }
-    let rows: Vec<_> = crossings.by_minute().collect();
-    assert_eq!(
-        (rows.len(), rows[0], rows[1]),
-        (120, (10, 0, 1, 2), (10, 1, 0, 1))
-    );
-    assert_eq!(
-        crossings.totals().collect::<Vec<_>>(),
-        [(0, 1, 139), (1, 0, 70)]
-    );
+    let rows: Vec<_> = traffic.by_minute().collect();
+    assert_eq!(rows.len(), 120);
+    let first_rows = [(class_0, 2), (class_1, 1)].map(|(group, count)| MinuteCount {
+        minute: 10,
+        group,
+        count,
+    });
+    assert_eq!(rows[..2], first_rows);
+    let totals = [(class_0, 139), (class_1, 70)].map(|(group, count)| TotalCount { group, count });
+    assert_eq!(traffic.totals().collect::<Vec<_>>(), totals);
     // A clock set back by a year begins its minutes anew, and the table stays bounded.
-    (0..5).for_each(|n| crossings.record(n * 60_000_000, 0, 0));
-    assert!(
-        crossings
-            .by_minute()
-            .map(|r| r.0)
-            .collect::<std::collections::BTreeSet<_>>()
-            .len()
-            <= 60
-    );
+    let group = RequestGroup {
+        class: 0,
+        tenant: 0,
+    };
+    for minute in 0..5 {
+        traffic.record(minute * MINUTE_US, group);
+    }
+    let minutes: BTreeSet<u64> = traffic.by_minute().map(|row| row.minute).collect();
+    assert!(minutes.len() <= 60);
 }
 
-/// A node that ends: whoever waits is answered once by the time given, whether sent, held since all room is taken, or yet to
-/// come, and a stream goes on.
-#[test]
-fn all_who_wait_are_answered_by_the_time_at_which_the_node_ends() {
-    const WAITING: u64 = 60;
-    let streams = RequestId(1_000);
-    let mut router = router();
-    arrive(&mut router, streams, 60.0);
-    tell(
-        &mut router,
-        2_000,
-        RouterEvent::FirstToken {
-            request: streams,
-            attempt: 0,
-        },
-    );
-    let mut sent = Vec::new();
-    let mut answered = Vec::new();
-    let mut note = |out: &[RouterCommand]| {
-        for command in out {
+/// What the commands of one router have done to requests.
+#[derive(Default)]
+struct CommandLog {
+    started: Vec<RequestId>,
+    answered: Vec<RequestId>,
+}
+
+impl CommandLog {
+    /// Notes these commands; the request that streams must not be abandoned.
+    fn note(&mut self, commands: &[RouterCommand], streaming: RequestId) {
+        for command in commands {
             match command {
-                RouterCommand::StartAttempt { request, .. } => sent.push(*request),
+                RouterCommand::StartAttempt { request, .. } => self.started.push(*request),
                 RouterCommand::Reject { request, .. } | RouterCommand::Fail { request } => {
-                    answered.push(*request)
+                    self.answered.push(*request);
                 }
-                RouterCommand::AbandonAttempt { request, .. } => assert_ne!(*request, streams),
+                RouterCommand::AbandonAttempt { request, .. } => assert_ne!(*request, streaming),
                 _ => {}
             }
         }
-    };
+    }
+}
+
+/// Whoever waits is answered once by the given time, whether sent, queued since no capacity is left, or yet to come, and a
+/// stream goes on.
+#[test]
+fn answers_every_waiting_request_by_the_answer_deadline_of_a_shutdown() {
+    const WAITING: u64 = 60;
+    let streaming = RequestId(1_000);
+    let mut router = router_with_one_replica();
+    arrive(&mut router, streaming, 60.0);
+    handle(&mut router, 2_000, first_token(streaming, 0));
+    let mut log = CommandLog::default();
     for number in 1..=WAITING {
-        note(&arrive(&mut router, RequestId(number), 60.0));
+        log.note(&arrive(&mut router, RequestId(number), 60.0), streaming);
     }
     router.set_answer_deadline(3_500_000);
-    note(&arrive(&mut router, RequestId(WAITING + 1), 60.0));
-    note(&run_to(&mut router, 3_550_000));
-    assert!(sent.len() < WAITING as usize, "some are held");
+    let late = arrive(&mut router, RequestId(WAITING + 1), 60.0);
+    log.note(&late, streaming);
+    log.note(&run_timers_until(&mut router, 3_550_000), streaming);
+    assert!(log.started.len() < WAITING as usize, "some are queued");
     // What was due later must find nothing left.
-    run_to(&mut router, 60_000_000);
-    answered.sort();
+    run_timers_until(&mut router, 60_000_000);
+    log.answered.sort();
     assert_eq!(
-        answered,
+        log.answered,
         (1..=WAITING + 1).map(RequestId).collect::<Vec<_>>()
     );
 }
