--- a/src/program/serve.rs
+++ b/src/program/serve.rs
@@ -21,7 +21,8 @@
 use crate::transport::fleet::Fleet;
 use crate::transport::handover::Handover;
 use crate::transport::listener::accept;
-use crate::transport::messages::{DispatcherMessage, NodePhase};
+use crate::transport::messages::DispatcherMessage;
+use crate::transport::node_phase::NodePhase;
 use crate::transport::pool::Pool;
 use crate::transport::shutdown::FINAL_ANSWERS;
 use crate::transport::srv::Lookups;
@@ -171,7 +172,7 @@
         .filter(|_| operator.lists())
         .map(|k| k.told());
     let directory = EndpointDirectory::new(boot.clone(), operator.members());
-    let hub = Dispatcher::new(
+    let dispatcher = Dispatcher::new(
         clock,
         RequestRouter::new(brain),
         directory,
@@ -181,7 +182,7 @@
     );
     let mut lookups = Lookups::new(clock, tell.clone());
     lookups.set(operator.service());
-    spawn_local(hub.run(told));
+    spawn_local(dispatcher.run(told));
     spawn_local(async move {
         loop {
             tokio::time::sleep(SWEEP).await;
@@ -245,7 +246,7 @@
                 Ok((read, operator, next)) => {
                     // The core first: a request of a new class must find it known there.
                     let (done, settled) = oneshot::channel();
-                    if tell.send(DispatcherMessage::UpdateSettings(next.clone(), done)).await.is_ok() {
+                    if tell.send(DispatcherMessage::UpdateSettings { settings: next.clone(), applied: done }).await.is_ok() {
                         let _ = settled.await;
                     }
                     shared.boot.replace(next.clone());
--- a/src/transport/admin.rs
+++ b/src/transport/admin.rs
@@ -1,11 +1,10 @@
 //! The operators' own address: one call a connection, answered whatever the load, whoever else stays silent there.
 
-#![expect(clippy::too_many_lines, reason = "not yet converted")]
-
 use super::client::discard;
 use super::clients::Shared;
 use super::fleet::Fleet;
-use super::messages::{DispatcherMessage, NodePhase};
+use super::messages::{query, DispatcherMessage, DispatcherQuery};
+use super::node_phase::NodePhase;
 use super::Wire;
 use crate::protocol::admin::{self, Call, Figures};
 use crate::protocol::http::{Fault, Http, Out, Part, Side};
@@ -18,7 +17,7 @@
 use std::time::Duration;
 use tokio::io::AsyncWriteExt;
 use tokio::net::{TcpListener, TcpStream};
-use tokio::sync::{mpsc, oneshot, watch};
+use tokio::sync::{mpsc, watch};
 use tokio::task::{spawn_local, AbortHandle};
 use tokio_util::codec::Framed;
 
@@ -93,48 +92,30 @@
         match call {
             Call::Ready if *self.phase.borrow() == NodePhase::Serving => yes("ready"),
             Call::Ready => request::own_answer(503, "this node takes no clients now", None, true),
-            Call::Telemetry => {
-                let (figures, told) = oneshot::channel();
-                let asked = self
-                    .tell
-                    .send(DispatcherMessage::Telemetry(figures))
-                    .await
-                    .is_ok();
-                match told.await.ok().filter(|_| asked) {
-                    Some(told) => {
-                        let fleet = self
-                            .fleet
-                            .as_ref()
-                            .map(|fleet| fleet.figures())
-                            .unwrap_or_default();
-                        let closes = self.clients.closes.all();
-                        admin::figures(&Figures {
-                            reloads: self.reloads.get(),
-                            fleet,
-                            closes,
-                            ..told
-                        })
-                    }
-                    None => request::own_answer(503, "the node is ending", None, true),
+            Call::Telemetry => match query(&self.tell, DispatcherQuery::Telemetry).await {
+                Some(told) => {
+                    let fleet = self
+                        .fleet
+                        .as_ref()
+                        .map(|fleet| fleet.figures())
+                        .unwrap_or_default();
+                    let closes = self.clients.closes.all();
+                    admin::figures(&Figures {
+                        reloads: self.reloads.get(),
+                        fleet,
+                        closes,
+                        ..told
+                    })
                 }
-            }
+                None => request::own_answer(503, "the node is ending", None, true),
+            },
             Call::Fleet => match &self.fleet {
                 Some(fleet) => admin::json(&fleet.status().to_string()),
                 None => request::own_answer(404, "this node is in no fleet", None, true),
             },
             Call::Crossings => {
-                let (ask, told) = oneshot::channel();
-                let asked = self
-                    .tell
-                    .send(DispatcherMessage::CrossZoneTraffic(ask))
-                    .await
-                    .is_ok();
-                match told
-                    .await
-                    .ok()
-                    .filter(|_| asked)
-                    .and_then(|rows| serde_json::to_string(&rows).ok())
-                {
+                let rows = query(&self.tell, DispatcherQuery::CrossZoneTraffic).await;
+                match rows.and_then(|rows| serde_json::to_string(&rows).ok()) {
                     Some(rows) => admin::json(&rows),
                     None => request::own_answer(503, "the node is ending", None, true),
                 }
--- a/src/transport/client.rs
+++ b/src/transport/client.rs
@@ -15,7 +15,10 @@
 
 use super::clients::{Hold, Shared};
 use super::closes::CloseReason;
-use super::messages::{ClientResponse, DispatcherMessage, NodePhase, RequestOwner, RequestPayload};
+use super::messages::{
+    ClientRequest, ClientResponse, DispatcherMessage, RequestOwner, RequestPayload,
+};
+use super::node_phase::NodePhase;
 use super::relay::Relay;
 use super::socket::Socket;
 use super::Wire;
@@ -66,8 +69,8 @@
     requests: u64,
     /// The request on its way must be whole by then, however its bytes trickle in.
     until: Instant,
-    /// Who asks in this connection's last request.
-    asker: RequestOwner,
+    /// Who waits for the response to this connection's last request.
+    owner: RequestOwner,
 }
 
 /// The connection ends, for this reason.
@@ -93,7 +96,7 @@
             ahead: None,
             requests: 0,
             until,
-            asker: 0,
+            owner: RequestOwner::default(),
         }
     }
 
@@ -321,18 +324,18 @@
         payload: RequestPayload,
     ) -> Result<Result<ClientResponse, Leave>, Leave> {
         let (answer, answered) = oneshot::channel();
-        let asker = self.shared.asker();
-        self.asker = asker;
+        let owner = self.shared.new_request_owner();
+        self.owner = owner;
         // The core may be behind: a client that leaves while there is no room for its request is not waited for.
         let tell = self.shared.tell.clone();
         let ended = Leave(CloseReason::CoreEnded);
         match self.until_gone(tell.reserve()).await? {
-            Ok(place) => place.send(DispatcherMessage::ClientRequest {
+            Ok(place) => place.send(DispatcherMessage::ClientRequest(ClientRequest {
                 request: arrival,
                 payload,
                 response: answer,
-                owner: asker,
-            }),
+                owner,
+            })),
             Err(_) => return Ok(Err(ended)),
         }
         Ok(self.until_gone(answered).await?.map_err(|_| ended))
@@ -346,7 +349,7 @@
             .tell
             .send(DispatcherMessage::ClientDisconnected {
                 request: id,
-                owner: self.asker,
+                owner: self.owner,
             })
             .await;
         leave
--- a/src/transport/client/requests.rs
+++ b/src/transport/client/requests.rs
@@ -7,7 +7,7 @@
 use crate::protocol::request::{Reject, MOST_BODY};
 use crate::transport::clients::Hold;
 use crate::transport::closes::CloseReason;
-use crate::transport::messages::NodePhase;
+use crate::transport::node_phase::NodePhase;
 use crate::transport::shutdown::LAST_READ;
 use bytes::Bytes;
 use futures_util::StreamExt;
--- a/src/transport/clients.rs
+++ b/src/transport/clients.rs
@@ -1,7 +1,8 @@
 //! What all clients' connections share: bounds on their number and on what they hold, and who rests.
 
 use super::closes::CloseCounts;
-use super::messages::{DispatcherMessage, NodePhase, RequestOwner};
+use super::messages::{DispatcherMessage, RequestOwner};
+use super::node_phase::NodePhase;
 use super::shutdown::Shutdown;
 use super::streams::Streams;
 use super::Bounds;
@@ -36,7 +37,7 @@
     /// clients out whose first request was about to come; and there is no end of old ones that stay unused.
     idle: RefCell<BTreeMap<u64, Resting>>,
     marks: Cell<u64>,
-    askers: Cell<RequestOwner>,
+    last_request_owner: Cell<RequestOwner>,
 }
 
 impl Shared {
@@ -48,7 +49,7 @@
         phase: watch::Receiver<NodePhase>,
         streams: Rc<Streams>,
     ) -> Self {
-        let (held, open, accepted, idle, marks, askers) = Default::default();
+        let (held, open, accepted, idle, marks, last_request_owner) = Default::default();
         let (shutdown, closes) = Default::default();
         let boot = RefCell::new(boot);
         Shared {
@@ -64,7 +65,7 @@
             accepted,
             idle,
             marks,
-            askers,
+            last_request_owner,
         }
     }
     /// As many connections are open as may be.
@@ -126,10 +127,11 @@
     pub(super) fn busy(&self, mark: u64) {
         self.idle.borrow_mut().remove(&mark);
     }
-    /// A number for one asking that no other has.
-    pub(super) fn asker(&self) -> RequestOwner {
-        self.askers.set(self.askers.get() + 1);
-        self.askers.get()
+    /// A number for one wait for a response, which no other wait has.
+    pub(super) fn new_request_owner(&self) -> RequestOwner {
+        let owner = RequestOwner(self.last_request_owner.get().0 + 1);
+        self.last_request_owner.set(owner);
+        owner
     }
     /// Client connections open now.
     pub fn open(&self) -> usize {
--- /dev/null
+++ b/src/transport/dispatcher/commands.rs
@@ -0,0 +1,130 @@
+//! Carries out the router's commands: starts and aborts the tasks of attempts, and answers clients.
+
+use super::in_flight::InFlightAttempt;
+use super::{logging, Dispatcher};
+use crate::routing::{AttemptId, MonotonicMicros, RouterCommand, RouterEvent};
+use crate::transport::messages::ClientResponse;
+use crate::transport::upstream::AttemptRequest;
+use poppykeel_scheduler::interface::{AttemptOutcome, ReplicaId, RequestId};
+use std::cell::Cell;
+use std::rc::Rc;
+
+impl Dispatcher {
+    /// Carries out all commands of the router in their order, and those that follow from them.
+    pub(super) fn execute_commands(&mut self, now: MonotonicMicros) {
+        while !self.commands.is_empty() {
+            for command in std::mem::take(&mut self.commands) {
+                logging::log_command(&command);
+                self.execute(now, &command);
+            }
+        }
+    }
+
+    fn execute(&mut self, now: MonotonicMicros, command: &RouterCommand) {
+        match *command {
+            RouterCommand::StartAttempt {
+                request,
+                attempt,
+                replica,
+                deadline,
+            } => self.start_attempt(now, AttemptId { request, attempt }, replica, deadline),
+            RouterCommand::AbandonAttempt { request, attempt } => {
+                self.in_flight.abort(AttemptId { request, attempt });
+            }
+            RouterCommand::BindStream { request, .. } => self.bind_offered_stream(request),
+            RouterCommand::Reject {
+                request,
+                retry_after,
+            } => self
+                .waiting_clients
+                .respond(request, ClientResponse::Rejected(retry_after)),
+            RouterCommand::Fail { request } => {
+                self.waiting_clients
+                    .respond(request, ClientResponse::Failed);
+            }
+            RouterCommand::Probe { replica } => self.start_probe(replica),
+            RouterCommand::WatchEndpoints => self.watch.start(),
+        }
+    }
+
+    /// Starts the task of an attempt, unless its client has disconnected or its replica has been removed meanwhile.
+    fn start_attempt(
+        &mut self,
+        now: MonotonicMicros,
+        id: AttemptId,
+        replica: ReplicaId,
+        deadline: MonotonicMicros,
+    ) {
+        let AttemptId { request, attempt } = id;
+        if self.waiting_clients.has_disconnected(request) {
+            self.waiting_clients.remove(request);
+            let event = RouterEvent::ClientDisconnected(request);
+            self.router.handle_event(now, event, &mut self.commands);
+            return;
+        }
+        if let Some(after) = self.router.last_attempt_outcome(request) {
+            tracing::debug!(%request, attempt, replica = %replica.0, ?after, "retry");
+        }
+        let Some(attempt_request) = self.attempt_request(now, id, replica, deadline) else {
+            let event = RouterEvent::AttemptEnded {
+                request,
+                attempt,
+                outcome: AttemptOutcome::NotSent,
+                report: None,
+            };
+            self.router.handle_event(now, event, &mut self.commands);
+            return;
+        };
+        let has_begun = attempt_request.has_begun.clone();
+        let task = tokio::task::spawn_local(self.upstream.clone().attempt(attempt_request));
+        let in_flight = InFlightAttempt {
+            replica,
+            has_begun,
+            task: task.abort_handle(),
+        };
+        self.in_flight.add(id, in_flight);
+    }
+
+    /// What the task of an attempt needs; `None` where the endpoint list has lost the replica, or nobody waits.
+    fn attempt_request(
+        &self,
+        now: MonotonicMicros,
+        id: AttemptId,
+        replica: ReplicaId,
+        deadline: MonotonicMicros,
+    ) -> Option<AttemptRequest> {
+        let addr = self.directory.addr(replica)?;
+        let client = self.waiting_clients.get(id.request)?;
+        let own_zone = self.upstream.boot.scheduler.zone;
+        let is_cross_zone = self.directory.zone(replica) != Some(own_zone);
+        Some(AttemptRequest {
+            request: id.request,
+            attempt: id.attempt,
+            peer: (replica, addr),
+            timeout: deadline.saturating_sub(now),
+            inter_token_objective: client.inter_token_objective,
+            cross_zone_group: is_cross_zone.then_some(client.group),
+            payload: client.payload.clone(),
+            has_begun: Rc::new(Cell::new(false)),
+        })
+    }
+
+    /// Gives the client the stream whose first token has just come.
+    fn bind_offered_stream(&mut self, request: RequestId) {
+        let Some(stream) = self.offered_stream.take() else {
+            self.waiting_clients.remove(request);
+            return;
+        };
+        let response = ClientResponse::Stream {
+            content_type: stream.content_type,
+            replica: stream.replica,
+            chunks: stream.chunks,
+        };
+        self.waiting_clients.respond(request, response);
+    }
+
+    fn start_probe(&self, replica: ReplicaId) {
+        let addr = self.directory.addr(replica);
+        tokio::task::spawn_local(self.upstream.clone().probe(replica, addr));
+    }
+}
--- /dev/null
+++ b/src/transport/dispatcher/endpoint_updates.rs
@@ -0,0 +1,104 @@
+//! Changes of the endpoint list, and what they mean for attempts that are under way.
+
+use super::{logging, Dispatcher};
+use crate::routing::directory::{EndpointChange, EndpointSourceSettings};
+use crate::routing::{AttemptId, MonotonicMicros, RouterEvent};
+use crate::transport::messages::{ReplicaAdvice, ENDPOINT_LIST_SOURCE};
+use poppykeel_endpoints::Told;
+use poppykeel_scheduler::interface::{AttemptOutcome, Endpoint, EndpointState, ReplicaId};
+use std::collections::BTreeSet;
+
+impl Dispatcher {
+    /// Takes an endpoint source's answer, or the word that it gave none.
+    pub(super) fn handle_endpoint_update(
+        &mut self,
+        now: MonotonicMicros,
+        source: &str,
+        update: Told,
+    ) {
+        let has_failed = update == Told::Failed;
+        let changes = self
+            .directory
+            .apply_update(source, update, self.clock.reading());
+        self.apply_endpoint_changes(now, source, changes);
+        // The scheduler decides when discovery is asked again; other sources ask again by themselves.
+        if has_failed && source == ENDPOINT_LIST_SOURCE {
+            self.process_event(now, RouterEvent::EndpointListFailed);
+        }
+    }
+
+    /// Takes new settings of the endpoint sources.
+    pub(super) fn set_endpoint_sources(
+        &mut self,
+        now: MonotonicMicros,
+        sources: EndpointSourceSettings,
+    ) {
+        let changes = self
+            .directory
+            .update_settings(sources, self.clock.reading());
+        self.apply_endpoint_changes(now, "settings", changes);
+    }
+
+    /// Tells the router what has changed in the endpoint list, and the log on whose word.
+    pub(super) fn apply_endpoint_changes(
+        &mut self,
+        now: MonotonicMicros,
+        source: &str,
+        changes: Vec<EndpointChange>,
+    ) {
+        if changes.is_empty() {
+            return;
+        }
+        logging::log_endpoint_changes(source, &changes);
+        let endpoints: Vec<Endpoint> = changes.into_iter().map(|change| change.endpoint).collect();
+        let leaving: BTreeSet<ReplicaId> = endpoints
+            .iter()
+            .filter(|endpoint| endpoint.state != EndpointState::Available)
+            .map(|endpoint| endpoint.id)
+            .collect();
+        let event = RouterEvent::EndpointsChanged(endpoints);
+        self.router.handle_event(now, event, &mut self.commands);
+        self.withdraw_unsent_attempts(now, &leaving);
+        self.execute_commands(now);
+    }
+
+    /// Withdraws attempts at replicas that leave and that have written nothing yet: a connection that comes up late would
+    /// carry them there long after the replica was to get nothing new. Such an attempt has never run, and the scheduler finds
+    /// it another replica. Probes are left alone: with their connection they take a quarter of a second at most.
+    fn withdraw_unsent_attempts(&mut self, now: MonotonicMicros, leaving: &BTreeSet<ReplicaId>) {
+        if leaving.is_empty() {
+            return;
+        }
+        for id in self.in_flight.unsent_to(leaving) {
+            self.in_flight.abort(id);
+            let AttemptId { request, attempt } = id;
+            tracing::info!(%request, attempt, "unsent attempt withdrawn from a replica that leaves");
+            let event = RouterEvent::AttemptEnded {
+                request,
+                attempt,
+                outcome: AttemptOutcome::NotSent,
+                report: None,
+            };
+            self.router.handle_event(now, event, &mut self.commands);
+        }
+    }
+
+    /// Tells the router what the node that probes ejected replicas has found of those that this node lists.
+    pub(super) fn handle_outlier_advice(&mut self, now: MonotonicMicros, advice: &[ReplicaAdvice]) {
+        for status in self.router.replica_statuses() {
+            let name = self.directory.name(status.replica);
+            let verdict = advice
+                .iter()
+                .find(|advice| name == Some(advice.replica.as_str()));
+            if let Some(verdict) = verdict {
+                let event = RouterEvent::OutlierAdvice {
+                    replica: status.replica,
+                    is_healthy: verdict.is_healthy,
+                };
+                logging::log_event(&event);
+                self.router.handle_event(now, event, &mut self.commands);
+            }
+        }
+        self.execute_commands(now);
+    }
+}
--- /dev/null
+++ b/src/transport/dispatcher/logging.rs
@@ -0,0 +1,126 @@
+//! What the dispatcher writes to the log: events and commands at level `debug`, changes of the endpoint list and summaries at
+//! level `info`. `poppykeel streams` and the testbed's view read the summaries and the changes of the list.
+
+use super::Dispatcher;
+use crate::routing::directory::EndpointChange;
+use crate::routing::{RouterCommand, RouterEvent};
+
+const MICROS_PER_SECOND: u64 = 1_000_000;
+
+impl Dispatcher {
+    /// Writes what has happened so far and what is under way, then the same of streams.
+    pub(super) fn log_summary(&self) {
+        let counters = self.router.counters();
+        let gauges = self.router.gauges();
+        tracing::info!(
+            uptime_s = self.clock.now() / MICROS_PER_SECOND,
+            window = (gauges.concurrency_limit * 10.0).round() / 10.0,
+            out = gauges.in_flight,
+            waiting = ?gauges.queued_by_tenant,
+            live = self.router.active_count(),
+            replicas = gauges.replica_count,
+            connections = self.upstream.pool.open(),
+            arrived = counters.arrived,
+            served = counters.completed,
+            refused = counters.rejected,
+            failed = counters.failed,
+            broken = counters.broken,
+            gone = counters.disconnected,
+            sent = counters.attempts_started,
+            ends = ?counters.failed_attempts,
+            reports_passed_over = crate::protocol::report::passed_over(),
+            "summary"
+        );
+        self.upstream
+            .streams
+            .log(|replica| self.directory.name(replica).map(String::from));
+    }
+}
+
+/// Writes each change of the endpoint list and the source that caused it.
+pub(super) fn log_endpoint_changes(source: &str, changes: &[EndpointChange]) {
+    for EndpointChange { endpoint, name } in changes {
+        tracing::info!(source, replica = %endpoint.id.0, name, state = ?endpoint.state, "list changed");
+    }
+}
+
+/// Writes what the router is told.
+pub(super) fn log_event(event: &RouterEvent) {
+    match event {
+        RouterEvent::RequestArrived(request) => tracing::debug!(
+            request = %request.id,
+            class = request.class,
+            tenant = request.tenant,
+            session = request.session,
+            shared_prefix = request.shared_prefix,
+            prompt_tokens = request.prompt_tokens,
+            shared_prefix_tokens = request.shared_prefix_tokens,
+            "request arrived"
+        ),
+        RouterEvent::ClientDisconnected(request) => {
+            tracing::debug!(%request, "client disconnected");
+        }
+        RouterEvent::FirstToken { request, attempt } => {
+            tracing::debug!(%request, attempt, "first token");
+        }
+        RouterEvent::AttemptEnded {
+            request,
+            attempt,
+            outcome,
+            report,
+        } => {
+            tracing::debug!(%request, attempt, ?outcome, ?report, "attempt ended");
+        }
+        RouterEvent::ProbeEnded {
+            replica,
+            outcome,
+            report,
+        } => {
+            tracing::debug!(replica = %replica.0, ?outcome, ?report, "probe ended");
+        }
+        RouterEvent::EndpointsReplaced(endpoints) => {
+            tracing::debug!(endpoints = endpoints.len(), "endpoints replaced");
+        }
+        RouterEvent::EndpointsChanged(endpoints) => {
+            tracing::debug!(endpoints = endpoints.len(), "endpoints changed");
+        }
+        RouterEvent::EndpointListFailed => tracing::debug!("endpoint list failed"),
+        RouterEvent::OutlierAdvice {
+            replica,
+            is_healthy,
+        } => {
+            tracing::debug!(replica = %replica.0, is_healthy, "outlier advice");
+        }
+    }
+}
+
+/// Writes what the router wants done.
+pub(super) fn log_command(command: &RouterCommand) {
+    match command {
+        RouterCommand::StartAttempt {
+            request,
+            attempt,
+            replica,
+            deadline,
+        } => {
+            tracing::debug!(%request, attempt, replica = %replica.0, deadline, "start attempt");
+        }
+        RouterCommand::AbandonAttempt { request, attempt } => {
+            tracing::debug!(%request, attempt, "abandon attempt");
+        }
+        RouterCommand::BindStream { request, attempt } => {
+            tracing::debug!(%request, attempt, "bind stream");
+        }
+        RouterCommand::Reject {
+            request,
+            retry_after,
+        } => {
+            tracing::debug!(%request, retry_after, "reject request");
+        }
+        RouterCommand::Fail { request } => tracing::debug!(%request, "fail request"),
+        RouterCommand::Probe { replica } => {
+            tracing::debug!(replica = %replica.0, "start probe");
+        }
+        RouterCommand::WatchEndpoints => tracing::debug!("watch endpoints"),
+    }
+}
--- /dev/null
+++ b/src/transport/dispatcher/queries.rs
@@ -0,0 +1,133 @@
+//! Answers to questions about the dispatcher's state. They change nothing.
+
+use super::{send_reply, Dispatcher};
+use crate::protocol::admin::Figures;
+use crate::routing::cross_zone::RequestGroup;
+use crate::routing::{ReplicaStatus, ResponseCounts};
+use crate::transport::messages::{CrossZoneMinute, DispatcherQuery};
+use poppykeel_scheduler::interface::{BudgetDemand, BudgetKind};
+use std::collections::BTreeMap;
+
+/// The class and tenant of some requests by name, as operators know them.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+struct GroupName {
+    class: String,
+    tenant: String,
+}
+
+impl Dispatcher {
+    /// Answers one question.
+    pub(super) fn answer_query(&self, query: DispatcherQuery) {
+        match query {
+            DispatcherQuery::Telemetry(reply) => send_reply(reply, self.telemetry()),
+            DispatcherQuery::CrossZoneTraffic(reply) => {
+                send_reply(reply, self.cross_zone_minutes());
+            }
+            DispatcherQuery::BudgetDemand(reply) => send_reply(reply, self.budget_demand()),
+            DispatcherQuery::ReplicaStatuses(reply) => {
+                send_reply(reply, self.replica_statuses_by_name());
+            }
+            DispatcherQuery::LearnedState(reply) => {
+                send_reply(reply, self.router.export_learned_state());
+            }
+        }
+    }
+
+    fn telemetry(&self) -> Figures {
+        let attempt_ends = self.router.failed_attempt_counts();
+        Figures {
+            replies: self.responses_by_class(),
+            dispatches: self.upstream.written.get(),
+            concurrent: self.router.active_count(),
+            targets: self.directory.listed_count(),
+            targets_disabled: self.router.unavailable_replica_count(),
+            crossings: self.cross_zone_totals(),
+            attempt_ends: attempt_ends
+                .into_iter()
+                .map(|counted| (counted.outcome, counted.count))
+                .collect(),
+            // The caller knows these and fills them in.
+            reloads: (0, 0),
+            fleet: Vec::new(),
+            closes: Vec::new(),
+        }
+    }
+
+    /// For each class name the responses that were complete, rejected and failed. A class whose settings have changed has had
+    /// several indices, and their counts are added up.
+    fn responses_by_class(&self) -> Vec<(String, [u64; 3])> {
+        let mut rows: Vec<(String, [u64; 3])> = Vec::new();
+        for (class, name) in self.upstream.boot.names.classes.iter().enumerate() {
+            let ResponseCounts {
+                completed,
+                rejected,
+                failed,
+            } = self.router.response_counts(class);
+            let counts = [completed, rejected, failed];
+            match rows.iter_mut().find(|(known, _)| known == name) {
+                Some((_, sums)) => {
+                    for (sum, count) in sums.iter_mut().zip(counts) {
+                        *sum += count;
+                    }
+                }
+                None => rows.push((name.clone(), counts)),
+            }
+        }
+        rows
+    }
+
+    fn cross_zone_minutes(&self) -> Vec<CrossZoneMinute> {
+        let mut rows = Vec::new();
+        for counted in self.upstream.cross_zone_traffic.borrow().by_minute() {
+            let GroupName { class, tenant } = self.group_name(counted.group);
+            rows.push(CrossZoneMinute {
+                minute: counted.minute,
+                class,
+                tenant,
+                count: counted.count,
+            });
+        }
+        rows
+    }
+
+    /// The totals since the start. A class whose settings have changed has had several indices, and their counts are added up.
+    fn cross_zone_totals(&self) -> Vec<(String, String, u64)> {
+        let mut sums: BTreeMap<GroupName, u64> = BTreeMap::new();
+        for counted in self.upstream.cross_zone_traffic.borrow().totals() {
+            *sums.entry(self.group_name(counted.group)).or_default() += counted.count;
+        }
+        sums.into_iter()
+            .map(|(name, count)| (name.class, name.tenant, count))
+            .collect()
+    }
+
+    fn group_name(&self, group: RequestGroup) -> GroupName {
+        let names = &self.upstream.boot.names;
+        GroupName {
+            class: name_at(&names.classes, group.class),
+            tenant: name_at(&names.tenants, group.tenant),
+        }
+    }
+
+    /// What this node would have spent of each budget. Calls for the endpoint list are counted by the watch.
+    fn budget_demand(&self) -> BTreeMap<BudgetKind, BudgetDemand> {
+        let mut demand = self.router.budget_demand();
+        demand.extend(self.watch.wanted());
+        demand
+    }
+
+    fn replica_statuses_by_name(&self) -> BTreeMap<String, ReplicaStatus> {
+        let mut by_name = BTreeMap::new();
+        for status in self.router.replica_statuses() {
+            if let Some(name) = self.directory.name(status.replica) {
+                by_name.insert(name.to_string(), status);
+            }
+        }
+        by_name
+    }
+}
+
+/// The name of this index; empty where the settings name none.
+fn name_at(names: &[String], index: usize) -> String {
+    names.get(index).cloned().unwrap_or_default()
+}
--- /dev/null
+++ b/src/transport/dispatcher/requests.rs
@@ -0,0 +1,97 @@
+//! Clients' requests and the ends of attempts: who waits for what, and what the router is told of it.
+
+use super::clients::WaitingClient;
+use super::{send_reply, Dispatcher};
+use crate::routing::cross_zone::RequestGroup;
+use crate::routing::{AttemptId, DurationMicros, MonotonicMicros, RouterEvent};
+use crate::transport::messages::{ClientRequest, ClientResponse, RequestOwner, StartedStream};
+use poppykeel_scheduler::interface::{AttemptOutcome, LoadReport, RequestId};
+use std::rc::Rc;
+
+const MICROS_PER_SECOND: f64 = 1e6;
+
+impl Dispatcher {
+    /// Takes a request, unless its id is in use or its client has disconnected by now.
+    pub(super) fn handle_client_request(
+        &mut self,
+        now: MonotonicMicros,
+        client_request: ClientRequest,
+    ) {
+        let ClientRequest {
+            request,
+            payload,
+            response,
+            owner,
+        } = client_request;
+        if self.router.is_active(request.id) {
+            send_reply(response, ClientResponse::Duplicate);
+            return;
+        }
+        if response.is_closed() {
+            tracing::debug!(request = %request.id, "client disconnected before its request was taken");
+            return;
+        }
+        let router = &self.router;
+        self.owners
+            .set(request.id, owner, router.active_count(), |id| {
+                router.is_active(id)
+            });
+        let client = WaitingClient {
+            payload: Rc::new(payload),
+            inter_token_objective: self.inter_token_objective(request.class),
+            group: RequestGroup {
+                class: request.class,
+                tenant: request.tenant,
+            },
+            response,
+        };
+        self.waiting_clients.add(request.id, client);
+        self.process_event(now, RouterEvent::RequestArrived(request));
+    }
+
+    /// Ends a request whose client has disconnected, if that client is the one that waits for it.
+    pub(super) fn handle_client_disconnected(
+        &mut self,
+        now: MonotonicMicros,
+        request: RequestId,
+        owner: RequestOwner,
+    ) {
+        if !self.owners.is_owner(request, owner) {
+            tracing::debug!(%request, "a client has disconnected that does not own this request");
+            return;
+        }
+        self.waiting_clients.remove(request);
+        self.process_event(now, RouterEvent::ClientDisconnected(request));
+    }
+
+    /// Offers a stream that has begun; the router binds it to the client or abandons its attempt.
+    pub(super) fn handle_stream_started(&mut self, now: MonotonicMicros, stream: StartedStream) {
+        let (request, attempt) = (stream.request, stream.attempt);
+        self.offered_stream = Some(stream);
+        self.process_event(now, RouterEvent::FirstToken { request, attempt });
+    }
+
+    /// Takes note that the task of an attempt has ended.
+    pub(super) fn handle_attempt_ended(
+        &mut self,
+        now: MonotonicMicros,
+        id: AttemptId,
+        outcome: AttemptOutcome,
+        report: Option<LoadReport>,
+    ) {
+        self.in_flight.remove(id);
+        let event = RouterEvent::AttemptEnded {
+            request: id.request,
+            attempt: id.attempt,
+            outcome,
+            report,
+        };
+        self.process_event(now, event);
+    }
+
+    fn inter_token_objective(&self, class: usize) -> Option<DurationMicros> {
+        let class = self.upstream.boot.scheduler.classes.get(class)?;
+        let objective = class.inter_token_objective * MICROS_PER_SECOND;
+        objective.is_finite().then_some(objective as DurationMicros)
+    }
+}
--- a/src/transport/fleet/budgets.rs
+++ b/src/transport/fleet/budgets.rs
@@ -9,7 +9,7 @@
 
 use super::Fleet;
 use crate::routing::{seconds, MonotonicMicros};
-use crate::transport::messages::DispatcherMessage;
+use crate::transport::messages::{DispatcherMessage, DispatcherQuery};
 use poppykeel_coordination::budget::{self, Count, Party};
 use poppykeel_coordination::envelope::Body;
 use poppykeel_scheduler::interface::{BudgetDemand, BudgetGrant, BudgetGrants, BudgetKind};
@@ -186,7 +186,7 @@
         let (ask, told) = oneshot::channel();
         let asked = self
             .tell
-            .send(DispatcherMessage::BudgetDemand(ask))
+            .send(DispatcherMessage::Query(DispatcherQuery::BudgetDemand(ask)))
             .await
             .is_ok();
         let wanted = told.await.ok().filter(|_| asked).unwrap_or_default();
--- a/src/transport/fleet/mod.rs
+++ b/src/transport/fleet/mod.rs
@@ -18,7 +18,8 @@
 
 use crate::routing::MonotonicMicros;
 use crate::transport::clock::Clock;
-use crate::transport::messages::{DispatcherMessage, NodePhase};
+use crate::transport::messages::DispatcherMessage;
+use crate::transport::node_phase::NodePhase;
 use clock::SleepClock;
 use disk::{Disk, Told};
 use poppykeel_coordination::envelope::{self, Body, Dropped, Envelope};
--- a/src/transport/fleet/report.rs
+++ b/src/transport/fleet/report.rs
@@ -4,7 +4,7 @@
 #![expect(clippy::min_ident_chars, reason = "not yet converted")]
 
 use super::{Fleet, Report};
-use crate::transport::messages::DispatcherMessage;
+use crate::transport::messages::{DispatcherMessage, DispatcherQuery};
 use poppykeel_coordination::envelope::{Body, Figures, Totals};
 use serde_json::json;
 use std::cell::{Cell, RefCell};
@@ -193,7 +193,7 @@
             let (ask, told) = oneshot::channel();
             if own
                 .tell
-                .send(DispatcherMessage::Telemetry(ask))
+                .send(DispatcherMessage::Query(DispatcherQuery::Telemetry(ask)))
                 .await
                 .is_err()
             {
--- a/src/transport/fleet/roll.rs
+++ b/src/transport/fleet/roll.rs
@@ -9,7 +9,7 @@
 use super::Fleet;
 use crate::routing::MonotonicMicros;
 use crate::transport::admin::{evacuate, rejoin};
-use crate::transport::messages::DispatcherMessage;
+use crate::transport::messages::{DispatcherMessage, DispatcherQuery};
 use poppykeel_coordination::envelope::Body;
 use poppykeel_coordination::roll::{self, Charge, Order, Own};
 use serde_json::{json, Value};
@@ -122,7 +122,7 @@
                     let (ask, told) = oneshot::channel();
                     let asked = own
                         .tell
-                        .send(DispatcherMessage::Telemetry(ask))
+                        .send(DispatcherMessage::Query(DispatcherQuery::Telemetry(ask)))
                         .await
                         .is_ok();
                     let idle = told
--- a/src/transport/fleet/trials.rs
+++ b/src/transport/fleet/trials.rs
@@ -5,7 +5,7 @@
 
 use super::Fleet;
 use crate::routing::{MonotonicMicros, ReplicaStatus};
-use crate::transport::messages::DispatcherMessage;
+use crate::transport::messages::{DispatcherMessage, DispatcherQuery, ReplicaAdvice};
 use poppykeel_coordination::envelope::Body;
 use poppykeel_coordination::trials::{self, Charge, Own, Standing, MOST_NAMES};
 use std::cell::{Cell, RefCell};
@@ -45,7 +45,9 @@
         let (ask, told) = oneshot::channel();
         if self
             .tell
-            .send(DispatcherMessage::ReplicaStatuses(ask))
+            .send(DispatcherMessage::Query(DispatcherQuery::ReplicaStatuses(
+                ask,
+            )))
             .await
             .is_err()
         {
@@ -83,6 +85,7 @@
                     own.trials
                         .advised
                         .set((held + advice.len() as u64 - well, back + well));
+                    let advice: Vec<ReplicaAdvice> = advice.into_iter().map(Into::into).collect();
                     if !advice.is_empty() {
                         let _ = own
                             .tell
--- a/src/transport/handover.rs
+++ b/src/transport/handover.rs
@@ -8,7 +8,7 @@
 )]
 
 use super::clock::Clock;
-use super::messages::DispatcherMessage;
+use super::messages::{DispatcherMessage, DispatcherQuery};
 use crate::routing::learned_state::{self, ProcessToken, MAX_RECORD_BYTES};
 use poppykeel_site_settings::SiteSettings;
 use std::cell::Cell;
@@ -154,7 +154,7 @@
         let (ask, told) = oneshot::channel();
         let asked = self
             .tell
-            .send(DispatcherMessage::ExportLearnedState(ask))
+            .send(DispatcherMessage::Query(DispatcherQuery::LearnedState(ask)))
             .await
             .is_ok();
         let Some(memory) = told
--- a/src/transport/listener.rs
+++ b/src/transport/listener.rs
@@ -8,7 +8,7 @@
 
 use super::client::Client;
 use super::clients::Shared;
-use super::messages::NodePhase;
+use super::node_phase::NodePhase;
 use super::socket::Socket;
 use crate::protocol::request;
 use rustix::io::Errno;
--- a/src/transport/mod.rs
+++ b/src/transport/mod.rs
@@ -1,5 +1,6 @@
 //! Sockets and the tasks that drive them. Each driver reads and writes; what bytes mean is `protocol`'s, what
-//! to do is `routing`'s. All tasks share one thread and talk over bounded channels.
+//! to do is `routing`'s. All tasks share one thread and talk over bounded channels, most of them with the task of
+//! `dispatcher` by the messages of `messages`.
 
 pub mod admin;
 pub mod client;
@@ -12,6 +13,7 @@
 pub mod handover;
 pub mod listener;
 pub mod messages;
+pub mod node_phase;
 pub mod pool;
 pub mod relay;
 pub mod shutdown;
--- a/src/transport/upstream.rs
+++ b/src/transport/upstream.rs
@@ -9,7 +9,7 @@
 )]
 
 use super::clock::Clock;
-use super::messages::{DispatcherMessage, RequestPayload, StreamChunk};
+use super::messages::{DispatcherMessage, RequestPayload, StartedStream, StreamChunk};
 use super::pool::{Conn, NoConn, Peer, Pool};
 use super::streams::{Live, Streams};
 use super::Bounds;
@@ -18,7 +18,7 @@
 use crate::protocol::report::{probed, report};
 use crate::protocol::request;
 use crate::routing::cross_zone::{CrossZoneTraffic, RequestGroup};
-use crate::routing::{MonotonicMicros, RouterEvent};
+use crate::routing::DurationMicros;
 use bytes::{Buf, Bytes};
 use futures_util::{SinkExt, StreamExt};
 use poppykeel_scheduler::interface::{AttemptOutcome, LoadReport, ReplicaId, RequestId};
@@ -66,11 +66,11 @@
     /// The replica and where it listens.
     pub peer: Peer,
     /// How long the node will wait.
-    pub timeout: MonotonicMicros,
+    pub timeout: DurationMicros,
     /// The class's wish for the time between tokens, in microseconds.
-    pub inter_token_objective: Option<MonotonicMicros>,
+    pub inter_token_objective: Option<DurationMicros>,
     /// Its class and tenant, where the replica is in another zone.
-    pub crosses: Option<RequestGroup>,
+    pub cross_zone_group: Option<RequestGroup>,
     /// What is sent.
     pub payload: Rc<RequestPayload>,
     /// Set when the first byte is about to be written; until then it can be called back as if never sent.
@@ -84,15 +84,12 @@
         let (outcome, report, conn) = self.exchange(job).await;
         let _ = self
             .tell
-            .send(
-                RouterEvent::AttemptEnded {
-                    request,
-                    attempt,
-                    outcome,
-                    report,
-                }
-                .into(),
-            )
+            .send(DispatcherMessage::AttemptEnded {
+                request,
+                attempt,
+                outcome,
+                report,
+            })
             .await;
         let Some(mut conn) = conn else { return };
         let rest = async {
@@ -130,7 +127,7 @@
             return (AttemptOutcome::ConnectFailed, None, None);
         }
         self.written.set(self.written.get() + 1);
-        if let Some(group) = job.crosses {
+        if let Some(group) = job.cross_zone_group {
             self.cross_zone_traffic
                 .borrow_mut()
                 .record(self.clock.reading().unix_us, group);
@@ -177,13 +174,13 @@
                         let (request, attempt) = (job.request, job.attempt);
                         let replica = job.peer.0;
                         live = Some(self.streams.begin(replica, job.inter_token_objective));
-                        let first = DispatcherMessage::StreamStarted {
+                        let first = DispatcherMessage::StreamStarted(StartedStream {
                             request,
                             attempt,
                             content_type,
                             replica,
                             chunks: body,
-                        };
+                        });
                         let _ = self.tell.send(first).await;
                     }
                     Step::Pass(bytes) => {
@@ -222,14 +219,11 @@
         };
         let _ = self
             .tell
-            .send(
-                RouterEvent::ProbeEnded {
-                    replica,
-                    outcome,
-                    report,
-                }
-                .into(),
-            )
+            .send(DispatcherMessage::ProbeEnded {
+                replica,
+                outcome,
+                report,
+            })
             .await;
     }
 
--- a/tests/closes.rs
+++ b/tests/closes.rs
@@ -9,7 +9,8 @@
 use drivers::shared;
 use poppykeel::transport::client::Client;
 use poppykeel::transport::clients::{Shared, ON_ITS_WAY};
-use poppykeel::transport::messages::{DispatcherMessage, NodePhase};
+use poppykeel::transport::messages::DispatcherMessage;
+use poppykeel::transport::node_phase::NodePhase;
 use std::future::Future;
 use std::io::{Read, Write};
 use std::pin::Pin;
@@ -151,14 +152,11 @@
     ));
     turn().await;
     let _ = poll_once(&mut driver).await;
-    let Ok(DispatcherMessage::ClientRequest {
-        response: answer, ..
-    }) = told.try_recv()
-    else {
+    let Ok(DispatcherMessage::ClientRequest(request)) = told.try_recv() else {
         panic!("the room came first")
     };
     let _ = poll_once(&mut driver).await;
-    assert!(answer.is_closed(), "nobody waits for this answer");
+    assert!(request.response.is_closed(), "nobody waits for this answer");
     assert!(matches!(
         told.try_recv(),
         Ok(DispatcherMessage::ClientDisconnected { .. })
--- a/tests/support/drivers.rs
+++ b/tests/support/drivers.rs
@@ -5,7 +5,8 @@
 use poppykeel::program::config::Config;
 use poppykeel::transport::clients::Shared;
 use poppykeel::transport::clock::Clock;
-use poppykeel::transport::messages::{DispatcherMessage, NodePhase};
+use poppykeel::transport::messages::DispatcherMessage;
+use poppykeel::transport::node_phase::NodePhase;
 use poppykeel::transport::streams::Streams;
 use std::rc::Rc;
 use tokio::sync::{mpsc, watch};
--- a/tests/transport.rs
+++ b/tests/transport.rs
@@ -16,7 +16,8 @@
 use poppykeel::transport::client::Client;
 use poppykeel::transport::clock::Clock;
 use poppykeel::transport::listener::accept;
-use poppykeel::transport::messages::{NodePhase, RequestPayload};
+use poppykeel::transport::messages::RequestPayload;
+use poppykeel::transport::node_phase::NodePhase;
 use poppykeel::transport::pool::Pool;
 use poppykeel::transport::streams::Streams;
 use poppykeel::transport::upstream::{AttemptRequest, Upstream};
@@ -158,7 +159,7 @@
             peer,
             timeout: 1,
             inter_token_objective: None,
-            crosses: None,
+            cross_zone_group: None,
             payload,
             has_begun: begun,
         };
