--- a/crates/testbed/src/view/state.rs
+++ b/crates/testbed/src/view/state.rs
@@ -16,6 +16,23 @@
 /// Servers that are shown; a node of thousands has them all, a terminal has no room.
 pub const MOST_ROWS: usize = 512;
 
+/// Counts of a node's summary: as they are shown, which is also the field's name in logs of earlier versions, and the
+/// field's name today.
+const SUMMARY_COUNTS: [(&str, &str); 7] = [
+    ("arrived", "arrived"),
+    ("sent", "attempts_started"),
+    ("served", "completed"),
+    ("refused", "rejected"),
+    ("failed", "failed"),
+    ("broken", "broken"),
+    ("gone", "disconnected"),
+];
+
+/// A field of a log line by its name today or, in logs of earlier versions, by the name it had then.
+fn field<'a>(event: &'a Value, name: &str, earlier_name: &str) -> &'a Value {
+    event.get(name).unwrap_or(&event[earlier_name])
+}
+
 /// One server.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Row {
@@ -149,11 +166,13 @@
             Some("summary") => {
                 let at = event["uptime_s"].as_f64().unwrap_or(self.time.0);
                 self.time = (at, None);
-                let names = [
-                    "arrived", "sent", "served", "refused", "failed", "broken", "gone",
-                ];
-                let counts: Vec<(String, u64)> =
-                    names.iter().map(|n| (n.to_string(), number(n))).collect();
+                let counts: Vec<(String, u64)> = SUMMARY_COUNTS
+                    .iter()
+                    .map(|(shown, name)| {
+                        let count = field(&event, name, shown).as_u64().unwrap_or(0);
+                        (shown.to_string(), count)
+                    })
+                    .collect();
                 self.count(at, counts);
                 let rate =
                     |name: &str| self.rates.iter().find(|r| r.0 == name).map_or(0.0, |r| r.1);
@@ -163,8 +182,12 @@
                 if ended > 0.0 {
                     self.point(served / ended * 100.0);
                 }
-                self.window = event["window"].as_f64().map(|w| (w, number("out")));
-                let waiting = event["waiting"].as_str().unwrap_or_default();
+                let in_flight = field(&event, "in_flight", "out").as_u64().unwrap_or(0);
+                self.window = field(&event, "concurrency_limit", "window")
+                    .as_f64()
+                    .map(|limit| (limit, in_flight));
+                let waiting = field(&event, "queued_by_tenant", "waiting");
+                let waiting = waiting.as_str().unwrap_or_default();
                 let waiting = waiting
                     .trim_matches(['[', ']'])
                     .split(',')
--- a/crates/testbed/tests/view.rs
+++ b/crates/testbed/tests/view.rs
@@ -93,3 +93,27 @@
         assert!(text.contains(wanted), "{wanted}:\n{text}");
     }
 }
+
+#[test]
+fn a_summary_is_read_by_the_fields_names_of_today_and_of_earlier_versions() {
+    let lines = [
+        [
+            r#"{"message":"summary","uptime_s":10,"concurrency_limit":9.5,"in_flight":2,"queued_by_tenant":"[0, 1]","arrived":100,"attempts_started":90,"completed":80,"rejected":7,"failed":3,"broken":2,"disconnected":1}"#,
+            r#"{"message":"summary","uptime_s":20,"concurrency_limit":12.5,"in_flight":7,"queued_by_tenant":"[3, 0]","arrived":300,"attempts_started":280,"completed":200,"rejected":57,"failed":13,"broken":9,"disconnected":4}"#,
+        ],
+        [
+            r#"{"message":"summary","uptime_s":10,"window":9.5,"out":2,"waiting":"[0, 1]","arrived":100,"sent":90,"served":80,"refused":7,"failed":3,"broken":2,"gone":1}"#,
+            r#"{"message":"summary","uptime_s":20,"window":12.5,"out":7,"waiting":"[3, 0]","arrived":300,"sent":280,"served":200,"refused":57,"failed":13,"broken":9,"gone":4}"#,
+        ],
+    ];
+    let [today, earlier] = lines.map(|lines| {
+        let mut state = State::new("node", vec!["acme".into(), "zeta".into()]);
+        lines.iter().for_each(|line| state.line(line));
+        state
+    });
+    assert_eq!(today, earlier);
+    assert_eq!(today.window, Some((12.5, 7)));
+    let served = today.counts.iter().find(|(name, _)| name == "served");
+    assert_eq!(served.map(|(_, count)| *count), Some(200));
+    assert_eq!(today.queues[0], ("acme".to_string(), 3));
+}
