--- a/src/routing/request.rs
+++ b/src/routing/request.rs
@@ -193,3 +193,6 @@
         self.state = RequestState::Finished;
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/routing/timers.rs
+++ b/src/routing/timers.rs
@@ -43,3 +43,6 @@
         self.timers.pop_first().map(|(_, timer)| timer)
     }
 }
+
+#[cfg(test)]
+mod tests;
