--- a/crates/coordination/src/budget/divider.rs
+++ b/crates/coordination/src/budget/allocator/mod.rs
@@ -6,7 +6,7 @@
     reason = "not yet converted"
 )]
 
-use super::{divide, Message, Rates, Row, Want, Whole, MOST_BUDGETS};
+use crate::budget::{divide, Message, Rates, Row, Want, Whole, MOST_BUDGETS};
 use crate::lease::Holder;
 use crate::Micros;
 use std::collections::BTreeMap;
--- a/crates/coordination/src/budget/mod.rs
+++ b/crates/coordination/src/budget/mod.rs
@@ -4,9 +4,9 @@
 
 #![expect(clippy::min_ident_chars, reason = "not yet converted")]
 
-mod divider;
-mod party;
-mod shares;
+mod allocator;
+mod granted_quotas;
+mod participant;
 #[cfg(test)]
 mod tests;
 
@@ -15,9 +15,9 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-pub use divider::Divider;
-pub use party::{Count, Party, Settings};
-pub use shares::Shares;
+pub use allocator::Divider;
+pub use granted_quotas::Shares;
+pub use participant::{Count, Party, Settings};
 
 /// Budgets by name.
 pub const MOST_BUDGETS: usize = 64;
--- a/crates/coordination/src/envelope.rs
+++ b/crates/coordination/src/envelope.rs
@@ -30,9 +30,9 @@
     /// The answer to that.
     Figures(u64, Figures),
     /// Of taking nodes out one after the other.
-    Roll(crate::roll::Message),
+    Roll(crate::rolling_restart::Message),
     /// Of trials of ejected servers.
-    Trials(crate::trials::Message),
+    Trials(crate::outlier_probing::Message),
     /// Of budgets.
     Budget(crate::budget::Message),
 }
--- /dev/null
+++ b/crates/coordination/src/gossip/mod.rs
@@ -0,0 +1,5 @@
+//! Which nodes of the fleet are there.
+
+mod membership;
+
+pub use membership::{Member, Members, MOST_MEMBERS};
--- a/crates/coordination/src/lease/claim.rs
+++ b/crates/coordination/src/lease/client/mod.rs
@@ -6,8 +6,8 @@
     reason = "not yet converted"
 )]
 
-use super::hold;
-use super::messages::{Holder, ToKeeper, ToNode};
+use crate::lease::hold;
+use crate::lease::messages::{Holder, ToKeeper, ToNode};
 use crate::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/coordination/src/lease/mod.rs
+++ b/crates/coordination/src/lease/mod.rs
@@ -4,13 +4,13 @@
 //! other node's grant has time left by the keeper's clock. With a majority of grants the node holds the task, from
 //! the moment it *asked*, for the length less the stated drift by its own clock.
 
-mod claim;
-mod keeper;
+mod client;
 mod messages;
+mod server;
 
-pub use claim::{Claim, Terms};
-pub use keeper::{Done, Keeper, Row, Rules, Standing, MOST_TASKS};
+pub use client::{Claim, Terms};
 pub use messages::{Entry, Holder, Record, ToKeeper, ToNode};
+pub use server::{Done, Keeper, Row, Rules, Standing, MOST_TASKS};
 
 /// How long a holder may act after it asked, by its own clock: two clocks that each run up to `drift` parts in a
 /// million wrong may differ by twice that, and the keeper's may be the fast one.
--- a/crates/coordination/src/lease/keeper.rs
+++ b/crates/coordination/src/lease/server/mod.rs
@@ -7,7 +7,7 @@
     reason = "not yet converted"
 )]
 
-use super::messages::{Entry, Holder, Record, ToKeeper, ToNode};
+use crate::lease::messages::{Entry, Holder, Record, ToKeeper, ToNode};
 use crate::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/coordination/src/node.rs
+++ b/crates/coordination/src/node/mod.rs
@@ -9,8 +9,8 @@
 )]
 
 use crate::envelope::{Body, Envelope};
+use crate::gossip::{Member, Members, MOST_MEMBERS};
 use crate::lease::{Claim, Done, Holder, Keeper, Record, Row, Rules, Standing, Terms, ToNode};
-use crate::members::{Member, Members, MOST_MEMBERS};
 use crate::Micros;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
--- a/crates/coordination/tests/golden.rs
+++ b/crates/coordination/tests/golden.rs
@@ -5,10 +5,10 @@
 
 use poppykeel_coordination::budget::{Message as BudgetMessage, Want};
 use poppykeel_coordination::envelope::{read, write, Body, Envelope, Figures};
+use poppykeel_coordination::gossip::{Member, Members};
 use poppykeel_coordination::lease::{Holder, ToKeeper, ToNode};
-use poppykeel_coordination::members::{Member, Members};
-use poppykeel_coordination::roll::{Message as RollMessage, Order, Part};
-use poppykeel_coordination::trials::Message as TrialsMessage;
+use poppykeel_coordination::outlier_probing::Message as TrialsMessage;
+use poppykeel_coordination::rolling_restart::{Message as RollMessage, Order, Part};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fs;
 use std::net::SocketAddr;
--- a/crates/coordination/tests/trials.rs
+++ b/crates/coordination/tests/outlier_probing.rs
@@ -1,6 +1,6 @@
 //! Trials by one node for all: what is advised, and when advice is passed over.
 
-use poppykeel_coordination::trials::{Charge, Message, Own, Standing};
+use poppykeel_coordination::outlier_probing::{Charge, Message, Own, Standing};
 
 const SECOND: u64 = 1_000_000;
 
--- a/crates/coordination/tests/roll.rs
+++ b/crates/coordination/tests/rolling_restart.rs
@@ -3,7 +3,7 @@
 
 #![expect(clippy::min_ident_chars, reason = "not yet converted")]
 
-use poppykeel_coordination::roll::{Charge, Message, Order, Own, Part};
+use poppykeel_coordination::rolling_restart::{Charge, Message, Order, Own, Part};
 use proptest::prelude::*;
 
 const NODES: usize = 7;
--- a/crates/testbed/src/emulator/together.rs
+++ b/crates/testbed/src/emulator/together.rs
@@ -10,7 +10,7 @@
 use super::measure::Talked;
 use super::world::{micros, Event, World};
 use crate::Micros;
-use poppykeel::transport::fleet::budgets::{Budgets, TASK};
+use poppykeel::transport::coordination::budgets::{Budgets, TASK};
 use poppykeel_coordination::budget::{Party, Settings, Whole};
 use poppykeel_coordination::envelope::{self, Body, Envelope};
 use poppykeel_coordination::lease::Record;
--- a/src/program/config/fleet.rs
+++ b/src/program/config/fleet.rs
@@ -3,8 +3,8 @@
 #![expect(clippy::min_ident_chars, reason = "not yet converted")]
 
 use super::operator::Span;
-use crate::transport::fleet::budgets::{self as transport, TENANT};
-use crate::transport::fleet::{Place, Report};
+use crate::transport::coordination::budgets::{self as transport, TENANT};
+use crate::transport::coordination::{Place, Report};
 use poppykeel_coordination::budget::{self, Whole};
 use serde::Deserialize;
 use std::collections::BTreeMap;
--- a/src/transport/admin.rs
+++ b/src/transport/admin.rs
@@ -4,7 +4,7 @@
 
 use super::client::discard;
 use super::clients::Shared;
-use super::fleet::Fleet;
+use super::coordination::Fleet;
 use super::messages::{Message, Phase};
 use super::Wire;
 use crate::protocol::admin::{self, Call, Figures};
--- a/src/transport/fleet/mod.rs
+++ b/src/transport/coordination/mod.rs
@@ -10,17 +10,17 @@
 
 pub mod budgets;
 mod clock;
-mod disk;
+mod log_writer;
+mod outlier_probing;
 mod report;
-mod roll;
+mod rolling_restart;
 mod status;
-mod trials;
 
 use crate::routing::Micros;
 use crate::transport::clock::Clock;
 use crate::transport::messages::{Message, Phase};
 use clock::SleepClock;
-use disk::{Disk, Told};
+use log_writer::{Disk, Told};
 use poppykeel_coordination::envelope::{self, Body, Dropped, Envelope};
 use poppykeel_coordination::{Node, Out};
 use std::cell::{Cell, RefCell};
@@ -91,8 +91,8 @@
     connections: Cell<usize>,
     tell: mpsc::Sender<Message>,
     reports: report::Counts,
-    rolls: roll::Rolls,
-    trials: trials::Trials,
+    rolls: rolling_restart::Rolls,
+    trials: outlier_probing::Trials,
     budgets: budgets::Divided,
     phase: Rc<watch::Sender<Phase>>,
     /// The clock of the routing core.
@@ -116,7 +116,7 @@
         let clock = SleepClock::start();
         let keeper = place.node.keepers.contains_key(&place.node.me);
         let folder = place.folder.as_ref().filter(|_| keeper);
-        let (disk_tells, told) = mpsc::channel(disk::WAITING);
+        let (disk_tells, told) = mpsc::channel(log_writer::WAITING);
         let (disk, kept) = match folder
             .map(|f| Disk::open(f, disk_tells.clone()))
             .transpose()?
--- a/src/transport/fleet/trials.rs
+++ b/src/transport/coordination/outlier_probing.rs
@@ -1,4 +1,4 @@
-//! A task of the whole fleet: trials of ejected servers. The decisions are `poppykeel_coordination::trials`' and, on what to
+//! A task of the whole fleet: trials of ejected servers. The decisions are `poppykeel_coordination::outlier_probing`' and, on what to
 //! do about advice, the module's.
 
 #![expect(clippy::min_ident_chars, reason = "not yet converted")]
@@ -7,7 +7,7 @@
 use crate::routing::Micros;
 use crate::transport::messages::{Message, Replica};
 use poppykeel_coordination::envelope::Body;
-use poppykeel_coordination::trials::{self, Charge, Own, Standing, MOST_NAMES};
+use poppykeel_coordination::outlier_probing::{self as trials, Charge, Own, Standing, MOST_NAMES};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::rc::Rc;
--- a/src/transport/fleet/roll.rs
+++ b/src/transport/coordination/rolling_restart.rs
@@ -1,4 +1,4 @@
-//! A task of the whole fleet: taking its nodes out one after the other. The decisions are `poppykeel_coordination::roll`'s.
+//! A task of the whole fleet: taking its nodes out one after the other. The decisions are `poppykeel_coordination::rolling_restart`'s.
 
 #![expect(
     clippy::match_bool,
@@ -11,7 +11,7 @@
 use crate::transport::admin::{evacuate, rejoin};
 use crate::transport::messages::Message;
 use poppykeel_coordination::envelope::Body;
-use poppykeel_coordination::roll::{self, Charge, Order, Own};
+use poppykeel_coordination::rolling_restart::{self as roll, Charge, Order, Own};
 use serde_json::{json, Value};
 use std::cell::RefCell;
 use std::rc::Rc;
--- a/src/transport/fleet/status.rs
+++ b/src/transport/coordination/status.rs
@@ -57,7 +57,7 @@
             self.dropped.get(),
         );
         let keepers = self.node.borrow().keepers();
-        let member = |m: &poppykeel_coordination::members::Member| {
+        let member = |m: &poppykeel_coordination::gossip::Member| {
             json!({"name": m.name, "addr": m.addr.to_string(), "incarnation": format!("{:016x}", m.incarnation),
                 "keeper": keepers.contains_key(&m.name)})
         };
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -12,7 +12,7 @@
 
 use poppykeel::program::config::operator::Operator;
 use poppykeel_coordination::envelope::{self, Body, Envelope};
-use poppykeel_coordination::trials;
+use poppykeel_coordination::outlier_probing as trials;
 use poppykeel_stub_model_server::{Fault, Outcome, Script, Standin};
 use std::collections::BTreeSet;
 use std::io::{Read, Write};
