--- /dev/null
+++ b/src/program/fleet/tables.rs
@@ -0,0 +1,211 @@
+//! The answers of a node as a person reads them. The keys are those of `/api/fleet` and `/api/crossings`.
+
+use serde_json::Value;
+use std::time::{Duration, UNIX_EPOCH};
+
+/// The length of a date with hours and minutes, as in `2026-01-31T12:34`.
+const MINUTE_BYTES: usize = 16;
+
+/// A text, or a dash where there is none.
+fn text(value: &Value) -> &str {
+    value.as_str().unwrap_or("-")
+}
+
+/// The elements of an array; none where there is no array.
+fn rows(value: &Value) -> impl Iterator<Item = &Value> {
+    value.as_array().into_iter().flatten()
+}
+
+/// The fleet's budgets.
+pub(super) fn budgets(status: &Value) -> String {
+    if status["budgets"].is_null() {
+        return "this fleet has no budgets\n".into();
+    }
+    let mut table = format!(
+        "budgets of fleet {}, as {} sees them\n\n",
+        text(&status["fleet"]),
+        text(&status["node"])
+    );
+    table += &format!(
+        "{:<20} {:>10} {:>10} {:>12} {:>10} {:>7} {:>9}\n",
+        "budget", "whole/s", "floor/s", "own share/s", "wanted/s", "worth", "left ms"
+    );
+    for budget in rows(&status["budgets"]["own"]) {
+        table += &own_budget(budget);
+    }
+    let allocator = &status["budgets"]["divided"];
+    if allocator.is_null() {
+        table +=
+            "\nanother node divides: ask it for who has what ('poppykeel fleet status' names it)\n";
+    }
+    for budget in rows(&allocator["budgets"]) {
+        table += &allocated_budget(budget, &allocator["epoch"]);
+    }
+    table
+}
+
+/// One budget as the node has it.
+fn own_budget(budget: &Value) -> String {
+    let name = text(&budget["budget"]);
+    let limit = &budget["whole"];
+    let guaranteed = &budget["floor"];
+    let granted = &budget["share"];
+    let wanted = &budget["wanted"];
+    let weight = &budget["worth"];
+    let time_left = &budget["left_ms"];
+    format!("{name:<20} {limit:>10} {guaranteed:>10} {granted:>12} {wanted:>10} {weight:>7} {time_left:>9}\n")
+}
+
+/// One budget as the node allocates it.
+fn allocated_budget(budget: &Value, epoch: &Value) -> String {
+    let name = text(&budget["budget"]);
+    let allocatable = &budget["divided"];
+    let allocated = &budget["given"];
+    let free = &budget["free"];
+    let mut table = format!(
+        "\n{name}: {allocatable}/s divided, {allocated} given, {free} free (epoch {epoch})\n"
+    );
+    let lowered_in_ms = &budget["lowered_in_ms"];
+    if lowered_in_ms.as_u64().is_some_and(|ms| ms > 0) {
+        table += &format!("  the whole was lowered: reached in {lowered_in_ms} ms at the latest\n");
+    }
+    for node in rows(&budget["nodes"]) {
+        table += &format!("  {:<16} {:>10}\n", text(&node["node"]), node["share"]);
+    }
+    table
+}
+
+/// What crossed between zones, by minute.
+pub(super) fn cross_zone_traffic(answer: &Value) -> String {
+    let mut table = format!(
+        "{:<18} {:<16} {:<16} {:>9}\n",
+        "minute (UTC)", "class", "tenant", "crossings"
+    );
+    for row in rows(answer) {
+        let minutes = row["minute"].as_u64().unwrap_or(0);
+        let time = UNIX_EPOCH + Duration::from_secs(minutes * 60);
+        let time = humantime::format_rfc3339_seconds(time).to_string();
+        let minute = time.get(..MINUTE_BYTES).unwrap_or(&time).replace('T', " ");
+        let class = text(&row["class"]);
+        let tenant = text(&row["tenant"]);
+        let count = &row["count"];
+        table += &format!("{minute:<18} {class:<16} {tenant:<16} {count:>9}\n");
+    }
+    table
+}
+
+/// Members, lease servers, leases and a rolling restart.
+pub(super) fn status(status: &Value) -> String {
+    [
+        members(status),
+        missing_lease_servers(status),
+        leases(status),
+        lease_server(&status["keeper"]),
+        rolling_restart(&status["roll"]),
+        messages(&status["messages"]),
+    ]
+    .concat()
+}
+
+fn members(status: &Value) -> String {
+    let mut table = format!(
+        "fleet {}, as {} sees it\n\n",
+        text(&status["fleet"]),
+        text(&status["node"])
+    );
+    table += &format!(
+        "{:<16} {:<22} {:<17} keeper\n",
+        "member", "address", "incarnation"
+    );
+    for member in rows(&status["members"]) {
+        let name = text(&member["name"]);
+        let address = text(&member["addr"]);
+        let incarnation = text(&member["incarnation"]);
+        let keeper = if member["keeper"] == true { "yes" } else { "" };
+        table += &format!("{name:<16} {address:<22} {incarnation:<17} {keeper}\n");
+    }
+    table
+}
+
+fn missing_lease_servers(status: &Value) -> String {
+    let is_member =
+        |name: &str| rows(&status["members"]).any(|member| text(&member["name"]) == name);
+    let missing: Vec<&str> = rows(&status["keepers"])
+        .map(text)
+        .filter(|name| !is_member(name))
+        .collect();
+    if missing.is_empty() {
+        return String::new();
+    }
+    format!("keepers that are not there: {}\n", missing.join(", "))
+}
+
+fn leases(status: &Value) -> String {
+    let mut table = format!(
+        "\n{:<16} {:<8} {:<24} {:>9}\n",
+        "task", "epoch", "held by", "left ms"
+    );
+    for lease in rows(&status["claims"]) {
+        let task = text(&lease["task"]);
+        let held_epoch = lease["held_epoch"].as_u64();
+        let epoch = held_epoch.map_or("-".into(), |epoch| epoch.to_string());
+        let (holder, time_left) = if held_epoch.is_some() {
+            let holder = format!("{} (this node)", text(&status["node"]));
+            (holder, lease["left_ms"].to_string())
+        } else {
+            (text(&lease["other"]["node"]).to_string(), "-".into())
+        };
+        table += &format!("{task:<16} {epoch:<8} {holder:<24} {time_left:>9}\n");
+    }
+    table
+}
+
+/// This node as a lease server, if it is one.
+fn lease_server(server: &Value) -> String {
+    if !server.is_object() {
+        return String::new();
+    }
+    let mut table = format!("\nthis node is a keeper: {}\n", text(&server["standing"]));
+    for row in rows(&server["table"]) {
+        let task = text(&row["task"]);
+        let epoch = &row["epoch"];
+        let holder = text(&row["holder"]["node"]);
+        let time_left = &row["left_ms"];
+        table += &format!("{task:<16} {epoch:<8} {holder:<24} {time_left:>9}\n");
+    }
+    table
+}
+
+/// The newest rolling restart, if there was one.
+fn rolling_restart(restart: &Value) -> String {
+    if !restart.is_object() {
+        return String::new();
+    }
+    let mut table = format!(
+        "\nroll {} ordered at {}: {} nodes, at most {} out; this node: {}\n",
+        restart["number"],
+        text(&restart["by"]),
+        restart["nodes"],
+        restart["out"],
+        text(&restart["part"])
+    );
+    let coordinator = &restart["charge"];
+    if coordinator.is_object() {
+        table += &format!(
+            "this node is in charge: {} out, {} done, {} waiting, {} not heard of\n",
+            coordinator["out"], coordinator["done"], coordinator["waiting"], coordinator["gone"]
+        );
+    }
+    table
+}
+
+fn messages(messages: &Value) -> String {
+    format!(
+        "\nmessages: {} sent, {} taken; dropped: {} garbled, {} foreign, {} of another list of keepers\n",
+        messages["sent"],
+        messages["taken"],
+        messages["garbled"],
+        messages["foreign"],
+        messages["other_keepers"]
+    )
+}
--- a/src/program/mod.rs
+++ b/src/program/mod.rs
@@ -36,7 +36,7 @@
     /// Show how streams fare, from a node's log in JSON
     Streams(streams::Streams),
     /// Ask a running node about its fleet
-    Fleet(fleet::Fleet),
+    Fleet(fleet::FleetCommand),
     /// Print the version
     Version,
 }
@@ -115,7 +115,7 @@
             Err(e) => Err(e),
         },
         Command::Streams(streams) => streams.run(),
-        Command::Fleet(fleet) => fleet.run(),
+        Command::Fleet(fleet) => fleet.run().map_err(|e| e.to_string()),
         Command::Version => {
             println!("poppykeel {}", env!("CARGO_PKG_VERSION"));
             Ok(())
