--- a/crates/coordination/src/lease/client/tests/mod.rs
+++ b/crates/coordination/src/lease/client/tests/mod.rs
@@ -3,8 +3,10 @@
 
 mod model;
 mod reduction;
+mod state;
 
-use model::{ClockRates, LeaseModel, Safeguard, FAST, SLOW};
+use model::{LeaseModel, FAST, SLOW};
+use state::{ClockRates, Safeguard};
 use stateright::{Checker, HasDiscoveries, Model};
 use std::time::Instant;
 
--- a/crates/coordination/src/lease/client/tests/model.rs
+++ b/crates/coordination/src/lease/client/tests/model.rs
@@ -1,7 +1,10 @@
-//! The model that is explored: lease servers and clients, the messages between them, and what happens to them.
+//! The model that is explored: what may happen to lease servers, clients and the messages between them.
 
-use super::super::round::Round;
-use super::super::{ClientState, LeaseClient, LeaseParameters};
+use super::state::{
+    current_round_mut, send_to_all_servers, Act, Action, ClockRates, ModelState, Packet, Safeguard,
+    CLIENTS, SERVERS,
+};
+use crate::lease::client::{ClientState, LeaseClient, LeaseParameters};
 use crate::lease::{
     LeaseLogRecord, LeaseRequest, LeaseResponse, LeaseServer, LeaseServerConfig, LeaseServerOutput,
     PeerMessage, RecoveryState,
@@ -10,47 +13,12 @@
 use stateright::{Model, Property};
 use std::collections::BTreeSet;
 
-pub(super) const SERVERS: usize = 3;
-pub(super) const CLIENTS: usize = 2;
 /// A slow and a fast clock, in units by tick: as far apart as the drift below allows, to the unit.
 pub(super) const SLOW: u64 = 1;
 pub(super) const FAST: u64 = 2;
 const DRIFT_PPM: u32 = 333_333;
 const LEASE_DURATION: u64 = 4;
 
-/// What keeps two processes from holding one lease. A model may have one of these taken out.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Safeguard {
-    /// The margin for drift in the holding time.
-    DriftMargin,
-    /// The look at the lease before the act.
-    CheckBeforeAct,
-    /// The server's write before its answer.
-    DurableGrants,
-    /// The look at the epoch by what is acted upon.
-    EpochFence,
-    /// The holding time's count from the request.
-    HoldingFromRequest,
-    /// The distrust of a log that may be an older one.
-    DistrustOfLog,
-}
-
-/// How fast each clock runs, in units by tick.
-#[derive(Clone, Debug)]
-pub(super) struct ClockRates {
-    pub(super) servers: [u64; SERVERS],
-    pub(super) clients: [u64; CLIENTS],
-}
-
-impl ClockRates {
-    pub(super) fn uniform(servers: u64, clients: u64) -> ClockRates {
-        ClockRates {
-            servers: [servers; SERVERS],
-            clients: [clients; CLIENTS],
-        }
-    }
-}
-
 /// How far to look.
 #[derive(Clone, Debug)]
 pub(super) struct LeaseModel {
@@ -70,63 +38,6 @@
     pub(super) is_second_client_ahead: bool,
 }
 
-/// A message on its way. The variants' order is that in which messages are tried.
-#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub(super) enum Packet {
-    ToServer {
-        client: usize,
-        server: usize,
-        message: LeaseRequest,
-    },
-    ToClient {
-        server: usize,
-        client: usize,
-        response: LeaseResponse,
-    },
-    BetweenServers {
-        server: usize,
-        message: LeaseRequest,
-    },
-}
-
-/// An act under a lease.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub(super) struct Act {
-    pub(super) epoch: Epoch,
-    pub(super) client: usize,
-}
-
-#[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub(super) struct ModelState {
-    pub(super) tick: u64,
-    pub(super) servers: Vec<LeaseServer>,
-    pub(super) logs: Vec<Vec<LeaseLogRecord>>,
-    pub(super) clients: Vec<LeaseClient>,
-    /// Messages on their way. One that is never delivered is lost.
-    pub(super) network: BTreeSet<Packet>,
-    /// The epoch under which a client looked at the lease and has not acted yet.
-    pub(super) about_to_act: Vec<Option<Epoch>>,
-    pub(super) repeats: u8,
-    pub(super) restarts: u8,
-    /// The act of the highest epoch.
-    pub(super) last_act: Act,
-    /// Whether something that must not be has been accepted.
-    pub(super) is_violated: bool,
-    pub(super) was_held: bool,
-}
-
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub(super) enum Action {
-    Tick,
-    ClientTimer(usize),
-    CheckLease(usize),
-    Act(usize),
-    Deliver(Packet),
-    Repeat(Packet),
-    Restart(usize),
-    AskForRecovery(usize),
-}
-
 impl LeaseModel {
     pub(super) fn new(without: Option<Safeguard>) -> LeaseModel {
         LeaseModel {
@@ -368,42 +279,6 @@
     }]
 }
 
-/// The round that a client is in, if any.
-pub(super) fn current_round(client: &LeaseClient) -> Option<&Round> {
-    match &client.state {
-        ClientState::Acquiring(round)
-        | ClientState::Held {
-            renewal: Some(round),
-            ..
-        } => Some(round),
-        _ => None,
-    }
-}
-
-/// The round that a client is in, if any, to be changed.
-pub(super) fn current_round_mut(client: &mut LeaseClient) -> Option<&mut Round> {
-    match &mut client.state {
-        ClientState::Acquiring(round)
-        | ClientState::Held {
-            renewal: Some(round),
-            ..
-        } => Some(round),
-        _ => None,
-    }
-}
-
-fn send_to_all_servers(state: &mut ModelState, client: usize, messages: &[LeaseRequest]) {
-    for message in messages {
-        for server in 0..SERVERS {
-            state.network.insert(Packet::ToServer {
-                client,
-                server,
-                message: message.clone(),
-            });
-        }
-    }
-}
-
 impl Model for LeaseModel {
     type State = ModelState;
     type Action = Action;
--- a/crates/coordination/src/lease/client/tests/reduction.rs
+++ b/crates/coordination/src/lease/client/tests/reduction.rs
@@ -1,8 +1,7 @@
 //! Makes states that differ in nothing that matters one, so that fewer are explored.
 
-use super::model::{
-    current_round, current_round_mut, LeaseModel, ModelState, Packet, Safeguard, SERVERS,
-};
+use super::model::LeaseModel;
+use super::state::{current_round, current_round_mut, ModelState, Packet, Safeguard, SERVERS};
 use crate::lease::{LeaseClient, LeaseRequest, LeaseResponse, LeaseServer};
 use crate::Epoch;
 use std::collections::BTreeSet;
--- a/crates/coordination/tests/lease_servers.rs
+++ b/crates/coordination/tests/lease_servers.rs
@@ -1,12 +1,16 @@
 //! Lease servers among themselves and with clients, by fed time: starts, lost logs, and what each hard case must not do.
 
+#[path = "support/lease_network.rs"]
+mod lease_network;
+
+use lease_network::{Delivery, Network, Packet};
 use poppykeel_coordination::lease::{
     reduce_by_drift, AcquireRequest, LeaseClient, LeaseLogRecord, LeaseParameters, LeaseRequest,
     LeaseResponse, LeaseServer, LeaseServerConfig, PeerMessage, RecoveryState,
 };
 use poppykeel_coordination::{Epoch, Incarnation, ProcessId};
 use proptest::prelude::*;
-use std::collections::{BTreeMap, BTreeSet};
+use std::collections::BTreeSet;
 
 const LEASE_DURATION: u64 = 1_000_000;
 /// Three servers, and leases with a drift of a thousandth.
@@ -273,69 +277,6 @@
     }
 }
 
-/// What is on its way between a client and a server.
-enum Packet {
-    Request(LeaseRequest),
-    Response(LeaseResponse),
-}
-
-struct Delivery {
-    client: usize,
-    server: usize,
-    packet: Packet,
-}
-
-/// A network on which each message takes its own time, so that contenders meet the servers in different orders.
-struct Network {
-    /// Messages by the time of their arrival, and by the order in which they were sent.
-    in_flight: BTreeMap<(u64, u64), Delivery>,
-    sent_count: u64,
-    random: u64,
-}
-
-impl Network {
-    fn new() -> Network {
-        Network {
-            in_flight: BTreeMap::new(),
-            sent_count: 0,
-            random: 7,
-        }
-    }
-
-    fn draw(&mut self) -> u64 {
-        self.random = self
-            .random
-            .wrapping_mul(6_364_136_223_846_793_005)
-            .wrapping_add(1_442_695_040_888_963_407);
-        self.random >> 33
-    }
-
-    fn send(&mut self, now: u64, delivery: Delivery) {
-        self.sent_count += 1;
-        let arrival = now + 100 + self.draw() % 2000;
-        self.in_flight.insert((arrival, self.sent_count), delivery);
-    }
-
-    fn send_to_all(&mut self, now: u64, client: usize, message: &LeaseRequest) {
-        for server in 0..PARAMETERS.server_count {
-            let packet = Packet::Request(message.clone());
-            self.send(
-                now,
-                Delivery {
-                    client,
-                    server,
-                    packet,
-                },
-            );
-        }
-    }
-
-    fn next_arrived(&mut self, now: u64) -> Option<Delivery> {
-        let first = self.in_flight.first_entry()?;
-        (first.key().0 <= now).then(|| first.remove())
-    }
-}
-
 fn run_due_clients(clients: &mut [LeaseClient], network: &mut Network, now: u64) {
     for (index, client) in clients.iter_mut().enumerate() {
         if client.next_deadline().is_some_and(|at| at <= now) {
@@ -393,7 +334,7 @@
             LeaseClient::new("t", process, PARAMETERS, LEASE_DURATION)
         })
         .collect();
-    let mut network = Network::new();
+    let mut network = Network::new(PARAMETERS.server_count);
     let mut now = LEASE_DURATION;
     let mut held_at = None;
     while now < 20 * LEASE_DURATION && held_at.is_none() {
