--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,13 +1,11 @@
-//! A node with and without `[fleet]`: what the section costs where it is absent, its errors, and trials by one for all.
+//! A node with and without `[fleet]`: what the section costs where it is absent, the errors in its settings, messages that
+//! are dropped, outlier probing by one node for all, and the budget of calls to discovery.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
-#![expect(
-    clippy::min_ident_chars,
-    clippy::too_many_lines,
-    reason = "not yet converted"
-)]
 
-#[allow(dead_code)] // the rest is for tests of streams
+#[path = "support/process_resources.rs"]
+mod process_resources;
+#[allow(dead_code)] // what is not used here is for other tests
 mod support;
 
 use poppykeel::program::config::operator::Operator;
@@ -15,65 +13,41 @@
 use poppykeel_coordination::outlier_probing::ProbingMessage;
 use poppykeel_coordination::{Incarnation, ProcessId};
 use poppykeel_stub_model_server::{Fault, Outcome, Script, Standin};
-use std::collections::BTreeSet;
+use process_resources::ProcessResources;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream, UdpSocket};
+use std::path::PathBuf;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 use support::{ask, read, Node};
 
-/// Inodes of a process's sockets.
-fn sockets(id: u32) -> BTreeSet<String> {
-    let fds = std::fs::read_dir(format!("/proc/{id}/fd")).unwrap();
-    let links = fds.filter_map(|fd| std::fs::read_link(fd.ok()?.path()).ok());
-    let named = links.map(|l| l.to_string_lossy().into_owned());
-    named
-        .filter_map(|l| {
-            l.strip_prefix("socket:[")?
-                .strip_suffix(']')
-                .map(String::from)
-        })
-        .collect()
-}
-
-/// Of these sockets, how many carry datagrams, and how many listen for connections.
-fn kinds(id: u32) -> (usize, usize) {
-    let own = sockets(id);
-    let count = |file: &str, state: &str| {
-        let text = std::fs::read_to_string(format!("/proc/{id}/net/{file}")).unwrap();
-        let lines = text
-            .lines()
-            .skip(1)
-            .map(|l| l.split_whitespace().collect::<Vec<_>>());
-        lines
-            .filter(|l| (state.is_empty() || l[3] == state) && own.contains(l[9]))
-            .count()
-    };
-    (count("udp", ""), count("tcp", "0A"))
-}
+/// What is awaited of a node must come within this time.
+const PATIENCE: Duration = Duration::from_secs(10);
+/// The number of tokens of a stub server's answer.
+const TOKENS: usize = 3;
 
-fn threads(id: u32) -> usize {
-    std::fs::read_dir(format!("/proc/{id}/task"))
-        .unwrap()
-        .count()
-}
-
-/// A port that is free for datagrams and connections.
-fn port() -> SocketAddr {
+/// An address that is free for datagrams and connections.
+fn free_address() -> SocketAddr {
     loop {
         let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
-        let addr = socket.local_addr().unwrap();
-        if TcpListener::bind(addr).is_ok() {
-            return addr;
+        let address = socket.local_addr().unwrap();
+        if TcpListener::bind(address).is_ok() {
+            return address;
         }
     }
 }
 
-fn fleet(me: SocketAddr, keeper: SocketAddr, folder: &str) -> String {
+/// A folder for one test of this process; not made yet.
+fn test_folder(name: &str) -> PathBuf {
+    std::env::temp_dir().join(format!("fleet-{name}-{}", std::process::id()))
+}
+
+/// A `[fleet]` section with one lease server, `n0`.
+fn fleet_section(listen: SocketAddr, lease_server: SocketAddr, folder: &str) -> String {
     format!(
-        "[fleet]\nname = \"f\"\nlisten = \"{me}\"\nfolder = \"{folder}\"\nlease = \"500ms\"\npatience = \"100ms\"\n\
-         probe = \"100ms\"\nkeepers = {{ n0 = \"{keeper}\" }}\n"
+        "[fleet]\nname = \"f\"\nlisten = \"{listen}\"\nfolder = \"{folder}\"\nlease = \"500ms\"\npatience = \"100ms\"\n\
+         probe = \"100ms\"\nkeepers = {{ n0 = \"{lease_server}\" }}\n"
     )
 }
 
@@ -81,101 +55,122 @@
 fn without_the_section_there_is_no_listener_no_thread_and_no_file() {
     let server = Standin::start(vec![Script::default()]).unwrap();
     let node = Node::start("no-fleet", server.addrs(), "", "safe");
-    assert_eq!(
-        (kinds(node.child.id()), threads(node.child.id())),
-        ((0, 2), 1)
-    );
-    let folder = std::env::temp_dir().join(format!("fleet-disk-{}", std::process::id()));
-    let at = port();
-    let with = Node::start(
-        "with-fleet",
-        server.addrs(),
-        &fleet(at, at, &folder.display().to_string()),
-        "safe",
-    );
-    assert_eq!(
-        (kinds(with.child.id()), threads(with.child.id())),
-        ((1, 3), 2)
-    );
+    let alone = ProcessResources {
+        datagram_sockets: 0,
+        listeners: 2,
+        threads: 1,
+    };
+    assert_eq!(ProcessResources::of(node.child.id()), alone);
+    let folder = test_folder("disk");
+    let address = free_address();
+    let section = fleet_section(address, address, &folder.display().to_string());
+    let node = Node::start("with-fleet", server.addrs(), &section, "safe");
+    let in_fleet = ProcessResources {
+        datagram_sockets: 1,
+        listeners: 3,
+        threads: 2,
+    };
+    assert_eq!(ProcessResources::of(node.child.id()), in_fleet);
     assert!(folder.join("lock").exists());
-    drop(with);
+    drop(node);
     std::fs::remove_dir_all(folder).unwrap();
 }
 
-#[test]
-fn wrong_settings_are_errors_with_key_and_line() {
-    let good = fleet(port(), port(), "x");
-    Operator::read(&good).unwrap();
-    let wrong = [
+/// A section without a fault.
+fn valid_section() -> String {
+    fleet_section(free_address(), free_address(), "x")
+}
+
+/// A section with one budget, and how the budget is set.
+fn section_with_budget(valid: &str, budget: &str) -> String {
+    format!("{valid}[fleet.budgets]\nmost_nodes = 10\nretries = {budget}\n")
+}
+
+const VALID_BUDGET: &str = "{ rate = 20, burst = 20, floor = 1, floor_burst = 1 }";
+
+/// Sections with a fault, and how their errors begin.
+fn faulty_sections(valid: &str) -> Vec<(String, &'static str)> {
+    vec![
         (
-            good.replace("name = \"f\"", "name = \"\""),
+            valid.replace("name = \"f\"", "name = \"\""),
             "line 2: fleet.name",
         ),
-        (good.replace("500ms", "5ms"), "line 5: fleet.lease"),
+        (valid.replace("500ms", "5ms"), "line 5: fleet.lease"),
         (
-            good.replace("patience = \"100ms\"", "patience = \"400ms\""),
+            valid.replace("patience = \"100ms\"", "patience = \"400ms\""),
             "line 6: fleet.patience",
         ),
         (
-            good.replace("{ n0", "{ n1 = \"127.0.0.1:1\", n0"),
+            valid.replace("{ n0", "{ n1 = \"127.0.0.1:1\", n0"),
             "line 8: fleet.keepers",
         ),
-        (good.replace("probe =", "prob ="), "line 7"),
-        (format!("{good}drift = 900000\n"), "line 9: fleet.drift"),
+        (valid.replace("probe =", "prob ="), "line 7"),
+        (format!("{valid}drift = 900000\n"), "line 9: fleet.drift"),
         (
-            format!("{good}[fleet.report]\nto = \"here\"\n"),
+            format!("{valid}[fleet.report]\nto = \"here\"\n"),
             "line 10: fleet.report.to",
         ),
         (
-            format!("{good}[fleet.report]\nto = \"127.0.0.1:1\"\nevery = 0\n"),
+            format!("{valid}[fleet.report]\nto = \"127.0.0.1:1\"\nevery = 0\n"),
             "line 11: fleet.report.every",
         ),
-    ];
-    let budget = |text: &str| format!("{good}[fleet.budgets]\nmost_nodes = 10\nretries = {text}\n");
-    Operator::read(&budget(
-        "{ rate = 20, burst = 20, floor = 1, floor_burst = 1 }",
-    ))
-    .unwrap();
-    let wrong = wrong.into_iter().chain([
+    ]
+}
+
+/// Sections with a fault in a budget, and how their errors begin.
+fn faulty_budgets(valid: &str) -> Vec<(String, &'static str)> {
+    let with_budget = |budget: &str| section_with_budget(valid, budget);
+    vec![
         (
-            budget("{ rate = 20, burst = 20, floor = 3, floor_burst = 1 }"),
+            with_budget("{ rate = 20, burst = 20, floor = 3, floor_burst = 1 }"),
             "line 11: fleet.budgets.retries.floor",
         ),
         (
-            budget("{ rate = 20, burst = 9, floor = 1, floor_burst = 1 }"),
+            with_budget("{ rate = 20, burst = 9, floor = 1, floor_burst = 1 }"),
             "line 11: fleet.budgets.retries.floor_burst",
         ),
         (
-            budget("{ rate = 20, burst = 20, floor = 1, floor_burst = 0.5 }"),
+            with_budget("{ rate = 20, burst = 20, floor = 1, floor_burst = 0.5 }"),
             "line 11: fleet.budgets.retries.floor_burst",
         ),
         (
-            budget("{ rate = -1, burst = 20, floor = 1, floor_burst = 1 }"),
+            with_budget("{ rate = -1, burst = 20, floor = 1, floor_burst = 1 }"),
             "line 11: fleet.budgets.retries.rate",
         ),
         (
-            budget("{ rate = 20, burst = 20, floor = 1, floor_burst = 1 }")
+            with_budget(VALID_BUDGET)
                 .replace("retries", "tenants.t0")
                 .replace("floor = 1", "floor = 9"),
             "line 11: fleet.budgets.tenants.t0.floor",
         ),
         (
-            budget("{ rate = 20 }").replace("most_nodes = 10", "most_nodes = 0"),
+            with_budget("{ rate = 20 }").replace("most_nodes = 10", "most_nodes = 0"),
             "line 11",
         ),
-    ]);
-    for (text, place) in wrong {
-        let error = Operator::read(&text).err().unwrap_or_default();
-        assert!(error.starts_with(place), "{place}: {error}\n{text}");
+    ]
+}
+
+#[test]
+fn wrong_settings_are_errors_with_key_and_line() {
+    let valid = valid_section();
+    Operator::read(&valid).unwrap();
+    Operator::read(&section_with_budget(&valid, VALID_BUDGET)).unwrap();
+    let faulty = [faulty_sections(&valid), faulty_budgets(&valid)].concat();
+    for (section, expected) in faulty {
+        let error = Operator::read(&section).err().unwrap_or_default();
+        assert!(
+            error.starts_with(expected),
+            "{expected}: {error}\n{section}"
+        );
     }
-    let alone = Operator::read(&good.replace("folder = \"x\"\n", ""))
+    let without_folder = Operator::read(&valid.replace("folder = \"x\"\n", ""))
         .unwrap()
         .fleet
         .unwrap();
-    assert!(alone.place("n0", &[]).unwrap_err().contains("fleet.folder"));
-    assert!(alone.place("n9", &[]).is_ok());
-    let tenant = budget("{ rate = 20, burst = 20, floor = 1, floor_burst = 1 }")
-        .replace("retries", "tenants.t0");
+    let error = without_folder.place("n0", &[]).unwrap_err();
+    assert!(error.contains("fleet.folder"));
+    assert!(without_folder.place("n9", &[]).is_ok());
+    let tenant = section_with_budget(&valid, VALID_BUDGET).replace("retries", "tenants.t0");
     let tenant = Operator::read(&tenant).unwrap().fleet.unwrap();
     let error = tenant.place("n9", &["other".to_string()]).unwrap_err();
     assert!(
@@ -185,86 +180,96 @@
     assert!(tenant.place("n9", &["t0".to_string()]).is_ok());
 }
 
-/// One call at a node's operators' address.
-fn call(node: &Node, line: &str) -> String {
-    let began = Instant::now();
-    let at: SocketAddr = loop {
-        let found = node.log.lock().unwrap().iter().find_map(|l| {
-            let text = l.split("operators call at ").nth(1)?;
+/// The operators' address of a node, as its log names it.
+fn admin_address(node: &Node) -> SocketAddr {
+    let started_at = Instant::now();
+    loop {
+        let named = node.log.lock().unwrap().iter().find_map(|line| {
+            let text = line.split("operators call at ").nth(1)?;
             text.split('"').next()?.parse().ok()
         });
-        match found {
-            Some(at) => break at,
-            None => assert!(
-                began.elapsed() < Duration::from_secs(10),
-                "no operators' address"
-            ),
+        if let Some(address) = named {
+            return address;
         }
+        assert!(started_at.elapsed() < PATIENCE, "no operators' address");
         std::thread::sleep(Duration::from_millis(5));
-    };
-    let mut stream = TcpStream::connect(at).unwrap();
+    }
+}
+
+/// One call at a node's operators' address; the whole answer.
+fn call(node: &Node, request: &str) -> String {
+    let mut stream = TcpStream::connect(admin_address(node)).unwrap();
     write!(
         stream,
-        "{line} HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n"
+        "{request} HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n"
     )
     .unwrap();
-    let mut text = String::new();
-    stream.read_to_string(&mut text).unwrap();
-    text
+    let mut answer = String::new();
+    stream.read_to_string(&mut answer).unwrap();
+    answer
 }
 
-#[test]
-fn foreign_and_garbled_messages_are_dropped_and_counted_by_datagram_and_connection() {
-    let server = Standin::start(vec![Script::default()]).unwrap();
-    let folder = std::env::temp_dir().join(format!("fleet-drop-{}", std::process::id()));
-    let at = port();
-    let node = Node::named(
-        "n0",
-        "drop",
-        server.addrs(),
-        &fleet(at, at, &folder.display().to_string()),
-    );
-    let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
-    let message = |fleet: &str, to: &str, names: usize| {
-        let names = (0..names)
-            .map(|n| format!("a server with a long name, number {n}"))
-            .collect();
-        envelope::encode(&Envelope {
-            fleet: fleet.into(),
-            lease_servers_number: 1,
-            sender: ProcessId {
-                node: "n7".into(),
-                incarnation: Incarnation(1),
-            },
-            sender_address: at,
-            recipient: to.into(),
-            body: MessageBody::OutlierProbing(ProbingMessage::Ejected { replicas: names }),
-        })
-    };
-    let (foreign, own) = (message("g", "n0", 1), message("f", "n0", 1));
-    let long = message("f", "n0", 2000);
+/// The value of a metric of coordination in an answer.
+fn metric(answer: &str, name: &str) -> Option<u64> {
+    let prefix = format!("app_fleet_{name} ");
+    let value = answer.lines().find_map(|line| line.strip_prefix(&prefix));
+    value.and_then(|value| value.parse().ok())
+}
+
+/// A message that names so many ejected replicas, as bytes.
+fn ejection_report(sender_address: SocketAddr, fleet: &str, to: &str, replicas: usize) -> Vec<u8> {
+    let replicas = (0..replicas)
+        .map(|number| format!("a server with a long name, number {number}"))
+        .collect();
+    envelope::encode(&Envelope {
+        fleet: fleet.into(),
+        lease_servers_number: 1,
+        sender: ProcessId {
+            node: "n7".into(),
+            incarnation: Incarnation(1),
+        },
+        sender_address,
+        recipient: to.into(),
+        body: MessageBody::OutlierProbing(ProbingMessage::Ejected { replicas }),
+    })
+}
+
+/// Sends three messages for others, three damaged ones and two good ones, by datagrams and connections.
+fn send_good_and_bad_messages(address: SocketAddr) {
+    let foreign = ejection_report(address, "g", "n0", 1);
+    let good = ejection_report(address, "f", "n0", 1);
+    let long = ejection_report(address, "f", "n0", 2000);
     assert!(long.len() > envelope::MAX_DATAGRAM_BYTES);
-    socket.send_to(&foreign, at).unwrap();
-    socket.send_to(&message("f", "n1", 1), at).unwrap();
-    socket.send_to(&own, at).unwrap();
-    socket.send_to(&own[..own.len() - 1], at).unwrap();
-    socket.send_to(&[7; 900], at).unwrap();
+    let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
+    socket.send_to(&foreign, address).unwrap();
+    let for_another_node = ejection_report(address, "f", "n1", 1);
+    socket.send_to(&for_another_node, address).unwrap();
+    socket.send_to(&good, address).unwrap();
+    socket.send_to(&good[..good.len() - 1], address).unwrap();
+    socket.send_to(&[7; 900], address).unwrap();
     for bytes in [&long[..], &long[..5000], &foreign] {
-        TcpStream::connect(at).unwrap().write_all(bytes).unwrap();
+        let mut stream = TcpStream::connect(address).unwrap();
+        stream.write_all(bytes).unwrap();
     }
-    let began = Instant::now();
+}
+
+#[test]
+fn foreign_and_garbled_messages_are_dropped_and_counted_by_datagram_and_connection() {
+    let server = Standin::start(vec![Script::default()]).unwrap();
+    let folder = test_folder("drop");
+    let address = free_address();
+    let section = fleet_section(address, address, &folder.display().to_string());
+    let node = Node::named("n0", "drop", server.addrs(), &section);
+    send_good_and_bad_messages(address);
+    let started_at = Instant::now();
     loop {
-        let figures = call(&node, "GET /api/telemetry");
-        let figure = |name: &str| {
-            let line = figures
-                .lines()
-                .find_map(|l| l.strip_prefix(&format!("app_fleet_{name} ")));
-            line.and_then(|n| n.parse::<u64>().ok())
-        };
-        if (figure("messages_foreign"), figure("messages_garbled")) == (Some(3), Some(3)) {
+        let answer = call(&node, "GET /api/telemetry");
+        let foreign = metric(&answer, "messages_foreign");
+        let garbled = metric(&answer, "messages_garbled");
+        if (foreign, garbled) == (Some(3), Some(3)) {
             break;
         }
-        assert!(began.elapsed() < Duration::from_secs(10), "{figures}");
+        assert!(started_at.elapsed() < PATIENCE, "{answer}");
         std::thread::sleep(Duration::from_millis(20));
     }
     assert!(call(&node, "GET /api/fleet").contains("\"fleet\":\"f\""));
@@ -273,106 +278,140 @@
     std::fs::remove_dir_all(folder).unwrap();
 }
 
-/// Requests that a bad server got while several nodes served for a while, and whether all use it again once it is well.
-fn tried(name: &str, with: bool) -> (usize, bool) {
-    let bad = || {
-        Script {
-            tokens: 3,
-            ..Script::default()
-        }
-        .with(Fault::Status(500))
-    };
-    let good = || Script {
-        tokens: 3,
+/// What a server that fails for a while got of several nodes.
+#[derive(Debug)]
+struct ProbingRun {
+    /// Requests that it got while it failed.
+    probes: usize,
+    /// Whether all nodes use it again once it is well.
+    is_used_again: bool,
+}
+
+fn healthy_script() -> Script {
+    Script {
+        tokens: TOKENS,
         ..Script::default()
+    }
+}
+
+fn failing_script() -> Script {
+    healthy_script().with(Fault::Status(500))
+}
+
+/// Four nodes, each with a `[fleet]` section or without one.
+fn four_nodes(name: &str, servers: &[SocketAddr], folder: Option<&PathBuf>) -> Vec<Node> {
+    let addresses: Vec<SocketAddr> = (0..4).map(|_| free_address()).collect();
+    let mut nodes = Vec::new();
+    for (index, address) in addresses.iter().enumerate() {
+        let section = folder
+            .map(|folder| fleet_section(*address, addresses[0], &folder.display().to_string()));
+        let node = format!("n{index}");
+        nodes.push(Node::named(
+            &node,
+            name,
+            servers,
+            &section.unwrap_or_default(),
+        ));
+    }
+    nodes
+}
+
+/// All nodes serve one request after the other for a while.
+fn serve_for(nodes: &[Node], span: Duration) {
+    std::thread::scope(|scope| {
+        for node in nodes {
+            scope.spawn(move || {
+                let until = Instant::now() + span;
+                let mut number = 0;
+                while Instant::now() < until {
+                    // Sessions of their own, so that each server is some request's first choice.
+                    let prompt = format!("{} {number}", node.addr);
+                    let (id, mut stream) = ask(node, &prompt, TOKENS);
+                    let answer = read(id, &prompt, TOKENS, &mut stream);
+                    assert_eq!(answer.outcome, Outcome::Whole);
+                    number += 1;
+                    std::thread::sleep(Duration::from_millis(20));
+                }
+            });
+        }
+    });
+}
+
+fn run_with_failing_server(name: &str, has_fleet: bool) -> ProbingRun {
+    let servers = Standin::start(vec![healthy_script(), failing_script()]).unwrap();
+    let folder = test_folder(name);
+    let nodes = four_nodes(name, servers.addrs(), has_fleet.then_some(&folder));
+    let requests_at_failing = || {
+        let records = servers.records();
+        records.iter().filter(|record| record.server == 1).count()
     };
-    let servers = Standin::start(vec![good(), bad()]).unwrap();
-    let at: Vec<SocketAddr> = (0..4).map(|_| port()).collect();
-    let folder = std::env::temp_dir().join(format!("fleet-{name}-{}", std::process::id()));
-    let nodes: Vec<Node> = (0..4)
-        .map(|n| {
-            let operator = if with {
-                fleet(at[n], at[0], &folder.display().to_string())
-            } else {
-                String::new()
-            };
-            Node::named(&format!("n{n}"), name, servers.addrs(), &operator)
-        })
-        .collect();
-    let play = |span: Duration| {
-        std::thread::scope(|scope| {
-            for node in &nodes {
-                scope.spawn(move || {
-                    let until = Instant::now() + span;
-                    let mut n = 0;
-                    while Instant::now() < until {
-                        // Sessions of their own, so that each server is some request's home.
-                        let prompt = format!("{} {n}", node.addr);
-                        let (id, mut stream) = ask(node, &prompt, 3);
-                        assert_eq!(read(id, &prompt, 3, &mut stream).outcome, Outcome::Whole);
-                        n += 1;
-                        std::thread::sleep(Duration::from_millis(20));
-                    }
-                });
-            }
-        });
-    };
-    let at_bad = || servers.records().iter().filter(|r| r.server == 1).count();
-    play(Duration::from_secs(3));
-    let before = at_bad();
-    play(Duration::from_secs(6));
-    let tried = at_bad() - before;
-    servers.set(1, good());
-    play(Duration::from_secs(3));
-    let back = at_bad();
-    play(Duration::from_secs(1));
-    let used = at_bad() > back + 10;
+    serve_for(&nodes, Duration::from_secs(3));
+    let before = requests_at_failing();
+    serve_for(&nodes, Duration::from_secs(6));
+    let probes = requests_at_failing() - before;
+    servers.set(1, healthy_script());
+    serve_for(&nodes, Duration::from_secs(3));
+    let after_recovery = requests_at_failing();
+    serve_for(&nodes, Duration::from_secs(1));
+    let is_used_again = requests_at_failing() > after_recovery + 10;
+    // Without a fleet there is no folder.
     let _ = std::fs::remove_dir_all(folder);
-    (tried, used)
+    ProbingRun {
+        probes,
+        is_used_again,
+    }
 }
 
 #[test]
-fn one_node_tries_a_bad_server_for_all_and_all_come_back_to_it() {
+fn one_node_probes_a_failing_server_for_all_and_all_use_it_again() {
     let (together, alone) = std::thread::scope(|scope| {
-        let alone = scope.spawn(|| tried("alone", false));
-        (tried("together", true), alone.join().unwrap())
+        let alone = scope.spawn(|| run_with_failing_server("alone", false));
+        let together = run_with_failing_server("together", true);
+        (together, alone.join().unwrap())
     });
     println!(
-        "trials of a bad server in 6 s by 4 nodes: {together:?} with a fleet, {alone:?} without"
+        "probes of a failing server in 6 s by 4 nodes: {together:?} with a fleet, {alone:?} without"
+    );
+    assert!(
+        together.is_used_again && alone.is_used_again,
+        "{together:?} {alone:?}"
     );
-    assert!(together.1 && alone.1, "{together:?} {alone:?}");
-    assert!(together.0 * 2 < alone.0, "{together:?} {alone:?}");
+    assert!(together.probes * 2 < alone.probes, "{together:?} {alone:?}");
+}
+
+/// How often a node calls a discovery that closes every connection, in 20 s.
+fn calls_to_failing_discovery(name: &str, budget: &str) -> usize {
+    let discovery = TcpListener::bind("127.0.0.1:0").unwrap();
+    let address = discovery.local_addr().unwrap().to_string();
+    let calls = Arc::new(AtomicUsize::new(0));
+    let counted = calls.clone();
+    std::thread::spawn(move || {
+        for _ in discovery.incoming().flatten() {
+            counted.fetch_add(1, Ordering::Relaxed);
+        }
+    });
+    let server = Standin::start(vec![Script::default()]).unwrap();
+    let folder = test_folder(name);
+    let listen = free_address();
+    let section = fleet_section(listen, listen, &folder.display().to_string()) + budget;
+    let node = Node::with_list(name, server.addrs(), &section, "safe", &address);
+    std::thread::sleep(Duration::from_secs(20));
+    drop(node);
+    std::fs::remove_dir_all(folder).unwrap();
+    calls.load(Ordering::Relaxed)
 }
 
-/// Where the fleet allows three calls for the list in 20 s, a node whose discovery closes every connection makes no more,
-/// and it goes on calling; without a budget it calls again after each pause, which is 1.84 s at most.
+/// Where the fleet allows three calls to discovery in 20 s, a node makes no more, and it goes on calling; without a budget
+/// it calls again after each pause, which is 1.84 s at most.
 #[test]
-fn calls_for_the_list_are_spent_out_of_the_fleets_budget() {
-    let called = |name: &str, budget: &str| {
-        let discovery = TcpListener::bind("127.0.0.1:0").unwrap();
-        let calls = Arc::new(AtomicUsize::new(0));
-        let (own, at) = (calls.clone(), discovery.local_addr().unwrap().to_string());
-        std::thread::spawn(move || {
-            for _ in discovery.incoming().flatten() {
-                own.fetch_add(1, Ordering::Relaxed);
-            }
-        });
-        let server = Standin::start(vec![Script::default()]).unwrap();
-        let folder = std::env::temp_dir().join(format!("fleet-{name}-{}", std::process::id()));
-        let own = port();
-        let operator = fleet(own, own, &folder.display().to_string()) + budget;
-        let node = Node::with_list(name, server.addrs(), &operator, "safe", &at);
-        std::thread::sleep(Duration::from_secs(20));
-        drop(node);
-        std::fs::remove_dir_all(folder).unwrap();
-        calls.load(Ordering::Relaxed)
-    };
+fn calls_to_discovery_are_spent_out_of_the_fleets_budget() {
     let budget = "[fleet.budgets]\nmost_nodes = 1\n\
                   discovery = { rate = 0.15, burst = 1, floor = 0.1, floor_burst = 1 }\n";
-    let (bound, free) = std::thread::scope(|scope| {
-        let free = scope.spawn(|| called("calls-free", ""));
-        (called("calls-bound", budget), free.join().unwrap())
+    let (limited, unlimited) = std::thread::scope(|scope| {
+        let unlimited = scope.spawn(|| calls_to_failing_discovery("calls-free", ""));
+        let limited = calls_to_failing_discovery("calls-bound", budget);
+        (limited, unlimited.join().unwrap())
     });
-    assert!(free >= 5, "{free}");
-    assert!((2..=4).contains(&bound), "{bound}");
+    assert!(unlimited >= 5, "{unlimited}");
+    assert!((2..=4).contains(&limited), "{limited}");
 }
