--- a/benches/leases.rs
+++ b/benches/leases.rs
@@ -1,13 +1,7 @@
-//! What leases cost: grants a second by how they are kept, a fleet's messages, and a node's requests with and without
-//! `[fleet]`. `cargo bench --bench leases`; the figures of docs/leases.md are from it.
+//! What leases cost: grants a second by how they are made durable, a fleet's messages, and a node's requests with and
+//! without `[fleet]`. `cargo bench --bench leases`; the figures of docs/leases.md are from it.
 
-#![expect(
-    clippy::min_ident_chars,
-    clippy::too_many_lines,
-    reason = "not yet converted"
-)]
-
-#[allow(dead_code)] // the rest is for tests
+#[allow(dead_code)] // what is not used here is for tests
 #[path = "../tests/support/mod.rs"]
 mod support;
 
@@ -20,86 +14,145 @@
 use serde_json::Value;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream, UdpSocket};
+use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 use support::{ask, read, Node};
 
+/// The duration of the leases that are granted, in microseconds.
+const LEASE_DURATION: u64 = 5_000_000;
+/// From one grant to the next: each finds the one before it over.
+const GRANT_INTERVAL: u64 = 6_000_000;
+/// Grants are for so many tasks in turn.
+const TASKS: u64 = 500;
+/// How long grants are counted.
+const GRANTS_SPAN: Duration = Duration::from_secs(3);
+/// The nodes of the fleet whose messages are counted, and the lease servers among them.
+const NODES: usize = 9;
+const LEASE_SERVERS: usize = 3;
+/// A fleet has come to rest after this time, and its messages are counted for the other.
+const SETTLE_TIME: Duration = Duration::from_secs(12);
+const MESSAGES_SPAN: Duration = Duration::from_secs(10);
+/// Requests whose latency is measured in one turn, and how many turns there are.
+const REQUESTS: usize = 1500;
+const TURNS: usize = 4;
+/// The number of tokens of a stub server's answer.
+const TOKENS: usize = 3;
+
+/// How grants are made durable.
+#[derive(Clone, Copy)]
+enum Durability {
+    /// One sync for so many grants.
+    SyncEach(usize),
+    /// No sync at all.
+    NoSync,
+}
+
+impl Durability {
+    /// After how many grants it is looked whether the time is over.
+    fn batch(self) -> usize {
+        match self {
+            Durability::SyncEach(grants) => grants.clamp(64, 512),
+            Durability::NoSync => 512,
+        }
+    }
+}
+
 fn acquire(task: u64, epoch: u64) -> LeaseRequest {
     let requester = ProcessId {
         node: format!("n{task}"),
         incarnation: Incarnation(1),
     };
     LeaseRequest::Acquire(AcquireRequest {
-        task: format!("task-{}", task % 500),
+        task: format!("task-{}", task % TASKS),
         requester,
         epoch: Epoch(epoch),
         round: epoch,
-        duration: 5_000_000,
+        duration: LEASE_DURATION,
     })
 }
 
-/// Grants a second of one keeper, `group` of them behind one sync; without any at `usize::MAX`.
-fn grants(group: usize, span: Duration) -> f64 {
+/// A lease server that is the only one of its fleet and grants.
+fn granting_server() -> LeaseServer {
     let config = LeaseServerConfig {
         server_count: 1,
         server_index: 0,
-        max_duration: 5_000_000,
+        max_duration: LEASE_DURATION,
         trusts_log: true,
     };
     let recovered = LeaseLogRecord::RecoveryComplete {
         founders: Vec::new(),
     };
-    let mut server = LeaseServer::new(config, Incarnation(1), &[recovered], 0);
-    let folder = std::env::temp_dir().join(format!("bench-leases-{}", std::process::id()));
+    LeaseServer::new(config, Incarnation(1), &[recovered], 0)
+}
+
+/// A folder of this process; not made yet.
+fn bench_folder(name: &str) -> PathBuf {
+    std::env::temp_dir().join(format!("bench-{name}-{}", std::process::id()))
+}
+
+/// Removes a folder; one that is not there, or can't be removed, does not matter to the figures.
+fn remove_folder(folder: PathBuf) {
+    let _ = std::fs::remove_dir_all(folder);
+}
+
+/// Grants a second of one lease server.
+fn grants_per_second(durability: Durability) -> f64 {
+    let mut server = granting_server();
+    let folder = bench_folder("leases");
     let (mut log, _) = Log::open(Files::open(&folder).expect("folder")).expect("log");
-    let (began, mut count, mut now) = (Instant::now(), 0u64, 0);
-    while began.elapsed() < span {
-        for _ in 0..group.clamp(64, 512) {
+    let started_at = Instant::now();
+    let mut count = 0;
+    let mut now = 0;
+    while started_at.elapsed() < GRANTS_SPAN {
+        for _ in 0..durability.batch() {
             count += 1;
-            // Each finds the one before it over.
-            now += 6_000_000;
+            now += GRANT_INTERVAL;
             let output = server.handle(now, acquire(count, count));
             assert!(matches!(
                 output.response,
                 Some(LeaseResponse::Granted { .. })
             ));
             for record in output.log_records {
-                log.append(&postcard::to_stdvec(&record).expect("bytes"))
-                    .expect("append");
+                let payload = postcard::to_stdvec(&record).expect("bytes");
+                log.append(&payload).expect("append");
             }
-            if group == 1 {
+            if let Durability::SyncEach(1) = durability {
                 log.sync().expect("sync");
             }
         }
-        if group > 1 && group != usize::MAX {
+        if let Durability::SyncEach(2..) = durability {
             log.sync().expect("sync");
         }
     }
     drop(log);
-    let _ = std::fs::remove_dir_all(folder);
-    count as f64 / began.elapsed().as_secs_f64()
+    remove_folder(folder);
+    count as f64 / started_at.elapsed().as_secs_f64()
 }
 
-fn port() -> SocketAddr {
+/// An address that is free for datagrams and connections.
+fn free_address() -> SocketAddr {
     loop {
-        let addr = UdpSocket::bind("127.0.0.1:0")
-            .and_then(|s| s.local_addr())
-            .expect("port");
-        if TcpListener::bind(addr).is_ok() {
-            return addr;
+        let address = UdpSocket::bind("127.0.0.1:0")
+            .and_then(|socket| socket.local_addr())
+            .expect("address");
+        if TcpListener::bind(address).is_ok() {
+            return address;
         }
     }
 }
 
-fn admin(node: &Node) -> Option<SocketAddr> {
+/// The operators' address of a node, as its log names it.
+fn admin_address(node: &Node) -> Option<SocketAddr> {
     let log = node.log.lock().ok()?;
     let text = log
         .iter()
-        .find_map(|l| l.split("operators call at ").nth(1).map(String::from))?;
+        .find_map(|line| line.split("operators call at ").nth(1).map(String::from))?;
     text.split('"').next()?.parse().ok()
 }
 
-fn status(at: SocketAddr) -> Option<Value> {
-    let mut stream = TcpStream::connect(at).ok()?;
+/// What a node says of its fleet.
+fn fleet_status(admin: SocketAddr) -> Option<Value> {
+    let mut stream = TcpStream::connect(admin).ok()?;
     stream
         .write_all(b"GET /api/fleet HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n")
         .ok()?;
@@ -108,113 +161,150 @@
     serde_json::from_str(text.split_once("\r\n\r\n")?.1).ok()
 }
 
-/// Messages and bytes a second that nodes of a fleet of nine send: the mean, and the busiest keeper.
-fn messages(servers: &[SocketAddr]) {
-    let at: Vec<SocketAddr> = (0..9).map(|_| port()).collect();
-    let keepers: Vec<String> = (0..3).map(|k| format!("n{k} = \"{}\"", at[k])).collect();
-    let folder = std::env::temp_dir().join(format!("bench-fleet-{}", std::process::id()));
-    let node = |n: usize| {
-        let operator = format!(
-            "[fleet]\nname = \"f\"\nlisten = \"{}\"\nfolder = {:?}\nkeepers = {{ {} }}\n[fleet.report]\nto = \"127.0.0.1:1\"\n",
-            at[n],
-            folder.join(n.to_string()).display().to_string(),
-            keepers.join(", ")
+/// What a node has sent, or sends a second.
+#[derive(Clone, Copy, Default)]
+struct Traffic {
+    messages: f64,
+    bytes: f64,
+}
+
+impl Traffic {
+    /// What a node has sent since its start.
+    fn sent_by(node: &Node) -> Option<Traffic> {
+        let status = fleet_status(admin_address(node)?)?;
+        let figure = |key: &str| status["messages"][key].as_f64().unwrap_or(0.0);
+        Some(Traffic {
+            messages: figure("sent"),
+            bytes: figure("sent_bytes"),
+        })
+    }
+
+    /// What was sent a second between two counts.
+    fn rate(before: Traffic, after: Traffic, span: Duration) -> Traffic {
+        Traffic {
+            messages: (after.messages - before.messages) / span.as_secs_f64(),
+            bytes: (after.bytes - before.bytes) / span.as_secs_f64(),
+        }
+    }
+
+    fn mean(rates: &[Traffic]) -> Traffic {
+        let count = rates.len().max(1) as f64;
+        Traffic {
+            messages: rates.iter().map(|rate| rate.messages).sum::<f64>() / count,
+            bytes: rates.iter().map(|rate| rate.bytes).sum::<f64>() / count,
+        }
+    }
+
+    fn max(rates: &[Traffic]) -> Traffic {
+        let mut max = Traffic::default();
+        for rate in rates {
+            max.messages = max.messages.max(rate.messages);
+            max.bytes = max.bytes.max(rate.bytes);
+        }
+        max
+    }
+}
+
+/// A fleet of nine nodes, three of them lease servers, with a report to a collector that is not there.
+fn fleet_of_nine(servers: &[SocketAddr], folder: &Path) -> Vec<Node> {
+    let addresses: Vec<SocketAddr> = (0..NODES).map(|_| free_address()).collect();
+    let lease_servers: Vec<String> = (0..LEASE_SERVERS)
+        .map(|server| format!("n{server} = \"{}\"", addresses[server]))
+        .collect();
+    let start = |(index, address): (usize, &SocketAddr)| {
+        let section = format!(
+            "[fleet]\nname = \"f\"\nlisten = \"{address}\"\nfolder = {:?}\nkeepers = {{ {} }}\n[fleet.report]\nto = \"127.0.0.1:1\"\n",
+            folder.join(index.to_string()).display().to_string(),
+            lease_servers.join(", ")
         );
-        Node::named(&format!("n{n}"), "bench", servers, &operator)
-    };
-    let nodes: Vec<Node> = (0..9).map(node).collect();
-    std::thread::sleep(Duration::from_secs(12));
-    let sent = || -> Vec<(f64, f64)> {
-        let all = nodes.iter().filter_map(|n| status(admin(n)?));
-        let figure = |s: &Value, key: &str| s["messages"][key].as_f64().unwrap_or(0.0);
-        all.map(|s| (figure(&s, "sent"), figure(&s, "sent_bytes")))
-            .collect()
+        Node::named(&format!("n{index}"), "bench", servers, &section)
     };
-    let (before, span) = (sent(), 10.0);
-    std::thread::sleep(Duration::from_secs_f64(span));
-    let rates: Vec<(f64, f64)> = sent()
-        .iter()
-        .zip(&before)
-        .map(|(a, b)| ((a.0 - b.0) / span, (a.1 - b.1) / span))
+    addresses.iter().enumerate().map(start).collect()
+}
+
+/// Messages and bytes a second that nodes of a fleet at rest send: the mean, and the busiest lease server.
+fn print_message_rates(servers: &[SocketAddr]) {
+    let folder = bench_folder("fleet");
+    let nodes = fleet_of_nine(servers, &folder);
+    std::thread::sleep(SETTLE_TIME);
+    let sent = || -> Vec<Traffic> { nodes.iter().filter_map(Traffic::sent_by).collect() };
+    let before = sent();
+    std::thread::sleep(MESSAGES_SPAN);
+    let rates: Vec<Traffic> = sent()
+        .into_iter()
+        .zip(before)
+        .map(|(after, before)| Traffic::rate(before, after, MESSAGES_SPAN))
         .collect();
-    let mean = |all: &[(f64, f64)]| {
-        let n = all.len().max(1) as f64;
-        (
-            all.iter().map(|r| r.0).sum::<f64>() / n,
-            all.iter().map(|r| r.1).sum::<f64>() / n,
-        )
-    };
-    let (all, keeper) = (
-        mean(&rates),
-        rates[..3]
-            .iter()
-            .fold((0.0f64, 0.0f64), |a, b| (a.0.max(b.0), a.1.max(b.1))),
-    );
+    let mean = Traffic::mean(&rates);
+    let busiest_lease_server = Traffic::max(&rates[..LEASE_SERVERS]);
     println!(
-        "nine nodes, three keepers, 5 s leases, 1 s probes, {} answered:",
+        "nine nodes, three lease servers, 5 s leases, 1 s probes, {} answered:",
         rates.len()
     );
     println!(
         "  a node sends {:.1} messages and {:.0} bytes a second",
-        all.0, all.1
+        mean.messages, mean.bytes
     );
     println!(
-        "  the busiest keeper {:.1} messages and {:.0} bytes a second",
-        keeper.0, keeper.1
+        "  the busiest lease server {:.1} messages and {:.0} bytes a second",
+        busiest_lease_server.messages, busiest_lease_server.bytes
     );
     drop(nodes);
-    let _ = std::fs::remove_dir_all(folder);
+    remove_folder(folder);
 }
 
-/// Milliseconds to a whole answer, by quantile.
-fn latency(node: &Node, count: usize) -> [f64; 3] {
-    let mut all: Vec<f64> = (0..count)
-        .map(|n| {
-            let (prompt, began) = (format!("p {n}"), Instant::now());
-            let (id, mut stream) = ask(node, &prompt, 3);
-            assert_eq!(read(id, &prompt, 3, &mut stream).outcome, Outcome::Whole);
-            began.elapsed().as_secs_f64() * 1e3
-        })
-        .collect();
-    all.sort_by(f64::total_cmp);
-    [0.5, 0.9, 0.99].map(|part| all[(count as f64 * part) as usize])
+/// Milliseconds to a whole answer: the median, and what 90 and 99 of 100 answers kept.
+fn latency_quantiles(node: &Node) -> [f64; 3] {
+    let mut latencies: Vec<f64> = Vec::new();
+    for number in 0..REQUESTS {
+        let prompt = format!("p {number}");
+        let started_at = Instant::now();
+        let (id, mut stream) = ask(node, &prompt, TOKENS);
+        let answer = read(id, &prompt, TOKENS, &mut stream);
+        assert_eq!(answer.outcome, Outcome::Whole);
+        latencies.push(started_at.elapsed().as_secs_f64() * 1e3);
+    }
+    latencies.sort_by(f64::total_cmp);
+    [0.5, 0.9, 0.99].map(|quantile| latencies[(REQUESTS as f64 * quantile) as usize])
 }
 
-fn main() {
-    let span = Duration::from_secs(3);
-    println!("grants a second of one keeper:");
-    for (name, group) in [
-        ("a sync each", 1),
-        ("a sync for 64", 64),
-        ("a sync for 512", 512),
-        ("no sync", usize::MAX),
-    ] {
-        let rate = grants(group, span);
-        println!("  {name:<14} {rate:>10.0}");
-    }
-    let servers = Standin::start(vec![Script {
-        tokens: 3,
-        ..Script::default()
-    }])
-    .expect("stand-in");
-    messages(servers.addrs());
-    let folder = std::env::temp_dir().join(format!("bench-node-{}", std::process::id()));
-    let at = port();
-    let operator = format!(
-        "[fleet]\nname = \"f\"\nlisten = \"{at}\"\nfolder = {:?}\nlease = \"1s\"\nkeepers = {{ n0 = \"{at}\" }}\n\
+/// The latency of a node with `[fleet]` and of one without, by turns.
+fn print_latencies(servers: &[SocketAddr]) {
+    let folder = bench_folder("node");
+    let address = free_address();
+    let section = format!(
+        "[fleet]\nname = \"f\"\nlisten = \"{address}\"\nfolder = {:?}\nlease = \"1s\"\nkeepers = {{ n0 = \"{address}\" }}\n\
          [fleet.report]\nto = \"127.0.0.1:1\"\nevery = \"50ms\"\n",
         folder.display().to_string()
     );
-    let (without, with) = (
-        Node::named("n0", "off", servers.addrs(), ""),
-        Node::named("n0", "on", servers.addrs(), &operator),
-    );
+    let without = Node::named("n0", "off", servers, "");
+    let with = Node::named("n0", "on", servers, &section);
     println!("milliseconds to a whole answer, p50 p90 p99, by turns:");
-    for _ in 0..4 {
+    for _ in 0..TURNS {
         for (name, node) in [("without", &without), ("with", &with)] {
-            let [p50, p90, p99] = latency(node, 1500);
+            let [p50, p90, p99] = latency_quantiles(node);
             println!("  {name:<8} {p50:.2} {p90:.2} {p99:.2}");
         }
     }
-    let _ = std::fs::remove_dir_all(folder);
+    remove_folder(folder);
+}
+
+fn main() {
+    println!("grants a second of one lease server:");
+    for (name, durability) in [
+        ("a sync each", Durability::SyncEach(1)),
+        ("a sync for 64", Durability::SyncEach(64)),
+        ("a sync for 512", Durability::SyncEach(512)),
+        ("no sync", Durability::NoSync),
+    ] {
+        let rate = grants_per_second(durability);
+        println!("  {name:<14} {rate:>10.0}");
+    }
+    let script = Script {
+        tokens: TOKENS,
+        ..Script::default()
+    };
+    let servers = Standin::start(vec![script]).expect("stub server");
+    print_message_rates(servers.addrs());
+    print_latencies(servers.addrs());
 }
