--- /dev/null
+++ b/crates/coordination/src/node/mod.rs
@@ -0,0 +1,398 @@
+//! One process's coordination: the view of who is there, the clients of the leases that it asks for, and the lease server
+//! that it hosts, if it is one.
+//!
+//! A driver owns one [`CoordinationNode`]. It calls [`CoordinationNode::on_timer`] when
+//! [`CoordinationNode::next_deadline`] says so, hands in what it receives with [`CoordinationNode::handle_envelope`], and
+//! carries out each [`NodeOutput`] in the order returned: it sends messages, and it writes log records and reports with
+//! [`CoordinationNode::on_log_written`] once they are durable.
+//!
+//! # Invariants
+//!
+//! - No answer of the lease server goes out before the records that it wrote until then are durable.
+//! - Once a write has failed, the lease server says nothing more until a restart.
+//! - Messages that go by another list of lease servers are dropped, but for those of the membership protocol.
+//!
+//! Messages about budgets, rolling restarts, outlier probing and figures are not handled here: the driver hands them to
+//! the state machines of those, and sends theirs with [`CoordinationNode::message_to`].
+
+mod address_book;
+mod hosted_server;
+mod lease_messages;
+mod settings;
+mod status;
+
+use crate::envelope::{Envelope, MessageBody};
+use crate::gossip::{GossipMessage, Member, Membership};
+use crate::lease::{LeaseClient, LeaseLogRecord};
+use crate::{Epoch, Incarnation, Micros, ProcessId};
+use address_book::AddressBook;
+use hosted_server::HostedLeaseServer;
+use rand::rngs::StdRng;
+use rand::{RngExt, SeedableRng};
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+
+pub use settings::NodeSettings;
+pub use status::{HeldLease, LeaseServerStatus, LeaseStatus, NodeCounters, NodeStatus};
+
+/// A node that sees others announces itself to a seed once in so many probe intervals, so that two parts of a fleet find
+/// each other; alone it does so in each.
+const ANNOUNCE_INTERVAL_WITH_PEERS: u64 = 20;
+const ANNOUNCE_INTERVAL_ALONE: u64 = 1;
+
+/// What the driver has to do.
+#[derive(Clone, Debug, PartialEq)]
+pub enum NodeOutput {
+    /// Send a message.
+    Send {
+        /// The message with its sender and recipient.
+        envelope: Box<Envelope>,
+        /// Where the recipient is reached, unless another address is known for its name.
+        address_hint: Option<SocketAddr>,
+    },
+    /// Write records to the lease server's log, and say so with [`CoordinationNode::on_log_written`] once they are
+    /// durable.
+    WriteLog {
+        /// The number of this write.
+        write: u64,
+        /// The records in their order.
+        records: Vec<LeaseLogRecord>,
+    },
+}
+
+/// One process's coordination.
+pub struct CoordinationNode {
+    settings: NodeSettings,
+    membership: Membership,
+    /// The clients of leases by task.
+    clients: BTreeMap<String, LeaseClient>,
+    server: Option<HostedLeaseServer>,
+    addresses: AddressBook,
+    rng: StdRng,
+    /// When the node announces itself to a seed again.
+    announce_at: Micros,
+    counters: NodeCounters,
+    has_left: bool,
+}
+
+impl CoordinationNode {
+    /// A node that begins now. `incarnation` is a fresh random number; `log` is what a lease server's log holds, and
+    /// `None` where this process has no log.
+    pub fn new(
+        settings: NodeSettings,
+        incarnation: Incarnation,
+        log: Option<&[LeaseLogRecord]>,
+        now: Micros,
+    ) -> CoordinationNode {
+        let local = Member {
+            name: settings.name.clone(),
+            address: settings.address,
+            incarnation,
+            generation: 0,
+        };
+        let server = log.and_then(|log| HostedLeaseServer::new(&settings, incarnation, log, now));
+        let membership = Membership::new(local, settings.probe_interval, incarnation.0);
+        CoordinationNode {
+            settings,
+            membership,
+            clients: BTreeMap::new(),
+            server,
+            addresses: AddressBook::default(),
+            rng: StdRng::seed_from_u64(incarnation.0),
+            announce_at: now,
+            counters: NodeCounters::default(),
+            has_left: false,
+        }
+    }
+
+    /// The number of the list of lease servers in force.
+    pub fn lease_servers_number(&self) -> u32 {
+        self.settings.lease_servers_number
+    }
+
+    /// The list of lease servers in force.
+    pub fn lease_servers(&self) -> &BTreeMap<String, SocketAddr> {
+        &self.settings.lease_servers
+    }
+
+    /// Whether this process is a lease server now.
+    pub fn is_lease_server(&self) -> bool {
+        self.server.is_some()
+    }
+
+    /// Another list of lease servers is in force from now on, under a higher number. `log` is what this process's log
+    /// holds if it becomes a lease server by it.
+    pub fn set_lease_servers(
+        &mut self,
+        lease_servers: BTreeMap<String, SocketAddr>,
+        number: u32,
+        log: Option<&[LeaseLogRecord]>,
+        now: Micros,
+    ) {
+        self.settings.lease_servers = lease_servers;
+        self.settings.lease_servers_number = number;
+        let server_count = self.settings.lease_servers.len();
+        let index = self.settings.lease_server_index(&self.settings.name);
+        match (index, &mut self.server) {
+            (Some(index), Some(server)) => server.set_servers(index, server_count),
+            (Some(_), None) => {
+                let incarnation = self.membership.local_member().incarnation;
+                self.server = log
+                    .and_then(|log| HostedLeaseServer::new(&self.settings, incarnation, log, now));
+            }
+            (None, _) => self.server = None,
+        }
+        for client in self.clients.values_mut() {
+            client.set_server_count(server_count, now);
+        }
+    }
+
+    /// This process.
+    pub fn process_id(&self) -> ProcessId {
+        let local = self.membership.local_member();
+        ProcessId {
+            node: local.name.clone(),
+            incarnation: local.incarnation,
+        }
+    }
+
+    /// The other nodes that are there, as far as is known.
+    pub fn peers(&self) -> Vec<Member> {
+        self.membership.peers().cloned().collect()
+    }
+
+    /// Asks for a lease from now on.
+    pub fn request_lease(&mut self, task: &str, now: Micros) {
+        if let Some(client) = self.clients.get_mut(task) {
+            client.request(now);
+            return;
+        }
+        let parameters = self.settings.lease_parameters();
+        let client = LeaseClient::new(task, self.process_id(), parameters, now);
+        self.clients.insert(task.into(), client);
+    }
+
+    /// Gives a lease back, or no longer asks for it.
+    pub fn release_lease(&mut self, task: &str, now: Micros) -> Vec<NodeOutput> {
+        let client = self.clients.get_mut(task);
+        match client.and_then(|client| client.release(now)) {
+            Some(message) => self.send_to_lease_servers(&message),
+            None => Vec::new(),
+        }
+    }
+
+    /// The epoch under which this process may act at this moment. To be asked before every act.
+    pub fn held_epoch(&self, task: &str, now: Micros) -> Option<Epoch> {
+        self.clients.get(task)?.held_epoch(now)
+    }
+
+    /// The leases held at this moment.
+    pub fn held_leases(&self, now: Micros) -> Vec<HeldLease> {
+        let held = |client: &LeaseClient| {
+            Some(HeldLease {
+                task: client.task().to_string(),
+                epoch: client.held_epoch(now)?,
+            })
+        };
+        self.clients.values().filter_map(held).collect()
+    }
+
+    /// The name of the other node that holds a lease, as last heard.
+    pub fn other_holder(&self, task: &str) -> Option<String> {
+        let holder = self.clients.get(task)?.other_holder()?;
+        Some(holder.node.clone())
+    }
+
+    /// Gives all leases back and leaves the fleet in order.
+    pub fn leave(&mut self, now: Micros) -> Vec<NodeOutput> {
+        let tasks: Vec<String> = self.clients.keys().cloned().collect();
+        let mut outputs = Vec::new();
+        for task in tasks {
+            outputs.extend(self.release_lease(&task, now));
+        }
+        self.has_left = true;
+        let gossip = self.membership.leave(now);
+        outputs.extend(self.send_gossip(gossip));
+        outputs
+    }
+
+    /// When [`CoordinationNode::on_timer`] has something to do.
+    pub fn next_deadline(&self) -> Option<Micros> {
+        let clients = self.clients.values().filter_map(LeaseClient::next_deadline);
+        let server = self
+            .server
+            .iter()
+            .filter_map(HostedLeaseServer::next_deadline);
+        let announcement = (!self.has_left).then_some(self.announce_at);
+        clients
+            .chain(server)
+            .chain(self.membership.next_deadline())
+            .chain(announcement)
+            .min()
+    }
+
+    /// Does what is due.
+    pub fn on_timer(&mut self, now: Micros) -> Vec<NodeOutput> {
+        let gossip = self.membership.on_timer(now);
+        let mut outputs = self.send_gossip(gossip);
+        if now >= self.announce_at && !self.has_left {
+            outputs.extend(self.announce(now));
+        }
+        outputs.extend(self.run_clients(now));
+        outputs.extend(self.run_server(now));
+        outputs
+    }
+
+    /// Remembers where the sender of a message is reached.
+    pub fn remember_sender(&mut self, envelope: &Envelope) {
+        self.addresses
+            .remember(&envelope.sender.node, envelope.sender_address);
+    }
+
+    /// Takes a message for this node.
+    pub fn handle_envelope(&mut self, envelope: Envelope, now: Micros) -> Vec<NodeOutput> {
+        self.remember_sender(&envelope);
+        self.counters.messages_received += 1;
+        let goes_by_other_list =
+            envelope.lease_servers_number != self.settings.lease_servers_number;
+        if goes_by_other_list && !matches!(envelope.body, MessageBody::Gossip(_)) {
+            self.counters.other_server_list += 1;
+            return Vec::new();
+        }
+        match envelope.body {
+            MessageBody::Gossip(payload) => {
+                let gossip = self.membership.handle_message(&payload, now);
+                self.send_gossip(gossip)
+            }
+            MessageBody::LeaseRequest(message) => {
+                self.handle_lease_request(envelope.sender.node, message, now)
+            }
+            MessageBody::LeaseResponse(response) => {
+                self.handle_lease_response(&envelope.sender.node, &response, now)
+            }
+            // These are handled by the driver.
+            MessageBody::RequestFigures { .. }
+            | MessageBody::Figures { .. }
+            | MessageBody::RollingRestart(_)
+            | MessageBody::OutlierProbing(_)
+            | MessageBody::Budget(_) => Vec::new(),
+        }
+    }
+
+    /// The write of this number, and all before it, are durable.
+    pub fn on_log_written(&mut self, write: u64) -> Vec<NodeOutput> {
+        let Some(server) = &mut self.server else {
+            return Vec::new();
+        };
+        let ready = server.on_log_written(write);
+        ready
+            .into_iter()
+            .map(|envelope| self.send(envelope, None))
+            .collect()
+    }
+
+    /// A write has failed: the lease server of this process says nothing more.
+    pub fn on_log_failed(&mut self) {
+        if let Some(server) = &mut self.server {
+            server.on_log_failed();
+        }
+    }
+
+    /// What has been counted.
+    pub fn counters(&self) -> NodeCounters {
+        self.counters
+    }
+
+    /// Whether a write of this process's lease server has failed.
+    pub fn has_log_failed(&self) -> bool {
+        let server = self.server.as_ref();
+        server.is_some_and(HostedLeaseServer::has_log_failed)
+    }
+
+    /// What operators are shown.
+    pub fn status(&self, now: Micros) -> NodeStatus {
+        let lease = |client: &LeaseClient| LeaseStatus {
+            task: client.task().into(),
+            held_epoch: client.held_epoch(now),
+            remaining: client.remaining(now),
+            other_holder: client.other_holder().cloned(),
+        };
+        NodeStatus {
+            local: self.membership.local_member().clone(),
+            peers: self.peers(),
+            leases: self.clients.values().map(lease).collect(),
+            lease_server: self.server.as_ref().map(|server| server.status(now)),
+            has_log_failed: self.has_log_failed(),
+        }
+    }
+
+    /// A message of the driver's own to a node.
+    pub fn message_to(
+        &mut self,
+        recipient: String,
+        address_hint: Option<SocketAddr>,
+        body: MessageBody,
+    ) -> NodeOutput {
+        let envelope = self.envelope_to(recipient, body);
+        self.send(envelope, address_hint)
+    }
+
+    /// Where a node is reached: as the settings say, else as it says itself, as a member or in its last message.
+    pub fn address_of(&self, name: &str) -> Option<SocketAddr> {
+        self.addresses
+            .resolve(name, &self.settings, &self.membership)
+    }
+
+    /// Announces this node to one seed or lease server, drawn at random.
+    fn announce(&mut self, now: Micros) -> Vec<NodeOutput> {
+        let has_peers = self.membership.peers().next().is_some();
+        let probe_intervals = if has_peers {
+            ANNOUNCE_INTERVAL_WITH_PEERS
+        } else {
+            ANNOUNCE_INTERVAL_ALONE
+        };
+        let probe_interval = self.settings.probe_interval;
+        let jitter = self.rng.random_range(0..probe_interval.max(1));
+        self.announce_at = now + probe_interval * probe_intervals + jitter;
+        let configured = self.settings.seeds.iter();
+        let configured = configured.chain(&self.settings.lease_servers);
+        let others: Vec<Member> = configured
+            .filter(|(name, _)| **name != self.settings.name)
+            .map(|(name, address)| Member::unseen(name.clone(), *address))
+            .collect();
+        if others.is_empty() {
+            return Vec::new();
+        }
+        let recipient = others[self.rng.random_range(0..others.len())].clone();
+        let gossip = self.membership.announce(recipient, now);
+        self.send_gossip(gossip)
+    }
+
+    fn envelope_to(&self, recipient: String, body: MessageBody) -> Envelope {
+        Envelope {
+            fleet: self.settings.fleet.clone(),
+            lease_servers_number: self.settings.lease_servers_number,
+            sender: self.process_id(),
+            sender_address: self.membership.local_member().address,
+            recipient,
+            body,
+        }
+    }
+
+    fn send(&mut self, envelope: Envelope, address_hint: Option<SocketAddr>) -> NodeOutput {
+        self.counters.messages_sent += 1;
+        NodeOutput::Send {
+            envelope: Box::new(envelope),
+            address_hint,
+        }
+    }
+
+    fn send_gossip(&mut self, messages: Vec<GossipMessage>) -> Vec<NodeOutput> {
+        let mut outputs = Vec::new();
+        for GossipMessage { recipient, payload } in messages {
+            let body = MessageBody::Gossip(payload.to_vec());
+            outputs.push(self.message_to(recipient.name, Some(recipient.address), body));
+        }
+        outputs
+    }
+}
