--- a/src/transport/dispatcher/logging.rs
+++ b/src/transport/dispatcher/logging.rs
@@ -4,6 +4,7 @@
 use super::Dispatcher;
 use crate::routing::directory::EndpointChange;
 use crate::routing::{RouterCommand, RouterEvent};
+use poppykeel_scheduler::interface::EndpointState;
 
 const MICROS_PER_SECOND: u64 = 1_000_000;
 
@@ -40,7 +41,16 @@
 /// Writes each change of the endpoint list and the source that caused it.
 pub(super) fn log_endpoint_changes(source: &str, changes: &[EndpointChange]) {
     for EndpointChange { endpoint, name } in changes {
-        tracing::info!(source, replica = %endpoint.id.0, name, state = ?endpoint.state, "list changed");
+        tracing::info!(source, replica = %endpoint.id.0, name, state = %state_label(endpoint.state), "list changed");
+    }
+}
+
+/// An endpoint's state in the words that the log has always had, since readers look for them.
+fn state_label(state: EndpointState) -> &'static str {
+    match state {
+        EndpointState::Available => "Up",
+        EndpointState::Draining => "Draining",
+        EndpointState::Removed => "Gone",
     }
 }
 
