--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -110,11 +110,6 @@
 #[cfg(test)]
 mod tests;
 
-/// The same types under the name of an earlier module.
-pub mod interface {
-    pub use crate::types::*;
-}
-
 pub use budgets::BudgetLedger;
 pub use scheduler::{ReplicaHealthStatus, Scheduler, SchedulerGauges};
 pub use types::*;
--- a/crates/testbed/src/emulator/faults.rs
+++ b/crates/testbed/src/emulator/faults.rs
@@ -13,7 +13,7 @@
 use super::server::Key;
 use super::world::{micros, Event, Word, World};
 use crate::Micros;
-use poppykeel_scheduler::interface::{self, EndpointState};
+use poppykeel_scheduler::EndpointState;
 use std::ops::Range;
 
 /// A server that ends is started again after so long, where the fault does not say when.
@@ -108,7 +108,7 @@
                 key,
                 Word::Ended(
                     key.1 as u8,
-                    interface::AttemptOutcome::ConnectionReset,
+                    poppykeel_scheduler::AttemptOutcome::ConnectionReset,
                     None,
                 ),
             );
@@ -179,7 +179,7 @@
         // Whatever was on its way is no longer wanted.
         a.lost = true;
         let epoch = self.nodes[node as usize].epoch;
-        let word = Word::Ended(attempt, interface::AttemptOutcome::TimedOut, None);
+        let word = Word::Ended(attempt, poppykeel_scheduler::AttemptOutcome::TimedOut, None);
         self.queue.put(
             now,
             Event::AtNode {
--- a/crates/testbed/src/emulator/policies.rs
+++ b/crates/testbed/src/emulator/policies.rs
@@ -10,7 +10,7 @@
 )]
 
 use poppykeel::routing::{MonotonicMicros, RouterCommand, RouterEvent};
-use poppykeel_scheduler::interface::{
+use poppykeel_scheduler::{
     AttemptOutcome, Endpoint, EndpointState, Idempotency, IncomingRequest, ReplicaId, RequestId,
     SchedulerSettings,
 };
--- a/crates/testbed/src/emulator/together.rs
+++ b/crates/testbed/src/emulator/together.rs
@@ -16,7 +16,7 @@
 use poppykeel_coordination::lease::LeaseLogRecord;
 use poppykeel_coordination::node::{CoordinationNode, NodeOutput, NodeSettings};
 use poppykeel_coordination::Incarnation;
-use poppykeel_scheduler::interface::{BudgetGrant, BudgetGrants, BudgetKind};
+use poppykeel_scheduler::{BudgetGrant, BudgetGrants, BudgetKind};
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr};
 
--- a/crates/testbed/src/emulator/world.rs
+++ b/crates/testbed/src/emulator/world.rs
@@ -19,9 +19,7 @@
 use super::trace::{Hop, Passage, Trace};
 use crate::Micros;
 use poppykeel::routing::{RouterCommand, RouterEvent};
-use poppykeel_scheduler::interface::{
-    self, Endpoint, EndpointState, IncomingRequest, LoadReport, RequestId,
-};
+use poppykeel_scheduler::{Endpoint, EndpointState, IncomingRequest, LoadReport, RequestId};
 use rand::{RngExt, SeedableRng};
 use rand_distr::{Distribution, LogNormal};
 use std::collections::HashMap;
@@ -37,7 +35,7 @@
     Arrived,
     Gone,
     First(u8),
-    Ended(u8, interface::AttemptOutcome, Option<Shown>),
+    Ended(u8, poppykeel_scheduler::AttemptOutcome, Option<Shown>),
 }
 
 /// What a client is told.
@@ -71,7 +69,7 @@
         node: u32,
         epoch: u32,
         server: u32,
-        outcome: interface::AttemptOutcome,
+        outcome: poppykeel_scheduler::AttemptOutcome,
         shown: Option<Shown>,
     },
     Listed {
@@ -678,7 +676,7 @@
                     hop.ended = Some(words(outcome));
                 }
                 let bound = t.bound == Some(place);
-                if outcome == interface::AttemptOutcome::Completed {
+                if outcome == poppykeel_scheduler::AttemptOutcome::Completed {
                     let idle = self.idle.entry((node, server)).or_default();
                     *idle = (*idle + 1).min(self.run.fleet.idle);
                 }
@@ -696,7 +694,7 @@
                     },
                 );
                 if bound && streaming {
-                    let told = if outcome == interface::AttemptOutcome::Completed {
+                    let told = if outcome == poppykeel_scheduler::AttemptOutcome::Completed {
                         Told::Whole
                     } else {
                         Told::Broken
@@ -847,7 +845,11 @@
         });
         self.measure.counts().broken.repeated += u64::from(again);
         let attempt = attempt as u8;
-        let failed = Word::Ended(attempt, interface::AttemptOutcome::ConnectFailed, None);
+        let failed = Word::Ended(
+            attempt,
+            poppykeel_scheduler::AttemptOutcome::ConnectFailed,
+            None,
+        );
         if cut {
             self.queue.put(
                 now + dial,
@@ -1027,7 +1029,11 @@
             return self.say(
                 now,
                 key,
-                Word::Ended(attempt, interface::AttemptOutcome::ConnectFailed, None),
+                Word::Ended(
+                    attempt,
+                    poppykeel_scheduler::AttemptOutcome::ConnectFailed,
+                    None,
+                ),
             );
         }
         a.ran = true;
@@ -1039,7 +1045,11 @@
             return self.say(
                 now + 1000,
                 key,
-                Word::Ended(attempt, interface::AttemptOutcome::ServerError, None),
+                Word::Ended(
+                    attempt,
+                    poppykeel_scheduler::AttemptOutcome::ServerError,
+                    None,
+                ),
             );
         }
         if self.places[server as usize].server.take(now, job) {
@@ -1052,7 +1062,11 @@
             self.say(
                 now,
                 key,
-                Word::Ended(attempt, interface::AttemptOutcome::AtCapacity, Some(shown)),
+                Word::Ended(
+                    attempt,
+                    poppykeel_scheduler::AttemptOutcome::AtCapacity,
+                    Some(shown),
+                ),
             );
         }
     }
@@ -1062,13 +1076,13 @@
         let zone = self.nodes[node as usize].zone;
         let (way, cut) = (self.way(zone, place.zone), self.is_cut(zone, place.zone));
         let (outcome, delay) = match (cut || place.server.stalled(now), place.up, place.failing) {
-            (true, ..) => (interface::AttemptOutcome::TimedOut, 1_000_000),
-            (_, false, _) => (interface::AttemptOutcome::ConnectFailed, way),
-            (_, _, true) => (interface::AttemptOutcome::ServerError, way),
-            _ => (interface::AttemptOutcome::Completed, way),
+            (true, ..) => (poppykeel_scheduler::AttemptOutcome::TimedOut, 1_000_000),
+            (_, false, _) => (poppykeel_scheduler::AttemptOutcome::ConnectFailed, way),
+            (_, _, true) => (poppykeel_scheduler::AttemptOutcome::ServerError, way),
+            _ => (poppykeel_scheduler::AttemptOutcome::Completed, way),
         };
-        let shown =
-            (outcome == interface::AttemptOutcome::Completed).then(|| self.show(now, server));
+        let shown = (outcome == poppykeel_scheduler::AttemptOutcome::Completed)
+            .then(|| self.show(now, server));
         self.queue.put(
             now + delay,
             Event::Probed {
@@ -1123,7 +1137,7 @@
                     let shown = self.show(now, server);
                     let word = Word::Ended(
                         key.1 as u8,
-                        interface::AttemptOutcome::Completed,
+                        poppykeel_scheduler::AttemptOutcome::Completed,
                         Some(shown),
                     );
                     self.say(now, key, word);
@@ -1158,8 +1172,8 @@
     }
 }
 
-fn words(outcome: interface::AttemptOutcome) -> &'static str {
-    use interface::AttemptOutcome;
+fn words(outcome: poppykeel_scheduler::AttemptOutcome) -> &'static str {
+    use poppykeel_scheduler::AttemptOutcome;
     match outcome {
         AttemptOutcome::Completed => "served",
         AttemptOutcome::ServerError => "error",
--- a/crates/testbed/src/view/state.rs
+++ b/crates/testbed/src/view/state.rs
@@ -7,7 +7,7 @@
 )]
 
 use crate::emulator::{End, Outcome, World};
-use poppykeel_scheduler::interface::EndpointState;
+use poppykeel_scheduler::EndpointState;
 use serde_json::Value;
 use std::collections::{BTreeMap, VecDeque};
 
--- a/src/program/config/mod.rs
+++ b/src/program/config/mod.rs
@@ -136,8 +136,8 @@
                 ));
             }
         }
-        let pushed = boot.scheduler.endpoint_list_mode
-            == poppykeel_scheduler::interface::EndpointListMode::Pushed;
+        let pushed =
+            boot.scheduler.endpoint_list_mode == poppykeel_scheduler::EndpointListMode::Pushed;
         let grace = boot
             .scheduler
             .lifecycle
--- a/src/program/serve.rs
+++ b/src/program/serve.rs
@@ -161,8 +161,7 @@
         discovery.set_known_version(known.version());
     }
     // Where lists are pushed the module never asks: the agent's list is watched from the start.
-    let pushed = boot.scheduler.endpoint_list_mode
-        == poppykeel_scheduler::interface::EndpointListMode::Pushed;
+    let pushed = boot.scheduler.endpoint_list_mode == poppykeel_scheduler::EndpointListMode::Pushed;
     let discovery = if pushed {
         discovery.into_pushed()
     } else {
--- a/src/protocol/answer.rs
+++ b/src/protocol/answer.rs
@@ -6,7 +6,7 @@
 use crate::protocol::http::{Head, Headers, Part, Start};
 use crate::protocol::report::report;
 use bytes::{Bytes, BytesMut};
-use poppykeel_scheduler::interface::{AttemptOutcome, LoadReport};
+use poppykeel_scheduler::{AttemptOutcome, LoadReport};
 use poppykeel_site_settings::SiteSettings;
 use std::rc::Rc;
 
--- a/src/protocol/events.rs
+++ b/src/protocol/events.rs
@@ -4,7 +4,7 @@
 #![expect(clippy::min_ident_chars, reason = "not yet converted")]
 
 use crate::protocol::report::report;
-use poppykeel_scheduler::interface::LoadReport;
+use poppykeel_scheduler::LoadReport;
 use poppykeel_site_settings::SiteSettings;
 use serde_json::Value;
 
--- a/src/protocol/report.rs
+++ b/src/protocol/report.rs
@@ -2,7 +2,7 @@
 
 #![expect(clippy::min_ident_chars, reason = "not yet converted")]
 
-use poppykeel_scheduler::interface::{AttemptOutcome, LoadReport};
+use poppykeel_scheduler::{AttemptOutcome, LoadReport};
 use poppykeel_site_settings::SiteSettings;
 use serde_json::Value;
 use std::sync::atomic::{AtomicU64, Ordering};
--- a/src/protocol/request.rs
+++ b/src/protocol/request.rs
@@ -10,7 +10,7 @@
 
 use crate::protocol::http::{Head, Headers, Start};
 use bytes::Bytes;
-use poppykeel_scheduler::interface::{IncomingRequest, RequestId};
+use poppykeel_scheduler::{IncomingRequest, RequestId};
 use poppykeel_site_settings::SiteNames;
 use std::fmt::Write;
 use std::str::FromStr;
--- a/src/routing/command.rs
+++ b/src/routing/command.rs
@@ -1,7 +1,7 @@
 //! What the router has its driver do.
 
 use super::time::{DurationMicros, MonotonicMicros};
-use poppykeel_scheduler::interface::{ReplicaId, RequestId};
+use poppykeel_scheduler::{ReplicaId, RequestId};
 
 /// Something that the router's driver must do now. Commands are carried out in the order in which they come.
 #[derive(Clone, Debug, PartialEq)]
--- a/src/routing/directory.rs
+++ b/src/routing/directory.rs
@@ -9,7 +9,7 @@
     EndpointRegistry, EndpointStatus, ListedEndpoint, RegisteredEndpoint, RegistrySettings,
     SourceUpdate,
 };
-use poppykeel_scheduler::interface::{Endpoint, EndpointState, ReplicaId, Seconds};
+use poppykeel_scheduler::{Endpoint, EndpointState, ReplicaId, Seconds};
 use poppykeel_site_settings::SiteSettings;
 use std::collections::BTreeMap;
 use std::net::{Ipv6Addr, SocketAddr};
--- a/src/routing/event.rs
+++ b/src/routing/event.rs
@@ -1,6 +1,6 @@
 //! What the router is told.
 
-use poppykeel_scheduler::interface::{
+use poppykeel_scheduler::{
     AttemptOutcome, Endpoint, IncomingRequest, LoadReport, ReplicaId, RequestId,
 };
 
--- a/src/routing/learned_state.rs
+++ b/src/routing/learned_state.rs
@@ -4,7 +4,7 @@
 //! A record is four bytes of CRC-32 (little-endian) over the rest, and the rest is `postcard`: positional, so that no field
 //! of [`LearnedState`] or of the record changes its place within a format.
 
-use poppykeel_scheduler::interface::LearnedState;
+use poppykeel_scheduler::LearnedState;
 use poppykeel_site_settings::SiteNames;
 use serde::{Deserialize, Serialize};
 
--- a/src/routing/request.rs
+++ b/src/routing/request.rs
@@ -1,7 +1,7 @@
 //! One request and its attempts as explicit state machines. The router moves them; they decide nothing.
 
 use super::time::MonotonicMicros;
-use poppykeel_scheduler::interface::{AttemptOutcome, RequestId};
+use poppykeel_scheduler::{AttemptOutcome, RequestId};
 
 /// Names one attempt among all attempts of a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
--- a/src/routing/request/tests.rs
+++ b/src/routing/request/tests.rs
@@ -1,7 +1,7 @@
 //! The transitions of a request and its attempts, as their tables say.
 
 use super::{ActiveRequest, AttemptEnd, AttemptState};
-use poppykeel_scheduler::interface::AttemptOutcome;
+use poppykeel_scheduler::AttemptOutcome;
 
 const DEADLINE: u64 = 1_000;
 
--- a/src/routing/router.rs
+++ b/src/routing/router.rs
@@ -14,7 +14,7 @@
 use super::statistics::{OutcomeCount, RequestCounters, ResponseCounts, Statistics};
 use super::time::{monotonic_micros, seconds, MonotonicMicros};
 use super::timers::{Timer, TimerQueue};
-use poppykeel_scheduler::interface::{
+use poppykeel_scheduler::{
     AttemptOutcome, BudgetDemand, BudgetGrants, BudgetKind, Event, IncomingRequest, LearnedState,
     LoadReport, ReplicaId, RequestId, SchedulerSettings, SettingsError,
 };
--- a/src/routing/router/actions.rs
+++ b/src/routing/router/actions.rs
@@ -5,7 +5,7 @@
 use crate::routing::request::{AttemptId, AttemptState};
 use crate::routing::time::{duration_micros, MonotonicMicros};
 use crate::routing::timers::Timer;
-use poppykeel_scheduler::interface::{Action, AttemptOutcome, ReplicaId, RequestId, Seconds};
+use poppykeel_scheduler::{Action, AttemptOutcome, ReplicaId, RequestId, Seconds};
 
 impl RequestRouter {
     /// Carries out one action of the scheduler; what its driver must do is added to `commands`.
--- a/src/routing/statistics.rs
+++ b/src/routing/statistics.rs
@@ -1,6 +1,6 @@
 //! What has happened to requests and attempts since the start, for the log and for operators.
 
-use poppykeel_scheduler::interface::AttemptOutcome;
+use poppykeel_scheduler::AttemptOutcome;
 
 /// An outcome of attempts that is counted, with its name in metrics.
 #[derive(Clone, Copy, Debug, PartialEq)]
--- a/src/routing/time.rs
+++ b/src/routing/time.rs
@@ -1,6 +1,6 @@
 //! Clock readings as the router takes them, and their conversion from and to the scheduler's seconds.
 
-use poppykeel_scheduler::interface::Seconds;
+use poppykeel_scheduler::Seconds;
 
 const MICROS_PER_SECOND: f64 = 1e6;
 
--- a/src/routing/timers/tests.rs
+++ b/src/routing/timers/tests.rs
@@ -2,7 +2,7 @@
 
 use super::{Timer, TimerQueue};
 use crate::routing::AttemptId;
-use poppykeel_scheduler::interface::RequestId;
+use poppykeel_scheduler::RequestId;
 
 fn deadline_of(request: u64) -> Timer {
     Timer::AttemptDeadline(AttemptId {
--- a/src/transport/client.rs
+++ b/src/transport/client.rs
@@ -26,7 +26,7 @@
 use crate::protocol::request::{self, Reject, Route, MOST_BODY};
 use bytes::Bytes;
 use futures_util::{SinkExt, StreamExt};
-use poppykeel_scheduler::interface::{IncomingRequest, RequestId};
+use poppykeel_scheduler::{IncomingRequest, RequestId};
 use std::io::ErrorKind;
 use std::rc::Rc;
 use std::time::Duration;
--- a/src/transport/coordination/budgets.rs
+++ b/src/transport/coordination/budgets.rs
@@ -12,7 +12,7 @@
 };
 use poppykeel_coordination::envelope::MessageBody;
 use poppykeel_coordination::Micros;
-use poppykeel_scheduler::interface::{BudgetDemand, BudgetGrant, BudgetGrants, BudgetKind};
+use poppykeel_scheduler::{BudgetDemand, BudgetGrant, BudgetGrants, BudgetKind};
 use serde_json::{json, Value};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
--- a/src/transport/dispatcher/clients.rs
+++ b/src/transport/dispatcher/clients.rs
@@ -4,7 +4,7 @@
 use crate::routing::cross_zone::RequestGroup;
 use crate::routing::DurationMicros;
 use crate::transport::messages::{ClientResponse, Reply, RequestOwner, RequestPayload};
-use poppykeel_scheduler::interface::RequestId;
+use poppykeel_scheduler::RequestId;
 use std::collections::HashMap;
 use std::rc::Rc;
 
--- a/src/transport/dispatcher/commands.rs
+++ b/src/transport/dispatcher/commands.rs
@@ -5,7 +5,7 @@
 use crate::routing::{AttemptId, MonotonicMicros, RouterCommand, RouterEvent};
 use crate::transport::messages::ClientResponse;
 use crate::transport::upstream::AttemptRequest;
-use poppykeel_scheduler::interface::{AttemptOutcome, ReplicaId, RequestId};
+use poppykeel_scheduler::{AttemptOutcome, ReplicaId, RequestId};
 use std::cell::Cell;
 use std::rc::Rc;
 
--- a/src/transport/dispatcher/endpoint_updates.rs
+++ b/src/transport/dispatcher/endpoint_updates.rs
@@ -5,7 +5,7 @@
 use crate::routing::{AttemptId, MonotonicMicros, RouterEvent};
 use crate::transport::messages::{ReplicaAdvice, ENDPOINT_LIST_SOURCE};
 use poppykeel_endpoints::SourceUpdate;
-use poppykeel_scheduler::interface::{AttemptOutcome, Endpoint, EndpointState, ReplicaId};
+use poppykeel_scheduler::{AttemptOutcome, Endpoint, EndpointState, ReplicaId};
 use std::collections::BTreeSet;
 
 impl Dispatcher {
--- a/src/transport/dispatcher/in_flight.rs
+++ b/src/transport/dispatcher/in_flight.rs
@@ -1,7 +1,7 @@
 //! The attempts whose tasks have not reported their end.
 
 use crate::routing::AttemptId;
-use poppykeel_scheduler::interface::ReplicaId;
+use poppykeel_scheduler::ReplicaId;
 use std::cell::Cell;
 use std::collections::{BTreeSet, HashMap};
 use std::rc::Rc;
--- a/src/transport/dispatcher/mod.rs
+++ b/src/transport/dispatcher/mod.rs
@@ -33,7 +33,7 @@
 use clients::{RequestOwners, WaitingClients};
 use in_flight::InFlightAttempts;
 use poppykeel_endpoints::SourceUpdate;
-use poppykeel_scheduler::interface::BudgetGrants;
+use poppykeel_scheduler::BudgetGrants;
 use poppykeel_site_settings::SiteSettings;
 use std::rc::Rc;
 use std::time::Duration;
--- a/src/transport/dispatcher/queries.rs
+++ b/src/transport/dispatcher/queries.rs
@@ -5,7 +5,7 @@
 use crate::routing::cross_zone::RequestGroup;
 use crate::routing::{ReplicaStatus, ResponseCounts};
 use crate::transport::messages::{CrossZoneMinute, DispatcherQuery};
-use poppykeel_scheduler::interface::{BudgetDemand, BudgetKind};
+use poppykeel_scheduler::{BudgetDemand, BudgetKind};
 use std::collections::BTreeMap;
 
 /// The class and tenant of some requests by name, as operators know them.
--- a/src/transport/dispatcher/requests.rs
+++ b/src/transport/dispatcher/requests.rs
@@ -5,7 +5,7 @@
 use crate::routing::cross_zone::RequestGroup;
 use crate::routing::{AttemptId, DurationMicros, MonotonicMicros, RouterEvent};
 use crate::transport::messages::{ClientRequest, ClientResponse, RequestOwner, StartedStream};
-use poppykeel_scheduler::interface::{AttemptOutcome, LoadReport, RequestId};
+use poppykeel_scheduler::{AttemptOutcome, LoadReport, RequestId};
 use std::rc::Rc;
 
 const MICROS_PER_SECOND: f64 = 1e6;
--- a/src/transport/endpoints/watcher_state.rs
+++ b/src/transport/endpoints/watcher_state.rs
@@ -20,7 +20,7 @@
 //! * A poll without an answer in time is repeated at once, but only once: the service may well be there, and the
 //!   connection alone be broken. The new poll does not wait at the service, so a second silence shows soon.
 
-use poppykeel_scheduler::interface::EndpointListMode;
+use poppykeel_scheduler::EndpointListMode;
 
 /// How long the next poll waits at the service. It follows from how the previous poll ended.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
--- a/src/transport/endpoints/watcher_state/tests.rs
+++ b/src/transport/endpoints/watcher_state/tests.rs
@@ -6,7 +6,7 @@
 };
 use super::WatcherState::{Idle, Paused, Polling, Stopped};
 use super::{WatcherEvent, WatcherState};
-use poppykeel_scheduler::interface::EndpointListMode;
+use poppykeel_scheduler::EndpointListMode;
 
 const EVENTS: [WatcherEvent; 8] = [
     Started,
--- a/src/transport/handover.rs
+++ b/src/transport/handover.rs
@@ -10,7 +10,7 @@
 use super::clock::Clock;
 use super::messages::{query, DispatcherMessage, DispatcherQuery};
 use crate::routing::learned_state::{self, ProcessToken, MAX_RECORD_BYTES};
-use poppykeel_scheduler::interface::LearnedState;
+use poppykeel_scheduler::LearnedState;
 use poppykeel_site_settings::SiteSettings;
 use std::cell::Cell;
 use std::fs;
--- a/src/transport/messages.rs
+++ b/src/transport/messages.rs
@@ -9,7 +9,7 @@
 use crate::routing::{DurationMicros, ReplicaStatus};
 use bytes::Bytes;
 use poppykeel_endpoints::SourceUpdate;
-use poppykeel_scheduler::interface::{
+use poppykeel_scheduler::{
     AttemptOutcome, BudgetDemand, BudgetGrants, BudgetKind, IncomingRequest, LearnedState,
     LoadReport, ReplicaId, RequestId,
 };
--- a/src/transport/pool.rs
+++ b/src/transport/pool.rs
@@ -8,7 +8,7 @@
 
 use super::Wire;
 use crate::protocol::http::{Http, Side};
-use poppykeel_scheduler::interface::ReplicaId;
+use poppykeel_scheduler::ReplicaId;
 use rustix::io::Errno;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
--- a/src/transport/relay.rs
+++ b/src/transport/relay.rs
@@ -9,7 +9,7 @@
 use crate::protocol::http::Head;
 use crate::protocol::request;
 use bytes::Bytes;
-use poppykeel_scheduler::interface::{Idempotency, IncomingRequest, ReplicaId, RequestId};
+use poppykeel_scheduler::{Idempotency, IncomingRequest, ReplicaId, RequestId};
 use poppykeel_site_settings::SiteSettings;
 use poppykeel_stream_recovery::{
     decide, InterruptedStream, RecoveryDecision, RecoveryRefusal, StreamProgress, StreamTranscript,
--- a/src/transport/streams.rs
+++ b/src/transport/streams.rs
@@ -4,7 +4,7 @@
 #![expect(clippy::min_ident_chars, reason = "not yet converted")]
 
 use super::clock::Clock;
-use poppykeel_scheduler::interface::ReplicaId;
+use poppykeel_scheduler::ReplicaId;
 use poppykeel_stream_recovery::{
     ContinuationBudget, ContinuationLimits, GapHistogram, Micros, StallDetector, StallLimits,
     StreamState,
--- a/src/transport/upstream.rs
+++ b/src/transport/upstream.rs
@@ -21,7 +21,7 @@
 use crate::routing::DurationMicros;
 use bytes::{Buf, Bytes};
 use futures_util::{SinkExt, StreamExt};
-use poppykeel_scheduler::interface::{AttemptOutcome, LoadReport, ReplicaId, RequestId};
+use poppykeel_scheduler::{AttemptOutcome, LoadReport, ReplicaId, RequestId};
 use poppykeel_site_settings::SiteSettings;
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
--- a/tests/dispatcher.rs
+++ b/tests/dispatcher.rs
@@ -18,8 +18,8 @@
 use poppykeel::transport::pool::Pool;
 use poppykeel::transport::streams::{Settings, Streams};
 use poppykeel::transport::upstream::Upstream;
-use poppykeel_scheduler::interface::{IncomingRequest, RequestId};
 use poppykeel_scheduler::Scheduler;
+use poppykeel_scheduler::{IncomingRequest, RequestId};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
--- a/tests/protocol.rs
+++ b/tests/protocol.rs
@@ -11,7 +11,7 @@
 use poppykeel::protocol::http::{Fault, Http, Part, Side};
 use poppykeel::routing::directory::{replica_id, EndpointDirectory};
 use poppykeel::routing::ClockReading;
-use poppykeel_scheduler::interface::AttemptOutcome;
+use poppykeel_scheduler::AttemptOutcome;
 use poppykeel_site_settings::SiteSettings;
 use serde_json::json;
 use std::rc::Rc;
--- a/tests/routing.rs
+++ b/tests/routing.rs
@@ -5,10 +5,10 @@
 use poppykeel::routing::cross_zone::{CrossZoneTraffic, MinuteCount, RequestGroup, TotalCount};
 use poppykeel::routing::directory::replica_id;
 use poppykeel::routing::{MonotonicMicros, RequestRouter, RouterCommand, RouterEvent};
-use poppykeel_scheduler::interface::{
+use poppykeel_scheduler::Scheduler;
+use poppykeel_scheduler::{
     AttemptOutcome, Endpoint, EndpointState, IncomingRequest, RequestId, Seconds,
 };
-use poppykeel_scheduler::Scheduler;
 use poppykeel_site_settings::SiteSettings;
 use std::collections::BTreeSet;
 
--- a/tests/transport.rs
+++ b/tests/transport.rs
@@ -22,7 +22,7 @@
 use poppykeel::transport::streams::Streams;
 use poppykeel::transport::upstream::{AttemptRequest, Upstream};
 use poppykeel::transport::Bounds;
-use poppykeel_scheduler::interface::RequestId;
+use poppykeel_scheduler::RequestId;
 use std::io::{Read, Write};
 use std::net::TcpListener;
 use std::rc::Rc;
