--- a/benches/leases.rs
+++ b/benches/leases.rs
@@ -10,7 +10,7 @@
 };
 use poppykeel_coordination::{Epoch, Incarnation, ProcessId};
 use poppykeel_durable_log::{Files, Log};
-use poppykeel_stub_model_server::{Outcome, Script, Standin};
+use poppykeel_stub_model_server::{ClientOutcome, ReplyScript, StubServers};
 use serde_json::Value;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream, UdpSocket};
@@ -261,7 +261,7 @@
         let started_at = Instant::now();
         let (id, mut stream) = ask(node, &prompt, TOKENS);
         let answer = read(id, &prompt, TOKENS, &mut stream);
-        assert_eq!(answer.outcome, Outcome::Whole);
+        assert_eq!(answer.outcome, ClientOutcome::Completed);
         latencies.push(started_at.elapsed().as_secs_f64() * 1e3);
     }
     latencies.sort_by(f64::total_cmp);
@@ -300,11 +300,11 @@
         let rate = grants_per_second(durability);
         println!("  {name:<14} {rate:>10.0}");
     }
-    let script = Script {
-        tokens: TOKENS,
-        ..Script::default()
+    let script = ReplyScript {
+        token_count: TOKENS,
+        ..ReplyScript::default()
     };
-    let servers = Standin::start(vec![script]).expect("stub server");
+    let servers = StubServers::start(vec![script]).expect("stub server");
     print_message_rates(servers.addrs());
     print_latencies(servers.addrs());
 }
--- a/benches/streams.rs
+++ b/benches/streams.rs
@@ -13,7 +13,9 @@
 
 use oorandom::Rand64;
 use poppykeel_stream_recovery::{GapHistogram, StallDetector, StallLimits, StreamTranscript};
-use poppykeel_stub_model_server::{check, Fault, Outcome, Rule, Script, Seen, Standin};
+use poppykeel_stub_model_server::{
+    check, ClientObservation, ClientOutcome, FaultRule, ReplyFault, ReplyScript, StubServers,
+};
 use std::sync::Mutex;
 use std::time::Instant;
 use support::Node;
@@ -49,22 +51,22 @@
     values.get(place).copied().unwrap_or(f64::NAN)
 }
 
-fn script(rules: Vec<Rule>) -> Script {
-    Script {
-        first_ms: 5,
-        gap_ms: 20,
-        tokens: 12,
-        rule: rules,
+fn script(rules: Vec<FaultRule>) -> ReplyScript {
+    ReplyScript {
+        first_token_ms: 5,
+        token_gap_ms: 20,
+        token_count: 12,
+        rules,
     }
 }
 
-fn rule(every: u64, continued: Option<bool>, fault: Fault) -> Rule {
-    Rule {
+fn rule(every: u64, continued: Option<bool>, fault: ReplyFault) -> FaultRule {
+    FaultRule {
         prompt: None,
-        continued,
+        is_continuation: continued,
         every,
-        once: false,
-        most: None,
+        first_of_prompt_only: false,
+        max_count: None,
         fault,
     }
 }
@@ -74,18 +76,18 @@
     let faults = [
         (
             "cuts after 6 of 12 events",
-            Fault::CutBytes {
+            ReplyFault::CutAfterBytes {
                 after: 1000,
                 reset: false,
             },
         ),
         (
             "is silent for 3 s in every stream",
-            Fault::Stall { after: 6, ms: 3050 },
+            ReplyFault::Stall { after: 6, ms: 3050 },
         ),
         (
             "is silent for 20 s in every stream",
-            Fault::Stall {
+            ReplyFault::Stall {
                 after: 6,
                 ms: 20_000,
             },
@@ -93,17 +95,21 @@
     ];
     for (what, fault) in faults {
         let faulty = script(vec![rule(1, None, fault)]);
-        let servers = Standin::start(vec![faulty, script(vec![]), script(vec![])]).unwrap();
+        let servers = StubServers::start(vec![faulty, script(vec![]), script(vec![])]).unwrap();
         let node = Node::start("seen", servers.addrs(), "", "safe");
         let seen = support::run(&node, 8, 200, 12, |n| format!("seen {n}"));
-        let verdict = check(&seen, &servers.records());
-        let share = servers.records().iter().filter(|r| r.server == 0).count();
+        let verdict = check(&seen, &servers.served_requests());
+        let share = servers
+            .served_requests()
+            .iter()
+            .filter(|r| r.server == 0)
+            .count();
         println!(
             "seen: one of three {what}: {} of 200 whole, {} half, {} refused; {share} requests went to it; {} broken rules",
-            verdict.whole,
+            verdict.completed,
             verdict.failed,
-            verdict.refused,
-            verdict.broken.len()
+            verdict.rejected,
+            verdict.violations.len()
         );
     }
 }
@@ -115,7 +121,7 @@
             rule(
                 40,
                 Some(false),
-                Fault::CutBytes {
+                ReplyFault::CutAfterBytes {
                     after: 1000,
                     reset: true,
                 },
@@ -123,7 +129,7 @@
             rule(
                 39,
                 Some(false),
-                Fault::Stall {
+                ReplyFault::Stall {
                     after: 6,
                     ms: 60_000,
                 },
@@ -132,22 +138,22 @@
     };
     let on = "[streams]\ncontinue = true\nshare = 0.2\n";
     for (what, operator) in [("off", ""), ("on", on)] {
-        let script = Script {
-            gap_ms: 2,
+        let script = ReplyScript {
+            token_gap_ms: 2,
             ..script(faults())
         };
-        let servers = Standin::start(vec![script; 4]).unwrap();
+        let servers = StubServers::start(vec![script; 4]).unwrap();
         let node = Node::start(
             &format!("recovery-{what}"),
             servers.addrs(),
             operator,
             "safe",
         );
-        let times: Mutex<Vec<(Outcome, f64)>> = Mutex::new(Vec::new());
+        let times: Mutex<Vec<(ClientOutcome, f64)>> = Mutex::new(Vec::new());
         let count = 10_000;
         let next = std::sync::atomic::AtomicUsize::new(0);
         let start = Instant::now();
-        let seen: Vec<Seen> = std::thread::scope(|scope| {
+        let seen: Vec<ClientObservation> = std::thread::scope(|scope| {
             let work = || {
                 let mut seen = Vec::new();
                 loop {
@@ -171,26 +177,27 @@
                 .flat_map(|t| t.join().unwrap())
                 .collect()
         });
-        let verdict = check(&seen, &servers.records());
+        let verdict = check(&seen, &servers.served_requests());
         let times = times.into_inner().unwrap();
-        let of = |wanted: fn(&Outcome) -> bool| -> Vec<f64> {
+        let of = |wanted: fn(&ClientOutcome) -> bool| -> Vec<f64> {
             times.iter().filter(|t| wanted(&t.0)).map(|t| t.1).collect()
         };
-        let mut failed = of(|o| matches!(o, Outcome::Told | Outcome::Cut));
-        let mut whole = of(|o| *o == Outcome::Whole);
+        let mut failed =
+            of(|o| matches!(o, ClientOutcome::FailedWithError | ClientOutcome::Truncated));
+        let mut whole = of(|o| *o == ClientOutcome::Completed);
         println!(
             "recovery {what}: {:.2}% whole ({} continued), {:.2}% failed, {:.2}% refused in {:.0} s; a failure known after \
              p50 {:.2} s, p99 {:.2} s; whole ones p50 {:.3} s, p99 {:.3} s; {} broken rules; extra tokens {:.2}%",
-            verdict.whole as f64 / count as f64 * 100.0,
+            verdict.completed as f64 / count as f64 * 100.0,
             verdict.continued,
             verdict.failed as f64 / count as f64 * 100.0,
-            verdict.refused as f64 / count as f64 * 100.0,
+            verdict.rejected as f64 / count as f64 * 100.0,
             start.elapsed().as_secs_f64(),
             at(&mut failed, 0.5),
             at(&mut failed, 0.99),
             at(&mut whole, 0.5),
             at(&mut whole, 0.99),
-            verdict.broken.len(),
+            verdict.violations.len(),
             verdict.extra_tokens as f64 / (count as f64 * 12.0) * 100.0
         );
     }
--- a/crates/stub-model-server/src/checker.rs
+++ b/crates/stub-model-server/src/checker.rs
@@ -1,202 +1,181 @@
-//! The checker of the rules: every request one final outcome, nothing doubled, nothing missing inside a text, nothing
-//! after an end, nothing that no server made.
+//! Checks what clients received against what the servers recorded: every request has one final outcome, nothing is
+//! doubled, nothing is missing inside a text, nothing follows an end, and nothing comes that no server wrote.
+//!
+//! Tests, benches and experiments use the same checks.
 
-#![expect(
-    clippy::min_ident_chars,
-    clippy::too_many_lines,
-    reason = "not yet converted"
-)]
-
-use crate::server::Record;
+use crate::event_stream::{read_stream, ReceivedStream};
+use crate::server::ServedRequest;
 use crate::tokens;
-use serde_json::Value;
 use std::collections::BTreeMap;
 
 /// How a request ended for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Outcome {
-    /// With the last chunk.
-    Whole,
-    /// With an event that says it failed, and without the last chunk.
-    Told,
-    /// Without the last chunk.
-    Cut,
-    /// With a status that is no success.
-    Refused(u16),
-    /// Not at all.
-    Never,
+pub enum ClientOutcome {
+    /// The response came to its last chunk.
+    Completed,
+    /// An event said that the request failed, and the last chunk is missing.
+    FailedWithError,
+    /// The connection was closed without the last chunk.
+    Truncated,
+    /// The response has this status, which is not 200.
+    Rejected(u16),
+    /// There was no response, or the connection was reset.
+    NoResponse,
 }
 
-/// What a client saw.
+/// What a client received.
 #[derive(Clone, Debug)]
-pub struct Seen {
+pub struct ClientObservation {
     /// The request's id.
     pub id: String,
     /// Its prompt.
     pub prompt: String,
-    /// Tokens of a whole answer.
-    pub tokens: usize,
-    /// Usage was asked for.
-    pub usage: bool,
+    /// Tokens of a complete answer.
+    pub expected_token_count: usize,
+    /// Whether the request asked for the usage.
+    pub wants_usage: bool,
     /// How it ended.
-    pub outcome: Outcome,
-    /// The body's bytes, chunk framing taken off.
+    pub outcome: ClientOutcome,
+    /// The bytes of the body, without chunk framing.
     pub body: Vec<u8>,
 }
 
-/// What the checker found.
+/// The result of a check.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Verdict {
-    /// Requests looked at.
+pub struct CheckReport {
+    /// Requests that were checked.
     pub requests: usize,
-    /// Answers that were whole.
-    pub whole: usize,
-    /// Whole ones that several servers wrote.
+    /// Answers that were complete.
+    pub completed: usize,
+    /// Complete answers that several servers wrote.
     pub continued: usize,
-    /// Requests that failed, by word or by a cut.
+    /// Requests that failed, with an error event or by a truncation.
     pub failed: usize,
-    /// Requests turned away.
-    pub refused: usize,
+    /// Requests that were rejected.
+    pub rejected: usize,
     /// Tokens that servers were asked for beyond those of one answer each.
     pub extra_tokens: u64,
-    /// Broken rules, in words.
-    pub broken: Vec<String>,
+    /// Violated rules, each as a text that names the request.
+    pub violations: Vec<String>,
 }
 
-/// The text, ids, finish reasons, usages and the end of a stream's events.
-#[derive(Clone, Debug, Default, PartialEq)]
-pub struct Stream {
-    /// The text.
-    pub text: String,
-    /// Ids of chunks, without repeats.
-    pub ids: Vec<String>,
-    /// Finish reasons, in order.
-    pub finish: Vec<String>,
-    /// Usages: tokens of prompt and answer.
-    pub usage: Vec<(u64, u64)>,
-    /// Events of `[DONE]`.
-    pub done: usize,
-    /// Events with an error.
-    pub errors: usize,
-    /// Events after `[DONE]` or after an error.
-    pub after: usize,
-    /// Events that could not be read.
-    pub unreadable: usize,
+/// Checks what clients received against what the servers recorded.
+pub fn check(observations: &[ClientObservation], served: &[ServedRequest]) -> CheckReport {
+    let mut report = CheckReport {
+        requests: observations.len(),
+        ..CheckReport::default()
+    };
+    let mut served_by_prompt: BTreeMap<&str, Vec<&ServedRequest>> = BTreeMap::new();
+    for request in served {
+        served_by_prompt
+            .entry(&request.prompt)
+            .or_default()
+            .push(request);
+    }
+    for observation in observations {
+        let served = served_by_prompt
+            .get(observation.prompt.as_str())
+            .map_or(&[][..], |requests| &requests[..]);
+        check_one(observation, served, &mut report);
+    }
+    report
 }
 
-/// Reads a body's events.
-pub fn read_stream(body: &[u8]) -> Stream {
-    let mut stream = Stream::default();
-    let text = String::from_utf8_lossy(body);
-    for event in text.split("\n\n").filter(|e| !e.is_empty()) {
-        let Some(data) = event.strip_prefix("data: ") else {
-            stream.unreadable += usize::from(!event.starts_with(':'));
-            continue;
-        };
-        stream.after += usize::from(stream.done + stream.errors > 0);
-        if data == "[DONE]" {
-            stream.done += 1;
-            continue;
-        }
-        let Ok(chunk) = serde_json::from_str::<Value>(data) else {
-            stream.unreadable += 1;
-            continue;
-        };
-        stream.errors += usize::from(chunk.get("error").is_some());
-        let id = chunk["id"].as_str().unwrap_or_default().to_string();
-        if chunk.get("error").is_none() && !stream.ids.contains(&id) {
-            stream.ids.push(id);
-        }
-        for choice in chunk["choices"].as_array().into_iter().flatten() {
-            stream
-                .text
-                .push_str(choice["delta"]["content"].as_str().unwrap_or_default());
-            stream
-                .finish
-                .extend(choice["finish_reason"].as_str().map(String::from));
-        }
-        let usage = &chunk["usage"];
-        if let (Some(prompt), Some(answer)) = (
-            usage["prompt_tokens"].as_u64(),
-            usage["completion_tokens"].as_u64(),
-        ) {
-            stream.usage.push((prompt, answer));
+/// Checks one request; `served` is what servers recorded of its prompt.
+fn check_one(observation: &ClientObservation, served: &[&ServedRequest], report: &mut CheckReport) {
+    let planned_tokens: usize = served
+        .iter()
+        .map(|request| request.planned_token_count)
+        .sum();
+    report.extra_tokens += planned_tokens.saturating_sub(observation.expected_token_count) as u64;
+    count_outcome(observation.outcome, served, report);
+    let stream = read_stream(&observation.body);
+    let mut violations = stream_violations(observation, &stream, served);
+    violations.extend(outcome_violations(observation, &stream));
+    let ClientObservation { id, outcome, .. } = observation;
+    for violation in violations {
+        report
+            .violations
+            .push(format!("{id} ({outcome:?}): {violation}"));
+    }
+}
+
+fn count_outcome(outcome: ClientOutcome, served: &[&ServedRequest], report: &mut CheckReport) {
+    match outcome {
+        ClientOutcome::Completed => {
+            let writer_count = served
+                .iter()
+                .filter(|request| request.written_bytes > 0)
+                .count();
+            report.completed += 1;
+            report.continued += usize::from(writer_count > 1);
         }
+        ClientOutcome::FailedWithError | ClientOutcome::Truncated => report.failed += 1,
+        ClientOutcome::Rejected(_) => report.rejected += 1,
+        ClientOutcome::NoResponse => {}
     }
-    stream
 }
 
-/// Checks what clients saw against what servers noted.
-pub fn check(seen: &[Seen], records: &[Record]) -> Verdict {
-    let mut verdict = Verdict {
-        requests: seen.len(),
-        ..Verdict::default()
-    };
-    let mut by_prompt: BTreeMap<&str, Vec<&Record>> = BTreeMap::new();
-    for record in records {
-        by_prompt.entry(&record.prompt).or_default().push(record);
+/// Rules that hold of every stream, however it ended.
+fn stream_violations(
+    observation: &ClientObservation,
+    stream: &ReceivedStream,
+    served: &[&ServedRequest],
+) -> Vec<String> {
+    let mut violations = Vec::new();
+    if !expected_text(observation).starts_with(&stream.text) {
+        violations.push(format!(
+            "the text is not the beginning of the right one: '{}'",
+            stream.text
+        ));
+    }
+    if stream.ids.len() > 1 {
+        violations.push(format!("several ids: {:?}", stream.ids));
+    }
+    if stream.finish_reasons.len() > 1 || stream.done_count > 1 || stream.usages.len() > 1 {
+        violations.push("a finish reason, an end or a usage came twice".into());
     }
-    for one in seen {
-        let stream = read_stream(&one.body);
-        let served = by_prompt
-            .get(one.prompt.as_str())
-            .map_or(&[][..], |v| &v[..]);
-        let asked: usize = served.iter().map(|r| r.tokens).sum();
-        verdict.extra_tokens += asked.saturating_sub(one.tokens) as u64;
-        let mut bad = |what: &str| {
-            verdict
-                .broken
-                .push(format!("{} ({:?}): {what}", one.id, one.outcome));
-        };
-        let right = tokens::text(&one.prompt, one.tokens);
-        if !right.starts_with(&stream.text) {
-            bad(&format!(
-                "the text is not the beginning of the right one: '{}'",
-                stream.text
+    if stream.late_event_count > 0 {
+        violations.push("events after the end".into());
+    }
+    if !stream.text.is_empty() && served.is_empty() {
+        violations.push("text that no server wrote".into());
+    }
+    let expected = observation.expected_token_count;
+    for usage in &stream.usages {
+        let reported = usage.completion_tokens;
+        if reported != expected as u64 {
+            violations.push(format!(
+                "a usage of {reported} tokens for an answer of {expected}"
             ));
         }
-        if stream.ids.len() > 1 {
-            bad(&format!("several ids: {:?}", stream.ids));
-        }
-        if stream.finish.len() > 1 || stream.done > 1 || stream.usage.len() > 1 {
-            bad("something that comes once came twice");
-        }
-        if stream.after > 0 {
-            bad("events after the end");
-        }
-        if !stream.text.is_empty() && served.is_empty() {
-            bad("text that no server made");
-        }
-        for (_, answer) in &stream.usage {
-            if *answer != one.tokens as u64 {
-                bad(&format!(
-                    "a usage of {answer} tokens for an answer of {}",
-                    one.tokens
-                ));
+    }
+    violations
+}
+
+/// Rules that follow from how the request ended.
+fn outcome_violations(observation: &ClientObservation, stream: &ReceivedStream) -> Vec<String> {
+    let mut violations = Vec::new();
+    match observation.outcome {
+        ClientOutcome::Completed => {
+            if stream.text != expected_text(observation) {
+                violations.push("the text is not whole, and the answer says it is".into());
             }
-        }
-        match one.outcome {
-            Outcome::Whole => {
-                verdict.whole += 1;
-                verdict.continued +=
-                    usize::from(served.iter().filter(|r| r.written > 0).count() > 1);
-                if stream.text != right {
-                    bad("the text is not whole, and the answer says it is");
-                }
-                if stream.finish.len() != 1 || stream.done != 1 {
-                    bad("a whole answer lacks its finish reason or its end");
-                }
+            if stream.finish_reasons.len() != 1 || stream.done_count != 1 {
+                violations.push("a whole answer lacks its finish reason or its end".into());
             }
-            Outcome::Told => {
-                verdict.failed += 1;
-                if stream.errors != 1 {
-                    bad("an answer that says it failed without a word why");
-                }
+        }
+        ClientOutcome::FailedWithError => {
+            if stream.error_count != 1 {
+                violations.push("a failed answer does not have exactly one error event".into());
             }
-            Outcome::Cut => verdict.failed += 1,
-            Outcome::Refused(_) => verdict.refused += 1,
-            Outcome::Never => bad("no final outcome"),
         }
+        ClientOutcome::NoResponse => violations.push("no final outcome".into()),
+        ClientOutcome::Truncated | ClientOutcome::Rejected(_) => {}
     }
-    verdict
+    violations
+}
+
+fn expected_text(observation: &ClientObservation) -> String {
+    tokens::answer_text(&observation.prompt, observation.expected_token_count)
 }
--- a/crates/stub-model-server/src/lib.rs
+++ b/crates/stub-model-server/src/lib.rs
@@ -1,18 +1,20 @@
-//! Stand-in model servers on loopback, for tests, trials and experiments.
+//! Stub model servers on loopback, for tests, benches and experiments.
 //!
-//! `tokens` makes an answer's text from the prompt alone, so that every continuation has one right text; `script`
-//! says what goes wrong and when; `answer` turns a request and a script into pieces to be sent at times, without a
-//! socket; `server` serves that over HTTP/1.1. `checker` reads what clients and servers recorded and says which
-//! rules were broken; tests and experiments use the same one.
+//! `tokens` computes an answer's text from the prompt alone, so that every continuation has exactly one right text.
+//! `script` says which requests get which fault. `answer` turns a request and a script into a plan, without a socket,
+//! and `server` carries plans out over HTTP/1.1 and records them. `checker` compares what clients received with what
+//! the servers recorded, and reports violated rules.
 
 mod answer;
 mod checker;
+mod event_stream;
 mod script;
 mod server;
 mod tokens;
 
-pub use answer::{plan, Ask, Plan, Step};
-pub use checker::{check, read_stream, Outcome, Seen, Stream, Verdict};
-pub use script::{Fault, Part, Rule, Script};
-pub use server::{Record, Standin};
-pub use tokens::{prompt, text, token};
+pub use answer::{plan, ChatRequest, PlanStep, ResponsePlan};
+pub use checker::{check, CheckReport, ClientObservation, ClientOutcome};
+pub use event_stream::{read_stream, ReceivedStream, ReportedUsage};
+pub use script::{AnswerPart, FaultRule, ReplyFault, ReplyScript};
+pub use server::{ServedRequest, StubServers};
+pub use tokens::{answer_text, answer_token, split_prompt};
--- a/crates/stub-model-server/src/main.rs
+++ b/crates/stub-model-server/src/main.rs
@@ -1,10 +1,8 @@
-//! Stand-ins by hand: `poppykeel-stub-model-server --script FILE --script FILE`. A line on standard input, the number of a
-//! server and a file's name, gives that server another script.
-
-#![expect(clippy::min_ident_chars, reason = "not yet converted")]
+//! Stub model servers from the command line: `poppykeel-stub-model-server --script FILE --script FILE`. A line on
+//! standard input, with a server's number and the name of a file, gives that server another script.
 
 use clap::Parser;
-use poppykeel_stub_model_server::{Script, Standin};
+use poppykeel_stub_model_server::{ReplyScript, StubServers};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use std::time::Duration;
@@ -17,57 +15,93 @@
 )]
 struct Cli {
     /// A server's script, as TOML; one server for each
-    #[arg(long, value_name = "FILE", required = true)]
-    script: Vec<PathBuf>,
-    /// They end by themselves after so many seconds
+    #[arg(long = "script", value_name = "FILE", required = true)]
+    scripts: Vec<PathBuf>,
+    /// The servers end by themselves after this many seconds
     #[arg(long = "for", default_value_t = 600, value_name = "SECONDS")]
-    span: u64,
+    lifetime_s: u64,
+}
+
+/// Why the program ends, or a script is not used.
+#[derive(Debug, thiserror::Error)]
+enum StubError {
+    #[error("{path}: {source}")]
+    Read {
+        path: String,
+        source: std::io::Error,
+    },
+    #[error("{path}: {source}")]
+    Parse {
+        path: String,
+        source: Box<toml::de::Error>,
+    },
+    #[error(transparent)]
+    Start(#[from] std::io::Error),
 }
 
-fn read(path: &Path) -> Result<Script, String> {
-    let text = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
-    Script::read(&text).map_err(|e| format!("{}: {e}", path.display()))
+fn read_script(path: &Path) -> Result<ReplyScript, StubError> {
+    let path_text = || path.display().to_string();
+    let text = std::fs::read_to_string(path).map_err(|source| StubError::Read {
+        path: path_text(),
+        source,
+    })?;
+    ReplyScript::parse(&text).map_err(|source| StubError::Parse {
+        path: path_text(),
+        source: Box::new(source),
+    })
 }
 
-fn run(cli: &Cli) -> Result<(), String> {
+fn run(cli: &Cli) -> Result<(), StubError> {
     let scripts = cli
-        .script
+        .scripts
         .iter()
-        .map(|p| read(p))
+        .map(|path| read_script(path))
         .collect::<Result<Vec<_>, _>>()?;
-    let standin = Standin::start(scripts).map_err(|e| e.to_string())?;
-    for (number, addr) in standin.addrs().iter().enumerate() {
+    let servers = StubServers::start(scripts)?;
+    for (number, addr) in servers.addrs().iter().enumerate() {
         println!("server {number} on {addr}");
     }
-    let span = Duration::from_secs(cli.span);
-    std::thread::spawn(move || {
-        std::thread::sleep(span);
-        std::process::exit(0);
-    });
+    end_after(Duration::from_secs(cli.lifetime_s));
     for line in std::io::stdin().lines().map_while(Result::ok) {
-        let mut words = line.split_whitespace();
-        let number = words.next().and_then(|n| n.parse::<usize>().ok());
-        let number = number.filter(|n| *n < standin.addrs().len());
-        match (number, words.next().map(|p| read(Path::new(p)))) {
-            (Some(number), Some(Ok(script))) => {
-                standin.set(number, script);
-                println!("server {number} goes by another script");
-            }
-            (_, Some(Err(e))) => eprintln!("kept as it was: {e}"),
-            _ => eprintln!("expected the number of a server and a file's name, not '{line}'"),
-        }
+        handle_line(&line, &servers);
     }
-    // Without an input they serve on until their time is out.
+    // After the end of the input the servers go on until their time is over.
     loop {
         std::thread::park();
     }
 }
 
+/// Ends the process after a time.
+fn end_after(lifetime: Duration) {
+    std::thread::spawn(move || {
+        std::thread::sleep(lifetime);
+        std::process::exit(0);
+    });
+}
+
+/// Carries out a line of the input: a server's number and the name of its new script.
+fn handle_line(line: &str, servers: &StubServers) {
+    let mut words = line.split_whitespace();
+    let number = words
+        .next()
+        .and_then(|word| word.parse::<usize>().ok())
+        .filter(|number| *number < servers.addrs().len());
+    let script = words.next().map(|path| read_script(Path::new(path)));
+    match (number, script) {
+        (Some(number), Some(Ok(script))) => {
+            servers.set_script(number, script);
+            println!("server {number} has another script");
+        }
+        (_, Some(Err(e))) => eprintln!("the script was not changed: {e}"),
+        _ => eprintln!("expected the number of a server and a file's name, not '{line}'"),
+    }
+}
+
 fn main() -> ExitCode {
     match run(&Cli::parse()) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(text) => {
-            eprintln!("poppykeel-stub-model-server: {text}");
+        Err(e) => {
+            eprintln!("poppykeel-stub-model-server: {e}");
             ExitCode::FAILURE
         }
     }
--- /dev/null
+++ b/crates/stub-model-server/src/server/request_head.rs
@@ -0,0 +1,47 @@
+//! The head of an HTTP request.
+
+/// The most headers that a request may have.
+const MAX_HEADERS: usize = 64;
+
+/// What the server needs of a request's head.
+pub(super) struct RequestHead {
+    /// Length of the head in bytes.
+    pub head_bytes: usize,
+    /// Length of the body in bytes.
+    pub body_bytes: usize,
+    /// The request's id; empty if there is none.
+    pub id: String,
+    pub path: String,
+}
+
+impl RequestHead {
+    /// Parses a head; `None` while it is incomplete, and if it is malformed.
+    pub(super) fn parse(bytes: &[u8]) -> Option<RequestHead> {
+        let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
+        let mut request = httparse::Request::new(&mut headers);
+        let Ok(httparse::Status::Complete(head_bytes)) = request.parse(bytes) else {
+            return None;
+        };
+        let header_value = |name: &str| {
+            let header = request
+                .headers
+                .iter()
+                .find(|header| header.name.eq_ignore_ascii_case(name));
+            header.map(|header| String::from_utf8_lossy(header.value).into_owned())
+        };
+        let body_bytes = header_value("content-length")
+            .and_then(|length| length.parse().ok())
+            .unwrap_or(0);
+        Some(RequestHead {
+            head_bytes,
+            body_bytes,
+            id: header_value("req-id").unwrap_or_default(),
+            path: request.path.unwrap_or_default().to_string(),
+        })
+    }
+
+    /// Length of the whole request in bytes.
+    pub(super) fn request_bytes(&self) -> usize {
+        self.head_bytes + self.body_bytes
+    }
+}
--- a/crates/testbed/src/sockets/load.rs
+++ b/crates/testbed/src/sockets/load.rs
@@ -14,7 +14,7 @@
 use crate::Micros;
 use futures_util::{SinkExt, StreamExt};
 use poppykeel::protocol::http::{Http, Out, Part, Side, Start};
-use poppykeel_stub_model_server::text;
+use poppykeel_stub_model_server::answer_text;
 use rand::{RngExt, SeedableRng};
 use serde_json::{json, Value};
 use std::cell::RefCell;
@@ -329,6 +329,6 @@
                 .as_u64()
                 .or(kept);
         }
-        kept.filter(|_| written == text(prompt, tokens as usize))
+        kept.filter(|_| written == answer_text(prompt, tokens as usize))
     }
 }
--- a/crates/testbed/src/sockets/model.rs
+++ b/crates/testbed/src/sockets/model.rs
@@ -13,7 +13,7 @@
 use bytes::Bytes;
 use futures_util::{SinkExt, StreamExt};
 use poppykeel::protocol::http::{Http, Out, Part, Side, Start};
-use poppykeel_stub_model_server::{prompt, token};
+use poppykeel_stub_model_server::{answer_token, split_prompt};
 use serde_json::{json, Value};
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -306,7 +306,7 @@
             return plain(wire, 500, "", "").await;
         }
         let request: Value = serde_json::from_slice(body).unwrap_or(Value::Null);
-        let (text, done) = prompt(&request);
+        let (text, done) = split_prompt(&request);
         let told = |key: &str| {
             request["metadata"][key]
                 .as_str()
@@ -394,7 +394,7 @@
                 Word::Tokens(from, to) => {
                     for n in from..to {
                         wire.feed(event(
-                            json!({"content": token(&text, done + n as usize)}),
+                            json!({"content": answer_token(&text, done + n as usize)}),
                             None,
                         ))
                         .await
@@ -402,7 +402,7 @@
                     }
                 }
                 Word::Done(kept) => {
-                    let last = token(&text, done + answer as usize - 1);
+                    let last = answer_token(&text, done + answer as usize - 1);
                     wire.feed(event(json!({"content": last}), Some("stop")))
                         .await
                         .ok()?;
--- a/tests/admin.rs
+++ b/tests/admin.rs
@@ -10,7 +10,7 @@
 #[allow(dead_code)] // the rest is for tests of streams
 mod support;
 
-use poppykeel_stub_model_server::{Outcome, Script, Standin};
+use poppykeel_stub_model_server::{ClientOutcome, ReplyScript, StubServers};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::process::Command;
@@ -70,9 +70,9 @@
 
 #[test]
 fn an_evacuated_node_says_no_lets_its_clients_go_and_comes_back() {
-    let server = Standin::start(vec![Script {
-        tokens: 5,
-        ..Script::default()
+    let server = StubServers::start(vec![ReplyScript {
+        token_count: 5,
+        ..ReplyScript::default()
     }])
     .unwrap();
     let node = Node::start("evacuate", server.addrs(), "", "safe");
@@ -94,7 +94,7 @@
     let (id, mut stream) = ask(&node, "after the drain", 5);
     assert_eq!(
         read(id, "after the drain", 5, &mut stream).outcome,
-        Outcome::Whole
+        ClientOutcome::Completed
     );
 }
 
@@ -117,9 +117,9 @@
 
 #[test]
 fn the_figures_count_what_clients_got_and_bad_calls_are_told_so() {
-    let server = Standin::start(vec![Script {
-        tokens: 5,
-        ..Script::default()
+    let server = StubServers::start(vec![ReplyScript {
+        token_count: 5,
+        ..ReplyScript::default()
     }])
     .unwrap();
     let node = Node::start("figures", server.addrs(), "", "safe");
@@ -133,7 +133,7 @@
         let (id, mut stream) = ask(&node, "count me", 5);
         assert_eq!(
             read(id, "count me", 5, &mut stream).outcome,
-            Outcome::Whole,
+            ClientOutcome::Completed,
             "{n}"
         );
     }
@@ -163,9 +163,9 @@
 /// A new version starts beside the old one at the same address and goes on when that is told to end.
 #[test]
 fn a_second_process_shares_the_address_and_takes_over() {
-    let server = Standin::start(vec![Script {
-        tokens: 5,
-        ..Script::default()
+    let server = StubServers::start(vec![ReplyScript {
+        token_count: 5,
+        ..ReplyScript::default()
     }])
     .unwrap();
     let mut old = Node::start("upgrade-old", server.addrs(), "", "safe");
@@ -188,7 +188,7 @@
     for n in 0..10 {
         let (id, mut stream) = ask(&new, "to the new one", 5);
         let seen = read(id, "to the new one", 5, &mut stream);
-        assert_eq!(seen.outcome, Outcome::Whole, "{n}");
+        assert_eq!(seen.outcome, ClientOutcome::Completed, "{n}");
     }
 }
 
@@ -212,9 +212,9 @@
 /// New settings in the file at SIGHUP: classes come and go, and a file that can't be meant is turned down whole.
 #[test]
 fn settings_read_again_change_classes_and_bad_files_change_nothing() {
-    let server = Standin::start(vec![Script {
-        tokens: 5,
-        ..Script::default()
+    let server = StubServers::start(vec![ReplyScript {
+        token_count: 5,
+        ..ReplyScript::default()
     }])
     .unwrap();
     let node = Node::start("settings", server.addrs(), "", "safe");
--- a/tests/faults.rs
+++ b/tests/faults.rs
@@ -7,7 +7,7 @@
 #[allow(dead_code)] // each file of tests uses a part
 mod support;
 
-use poppykeel_stub_model_server::{Outcome, Script, Standin};
+use poppykeel_stub_model_server::{ClientOutcome, ReplyScript, StubServers};
 use std::io::{Read, Write};
 use std::path::PathBuf;
 use std::time::Duration;
@@ -30,11 +30,11 @@
 }
 
 /// A node with these faults, its servers, and the file of its plan.
-fn faulty(name: &str, plan: &str) -> (Node, Standin, PathBuf) {
-    let servers = Standin::start(vec![
-        Script {
-            gap_ms: 1,
-            ..Script::default()
+fn faulty(name: &str, plan: &str) -> (Node, StubServers, PathBuf) {
+    let servers = StubServers::start(vec![
+        ReplyScript {
+            token_gap_ms: 1,
+            ..ReplyScript::default()
         };
         3
     ])
@@ -60,7 +60,7 @@
     });
     let broken: Vec<_> = seen
         .iter()
-        .filter(|s| s.outcome != Outcome::Whole)
+        .filter(|s| s.outcome != ClientOutcome::Completed)
         .map(|s| &s.outcome)
         .collect();
     assert!(
@@ -68,7 +68,7 @@
         "{} of {REQUESTS}: {broken:?}",
         broken.len()
     );
-    assert_eq!(servers.records().len(), REQUESTS);
+    assert_eq!(servers.served_requests().len(), REQUESTS);
     drop(node);
     let _ = std::fs::remove_file(file);
 }
@@ -120,7 +120,7 @@
             .into_iter()
             .for_each(|client| client.join().unwrap());
     });
-    assert_eq!(servers.records().len(), REQUESTS);
+    assert_eq!(servers.served_requests().len(), REQUESTS);
     drop(node);
     let _ = std::fs::remove_file(file);
 }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -12,7 +12,7 @@
 use poppykeel_coordination::envelope::{self, Envelope, MessageBody};
 use poppykeel_coordination::outlier_probing::ProbingMessage;
 use poppykeel_coordination::{Incarnation, ProcessId};
-use poppykeel_stub_model_server::{Fault, Outcome, Script, Standin};
+use poppykeel_stub_model_server::{ClientOutcome, ReplyFault, ReplyScript, StubServers};
 use process_resources::ProcessResources;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream, UdpSocket};
@@ -53,7 +53,7 @@
 
 #[test]
 fn without_the_section_there_is_no_listener_no_thread_and_no_file() {
-    let server = Standin::start(vec![Script::default()]).unwrap();
+    let server = StubServers::start(vec![ReplyScript::default()]).unwrap();
     let node = Node::start("no-fleet", server.addrs(), "", "safe");
     let alone = ProcessResources {
         datagram_sockets: 0,
@@ -255,7 +255,7 @@
 
 #[test]
 fn foreign_and_garbled_messages_are_dropped_and_counted_by_datagram_and_connection() {
-    let server = Standin::start(vec![Script::default()]).unwrap();
+    let server = StubServers::start(vec![ReplyScript::default()]).unwrap();
     let folder = test_folder("drop");
     let address = free_address();
     let section = fleet_section(address, address, &folder.display().to_string());
@@ -287,15 +287,15 @@
     is_used_again: bool,
 }
 
-fn healthy_script() -> Script {
-    Script {
-        tokens: TOKENS,
-        ..Script::default()
+fn healthy_script() -> ReplyScript {
+    ReplyScript {
+        token_count: TOKENS,
+        ..ReplyScript::default()
     }
 }
 
-fn failing_script() -> Script {
-    healthy_script().with(Fault::Status(500))
+fn failing_script() -> ReplyScript {
+    healthy_script().with_fault(ReplyFault::Status(500))
 }
 
 /// Four nodes, each with a `[fleet]` section or without one.
@@ -328,7 +328,7 @@
                     let prompt = format!("{} {number}", node.addr);
                     let (id, mut stream) = ask(node, &prompt, TOKENS);
                     let answer = read(id, &prompt, TOKENS, &mut stream);
-                    assert_eq!(answer.outcome, Outcome::Whole);
+                    assert_eq!(answer.outcome, ClientOutcome::Completed);
                     number += 1;
                     std::thread::sleep(Duration::from_millis(20));
                 }
@@ -338,18 +338,18 @@
 }
 
 fn run_with_failing_server(name: &str, has_fleet: bool) -> ProbingRun {
-    let servers = Standin::start(vec![healthy_script(), failing_script()]).unwrap();
+    let servers = StubServers::start(vec![healthy_script(), failing_script()]).unwrap();
     let folder = test_folder(name);
     let nodes = four_nodes(name, servers.addrs(), has_fleet.then_some(&folder));
     let requests_at_failing = || {
-        let records = servers.records();
+        let records = servers.served_requests();
         records.iter().filter(|record| record.server == 1).count()
     };
     serve_for(&nodes, Duration::from_secs(3));
     let before = requests_at_failing();
     serve_for(&nodes, Duration::from_secs(6));
     let probes = requests_at_failing() - before;
-    servers.set(1, healthy_script());
+    servers.set_script(1, healthy_script());
     serve_for(&nodes, Duration::from_secs(3));
     let after_recovery = requests_at_failing();
     serve_for(&nodes, Duration::from_secs(1));
@@ -390,7 +390,7 @@
             counted.fetch_add(1, Ordering::Relaxed);
         }
     });
-    let server = Standin::start(vec![Script::default()]).unwrap();
+    let server = StubServers::start(vec![ReplyScript::default()]).unwrap();
     let folder = test_folder(name);
     let listen = free_address();
     let section = fleet_section(listen, listen, &folder.display().to_string()) + budget;
--- a/tests/golden.rs
+++ b/tests/golden.rs
@@ -10,7 +10,7 @@
     BatchSize, CacheHitRates, LearnedState, PrefillTime, ServiceTime, SessionRecord,
 };
 use poppykeel_site_settings::SiteNames;
-use poppykeel_stub_model_server::{Script, Standin};
+use poppykeel_stub_model_server::{ReplyScript, StubServers};
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
 use std::fs;
@@ -170,7 +170,7 @@
 
 /// The log of a node that has served a few streams, up to its first summary.
 fn log_of_present_program() -> String {
-    let servers = Standin::start(vec![Script::default()]).unwrap();
+    let servers = StubServers::start(vec![ReplyScript::default()]).unwrap();
     let node = Node::start("golden-log", servers.addrs(), "", "safe");
     let answers = support::run(&node, 2, 4, 12, |number| format!("prompt {number}"));
     assert_eq!(answers.len(), 4);
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -8,7 +8,7 @@
 use poppykeel::routing::learned_state::{decode, encode, LearnedStateError, ProcessToken};
 use poppykeel_scheduler::{CacheHitRates, LearnedState, PrefillTime, SessionRecord};
 use poppykeel_site_settings::SiteNames;
-use poppykeel_stub_model_server::{Outcome as Seen, Script, Standin};
+use poppykeel_stub_model_server::{ClientOutcome, ReplyScript, StubServers};
 use proptest::prelude::{any, prop_assert, proptest};
 use std::process::Command;
 use std::time::{Duration, Instant};
@@ -157,15 +157,15 @@
 fn serve_one(node: &Node) {
     let (id, mut stream) = ask(node, "once more", 5);
     let served = support::read(id, "once more", 5, &mut stream);
-    assert_eq!(served.outcome, Seen::Whole);
+    assert_eq!(served.outcome, ClientOutcome::Completed);
 }
 
 /// The new process asks, the old one leaves what it has learned, and once more when it is told to end.
 #[test]
 fn a_second_process_learns_from_the_first_one() {
-    let server = Standin::start(vec![Script {
-        tokens: 5,
-        ..Script::default()
+    let server = StubServers::start(vec![ReplyScript {
+        token_count: 5,
+        ..ReplyScript::default()
     }])
     .unwrap();
     let folder = std::env::temp_dir().join(format!("handover-{}", std::process::id()));
--- a/tests/rare.rs
+++ b/tests/rare.rs
@@ -11,7 +11,7 @@
 #[allow(dead_code)] // each file of tests uses a part
 mod support;
 
-use poppykeel_stub_model_server::{Outcome, Script, Standin};
+use poppykeel_stub_model_server::{ClientOutcome, ReplyScript, StubServers};
 use socket2::{Domain, Socket, Type};
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -98,9 +98,9 @@
 fn a_connection_that_comes_up_after_its_server_was_told_leaving_carries_nothing() {
     let (late, held) = full_listener();
     let discovery = TcpListener::bind("127.0.0.1:0").unwrap();
-    let standin = Standin::start(vec![Script {
-        tokens: 3,
-        ..Script::default()
+    let standin = StubServers::start(vec![ReplyScript {
+        token_count: 3,
+        ..ReplyScript::default()
     }])
     .unwrap();
     let (at, service) = (
@@ -154,8 +154,8 @@
         std::thread::sleep(Duration::from_millis(5));
     }
     // It has never run there, so the server that stays has it, also where it may not be repeated.
-    assert_eq!(answer.join().unwrap().outcome, Outcome::Whole);
-    assert_eq!(standin.records().len(), 1);
+    assert_eq!(answer.join().unwrap().outcome, ClientOutcome::Completed);
+    assert_eq!(standin.served_requests().len(), 1);
 }
 
 /// Guards against the end of an answer that goes with the reset of a close over unread bytes.
@@ -225,9 +225,9 @@
 fn requests_whose_clients_left_while_they_waited_are_never_sent_on() {
     let discovery = TcpListener::bind("127.0.0.1:0").unwrap();
     let service = discovery.local_addr().unwrap().to_string();
-    let standin = Standin::start(vec![Script {
-        tokens: 3,
-        ..Script::default()
+    let standin = StubServers::start(vec![ReplyScript {
+        token_count: 3,
+        ..ReplyScript::default()
     }])
     .unwrap();
     let node = Node::with_list("left", &[], "", "safe", &service);
@@ -266,8 +266,11 @@
         node.log.lock().unwrap().iter().any(|l| l.contains("s-9"))
     });
     let (id, mut client) = ask(&node, "later", 3);
-    assert_eq!(read(id, "later", 3, &mut client).outcome, Outcome::Whole);
-    assert_eq!(standin.records().len(), 1);
+    assert_eq!(
+        read(id, "later", 3, &mut client).outcome,
+        ClientOutcome::Completed
+    );
+    assert_eq!(standin.served_requests().len(), 1);
 }
 
 /// Reads to the end of a connection.
@@ -319,9 +322,9 @@
 fn a_node_whose_discovery_is_silent_is_ready_and_serves_by_what_it_knows() {
     let discovery = TcpListener::bind("127.0.0.1:0").unwrap();
     let service = discovery.local_addr().unwrap().to_string();
-    let standin = Standin::start(vec![Script {
-        tokens: 3,
-        ..Script::default()
+    let standin = StubServers::start(vec![ReplyScript {
+        token_count: 3,
+        ..ReplyScript::default()
     }])
     .unwrap();
     let node = Node::with_list("silent", standin.addrs(), "", "safe", &service);
@@ -332,16 +335,19 @@
         .unwrap();
     assert!(rest(&mut health).starts_with("HTTP/1.1 200 "));
     let (id, mut client) = ask(&node, "silent", 3);
-    assert_eq!(read(id, "silent", 3, &mut client).outcome, Outcome::Whole);
+    assert_eq!(
+        read(id, "silent", 3, &mut client).outcome,
+        ClientOutcome::Completed
+    );
 }
 
 /// Clients that send much at once and go, with whole bodies that are too long, parts of bodies, and requests one behind
 /// the other: others are answered meanwhile, and the node gets all its room back.
 #[test]
 fn a_flood_of_clients_that_send_much_and_go_leaves_nothing_behind() {
-    let standin = Standin::start(vec![Script {
-        tokens: 3,
-        ..Script::default()
+    let standin = StubServers::start(vec![ReplyScript {
+        token_count: 3,
+        ..ReplyScript::default()
     }])
     .unwrap();
     let node = Node::start("flood", standin.addrs(), "", "safe");
@@ -372,7 +378,7 @@
             let (id, mut client) = ask(&node, "among them", 3);
             assert_eq!(
                 read(id, "among them", 3, &mut client).outcome,
-                Outcome::Whole
+                ClientOutcome::Completed
             );
         }
     }
@@ -388,9 +394,9 @@
     let discovery = TcpListener::bind("127.0.0.1:0").unwrap();
     let service = discovery.local_addr().unwrap();
     drop(discovery);
-    let standin = Standin::start(vec![Script {
-        tokens: 3,
-        ..Script::default()
+    let standin = StubServers::start(vec![ReplyScript {
+        token_count: 3,
+        ..ReplyScript::default()
     }])
     .unwrap();
     let node = Node::with_sockets("idle", standin.addrs(), &service.to_string(), MAY_HOLD);
@@ -422,7 +428,7 @@
             // New connections may be shut unread while idle ones fill the node; their clients come again.
             until("an answer among idle clients", || {
                 let (id, mut client) = ask(&node, "among idle ones", 3);
-                read(id, "among idle ones", 3, &mut client).outcome == Outcome::Whole
+                read(id, "among idle ones", 3, &mut client).outcome == ClientOutcome::Completed
             });
         }
     }
@@ -503,9 +509,9 @@
     let discovery = TcpListener::bind("127.0.0.1:0").unwrap();
     let service = discovery.local_addr().unwrap().to_string();
     let script = || {
-        Standin::start(vec![Script {
-            tokens: 3,
-            ..Script::default()
+        StubServers::start(vec![ReplyScript {
+            token_count: 3,
+            ..ReplyScript::default()
         }])
         .unwrap()
     };
@@ -525,7 +531,13 @@
     });
     for _ in 0..5 {
         let (id, mut client) = ask(&node, "older", 3);
-        assert_eq!(read(id, "older", 3, &mut client).outcome, Outcome::Whole);
+        assert_eq!(
+            read(id, "older", 3, &mut client).outcome,
+            ClientOutcome::Completed
+        );
     }
-    assert_eq!((left.records().len(), stays.records().len()), (0, 5));
+    assert_eq!(
+        (left.served_requests().len(), stays.served_requests().len()),
+        (0, 5)
+    );
 }
--- a/tests/shutdown.rs
+++ b/tests/shutdown.rs
@@ -6,7 +6,7 @@
 #[allow(dead_code)] // each file of tests uses a part
 mod support;
 
-use poppykeel_stub_model_server::{Script, Standin};
+use poppykeel_stub_model_server::{ReplyScript, StubServers};
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
 use std::time::Duration;
@@ -37,18 +37,18 @@
     String::from_utf8_lossy(&bytes).into_owned()
 }
 
-fn hanging_server() -> Standin {
-    Standin::start(vec![Script {
-        first_ms: HANG_MS,
-        ..Script::default()
+fn hanging_server() -> StubServers {
+    StubServers::start(vec![ReplyScript {
+        first_token_ms: HANG_MS,
+        ..ReplyScript::default()
     }])
     .unwrap()
 }
 
 /// Ids of the requests that have reached a stand-in.
-fn reached(servers: &Standin) -> Vec<String> {
+fn reached(servers: &StubServers) -> Vec<String> {
     servers
-        .records()
+        .served_requests()
         .into_iter()
         .map(|record| record.id)
         .collect()
--- a/tests/streams.rs
+++ b/tests/streams.rs
@@ -11,7 +11,8 @@
 mod support;
 
 use poppykeel_stub_model_server::{
-    check, Fault, Outcome, Part, Rule, Script, Seen, Standin, Verdict,
+    check, AnswerPart, CheckReport, ClientObservation, ClientOutcome, FaultRule, ReplyFault,
+    ReplyScript, StubServers,
 };
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpListener};
@@ -27,36 +28,36 @@
 const SAVES: &str = "[streams]\ncontinue = true\nshare = 1.0\nreplica_share = 1.0\nfree = 100000\n\
                      stall_least = 0.2\nstall_most = 0.2\n";
 
-fn good(verdict: &Verdict) {
+fn good(verdict: &CheckReport) {
     assert!(
-        verdict.broken.is_empty(),
+        verdict.violations.is_empty(),
         "{:#?}",
-        &verdict.broken[..verdict.broken.len().min(5)]
+        &verdict.violations[..verdict.violations.len().min(5)]
     );
 }
 
-fn script(tokens: usize) -> Script {
-    Script {
-        tokens,
-        ..Script::default()
+fn script(tokens: usize) -> ReplyScript {
+    ReplyScript {
+        token_count: tokens,
+        ..ReplyScript::default()
     }
 }
 
 /// The fault befalls first tries, or continuations.
-fn rule(fault: Fault, continued: bool) -> Rule {
-    Rule {
+fn rule(fault: ReplyFault, continued: bool) -> FaultRule {
+    FaultRule {
         prompt: None,
-        continued: Some(continued),
+        is_continuation: Some(continued),
         every: 1,
-        once: false,
-        most: None,
+        first_of_prompt_only: false,
+        max_count: None,
         fault,
     }
 }
 
-fn with(tokens: usize, rules: Vec<Rule>) -> Script {
-    Script {
-        rule: rules,
+fn with(tokens: usize, rules: Vec<FaultRule>) -> ReplyScript {
+    ReplyScript {
+        rules,
         ..script(tokens)
     }
 }
@@ -67,21 +68,21 @@
         // Each prompt's first answer is cut, wherever it is asked for; what follows is honest.
         let cut = with(
             4,
-            vec![Rule {
-                once: true,
-                ..rule(Fault::CutNamed { reset }, false)
+            vec![FaultRule {
+                first_of_prompt_only: true,
+                ..rule(ReplyFault::CutWhereTold { reset }, false)
             }],
         );
-        let servers = Standin::start(vec![cut; 3]).unwrap();
+        let servers = StubServers::start(vec![cut; 3]).unwrap();
         let node = Node::start(&format!("cut-{reset}"), servers.addrs(), SAVES, "safe");
         // One body of four tokens is less than 1,200 bytes long; the cuts beyond it never happen.
         let seen = support::run(&node, CLIENTS, 1200, 4, |n| {
             format!("any prompt {n} cut={n}")
         });
-        let verdict = check(&seen, &servers.records());
+        let verdict = check(&seen, &servers.served_requests());
         good(&verdict);
         assert_eq!(
-            (verdict.whole, verdict.requests),
+            (verdict.completed, verdict.requests),
             (1200, 1200),
             "{verdict:?}"
         );
@@ -92,21 +93,27 @@
 #[test]
 fn a_cut_before_each_part_of_the_end_costs_no_text_and_no_second_answer() {
     for (part, asked) in [
-        (Part::Finish, 2),
-        (Part::Usage, 1),
-        (Part::Done, 1),
-        (Part::LastChunk, 1),
+        (AnswerPart::Finish, 2),
+        (AnswerPart::Usage, 1),
+        (AnswerPart::Done, 1),
+        (AnswerPart::LastChunk, 1),
     ] {
-        let cut = Fault::CutBefore { part, reset: false };
-        let servers = Standin::start(vec![with(6, vec![rule(cut, false)]); 2]).unwrap();
+        let cut = ReplyFault::CutBefore { part, reset: false };
+        let servers = StubServers::start(vec![with(6, vec![rule(cut, false)]); 2]).unwrap();
         let node = Node::start(&format!("part-{part:?}"), servers.addrs(), SAVES, "safe");
         // One more token than there are, so that something is left to be asked for.
         let seen = support::run(&node, CLIENTS, 1, 7, |n| format!("part {n}"));
-        let seen: Vec<Seen> = seen.into_iter().map(|s| Seen { tokens: 6, ..s }).collect();
-        let verdict = check(&seen, &servers.records());
+        let seen: Vec<ClientObservation> = seen
+            .into_iter()
+            .map(|s| ClientObservation {
+                expected_token_count: 6,
+                ..s
+            })
+            .collect();
+        let verdict = check(&seen, &servers.served_requests());
         good(&verdict);
         assert_eq!(
-            (verdict.whole, servers.records().len()),
+            (verdict.completed, servers.served_requests().len()),
             (1, asked),
             "{part:?}"
         );
@@ -116,15 +123,15 @@
 #[test]
 fn a_server_that_recovers_while_another_carries_on_writes_nothing_more() {
     for ms in [190, 210, 230, 260] {
-        let stall = with(8, vec![rule(Fault::Stall { after: 1, ms }, false)]);
-        let servers = Standin::start(vec![stall; 3]).unwrap();
+        let stall = with(8, vec![rule(ReplyFault::Stall { after: 1, ms }, false)]);
+        let servers = StubServers::start(vec![stall; 3]).unwrap();
         let node = Node::start(&format!("recovers-{ms}"), servers.addrs(), SAVES, "safe");
         let verdict = check(
             &support::run(&node, CLIENTS, 40, 8, |n| format!("recovers {n}")),
-            &servers.records(),
+            &servers.served_requests(),
         );
         good(&verdict);
-        assert_eq!(verdict.whole, 40, "{verdict:?}");
+        assert_eq!(verdict.completed, 40, "{verdict:?}");
     }
 }
 
@@ -132,30 +139,34 @@
 fn when_all_servers_stall_the_budget_holds_and_every_client_hears() {
     let stall = || {
         rule(
-            Fault::Stall {
+            ReplyFault::Stall {
                 after: 2,
                 ms: 60_000,
             },
             false,
         )
     };
-    let servers = Standin::start(vec![with(8, vec![stall()]); 3]).unwrap();
+    let servers = StubServers::start(vec![with(8, vec![stall()]); 3]).unwrap();
     let operator = SAVES
         .replace("free = 100000", "free = 2")
         .replace("share = 1.0", "share = 0.1");
     let node = Node::start("storm", servers.addrs(), &operator, "safe");
     let seen = support::run(&node, CLIENTS, 60, 8, |n| format!("storm {n}"));
-    let verdict = check(&seen, &servers.records());
+    let verdict = check(&seen, &servers.served_requests());
     good(&verdict);
-    let continued = servers.records().iter().filter(|r| r.done > 0).count();
+    let continued = servers
+        .served_requests()
+        .iter()
+        .filter(|r| r.tokens_before > 0)
+        .count();
     assert!(
         continued <= 6 && continued > 0,
         "{continued} continuations of 60"
     );
-    assert_eq!(verdict.whole, continued);
+    assert_eq!(verdict.completed, continued);
     assert!(seen.iter().all(|s| matches!(
         s.outcome,
-        Outcome::Whole | Outcome::Told | Outcome::Refused(_)
+        ClientOutcome::Completed | ClientOutcome::FailedWithError | ClientOutcome::Rejected(_)
     )));
 }
 
@@ -163,47 +174,49 @@
 fn a_continuation_that_stalls_too_is_tried_again_and_then_fails_by_word() {
     let stalls = vec![
         rule(
-            Fault::Stall {
+            ReplyFault::Stall {
                 after: 1,
                 ms: 60_000,
             },
             false,
         ),
         rule(
-            Fault::Stall {
+            ReplyFault::Stall {
                 after: 1,
                 ms: 60_000,
             },
             true,
         ),
     ];
-    let servers = Standin::start(vec![with(9, stalls); 4]).unwrap();
+    let servers = StubServers::start(vec![with(9, stalls); 4]).unwrap();
     let node = Node::start("again", servers.addrs(), SAVES, "safe");
     let seen = support::run(&node, CLIENTS, 4, 9, |n| format!("again {n}"));
-    let verdict = check(&seen, &servers.records());
+    let verdict = check(&seen, &servers.served_requests());
     good(&verdict);
     assert_eq!(
-        (verdict.failed, servers.records().len()),
+        (verdict.failed, servers.served_requests().len()),
         (4, 12),
         "{verdict:?}"
     );
     // Each upstream's token was passed on, and the client was told.
-    assert!(seen.iter().all(|s| s.outcome == Outcome::Told));
+    assert!(seen
+        .iter()
+        .all(|s| s.outcome == ClientOutcome::FailedWithError));
 }
 
 #[test]
 fn a_continuation_that_nobody_begins_in_time_fails_by_word() {
     let late = vec![
         rule(
-            Fault::Stall {
+            ReplyFault::Stall {
                 after: 1,
                 ms: 60_000,
             },
             false,
         ),
-        rule(Fault::Silent, true),
+        rule(ReplyFault::Silent, true),
     ];
-    let servers = Standin::start(vec![with(9, late); 2]).unwrap();
+    let servers = StubServers::start(vec![with(9, late); 2]).unwrap();
     let node = Node::start(
         "late",
         servers.addrs(),
@@ -211,20 +224,21 @@
         "safe",
     );
     let seen = support::run(&node, CLIENTS, 1, 9, |n| format!("late {n}"));
-    good(&check(&seen, &servers.records()));
-    assert_eq!(seen[0].outcome, Outcome::Told);
+    good(&check(&seen, &servers.served_requests()));
+    assert_eq!(seen[0].outcome, ClientOutcome::FailedWithError);
 }
 
 #[test]
 fn a_class_that_forbids_a_repeat_and_settings_without_continuing_end_at_once() {
-    let cut = Fault::CutBytes {
+    let cut = ReplyFault::CutAfterBytes {
         after: 500,
         reset: true,
     };
-    for (operator, semantics, outcome) in
-        [(SAVES, "unsafe", Outcome::Told), ("", "safe", Outcome::Cut)]
-    {
-        let servers = Standin::start(vec![with(9, vec![rule(cut.clone(), false)]); 2]).unwrap();
+    for (operator, semantics, outcome) in [
+        (SAVES, "unsafe", ClientOutcome::FailedWithError),
+        ("", "safe", ClientOutcome::Truncated),
+    ] {
+        let servers = StubServers::start(vec![with(9, vec![rule(cut.clone(), false)]); 2]).unwrap();
         let node = Node::start(
             &format!("ends-{semantics}"),
             servers.addrs(),
@@ -232,10 +246,10 @@
             semantics,
         );
         let seen = support::run(&node, CLIENTS, 3, 9, |n| format!("ends {n}"));
-        let verdict = check(&seen, &servers.records());
+        let verdict = check(&seen, &servers.served_requests());
         good(&verdict);
         assert!(seen.iter().all(|s| s.outcome == outcome), "{seen:?}");
-        assert_eq!(servers.records().len(), 3, "nobody is asked twice");
+        assert_eq!(servers.served_requests().len(), 3, "nobody is asked twice");
     }
 }
 
@@ -252,7 +266,7 @@
 #[test]
 fn a_reader_that_stops_is_no_stall_and_fills_no_memory() {
     // Some 30 MB: more than the buffers of all sockets hold.
-    let servers = Standin::start(vec![script(150_000); 2]).unwrap();
+    let servers = StubServers::start(vec![script(150_000); 2]).unwrap();
     let node = Node::start("reader", servers.addrs(), SAVES, "safe");
     let before = resident(&node);
     // The stand-in plans so long an answer before its first token, for seconds where the machine has much else to do.
@@ -260,10 +274,10 @@
     std::thread::sleep(Duration::from_millis(700));
     let (held, record) = (
         resident(&node).saturating_sub(before),
-        servers.records().remove(0),
+        servers.served_requests().remove(0),
     );
     assert!(
-        !record.whole,
+        !record.is_complete,
         "the server was read on for a reader that stopped"
     );
     assert!(
@@ -271,10 +285,14 @@
         "{held} bytes held for a reader that stopped"
     );
     let seen = read(id, "a flood", 150_000, &mut stream);
-    let verdict = check(&[seen], &servers.records());
+    let verdict = check(&[seen], &servers.served_requests());
     good(&verdict);
     assert_eq!(
-        (verdict.whole, verdict.continued, servers.records().len()),
+        (
+            verdict.completed,
+            verdict.continued,
+            servers.served_requests().len()
+        ),
         (1, 0, 1),
         "{verdict:?}"
     );
@@ -284,22 +302,22 @@
 fn a_client_that_leaves_in_a_continuation_takes_it_along_and_a_stopping_node_ends_in_order() {
     let rules = vec![
         rule(
-            Fault::Stall {
+            ReplyFault::Stall {
                 after: 2,
                 ms: 60_000,
             },
             false,
         ),
-        rule(Fault::Trickle(100), true),
+        rule(ReplyFault::SlowTokens(100), true),
     ];
-    let servers = Standin::start(vec![with(10, rules); 3]).unwrap();
+    let servers = StubServers::start(vec![with(10, rules); 3]).unwrap();
     let mut node = Node::start("leaves", servers.addrs(), SAVES, "safe");
     let continued = |count: usize| {
         let begun = || {
             servers
-                .records()
+                .served_requests()
                 .iter()
-                .filter(|r| r.done > 0 && r.written > 0)
+                .filter(|r| r.tokens_before > 0 && r.written_bytes > 0)
                 .count()
         };
         (0..1000).any(|_| {
@@ -322,16 +340,16 @@
         .unwrap()
         .success());
     let seen = read(id, "stays", 10, &mut stream);
-    let verdict = check(&[seen], &servers.records());
+    let verdict = check(&[seen], &servers.served_requests());
     good(&verdict);
-    assert_eq!(verdict.whole, 1);
+    assert_eq!(verdict.completed, 1);
     assert!(node.child.wait().unwrap().success());
     let left = servers
-        .records()
+        .served_requests()
         .into_iter()
-        .find(|r| r.prompt == "leaves" && r.done > 0)
+        .find(|r| r.prompt == "leaves" && r.tokens_before > 0)
         .unwrap();
-    assert!(!left.whole, "its server wrote on for nobody");
+    assert!(!left.is_complete, "its server wrote on for nobody");
 }
 
 /// Discovery's list on a free port: each call is answered by the next text, once there is one.
@@ -364,23 +382,23 @@
 fn a_server_drained_in_the_middle_of_a_continuation_ends_it_and_gets_no_other() {
     let rules = vec![
         rule(
-            Fault::Stall {
+            ReplyFault::Stall {
                 after: 2,
                 ms: 60_000,
             },
             false,
         ),
-        rule(Fault::Trickle(60), true),
+        rule(ReplyFault::SlowTokens(60), true),
     ];
-    let servers = Standin::start(vec![with(10, rules); 3]).unwrap();
+    let servers = StubServers::start(vec![with(10, rules); 3]).unwrap();
     let (list, tell) = list_service();
     let node = Node::with_list("drained", servers.addrs(), SAVES, "safe", &list.to_string());
     let (id, mut stream) = ask(&node, "drained", 10);
     let carries_on = || {
         servers
-            .records()
+            .served_requests()
             .into_iter()
-            .find(|r| r.done > 0 && r.written > 0)
+            .find(|r| r.tokens_before > 0 && r.written_bytes > 0)
     };
     let second = (0..1000).find_map(|_| {
         std::thread::sleep(Duration::from_millis(5));
@@ -398,21 +416,25 @@
     // It asks again once it has heard.
     tell.send(none.to_string()).unwrap();
     let seen = read(id, "drained", 10, &mut stream);
-    let verdict = check(&[seen], &servers.records());
+    let verdict = check(&[seen], &servers.served_requests());
     good(&verdict);
-    assert_eq!((verdict.whole, verdict.continued), (1, 1), "{verdict:?}");
-    let before = servers.records().len();
+    assert_eq!(
+        (verdict.completed, verdict.continued),
+        (1, 1),
+        "{verdict:?}"
+    );
+    let before = servers.served_requests().len();
     servers
         .addrs()
         .iter()
         .enumerate()
-        .for_each(|(n, _)| servers.set(n, script(10)));
+        .for_each(|(n, _)| servers.set_script(n, script(10)));
     good(&check(
         &support::run(&node, CLIENTS, 40, 10, |n| format!("after it {n}")),
-        &servers.records(),
+        &servers.served_requests(),
     ));
     assert!(
-        servers.records()[before..]
+        servers.served_requests()[before..]
             .iter()
             .all(|r| r.server != server),
         "work after a drain"
@@ -422,12 +444,12 @@
 #[test]
 fn a_deadline_that_passes_in_the_middle_ends_nothing() {
     // By the protocol it is the first token's: half a second of text and a silence come before the rest is asked for.
-    let slow = Script {
-        gap_ms: 120,
+    let slow = ReplyScript {
+        token_gap_ms: 120,
         ..with(
             8,
             vec![rule(
-                Fault::Stall {
+                ReplyFault::Stall {
                     after: 4,
                     ms: 60_000,
                 },
@@ -435,18 +457,25 @@
             )],
         )
     };
-    let servers = Standin::start(vec![slow; 2]).unwrap();
+    let servers = StubServers::start(vec![slow; 2]).unwrap();
     let node = Node::start("deadline", servers.addrs(), SAVES, "safe");
     let (id, mut stream) = ask_within(&node, "deadline", 8, 0.5);
-    let verdict = check(&[read(id, "deadline", 8, &mut stream)], &servers.records());
+    let verdict = check(
+        &[read(id, "deadline", 8, &mut stream)],
+        &servers.served_requests(),
+    );
     good(&verdict);
-    assert_eq!((verdict.whole, verdict.continued), (1, 1), "{verdict:?}");
+    assert_eq!(
+        (verdict.completed, verdict.continued),
+        (1, 1),
+        "{verdict:?}"
+    );
 }
 
 #[test]
 fn an_answer_that_comes_on_a_second_connection_reaches_nobody_else() {
-    let servers = Standin::start(vec![Script {
-        first_ms: 20,
+    let servers = StubServers::start(vec![ReplyScript {
+        first_token_ms: 20,
         ..script(12)
     }])
     .unwrap();
@@ -454,53 +483,59 @@
     // So that there are connections that idle.
     good(&check(
         &support::run(&node, 8, 16, 12, |n| format!("before {n}")),
-        &servers.records(),
+        &servers.served_requests(),
     ));
-    servers.set(0, with(12, vec![rule(Fault::Twice, false)]));
+    servers.set_script(
+        0,
+        with(12, vec![rule(ReplyFault::DuplicateOnIdleConnection, false)]),
+    );
     let twice = |n: usize| {
         // What was sent unasked is there before the next request leaves.
         std::thread::sleep(Duration::from_millis(20));
         let (id, mut stream) = ask(&node, &format!("twice {n}"), 12);
         read(id, &format!("twice {n}"), 12, &mut stream)
     };
-    let verdict = check(&(0..12).map(twice).collect::<Vec<_>>(), &servers.records());
+    let verdict = check(
+        &(0..12).map(twice).collect::<Vec<_>>(),
+        &servers.served_requests(),
+    );
     good(&verdict);
-    assert_eq!(verdict.whole, 12, "{verdict:?}");
+    assert_eq!(verdict.completed, 12, "{verdict:?}");
     assert!(
-        servers.unasked() > 3,
+        servers.unsolicited_count() > 3,
         "{} answers came twice",
-        servers.unasked()
+        servers.unsolicited_count()
     );
 }
 
 #[test]
 fn what_follows_an_end_is_dropped_where_answers_are_followed_and_else_passes_as_it_came() {
-    let node = |name: &str, fault: Fault, operator: &str| {
-        let servers = Standin::start(vec![with(6, vec![rule(fault, false)])]).unwrap();
+    let node = |name: &str, fault: ReplyFault, operator: &str| {
+        let servers = StubServers::start(vec![with(6, vec![rule(fault, false)])]).unwrap();
         let node = Node::start(name, servers.addrs(), operator, "safe");
         check(
             &support::run(&node, 1, 1, 6, |n| format!("{name} {n}")),
-            &servers.records(),
+            &servers.served_requests(),
         )
-        .broken
+        .violations
     };
-    assert_eq!(node("followed", Fault::GoOn, SAVES), [""; 0]);
+    assert_eq!(node("followed", ReplyFault::EventsAfterEnd, SAVES), [""; 0]);
     // A server that doubles its own words does so under its own name: the checker sees it, the node leaves it.
-    assert!(node("unfollowed", Fault::GoOn, "")
+    assert!(node("unfollowed", ReplyFault::EventsAfterEnd, "")
         .iter()
         .any(|b| b.contains("events after the end")));
-    assert!(node("doubled", Fault::Repeat(2), "")
+    assert!(node("doubled", ReplyFault::RepeatEvent(2), "")
         .iter()
         .any(|b| b.contains("not the beginning")));
 }
 
 #[test]
 fn the_log_says_how_streams_fared_and_the_command_shows_it() {
-    let servers = Standin::start(vec![
+    let servers = StubServers::start(vec![
         with(
             6,
             vec![rule(
-                Fault::Stall {
+                ReplyFault::Stall {
                     after: 2,
                     ms: 60_000
                 },
@@ -513,7 +548,7 @@
     let mut node = Node::start("shown", servers.addrs(), SAVES, "safe");
     good(&check(
         &support::run(&node, 1, 3, 6, |n| format!("shown {n}")),
-        &servers.records(),
+        &servers.served_requests(),
     ));
     assert!(Command::new("kill")
         .args(["-TERM", &node.child.id().to_string()])
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -7,7 +7,7 @@
     reason = "not yet converted"
 )]
 
-use poppykeel_stub_model_server::{Outcome, Seen};
+use poppykeel_stub_model_server::{ClientObservation, ClientOutcome};
 use std::io::{BufRead, BufReader, ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::path::PathBuf;
@@ -332,24 +332,24 @@
 }
 
 /// Reads an answer to its end, and takes the chunk framing off.
-pub fn read(id: String, prompt: &str, tokens: usize, stream: &mut TcpStream) -> Seen {
+pub fn read(id: String, prompt: &str, tokens: usize, stream: &mut TcpStream) -> ClientObservation {
     let mut bytes = Vec::new();
     let end = stream.read_to_end(&mut bytes);
     let (prompt, usage) = (prompt.to_string(), true);
-    let seen = |outcome, body| Seen {
+    let seen = |outcome, body| ClientObservation {
         id,
         prompt,
-        tokens,
-        usage,
+        expected_token_count: tokens,
+        wants_usage: usage,
         outcome,
         body,
     };
     let Some(head) = bytes.windows(4).position(|w| w == b"\r\n\r\n") else {
-        return seen(Outcome::Never, Vec::new());
+        return seen(ClientOutcome::NoResponse, Vec::new());
     };
     let status = String::from_utf8_lossy(&bytes[9..12]).parse().unwrap_or(0);
     if status != 200 {
-        return seen(Outcome::Refused(status), Vec::new());
+        return seen(ClientOutcome::Rejected(status), Vec::new());
     }
     let (mut rest, mut body, mut last) = (&bytes[head + 4..], Vec::new(), false);
     while let Some(line) = rest.windows(2).position(|w| w == b"\r\n") {
@@ -366,10 +366,10 @@
     }
     let told = String::from_utf8_lossy(&body).contains("data: {\"error\"");
     let outcome = match (last, told, end.is_ok()) {
-        (true, ..) => Outcome::Whole,
-        (_, true, true) => Outcome::Told,
-        (_, _, true) => Outcome::Cut,
-        _ => Outcome::Never,
+        (true, ..) => ClientOutcome::Completed,
+        (_, true, true) => ClientOutcome::FailedWithError,
+        (_, _, true) => ClientOutcome::Truncated,
+        _ => ClientOutcome::NoResponse,
     };
     seen(outcome, body)
 }
@@ -381,7 +381,7 @@
     count: usize,
     tokens: usize,
     prompt: impl Fn(usize) -> String + Sync,
-) -> Vec<Seen> {
+) -> Vec<ClientObservation> {
     let next = AtomicU64::new(0);
     std::thread::scope(|scope| {
         let work = || {
