--- a/crates/coordination/tests/rolling_restart.rs
+++ b/crates/coordination/tests/rolling_restart.rs
@@ -232,6 +232,30 @@
         self.coordinator = Run::coordinator(self.epoch, self.max_out, self.now);
     }
 
+    /// Plays all rounds. The deliveries repeat from the beginning when they are used up; a coordinator is lost after each of
+    /// the numbers of rounds.
+    fn play(&mut self, deliveries: Vec<Delivery>, rounds_until_lost: Vec<usize>) {
+        let mut deliveries = deliveries.into_iter().cycle();
+        let mut rounds_until_lost = rounds_until_lost.into_iter();
+        let mut next_loss = rounds_until_lost.next();
+        for round in 1..=ROUNDS {
+            self.now += STEP;
+            self.fleet.advance_to(self.now);
+            next_loss = next_loss.map(|rounds| rounds - 1);
+            if next_loss == Some(0) {
+                self.lose_coordinator();
+                next_loss = rounds_until_lost.next();
+            }
+            self.round(|| {
+                if round > QUIET_AFTER {
+                    Delivery::Now
+                } else {
+                    deliveries.next().expect("an endless cycle")
+                }
+            });
+        }
+    }
+
     /// One query with its answers, and the commands that follow.
     fn round(&mut self, mut next_delivery: impl FnMut() -> Delivery) {
         let now = self.now;
@@ -259,25 +283,7 @@
         rounds_until_lost in proptest::collection::vec(1usize..60, 0..4),
     ) {
         let mut run = Run::new(max_out);
-        let mut deliveries = deliveries.into_iter().cycle();
-        let mut rounds_until_lost = rounds_until_lost.into_iter();
-        let mut next_loss = rounds_until_lost.next();
-        for round in 1..=ROUNDS {
-            run.now += STEP;
-            run.fleet.advance_to(run.now);
-            next_loss = next_loss.map(|rounds| rounds - 1);
-            if next_loss == Some(0) {
-                run.lose_coordinator();
-                next_loss = rounds_until_lost.next();
-            }
-            run.round(|| {
-                if round > QUIET_AFTER {
-                    Delivery::Now
-                } else {
-                    deliveries.next().expect("an endless cycle")
-                }
-            });
-        }
+        run.play(deliveries, rounds_until_lost);
         let Run { fleet, coordinator, now, .. } = run;
         prop_assert!(fleet.max_out <= max_out as usize, "{} out", fleet.max_out);
         prop_assert!(
@@ -290,6 +296,15 @@
     }
 }
 
+/// The queries of one node arrive late, so that its time to return by itself starts anew, and none of its answers arrive.
+#[test]
+fn counts_a_node_as_out_while_none_of_its_answers_arrive() {
+    use Delivery::{Late, Lost, Now};
+    let mut run = Run::new(1);
+    run.play(vec![Now, Now, Now, Lost, Now, Late(1), Now], Vec::new());
+    assert!(run.fleet.max_out <= 1, "{} out", run.fleet.max_out);
+}
+
 #[test]
 fn drops_commands_from_before_the_last_query() {
     let mut participant = participant_with_order();
