--- a/crates/fault-shim/src/plan.rs
+++ b/crates/fault-shim/src/plan.rs
@@ -1,33 +1,39 @@
-//! What goes wrong, as TOML: which calls fail, how, and how often.
+//! A plan of faults, as TOML: which system calls fail, how, and how often.
 
 use serde::Deserialize;
 
-/// A plan.
+/// Separates the numbers of calls before they are mixed: 2^64 divided by the golden ratio.
+const CALL_STRIDE: u64 = 0x9e37_79b9_7f4a_7c15;
+/// The bits of a key in which the position of a rule goes.
+const RULE_SHIFT: u32 = 56;
+
+/// Which system calls fail.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields, default)]
-pub struct Plan {
-    /// Draws are the same for the same seed and the same order of calls.
+pub struct FaultPlan {
+    /// The same seed and the same order of calls give the same faults.
     pub seed: u64,
-    /// What goes wrong; the first rule that is drawn counts.
-    pub rule: Vec<Rule>,
+    /// The first rule that applies to a call counts.
+    #[serde(rename = "rule")]
+    pub rules: Vec<CallFaultRule>,
 }
 
-/// One way in which calls go wrong.
+/// How often calls of one kind fail, and how.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
-pub struct Rule {
-    /// The call.
-    pub call: Call,
-    /// One call in so many, on the mean; 1 is every call.
+pub struct CallFaultRule {
+    /// The kind of call.
+    pub call: SystemCall,
+    /// One call in this many fails on average; 1 is every call.
     pub one_in: u64,
-    /// What becomes of it.
-    pub fault: Fault,
+    /// What happens instead of the call.
+    pub fault: CallFault,
 }
 
-/// Calls that can go wrong.
+/// The kinds of calls that can fail.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "snake_case")]
-pub enum Call {
+pub enum SystemCall {
     /// A connection is taken from a listener.
     Accept,
     /// Bytes are read from a socket.
@@ -38,17 +44,17 @@
     Connect,
 }
 
-/// What becomes of a call.
+/// What happens instead of a call. The errors have their names of errno(3).
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "SCREAMING_SNAKE_CASE")]
-pub enum Fault {
-    /// A signal interrupts it.
+pub enum CallFault {
+    /// A signal interrupts the call.
     Eintr,
-    /// The connection was gone before it was taken; the connection is gone with the error.
+    /// The connection was reset before it was accepted, and is lost.
     Econnaborted,
     /// The process has no descriptor left.
     Emfile,
-    /// The system has none left.
+    /// The system has no descriptor left.
     Enfile,
     /// The system has no buffers left.
     Enobufs,
@@ -56,64 +62,69 @@
     Enomem,
     /// No local address or port is left.
     Eaddrnotavail,
-    /// The network can't be reached.
+    /// The network cannot be reached.
     Enetunreach,
-    /// The host can't be reached.
+    /// The host cannot be reached.
     Ehostunreach,
-    /// Nobody answered.
+    /// The host did not answer.
     Etimedout,
-    /// It moves so many bytes at most.
+    /// The call moves at most this many bytes.
     #[serde(rename = "short")]
     Short(usize),
 }
 
-impl Fault {
-    /// Its number, where it is an error.
+impl CallFault {
+    /// The error number; `None` for a fault that is not an error.
     pub fn errno(self) -> Option<i32> {
         match self {
-            Fault::Eintr => Some(libc::EINTR),
-            Fault::Econnaborted => Some(libc::ECONNABORTED),
-            Fault::Emfile => Some(libc::EMFILE),
-            Fault::Enfile => Some(libc::ENFILE),
-            Fault::Enobufs => Some(libc::ENOBUFS),
-            Fault::Enomem => Some(libc::ENOMEM),
-            Fault::Eaddrnotavail => Some(libc::EADDRNOTAVAIL),
-            Fault::Enetunreach => Some(libc::ENETUNREACH),
-            Fault::Ehostunreach => Some(libc::EHOSTUNREACH),
-            Fault::Etimedout => Some(libc::ETIMEDOUT),
-            Fault::Short(_) => None,
+            CallFault::Eintr => Some(libc::EINTR),
+            CallFault::Econnaborted => Some(libc::ECONNABORTED),
+            CallFault::Emfile => Some(libc::EMFILE),
+            CallFault::Enfile => Some(libc::ENFILE),
+            CallFault::Enobufs => Some(libc::ENOBUFS),
+            CallFault::Enomem => Some(libc::ENOMEM),
+            CallFault::Eaddrnotavail => Some(libc::EADDRNOTAVAIL),
+            CallFault::Enetunreach => Some(libc::ENETUNREACH),
+            CallFault::Ehostunreach => Some(libc::EHOSTUNREACH),
+            CallFault::Etimedout => Some(libc::ETIMEDOUT),
+            CallFault::Short(_) => None,
         }
     }
 }
 
-impl Plan {
-    /// Reads a plan; an error names the key and its line.
-    pub fn read(text: &str) -> Result<Plan, String> {
-        toml::from_str(text).map_err(|e| e.to_string())
+impl FaultPlan {
+    /// Parses a plan.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error that names the key and its line where the text is no plan.
+    pub fn parse(text: &str) -> Result<FaultPlan, toml::de::Error> {
+        toml::from_str(text)
     }
 
-    /// What becomes of the call with this number, if anything but success.
-    pub fn draw(&self, call: Call, number: u64) -> Option<Fault> {
-        let mut rules = self
-            .rule
+    /// The fault of the call with this number; `None` if it succeeds.
+    pub fn fault_for(&self, call: SystemCall, call_number: u64) -> Option<CallFault> {
+        let (_, rule) = self
+            .rules
             .iter()
             .enumerate()
-            .filter(|(_, rule)| rule.call == call);
-        let drawn = |place: usize, rule: &Rule| {
-            let key = self.seed ^ number.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ (place as u64) << 56;
-            mix(key).is_multiple_of(rule.one_in.max(1))
-        };
-        rules
-            .find(|(place, rule)| drawn(*place, rule))
-            .map(|(_, rule)| rule.fault)
+            .filter(|(_, rule)| rule.call == call)
+            .find(|(position, rule)| self.is_due(*position, rule, call_number))?;
+        Some(rule.fault)
+    }
+
+    fn is_due(&self, position: usize, rule: &CallFaultRule, call_number: u64) -> bool {
+        let rule_bits = (position as u64) << RULE_SHIFT;
+        let key = self.seed ^ call_number.wrapping_mul(CALL_STRIDE) ^ rule_bits;
+        mix_bits(key).is_multiple_of(rule.one_in.max(1))
     }
 }
 
-/// The finalizer of SplitMix64: near numbers become unlike ones.
-fn mix(mut key: u64) -> u64 {
-    key = (key ^ key >> 30).wrapping_mul(0xbf58_476d_1ce4_e5b9);
-    key = (key ^ key >> 27).wrapping_mul(0x94d0_49bb_1331_11eb);
-    key ^ key >> 31
+/// The finalizer of `SplitMix64`, which gives unlike results for similar keys.
+fn mix_bits(mut key: u64) -> u64 {
+    key = (key ^ (key >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
+    key = (key ^ (key >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
+    key ^ (key >> 31)
 }
 
 #[cfg(test)]
--- a/tests/faults.rs
+++ b/tests/faults.rs
@@ -43,7 +43,10 @@
     std::fs::write(&file, plan).unwrap();
     let environment = vec![
         ("LD_PRELOAD".to_string(), shim()),
-        (poppykeel_fault_shim::PLAN.to_string(), file.clone()),
+        (
+            poppykeel_fault_shim::PLAN_VARIABLE.to_string(),
+            file.clone(),
+        ),
     ];
     (
         Node::with_environment(name, servers.addrs(), "unsafe", environment),
