--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -1,8 +1,13 @@
 //! Routing decisions for fleets of language-model servers.
 //!
-//! poppykeel decides what a request router does: which held request leaves next, to which replica, what is
-//! refused early, and how failures are met. It does no input or output: the embedding program hands it
-//! events with the time of its own clock and carries out the actions it gets back.
+//! A [`Scheduler`] decides which queued request is dispatched next and to which replica, which requests are rejected early, and
+//! how failures are handled. It does no input or output and reads no clock: the embedding program passes it [`Event`]s with the
+//! time of a monotonic clock and carries out the [`Action`]s that it returns. The same events, times and seed give the same
+//! actions.
+//!
+//! The module `scheduler` has the order in which the rules apply to an event; each rule has a module of its own.
+//! `docs/architecture.md`
+//! shows the scheduler's place in the node.
 //!
 //! ```
 //! use poppykeel_scheduler::{
