--- a/src/program/config/mod.rs
+++ b/src/program/config/mod.rs
@@ -14,9 +14,9 @@
 
 use crate::protocol::discovery::{self, EndpointListResponse};
 use crate::transport::admin::MOST_CALLERS;
-use crate::transport::clients::MOST_LEAVING;
-use crate::transport::listener::MOST_TURNED_AWAY;
-use crate::transport::shutdown;
+use crate::transport::client::listener::MOST_TURNED_AWAY;
+use crate::transport::client::registry::MOST_LEAVING;
+use crate::transport::client::shutdown;
 use crate::transport::Bounds;
 use poppykeel_site_settings::SiteSettings;
 use serde_json::Value;
--- a/src/program/config/operator.rs
+++ b/src/program/config/operator.rs
@@ -14,7 +14,7 @@
 use crate::routing::directory::EndpointSourceSettings;
 use crate::transport::endpoints::srv::SrvLookupSettings;
 use crate::transport::messages::{ENDPOINT_LIST_SOURCE, SRV_SOURCE};
-use crate::transport::streams::{self, Continues};
+use crate::transport::replica::stream_monitor::{self, Continues};
 use poppykeel_dns_resolver::{Config, Family, Lifetimes};
 use poppykeel_endpoints::{
     AbsencePolicy, DurationMicros, EndpointIdentity, FlapLimits, RegistrySettings, SourceSettings,
@@ -440,7 +440,7 @@
     }
 
     /// How streams are treated.
-    pub fn streams(&self) -> streams::Settings {
+    pub fn streams(&self) -> stream_monitor::Settings {
         let s = &self.streams;
         let (least, most) = (s.stall_least.0, s.stall_most.0);
         let limits = StallLimits {
@@ -461,7 +461,7 @@
             replica_share: s.replica_share,
             wait,
         };
-        streams::Settings {
+        stream_monitor::Settings {
             limits,
             continues: s.continues.then_some(continues),
         }
--- a/src/transport/admin.rs
+++ b/src/transport/admin.rs
@@ -1,7 +1,7 @@
 //! The operators' own address: one call a connection, answered whatever the load, whoever else stays silent there.
 
-use super::client::discard;
-use super::clients::Shared;
+use super::client::connection::discard;
+use super::client::registry::Shared;
 use super::fleet::Fleet;
 use super::messages::{query, DispatcherMessage, DispatcherQuery};
 use super::node_phase::NodePhase;
--- a/src/transport/client.rs
+++ b/src/transport/client/connection/mod.rs
@@ -13,17 +13,17 @@
 mod requests;
 mod streams;
 
-use super::clients::{Hold, Shared};
-use super::closes::CloseReason;
-use super::messages::{
-    ClientRequest, ClientResponse, DispatcherMessage, RequestOwner, RequestPayload,
-};
-use super::node_phase::NodePhase;
-use super::relay::Relay;
-use super::socket::Socket;
-use super::Wire;
+use super::close_reason::CloseReason;
+use super::registry::{Hold, Shared};
 use crate::protocol::http::{Fault, Head, Http, Out, Part, Side};
 use crate::protocol::request::{self, Reject, Route, MOST_BODY};
+use crate::transport::messages::{
+    ClientRequest, ClientResponse, DispatcherMessage, RequestOwner, RequestPayload,
+};
+use crate::transport::node_phase::NodePhase;
+use crate::transport::replica::stream_recovery::Relay;
+use crate::transport::socket::Socket;
+use crate::transport::Wire;
 use bytes::Bytes;
 use futures_util::{SinkExt, StreamExt};
 use poppykeel_scheduler::interface::{IncomingRequest, RequestId};
--- a/src/transport/client/requests.rs
+++ b/src/transport/client/connection/requests.rs
@@ -5,10 +5,10 @@
 use super::{Client, Leave};
 use crate::protocol::http::{Fault, Head, Out, Part};
 use crate::protocol::request::{Reject, MOST_BODY};
-use crate::transport::clients::Hold;
-use crate::transport::closes::CloseReason;
+use crate::transport::client::close_reason::CloseReason;
+use crate::transport::client::registry::Hold;
+use crate::transport::client::shutdown::LAST_READ;
 use crate::transport::node_phase::NodePhase;
-use crate::transport::shutdown::LAST_READ;
 use bytes::Bytes;
 use futures_util::StreamExt;
 use tokio::time::Instant;
--- a/src/transport/client/streams.rs
+++ b/src/transport/client/connection/streams.rs
@@ -5,7 +5,7 @@
 use super::{Client, Leave};
 use crate::protocol::http::Out;
 use crate::transport::messages::{ClientResponse, StreamChunk};
-use crate::transport::relay::{Next, Relay};
+use crate::transport::replica::stream_recovery::{Next, Relay};
 use tokio::sync::mpsc;
 
 impl Client {
--- a/src/transport/listener.rs
+++ b/src/transport/client/listener.rs
@@ -6,11 +6,11 @@
     reason = "not yet converted"
 )]
 
-use super::client::Client;
-use super::clients::Shared;
-use super::node_phase::NodePhase;
-use super::socket::Socket;
+use super::connection::Client;
+use super::registry::Shared;
 use crate::protocol::request;
+use crate::transport::node_phase::NodePhase;
+use crate::transport::socket::Socket;
 use rustix::io::Errno;
 use std::io::ErrorKind;
 use std::rc::Rc;
@@ -130,7 +130,7 @@
     );
     let talk = async {
         if socket.write_all(&answer).await.is_ok() && socket.shutdown().await.is_ok() {
-            super::client::discard(&mut socket).await;
+            super::connection::discard(&mut socket).await;
         }
     };
     let _ = tokio::time::timeout(TURN_AWAY, talk).await;
--- a/src/transport/clients.rs
+++ b/src/transport/client/registry.rs
@@ -1,11 +1,11 @@
 //! What all clients' connections share: bounds on their number and on what they hold, and who rests.
 
-use super::closes::CloseCounts;
-use super::messages::{DispatcherMessage, RequestOwner};
-use super::node_phase::NodePhase;
+use super::close_reason::CloseCounts;
 use super::shutdown::Shutdown;
-use super::streams::Streams;
-use super::Bounds;
+use crate::transport::messages::{DispatcherMessage, RequestOwner};
+use crate::transport::node_phase::NodePhase;
+use crate::transport::replica::stream_monitor::Streams;
+use crate::transport::Bounds;
 use poppykeel_site_settings::SiteSettings;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
--- a/src/transport/dispatcher/commands.rs
+++ b/src/transport/dispatcher/commands.rs
@@ -4,7 +4,7 @@
 use super::{logging, Dispatcher};
 use crate::routing::{AttemptId, MonotonicMicros, RouterCommand, RouterEvent};
 use crate::transport::messages::ClientResponse;
-use crate::transport::upstream::AttemptRequest;
+use crate::transport::replica::attempts::AttemptRequest;
 use poppykeel_scheduler::interface::{AttemptOutcome, ReplicaId, RequestId};
 use std::cell::Cell;
 use std::rc::Rc;
--- a/src/transport/dispatcher/mod.rs
+++ b/src/transport/dispatcher/mod.rs
@@ -25,7 +25,7 @@
 use super::clock::Clock;
 use super::endpoints::discovery::EndpointWatcher;
 use super::messages::{DispatcherMessage, Reply, StartedStream, ENDPOINT_LIST_SOURCE};
-use super::upstream::Upstream;
+use super::replica::attempts::Upstream;
 use crate::routing::directory::EndpointDirectory;
 use crate::routing::{
     AttemptId, DurationMicros, MonotonicMicros, RequestRouter, RouterCommand, RouterEvent,
--- a/src/transport/mod.rs
+++ b/src/transport/mod.rs
@@ -4,22 +4,15 @@
 
 pub mod admin;
 pub mod client;
-pub mod clients;
 pub mod clock;
-pub mod closes;
 pub mod dispatcher;
 pub mod endpoints;
 pub mod fleet;
 pub mod handover;
-pub mod listener;
 pub mod messages;
 pub mod node_phase;
-pub mod pool;
-pub mod relay;
-pub mod shutdown;
+pub mod replica;
 pub mod socket;
-pub mod streams;
-pub mod upstream;
 
 use crate::protocol::http::Http;
 use std::time::Duration;
--- a/src/transport/upstream.rs
+++ b/src/transport/replica/attempts.rs
@@ -8,17 +8,17 @@
     reason = "not yet converted"
 )]
 
-use super::clock::Clock;
-use super::messages::{DispatcherMessage, RequestPayload, StartedStream, StreamChunk};
 use super::pool::{Conn, NoConn, Peer, Pool};
-use super::streams::{Live, Streams};
-use super::Bounds;
+use super::stream_monitor::{Live, Streams};
 use crate::protocol::answer::{Answer, Step};
 use crate::protocol::http::{Out, Part, Start};
 use crate::protocol::report::{probed, report};
 use crate::protocol::request;
 use crate::routing::cross_zone::{CrossZoneTraffic, RequestGroup};
 use crate::routing::DurationMicros;
+use crate::transport::clock::Clock;
+use crate::transport::messages::{DispatcherMessage, RequestPayload, StartedStream, StreamChunk};
+use crate::transport::Bounds;
 use bytes::{Buf, Bytes};
 use futures_util::{SinkExt, StreamExt};
 use poppykeel_scheduler::interface::{AttemptOutcome, LoadReport, ReplicaId, RequestId};
--- a/src/transport/pool.rs
+++ b/src/transport/replica/pool.rs
@@ -6,8 +6,8 @@
     reason = "not yet converted"
 )]
 
-use super::Wire;
 use crate::protocol::http::{Http, Side};
+use crate::transport::Wire;
 use poppykeel_scheduler::interface::ReplicaId;
 use rustix::io::Errno;
 use std::cell::RefCell;
--- a/src/transport/streams.rs
+++ b/src/transport/replica/stream_monitor.rs
@@ -3,7 +3,7 @@
 
 #![expect(clippy::min_ident_chars, reason = "not yet converted")]
 
-use super::clock::Clock;
+use crate::transport::clock::Clock;
 use poppykeel_scheduler::interface::ReplicaId;
 use poppykeel_stream_recovery::{
     ContinuationBudget, ContinuationLimits, GapHistogram, Micros, StallDetector, StallLimits,
--- a/src/transport/relay.rs
+++ b/src/transport/replica/stream_recovery.rs
@@ -4,10 +4,10 @@
 
 #![expect(clippy::min_ident_chars, reason = "not yet converted")]
 
-use super::messages::RequestPayload;
-use super::streams::{Continues, Streams};
+use super::stream_monitor::{Continues, Streams};
 use crate::protocol::http::Head;
 use crate::protocol::request;
+use crate::transport::messages::RequestPayload;
 use bytes::Bytes;
 use poppykeel_scheduler::interface::{Idempotency, IncomingRequest, ReplicaId, RequestId};
 use poppykeel_site_settings::SiteSettings;
--- a/tests/closes.rs
+++ b/tests/closes.rs
@@ -7,8 +7,8 @@
 mod drivers;
 
 use drivers::shared;
-use poppykeel::transport::client::Client;
-use poppykeel::transport::clients::{Shared, ON_ITS_WAY};
+use poppykeel::transport::client::connection::Client;
+use poppykeel::transport::client::registry::{Shared, ON_ITS_WAY};
 use poppykeel::transport::messages::DispatcherMessage;
 use poppykeel::transport::node_phase::NodePhase;
 use std::future::Future;
--- a/tests/dispatcher.rs
+++ b/tests/dispatcher.rs
@@ -15,9 +15,9 @@
 use poppykeel::transport::messages::{
     ClientRequest, ClientResponse, DispatcherMessage, RequestOwner, RequestPayload,
 };
-use poppykeel::transport::pool::Pool;
-use poppykeel::transport::streams::{Settings, Streams};
-use poppykeel::transport::upstream::Upstream;
+use poppykeel::transport::replica::attempts::Upstream;
+use poppykeel::transport::replica::pool::Pool;
+use poppykeel::transport::replica::stream_monitor::{Settings, Streams};
 use poppykeel_scheduler::interface::{IncomingRequest, RequestId};
 use poppykeel_scheduler::Scheduler;
 use std::rc::Rc;
--- a/tests/support/drivers.rs
+++ b/tests/support/drivers.rs
@@ -3,11 +3,11 @@
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 use poppykeel::program::config::Config;
-use poppykeel::transport::clients::Shared;
+use poppykeel::transport::client::registry::Shared;
 use poppykeel::transport::clock::Clock;
 use poppykeel::transport::messages::DispatcherMessage;
 use poppykeel::transport::node_phase::NodePhase;
-use poppykeel::transport::streams::Streams;
+use poppykeel::transport::replica::stream_monitor::Streams;
 use std::rc::Rc;
 use tokio::sync::{mpsc, watch};
 
--- a/tests/transport.rs
+++ b/tests/transport.rs
@@ -13,14 +13,14 @@
 use futures_util::{SinkExt, StreamExt};
 use poppykeel::protocol::http::{Out, Part};
 use poppykeel::routing::directory::replica_id;
-use poppykeel::transport::client::Client;
+use poppykeel::transport::client::connection::Client;
+use poppykeel::transport::client::listener::accept;
 use poppykeel::transport::clock::Clock;
-use poppykeel::transport::listener::accept;
 use poppykeel::transport::messages::RequestPayload;
 use poppykeel::transport::node_phase::NodePhase;
-use poppykeel::transport::pool::Pool;
-use poppykeel::transport::streams::Streams;
-use poppykeel::transport::upstream::{AttemptRequest, Upstream};
+use poppykeel::transport::replica::attempts::{AttemptRequest, Upstream};
+use poppykeel::transport::replica::pool::Pool;
+use poppykeel::transport::replica::stream_monitor::Streams;
 use poppykeel::transport::Bounds;
 use poppykeel_scheduler::interface::RequestId;
 use std::io::{Read, Write};
@@ -72,7 +72,9 @@
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let peer = (replica_id("s-1"), listener.local_addr().unwrap());
     let pool = Pool::new(9, MINUTE, 9 * MINUTE);
-    let port = |conn: &poppykeel::transport::pool::Conn| conn.wire.get_ref().local_addr().unwrap();
+    let port = |conn: &poppykeel::transport::replica::pool::Conn| {
+        conn.wire.get_ref().local_addr().unwrap()
+    };
     for twice in [false, true] {
         let conn = pool.get(peer).await.ok().unwrap();
         let (rested, mut replica) = (port(&conn), listener.accept().unwrap().0);
