--- a/src/program/config/mod.rs
+++ b/src/program/config/mod.rs
@@ -14,10 +14,10 @@
 
 use crate::protocol::discovery::{self, EndpointListResponse};
 use crate::transport::admin::MOST_CALLERS;
-use crate::transport::client::listener::MOST_TURNED_AWAY;
-use crate::transport::client::registry::MOST_LEAVING;
+use crate::transport::client::listener::MAX_PENDING_REFUSALS;
+use crate::transport::client::registry::MAX_PENDING_EVICTIONS;
 use crate::transport::client::shutdown;
-use crate::transport::Bounds;
+use crate::transport::TransportLimits;
 use poppykeel_site_settings::SiteSettings;
 use serde_json::Value;
 use std::net::SocketAddr;
@@ -31,7 +31,8 @@
 const OWN_SOCKETS: usize = 16;
 /// Descriptors that clients' and replicas' connections leave free, so that whoever fills those can take none of these:
 /// the process's own, and clients on their way out, being turned away or calling as operators.
-const SPARE_SOCKETS: u64 = (OWN_SOCKETS + MOST_LEAVING + MOST_TURNED_AWAY + MOST_CALLERS) as u64;
+const SPARE_SOCKETS: u64 =
+    (OWN_SOCKETS + MAX_PENDING_EVICTIONS + MAX_PENDING_REFUSALS + MOST_CALLERS) as u64;
 /// Less than this leaves no room for both sides.
 const LEAST_SOCKETS: u64 = 128;
 const LEAST_MEMORY_MB: u64 = 32;
@@ -86,7 +87,7 @@
     /// The settings.
     pub boot: SiteSettings,
     /// The figures of the transport.
-    pub bounds: Bounds,
+    pub bounds: TransportLimits,
     /// The text as read.
     text: Value,
 }
@@ -144,34 +145,34 @@
             .drain_grace
             .clamp(LEAST_GRACE, 86_400.0);
         let agent = Duration::from_secs_f64(grace * AGENT_PART);
-        let bounds = Bounds {
-            clients: half as usize,
-            upstream: half as usize,
-            held_bytes: (memory / BODY_SHARE) as usize,
-            dial: Duration::from_secs_f64(dial),
-            idle: Duration::from_secs_f64((idle - IDLE_MARGIN).max(idle / 2.0)),
-            rest: REST,
-            stall: STALL,
-            client_idle: CLIENT_IDLE,
-            read: READ,
-            probe: PROBE,
-            watch: if pushed {
+        let bounds = TransportLimits {
+            max_client_connections: half as usize,
+            max_replica_connections: half as usize,
+            max_body_memory_bytes: (memory / BODY_SHARE) as usize,
+            connect_timeout: Duration::from_secs_f64(dial),
+            replica_idle_timeout: Duration::from_secs_f64((idle - IDLE_MARGIN).max(idle / 2.0)),
+            reuse_delay: REST,
+            client_write_timeout: STALL,
+            client_idle_timeout: CLIENT_IDLE,
+            request_read_timeout: READ,
+            probe_timeout: PROBE,
+            long_poll_wait: if pushed {
                 AGENT_WATCH.min(agent)
             } else {
                 WATCH
             },
-            watch_slack: if pushed {
+            long_poll_slack: if pushed {
                 AGENT_SLACK.min(agent / 2)
             } else {
                 WATCH_SLACK
             },
-            retry_watch: if pushed { Duration::ZERO } else { RETRY_WATCH },
-            retry_slack: if pushed {
+            short_poll_wait: if pushed { Duration::ZERO } else { RETRY_WATCH },
+            short_poll_slack: if pushed {
                 AGENT_SLACK.min(agent / 2)
             } else {
                 RETRY_SLACK
             },
-            linger: shutdown::ADMISSION,
+            drain_duration: shutdown::ADMISSION_DURATION,
         };
         Ok(Config {
             name: text_of("name")?,
@@ -247,7 +248,7 @@
         write!(
             f,
             "at most {} client connections, {} replica connections, {} bytes of bodies",
-            b.clients, b.upstream, b.held_bytes
+            b.max_client_connections, b.max_replica_connections, b.max_body_memory_bytes
         )
     }
 }
--- a/src/program/config/operator.rs
+++ b/src/program/config/operator.rs
@@ -14,7 +14,7 @@
 use crate::routing::directory::EndpointSourceSettings;
 use crate::transport::endpoints::srv::SrvLookupSettings;
 use crate::transport::messages::{ENDPOINT_LIST_SOURCE, SRV_SOURCE};
-use crate::transport::replica::stream_monitor::{self, Continues};
+use crate::transport::replica::stream_monitor::{ContinuationSettings, StreamSettings};
 use poppykeel_dns_resolver::{Config, Family, Lifetimes};
 use poppykeel_endpoints::{
     AbsencePolicy, DurationMicros, EndpointIdentity, FlapLimits, RegistrySettings, SourceSettings,
@@ -440,7 +440,7 @@
     }
 
     /// How streams are treated.
-    pub fn streams(&self) -> stream_monitor::Settings {
+    pub fn streams(&self) -> StreamSettings {
         let s = &self.streams;
         let (least, most) = (s.stall_least.0, s.stall_most.0);
         let limits = StallLimits {
@@ -456,14 +456,14 @@
             window: s.window.0,
         };
         let wait = std::time::Duration::from_micros(s.wait.0);
-        let continues = Continues {
-            budget,
-            replica_share: s.replica_share,
-            wait,
+        let continuation = ContinuationSettings {
+            limits: budget,
+            max_replica_share: s.replica_share,
+            max_wait: wait,
         };
-        stream_monitor::Settings {
-            limits,
-            continues: s.continues.then_some(continues),
+        StreamSettings {
+            stall_limits: limits,
+            continuation: s.continues.then_some(continuation),
         }
     }
 
--- a/src/program/resolve.rs
+++ b/src/program/resolve.rs
@@ -10,7 +10,7 @@
 use crate::transport::endpoints::discovery::EndpointWatcher;
 use crate::transport::endpoints::srv::{LatestSrvLookup, SrvWatcher};
 use crate::transport::messages::{DispatcherMessage, ENDPOINT_LIST_SOURCE};
-use crate::transport::Bounds;
+use crate::transport::TransportLimits;
 use poppykeel_endpoints::{EndpointRegistry, SourceUpdate};
 use report::{EndpointFingerprint, ResolveReport, SourceProgress};
 use std::collections::BTreeMap;
@@ -293,23 +293,23 @@
 }
 
 /// The bounds of the list's watcher; nothing else of the transport runs.
-fn bounds() -> Bounds {
+fn bounds() -> TransportLimits {
     let unused = Duration::ZERO;
-    Bounds {
-        clients: 0,
-        upstream: 0,
-        held_bytes: 0,
-        dial: unused,
-        idle: unused,
-        rest: unused,
-        stall: unused,
-        client_idle: unused,
-        read: unused,
-        probe: unused,
-        watch: LONG_POLL_WAIT,
-        watch_slack: POLL_SLACK,
-        retry_watch: LONG_POLL_WAIT,
-        retry_slack: POLL_SLACK,
-        linger: unused,
+    TransportLimits {
+        max_client_connections: 0,
+        max_replica_connections: 0,
+        max_body_memory_bytes: 0,
+        connect_timeout: unused,
+        replica_idle_timeout: unused,
+        reuse_delay: unused,
+        client_write_timeout: unused,
+        client_idle_timeout: unused,
+        request_read_timeout: unused,
+        probe_timeout: unused,
+        long_poll_wait: LONG_POLL_WAIT,
+        long_poll_slack: POLL_SLACK,
+        short_poll_wait: LONG_POLL_WAIT,
+        short_poll_slack: POLL_SLACK,
+        drain_duration: unused,
     }
 }
--- a/src/program/serve.rs
+++ b/src/program/serve.rs
@@ -14,9 +14,9 @@
 use crate::routing::directory::EndpointDirectory;
 use crate::routing::RequestRouter;
 use crate::transport::admin::Admin;
-use crate::transport::client::listener::accept;
-use crate::transport::client::registry::Shared;
-use crate::transport::client::shutdown::FINAL_ANSWERS;
+use crate::transport::client::listener::accept_connections;
+use crate::transport::client::registry::ConnectionRegistry;
+use crate::transport::client::shutdown::FINAL_RESPONSE_TIMEOUT;
 use crate::transport::clock::Clock;
 use crate::transport::dispatcher::Dispatcher;
 use crate::transport::endpoints::discovery::EndpointWatcher;
@@ -25,9 +25,9 @@
 use crate::transport::handover::LearnedStateHandover;
 use crate::transport::messages::DispatcherMessage;
 use crate::transport::node_phase::NodePhase;
-use crate::transport::replica::attempts::Upstream;
-use crate::transport::replica::pool::Pool;
-use crate::transport::replica::stream_monitor::Streams;
+use crate::transport::replica::attempts::ReplicaClient;
+use crate::transport::replica::pool::ConnectionPool;
+use crate::transport::replica::stream_monitor::StreamMonitor;
 use poppykeel_scheduler::Scheduler;
 use poppykeel_site_settings::SiteSettings;
 use std::cell::Cell;
@@ -142,19 +142,21 @@
     let (tell, told) = mpsc::channel(MESSAGES);
     let (phase, phases) = watch::channel(NodePhase::Serving);
     let phase = Rc::new(phase);
-    let pool = Pool::new(bounds.upstream, bounds.dial, bounds.idle);
+    let pool = ConnectionPool::new(
+        bounds.max_replica_connections,
+        bounds.connect_timeout,
+        bounds.replica_idle_timeout,
+    );
     let clock = Clock::start();
-    let streams = Rc::new(Streams::new(clock, operator.streams()));
-    let upstream = Upstream {
-        pool: pool.clone(),
-        tell: tell.clone(),
-        boot: boot.clone(),
-        bounds: bounds.clone(),
-        streams: streams.clone(),
-        written: Rc::default(),
-        cross_zone_traffic: Rc::default(),
+    let streams = Rc::new(StreamMonitor::new(clock, operator.streams()));
+    let replica_client = ReplicaClient::new(
+        pool.clone(),
+        tell.clone(),
+        boot.clone(),
+        bounds.clone(),
+        streams.clone(),
         clock,
-    };
+    );
     let discovery = EndpointWatcher::new(config.discovery, bounds.clone(), tell.clone(), clock);
     discovery.set_enabled(operator.lists());
     if let Some(known) = &config.known {
@@ -178,7 +180,7 @@
         clock,
         RequestRouter::new(brain),
         directory,
-        upstream,
+        replica_client,
         discovery.clone(),
         known,
     );
@@ -188,7 +190,7 @@
     spawn_local(async move {
         loop {
             tokio::time::sleep(SWEEP).await;
-            pool.sweep();
+            pool.close_expired();
         }
     });
     // Before clients are told to come: a node that can't take its place must not serve as if it had.
@@ -209,14 +211,14 @@
     if let Some(handover) = &handover {
         spawn_local(handover.clone().run());
     }
-    let shared = Rc::new(Shared::new(
+    let shared = Rc::new(ConnectionRegistry::new(
         boot.clone(),
         bounds.clone(),
         tell.clone(),
         phases.clone(),
         streams.clone(),
     ));
-    spawn_local(accept(listener, shared.clone(), phases));
+    spawn_local(accept_connections(listener, shared.clone(), phases));
     tracing::info!(node = %config.name, listen = %bound, zone = boot.scheduler.zone, "serving on {bound}");
     let admin = Rc::new(Admin {
         tell: tell.clone(),
@@ -252,7 +254,7 @@
                     if tell.send(DispatcherMessage::UpdateSettings { settings: next.clone(), applied: done }).await.is_ok() {
                         let _ = settled.await;
                     }
-                    shared.boot.replace(next.clone());
+                    shared.set_site(next.clone());
                     boot = next;
                     tracing::info!(node = %read.name, discovery = %read.discovery, "read again");
                     // First the settings: what a new source tells must find its place.
@@ -261,7 +263,7 @@
                     discovery.set_service_addr(read.discovery);
                     config = read;
                     lookups.watch(operator.service());
-                    streams.set(operator.streams());
+                    streams.set_settings(operator.streams());
                     taken += 1;
                 }
                 // A bad file must not take down what serves by the good one before it.
@@ -273,31 +275,31 @@
         }
         admin.reloads.set((taken, turned_down));
     }
-    shared.shutdown.order();
-    tracing::info!(node = %config.name, connections = shared.open(), "draining");
+    shared.shutdown().order();
+    tracing::info!(node = %config.name, connections = shared.open_count(), "draining");
     if let Some(fleet) = &fleet {
         fleet.leave();
     }
     let leave = async {
         let _ = tell
-            .send(DispatcherMessage::SetAnswerDeadline(FINAL_ANSWERS))
+            .send(DispatcherMessage::SetAnswerDeadline(FINAL_RESPONSE_TIMEOUT))
             .await;
         if let Some(handover) = &handover {
             handover.leave().await;
         }
     };
-    drain(&phase, leave, bounds.linger).await;
-    let since_stop_ms = shared.shutdown.elapsed_ms();
-    tracing::info!(node = %config.name, connections = shared.open(), since_stop_ms, "closing");
+    drain(&phase, leave, bounds.drain_duration).await;
+    let since_stop_ms = shared.shutdown().elapsed_ms();
+    tracing::info!(node = %config.name, connections = shared.open_count(), since_stop_ms, "closing");
     tokio::time::sleep(LOOK).await;
-    while shared.open() > 0 {
+    while shared.open_count() > 0 {
         tokio::time::sleep(LOOK).await;
     }
     let (done, summed) = oneshot::channel();
     if tell.send(DispatcherMessage::LogSummary(done)).await.is_ok() {
         let _ = summed.await;
     }
-    tracing::info!(node = %config.name, since_stop_ms = shared.shutdown.elapsed_ms(), "done");
+    tracing::info!(node = %config.name, since_stop_ms = shared.shutdown().elapsed_ms(), "done");
     Ok(())
 }
 
--- a/src/transport/admin.rs
+++ b/src/transport/admin.rs
@@ -1,11 +1,10 @@
 //! The operators' own address: one call a connection, answered whatever the load, whoever else stays silent there.
 
-use super::client::connection::discard;
-use super::client::registry::Shared;
+use super::client::registry::ConnectionRegistry;
 use super::fleet::Fleet;
 use super::messages::{query, DispatcherMessage, DispatcherQuery};
 use super::node_phase::NodePhase;
-use super::Wire;
+use super::HttpConnection;
 use crate::protocol::admin::{self, Call, Figures};
 use crate::protocol::http::{Fault, Http, Out, Part, Side};
 use crate::protocol::request;
@@ -41,7 +40,7 @@
     /// The node's part in its fleet, where it has one.
     pub fleet: Option<Rc<Fleet>>,
     /// What clients' connections share.
-    pub clients: Rc<Shared>,
+    pub clients: Rc<ConnectionRegistry>,
 }
 
 impl Admin {
@@ -81,7 +80,7 @@
         let sent = async {
             if wire.send(Out::Raw(answer)).await.is_ok() {
                 let _ = wire.get_mut().shutdown().await;
-                discard(wire.get_mut()).await;
+                wire.get_mut().discard_input().await;
             }
         };
         let _ = tokio::time::timeout(TAKE, sent).await;
@@ -99,7 +98,7 @@
                         .as_ref()
                         .map(|fleet| fleet.figures())
                         .unwrap_or_default();
-                    let closes = self.clients.closes.all();
+                    let closes = self.clients.close_counters().by_label();
                     admin::figures(&Figures {
                         reloads: self.reloads.get(),
                         fleet,
@@ -160,7 +159,7 @@
 }
 
 /// Reads one call, its body too.
-async fn read(wire: &mut Wire) -> Result<Result<Call, request::Reject>, Fault> {
+async fn read(wire: &mut HttpConnection) -> Result<Result<Call, request::Reject>, Fault> {
     let mut call = None;
     loop {
         match wire.next().await {
--- a/src/transport/client/close_reason.rs
+++ b/src/transport/client/close_reason.rs
@@ -1,98 +1,104 @@
-//! Why connections of clients end, and how often each reason has come up.
+//! Why connections of clients end, and how often each reason has come up. [`connection`](super::connection) counts; the
+//! operators' address shows the counts as `app_client_closes`.
 
 use std::cell::Cell;
 
 /// Why a client's connection ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseReason {
-    /// The client closed it, or broke it.
-    ClientLeft,
-    /// The client took nothing for longer than it may.
+    /// The client closed or broke the connection.
+    ClientDisconnected,
+    /// The client took no bytes for longer than it may.
     ClientStalled,
-    /// The answer said that it is the last one here.
-    LastAnswer,
-    /// A request was turned down before the core saw it.
-    Rejected,
-    /// A stream ended before it was whole: the missing last chunk says so.
+    /// The response said that it is the last on its connection.
+    LastResponse,
+    /// A request was rejected before the dispatcher saw it.
+    RequestRejected,
+    /// A stream ended incomplete: the missing last chunk says so.
     StreamBroken,
     /// No further request came for longer than a connection is kept.
-    Idle,
+    IdleTimeout,
     /// No request came at all.
-    NeverAsked,
+    NoRequest,
     /// Another connection needed its place.
     Evicted,
-    /// An operator has ordered clients away.
+    /// The node has been evacuated.
     Evacuated,
     /// The node shuts down.
     Shutdown,
-    /// The core has ended.
-    CoreEnded,
+    /// The dispatcher has ended.
+    DispatcherEnded,
 }
 
 impl CloseReason {
-    /// All of them.
+    /// All reasons, in the order of their declaration.
     pub const ALL: [CloseReason; 11] = [
-        CloseReason::ClientLeft,
+        CloseReason::ClientDisconnected,
         CloseReason::ClientStalled,
-        CloseReason::LastAnswer,
-        CloseReason::Rejected,
+        CloseReason::LastResponse,
+        CloseReason::RequestRejected,
         CloseReason::StreamBroken,
-        CloseReason::Idle,
-        CloseReason::NeverAsked,
+        CloseReason::IdleTimeout,
+        CloseReason::NoRequest,
         CloseReason::Evicted,
         CloseReason::Evacuated,
         CloseReason::Shutdown,
-        CloseReason::CoreEnded,
+        CloseReason::DispatcherEnded,
     ];
 
-    /// Its name in figures.
-    pub fn name(self) -> &'static str {
+    /// The reason as a label of metrics and in the log.
+    pub fn label(self) -> &'static str {
         match self {
-            CloseReason::ClientLeft => "client_left",
+            CloseReason::ClientDisconnected => "client_left",
             CloseReason::ClientStalled => "client_stalled",
-            CloseReason::LastAnswer => "last_answer",
-            CloseReason::Rejected => "rejected",
+            CloseReason::LastResponse => "last_answer",
+            CloseReason::RequestRejected => "rejected",
             CloseReason::StreamBroken => "stream_broken",
-            CloseReason::Idle => "idle",
-            CloseReason::NeverAsked => "never_asked",
+            CloseReason::IdleTimeout => "idle",
+            CloseReason::NoRequest => "never_asked",
             CloseReason::Evicted => "evicted",
             CloseReason::Evacuated => "evacuated",
             CloseReason::Shutdown => "shutdown",
-            CloseReason::CoreEnded => "core_ended",
+            CloseReason::DispatcherEnded => "core_ended",
         }
     }
 
-    /// It ends between requests, so that nothing is owed to the client.
-    pub fn between_requests(self) -> bool {
-        use CloseReason::{Evacuated, Idle, NeverAsked, Shutdown};
-        matches!(self, Idle | NeverAsked | Evacuated | Shutdown)
+    /// Whether the connection ends between two requests, so that nothing is owed to the client.
+    pub fn is_between_requests(self) -> bool {
+        matches!(
+            self,
+            CloseReason::IdleTimeout
+                | CloseReason::NoRequest
+                | CloseReason::Evacuated
+                | CloseReason::Shutdown
+        )
     }
 
-    /// Nobody waits for the end of what was written, so the connection can be dropped at once.
-    pub fn abrupt(self) -> bool {
+    /// Whether nobody waits for the end of what was written, so that the socket can be dropped at once.
+    pub fn is_abrupt(self) -> bool {
         matches!(
             self,
-            CloseReason::ClientLeft | CloseReason::ClientStalled | CloseReason::Evicted
+            CloseReason::ClientDisconnected | CloseReason::ClientStalled | CloseReason::Evicted
         )
     }
 }
 
 /// Connections closed since the start, by reason.
 #[derive(Debug, Default)]
-pub struct CloseCounts([Cell<u64>; CloseReason::ALL.len()]);
+pub struct CloseCounters([Cell<u64>; CloseReason::ALL.len()]);
 
-impl CloseCounts {
-    /// One more.
+impl CloseCounters {
+    /// Counts one more connection.
     pub fn add(&self, reason: CloseReason) {
         let count = &self.0[reason as usize];
         count.set(count.get() + 1);
     }
 
-    /// Each reason's name and count.
-    pub fn all(&self) -> Vec<(&'static str, u64)> {
+    /// The label and the count of each reason.
+    pub fn by_label(&self) -> Vec<(&'static str, u64)> {
         CloseReason::ALL
             .iter()
-            .map(|reason| (reason.name(), self.0[*reason as usize].get()))
+            .map(|reason| (reason.label(), self.0[*reason as usize].get()))
             .collect()
     }
 }
--- a/src/transport/client/connection/requests.rs
+++ b/src/transport/client/connection/requests.rs
@@ -1,156 +1,235 @@
-//! Reads requests off a client's connection: heads, bodies, and when neither comes any more.
+//! Reads requests from a client's connection, heads and bodies, and decides when none is waited for any more.
 
-#![expect(clippy::min_ident_chars, reason = "not yet converted")]
-
-use super::{Client, Leave};
+use super::{ClientConnection, CloseReason, ConnectionClosed};
 use crate::protocol::http::{Fault, Head, Out, Part};
 use crate::protocol::request::{Reject, MOST_BODY};
-use crate::transport::client::close_reason::CloseReason;
-use crate::transport::client::registry::Hold;
-use crate::transport::client::shutdown::LAST_READ;
+use crate::routing::DurationMicros;
+use crate::transport::client::registry::{BodyMemoryPermit, IdleRegistration};
+use crate::transport::client::shutdown::LAST_READ_DURATION;
+use crate::transport::client::RETRY_AFTER_FULL;
 use crate::transport::node_phase::NodePhase;
 use bytes::Bytes;
 use futures_util::StreamExt;
+use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// When a client may come again that found no room for its body.
-const AGAIN_US: u64 = 500_000;
+/// The response that lets a client send the body it has announced.
+const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
+
+/// How the wait for a request ended.
+enum RequestStart {
+    /// The first part of the request has come.
+    Part(Part),
+    /// The request can't be read, or its head is not complete in time.
+    Unreadable(Fault),
+    /// No request came, and the connection ends.
+    Closed(CloseReason),
+}
+
+/// How reading the next part of a request ended.
+enum PartRead {
+    /// The part has come.
+    Part(Part),
+    /// What has come can't be read.
+    Unreadable(Fault),
+    /// The client has disconnected.
+    Disconnected,
+    /// The part has not come in time, and is no longer waited for.
+    Overdue(Fault),
+}
 
-impl Client {
-    /// The head of the next request on this connection.
-    pub(super) async fn next_head(&mut self) -> Result<Box<Head>, Leave> {
-        let next = match self.ahead.take() {
-            Some(ahead) => {
-                self.until = Instant::now() + self.shared.bounds.read;
-                ahead
+/// Why a request has no body to serve.
+#[derive(Debug, thiserror::Error)]
+pub(super) enum BodyError {
+    /// The request is to be rejected.
+    #[error("the request is rejected with status {}", .reject.status)]
+    Rejected {
+        /// The status and reason of the rejection.
+        reject: Reject,
+        /// When the client may try again.
+        retry_after: Option<DurationMicros>,
+    },
+    /// The connection ends.
+    #[error(transparent)]
+    Closed(#[from] ConnectionClosed),
+}
+
+impl ClientConnection {
+    /// Reads the head of the next request on this connection.
+    pub(super) async fn next_head(&mut self) -> Result<Box<Head>, ConnectionClosed> {
+        let start = match self.read_ahead.take() {
+            Some(read) => {
+                self.restart_read_deadline();
+                match read {
+                    Ok(part) => RequestStart::Part(part),
+                    Err(fault) => RequestStart::Unreadable(fault),
+                }
             }
-            None => self.wait_for_request().await.map_err(Leave)?,
+            None => self.wait_for_request().await,
         };
-        match next {
-            Ok(Part::Head(head)) => Ok(head),
-            Ok(_) => Err(Leave(CloseReason::Rejected)),
-            Err(fault) => Err(self.fault(fault).await),
+        match start {
+            RequestStart::Part(Part::Head(head)) => Ok(head),
+            RequestStart::Part(Part::Body(_) | Part::End) => {
+                Err(ConnectionClosed(CloseReason::RequestRejected))
+            }
+            RequestStart::Unreadable(fault) => Err(self.reject_unreadable(&fault).await),
+            RequestStart::Closed(reason) => Err(ConnectionClosed(reason)),
         }
     }
 
-    /// Waits for a request until the connection is to end, and says then why.
-    async fn wait_for_request(&mut self) -> Result<Result<Part, Fault>, CloseReason> {
-        let (mark, leave) = self.shared.rests();
-        let (known, mut phase) = (self.requests > 0, self.shared.phase.clone());
-        let closing = async {
-            let closed = phase
-                .wait_for(|p| matches!(p, NodePhase::Evacuated | NodePhase::Closing))
-                .await;
-            let reason = match closed.as_deref() {
-                Ok(NodePhase::Evacuated) => CloseReason::Evacuated,
-                _ => CloseReason::Shutdown,
-            };
-            drop(closed);
-            if !known {
-                // It has only just come: closed unheard, its request would have to be sent anew.
-                tokio::time::sleep(LAST_READ).await;
-            }
-            reason
-        };
-        let next = tokio::select! {
+    fn restart_read_deadline(&mut self) {
+        self.read_deadline = Instant::now() + self.registry.limits().request_read_timeout;
+    }
+
+    /// Waits for a request for as long as the connection may stay, registered as idle.
+    async fn wait_for_request(&mut self) -> RequestStart {
+        let IdleRegistration { number, eviction } = self.registry.register_idle();
+        let has_sent_requests = self.request_count > 0;
+        let closing = wait_for_close_order(self.registry.phase(), has_sent_requests);
+        // Reading comes first: a request that has come is served, whatever else has happened. It is cancel-safe, since the
+        // codec keeps what it has read. The other branches hold no data.
+        let start = tokio::select! {
             biased;
-            next = self.rest() => next,
-            reason = closing => Err(reason),
-            // Another needs the place: it is not kept for a client that does not see the end.
-            () = leave.notified() => Err(CloseReason::Evicted),
+            start = self.read_request_start() => start,
+            reason = closing => RequestStart::Closed(reason),
+            // Another connection needs the place: it is not kept for a client that does not see the end.
+            () = eviction.notified() => RequestStart::Closed(CloseReason::Evicted),
         };
-        self.shared.busy(mark);
-        match next {
-            // Bytes have come in the very moment of the close: they are a request, to be read and answered.
-            Err(reason) if reason != CloseReason::ClientLeft && self.begun() => self.rest().await,
-            next => next,
+        self.registry.unregister_idle(number);
+        match start {
+            // Bytes that have come in the very instant of the close are a request, to be read and answered.
+            RequestStart::Closed(reason)
+                if reason != CloseReason::ClientDisconnected && self.has_request_bytes() =>
+            {
+                self.read_request_start().await
+            }
+            start => start,
         }
     }
 
-    /// Waits for the next request's head, and says why where none comes: the client has left or has rested for too long.
-    async fn rest(&mut self) -> Result<Result<Part, Fault>, CloseReason> {
-        if self.requests > 0 {
-            // A kept connection may rest; from the first byte on, the request has its limit.
-            if self.wire.read_buffer().is_empty() {
-                let peeked = self.wire.get_ref().peek();
-                match tokio::time::timeout(self.shared.bounds.client_idle, peeked).await {
+    /// Reads the first part of the next request. A connection that has carried a request may be idle before the next one;
+    /// from its first byte on the read deadline holds.
+    async fn read_request_start(&mut self) -> RequestStart {
+        if self.request_count > 0 {
+            if self.http.read_buffer().is_empty() {
+                let first_byte = self.http.get_ref().peek();
+                let idle_timeout = self.registry.limits().client_idle_timeout;
+                match tokio::time::timeout(idle_timeout, first_byte).await {
                     Ok(Ok(_)) => {}
-                    Ok(Err(_)) => return Err(CloseReason::ClientLeft),
-                    Err(_) if self.begun() => {}
-                    Err(_) => return Err(CloseReason::Idle),
+                    Ok(Err(_)) => return RequestStart::Closed(CloseReason::ClientDisconnected),
+                    Err(_) if self.has_request_bytes() => {}
+                    Err(_) => return RequestStart::Closed(CloseReason::IdleTimeout),
                 }
             }
-            self.until = Instant::now() + self.shared.bounds.read;
+            self.restart_read_deadline();
         }
-        match self.next_part().await {
-            Ok(next) => next.ok_or(CloseReason::ClientLeft),
-            Err(_) if !self.begun() => Err(CloseReason::NeverAsked),
-            Err(overdue) => Ok(Err(overdue)),
+        match self.read_part().await {
+            PartRead::Part(part) => RequestStart::Part(part),
+            PartRead::Unreadable(fault) => RequestStart::Unreadable(fault),
+            PartRead::Disconnected => RequestStart::Closed(CloseReason::ClientDisconnected),
+            PartRead::Overdue(_) if !self.has_request_bytes() => {
+                RequestStart::Closed(CloseReason::NoRequest)
+            }
+            PartRead::Overdue(fault) => RequestStart::Unreadable(fault),
         }
     }
 
-    /// The next part of a request on its way, nothing where the client has left, or why it is no longer waited for.
-    async fn next_part(&mut self) -> Result<Option<Result<Part, Fault>>, Fault> {
-        let shared = self.shared.clone();
-        tokio::select! {
+    /// Reads the next part of a request, until the read deadline or until a node that shuts down reads no more.
+    async fn read_part(&mut self) -> PartRead {
+        let registry = self.registry.clone();
+        // All branches are cancel-safe: the codec keeps what it has read, and the others hold no data. A part that has come
+        // counts even where the time is over.
+        let read = tokio::select! {
             biased;
-            part = self.wire.next() => Ok(part),
-            () = tokio::time::sleep_until(self.until) => Err(Fault::Slow),
-            () = shared.reading_over() => Err(Fault::Late),
+            read = self.http.next() => read,
+            () = tokio::time::sleep_until(self.read_deadline) => {
+                return PartRead::Overdue(Fault::Slow);
+            }
+            () = registry.reading_ended() => return PartRead::Overdue(Fault::Late),
+        };
+        match read {
+            Some(Ok(part)) => PartRead::Part(part),
+            Some(Err(fault)) => PartRead::Unreadable(fault),
+            None => PartRead::Disconnected,
         }
     }
 
-    /// Bytes of a request are here. The kernel is asked, too: the runtime may not have seen them yet.
-    fn begun(&self) -> bool {
-        !self.wire.read_buffer().is_empty() || matches!(self.wire.get_ref().unread(), Ok(1..))
+    /// Whether bytes of a request have come. The kernel is asked, too: the runtime may not have seen them yet.
+    fn has_request_bytes(&self) -> bool {
+        !self.http.read_buffer().is_empty() || matches!(self.http.get_ref().unread(), Ok(1..))
     }
 
     /// Reads a body, within its own limit and that of all bodies together.
-    #[allow(clippy::type_complexity)]
-    pub(super) async fn read(
+    pub(super) async fn read_body(
         &mut self,
         head: &Head,
-        hold: &mut Hold,
-    ) -> Result<Result<Bytes, (Reject, Option<u64>)>, Leave> {
-        let too_long = || Reject {
-            status: 413,
-            reason: format!("the body is longer than {MOST_BODY} bytes"),
-        };
-        let expected = head.length.unwrap_or(0);
-        if expected > MOST_BODY as u64 {
-            return Ok(Err((too_long(), None)));
+        memory: &mut BodyMemoryPermit,
+    ) -> Result<Bytes, BodyError> {
+        let expected_length = head.length.unwrap_or(0);
+        if expected_length > MOST_BODY as u64 {
+            return Err(body_too_long());
         }
         if head.headers.has("expect", "100-continue") {
-            self.send(Out::Raw(Bytes::from_static(
-                b"HTTP/1.1 100 Continue\r\n\r\n",
-            )))
-            .await?;
+            self.send(Out::Raw(Bytes::from_static(CONTINUE))).await?;
         }
-        let mut body = Vec::with_capacity(expected as usize);
+        let mut body = Vec::with_capacity(expected_length as usize);
         loop {
-            let part = match self.next_part().await {
-                Ok(Some(Ok(part))) => part,
-                Ok(None) => return Err(Leave(CloseReason::ClientLeft)),
-                Ok(Some(Err(fault))) | Err(fault) => return Err(self.fault(fault).await),
+            let part = match self.read_part().await {
+                PartRead::Part(part) => part,
+                PartRead::Disconnected => {
+                    return Err(ConnectionClosed(CloseReason::ClientDisconnected).into());
+                }
+                PartRead::Unreadable(fault) | PartRead::Overdue(fault) => {
+                    return Err(self.reject_unreadable(&fault).await.into());
+                }
             };
             match part {
                 Part::Body(bytes) if body.len() + bytes.len() > MOST_BODY => {
-                    return Ok(Err((too_long(), None)));
+                    return Err(body_too_long());
                 }
-                Part::Body(bytes) if hold.more(bytes.len()) => body.extend_from_slice(&bytes),
-                Part::Body(_) => {
-                    let reason = "this node holds as many requests as it may".to_string();
-                    return Ok(Err((
-                        Reject {
-                            status: 503,
-                            reason,
-                        },
-                        Some(AGAIN_US),
-                    )));
-                }
-                Part::End => return Ok(Ok(body.into())),
-                Part::Head(_) => return Err(Leave(CloseReason::Rejected)),
+                Part::Body(bytes) if memory.try_grow(bytes.len()) => body.extend_from_slice(&bytes),
+                Part::Body(_) => return Err(body_memory_exhausted()),
+                Part::End => return Ok(body.into()),
+                Part::Head(_) => return Err(ConnectionClosed(CloseReason::RequestRejected).into()),
             }
         }
     }
 }
+
+/// Waits until idle connections are to be closed, and returns the reason. Cancel-safe.
+async fn wait_for_close_order(
+    mut phase: watch::Receiver<NodePhase>,
+    has_sent_requests: bool,
+) -> CloseReason {
+    let closes_idle =
+        |phase: &NodePhase| matches!(phase, NodePhase::Evacuated | NodePhase::Closing);
+    let reason = match phase.wait_for(closes_idle).await.as_deref() {
+        Ok(NodePhase::Evacuated) => CloseReason::Evacuated,
+        Ok(_) | Err(_) => CloseReason::Shutdown,
+    };
+    if !has_sent_requests {
+        // The connection has only just come. Were it closed now, its client would have to send its request again.
+        tokio::time::sleep(LAST_READ_DURATION).await;
+    }
+    reason
+}
+
+fn body_too_long() -> BodyError {
+    BodyError::Rejected {
+        reject: Reject {
+            status: 413,
+            reason: format!("the body is longer than {MOST_BODY} bytes"),
+        },
+        retry_after: None,
+    }
+}
+
+fn body_memory_exhausted() -> BodyError {
+    BodyError::Rejected {
+        reject: Reject {
+            status: 503,
+            reason: "this node holds as many requests as it may".to_string(),
+        },
+        retry_after: Some(RETRY_AFTER_FULL),
+    }
+}
--- a/src/transport/client/connection/streams.rs
+++ b/src/transport/client/connection/streams.rs
@@ -1,98 +1,129 @@
 //! Passes streams on to a client.
 
-#![expect(clippy::too_many_lines, reason = "not yet converted")]
-
-use super::{Client, Leave};
+use super::{ClientConnection, ConnectionClosed};
 use crate::protocol::http::Out;
 use crate::transport::messages::{ClientResponse, StreamChunk};
-use crate::transport::replica::stream_recovery::{Next, Relay};
-use tokio::sync::mpsc;
+use crate::transport::replica::stream_recovery::{RecoveryStep, StreamRecovery};
+use bytes::Bytes;
+use tokio::sync::mpsc::{self, error::TryRecvError};
+
+/// How a stream to a client ended.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum StreamEnd {
+    /// The client has the whole stream and its last chunk.
+    Complete,
+    /// The stream is incomplete, and the client gets no last chunk.
+    Broken,
+}
+
+/// What came of the recovery of a stream.
+enum Recovery {
+    /// Another replica continues the stream with these chunks.
+    Continued(mpsc::Receiver<StreamChunk>),
+    /// The stream has ended.
+    Ended(StreamEnd),
+}
 
-impl Client {
-    /// Passes a stream on as it comes; false where it broke.
-    pub(super) async fn stream(
+impl ClientConnection {
+    /// Passes a stream on as it comes.
+    pub(super) async fn forward_stream(
         &mut self,
-        mut body: mpsc::Receiver<StreamChunk>,
-    ) -> Result<bool, Leave> {
+        mut chunks: mpsc::Receiver<StreamChunk>,
+    ) -> Result<StreamEnd, ConnectionClosed> {
         loop {
-            let mut next = self.until_gone(body.recv()).await?;
+            let mut next = self.until_disconnected(chunks.recv()).await?;
             // What has come together goes out together.
             loop {
                 match next {
                     Some(StreamChunk::Bytes(bytes)) => self.feed(Out::Chunk(bytes)).await?,
                     Some(StreamChunk::End) => {
                         self.send(Out::Last).await?;
-                        return Ok(true);
+                        return Ok(StreamEnd::Complete);
                     }
                     None => {
                         self.flush().await?;
-                        return Ok(false);
+                        return Ok(StreamEnd::Broken);
                     }
                 }
-                match body.try_recv() {
-                    Ok(piece) => next = Some(piece),
-                    Err(mpsc::error::TryRecvError::Empty) => break,
-                    Err(mpsc::error::TryRecvError::Disconnected) => next = None,
+                match chunks.try_recv() {
+                    Ok(chunk) => next = Some(chunk),
+                    Err(TryRecvError::Empty) => break,
+                    Err(TryRecvError::Disconnected) => next = None,
                 }
             }
             self.flush().await?;
         }
     }
 
-    /// Passes a stream on and saves it where it can be saved; false where it failed.
-    pub(super) async fn saved(
+    /// Passes a stream on and continues it on another replica where its own does not end it.
+    pub(super) async fn forward_recoverable_stream(
         &mut self,
-        relay: &mut Relay,
-        mut body: mpsc::Receiver<StreamChunk>,
-    ) -> Result<bool, Leave> {
+        recovery: &mut StreamRecovery,
+        mut chunks: mpsc::Receiver<StreamChunk>,
+    ) -> Result<StreamEnd, ConnectionClosed> {
         loop {
-            let whole = match self.until_gone(body.recv()).await? {
+            let is_complete = match self.until_disconnected(chunks.recv()).await? {
                 Some(StreamChunk::Bytes(bytes)) => {
-                    let bytes = relay.pass(&bytes);
-                    if !bytes.is_empty() {
-                        self.send(Out::Chunk(bytes)).await?;
-                    }
+                    let bytes = recovery.forward(&bytes);
+                    self.send_chunk(bytes).await?;
                     continue;
                 }
-                Some(StreamChunk::End) => relay.whole(),
+                Some(StreamChunk::End) => recovery.replica_ended(),
                 None => false,
             };
-            if whole {
-                let rest = relay.rest();
-                if !rest.is_empty() {
-                    self.feed(Out::Chunk(rest)).await?;
+            if is_complete {
+                let partial_event = recovery.take_partial_event();
+                if !partial_event.is_empty() {
+                    self.feed(Out::Chunk(partial_event)).await?;
                 }
                 self.send(Out::Last).await?;
-                return Ok(true);
+                return Ok(StreamEnd::Complete);
             }
-            let mut next = relay.ended(self.last());
-            if let Next::Ask(asked) = next {
-                let (arrival, payload) = *asked;
-                next = match self.ask(arrival, payload).await?? {
-                    ClientResponse::Stream {
-                        replica,
-                        chunks: rest,
-                        ..
-                    } => {
-                        relay.carried_on(replica);
-                        body = rest;
-                        continue;
-                    }
-                    _ => relay.refused(),
-                };
+            match self.recover(recovery).await? {
+                Recovery::Continued(continuation) => chunks = continuation,
+                Recovery::Ended(end) => return Ok(end),
             }
-            let (last, whole) = match next {
-                Next::Complete(last) => (last, true),
-                Next::Fail(last) => (last, false),
-                Next::Ask(_) => return Ok(false),
-            };
-            if !last.is_empty() {
-                self.send(Out::Chunk(last)).await?;
+        }
+    }
+
+    /// Requests the remainder of an interrupted stream, or ends the stream.
+    async fn recover(
+        &mut self,
+        recovery: &mut StreamRecovery,
+    ) -> Result<Recovery, ConnectionClosed> {
+        match recovery.recover(self.is_last_response()) {
+            RecoveryStep::Continue(continuation) => {
+                let response = self
+                    .dispatch(continuation.request, continuation.payload)
+                    .await?;
+                if let ClientResponse::Stream {
+                    replica, chunks, ..
+                } = response
+                {
+                    recovery.continued_by(replica);
+                    return Ok(Recovery::Continued(chunks));
+                }
+                let error_event = recovery.continuation_refused();
+                self.send_chunk(error_event).await?;
+                Ok(Recovery::Ended(StreamEnd::Broken))
             }
-            if whole {
+            RecoveryStep::Complete(closing_events) => {
+                self.send_chunk(closing_events).await?;
                 self.send(Out::Last).await?;
+                Ok(Recovery::Ended(StreamEnd::Complete))
             }
-            return Ok(whole);
+            RecoveryStep::Fail(error_event) => {
+                self.send_chunk(error_event).await?;
+                Ok(Recovery::Ended(StreamEnd::Broken))
+            }
+        }
+    }
+
+    /// Sends bytes as one chunk. No bytes are no chunk: an empty one would end the stream.
+    async fn send_chunk(&mut self, bytes: Bytes) -> Result<(), ConnectionClosed> {
+        if bytes.is_empty() {
+            return Ok(());
         }
+        self.send(Out::Chunk(bytes)).await
     }
 }
--- a/src/transport/client/registry.rs
+++ b/src/transport/client/registry.rs
@@ -1,11 +1,17 @@
-//! What all clients' connections share: bounds on their number and on what they hold, and who rests.
+//! What all connections of clients share: settings and channels, the limits on their number and on the memory of request
+//! bodies, and which of them are idle.
+//!
+//! The listener asks whether one more connection may come in; each connection registers when it opens, becomes idle and
+//! closes. Invariants:
+//! - No more than [`MAX_PENDING_EVICTIONS`] connections are open beyond the limit, each for one that is on its way out.
+//! - A connection that has been idle for less than [`MIN_IDLE_BEFORE_EVICTION`] is not evicted.
 
-use super::close_reason::CloseCounts;
+use super::close_reason::CloseCounters;
 use super::shutdown::Shutdown;
 use crate::transport::messages::{DispatcherMessage, RequestOwner};
 use crate::transport::node_phase::NodePhase;
-use crate::transport::replica::stream_monitor::Streams;
-use crate::transport::Bounds;
+use crate::transport::replica::stream_monitor::StreamMonitor;
+use crate::transport::TransportLimits;
 use poppykeel_site_settings::SiteSettings;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -14,166 +20,231 @@
 use tokio::sync::{mpsc, watch, Notify};
 use tokio::time::Instant;
 
-/// What all clients' connections share.
-pub struct Shared {
-    /// The settings, as they are now.
-    pub boot: RefCell<Rc<SiteSettings>>,
-    /// The figures.
-    pub bounds: Rc<Bounds>,
-    /// To the core.
-    pub tell: mpsc::Sender<DispatcherMessage>,
-    /// How far the node's life has come.
-    pub phase: watch::Receiver<NodePhase>,
-    /// What all streams share.
-    pub streams: Rc<Streams>,
-    /// The order to stop.
-    pub shutdown: Shutdown,
-    /// Why connections have ended.
-    pub closes: CloseCounts,
-    held: Cell<usize>,
-    open: Cell<usize>,
-    accepted: Cell<u64>,
-    /// By age alone. With those first that had sent nothing yet, a flood of silent connections pushed usual
-    /// clients out whose first request was about to come; and there is no end of old ones that stay unused.
-    idle: RefCell<BTreeMap<u64, Resting>>,
-    marks: Cell<u64>,
+/// A request may be on its way to a connection that has been idle for less than this: it is not closed to make room.
+pub const MIN_IDLE_BEFORE_EVICTION: Duration = Duration::from_millis(250);
+
+/// Connections that have been told to close and have not closed yet.
+pub const MAX_PENDING_EVICTIONS: usize = 16;
+
+/// What all connections of clients share.
+pub struct ConnectionRegistry {
+    site: RefCell<Rc<SiteSettings>>,
+    limits: Rc<TransportLimits>,
+    dispatcher: mpsc::Sender<DispatcherMessage>,
+    phase: watch::Receiver<NodePhase>,
+    stream_monitor: Rc<StreamMonitor>,
+    shutdown: Shutdown,
+    close_counters: CloseCounters,
+    body_memory_bytes: Cell<usize>,
+    open_count: Cell<usize>,
+    accepted_count: Cell<u64>,
+    /// Idle connections in the order in which they became idle. That order alone decides who is evicted. With those first
+    /// that had sent nothing yet, a flood of silent connections pushed out ordinary clients whose first request was about to
+    /// come; and there is no end of old connections that stay unused.
+    idle: RefCell<BTreeMap<u64, IdleConnection>>,
+    last_idle_number: Cell<u64>,
     last_request_owner: Cell<RequestOwner>,
 }
 
-impl Shared {
-    /// Nobody is connected yet.
+/// A connection without a request.
+struct IdleConnection {
+    since: Instant,
+    /// Tells the connection's task to close it.
+    eviction: Rc<Notify>,
+}
+
+/// A connection's registration as idle.
+pub(super) struct IdleRegistration {
+    /// Identifies the registration.
+    pub(super) number: u64,
+    /// Notified when the connection has to close, since another one needs its place.
+    pub(super) eviction: Rc<Notify>,
+}
+
+impl ConnectionRegistry {
+    /// A registry without connections.
     pub fn new(
-        boot: Rc<SiteSettings>,
-        bounds: Rc<Bounds>,
-        tell: mpsc::Sender<DispatcherMessage>,
+        site: Rc<SiteSettings>,
+        limits: Rc<TransportLimits>,
+        dispatcher: mpsc::Sender<DispatcherMessage>,
         phase: watch::Receiver<NodePhase>,
-        streams: Rc<Streams>,
+        stream_monitor: Rc<StreamMonitor>,
     ) -> Self {
-        let (held, open, accepted, idle, marks, last_request_owner) = Default::default();
-        let (shutdown, closes) = Default::default();
-        let boot = RefCell::new(boot);
-        Shared {
-            boot,
-            bounds,
-            tell,
+        ConnectionRegistry {
+            site: RefCell::new(site),
+            limits,
+            dispatcher,
             phase,
-            streams,
-            shutdown,
-            closes,
-            held,
-            open,
-            accepted,
-            idle,
-            marks,
-            last_request_owner,
+            stream_monitor,
+            shutdown: Shutdown::default(),
+            close_counters: CloseCounters::default(),
+            body_memory_bytes: Cell::default(),
+            open_count: Cell::default(),
+            accepted_count: Cell::default(),
+            idle: RefCell::default(),
+            last_idle_number: Cell::default(),
+            last_request_owner: Cell::default(),
         }
     }
-    /// As many connections are open as may be.
-    pub fn full(&self) -> bool {
-        self.open.get() >= self.bounds.clients
+
+    /// The settings of the site as they are now.
+    pub fn site(&self) -> Rc<SiteSettings> {
+        self.site.borrow().clone()
+    }
+
+    /// Takes other settings of the site, for requests that are read from now on.
+    pub fn set_site(&self, site: Rc<SiteSettings>) {
+        self.site.replace(site);
+    }
+
+    /// The limits of the transport.
+    pub fn limits(&self) -> &TransportLimits {
+        &self.limits
+    }
+
+    /// Where the dispatcher takes messages.
+    pub fn dispatcher(&self) -> &mpsc::Sender<DispatcherMessage> {
+        &self.dispatcher
+    }
+
+    /// The order to stop.
+    pub fn shutdown(&self) -> &Shutdown {
+        &self.shutdown
+    }
+
+    /// Why connections have ended.
+    pub fn close_counters(&self) -> &CloseCounters {
+        &self.close_counters
+    }
+
+    /// How many connections are open now.
+    pub fn open_count(&self) -> usize {
+        self.open_count.get()
+    }
+
+    /// A receiver of the node's phase.
+    pub(super) fn phase(&self) -> watch::Receiver<NodePhase> {
+        self.phase.clone()
+    }
+
+    /// Whether the node takes clients and lets them stay. Otherwise each response is the last on its connection.
+    pub(super) fn is_serving(&self) -> bool {
+        *self.phase.borrow() == NodePhase::Serving
+    }
+
+    /// What follows all streams.
+    pub(super) fn stream_monitor(&self) -> &Rc<StreamMonitor> {
+        &self.stream_monitor
     }
-    /// One above the bound may come in while one below it is on its way out.
-    pub fn can_evict(&self) -> bool {
-        self.open.get() < self.bounds.clients + MOST_LEAVING && self.evict()
+
+    /// Whether as many connections are open as may be.
+    pub(super) fn is_full(&self) -> bool {
+        self.open_count.get() >= self.limits.max_client_connections
     }
-    /// Tells the connection that has been idle longest to go; false where all are busy, or may have a request on its way.
-    pub fn evict(&self) -> bool {
+
+    /// Evicts an idle connection for a new one beyond the limit. False where none can be evicted, or where too many that
+    /// have been evicted are still open.
+    pub(super) fn try_make_room(&self) -> bool {
+        let max_open = self.limits.max_client_connections + MAX_PENDING_EVICTIONS;
+        self.open_count.get() < max_open && self.evict_idle()
+    }
+
+    /// Tells the connection that has been idle longest to close. False where no connection is idle, or where each may have a
+    /// request on its way.
+    pub fn evict_idle(&self) -> bool {
         let mut idle = self.idle.borrow_mut();
-        let oldest = idle
-            .first_entry()
-            .filter(|oldest| oldest.get().since.elapsed() >= ON_ITS_WAY);
-        oldest
-            .map(|oldest| oldest.remove().leave.notify_one())
-            .is_some()
-    }
-    /// Comes once no request is read any more, since the node shuts down.
-    pub(super) async fn reading_over(&self) {
+        let Some(oldest) = idle.first_entry() else {
+            return false;
+        };
+        if oldest.get().since.elapsed() < MIN_IDLE_BEFORE_EVICTION {
+            return false;
+        }
+        oldest.remove().eviction.notify_one();
+        true
+    }
+
+    /// Waits until requests are no longer read, since the node shuts down. Cancel-safe.
+    pub(super) async fn reading_ended(&self) {
         let mut phase = self.phase.clone();
-        let closing = phase
+        let is_closing = phase
             .wait_for(|phase| *phase == NodePhase::Closing)
             .await
             .is_ok();
-        match self.shutdown.reading_ends().filter(|_| closing) {
-            Some(at) => tokio::time::sleep_until(at).await,
+        let deadline = self.shutdown.read_deadline();
+        match deadline.filter(|_| is_closing) {
+            Some(deadline) => tokio::time::sleep_until(deadline).await,
             None => std::future::pending().await,
         }
     }
-    /// A connection has come; its number among all of them.
-    pub(super) fn enter(&self) -> u64 {
-        self.open.set(self.open.get() + 1);
-        self.accepted.set(self.accepted.get() + 1);
-        self.accepted.get()
-    }
-    /// A connection has ended.
-    pub(super) fn leave(&self) {
-        self.open.set(self.open.get() - 1);
-    }
-    /// A connection rests: its place among those that do, and what tells it to go.
-    pub(super) fn rests(&self) -> (u64, Rc<Notify>) {
-        let mark = self.marks.get() + 1;
-        self.marks.set(mark);
-        let leave = Rc::new(Notify::new());
-        let since = Instant::now();
-        self.idle.borrow_mut().insert(
-            mark,
-            Resting {
-                since,
-                leave: leave.clone(),
-            },
-        );
-        (mark, leave)
-    }
-    /// It rests no more.
-    pub(super) fn busy(&self, mark: u64) {
-        self.idle.borrow_mut().remove(&mark);
-    }
-    /// A number for one wait for a response, which no other wait has.
+
+    /// Counts a connection that has opened and returns its number among all connections of this process.
+    pub(super) fn connection_opened(&self) -> u64 {
+        self.open_count.set(self.open_count.get() + 1);
+        self.accepted_count.set(self.accepted_count.get() + 1);
+        self.accepted_count.get()
+    }
+
+    /// Counts a connection that has closed.
+    pub(super) fn connection_closed(&self) {
+        self.open_count.set(self.open_count.get() - 1);
+    }
+
+    /// Registers a connection as idle.
+    pub(super) fn register_idle(&self) -> IdleRegistration {
+        let number = self.last_idle_number.get() + 1;
+        self.last_idle_number.set(number);
+        let eviction = Rc::new(Notify::new());
+        let connection = IdleConnection {
+            since: Instant::now(),
+            eviction: eviction.clone(),
+        };
+        self.idle.borrow_mut().insert(number, connection);
+        IdleRegistration { number, eviction }
+    }
+
+    /// Ends the registration of a connection as idle.
+    pub(super) fn unregister_idle(&self, number: u64) {
+        self.idle.borrow_mut().remove(&number);
+    }
+
+    /// A number for one wait for a response, which no other wait of this process has.
     pub(super) fn new_request_owner(&self) -> RequestOwner {
         let owner = RequestOwner(self.last_request_owner.get().0 + 1);
         self.last_request_owner.set(owner);
         owner
     }
-    /// Client connections open now.
-    pub fn open(&self) -> usize {
-        self.open.get()
-    }
 }
 
-/// A connection at rest.
-struct Resting {
-    since: Instant,
-    /// Tells it to go.
-    leave: Rc<Notify>,
+/// The memory of one request body, counted against the limit of all bodies until it is dropped.
+pub(super) struct BodyMemoryPermit {
+    registry: Rc<ConnectionRegistry>,
+    held_bytes: usize,
 }
 
-/// A request may be on its way to a connection that has rested for less than this: it is not closed to make room.
-pub const ON_ITS_WAY: Duration = Duration::from_millis(250);
-
-/// Connections that have been told to go and have not gone yet.
-pub const MOST_LEAVING: usize = 16;
-
-/// Bytes of one body, counted against the bound while they are held.
-pub struct Hold(Rc<Shared>, usize);
-
-impl Hold {
-    /// Nothing is held yet.
-    pub fn new(shared: Rc<Shared>) -> Hold {
-        Hold(shared, 0)
+impl BodyMemoryPermit {
+    /// A permit for no bytes yet.
+    pub(super) fn new(registry: Rc<ConnectionRegistry>) -> BodyMemoryPermit {
+        BodyMemoryPermit {
+            registry,
+            held_bytes: 0,
+        }
     }
-    /// Holds so many more, if there is room.
-    pub fn more(&mut self, bytes: usize) -> bool {
-        let held = self.0.held.get() + bytes;
-        if held > self.0.bounds.held_bytes {
+
+    /// Takes this many more bytes, if there is room for them.
+    pub(super) fn try_grow(&mut self, bytes: usize) -> bool {
+        let total = self.registry.body_memory_bytes.get() + bytes;
+        if total > self.registry.limits.max_body_memory_bytes {
             return false;
         }
-        self.0.held.set(held);
-        self.1 += bytes;
+        self.registry.body_memory_bytes.set(total);
+        self.held_bytes += bytes;
         true
     }
 }
 
-impl Drop for Hold {
+impl Drop for BodyMemoryPermit {
     fn drop(&mut self) {
-        self.0.held.set(self.0.held.get() - self.1);
+        let total = &self.registry.body_memory_bytes;
+        total.set(total.get() - self.held_bytes);
     }
 }
--- a/src/transport/client/shutdown/tests.rs
+++ b/src/transport/client/shutdown/tests.rs
@@ -5,30 +5,34 @@
 
 /// The platform kills no earlier than this after the order, for each deadline.
 fn earliest_kill(deadline: Duration) -> Duration {
-    deadline.min(LONGEST_DEADLINE) + ALLOWANCE
+    deadline.min(MAX_COUNTED_DEADLINE) + KILL_ALLOWANCE
 }
 
 #[tokio::test(start_paused = true)]
-async fn requests_are_admitted_until_admission_ends_and_a_second_order_changes_nothing() {
+async fn admits_requests_until_admission_ends_and_ignores_a_second_order() {
     let shutdown = Shutdown::default();
-    assert!(shutdown.admits() && shutdown.elapsed().is_none() && shutdown.reading_ends().is_none());
+    assert!(
+        shutdown.admits_requests()
+            && shutdown.elapsed().is_none()
+            && shutdown.read_deadline().is_none()
+    );
     shutdown.order();
-    advance(ADMISSION - Duration::from_millis(1)).await;
-    assert!(shutdown.admits());
+    advance(ADMISSION_DURATION - Duration::from_millis(1)).await;
+    assert!(shutdown.admits_requests());
     shutdown.order();
     advance(Duration::from_millis(1)).await;
-    assert!(!shutdown.admits());
-    assert_eq!(shutdown.elapsed(), Some(ADMISSION));
+    assert!(!shutdown.admits_requests());
+    assert_eq!(shutdown.elapsed(), Some(ADMISSION_DURATION));
 }
 
-/// Whatever is admitted last has its answer before the earliest kill, also by a process that is held up.
+/// Whatever is admitted last has its response before the earliest kill, also by a process that was suspended.
 #[test]
-fn what_is_admitted_last_is_over_before_the_earliest_kill() {
-    let held_up = Duration::from_millis(150);
+fn last_admitted_request_ends_before_the_earliest_kill() {
+    let suspension = Duration::from_millis(150);
     for deadline_ms in [150, 700, 1_000, 2_999, 3_000, 3_001, 12_000] {
         let deadline = Duration::from_millis(deadline_ms);
-        let answered = (ADMISSION + deadline).min(FINAL_ANSWERS) + held_up;
+        let answered = (ADMISSION_DURATION + deadline).min(FINAL_RESPONSE_TIMEOUT) + suspension;
         assert!(answered < earliest_kill(deadline), "{deadline:?}");
     }
-    assert!(ADMISSION + held_up < ALLOWANCE);
+    assert!(ADMISSION_DURATION + suspension < KILL_ALLOWANCE);
 }
--- a/src/transport/dispatcher/commands.rs
+++ b/src/transport/dispatcher/commands.rs
@@ -5,6 +5,7 @@
 use crate::routing::{AttemptId, MonotonicMicros, RouterCommand, RouterEvent};
 use crate::transport::messages::ClientResponse;
 use crate::transport::replica::attempts::AttemptRequest;
+use crate::transport::replica::pool::ReplicaAddress;
 use poppykeel_scheduler::interface::{AttemptOutcome, ReplicaId, RequestId};
 use std::cell::Cell;
 use std::rc::Rc;
@@ -76,7 +77,8 @@
             return;
         };
         let has_begun = attempt_request.has_begun.clone();
-        let task = tokio::task::spawn_local(self.upstream.clone().attempt(attempt_request));
+        let task =
+            tokio::task::spawn_local(self.replica_client.clone().run_attempt(attempt_request));
         let in_flight = InFlightAttempt {
             replica,
             has_begun,
@@ -95,12 +97,12 @@
     ) -> Option<AttemptRequest> {
         let addr = self.directory.addr(replica)?;
         let client = self.waiting_clients.get(id.request)?;
-        let own_zone = self.upstream.boot.scheduler.zone;
+        let own_zone = self.replica_client.site().scheduler.zone;
         let is_cross_zone = self.directory.zone(replica) != Some(own_zone);
         Some(AttemptRequest {
             request: id.request,
             attempt: id.attempt,
-            peer: (replica, addr),
+            address: ReplicaAddress { replica, addr },
             timeout: deadline.saturating_sub(now),
             inter_token_objective: client.inter_token_objective,
             cross_zone_group: is_cross_zone.then_some(client.group),
@@ -125,6 +127,6 @@
 
     fn start_probe(&self, replica: ReplicaId) {
         let addr = self.directory.addr(replica);
-        tokio::task::spawn_local(self.upstream.clone().probe(replica, addr));
+        tokio::task::spawn_local(self.replica_client.clone().run_probe(replica, addr));
     }
 }
--- a/src/transport/dispatcher/logging.rs
+++ b/src/transport/dispatcher/logging.rs
@@ -20,7 +20,7 @@
             queued_by_tenant = ?gauges.queued_by_tenant,
             active = self.router.active_count(),
             replicas = gauges.replica_count,
-            connections = self.upstream.pool.open(),
+            connections = self.replica_client.open_connection_count(),
             arrived = counters.arrived,
             completed = counters.completed,
             rejected = counters.rejected,
@@ -32,9 +32,9 @@
             reports_passed_over = crate::protocol::report::passed_over(),
             "summary"
         );
-        self.upstream
-            .streams
-            .log(|replica| self.directory.name(replica).map(String::from));
+        self.replica_client
+            .stream_monitor()
+            .log_summary(|replica| self.directory.name(replica).map(String::from));
     }
 }
 
--- a/src/transport/dispatcher/mod.rs
+++ b/src/transport/dispatcher/mod.rs
@@ -25,7 +25,7 @@
 use super::clock::Clock;
 use super::endpoints::discovery::EndpointWatcher;
 use super::messages::{DispatcherMessage, Reply, StartedStream, ENDPOINT_LIST_SOURCE};
-use super::replica::attempts::Upstream;
+use super::replica::attempts::ReplicaClient;
 use crate::routing::directory::EndpointDirectory;
 use crate::routing::{
     AttemptId, DurationMicros, MonotonicMicros, RequestRouter, RouterCommand, RouterEvent,
@@ -51,7 +51,7 @@
     clock: Clock,
     router: RequestRouter,
     directory: EndpointDirectory,
-    upstream: Upstream,
+    replica_client: ReplicaClient,
     watch: EndpointWatcher,
     waiting_clients: WaitingClients,
     owners: RequestOwners,
@@ -68,7 +68,7 @@
         clock: Clock,
         router: RequestRouter,
         directory: EndpointDirectory,
-        upstream: Upstream,
+        replica_client: ReplicaClient,
         watch: EndpointWatcher,
         known: Option<SourceUpdate>,
     ) -> Self {
@@ -76,7 +76,7 @@
             clock,
             router,
             directory,
-            upstream,
+            replica_client,
             watch,
             waiting_clients: WaitingClients::default(),
             owners: RequestOwners::default(),
@@ -198,7 +198,7 @@
 
     fn update_settings(&mut self, settings: Rc<SiteSettings>, applied: Reply<()>) {
         match self.router.update_settings(settings.scheduler.clone()) {
-            Ok(()) => self.upstream.boot = settings,
+            Ok(()) => self.replica_client.set_site(settings),
             Err(e) => tracing::error!(why = %e, "settings kept as they were"),
         }
         send_reply(applied, ());
--- a/src/transport/dispatcher/queries.rs
+++ b/src/transport/dispatcher/queries.rs
@@ -37,7 +37,7 @@
         let attempt_ends = self.router.failed_attempt_counts();
         Figures {
             replies: self.responses_by_class(),
-            dispatches: self.upstream.written.get(),
+            dispatches: self.replica_client.sent_count(),
             concurrent: self.router.active_count(),
             targets: self.directory.listed_count(),
             targets_disabled: self.router.unavailable_replica_count(),
@@ -57,7 +57,7 @@
     /// several indices, and their counts are added up.
     fn responses_by_class(&self) -> Vec<(String, [u64; 3])> {
         let mut rows: Vec<(String, [u64; 3])> = Vec::new();
-        for (class, name) in self.upstream.boot.names.classes.iter().enumerate() {
+        for (class, name) in self.replica_client.site().names.classes.iter().enumerate() {
             let ResponseCounts {
                 completed,
                 rejected,
@@ -78,7 +78,7 @@
 
     fn cross_zone_minutes(&self) -> Vec<CrossZoneMinute> {
         let mut rows = Vec::new();
-        for counted in self.upstream.cross_zone_traffic.borrow().by_minute() {
+        for counted in self.replica_client.cross_zone_traffic().by_minute() {
             let GroupName { class, tenant } = self.group_name(counted.group);
             rows.push(CrossZoneMinute {
                 minute: counted.minute,
@@ -93,7 +93,7 @@
     /// The totals since the start. A class whose settings have changed has had several indices, and their counts are added up.
     fn cross_zone_totals(&self) -> Vec<(String, String, u64)> {
         let mut sums: BTreeMap<GroupName, u64> = BTreeMap::new();
-        for counted in self.upstream.cross_zone_traffic.borrow().totals() {
+        for counted in self.replica_client.cross_zone_traffic().totals() {
             *sums.entry(self.group_name(counted.group)).or_default() += counted.count;
         }
         sums.into_iter()
@@ -102,7 +102,7 @@
     }
 
     fn group_name(&self, group: RequestGroup) -> GroupName {
-        let names = &self.upstream.boot.names;
+        let names = &self.replica_client.site().names;
         GroupName {
             class: name_at(&names.classes, group.class),
             tenant: name_at(&names.tenants, group.tenant),
--- a/src/transport/dispatcher/requests.rs
+++ b/src/transport/dispatcher/requests.rs
@@ -90,7 +90,7 @@
     }
 
     fn inter_token_objective(&self, class: usize) -> Option<DurationMicros> {
-        let class = self.upstream.boot.scheduler.classes.get(class)?;
+        let class = self.replica_client.site().scheduler.classes.get(class)?;
         let objective = class.inter_token_objective * MICROS_PER_SECOND;
         objective.is_finite().then_some(objective as DurationMicros)
     }
--- a/src/transport/endpoints/discovery.rs
+++ b/src/transport/endpoints/discovery.rs
@@ -15,7 +15,7 @@
 use crate::routing::seconds;
 use crate::transport::clock::Clock;
 use crate::transport::messages::{DispatcherMessage, ENDPOINT_LIST_SOURCE};
-use crate::transport::{Bounds, Wire};
+use crate::transport::{HttpConnection, TransportLimits};
 use poppykeel_endpoints::SourceUpdate;
 use poppykeel_scheduler::interface::{BudgetDemand, BudgetGrants, BudgetKind, EndpointListMode};
 use poppykeel_scheduler::BudgetLedger;
@@ -51,7 +51,7 @@
     service_addr: Cell<SocketAddr>,
     /// Wakes the task if the service has another address now.
     service_moved: Notify,
-    bounds: Rc<Bounds>,
+    limits: Rc<TransportLimits>,
     /// To the dispatcher. The task waits while the channel is full.
     dispatcher: mpsc::Sender<DispatcherMessage>,
     state: Cell<WatcherState>,
@@ -81,14 +81,14 @@
     /// A watcher that has not been started, of a list that is polled on request.
     pub fn new(
         service_addr: SocketAddr,
-        bounds: Rc<Bounds>,
+        limits: Rc<TransportLimits>,
         dispatcher: mpsc::Sender<DispatcherMessage>,
         clock: Clock,
     ) -> Self {
         let shared = SharedState {
             service_addr: Cell::new(service_addr),
             service_moved: Notify::new(),
-            bounds,
+            limits,
             dispatcher,
             state: Cell::default(),
             is_enabled: Cell::new(true),
@@ -246,7 +246,7 @@
     }
 
     /// One poll, on the connection of the previous one or on a new one.
-    async fn poll(&self, connection: &mut Option<Wire>, mode: PollMode) -> PollOutcome {
+    async fn poll(&self, connection: &mut Option<HttpConnection>, mode: PollMode) -> PollOutcome {
         // `notified` is safe to cancel: a notification that comes later is kept for the next call. A poll that is
         // dropped closes its connection with it, since the connection is taken out of `connection` while it is used,
         // and loses nothing: the next poll asks for everything after the same version.
@@ -258,12 +258,16 @@
     }
 
     /// Waits for the budget, and then polls within the time that the mode allows.
-    async fn poll_in_time(&self, connection: &mut Option<Wire>, mode: PollMode) -> PollOutcome {
-        let bounds = &self.shared.bounds;
+    async fn poll_in_time(
+        &self,
+        connection: &mut Option<HttpConnection>,
+        mode: PollMode,
+    ) -> PollOutcome {
+        let limits = &self.shared.limits;
         let (wait, slack) = match mode {
-            PollMode::Long => (bounds.watch, bounds.watch_slack),
-            PollMode::Short => (bounds.retry_watch, bounds.retry_slack),
-            PollMode::Immediate => (Duration::ZERO, bounds.retry_slack),
+            PollMode::Long => (limits.long_poll_wait, limits.long_poll_slack),
+            PollMode::Short => (limits.short_poll_wait, limits.short_poll_slack),
+            PollMode::Immediate => (Duration::ZERO, limits.short_poll_slack),
         };
         self.wait_for_budget().await;
         let exchange = self.exchange(connection, wait);
@@ -293,14 +297,14 @@
     /// back into `connection`.
     async fn exchange(
         &self,
-        connection: &mut Option<Wire>,
+        connection: &mut Option<HttpConnection>,
         wait: Duration,
     ) -> Result<EndpointListResponse, PollError> {
         let shared = &self.shared;
         let mut wire = if let Some(wire) = connection.take() {
             wire
         } else {
-            poll::connect(shared.service_addr.get(), shared.bounds.watch_slack).await?
+            poll::connect(shared.service_addr.get(), shared.limits.long_poll_slack).await?
         };
         let request = PollRequest {
             service_addr: shared.service_addr.get(),
--- a/src/transport/endpoints/poll.rs
+++ b/src/transport/endpoints/poll.rs
@@ -7,7 +7,7 @@
 use crate::protocol::discovery::{parse_endpoint_list, EndpointListError, EndpointListResponse};
 use crate::protocol::http::{Fault, Http, Out, Part, Side, Start};
 use crate::protocol::request;
-use crate::transport::Wire;
+use crate::transport::HttpConnection;
 use futures_util::{SinkExt, StreamExt};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -78,7 +78,7 @@
 pub(super) async fn connect(
     service_addr: SocketAddr,
     timeout: Duration,
-) -> Result<Wire, PollError> {
+) -> Result<HttpConnection, PollError> {
     let socket = tokio::time::timeout(timeout, TcpStream::connect(service_addr))
         .await
         .map_err(|_| PollError::ConnectTimeout)?
@@ -91,7 +91,7 @@
 /// # Errors
 /// The connection fails or closes before the answer is complete, or the answer is too long.
 pub(super) async fn exchange(
-    connection: &mut Wire,
+    connection: &mut HttpConnection,
     poll: PollRequest,
 ) -> Result<PollResponse, PollError> {
     let target = format!(
--- a/src/transport/replica/attempts.rs
+++ b/src/transport/replica/attempts.rs
@@ -1,289 +1,396 @@
-//! One attempt at a replica, and probes. Dropping the task closes the connection: that is how an attempt is
-//! abandoned, and why nothing of it can be used again.
+//! One attempt: a request sent to one replica, and its response passed on to the client.
+//!
+//! The dispatcher starts a task with [`ReplicaClient::run_attempt`] for each attempt. The task owns the connection. Aborting
+//! it is how an attempt is abandoned: that closes the connection, wherever the attempt stands, so that no late byte of it can
+//! reach another request.
+//!
+//! Invariants:
+//! - Nothing is awaited between [`AttemptRequest::has_begun`] being set and the first write.
+//! - An attempt whose last byte was not written can't have run, and is reported as a failure to connect.
+//! - The dispatcher is told of the end before the connection is released.
 
-#![expect(
-    clippy::min_ident_chars,
-    clippy::single_match_else,
-    clippy::too_many_lines,
-    reason = "not yet converted"
-)]
-
-use super::pool::{Conn, NoConn, Peer, Pool};
-use super::stream_monitor::{Live, Streams};
+use super::pool::{ConnectError, ConnectionPool, ReplicaAddress, ReplicaConnection};
+use super::stream_monitor::{MonitoredStream, StreamMonitor};
 use crate::protocol::answer::{Answer, Step};
-use crate::protocol::http::{Out, Part, Start};
-use crate::protocol::report::{probed, report};
+use crate::protocol::http::{Fault, Out, Part};
 use crate::protocol::request;
 use crate::routing::cross_zone::{CrossZoneTraffic, RequestGroup};
 use crate::routing::DurationMicros;
 use crate::transport::clock::Clock;
 use crate::transport::messages::{DispatcherMessage, RequestPayload, StartedStream, StreamChunk};
-use crate::transport::Bounds;
+use crate::transport::TransportLimits;
 use bytes::{Buf, Bytes};
 use futures_util::{SinkExt, StreamExt};
-use poppykeel_scheduler::interface::{AttemptOutcome, LoadReport, ReplicaId, RequestId};
+use poppykeel_scheduler::interface::{AttemptOutcome, LoadReport, RequestId};
 use poppykeel_site_settings::SiteSettings;
-use std::cell::{Cell, RefCell};
-use std::net::SocketAddr;
+use std::cell::{Cell, Ref, RefCell};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::sync::mpsc::{self, error::TrySendError};
 
-/// A request goes out in pieces of this size, so that no buffer grows with the body.
-const PIECE: usize = 16 * 1024;
-/// Pieces of an answer that wait for a slow client; then the replica is no longer read.
-const PIECES: usize = 4;
-/// An answer that was counted already is read to its end for so long, to use its connection again.
-const DRAIN: Duration = Duration::from_millis(500);
+/// A request is written in pieces of at most this size, so that no buffer grows with the body.
+const WRITE_SIZE_BYTES: usize = 16 * 1024;
+/// Chunks of a stream that wait for the client. An attempt that finds the channel full waits, and the replica is not read
+/// meanwhile.
+const STREAM_CHANNEL_CAPACITY: usize = 4;
+/// A response whose attempt has ended is still read to its end for this time, so that its connection can be used again.
+const DRAIN_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// What every driver of replica connections shares.
+/// Sends attempts and probes to replicas. Clones share everything but the settings of the site: an attempt keeps those with
+/// which it has begun.
 #[derive(Clone)]
-pub struct Upstream {
-    /// The connections.
-    pub pool: Pool,
-    /// To the core.
-    pub tell: mpsc::Sender<DispatcherMessage>,
-    /// The settings.
-    pub boot: Rc<SiteSettings>,
-    /// The figures.
-    pub bounds: Rc<Bounds>,
-    /// What all streams share.
-    pub streams: Rc<Streams>,
-    /// Attempts written whole.
-    pub written: Rc<Cell<u64>>,
-    /// Of these the ones that went to another zone.
-    pub cross_zone_traffic: Rc<RefCell<CrossZoneTraffic>>,
-    /// What tells their minutes.
-    pub clock: Clock,
+pub struct ReplicaClient {
+    pub(super) pool: ConnectionPool,
+    pub(super) dispatcher: mpsc::Sender<DispatcherMessage>,
+    pub(super) site: Rc<SiteSettings>,
+    pub(super) limits: Rc<TransportLimits>,
+    stream_monitor: Rc<StreamMonitor>,
+    /// Attempts that have been written completely since the start.
+    sent_count: Rc<Cell<u64>>,
+    /// Attempts that were written completely and went to another zone.
+    cross_zone_traffic: Rc<RefCell<CrossZoneTraffic>>,
+    clock: Clock,
 }
 
-/// One attempt.
+/// An attempt that is to be made.
 pub struct AttemptRequest {
     /// The request.
     pub request: RequestId,
-    /// The attempt's number.
+    /// The attempt's number within the request.
     pub attempt: usize,
     /// The replica and where it listens.
-    pub peer: Peer,
-    /// How long the node will wait.
+    pub address: ReplicaAddress,
+    /// How long the node will wait for the first token, as the replica is told.
     pub timeout: DurationMicros,
-    /// The class's wish for the time between tokens, in microseconds.
+    /// The class's objective for the time between two tokens.
     pub inter_token_objective: Option<DurationMicros>,
-    /// Its class and tenant, where the replica is in another zone.
+    /// The request's class and tenant, where the replica is in another zone.
     pub cross_zone_group: Option<RequestGroup>,
     /// What is sent.
     pub payload: Rc<RequestPayload>,
-    /// Set when the first byte is about to be written; until then it can be called back as if never sent.
+    /// Set when the first byte is about to be written. Until then the attempt can be withdrawn as if it had never been sent.
     pub has_begun: Rc<Cell<bool>>,
 }
 
-impl Upstream {
-    /// Drives one attempt to its end and tells the core how it ended.
-    pub async fn attempt(self, job: AttemptRequest) {
-        let (request, attempt, peer) = (job.request, job.attempt, job.peer);
-        let (outcome, report, conn) = self.exchange(job).await;
-        let _ = self
-            .tell
-            .send(DispatcherMessage::AttemptEnded {
-                request,
-                attempt,
-                outcome,
-                report,
-            })
-            .await;
-        let Some(mut conn) = conn else { return };
-        let rest = async {
-            while !conn.wire.codec().idle() {
-                match conn.wire.next().await {
-                    Some(Ok(_)) => {}
-                    _ => return false,
-                }
-            }
-            true
+/// How an attempt ended.
+struct AttemptEnd {
+    outcome: AttemptOutcome,
+    report: Option<LoadReport>,
+    /// The connection, where it can be used again once the response has been read to its end.
+    connection: Option<ReplicaConnection>,
+}
+
+impl AttemptEnd {
+    /// An end after which the connection is of no use, or has never been there.
+    fn without_connection(outcome: AttemptOutcome) -> AttemptEnd {
+        AttemptEnd {
+            outcome,
+            report: None,
+            connection: None,
+        }
+    }
+}
+
+impl ReplicaClient {
+    /// A client that has sent nothing yet. It tells `dispatcher` how attempts and probes end.
+    pub fn new(
+        pool: ConnectionPool,
+        dispatcher: mpsc::Sender<DispatcherMessage>,
+        site: Rc<SiteSettings>,
+        limits: Rc<TransportLimits>,
+        stream_monitor: Rc<StreamMonitor>,
+        clock: Clock,
+    ) -> Self {
+        ReplicaClient {
+            pool,
+            dispatcher,
+            site,
+            limits,
+            stream_monitor,
+            sent_count: Rc::default(),
+            cross_zone_traffic: Rc::default(),
+            clock,
+        }
+    }
+
+    /// The settings of the site.
+    pub fn site(&self) -> &SiteSettings {
+        &self.site
+    }
+
+    /// Takes other settings of the site, for attempts and probes from now on.
+    pub fn set_site(&mut self, site: Rc<SiteSettings>) {
+        self.site = site;
+    }
+
+    /// What follows all streams.
+    pub fn stream_monitor(&self) -> &StreamMonitor {
+        &self.stream_monitor
+    }
+
+    /// How many connections to replicas are open now.
+    pub fn open_connection_count(&self) -> usize {
+        self.pool.open_count()
+    }
+
+    /// How many attempts have been written completely since the start.
+    pub fn sent_count(&self) -> u64 {
+        self.sent_count.get()
+    }
+
+    /// Attempts that were written completely and went to another zone.
+    pub fn cross_zone_traffic(&self) -> Ref<'_, CrossZoneTraffic> {
+        self.cross_zone_traffic.borrow()
+    }
+
+    /// Makes one attempt, tells the dispatcher how it ended, and releases the connection where it can be used again.
+    pub async fn run_attempt(self, attempt_request: AttemptRequest) {
+        let AttemptRequest {
+            request,
+            attempt,
+            address,
+            ..
+        } = attempt_request;
+        let end = self.send_and_forward(attempt_request).await;
+        let message = DispatcherMessage::AttemptEnded {
+            request,
+            attempt,
+            outcome: end.outcome,
+            report: end.report,
         };
-        if tokio::time::timeout(DRAIN, rest).await == Ok(true) {
-            self.pool.put(peer, conn, self.bounds.rest);
+        // The channel is closed only once the node has ended, and then nobody counts attempts.
+        let _ = self.dispatcher.send(message).await;
+        if let Some(connection) = end.connection {
+            self.drain_and_release(address, connection).await;
         }
     }
 
-    async fn exchange(
-        &self,
-        job: AttemptRequest,
-    ) -> (AttemptOutcome, Option<LoadReport>, Option<Conn>) {
-        let mut conn = match self.pool.get(job.peer).await {
-            Ok(conn) => conn,
-            Err(NoConn::Failed) => return (AttemptOutcome::ConnectFailed, None, None),
-            // Not the replica's fault: nothing may be held against it.
-            Err(NoConn::Exhausted) => return (AttemptOutcome::NotSent, None, None),
+    /// Reads a response to its end, whatever it holds, and releases its connection.
+    async fn drain_and_release(&self, address: ReplicaAddress, mut connection: ReplicaConnection) {
+        let drained = tokio::time::timeout(DRAIN_TIMEOUT, read_to_end(&mut connection)).await;
+        if drained == Ok(true) {
+            self.pool
+                .release(address, connection, self.limits.reuse_delay);
+        }
+    }
+
+    /// Sends the request and passes the response on until it ends.
+    async fn send_and_forward(&self, attempt: AttemptRequest) -> AttemptEnd {
+        let mut connection = match self.pool.acquire(attempt.address).await {
+            Ok(connection) => connection,
+            Err(ConnectError::Unreachable) => {
+                return AttemptEnd::without_connection(AttemptOutcome::ConnectFailed);
+            }
+            // It is not the replica's fault: nothing may be held against it.
+            Err(ConnectError::Exhausted) => {
+                return AttemptEnd::without_connection(AttemptOutcome::NotSent);
+            }
         };
         // Nothing is awaited between this and the first write.
-        job.has_begun.set(true);
-        let head = request::attempt_head(&job.payload.head, job.timeout);
-        if write(&mut conn, head, job.payload.body.clone())
-            .await
-            .is_err()
-        {
+        attempt.has_begun.set(true);
+        let head = request::attempt_head(&attempt.payload.head, attempt.timeout);
+        let body = attempt.payload.body.clone();
+        if write_request(&mut connection, head, body).await.is_err() {
             // Before its last byte is written a request can't have run.
-            return (AttemptOutcome::ConnectFailed, None, None);
+            return AttemptEnd::without_connection(AttemptOutcome::ConnectFailed);
         }
-        self.written.set(self.written.get() + 1);
-        if let Some(group) = job.cross_zone_group {
-            self.cross_zone_traffic
-                .borrow_mut()
-                .record(self.clock.reading().unix_us, group);
+        self.count_sent(attempt.cross_zone_group);
+        self.forward_response(&attempt, connection).await
+    }
+
+    fn count_sent(&self, cross_zone_group: Option<RequestGroup>) {
+        self.sent_count.set(self.sent_count.get() + 1);
+        if let Some(group) = cross_zone_group {
+            let unix_us = self.clock.reading().unix_us;
+            self.cross_zone_traffic.borrow_mut().record(unix_us, group);
         }
-        let mut answer = Answer::new(self.boot.clone());
+    }
+
+    /// Reads the response part by part and passes it on.
+    async fn forward_response(
+        &self,
+        attempt: &AttemptRequest,
+        mut connection: ReplicaConnection,
+    ) -> AttemptEnd {
+        let mut forwarder = ResponseForwarder::new(self, attempt);
         let mut steps = Vec::new();
-        let mut keep = false;
-        let mut to_client = None;
-        let mut live: Option<Live> = None;
         loop {
-            let next = conn.wire.next();
-            let silence = live.as_ref().and_then(Live::patience);
-            let part = match silence {
-                Some(silence) => {
-                    match tokio::time::timeout(Duration::from_micros(silence), next).await {
-                        Ok(part) => part,
-                        // A replica that vanished leaves its connections open and quiet: its client must
-                        // not be left waiting with it.
-                        Err(_) => {
-                            live.iter().for_each(|l| l.gave_up(silence));
-                            return (AttemptOutcome::TimedOut, None, None);
-                        }
+            match forwarder.read(&mut connection).await {
+                ReplicaInput::Part(part) => forwarder.take_part(part, &mut steps),
+                ReplicaInput::Broken => forwarder.answer.broke(&mut steps),
+                // A replica that has vanished leaves its connections open and quiet: its client must not be left waiting.
+                ReplicaInput::Stalled { silence_us } => {
+                    if let Some(stream) = &forwarder.stream {
+                        stream.abandon(silence_us);
                     }
+                    return AttemptEnd::without_connection(AttemptOutcome::TimedOut);
                 }
-                None => next.await,
-            };
-            match part {
-                Some(Ok(part)) => {
-                    live.iter().for_each(Live::event);
-                    if let Part::Head(head) = &part {
-                        keep = head.keep;
-                        let (request, attempt, from) = (job.request, job.attempt, job.peer.1);
-                        tracing::debug!(%request, attempt, %from, start = ?head.start, "answer begins");
-                    }
-                    answer.feed(part, &mut steps);
-                }
-                Some(Err(_)) | None => answer.broke(&mut steps),
             }
             for step in steps.drain(..) {
                 match step {
-                    Step::First(content_type) => {
-                        let (sender, body) = mpsc::channel(PIECES);
-                        to_client = Some(sender);
-                        let (request, attempt) = (job.request, job.attempt);
-                        let replica = job.peer.0;
-                        live = Some(self.streams.begin(replica, job.inter_token_objective));
-                        let first = DispatcherMessage::StreamStarted(StartedStream {
-                            request,
-                            attempt,
-                            content_type,
-                            replica,
-                            chunks: body,
-                        });
-                        let _ = self.tell.send(first).await;
-                    }
-                    Step::Pass(bytes) => {
-                        let Some(sender) = &to_client else { continue };
-                        if let Err(TrySendError::Full(piece)) =
-                            sender.try_send(StreamChunk::Bytes(bytes))
-                        {
-                            // The reader does not keep up: the silence that follows is not the replica's.
-                            live.iter().for_each(Live::reader_waits);
-                            let _ = sender.send(piece).await;
-                            live.iter().for_each(Live::reader_took);
-                        }
-                    }
+                    Step::First(content_type) => forwarder.start_stream(content_type).await,
+                    Step::Pass(bytes) => forwarder.pass_on(bytes).await,
                     Step::Done(outcome, report) => {
-                        if let (Some(sender), AttemptOutcome::Completed) = (&to_client, outcome) {
-                            let _ = sender.send(StreamChunk::End).await;
-                        }
-                        let broken = matches!(outcome, AttemptOutcome::ConnectionReset);
-                        if broken || outcome == AttemptOutcome::Completed {
-                            live.iter().for_each(|l| l.ended(!broken));
-                        }
-                        return (outcome, report, Some(conn).filter(|_| keep && !broken));
+                        let can_reuse = forwarder.finish(outcome).await;
+                        return AttemptEnd {
+                            outcome,
+                            report,
+                            connection: Some(connection).filter(|_| can_reuse),
+                        };
                     }
                 }
             }
         }
     }
+}
 
-    /// Asks a replica for its load, or for its health where there are no reports.
-    pub async fn probe(self, replica: ReplicaId, addr: Option<SocketAddr>) {
-        let (outcome, report) = match addr {
-            None => (AttemptOutcome::ConnectFailed, None),
-            Some(addr) => tokio::time::timeout(self.bounds.probe, self.ask((replica, addr)))
-                .await
-                .unwrap_or((AttemptOutcome::TimedOut, None)),
-        };
-        let _ = self
-            .tell
-            .send(DispatcherMessage::ProbeEnded {
-                replica,
-                outcome,
-                report,
-            })
-            .await;
+/// What a replica's connection gives next.
+enum ReplicaInput {
+    /// A part of the response.
+    Part(Part),
+    /// The connection has ended or failed, or its bytes can't be read.
+    Broken,
+    /// Nothing has come for longer than a stream of this replica may be silent.
+    Stalled { silence_us: DurationMicros },
+}
+
+/// Passes the response of one attempt on to the client.
+struct ResponseForwarder<'a> {
+    client: &'a ReplicaClient,
+    attempt: &'a AttemptRequest,
+    answer: Answer,
+    /// Whether the replica keeps the connection open after the response.
+    keeps_connection: bool,
+    /// Where chunks go, once the first token has come.
+    chunks: Option<mpsc::Sender<StreamChunk>>,
+    /// The stream as the monitor follows it, once the first token has come.
+    stream: Option<MonitoredStream>,
+}
+
+impl<'a> ResponseForwarder<'a> {
+    fn new(client: &'a ReplicaClient, attempt: &'a AttemptRequest) -> Self {
+        ResponseForwarder {
+            client,
+            attempt,
+            answer: Answer::new(client.site.clone()),
+            keeps_connection: false,
+            chunks: None,
+            stream: None,
+        }
     }
 
-    async fn ask(&self, peer: Peer) -> (AttemptOutcome, Option<LoadReport>) {
-        let Ok(mut conn) = self.pool.get(peer).await else {
-            return (AttemptOutcome::ConnectFailed, None);
-        };
-        let target = if self.boot.names.report_fields.is_empty() {
-            "/healthz"
-        } else {
-            "/load"
+    /// Reads what comes next, for as long as the stream may be silent. Cancel-safe: the codec keeps what it has read.
+    async fn read(&self, connection: &mut ReplicaConnection) -> ReplicaInput {
+        let next = connection.http_mut().next();
+        let silence_limit = self
+            .stream
+            .as_ref()
+            .and_then(MonitoredStream::time_to_stall);
+        let part = match silence_limit {
+            None => next.await,
+            Some(silence_us) => {
+                let limit = Duration::from_micros(silence_us);
+                match tokio::time::timeout(limit, next).await {
+                    Ok(part) => part,
+                    Err(_) => return ReplicaInput::Stalled { silence_us },
+                }
+            }
         };
-        if write(
-            &mut conn,
-            request::get(target, &peer.1.to_string()),
-            Bytes::new(),
-        )
-        .await
-        .is_err()
-        {
-            return (AttemptOutcome::ConnectFailed, None);
+        match part {
+            Some(Ok(part)) => ReplicaInput::Part(part),
+            Some(Err(_)) | None => ReplicaInput::Broken,
         }
-        let (mut status, mut keep, mut body) = (0, false, Vec::new());
-        loop {
-            match conn.wire.next().await {
-                Some(Ok(Part::Head(head))) => {
-                    keep = head.keep;
-                    status = if let Start::Status(status) = head.start {
-                        status
-                    } else {
-                        0
-                    };
-                }
-                Some(Ok(Part::Body(bytes))) if body.len() < PIECE => body.extend_from_slice(&bytes),
-                Some(Ok(Part::Body(_))) => return (AttemptOutcome::ServerError, None),
-                Some(Ok(Part::End)) => break,
-                _ => return (AttemptOutcome::ConnectionReset, None),
+    }
+
+    /// Notes a part of the response and appends what follows from it.
+    fn take_part(&mut self, part: Part, steps: &mut Vec<Step>) {
+        if let Some(stream) = &self.stream {
+            stream.record_event();
+        }
+        if let Part::Head(head) = &part {
+            self.keeps_connection = head.keep;
+            let AttemptRequest {
+                request, attempt, ..
+            } = self.attempt;
+            let from = self.attempt.address.addr;
+            tracing::debug!(%request, attempt, %from, start = ?head.start, "answer begins");
+        }
+        self.answer.feed(part, steps);
+    }
+
+    /// Offers the stream to the dispatcher: its first token has come.
+    async fn start_stream(&mut self, content_type: String) {
+        let (chunk_sender, chunks) = mpsc::channel(STREAM_CHANNEL_CAPACITY);
+        self.chunks = Some(chunk_sender);
+        let replica = self.attempt.address.replica;
+        let objective = self.attempt.inter_token_objective;
+        self.stream = Some(self.client.stream_monitor.begin_stream(replica, objective));
+        let started = DispatcherMessage::StreamStarted(StartedStream {
+            request: self.attempt.request,
+            attempt: self.attempt.attempt,
+            content_type,
+            replica,
+            chunks,
+        });
+        // The channel is closed only once the node has ended, and then nobody waits for the stream.
+        let _ = self.client.dispatcher.send(started).await;
+    }
+
+    /// Passes bytes on. Where the client does not keep up, the silence that follows is not the replica's.
+    async fn pass_on(&self, bytes: Bytes) {
+        let Some(chunks) = &self.chunks else {
+            return;
+        };
+        if let Err(TrySendError::Full(chunk)) = chunks.try_send(StreamChunk::Bytes(bytes)) {
+            if let Some(stream) = &self.stream {
+                stream.client_blocked();
+            }
+            // A client that has disconnected takes nothing more; the dispatcher aborts this attempt.
+            let _ = chunks.send(chunk).await;
+            if let Some(stream) = &self.stream {
+                stream.client_resumed();
             }
         }
-        if keep {
-            self.pool.put(peer, conn, Duration::ZERO);
+    }
+
+    /// Ends the stream as the attempt has ended, and tells whether the connection can be used again.
+    async fn finish(&self, outcome: AttemptOutcome) -> bool {
+        let is_complete = outcome == AttemptOutcome::Completed;
+        let is_broken = outcome == AttemptOutcome::ConnectionReset;
+        if let (Some(chunks), true) = (&self.chunks, is_complete) {
+            // A client that has disconnected does not need the end.
+            let _ = chunks.send(StreamChunk::End).await;
+        }
+        if let Some(stream) = &self.stream {
+            if is_complete || is_broken {
+                stream.end(is_complete);
+            }
         }
-        let load = std::str::from_utf8(&body)
-            .ok()
-            .and_then(|text| report(text, &self.boot));
-        (probed(status), load)
+        self.keeps_connection && !is_broken
+    }
+}
+
+/// Reads a response to its end; false where the connection ends before.
+async fn read_to_end(connection: &mut ReplicaConnection) -> bool {
+    while !connection.http().codec().idle() {
+        let Some(Ok(_)) = connection.http_mut().next().await else {
+            return false;
+        };
     }
+    true
 }
 
-/// Writes a request; an error means that its last byte was not written.
-async fn write(
-    conn: &mut Conn,
+/// Writes a request. An error means that its last byte was not written.
+pub(super) async fn write_request(
+    connection: &mut ReplicaConnection,
     head: Bytes,
     mut body: Bytes,
-) -> Result<(), crate::protocol::http::Fault> {
-    conn.wire.feed(Out::Raw(head)).await?;
+) -> Result<(), Fault> {
+    let http = connection.http_mut();
+    http.feed(Out::Raw(head)).await?;
     while body.has_remaining() {
-        conn.wire
-            .feed(Out::Raw(body.split_to(body.len().min(PIECE))))
-            .await?;
+        let piece = body.split_to(body.len().min(WRITE_SIZE_BYTES));
+        http.feed(Out::Raw(piece)).await?;
     }
-    conn.wire.flush().await
+    http.flush().await
 }
--- /dev/null
+++ b/src/transport/replica/probes.rs
@@ -0,0 +1,127 @@
+//! Probes: a replica is asked for its load, or for its health at sites without load reports.
+//!
+//! The dispatcher starts a task with [`ReplicaClient::run_probe`] for each probe that the router wants. The task owns its
+//! connection; dropping it closes the connection.
+
+use super::attempts::{write_request, ReplicaClient};
+use super::pool::{ReplicaAddress, ReplicaConnection};
+use crate::protocol::http::{Part, Start};
+use crate::protocol::report::{probed, report};
+use crate::protocol::request;
+use crate::transport::messages::DispatcherMessage;
+use bytes::Bytes;
+use futures_util::StreamExt;
+use poppykeel_scheduler::interface::{AttemptOutcome, LoadReport, ReplicaId};
+use std::net::SocketAddr;
+use std::time::Duration;
+
+/// A response whose body goes on once it has this many bytes is an error of the replica.
+const MAX_RESPONSE_BYTES: usize = 16 * 1024;
+/// Where a replica tells its load.
+const LOAD_PATH: &str = "/load";
+/// Where a replica tells its health, at sites without load reports.
+const HEALTH_PATH: &str = "/healthz";
+
+/// How a probe ended.
+struct ProbeEnd {
+    outcome: AttemptOutcome,
+    report: Option<LoadReport>,
+}
+
+impl ProbeEnd {
+    fn without_report(outcome: AttemptOutcome) -> ProbeEnd {
+        ProbeEnd {
+            outcome,
+            report: None,
+        }
+    }
+}
+
+/// A complete response to a probe.
+struct ProbeResponse {
+    status: u16,
+    keeps_connection: bool,
+    body: Vec<u8>,
+}
+
+impl ReplicaClient {
+    /// Probes a replica and tells the dispatcher how that ended. A replica without an address can't be reached.
+    pub async fn run_probe(self, replica: ReplicaId, addr: Option<SocketAddr>) {
+        let end = match addr {
+            None => ProbeEnd::without_report(AttemptOutcome::ConnectFailed),
+            Some(addr) => {
+                let probe = self.probe(ReplicaAddress { replica, addr });
+                tokio::time::timeout(self.limits.probe_timeout, probe)
+                    .await
+                    .unwrap_or_else(|_| ProbeEnd::without_report(AttemptOutcome::TimedOut))
+            }
+        };
+        let message = DispatcherMessage::ProbeEnded {
+            replica,
+            outcome: end.outcome,
+            report: end.report,
+        };
+        // The channel is closed only once the node has ended, and then nobody needs the probe.
+        let _ = self.dispatcher.send(message).await;
+    }
+
+    async fn probe(&self, address: ReplicaAddress) -> ProbeEnd {
+        let Ok(mut connection) = self.pool.acquire(address).await else {
+            return ProbeEnd::without_report(AttemptOutcome::ConnectFailed);
+        };
+        let path = if self.site.names.report_fields.is_empty() {
+            HEALTH_PATH
+        } else {
+            LOAD_PATH
+        };
+        let head = request::get(path, &address.addr.to_string());
+        if write_request(&mut connection, head, Bytes::new())
+            .await
+            .is_err()
+        {
+            return ProbeEnd::without_report(AttemptOutcome::ConnectFailed);
+        }
+        let response = match read_response(&mut connection).await {
+            Ok(response) => response,
+            Err(outcome) => return ProbeEnd::without_report(outcome),
+        };
+        if response.keeps_connection {
+            self.pool.release(address, connection, Duration::ZERO);
+        }
+        let text = std::str::from_utf8(&response.body).ok();
+        ProbeEnd {
+            outcome: probed(response.status),
+            report: text.and_then(|text| report(text, &self.site)),
+        }
+    }
+}
+
+/// Reads the response to a probe; an error is the outcome of a probe without a complete response.
+async fn read_response(
+    connection: &mut ReplicaConnection,
+) -> Result<ProbeResponse, AttemptOutcome> {
+    let mut response = ProbeResponse {
+        status: 0,
+        keeps_connection: false,
+        body: Vec::new(),
+    };
+    loop {
+        match connection.http_mut().next().await {
+            Some(Ok(Part::Head(head))) => {
+                response.keeps_connection = head.keep;
+                response.status = match head.start {
+                    Start::Status(status) => status,
+                    Start::Request { .. } => 0,
+                };
+            }
+            Some(Ok(Part::Body(bytes))) => {
+                if response.body.len() >= MAX_RESPONSE_BYTES {
+                    return Err(AttemptOutcome::ServerError);
+                }
+                response.body.extend_from_slice(&bytes);
+            }
+            Some(Ok(Part::End)) => return Ok(response),
+            Some(Err(_)) | None => return Err(AttemptOutcome::ConnectionReset),
+        }
+    }
+}
--- a/src/transport/replica/stream_monitor.rs
+++ b/src/transport/replica/stream_monitor.rs
@@ -1,289 +1,375 @@
-//! What all streams of a node share: how long a silence may last at each replica, the budgets of continuing, and
-//! counts. What follows from them is decided by `poppykeel_stream_recovery`.
-
-#![expect(clippy::min_ident_chars, reason = "not yet converted")]
+//! Follows all streams of a node: how long a silence may last at each replica, the budgets of continuing streams, and the
+//! counters that the log shows. What follows from a silence or a break is decided by `poppykeel_stream_recovery`.
+//!
+//! [`attempts`](super::attempts) begins a stream here and reports its events; [`stream_recovery`](super::stream_recovery)
+//! takes continuations from the budgets; the dispatcher writes the summary to the log; `program::serve` sets the settings.
 
+use crate::routing::{DurationMicros, MonotonicMicros};
 use crate::transport::clock::Clock;
 use poppykeel_scheduler::interface::ReplicaId;
 use poppykeel_stream_recovery::{
-    ContinuationBudget, ContinuationLimits, GapHistogram, Micros, StallDetector, StallLimits,
-    StreamState,
+    ContinuationBudget, ContinuationLimits, GapHistogram, StallDetector, StallLimits, StreamState,
 };
 use std::cell::{Cell, RefCell};
+use std::cmp::Reverse;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Replicas whose gaps are kept in mind.
-const MOST_REPLICAS: usize = 4096;
-/// Replicas that the log tells of one by one, those with the longest gaps first.
-const MOST_LOGGED: usize = 32;
+/// Replicas whose gaps between events are remembered.
+const MAX_REPLICAS: usize = 4096;
+/// Replicas that the log shows one by one, those with the longest gaps first.
+const MAX_LOGGED_REPLICAS: usize = 32;
+/// The quantile of gaps by which replicas are ordered in the log.
+const LOG_ORDER_QUANTILE: f64 = 0.98;
+
+const MICROS_PER_MILLI: u64 = 1000;
 
-/// What the operators set for streams.
+/// The operators' settings of streams.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Settings {
-    /// Bounds of the rule for stalls.
-    pub limits: StallLimits,
-    /// Whether streams are continued, and the budget for it; of none, answers pass unchanged from one server.
-    pub continues: Option<Continues>,
+pub struct StreamSettings {
+    /// How long a silence may last.
+    pub stall_limits: StallLimits,
+    /// How streams are continued; without it responses pass unchanged from one replica.
+    pub continuation: Option<ContinuationSettings>,
 }
 
-/// How streams are continued.
+/// How streams are continued on another replica.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Continues {
-    /// The budget of all.
-    pub budget: ContinuationLimits,
-    /// Of a replica's streams at most this part is continued elsewhere.
-    pub replica_share: f64,
+pub struct ContinuationSettings {
+    /// The budget of all streams together.
+    pub limits: ContinuationLimits,
+    /// At most this share of one replica's streams is continued elsewhere.
+    pub max_replica_share: f64,
     /// A continuation must have begun within this time.
-    pub wait: Duration,
+    pub max_wait: Duration,
 }
 
-/// How streams have ended, for the log.
+/// How streams have ended since the start, for the log.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Counts {
-    /// Ended whole by a replica, beginnings and rests counted alike.
+pub struct StreamCounters {
+    /// Streams that a replica ended completely; a stream and its continuation count as two.
     pub whole: u64,
-    /// Given up in the middle of a silence.
+    /// Streams that were abandoned in the middle of a silence.
     pub stalled: u64,
-    /// Broken by their replica.
+    /// Streams that their replica broke.
     pub broken: u64,
-    /// Continued on another replica.
+    /// Streams that were continued on another replica.
     pub continued: u64,
-    /// Whole after that.
+    /// Streams that were complete after that.
     pub saved: u64,
-    /// Whole but for their framing, which was written.
+    /// Streams that were complete but for their closing events, which the node wrote.
     pub completed: u64,
-    /// Ended with a failure that the client was told of.
+    /// Streams that ended with an error event to the client.
     pub failed: u64,
-    /// Bytes of replicas that may no longer write, dropped.
+    /// Bytes that were dropped, since their replica may no longer write to the stream.
     pub dropped: u64,
 }
 
+/// The streams of one replica.
 #[derive(Default)]
-struct Replica {
+struct ReplicaStreams {
     gaps: GapHistogram,
     budget: ContinuationBudget,
-    /// Streams begun, whole, stalled and broken.
-    begun: u64,
-    ends: [u64; 3],
+    begun_count: u64,
+    whole_count: u64,
+    stalled_count: u64,
+    broken_count: u64,
 }
 
-/// A stream under way, from its first event on; dropping it ends it.
-pub struct Live {
-    streams: Rc<Streams>,
-    number: u64,
+/// The stall detector of a stream, which its own task and the log share.
+type SharedStallDetector = Rc<RefCell<StallDetector>>;
+
+/// A stream that has begun and not ended.
+struct ActiveStream {
     replica: ReplicaId,
-    health: Fare,
+    detector: SharedStallDetector,
+}
+
+/// How the active streams of one replica stand, for the log.
+#[derive(Clone, Copy, Default)]
+struct ActiveStreamStates {
+    flowing: usize,
+    slow: usize,
+    stalled: usize,
+    client_slow: usize,
+}
+
+impl ActiveStreamStates {
+    fn add(&mut self, state: StreamState) {
+        match state {
+            StreamState::Flowing | StreamState::Broken | StreamState::Completed => {
+                self.flowing += 1;
+            }
+            StreamState::Slow => self.slow += 1,
+            StreamState::Stalled => self.stalled += 1,
+            StreamState::ClientSlow => self.client_slow += 1,
+        }
+    }
 }
 
-/// How a stream fares, for its own driver and for the log.
-type Fare = Rc<RefCell<StallDetector>>;
+/// A stream from its first event on. Dropping it removes it from the active streams.
+pub struct MonitoredStream {
+    monitor: Rc<StreamMonitor>,
+    number: u64,
+    replica: ReplicaId,
+    detector: SharedStallDetector,
+}
 
-impl Live {
-    /// Something of it has come.
-    pub fn event(&self) {
-        let gap = self.health.borrow_mut().record_event(self.streams.now());
+impl MonitoredStream {
+    /// Notes that bytes of the stream have come.
+    pub fn record_event(&self) {
+        let gap = self.detector.borrow_mut().record_event(self.monitor.now());
         if let Some(gap) = gap {
-            self.streams.at(self.replica, |r| r.gaps.record(gap));
+            self.monitor
+                .with_replica(self.replica, |streams| streams.gaps.record(gap));
         }
     }
 
-    /// The time until it is stalled, if nothing comes, in microseconds; none while silence does not count.
-    pub fn patience(&self) -> Option<Micros> {
-        self.health
-            .borrow()
-            .stall_deadline()
-            .map(|due| due.saturating_sub(self.streams.now()))
+    /// The time after which the stream is stalled if nothing comes; `None` while silence does not count.
+    pub fn time_to_stall(&self) -> Option<DurationMicros> {
+        let deadline = self.detector.borrow().stall_deadline();
+        deadline.map(|deadline| deadline.saturating_sub(self.monitor.now()))
     }
 
-    /// The reader takes nothing: from here on silence is the node's own.
-    pub fn reader_waits(&self) {
-        self.health.borrow_mut().client_blocked(self.streams.now());
+    /// Notes that the client takes nothing: from here on silence is not the replica's.
+    pub fn client_blocked(&self) {
+        let now = self.monitor.now();
+        self.detector.borrow_mut().client_blocked(now);
     }
 
-    /// The reader has taken what there was.
-    pub fn reader_took(&self) {
-        self.health.borrow_mut().client_resumed(self.streams.now());
+    /// Notes that the client has taken what there was.
+    pub fn client_resumed(&self) {
+        let now = self.monitor.now();
+        self.detector.borrow_mut().client_resumed(now);
     }
 
-    /// It is given up after this silence.
-    pub fn gave_up(&self, silence: Micros) {
-        self.streams.at(self.replica, |r| {
-            (r.gaps.record_abandoned(silence), r.ends[1] += 1)
+    /// Notes that the stream is abandoned after this silence.
+    pub fn abandon(&self, silence_us: DurationMicros) {
+        self.monitor.with_replica(self.replica, |streams| {
+            streams.gaps.record_abandoned(silence_us);
+            streams.stalled_count += 1;
         });
-        self.streams.count(|c| c.stalled += 1);
+        self.monitor
+            .update_counters(|counters| counters.stalled += 1);
     }
 
-    /// Its replica has ended it, whole or not.
-    pub fn ended(&self, whole: bool) {
-        self.health.borrow_mut().record_end(whole);
-        self.streams
-            .at(self.replica, |r| r.ends[if whole { 0 } else { 2 }] += 1);
-        self.streams
-            .count(|c| if whole { c.whole += 1 } else { c.broken += 1 });
+    /// Notes that the replica has ended the stream, complete or not.
+    pub fn end(&self, is_complete: bool) {
+        self.detector.borrow_mut().record_end(is_complete);
+        self.monitor.with_replica(self.replica, |streams| {
+            if is_complete {
+                streams.whole_count += 1;
+            } else {
+                streams.broken_count += 1;
+            }
+        });
+        self.monitor.update_counters(|counters| {
+            if is_complete {
+                counters.whole += 1;
+            } else {
+                counters.broken += 1;
+            }
+        });
     }
 }
 
-impl Drop for Live {
+impl Drop for MonitoredStream {
     fn drop(&mut self) {
-        self.streams.live.borrow_mut().remove(&self.number);
+        self.monitor.active.borrow_mut().remove(&self.number);
     }
 }
 
-/// The streams of one node.
-pub struct Streams {
+/// Follows the streams of one node.
+pub struct StreamMonitor {
     clock: Clock,
-    settings: Cell<Settings>,
-    replicas: RefCell<BTreeMap<ReplicaId, Replica>>,
+    settings: Cell<StreamSettings>,
+    replicas: RefCell<BTreeMap<ReplicaId, ReplicaStreams>>,
     budget: RefCell<ContinuationBudget>,
-    counts: Cell<Counts>,
-    /// What is under way; as many as there are attempts.
-    live: RefCell<BTreeMap<u64, (ReplicaId, Fare)>>,
-    next: Cell<u64>,
+    counters: Cell<StreamCounters>,
+    /// The active streams by number; no more than there are attempts.
+    active: RefCell<BTreeMap<u64, ActiveStream>>,
+    next_number: Cell<u64>,
 }
 
-impl Streams {
-    /// No stream yet.
-    pub fn new(clock: Clock, settings: Settings) -> Self {
-        let (replicas, budget, counts, live, next) = Default::default();
-        Streams {
+impl StreamMonitor {
+    /// A monitor that has seen no stream yet.
+    pub fn new(clock: Clock, settings: StreamSettings) -> Self {
+        StreamMonitor {
             clock,
             settings: Cell::new(settings),
-            replicas,
-            budget,
-            counts,
-            live,
-            next,
+            replicas: RefCell::default(),
+            budget: RefCell::default(),
+            counters: Cell::default(),
+            active: RefCell::default(),
+            next_number: Cell::default(),
         }
     }
 
-    /// Takes other settings, for streams from now on.
-    pub fn set(&self, settings: Settings) {
+    /// Takes other settings, for streams that begin from now on.
+    pub fn set_settings(&self, settings: StreamSettings) {
         self.settings.set(settings);
     }
 
     /// The settings in force.
-    pub fn settings(&self) -> Settings {
+    pub fn settings(&self) -> StreamSettings {
         self.settings.get()
     }
 
     /// How streams have ended so far.
-    pub fn counts(&self) -> Counts {
-        self.counts.get()
+    pub fn counters(&self) -> StreamCounters {
+        self.counters.get()
     }
 
-    /// Counts something.
-    pub fn count(&self, what: impl FnOnce(&mut Counts)) {
-        let mut counts = self.counts.get();
-        what(&mut counts);
-        self.counts.set(counts);
+    /// Changes the counters.
+    pub fn update_counters(&self, update: impl FnOnce(&mut StreamCounters)) {
+        let mut counters = self.counters.get();
+        update(&mut counters);
+        self.counters.set(counters);
     }
 
-    /// The time now.
-    pub fn now(&self) -> Micros {
+    fn now(&self) -> MonotonicMicros {
         self.clock.now()
     }
 
-    fn at<T>(&self, replica: ReplicaId, act: impl FnOnce(&mut Replica) -> T) -> T {
+    /// Reads or changes what is remembered of a replica. Where there is no room for one more, the replica of the lowest id
+    /// is forgotten.
+    fn with_replica<T>(
+        &self,
+        replica: ReplicaId,
+        action: impl FnOnce(&mut ReplicaStreams) -> T,
+    ) -> T {
         let mut replicas = self.replicas.borrow_mut();
-        if replicas.len() >= MOST_REPLICAS && !replicas.contains_key(&replica) {
+        if replicas.len() >= MAX_REPLICAS && !replicas.contains_key(&replica) {
             replicas.pop_first();
         }
-        act(replicas.entry(replica).or_default())
+        action(replicas.entry(replica).or_default())
     }
 
-    /// A stream of a replica begins; `token_aim` in microseconds.
-    pub fn begin(self: &Rc<Self>, replica: ReplicaId, token_aim: Option<Micros>) -> Live {
-        let (now, settings) = (self.now(), self.settings());
-        if let Some(continues) = &settings.continues {
+    /// Begins a stream of a replica; the objective is that of its class for the time between two tokens.
+    pub fn begin_stream(
+        self: &Rc<Self>,
+        replica: ReplicaId,
+        inter_token_objective: Option<DurationMicros>,
+    ) -> MonitoredStream {
+        let now = self.now();
+        let settings = self.settings();
+        if let Some(continuation) = &settings.continuation {
             self.budget
                 .borrow_mut()
-                .record_stream(now, &continues.budget);
-            self.at(replica, |r| r.budget.record_stream(now, &continues.budget));
+                .record_stream(now, &continuation.limits);
+            self.with_replica(replica, |streams| {
+                streams.budget.record_stream(now, &continuation.limits);
+            });
         }
-        let health = self.at(replica, |r| {
-            r.begun += 1;
-            StallDetector::new(
-                now,
-                r.gaps.silence_limit(token_aim, &settings.limits),
-                r.gaps.long_gap(),
-            )
+        let detector = self.with_replica(replica, |streams| {
+            streams.begun_count += 1;
+            let silence_limit = streams
+                .gaps
+                .silence_limit(inter_token_objective, &settings.stall_limits);
+            StallDetector::new(now, silence_limit, streams.gaps.long_gap())
         });
-        let (health, number) = (Rc::new(RefCell::new(health)), self.next.get());
-        self.next.set(number + 1);
-        self.live
-            .borrow_mut()
-            .insert(number, (replica, health.clone()));
-        Live {
-            streams: self.clone(),
+        let detector = Rc::new(RefCell::new(detector));
+        let number = self.next_number.get();
+        self.next_number.set(number + 1);
+        let active = ActiveStream {
+            replica,
+            detector: detector.clone(),
+        };
+        self.active.borrow_mut().insert(number, active);
+        MonitoredStream {
+            monitor: self.clone(),
             number,
             replica,
-            health,
+            detector,
         }
     }
 
-    /// Takes one continuation of a stream of this replica from both budgets, where both have one left.
-    pub fn take(&self, replica: ReplicaId, continues: &Continues) -> bool {
+    /// Takes one continuation of a stream of this replica from the replica's budget and from that of all streams; false
+    /// where either has none left.
+    pub fn try_take_continuation(
+        &self,
+        replica: ReplicaId,
+        settings: &ContinuationSettings,
+    ) -> bool {
         let now = self.now();
-        let own = ContinuationLimits {
-            share: continues.replica_share,
-            ..continues.budget
+        let replica_limits = ContinuationLimits {
+            share: settings.max_replica_share,
+            ..settings.limits
         };
-        self.at(replica, |r| r.budget.try_take(now, &own))
-            && self.budget.borrow_mut().try_take(now, &continues.budget)
+        self.with_replica(replica, |streams| {
+            streams.budget.try_take(now, &replica_limits)
+        }) && self.budget.borrow_mut().try_take(now, &settings.limits)
+    }
+
+    /// Writes the counters to the log and then, for each replica, how its streams stand and the quantiles of their gaps.
+    /// `name` gives a replica's name on the endpoint list.
+    pub fn log_summary(&self, name: impl Fn(ReplicaId) -> Option<String>) {
+        let states = self.active_states();
+        self.log_counters();
+        let replicas = self.replicas.borrow();
+        let mut logged: Vec<_> = replicas
+            .iter()
+            .filter(|(_, streams)| streams.begun_count > 0)
+            .collect();
+        logged.sort_by_key(|(_, streams)| Reverse(streams.gaps.quantile(LOG_ORDER_QUANTILE)));
+        for (replica, streams) in logged.into_iter().take(MAX_LOGGED_REPLICAS) {
+            let name = name(*replica).unwrap_or_else(|| replica.0.to_string());
+            let states = states.get(replica).copied().unwrap_or_default();
+            self.log_replica(&name, streams, states);
+        }
     }
 
-    /// Writes counts, and for each replica how its streams fare and the histogram of their gaps, to the log;
-    /// `name` gives a replica's own name.
-    pub fn log(&self, name: impl Fn(ReplicaId) -> Option<String>) {
-        let (now, s) = (self.now(), self.counts());
-        let mut states: BTreeMap<ReplicaId, [usize; 4]> = BTreeMap::new();
-        for (replica, health) in self.live.borrow().values() {
-            let place = match health.borrow().state(now) {
-                StreamState::Slow => 1,
-                StreamState::Stalled => 2,
-                StreamState::ClientSlow => 3,
-                StreamState::Flowing | StreamState::Broken | StreamState::Completed => 0,
-            };
-            states.entry(*replica).or_default()[place] += 1;
+    /// How the active streams of each replica stand.
+    fn active_states(&self) -> BTreeMap<ReplicaId, ActiveStreamStates> {
+        let now = self.now();
+        let mut states: BTreeMap<ReplicaId, ActiveStreamStates> = BTreeMap::new();
+        for stream in self.active.borrow().values() {
+            let state = stream.detector.borrow().state(now);
+            states.entry(stream.replica).or_default().add(state);
         }
+        states
+    }
+
+    fn log_counters(&self) {
+        let counters = self.counters();
         tracing::info!(
-            live = self.live.borrow().len(),
-            whole = s.whole,
-            stalled = s.stalled,
-            broken = s.broken,
-            continued = s.continued,
-            saved = s.saved,
-            completed = s.completed,
-            failed = s.failed,
-            dropped = s.dropped,
+            live = self.active.borrow().len(),
+            whole = counters.whole,
+            stalled = counters.stalled,
+            broken = counters.broken,
+            continued = counters.continued,
+            saved = counters.saved,
+            completed = counters.completed,
+            failed = counters.failed,
+            dropped = counters.dropped,
             "streams"
         );
-        let replicas = self.replicas.borrow();
-        let mut told: Vec<_> = replicas.iter().filter(|(_, r)| r.begun > 0).collect();
-        told.sort_by_key(|(_, r)| std::cmp::Reverse(r.gaps.quantile(0.98)));
-        for (id, r) in told.into_iter().take(MOST_LOGGED) {
-            let [flowing, slow, stalled_now, outrun] = states.get(id).copied().unwrap_or_default();
-            let [whole, stalled, broken] = r.ends;
-            let gap = |part| r.gaps.quantile(part).map_or(0, |gap| gap / 1000);
-            tracing::info!(
-                replica = name(*id).unwrap_or_else(|| id.0.to_string()),
-                flowing,
-                slow,
-                stalled_now,
-                outrun,
-                begun = r.begun,
-                whole,
-                stalled,
-                broken,
-                gap_p50_ms = gap(0.5),
-                gap_p90_ms = gap(0.9),
-                gap_p98_ms = gap(0.98),
-                gap_most_ms = gap(1.0),
-                limit_ms = r.gaps.silence_limit(None, &self.settings().limits) / 1000,
-                "streams of a replica"
-            );
-        }
+    }
+
+    fn log_replica(&self, name: &str, streams: &ReplicaStreams, states: ActiveStreamStates) {
+        let gap_ms = |quantile| {
+            let gap = streams.gaps.quantile(quantile);
+            gap.map_or(0, |gap| gap / MICROS_PER_MILLI)
+        };
+        let stall_limits = self.settings().stall_limits;
+        let silence_limit = streams.gaps.silence_limit(None, &stall_limits);
+        tracing::info!(
+            replica = name,
+            flowing = states.flowing,
+            slow = states.slow,
+            stalled_now = states.stalled,
+            outrun = states.client_slow,
+            begun = streams.begun_count,
+            whole = streams.whole_count,
+            stalled = streams.stalled_count,
+            broken = streams.broken_count,
+            gap_p50_ms = gap_ms(0.5),
+            gap_p90_ms = gap_ms(0.9),
+            gap_p98_ms = gap_ms(0.98),
+            gap_most_ms = gap_ms(1.0),
+            limit_ms = silence_limit / MICROS_PER_MILLI,
+            "streams of a replica"
+        );
     }
 }
--- a/src/transport/socket.rs
+++ b/src/transport/socket.rs
@@ -1,77 +1,124 @@
-//! A TCP socket that takes system calls up again as Linux documents them: a call that a signal interrupts is made anew, and
-//! a read or write that moves less than it could is no sign that the kernel has nothing more.
-
-#![expect(clippy::missing_errors_doc, reason = "not yet converted")]
+//! A TCP socket that repeats system calls as Linux documents it: a call that a signal interrupts is made again, and a read or
+//! write that moves less than it could does not mean that the kernel has nothing more.
+//!
+//! All connections of clients and replicas use it. It owns the descriptor: dropping it closes the connection.
 
+use crate::protocol::request::MOST_BODY;
 use std::io::{self, ErrorKind};
 use std::mem::MaybeUninit;
 use std::pin::Pin;
 use std::task::{ready, Context, Poll};
-use tokio::io::{AsyncRead, AsyncWrite, Interest, ReadBuf, Ready};
+use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, Interest, ReadBuf, Ready};
 use tokio::net::TcpStream;
 
 /// Bytes read at once where the reader has room for more.
-const READ_SIZE: usize = 16 * 1024;
+const MAX_READ_BYTES: usize = 16 * 1024;
+/// Bytes that are read and discarded behind the last response at most.
+const MAX_DISCARDED_BYTES: usize = 2 * MOST_BODY;
+/// Bytes that are discarded at once.
+const DISCARD_BUFFER_BYTES: usize = 4096;
 
 /// A connected socket.
 #[derive(Debug)]
 pub struct Socket(TcpStream);
 
 impl From<TcpStream> for Socket {
-    /// Small writes go out at once: an event must not wait for the next.
+    /// Takes over a connection. Small writes go out at once: an event must not wait for the next one.
     fn from(stream: TcpStream) -> Socket {
+        // A connection that has ended already can fail here; its first read or write tells so.
         let _ = stream.set_nodelay(true);
         Socket(stream)
     }
 }
 
-/// Makes a system call anew for as long as signals interrupt it.
+/// Makes a system call again for as long as signals interrupt it.
+///
+/// # Errors
+///
+/// Fails with any other error of the call.
 pub fn uninterrupted<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
     loop {
         match call() {
             Err(e) if e.kind() == ErrorKind::Interrupted => {}
-            done => return done,
+            result => return result,
         }
     }
 }
 
 impl Socket {
-    /// What the kernel has for a reader: 1 where there are bytes, 0 where the other side has ended, an error of the
-    /// kind `WouldBlock` where there is nothing. The runtime may not have heard of either yet.
+    /// Asks the kernel what it has for a reader, without waiting: 1 means that there are bytes, 0 that the other side has
+    /// closed its end. The runtime may not have heard of either yet.
+    ///
+    /// # Errors
+    ///
+    /// Fails with `WouldBlock` where there is nothing to read, or with the connection's own error.
     pub fn unread(&self) -> io::Result<usize> {
         uninterrupted(|| socket2::SockRef::from(&self.0).peek(&mut [MaybeUninit::uninit()]))
     }
 
-    /// Waits until there are bytes, or the end: 0 bytes then.
+    /// Waits until there are bytes to read, and takes none. 0 means that the other side has closed its end. Cancel-safe.
+    ///
+    /// # Errors
+    ///
+    /// Fails with the connection's own error.
     pub async fn peek(&self) -> io::Result<usize> {
         let mut byte = [0];
         loop {
             match self.0.peek(&mut byte).await {
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
-                done => return done,
+                result => return result,
             }
         }
     }
 
-    /// Reads what the kernel has, without waiting.
-    pub fn try_read(&self, piece: &mut [u8]) -> io::Result<usize> {
-        uninterrupted(|| self.0.try_read(piece))
+    /// Reads what the kernel has, without waiting; 0 means that the other side has closed its end.
+    ///
+    /// # Errors
+    ///
+    /// Fails with `WouldBlock` where there is nothing to read, or with the connection's own error.
+    pub fn try_read(&self, buffer: &mut [u8]) -> io::Result<usize> {
+        uninterrupted(|| self.0.try_read(buffer))
     }
 
-    /// Waits until it is ready for this.
+    /// Waits until the socket is ready for this. Cancel-safe.
+    ///
+    /// # Errors
+    ///
+    /// Fails where the runtime is shutting down.
     pub async fn ready(&self, interest: Interest) -> io::Result<Ready> {
         self.0.ready(interest).await
     }
 
-    /// Waits until there may be something to read.
+    /// Waits until there may be something to read. Cancel-safe.
+    ///
+    /// # Errors
+    ///
+    /// Fails where the runtime is shutting down.
     pub async fn readable(&self) -> io::Result<()> {
         self.0.readable().await
     }
 
-    /// Its own address.
+    /// The socket's own address.
+    ///
+    /// # Errors
+    ///
+    /// Fails with the system's error, which a connected socket does not have.
     pub fn local_addr(&self) -> io::Result<std::net::SocketAddr> {
         self.0.local_addr()
     }
+
+    /// Reads and discards, up to a limit, until the other side has closed its end. A close over unread bytes would reset the
+    /// connection, and the other side would lose the end of the last response.
+    pub async fn discard_input(&mut self) {
+        let mut buffer = [0; DISCARD_BUFFER_BYTES];
+        let mut remaining = MAX_DISCARDED_BYTES;
+        while let Ok(length @ 1..) = self.read(&mut buffer).await {
+            remaining = remaining.saturating_sub(length);
+            if remaining == 0 {
+                return;
+            }
+        }
+    }
 }
 
 impl AsyncRead for Socket {
@@ -82,13 +129,13 @@
     ) -> Poll<io::Result<()>> {
         let stream = &self.0;
         loop {
-            // Only what the kernel itself calls empty is waited for: the runtime's own read takes a short one for the
-            // last, and no further event may ever follow it.
+            // Waits only where the kernel itself says that there is nothing: the runtime's own read takes a short read for
+            // the last one, and no further event may ever follow it.
             ready!(stream.poll_read_ready(context))?;
-            let room = buffer.remaining().min(READ_SIZE);
-            match uninterrupted(|| stream.try_read(buffer.initialize_unfilled_to(room))) {
-                Ok(length) => {
-                    buffer.advance(length);
+            let length = buffer.remaining().min(MAX_READ_BYTES);
+            match uninterrupted(|| stream.try_read(buffer.initialize_unfilled_to(length))) {
+                Ok(read) => {
+                    buffer.advance(read);
                     return Poll::Ready(Ok(()));
                 }
                 Err(e) if e.kind() == ErrorKind::WouldBlock => {}
@@ -109,7 +156,7 @@
             ready!(stream.poll_write_ready(context))?;
             match uninterrupted(|| stream.try_write(bytes)) {
                 Err(e) if e.kind() == ErrorKind::WouldBlock => {}
-                done => return Poll::Ready(done),
+                result => return Poll::Ready(result),
             }
         }
     }
--- a/tests/closes.rs
+++ b/tests/closes.rs
@@ -7,8 +7,8 @@
 mod drivers;
 
 use drivers::shared;
-use poppykeel::transport::client::connection::Client;
-use poppykeel::transport::client::registry::{Shared, ON_ITS_WAY};
+use poppykeel::transport::client::connection::ClientConnection;
+use poppykeel::transport::client::registry::{ConnectionRegistry, MIN_IDLE_BEFORE_EVICTION};
 use poppykeel::transport::messages::DispatcherMessage;
 use poppykeel::transport::node_phase::NodePhase;
 use std::future::Future;
@@ -40,11 +40,11 @@
 }
 
 /// A client and the driver of its connection.
-async fn connection(shared: Rc<Shared>) -> (std::net::TcpStream, Driver) {
+async fn connection(shared: Rc<ConnectionRegistry>) -> (std::net::TcpStream, Driver) {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
     let client = std::net::TcpStream::connect(listener.local_addr().unwrap()).unwrap();
     client.set_read_timeout(Some(PATIENCE)).unwrap();
-    let driver = Client::new(listener.accept().await.unwrap().0, shared).run();
+    let driver = ClientConnection::new(listener.accept().await.unwrap().0, shared).run();
     (client, Box::pin(driver))
 }
 
@@ -77,13 +77,13 @@
         assert!(poll_once(&mut driver).await.is_pending());
         if by_age {
             tokio::time::pause();
-            tokio::time::advance(shared.bounds.client_idle * 2).await;
+            tokio::time::advance(shared.limits().client_idle_timeout * 2).await;
         } else {
             tokio::time::pause();
-            assert!(!shared.evict(), "a request may be on its way");
-            tokio::time::advance(ON_ITS_WAY).await;
+            assert!(!shared.evict_idle(), "a request may be on its way");
+            tokio::time::advance(MIN_IDLE_BEFORE_EVICTION).await;
             tokio::time::resume();
-            assert!(shared.evict(), "the connection rests");
+            assert!(shared.evict_idle(), "the connection rests");
         }
         client.write_all(HEALTH).unwrap();
         assert!(
@@ -112,7 +112,7 @@
     let (mut client, mut driver) = connection(shared.clone()).await;
     let (done, _summed) = oneshot::channel();
     shared
-        .tell
+        .dispatcher()
         .try_send(DispatcherMessage::LogSummary(done))
         .unwrap();
     client.write_all(REQUEST).unwrap();
--- a/tests/dispatcher.rs
+++ b/tests/dispatcher.rs
@@ -15,9 +15,9 @@
 use poppykeel::transport::messages::{
     ClientRequest, ClientResponse, DispatcherMessage, RequestOwner, RequestPayload,
 };
-use poppykeel::transport::replica::attempts::Upstream;
-use poppykeel::transport::replica::pool::Pool;
-use poppykeel::transport::replica::stream_monitor::{Settings, Streams};
+use poppykeel::transport::replica::attempts::ReplicaClient;
+use poppykeel::transport::replica::pool::ConnectionPool;
+use poppykeel::transport::replica::stream_monitor::{StreamMonitor, StreamSettings};
 use poppykeel_scheduler::interface::{IncomingRequest, RequestId};
 use poppykeel_scheduler::Scheduler;
 use std::rc::Rc;
@@ -46,19 +46,17 @@
     let scheduler = Scheduler::new(site.scheduler.clone(), config.seed).unwrap();
     let watch = EndpointWatcher::new(config.discovery, bounds.clone(), sender.clone(), clock);
     let directory = EndpointDirectory::new(site.clone(), Operator::default().members());
-    let upstream = Upstream {
-        pool: Pool::new(bounds.upstream, bounds.dial, bounds.idle),
-        tell: sender.clone(),
-        boot: site,
-        bounds,
-        streams: Rc::new(Streams::new(clock, Settings::default())),
-        written: Rc::default(),
-        cross_zone_traffic: Rc::default(),
-        clock,
-    };
+    let pool = ConnectionPool::new(
+        bounds.max_replica_connections,
+        bounds.connect_timeout,
+        bounds.replica_idle_timeout,
+    );
+    let stream_monitor = Rc::new(StreamMonitor::new(clock, StreamSettings::default()));
+    let replica_client =
+        ReplicaClient::new(pool, sender.clone(), site, bounds, stream_monitor, clock);
     let known = config.known.map(EndpointListResponse::into_source_update);
     let router = RequestRouter::new(scheduler);
-    let dispatcher = Dispatcher::new(clock, router, directory, upstream, watch, known);
+    let dispatcher = Dispatcher::new(clock, router, directory, replica_client, watch, known);
     tokio::task::spawn_local(dispatcher.run(messages));
     sender
 }
--- a/tests/endpoint_watcher.rs
+++ b/tests/endpoint_watcher.rs
@@ -7,7 +7,7 @@
 use poppykeel::transport::clock::Clock;
 use poppykeel::transport::endpoints::discovery::EndpointWatcher;
 use poppykeel::transport::messages::DispatcherMessage;
-use poppykeel::transport::Bounds;
+use poppykeel::transport::TransportLimits;
 use poppykeel_endpoints::SourceUpdate;
 use std::rc::Rc;
 use std::time::Duration;
@@ -28,16 +28,16 @@
 }"#;
 
 /// The bounds of a node, with a short long poll and `slack` for the answer.
-fn bounds(slack: Duration) -> Rc<Bounds> {
+fn bounds(slack: Duration) -> Rc<TransportLimits> {
     let config = include_str!("exchanges/config.json").replace("REPLICA", "127.0.0.1:1");
     let config = Config::read(&config.replace("DISCOVERY", "127.0.0.1:2"), &[]).unwrap();
     let watch = Duration::from_millis(50);
     let retry_watch = Duration::from_millis(30);
-    Rc::new(Bounds {
-        watch,
-        watch_slack: slack,
-        retry_watch,
-        retry_slack: slack,
+    Rc::new(TransportLimits {
+        long_poll_wait: watch,
+        long_poll_slack: slack,
+        short_poll_wait: retry_watch,
+        short_poll_slack: slack,
         ..config.bounds
     })
 }
@@ -252,9 +252,9 @@
     let bounds = Config::read(&config.replace("DISCOVERY", "127.0.0.1:2"), &[])
         .unwrap()
         .bounds;
-    assert!(bounds.retry_watch + bounds.retry_slack < Duration::from_secs(6));
+    assert!(bounds.short_poll_wait + bounds.short_poll_slack < Duration::from_secs(6));
     assert!(
-        bounds.retry_slack >= Duration::from_secs(2),
+        bounds.short_poll_slack >= Duration::from_secs(2),
         "an overloaded service answers after 2 s"
     );
 }
@@ -313,7 +313,7 @@
             .replace("on_request", "pushed")
             .replace("\"drainGrace\":0.5", &format!("\"drainGrace\":{grace_s}"));
         let bounds = Config::read(&config, &[]).unwrap().bounds;
-        let poll_time = bounds.watch + bounds.watch_slack;
+        let poll_time = bounds.long_poll_wait + bounds.long_poll_slack;
         assert!(
             poll_time.as_secs_f64() <= 0.76 * grace_s,
             "{poll_time:?} of {grace_s} s"
--- a/tests/support/drivers.rs
+++ b/tests/support/drivers.rs
@@ -3,11 +3,11 @@
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 use poppykeel::program::config::Config;
-use poppykeel::transport::client::registry::Shared;
+use poppykeel::transport::client::registry::ConnectionRegistry;
 use poppykeel::transport::clock::Clock;
 use poppykeel::transport::messages::DispatcherMessage;
 use poppykeel::transport::node_phase::NodePhase;
-use poppykeel::transport::replica::stream_monitor::Streams;
+use poppykeel::transport::replica::stream_monitor::StreamMonitor;
 use std::rc::Rc;
 use tokio::sync::{mpsc, watch};
 
@@ -20,11 +20,11 @@
 /// What a client connection shares with the others, and where the core would take what it tells: one message at a time.
 pub fn shared(
     phases: watch::Receiver<NodePhase>,
-) -> (Rc<Shared>, mpsc::Receiver<DispatcherMessage>) {
+) -> (Rc<ConnectionRegistry>, mpsc::Receiver<DispatcherMessage>) {
     let config = config();
     let (tell, told) = mpsc::channel(1);
-    let streams = Rc::new(Streams::new(Clock::start(), Default::default()));
-    let shared = Shared::new(
+    let streams = Rc::new(StreamMonitor::new(Clock::start(), Default::default()));
+    let shared = ConnectionRegistry::new(
         Rc::new(config.boot),
         Rc::new(config.bounds),
         tell,
--- a/tests/transport.rs
+++ b/tests/transport.rs
@@ -13,15 +13,15 @@
 use futures_util::{SinkExt, StreamExt};
 use poppykeel::protocol::http::{Out, Part};
 use poppykeel::routing::directory::replica_id;
-use poppykeel::transport::client::connection::Client;
-use poppykeel::transport::client::listener::accept;
+use poppykeel::transport::client::connection::ClientConnection;
+use poppykeel::transport::client::listener::accept_connections;
 use poppykeel::transport::clock::Clock;
 use poppykeel::transport::messages::RequestPayload;
 use poppykeel::transport::node_phase::NodePhase;
-use poppykeel::transport::replica::attempts::{AttemptRequest, Upstream};
-use poppykeel::transport::replica::pool::Pool;
-use poppykeel::transport::replica::stream_monitor::Streams;
-use poppykeel::transport::Bounds;
+use poppykeel::transport::replica::attempts::{AttemptRequest, ReplicaClient};
+use poppykeel::transport::replica::pool::{ConnectionPool, ReplicaAddress, ReplicaConnection};
+use poppykeel::transport::replica::stream_monitor::{StreamMonitor, StreamSettings};
+use poppykeel::transport::TransportLimits;
 use poppykeel_scheduler::interface::RequestId;
 use std::io::{Read, Write};
 use std::net::TcpListener;
@@ -38,31 +38,48 @@
 #[tokio::test]
 async fn a_connection_with_bytes_left_over_or_another_replicas_is_not_used_again() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let peer = (replica_id("s-1"), listener.local_addr().unwrap());
-    let pool = Pool::new(9, MINUTE, MINUTE);
-    let mut conn = pool.get(peer).await.ok().unwrap();
+    let address = ReplicaAddress {
+        replica: replica_id("s-1"),
+        addr: listener.local_addr().unwrap(),
+    };
+    let pool = ConnectionPool::new(9, MINUTE, MINUTE);
+    let mut connection = pool.acquire(address).await.ok().unwrap();
     let mut replica = listener.accept().unwrap().0;
-    conn.wire
+    connection
+        .http_mut()
         .send(Out::Raw("GET / HTTP/1.1\r\n\r\n".into()))
         .await
         .unwrap();
     replica.write_all(ANSWER).unwrap();
-    assert!(matches!(conn.wire.next().await, Some(Ok(Part::Head(_)))));
-    assert!(matches!(conn.wire.next().await, Some(Ok(Part::End))));
-    let port = conn.wire.get_ref().local_addr().unwrap();
-    pool.put(peer, conn, Duration::ZERO);
+    assert!(matches!(
+        connection.http_mut().next().await,
+        Some(Ok(Part::Head(_)))
+    ));
+    assert!(matches!(
+        connection.http_mut().next().await,
+        Some(Ok(Part::End))
+    ));
+    let port = connection.http().get_ref().local_addr().unwrap();
+    pool.release(address, connection, Duration::ZERO);
 
     // A new replica at the old address starts with a connection of its own.
-    let other = pool.get((replica_id("s-2"), peer.1)).await.ok().unwrap();
-    assert_ne!(other.wire.get_ref().local_addr().unwrap(), port);
-    let conn = pool.get(peer).await.ok().unwrap();
-    assert_eq!(conn.wire.get_ref().local_addr().unwrap(), port);
-    pool.put(peer, conn, Duration::ZERO);
+    let other = pool
+        .acquire(ReplicaAddress {
+            replica: replica_id("s-2"),
+            ..address
+        })
+        .await
+        .ok()
+        .unwrap();
+    assert_ne!(other.http().get_ref().local_addr().unwrap(), port);
+    let connection = pool.acquire(address).await.ok().unwrap();
+    assert_eq!(connection.http().get_ref().local_addr().unwrap(), port);
+    pool.release(address, connection, Duration::ZERO);
 
     // The runtime has had no turn since these bytes came, so only the kernel knows of them.
     replica.write_all(ANSWER).unwrap();
-    let conn = pool.get(peer).await.ok().unwrap();
-    assert_ne!(conn.wire.get_ref().local_addr().unwrap(), port);
+    let connection = pool.acquire(address).await.ok().unwrap();
+    assert_ne!(connection.http().get_ref().local_addr().unwrap(), port);
 }
 
 /// Guards against the second answer of a replica that says one twice, some milliseconds later: it would be taken for
@@ -70,17 +87,18 @@
 #[tokio::test]
 async fn a_connection_rests_after_a_stream_and_is_used_again_where_nothing_came() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let peer = (replica_id("s-1"), listener.local_addr().unwrap());
-    let pool = Pool::new(9, MINUTE, 9 * MINUTE);
-    let port = |conn: &poppykeel::transport::replica::pool::Conn| {
-        conn.wire.get_ref().local_addr().unwrap()
+    let address = ReplicaAddress {
+        replica: replica_id("s-1"),
+        addr: listener.local_addr().unwrap(),
     };
+    let pool = ConnectionPool::new(9, MINUTE, 9 * MINUTE);
+    let port = |connection: &ReplicaConnection| connection.http().get_ref().local_addr().unwrap();
     for twice in [false, true] {
-        let conn = pool.get(peer).await.ok().unwrap();
-        let (rested, mut replica) = (port(&conn), listener.accept().unwrap().0);
+        let connection = pool.acquire(address).await.ok().unwrap();
+        let (rested, mut replica) = (port(&connection), listener.accept().unwrap().0);
         tokio::time::pause();
-        pool.put(peer, conn, MINUTE);
-        let next = pool.get(peer);
+        pool.release(address, connection, MINUTE);
+        let next = pool.acquire(address);
         tokio::pin!(next);
         assert!(
             tokio::time::timeout(MINUTE / 2, &mut next).await.is_err(),
@@ -101,26 +119,29 @@
 #[tokio::test]
 async fn a_connection_whose_rest_was_waited_for_in_vain_is_kept() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let peer = (replica_id("s-1"), listener.local_addr().unwrap());
-    let pool = Pool::new(9, MINUTE, 9 * MINUTE);
-    let conn = pool.get(peer).await.ok().unwrap();
+    let address = ReplicaAddress {
+        replica: replica_id("s-1"),
+        addr: listener.local_addr().unwrap(),
+    };
+    let pool = ConnectionPool::new(9, MINUTE, 9 * MINUTE);
+    let connection = pool.acquire(address).await.ok().unwrap();
     let (rested, _replica) = (
-        conn.wire.get_ref().local_addr().unwrap(),
+        connection.http().get_ref().local_addr().unwrap(),
         listener.accept().unwrap().0,
     );
     tokio::time::pause();
-    pool.put(peer, conn, MINUTE);
-    assert!(tokio::time::timeout(MINUTE / 2, pool.get(peer))
+    pool.release(address, connection, MINUTE);
+    assert!(tokio::time::timeout(MINUTE / 2, pool.acquire(address))
         .await
         .is_err());
     tokio::time::advance(MINUTE).await;
     tokio::time::resume();
     assert_eq!(
-        pool.get(peer)
+        pool.acquire(address)
             .await
             .ok()
             .unwrap()
-            .wire
+            .http()
             .get_ref()
             .local_addr()
             .unwrap(),
@@ -132,23 +153,25 @@
 #[tokio::test]
 async fn a_request_right_after_an_answer_does_not_meet_that_answer_again() {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let peer = (replica_id("s-1"), listener.local_addr().unwrap());
+    let address = ReplicaAddress {
+        replica: replica_id("s-1"),
+        addr: listener.local_addr().unwrap(),
+    };
     let config = config();
     let (tell, _told) = mpsc::channel(16);
     let clock = Clock::start();
-    let upstream = Upstream {
-        pool: Pool::new(9, MINUTE, MINUTE),
+    let limits = TransportLimits {
+        reuse_delay: MINUTE,
+        ..config.bounds
+    };
+    let replica_client = ReplicaClient::new(
+        ConnectionPool::new(9, MINUTE, MINUTE),
         tell,
-        boot: Rc::new(config.boot),
-        bounds: Rc::new(Bounds {
-            rest: MINUTE,
-            ..config.bounds
-        }),
-        streams: Rc::new(Streams::new(clock, Default::default())),
-        written: Rc::default(),
-        cross_zone_traffic: Rc::default(),
+        Rc::new(config.boot),
+        Rc::new(limits),
+        Rc::new(StreamMonitor::new(clock, StreamSettings::default())),
         clock,
-    };
+    );
     let attempt = |request| {
         let payload = RequestPayload {
             head: b"POST / HTTP/1.1\r\n".to_vec(),
@@ -158,14 +181,14 @@
         let job = AttemptRequest {
             request,
             attempt: 0,
-            peer,
+            address,
             timeout: 1,
             inter_token_objective: None,
             cross_zone_group: None,
             payload,
             has_begun: begun,
         };
-        tokio::task::spawn_local(upstream.clone().attempt(job))
+        tokio::task::spawn_local(replica_client.clone().run_attempt(job))
     };
     let test = async {
         let first = attempt(1);
@@ -207,7 +230,7 @@
         let mut new = std::net::TcpStream::connect(at).unwrap();
         new.write_all(HEALTH).unwrap();
         phase.send(NodePhase::Closing).unwrap();
-        accept(listener, shared.clone(), phases.clone()).await;
+        accept_connections(listener, shared.clone(), phases.clone()).await;
         let new = tokio::task::spawn_blocking(move || answer(&mut new))
             .await
             .unwrap();
@@ -220,7 +243,7 @@
         phase.send(NodePhase::Serving).unwrap();
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
         let mut kept = std::net::TcpStream::connect(listener.local_addr().unwrap()).unwrap();
-        let client = Client::new(listener.accept().await.unwrap().0, shared.clone());
+        let client = ClientConnection::new(listener.accept().await.unwrap().0, shared.clone());
         let client = tokio::task::spawn_local(client.run());
         kept.write_all(HEALTH).unwrap();
         let mut kept = tokio::task::spawn_blocking(move || {
@@ -247,7 +270,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_request_that_is_never_whole_ends_its_connection() {
-    let read = config().bounds.read;
+    let read = config().bounds.request_read_timeout;
     assert!(read < Duration::from_secs(3));
     let (_phase, phases) = watch::channel(NodePhase::Serving);
     let (shared, _) = shared(phases);
@@ -261,7 +284,7 @@
     ] {
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
         let mut bad = std::net::TcpStream::connect(listener.local_addr().unwrap()).unwrap();
-        let client = Client::new(listener.accept().await.unwrap().0, shared.clone());
+        let client = ClientConnection::new(listener.accept().await.unwrap().0, shared.clone());
         bad.write_all(bytes.as_bytes()).unwrap();
         // A client that trickles on gets no more time by it.
         let mut trickle = bad.try_clone().unwrap();
