--- a/src/transport/client/connection/exchange.rs
+++ b/src/transport/client/connection/exchange.rs
@@ -134,7 +134,13 @@
     }
 
     fn log_taken(&self, request: &IncomingRequest) {
-        log_lifecycle!(self, request = %request.id, nth = self.request_count, deadline_s = request.time_left, "request taken");
+        log_lifecycle!(
+            self,
+            request = %request.id,
+            nth = self.request_count,
+            deadline_s = request.time_left,
+            "request taken"
+        );
     }
 
     /// Sends the client what has come of its request.
--- a/src/transport/client/connection/mod.rs
+++ b/src/transport/client/connection/mod.rs
@@ -5,11 +5,11 @@
 //!
 //! | state | what is awaited | module |
 //! | --- | --- | --- |
-//! | idle | the next request's first byte, the end of the connection's time, an eviction | [`requests`] |
-//! | reading | the remainder of head and body, until the read deadline | [`requests`] |
-//! | waiting | the dispatcher's response, while the client stays connected | [`exchange`], [`disconnect`] |
-//! | streaming | chunks of the stream, while the client stays connected | [`streams`], [`disconnect`] |
-//! | writing | the client takes the bytes, within the write timeout | [`responses`] |
+//! | idle | the next request's first byte, the end of the connection's time, an eviction | `requests` |
+//! | reading | the remainder of head and body, until the read deadline | `requests` |
+//! | waiting | the dispatcher's response, while the client stays connected | `exchange`, `disconnect` |
+//! | streaming | chunks of the stream, while the client stays connected | `streams`, `disconnect` |
+//! | writing | the client takes the bytes, within the write timeout | `responses` |
 //! | closing | the client's end of the connection, for a short time | here |
 //!
 //! Invariants:
