--- a/tests/faults.rs
+++ b/tests/faults.rs
@@ -1,8 +1,8 @@
-//! A node whose system calls fail as Linux documents: every request still gets its whole answer, since the servers are well.
+//! A node whose system calls fail as Linux documents: every request still gets its complete response, since the replicas are
+//! healthy.
 //! The faults come from a library that is preloaded into the node's process alone.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
-#![expect(clippy::min_ident_chars, reason = "not yet converted")]
 
 #[allow(dead_code)] // each file of tests uses a part
 mod support;
@@ -17,11 +17,11 @@
 const REQUESTS: usize = 240;
 const CLIENTS: usize = 12;
 const TOKENS: usize = 12;
-/// So long after connecting a client sends its request.
-const ON_THE_WAY: Duration = Duration::from_millis(60);
+/// A client sends its request this long after connecting.
+const REQUEST_DELAY: Duration = Duration::from_millis(60);
 
-/// The library to preload, where the build has put it beside this test.
-fn shim() -> PathBuf {
+/// The library to preload, which the build puts beside this test.
+fn fault_shim() -> PathBuf {
     let program = std::env::current_exe().unwrap();
     let folder = program.parent().unwrap();
     let library = folder.join("libpoppykeel_fault_shim.so");
@@ -29,8 +29,8 @@
     library
 }
 
-/// A node with these faults, its servers, and the file of its plan.
-fn faulty(name: &str, plan: &str) -> (Node, Standin, PathBuf) {
+/// A node with these faults, its replicas, and the file of its plan.
+fn start_faulty_node(name: &str, plan: &str) -> (Node, Standin, PathBuf) {
     let servers = Standin::start(vec![
         Script {
             gap_ms: 1,
@@ -42,7 +42,7 @@
     let file = std::env::temp_dir().join(format!("faults-{name}-{}.toml", std::process::id()));
     std::fs::write(&file, plan).unwrap();
     let environment = vec![
-        ("LD_PRELOAD".to_string(), shim()),
+        ("LD_PRELOAD".to_string(), fault_shim()),
         (poppykeel_fault_shim::PLAN.to_string(), file.clone()),
     ];
     (
@@ -52,40 +52,41 @@
     )
 }
 
-/// Plays a load against a node with these faults; each request's answer has to be whole.
-fn assert_whole_under(name: &str, plan: &str) {
-    let (node, servers, file) = faulty(name, plan);
+/// Plays a load against a node with these faults; each response has to be complete.
+fn assert_complete_under(name: &str, plan: &str) {
+    let (node, servers, file) = start_faulty_node(name, plan);
     let seen = run(&node, CLIENTS, REQUESTS, TOKENS, |number| {
         format!("request {number} under {name}")
     });
-    let broken: Vec<_> = seen
+    let incomplete: Vec<_> = seen
         .iter()
-        .filter(|s| s.outcome != Outcome::Whole)
-        .map(|s| &s.outcome)
+        .filter(|seen| seen.outcome != Outcome::Whole)
+        .map(|seen| &seen.outcome)
         .collect();
     assert!(
-        broken.is_empty(),
-        "{} of {REQUESTS}: {broken:?}",
-        broken.len()
+        incomplete.is_empty(),
+        "{} of {REQUESTS}: {incomplete:?}",
+        incomplete.len()
     );
     assert_eq!(servers.records().len(), REQUESTS);
     drop(node);
+    // A file that stays behind harms nobody.
     let _ = std::fs::remove_file(file);
 }
 
 #[test]
-fn reads_and_writes_that_move_a_few_bytes_cost_no_answer() {
+fn short_reads_and_writes_lose_no_response() {
     let rule = |call| format!("[[rule]]\ncall = \"{call}\"\none_in = 3\nfault = {{ short = 3 }}\n");
-    assert_whole_under(
+    assert_complete_under(
         "short",
         &format!("seed = 1\n{}{}", rule("read"), rule("write")),
     );
 }
 
 #[test]
-fn reads_and_writes_that_signals_interrupt_cost_no_answer() {
+fn interrupted_reads_and_writes_lose_no_response() {
     let rule = |call| format!("[[rule]]\ncall = \"{call}\"\none_in = 20\nfault = \"EINTR\"\n");
-    assert_whole_under(
+    assert_complete_under(
         "interrupted",
         &format!("seed = 2\n{}{}", rule("read"), rule("write")),
     );
@@ -94,17 +95,17 @@
 /// Clients whose requests follow some milliseconds after they have connected: no failure of accept closes their connections
 /// meanwhile.
 #[test]
-fn accepts_that_fail_cost_no_request_that_is_on_its_way() {
+fn failed_accepts_lose_no_request() {
     let rule = |fault| format!("[[rule]]\ncall = \"accept\"\none_in = 12\nfault = \"{fault}\"\n");
     let rules: String = ["EINTR", "EMFILE", "ENFILE", "ENOBUFS", "ENOMEM"]
         .map(rule)
         .concat();
-    let (node, servers, file) = faulty("accept", &format!("seed = 3\n{rules}"));
+    let (node, servers, file) = start_faulty_node("accept", &format!("seed = 3\n{rules}"));
     let client = |client: usize| {
         for number in 0..REQUESTS / CLIENTS {
             let id = format!("{:016x}", client * REQUESTS + number + 1);
             let mut stream = node.connect();
-            std::thread::sleep(ON_THE_WAY);
+            std::thread::sleep(REQUEST_DELAY);
             let request = request_within(&id, "Connection: close\r\n", "{}", 10.0);
             stream.write_all(request.as_bytes()).unwrap();
             let mut answer = String::new();
@@ -122,12 +123,13 @@
     });
     assert_eq!(servers.records().len(), REQUESTS);
     drop(node);
+    // A file that stays behind harms nobody.
     let _ = std::fs::remove_file(file);
 }
 
-/// Calls that fail before a byte was sent: the request has run nowhere and goes to a server at once, whatever its class.
+/// Calls that fail before a byte was sent: the request has run nowhere and goes to a replica at once, whatever its class.
 #[test]
-fn connections_that_fail_before_a_byte_is_sent_cost_no_answer() {
+fn failed_connects_lose_no_response() {
     const ERRORS: [&str; 7] = [
         "EINTR",
         "ENOBUFS",
@@ -138,7 +140,7 @@
         "ETIMEDOUT",
     ];
     let rule = |fault| format!("[[rule]]\ncall = \"connect\"\none_in = 40\nfault = \"{fault}\"\n");
-    assert_whole_under(
+    assert_complete_under(
         "connect",
         &format!("seed = 4\n{}", ERRORS.map(rule).concat()),
     );
--- a/tests/rare.rs
+++ b/tests/rare.rs
@@ -1,12 +1,7 @@
-//! Rare moments, forced on loopback sockets: a departure, a drain or a close that crosses a request, with the node as a
+//! Rare moments, forced on loopback sockets: a disconnect, a drain or a close that crosses a request, with the node as a
 //! process of its own.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
-#![expect(
-    clippy::min_ident_chars,
-    clippy::too_many_lines,
-    reason = "not yet converted"
-)]
 
 #[allow(dead_code)] // each file of tests uses a part
 mod support;
@@ -18,15 +13,47 @@
 use std::time::{Duration, Instant};
 use support::{ask, read, read_some, request_within, taken, until, Node};
 
-/// A request whose client waits for ten seconds.
-fn request(id: &str, more: &str, body: &str) -> String {
-    request_within(id, more, body, 10.0)
+/// How long clients wait for the first token, in seconds.
+const DEADLINE_S: f64 = 10.0;
+/// A call of a client that asks for the node's health and for nothing else.
+const HEALTH_AND_CLOSE: &[u8] = b"GET /healthz HTTP/1.1\r\nConnection: close\r\n\r\n";
+/// A replica's response of one event.
+const ONE_EVENT: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\ndata: 1\n\n";
+
+/// The text of a request; `headers` is further lines of its head.
+fn request(id: &str, headers: &str, body: &str) -> String {
+    request_within(id, headers, body, DEADLINE_S)
+}
+
+/// A stub server whose streams have three tokens.
+fn stub_server() -> Standin {
+    Standin::start(vec![Script {
+        tokens: 3,
+        ..Script::default()
+    }])
+    .unwrap()
 }
 
-/// Guards against a client that ends another one's request: it sends an id that is in use and leaves before it has
-/// been told so. The node stands still meanwhile, so it sees request and departure in one turn.
+/// Answers a poll of the endpoint list with this body.
+fn answer_poll(poll: &mut TcpStream, body: &str) {
+    let length = body.len();
+    write!(
+        poll,
+        "HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n\r\n{body}"
+    )
+    .unwrap();
+}
+
+/// How many descriptors the node's process holds.
+fn descriptor_count(node: &Node) -> usize {
+    let folder = format!("/proc/{}/fd", node.child.id());
+    std::fs::read_dir(folder).unwrap().count()
+}
+
+/// Guards against a client that ends another one's request: it sends an id that is in use and disconnects before it has been
+/// told so. The node is suspended meanwhile, so it sees request and disconnect in one turn.
 #[test]
-fn a_repeated_id_whose_client_leaves_does_not_end_the_first_ones_request() {
+fn disconnect_of_client_with_duplicate_id_does_not_end_the_first_request() {
     let replica = TcpListener::bind("127.0.0.1:0").unwrap();
     let node = Node::start("repeated", &[replica.local_addr().unwrap()], "", "safe");
     let id = "00000000000000aa";
@@ -38,21 +65,20 @@
     second.write_all(request(id, "", "").as_bytes()).unwrap();
     drop(second);
     node.signal("-CONT");
-    // Both have been seen once a third, which came later, is answered.
+    // Both have been seen once a third client, which came later, has its response.
     let mut third = node.connect();
-    third
-        .write_all(b"GET /healthz HTTP/1.1\r\nConnection: close\r\n\r\n")
-        .unwrap();
+    third.write_all(HEALTH_AND_CLOSE).unwrap();
     third.read_to_end(&mut Vec::new()).unwrap();
-    stream
-        .write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\ndata: 1\n\n")
-        .unwrap();
+    stream.write_all(ONE_EVENT).unwrap();
     let mut text = String::new();
     let mut piece = [0; 4096];
     while !text.ends_with("0\r\n\r\n") {
-        let n = read_some(&mut first, &mut piece).unwrap();
-        assert!(n > 0, "the first client's connection ended after '{text}'");
-        text.push_str(&String::from_utf8_lossy(&piece[..n]));
+        let length = read_some(&mut first, &mut piece).unwrap();
+        assert!(
+            length > 0,
+            "the first client's connection ended after '{text}'"
+        );
+        text.push_str(&String::from_utf8_lossy(&piece[..length]));
     }
     assert!(
         text.starts_with("HTTP/1.1 200 ") && text.contains("data: 1"),
@@ -60,13 +86,14 @@
     );
 }
 
+/// An entry of the endpoint list.
 fn entry(id: &str, addr: SocketAddr, state: &str) -> String {
     format!(
         r#"{{"id":"{id}","addr":"{addr}","zone":"a","kind":"k","cell":0,"state":"{state}","weight":1.0,"started_ms":0}}"#
     )
 }
 
-/// A listener whose queue is full: a dial to it hangs until something is accepted.
+/// A listener whose queue is full, with the connections that fill it: connecting to it hangs until one is accepted.
 fn full_listener() -> (TcpListener, Vec<TcpStream>) {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
     socket
@@ -75,16 +102,16 @@
     socket.listen(0).unwrap();
     let listener = TcpListener::from(socket);
     let addr = listener.local_addr().unwrap();
-    let mut held = Vec::new();
+    let mut queued = Vec::new();
     while let Ok(stream) = TcpStream::connect_timeout(&addr, Duration::from_millis(300)) {
-        held.push(stream);
-        assert!(held.len() < 16, "the queue is never full");
+        queued.push(stream);
+        assert!(queued.len() < 16, "the queue is never full");
     }
-    (listener, held)
+    (listener, queued)
 }
 
-/// Whether somebody's dial to this port hangs.
-fn dialled(port: u16) -> bool {
+/// Whether a connection to this port is being established: it is in the state `SYN_SENT`.
+fn is_connecting_to(port: u16) -> bool {
     let table = std::fs::read_to_string("/proc/net/tcp").unwrap();
     let to = format!(":{port:04X}");
     table.lines().skip(1).any(|line| {
@@ -93,58 +120,20 @@
     })
 }
 
-/// Guards against a request that goes to a server long after it was told leaving, since its connection came up late.
-#[test]
-fn a_connection_that_comes_up_after_its_server_was_told_leaving_carries_nothing() {
-    let (late, held) = full_listener();
-    let discovery = TcpListener::bind("127.0.0.1:0").unwrap();
-    let standin = Standin::start(vec![Script {
-        tokens: 3,
-        ..Script::default()
-    }])
-    .unwrap();
-    let (at, service) = (
-        late.local_addr().unwrap(),
-        discovery.local_addr().unwrap().to_string(),
-    );
-    let node = Node::with_list("late", &[at], "", "unsafe", &service);
-    let mut watch = taken(&discovery);
-    let (id, mut client) = ask(&node, "late", 3);
-    until("the dial", || dialled(at.port()));
-    let list = [
-        entry("s-0", at, "draining"),
-        entry("s-9", standin.addrs()[0], "up"),
-    ]
-    .join(",");
-    let body = format!(r#"{{"version":42,"full":false,"servers":[{list}]}}"#);
-    write!(
-        watch,
-        "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
-        body.len()
-    )
-    .unwrap();
-    until("the drain", || {
-        node.log
-            .lock()
-            .unwrap()
-            .iter()
-            .any(|l| l.contains("Draining"))
-    });
-    // From now on the connection can come up, with the kernel's next try.
-    drop(held);
-    late.set_nonblocking(true).unwrap();
-    let mut up = Vec::new();
-    let answer = std::thread::spawn(move || read(id, "late", 3, &mut client));
+/// Accepts connections for some seconds, and expects that no bytes come on any of them.
+fn expect_no_bytes(listener: &TcpListener) {
+    listener.set_nonblocking(true).unwrap();
+    let mut accepted = Vec::new();
     let start = Instant::now();
     while start.elapsed() < Duration::from_secs(4) {
-        if let Ok((stream, _)) = late.accept() {
+        if let Ok((stream, _)) = listener.accept() {
             stream.set_nonblocking(true).unwrap();
-            up.push(stream);
+            accepted.push(stream);
         }
-        for stream in &mut up {
+        for stream in &mut accepted {
             match read_some(stream, &mut [0; 64]) {
                 Ok(0) => {}
-                Ok(n) => panic!("{n} bytes came to a server that leaves"),
+                Ok(length) => panic!("{length} bytes came to a draining replica"),
                 Err(e) => assert!(matches!(
                     e.kind(),
                     ErrorKind::WouldBlock | ErrorKind::ConnectionReset
@@ -153,19 +142,45 @@
         }
         std::thread::sleep(Duration::from_millis(5));
     }
-    // It has never run there, so the server that stays has it, also where it may not be repeated.
-    assert_eq!(answer.join().unwrap().outcome, Outcome::Whole);
-    assert_eq!(standin.records().len(), 1);
 }
 
-/// Guards against the end of an answer that goes with the reset of a close over unread bytes.
+/// Guards against a request that goes to a replica long after it began draining, since its connection was established late.
+#[test]
+fn connection_established_after_its_replica_began_draining_carries_no_request() {
+    let (late, queued) = full_listener();
+    let discovery = TcpListener::bind("127.0.0.1:0").unwrap();
+    let replica = stub_server();
+    let addr = late.local_addr().unwrap();
+    let service = discovery.local_addr().unwrap().to_string();
+    let node = Node::with_list("late", &[addr], "", "unsafe", &service);
+    let mut poll = taken(&discovery);
+    let (id, mut client) = ask(&node, "late", 3);
+    until("the connection", || is_connecting_to(addr.port()));
+    let list = [
+        entry("s-0", addr, "draining"),
+        entry("s-9", replica.addrs()[0], "up"),
+    ]
+    .join(",");
+    let body = format!(r#"{{"version":42,"full":false,"servers":[{list}]}}"#);
+    answer_poll(&mut poll, &body);
+    node.until_logged("Draining");
+    // From now on the connection can be established, with the kernel's next try.
+    drop(queued);
+    let response = std::thread::spawn(move || read(id, "late", 3, &mut client));
+    expect_no_bytes(&late);
+    // The request has never run there, so the remaining replica gets it, also where it may not be repeated.
+    assert_eq!(response.join().unwrap().outcome, Outcome::Whole);
+    assert_eq!(replica.records().len(), 1);
+}
+
+/// Guards against a response whose end is lost with the reset of a close over unread bytes.
 #[test]
-fn the_last_answer_on_a_connection_arrives_whole_also_over_bytes_that_nobody_reads() {
+fn last_response_arrives_complete_despite_unread_request_bytes() {
     let replica = TcpListener::bind("127.0.0.1:0").unwrap();
     let node = Node::start("unread", &[replica.local_addr().unwrap()], "", "safe");
-    for begun in [false, true] {
+    for is_broken in [false, true] {
         let mut client = node.connect();
-        let id = if begun {
+        let id = if is_broken {
             "00000000000000b2"
         } else {
             "00000000000000b1"
@@ -181,8 +196,8 @@
         client
             .write_all(request("00000000000000b3", "", &"x".repeat(100_000)).as_bytes())
             .unwrap();
-        if begun {
-            // The stream breaks: what has passed arrives, and no last chunk.
+        if is_broken {
+            // The stream breaks: what has been forwarded arrives, and no last chunk.
             drop(stream);
         } else {
             stream.write_all(b"0\r\n\r\n").unwrap();
@@ -192,19 +207,19 @@
         let text = String::from_utf8_lossy(&bytes);
         assert!(end.is_ok(), "{end:?} after '{text}'");
         assert!(
-            text.contains("data: 1") && text.ends_with("0\r\n\r\n") != begun,
+            text.contains("data: 1") && text.ends_with("0\r\n\r\n") != is_broken,
             "{text}"
         );
     }
 }
 
-/// Guards against a stream that runs on for nobody: the client has closed behind more bytes than are read ahead.
+/// Guards against a stream that goes on for nobody: the client has closed behind more bytes than are read ahead.
 #[test]
-fn a_client_that_leaves_behind_many_bytes_is_missed() {
+fn notices_disconnect_behind_more_bytes_than_are_read_ahead() {
     let replica = TcpListener::bind("127.0.0.1:0").unwrap();
     let node = Node::start("behind", &[replica.local_addr().unwrap()], "", "safe");
     let mut client = node.connect();
-    // Its time is longer than the patience: it does not end by itself.
+    // Its deadline is longer than the test's patience: it does not end by itself.
     let first = request("00000000000000c1", "", "").replace("Deadline: 10", "Deadline: 60");
     client.write_all(first.as_bytes()).unwrap();
     let mut stream = taken(&replica);
@@ -215,23 +230,19 @@
     let end = read_some(&mut stream, &mut [0]);
     let reset = |e: &std::io::Error| e.kind() == ErrorKind::ConnectionReset;
     assert!(
-        end.as_ref().map_or_else(reset, |n| *n == 0),
+        end.as_ref().map_or_else(reset, |length| *length == 0),
         "{end:?}: nobody waits for this answer"
     );
 }
 
-/// Many clients leave in one instant while their requests wait for a server: none is sent on when one comes.
+/// Many clients disconnect in one instant while their requests are queued: none is forwarded when a replica comes.
 #[test]
-fn requests_whose_clients_left_while_they_waited_are_never_sent_on() {
+fn does_not_forward_queued_requests_whose_clients_disconnected() {
     let discovery = TcpListener::bind("127.0.0.1:0").unwrap();
     let service = discovery.local_addr().unwrap().to_string();
-    let standin = Standin::start(vec![Script {
-        tokens: 3,
-        ..Script::default()
-    }])
-    .unwrap();
+    let replica = stub_server();
     let node = Node::with_list("left", &[], "", "safe", &service);
-    let mut watch = taken(&discovery);
+    let mut poll = taken(&discovery);
     let mut clients: Vec<TcpStream> = (0..40).map(|_| node.connect()).collect();
     for (n, client) in clients.iter_mut().enumerate() {
         client
@@ -250,37 +261,28 @@
     }
     node.signal("-CONT");
     let mut later = node.connect();
-    later
-        .write_all(b"GET /healthz HTTP/1.1\r\nConnection: close\r\n\r\n")
-        .unwrap();
+    later.write_all(HEALTH_AND_CLOSE).unwrap();
     later.read_to_end(&mut Vec::new()).unwrap();
-    let list = entry("s-9", standin.addrs()[0], "up");
+    let list = entry("s-9", replica.addrs()[0], "up");
     let body = format!(r#"{{"version":42,"full":false,"servers":[{list}]}}"#);
-    write!(
-        watch,
-        "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
-        body.len()
-    )
-    .unwrap();
-    until("the server", || {
-        node.log.lock().unwrap().iter().any(|l| l.contains("s-9"))
-    });
+    answer_poll(&mut poll, &body);
+    node.until_logged("s-9");
     let (id, mut client) = ask(&node, "later", 3);
     assert_eq!(read(id, "later", 3, &mut client).outcome, Outcome::Whole);
-    assert_eq!(standin.records().len(), 1);
+    assert_eq!(replica.records().len(), 1);
 }
 
 /// Reads to the end of a connection.
-fn rest(client: &mut TcpStream) -> String {
+fn read_to_close(client: &mut TcpStream) -> String {
     let mut bytes = Vec::new();
     client.read_to_end(&mut bytes).unwrap();
     String::from_utf8_lossy(&bytes).into_owned()
 }
 
-/// Settings that are read again and an order to stop, each twice and all at once, take no request its answer, and the
-/// node ends in order.
+/// Settings that are read again and an order to stop, each twice and all at once, lose no response, and the node ends in
+/// order.
 #[test]
-fn signals_that_cross_leave_a_request_its_answer() {
+fn concurrent_signals_do_not_lose_a_response() {
     let replica = TcpListener::bind("127.0.0.1:0").unwrap();
     let mut node = Node::start("signals", &[replica.local_addr().unwrap()], "", "unsafe");
     let mut client = node.connect();
@@ -292,19 +294,17 @@
     for sent in ["-HUP", "-TERM", "-HUP", "-TERM", "-INT"] {
         node.signal(sent);
     }
-    // One that comes with them is taken, too.
+    // A request that comes with the signals is admitted, too.
     let mut late = node.connect();
     late.write_all(request("00000000000000e2", "", "").as_bytes())
         .unwrap();
     node.signal("-CONT");
     let mut second = taken(&replica);
     for stream in [&mut stream, &mut second] {
-        stream
-            .write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\ndata: 1\n\n")
-            .unwrap();
+        stream.write_all(ONE_EVENT).unwrap();
     }
     for client in [&mut client, &mut late] {
-        let text = rest(client);
+        let text = read_to_close(client);
         assert!(
             text.starts_with("HTTP/1.1 200 ") && text.ends_with("0\r\n\r\n"),
             "{text}"
@@ -314,43 +314,28 @@
     assert_eq!(node.child.wait().unwrap().code(), Some(0));
 }
 
-/// A node is ready and serves by the list that it knows, though discovery takes its call and never says a word.
+/// A node is ready and serves by the endpoint list that it knows, though discovery accepts its poll and never answers.
 #[test]
-fn a_node_whose_discovery_is_silent_is_ready_and_serves_by_what_it_knows() {
+fn node_with_unresponsive_discovery_serves_by_its_known_endpoint_list() {
     let discovery = TcpListener::bind("127.0.0.1:0").unwrap();
     let service = discovery.local_addr().unwrap().to_string();
-    let standin = Standin::start(vec![Script {
-        tokens: 3,
-        ..Script::default()
-    }])
-    .unwrap();
-    let node = Node::with_list("silent", standin.addrs(), "", "safe", &service);
-    let _watch = taken(&discovery);
+    let replica = stub_server();
+    let node = Node::with_list("silent", replica.addrs(), "", "safe", &service);
+    let _poll = taken(&discovery);
     let mut health = node.connect();
-    health
-        .write_all(b"GET /healthz HTTP/1.1\r\nConnection: close\r\n\r\n")
-        .unwrap();
-    assert!(rest(&mut health).starts_with("HTTP/1.1 200 "));
+    health.write_all(HEALTH_AND_CLOSE).unwrap();
+    assert!(read_to_close(&mut health).starts_with("HTTP/1.1 200 "));
     let (id, mut client) = ask(&node, "silent", 3);
     assert_eq!(read(id, "silent", 3, &mut client).outcome, Outcome::Whole);
 }
 
-/// Clients that send much at once and go, with whole bodies that are too long, parts of bodies, and requests one behind
-/// the other: others are answered meanwhile, and the node gets all its room back.
+/// Clients that send much at once and disconnect, with complete bodies that are too long, parts of bodies, and requests one
+/// behind the other: other clients are served meanwhile, and the node gets all its descriptors back.
 #[test]
-fn a_flood_of_clients_that_send_much_and_go_leaves_nothing_behind() {
-    let standin = Standin::start(vec![Script {
-        tokens: 3,
-        ..Script::default()
-    }])
-    .unwrap();
-    let node = Node::start("flood", standin.addrs(), "", "safe");
-    let descriptors = || {
-        std::fs::read_dir(format!("/proc/{}/fd", node.child.id()))
-            .unwrap()
-            .count()
-    };
-    let before = descriptors();
+fn flood_of_large_abandoned_requests_leaks_no_descriptors() {
+    let replica = stub_server();
+    let node = Node::start("flood", replica.addrs(), "", "safe");
+    let before = descriptor_count(&node);
     let body = "x".repeat(200_000);
     for n in 0..120u64 {
         let mut client = node.connect();
@@ -376,66 +361,62 @@
             );
         }
     }
-    // A few connections to the server stay for later use.
-    until("the room", || descriptors() <= before + 16);
+    // A few connections to the replica stay for later use.
+    until("the room", || descriptor_count(&node) <= before + 16);
 }
 
-/// Guards against idle clients that take all descriptors while discovery is down: calls for the list, servers, operators
-/// and clients that ask keep theirs, and the process stays below what it may hold.
+/// Guards against idle clients that take all descriptors while discovery is down: polls, replicas, operators and clients with
+/// a request keep theirs, and the process stays below its limit.
 #[test]
-fn idle_clients_that_fill_the_descriptors_leave_those_of_discovery_servers_and_operators() {
-    const MAY_HOLD: usize = 128;
+fn idle_clients_do_not_exhaust_descriptors_of_discovery_replicas_and_operators() {
+    const MAX_DESCRIPTORS: usize = 128;
     let discovery = TcpListener::bind("127.0.0.1:0").unwrap();
     let service = discovery.local_addr().unwrap();
     drop(discovery);
-    let standin = Standin::start(vec![Script {
-        tokens: 3,
-        ..Script::default()
-    }])
-    .unwrap();
-    let node = Node::with_sockets("idle", standin.addrs(), &service.to_string(), MAY_HOLD);
-    let descriptors = || {
-        std::fs::read_dir(format!("/proc/{}/fd", node.child.id()))
-            .unwrap()
-            .count()
-    };
+    let replica = stub_server();
+    let node = Node::with_sockets(
+        "idle",
+        replica.addrs(),
+        &service.to_string(),
+        MAX_DESCRIPTORS,
+    );
     let mut admin = None;
     until("the operators' address", || {
         let log = node.log.lock().unwrap();
         let line = log
             .iter()
-            .find_map(|l| l.split("operators call at ").nth(1).map(String::from));
-        admin = line.and_then(|l| l.split('"').next()?.parse::<SocketAddr>().ok());
+            .find_map(|line| line.split("operators call at ").nth(1).map(String::from));
+        admin = line.and_then(|line| line.split('"').next()?.parse::<SocketAddr>().ok());
         admin.is_some()
     });
     let admin = admin.unwrap();
     let mut idle = Vec::new();
-    let mut most = 0;
-    for n in 0..4 * MAY_HOLD {
+    let mut most_held = 0;
+    for n in 0..4 * MAX_DESCRIPTORS {
         idle.push(node.connect());
-        // Operators that say nothing hold theirs, too.
+        // Silent operators hold descriptors, too.
         if n % 4 == 0 {
             idle.push(TcpStream::connect(admin).unwrap());
         }
-        most = most.max(descriptors());
+        most_held = most_held.max(descriptor_count(&node));
         if n % 64 == 63 {
-            // New connections may be shut unread while idle ones fill the node; their clients come again.
+            // New connections may be closed unread while idle ones fill the node; their clients try again.
             until("an answer among idle clients", || {
                 let (id, mut client) = ask(&node, "among idle ones", 3);
                 read(id, "among idle ones", 3, &mut client).outcome == Outcome::Whole
             });
         }
     }
-    assert!(most <= MAY_HOLD, "{most} descriptors");
+    assert!(most_held <= MAX_DESCRIPTORS, "{most_held} descriptors");
     let mut operator = TcpStream::connect(admin).unwrap();
     operator
         .write_all(b"GET /api/ready HTTP/1.1\r\n\r\n")
         .unwrap();
-    assert!(rest(&mut operator).starts_with("HTTP/1.1 200 "));
-    // Discovery is back: the node's call comes, whoever else is there.
+    assert!(read_to_close(&mut operator).starts_with("HTTP/1.1 200 "));
+    // Discovery is back: the node's poll comes, whoever else is there.
     let discovery = TcpListener::bind(service).unwrap();
-    let _watch = taken(&discovery);
-    assert!(descriptors() <= MAY_HOLD);
+    let _poll = taken(&discovery);
+    assert!(descriptor_count(&node) <= MAX_DESCRIPTORS);
 }
 
 /// The payload of a chunked body as far as it has come.
@@ -449,10 +430,10 @@
     text
 }
 
-/// Guards against events that wait behind a flush, or in a buffer for more to come: each one has reached the client
-/// before its server writes the next, also where it comes in two parts or in a burst that waits for the client.
+/// Guards against events that wait behind a flush, or in a buffer for more to come: each one has reached the client before its
+/// replica writes the next, also where it comes in two parts or in a burst that waits for the client.
 #[test]
-fn each_event_reaches_its_client_before_the_next_is_written() {
+fn forwards_each_event_before_the_next_is_written() {
     let replica = TcpListener::bind("127.0.0.1:0").unwrap();
     let node = Node::start("events", &[replica.local_addr().unwrap()], "", "safe");
     let mut client = node.connect();
@@ -480,11 +461,11 @@
                 stream.write_all(first.as_bytes()).unwrap();
                 stream.write_all(second.as_bytes()).unwrap();
             });
-            let come = |text: &str| {
+            let received_length = |text: &str| {
                 text.split_once("\r\n\r\n")
                     .map_or(0, |(_, body)| payload(body).len())
             };
-            while come(&text) < sent.len() {
+            while received_length(&text) < sent.len() {
                 let length = read_some(&mut client, &mut piece).unwrap();
                 assert!(length > 0, "the stream ended before event {n}");
                 text.push_str(&String::from_utf8_lossy(&piece[..length]));
@@ -492,40 +473,28 @@
         });
     }
     stream.write_all(b"0\r\n\r\n").unwrap();
-    text.push_str(&rest(&mut client));
+    text.push_str(&read_to_close(&mut client));
     assert_eq!(payload(text.split_once("\r\n\r\n").unwrap().1), sent);
 }
 
-/// A service that has lost its count says the whole list with an older number: what it says last is what holds, for the
-/// whole node.
+/// A discovery service that has lost its state sends the full endpoint list with an older version: its latest answer holds,
+/// for the whole node.
 #[test]
-fn a_whole_list_with_an_older_number_is_followed() {
+fn follows_full_endpoint_list_with_an_older_version() {
     let discovery = TcpListener::bind("127.0.0.1:0").unwrap();
     let service = discovery.local_addr().unwrap().to_string();
-    let script = || {
-        Standin::start(vec![Script {
-            tokens: 3,
-            ..Script::default()
-        }])
-        .unwrap()
-    };
-    let (left, stays) = (script(), script());
-    let node = Node::with_list("older", left.addrs(), "", "safe", &service);
-    let mut watch = taken(&discovery);
-    let list = entry("s-9", stays.addrs()[0], "up");
+    let removed = stub_server();
+    let remaining = stub_server();
+    let node = Node::with_list("older", removed.addrs(), "", "safe", &service);
+    let mut poll = taken(&discovery);
+    let list = entry("s-9", remaining.addrs()[0], "up");
     let body = format!(r#"{{"version":7,"full":true,"servers":[{list}]}}"#);
-    write!(
-        watch,
-        "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
-        body.len()
-    )
-    .unwrap();
-    until("the list", || {
-        node.log.lock().unwrap().iter().any(|l| l.contains("s-9"))
-    });
+    answer_poll(&mut poll, &body);
+    node.until_logged("s-9");
     for _ in 0..5 {
         let (id, mut client) = ask(&node, "older", 3);
         assert_eq!(read(id, "older", 3, &mut client).outcome, Outcome::Whole);
     }
-    assert_eq!((left.records().len(), stays.records().len()), (0, 5));
+    assert_eq!(removed.records().len(), 0);
+    assert_eq!(remaining.records().len(), 5);
 }
--- a/tests/shutdown.rs
+++ b/tests/shutdown.rs
@@ -1,5 +1,5 @@
-//! Requests that come while a node shuts down: a node as a process of its own, real signals, and model servers that hang
-//! through the whole shutdown. What comes too late to be answered is refused and reaches no server.
+//! Requests that come while a node shuts down: a node as a process of its own, real signals, and replicas that do not respond
+//! through the whole shutdown. What comes too late to be answered is rejected and reaches no replica.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -12,12 +12,12 @@
 use std::time::Duration;
 use support::{read_some, request_within, taken, until, Node};
 
-/// Clients that wait far longer than a node may live after its order to stop.
-const LONG_DEADLINE: f64 = 60.0;
-/// How long a model server that hangs keeps a request, in milliseconds.
-const HANG_MS: u64 = 60_000;
+/// The deadline of clients that wait far longer than a node may run after its order to stop, in seconds.
+const LONG_DEADLINE_S: f64 = 60.0;
+/// How long an unresponsive replica keeps a request, in milliseconds.
+const UNRESPONSIVE_MS: u64 = 60_000;
 /// Longer than a node admits requests after its order to stop.
-const STANDSTILL: Duration = Duration::from_millis(1200);
+const SUSPENSION: Duration = Duration::from_millis(1200);
 const STREAM_HEAD: &[u8] = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
 fn id(number: u64) -> String {
@@ -25,28 +25,28 @@
 }
 
 fn request(number: u64, body: &str) -> String {
-    request_within(&id(number), "", body, LONG_DEADLINE)
+    request_within(&id(number), "", body, LONG_DEADLINE_S)
 }
 
 /// Reads to the end of a connection; a reset ends it, too.
-fn rest(client: &mut TcpStream) -> String {
-    let (mut bytes, mut piece) = (Vec::new(), [0; 4096]);
-    while let Ok(length @ 1..) = read_some(client, &mut piece) {
-        bytes.extend_from_slice(&piece[..length]);
+fn read_to_close(client: &mut TcpStream) -> String {
+    let (mut bytes, mut buffer) = (Vec::new(), [0; 4096]);
+    while let Ok(length @ 1..) = read_some(client, &mut buffer) {
+        bytes.extend_from_slice(&buffer[..length]);
     }
     String::from_utf8_lossy(&bytes).into_owned()
 }
 
-fn hanging_server() -> Standin {
+fn unresponsive_replica() -> Standin {
     Standin::start(vec![Script {
-        first_ms: HANG_MS,
+        first_ms: UNRESPONSIVE_MS,
         ..Script::default()
     }])
     .unwrap()
 }
 
-/// Ids of the requests that have reached a stand-in.
-fn reached(servers: &Standin) -> Vec<String> {
+/// Ids of the requests that have reached a stub server.
+fn requests_reaching(servers: &Standin) -> Vec<String> {
     servers
         .records()
         .into_iter()
@@ -64,39 +64,43 @@
 /// The incident of 2 December: connections that are open and have sent nothing yet, and whose first request comes once the
 /// node has closed the others.
 #[test]
-fn a_first_request_that_comes_late_in_a_shutdown_is_refused_and_reaches_no_server() {
+fn rejects_first_request_on_open_connection_late_in_shutdown() {
     for semantics in ["safe", "unsafe"] {
-        let servers = hanging_server();
+        let servers = unresponsive_replica();
         let node = Node::start(&format!("late-{semantics}"), servers.addrs(), "", semantics);
         let mut clients: Vec<TcpStream> = (0..8).map(|_| node.connect()).collect();
         node.signal("-TERM");
         node.until_logged("closing");
         for (number, client) in clients.iter_mut().enumerate() {
-            // The node may have closed it unread, so that its client would go elsewhere.
+            // The node may have closed the connection unread, so that its client would go elsewhere.
             let _ = client.write_all(request(number as u64 + 1, "").as_bytes());
         }
         for client in &mut clients {
-            let text = rest(client);
+            let text = read_to_close(client);
             assert!(
                 text.is_empty() || text.starts_with("HTTP/1.1 503 "),
                 "{semantics}: '{text}'"
             );
         }
-        assert_eq!(reached(&servers), Vec::<String>::new(), "{semantics}");
+        assert_eq!(
+            requests_reaching(&servers),
+            Vec::<String>::new(),
+            "{semantics}"
+        );
         assert_ends(node);
     }
 }
 
-/// The same weakness by other ways: sent ahead behind a stream that outlives the close, trickled across it, and sent to a
-/// node that stands still meanwhile.
+/// The same fault by other ways: a request behind a stream that outlives the close, one that trickles in across it, and one
+/// to a node that is suspended meanwhile.
 #[test]
-fn a_request_that_crosses_the_end_of_admission_is_refused_by_whatever_way_it_comes() {
-    behind_a_stream();
-    trickled();
-    to_a_node_that_stands_still();
+fn rejects_requests_that_cross_the_end_of_admission() {
+    rejects_request_behind_a_stream();
+    rejects_request_that_trickles_in();
+    rejects_requests_to_a_suspended_node();
 }
 
-fn behind_a_stream() {
+fn rejects_request_behind_a_stream() {
     let server = TcpListener::bind("127.0.0.1:0").unwrap();
     let node = Node::start("behind", &[server.local_addr().unwrap()], "", "safe");
     let mut client = node.connect();
@@ -106,17 +110,17 @@
     stream.write_all(b"9\r\ndata: 1\n\n\r\n").unwrap();
     let mut begun = String::new();
     while !begun.contains("data: 1") {
-        let mut piece = [0; 4096];
-        let length = read_some(&mut client, &mut piece).unwrap();
+        let mut buffer = [0; 4096];
+        let length = read_some(&mut client, &mut buffer).unwrap();
         assert!(length > 0, "the stream ended: '{begun}'");
-        begun.push_str(&String::from_utf8_lossy(&piece[..length]));
+        begun.push_str(&String::from_utf8_lossy(&buffer[..length]));
     }
     node.signal("-TERM");
     node.until_logged("closing");
     client.write_all(request(2, "").as_bytes()).unwrap();
     stream.write_all(b"0\r\n\r\n").unwrap();
     drop(stream);
-    let answered = std::thread::spawn(move || rest(&mut client));
+    let answered = std::thread::spawn(move || read_to_close(&mut client));
     // A request that went out would come on a new connection.
     server.set_nonblocking(true).unwrap();
     until("the second answer", || {
@@ -128,8 +132,8 @@
     assert_ends(node);
 }
 
-fn trickled() {
-    let servers = hanging_server();
+fn rejects_request_that_trickles_in() {
+    let servers = unresponsive_replica();
     let node = Node::start("trickled", servers.addrs(), "", "safe");
     let text = request(3, "the rest comes late");
     let (head, tail) = text.split_at(text.len() - 4);
@@ -140,18 +144,18 @@
     other
         .write_all(b"GET /healthz HTTP/1.1\r\nConnection: close\r\n\r\n")
         .unwrap();
-    assert!(rest(&mut other).starts_with("HTTP/1.1 200 "));
+    assert!(read_to_close(&mut other).starts_with("HTTP/1.1 200 "));
     node.signal("-TERM");
     node.until_logged("closing");
     client.write_all(tail.as_bytes()).unwrap();
-    let answer = rest(&mut client);
+    let answer = read_to_close(&mut client);
     assert!(answer.starts_with("HTTP/1.1 503 "), "'{answer}'");
-    assert_eq!(reached(&servers), Vec::<String>::new());
+    assert_eq!(requests_reaching(&servers), Vec::<String>::new());
     assert_ends(node);
 }
 
-fn to_a_node_that_stands_still() {
-    let servers = hanging_server();
+fn rejects_requests_to_a_suspended_node() {
+    let servers = unresponsive_replica();
     let node = Node::start("still", servers.addrs(), "", "safe");
     let mut new = node.connect();
     let mut kept = node.connect();
@@ -161,24 +165,24 @@
     node.signal("-TERM");
     node.until_logged("draining");
     node.signal("-STOP");
-    std::thread::sleep(STANDSTILL);
+    std::thread::sleep(SUSPENSION);
     new.write_all(request(4, "").as_bytes()).unwrap();
     kept.write_all(request(5, "").as_bytes()).unwrap();
     node.signal("-CONT");
     for client in [&mut new, &mut kept] {
-        let answer = rest(client);
+        let answer = read_to_close(client);
         assert!(answer.starts_with("HTTP/1.1 503 "), "'{answer}'");
     }
-    assert_eq!(reached(&servers), Vec::<String>::new());
+    assert_eq!(requests_reaching(&servers), Vec::<String>::new());
     assert_ends(node);
 }
 
-/// Guards against clients that are still waiting when the process may be killed: servers hang through the whole shutdown,
-/// or there is none, and the clients would wait for a minute.
+/// Guards against clients that are still waiting when the process may be killed: replicas do not respond through the whole
+/// shutdown, or there is none, and the clients would wait for a minute.
 #[test]
-fn a_request_that_waits_for_a_hanging_server_has_its_final_answer_before_the_node_may_be_killed() {
+fn request_on_unresponsive_replica_gets_final_response_before_the_kill_deadline() {
     for (semantics, status) in [("safe", "503"), ("unsafe", "502")] {
-        let servers = hanging_server();
+        let servers = unresponsive_replica();
         let node = Node::start(
             &format!("hangs-{semantics}"),
             servers.addrs(),
@@ -187,13 +191,15 @@
         );
         let mut sent = node.connect();
         sent.write_all(request(6, "").as_bytes()).unwrap();
-        until("the server has it", || reached(&servers) == [id(6)]);
+        until("the server has it", || {
+            requests_reaching(&servers) == [id(6)]
+        });
         node.signal("-TERM");
         node.until_logged("draining");
         let mut late = node.connect();
         late.write_all(request(7, "").as_bytes()).unwrap();
         for client in [&mut sent, &mut late] {
-            let text = rest(client);
+            let text = read_to_close(client);
             assert!(
                 text.starts_with(&format!("HTTP/1.1 {status} ")),
                 "{semantics}: '{text}'"
@@ -204,7 +210,7 @@
 }
 
 #[test]
-fn a_request_that_no_server_can_take_is_refused_before_the_node_may_be_killed() {
+fn rejects_request_without_reachable_replica_before_the_kill_deadline() {
     // Nobody listens there: each attempt fails before it has begun.
     let closed = TcpListener::bind("127.0.0.1:0")
         .unwrap()
@@ -214,7 +220,7 @@
     let mut waits = node.connect();
     waits.write_all(request(8, "").as_bytes()).unwrap();
     node.signal("-TERM");
-    let text = rest(&mut waits);
+    let text = read_to_close(&mut waits);
     assert!(text.starts_with("HTTP/1.1 503 "), "'{text}'");
     assert_ends(node);
 }
--- a/tests/streams.rs
+++ b/tests/streams.rs
@@ -1,12 +1,7 @@
-//! Streams that stall and break, on loopback sockets: stand-in model servers by scripts, the node as a process of its
-//! own, and the one checker over what clients and servers saw.
+//! Streams that stall and break, on loopback sockets: stub servers that follow scripts, the node as a process of its own, and
+//! one checker over what clients and replicas saw.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
-#![expect(
-    clippy::min_ident_chars,
-    clippy::too_many_lines,
-    reason = "not yet converted"
-)]
 
 mod support;
 
@@ -20,14 +15,16 @@
 use std::time::Duration;
 use support::{ask, ask_within, read, Node};
 
-/// Clients at a time.
+/// Clients that send requests at the same time.
 const CLIENTS: usize = 32;
 
-/// Continuing without a narrow budget, and stalls seen soon.
-const SAVES: &str = "[streams]\ncontinue = true\nshare = 1.0\nreplica_share = 1.0\nfree = 100000\n\
+/// Operators' settings that continue streams without a narrow budget and with a short limit of silence.
+const CONTINUE_STREAMS: &str =
+    "[streams]\ncontinue = true\nshare = 1.0\nreplica_share = 1.0\nfree = 100000\n\
                      stall_least = 0.2\nstall_most = 0.2\n";
 
-fn good(verdict: &Verdict) {
+/// Expects that clients and replicas saw nothing that contradicts the protocol.
+fn assert_consistent(verdict: &Verdict) {
     assert!(
         verdict.broken.is_empty(),
         "{:#?}",
@@ -35,6 +32,17 @@
     );
 }
 
+/// Whether something holds within this many checks, some milliseconds apart.
+fn holds_within(checks: usize, mut holds: impl FnMut() -> bool) -> bool {
+    (0..checks).any(|_| {
+        holds() || {
+            std::thread::sleep(Duration::from_millis(5));
+            false
+        }
+    })
+}
+
+/// Complete streams of this many tokens.
 fn script(tokens: usize) -> Script {
     Script {
         tokens,
@@ -42,7 +50,7 @@
     }
 }
 
-/// The fault befalls first tries, or continuations.
+/// A fault of each first attempt, or of each continuation.
 fn rule(fault: Fault, continued: bool) -> Rule {
     Rule {
         prompt: None,
@@ -54,7 +62,8 @@
     }
 }
 
-fn with(tokens: usize, rules: Vec<Rule>) -> Script {
+/// Streams of this many tokens, with these faults.
+fn faulty_script(tokens: usize, rules: Vec<Rule>) -> Script {
     Script {
         rule: rules,
         ..script(tokens)
@@ -62,10 +71,10 @@
 }
 
 #[test]
-fn a_cut_at_any_byte_by_end_or_reset_is_made_whole() {
+fn recovers_stream_cut_at_any_byte() {
     for reset in [false, true] {
-        // Each prompt's first answer is cut, wherever it is asked for; what follows is honest.
-        let cut = with(
+        // The first response to each prompt is cut, whichever replica sends it; later ones are complete.
+        let cut = faulty_script(
             4,
             vec![Rule {
                 once: true,
@@ -73,13 +82,18 @@
             }],
         );
         let servers = Standin::start(vec![cut; 3]).unwrap();
-        let node = Node::start(&format!("cut-{reset}"), servers.addrs(), SAVES, "safe");
+        let node = Node::start(
+            &format!("cut-{reset}"),
+            servers.addrs(),
+            CONTINUE_STREAMS,
+            "safe",
+        );
         // One body of four tokens is less than 1,200 bytes long; the cuts beyond it never happen.
         let seen = support::run(&node, CLIENTS, 1200, 4, |n| {
             format!("any prompt {n} cut={n}")
         });
         let verdict = check(&seen, &servers.records());
-        good(&verdict);
+        assert_consistent(&verdict);
         assert_eq!(
             (verdict.whole, verdict.requests),
             (1200, 1200),
@@ -90,7 +104,7 @@
 }
 
 #[test]
-fn a_cut_before_each_part_of_the_end_costs_no_text_and_no_second_answer() {
+fn stream_cut_before_any_closing_event_loses_and_repeats_no_text() {
     for (part, asked) in [
         (Part::Finish, 2),
         (Part::Usage, 1),
@@ -98,13 +112,21 @@
         (Part::LastChunk, 1),
     ] {
         let cut = Fault::CutBefore { part, reset: false };
-        let servers = Standin::start(vec![with(6, vec![rule(cut, false)]); 2]).unwrap();
-        let node = Node::start(&format!("part-{part:?}"), servers.addrs(), SAVES, "safe");
-        // One more token than there are, so that something is left to be asked for.
+        let servers = Standin::start(vec![faulty_script(6, vec![rule(cut, false)]); 2]).unwrap();
+        let node = Node::start(
+            &format!("part-{part:?}"),
+            servers.addrs(),
+            CONTINUE_STREAMS,
+            "safe",
+        );
+        // One token more than there are, so that a remainder can be requested.
         let seen = support::run(&node, CLIENTS, 1, 7, |n| format!("part {n}"));
-        let seen: Vec<Seen> = seen.into_iter().map(|s| Seen { tokens: 6, ..s }).collect();
+        let seen: Vec<Seen> = seen
+            .into_iter()
+            .map(|seen| Seen { tokens: 6, ..seen })
+            .collect();
         let verdict = check(&seen, &servers.records());
-        good(&verdict);
+        assert_consistent(&verdict);
         assert_eq!(
             (verdict.whole, servers.records().len()),
             (1, asked),
@@ -114,22 +136,27 @@
 }
 
 #[test]
-fn a_server_that_recovers_while_another_carries_on_writes_nothing_more() {
+fn stalled_replica_that_resumes_after_a_continuation_writes_nothing_more() {
     for ms in [190, 210, 230, 260] {
-        let stall = with(8, vec![rule(Fault::Stall { after: 1, ms }, false)]);
+        let stall = faulty_script(8, vec![rule(Fault::Stall { after: 1, ms }, false)]);
         let servers = Standin::start(vec![stall; 3]).unwrap();
-        let node = Node::start(&format!("recovers-{ms}"), servers.addrs(), SAVES, "safe");
+        let node = Node::start(
+            &format!("recovers-{ms}"),
+            servers.addrs(),
+            CONTINUE_STREAMS,
+            "safe",
+        );
         let verdict = check(
             &support::run(&node, CLIENTS, 40, 8, |n| format!("recovers {n}")),
             &servers.records(),
         );
-        good(&verdict);
+        assert_consistent(&verdict);
         assert_eq!(verdict.whole, 40, "{verdict:?}");
     }
 }
 
 #[test]
-fn when_all_servers_stall_the_budget_holds_and_every_client_hears() {
+fn continuation_budget_holds_when_all_replicas_stall() {
     let stall = || {
         rule(
             Fault::Stall {
@@ -139,28 +166,32 @@
             false,
         )
     };
-    let servers = Standin::start(vec![with(8, vec![stall()]); 3]).unwrap();
-    let operator = SAVES
+    let servers = Standin::start(vec![faulty_script(8, vec![stall()]); 3]).unwrap();
+    let operator = CONTINUE_STREAMS
         .replace("free = 100000", "free = 2")
         .replace("share = 1.0", "share = 0.1");
     let node = Node::start("storm", servers.addrs(), &operator, "safe");
     let seen = support::run(&node, CLIENTS, 60, 8, |n| format!("storm {n}"));
     let verdict = check(&seen, &servers.records());
-    good(&verdict);
-    let continued = servers.records().iter().filter(|r| r.done > 0).count();
+    assert_consistent(&verdict);
+    let continued = servers
+        .records()
+        .iter()
+        .filter(|record| record.done > 0)
+        .count();
     assert!(
         continued <= 6 && continued > 0,
         "{continued} continuations of 60"
     );
     assert_eq!(verdict.whole, continued);
-    assert!(seen.iter().all(|s| matches!(
-        s.outcome,
+    assert!(seen.iter().all(|seen| matches!(
+        seen.outcome,
         Outcome::Whole | Outcome::Told | Outcome::Refused(_)
     )));
 }
 
 #[test]
-fn a_continuation_that_stalls_too_is_tried_again_and_then_fails_by_word() {
+fn stalled_continuation_is_retried_and_then_fails_with_an_error_event() {
     let stalls = vec![
         rule(
             Fault::Stall {
@@ -177,22 +208,22 @@
             true,
         ),
     ];
-    let servers = Standin::start(vec![with(9, stalls); 4]).unwrap();
-    let node = Node::start("again", servers.addrs(), SAVES, "safe");
+    let servers = Standin::start(vec![faulty_script(9, stalls); 4]).unwrap();
+    let node = Node::start("again", servers.addrs(), CONTINUE_STREAMS, "safe");
     let seen = support::run(&node, CLIENTS, 4, 9, |n| format!("again {n}"));
     let verdict = check(&seen, &servers.records());
-    good(&verdict);
+    assert_consistent(&verdict);
     assert_eq!(
         (verdict.failed, servers.records().len()),
         (4, 12),
         "{verdict:?}"
     );
-    // Each upstream's token was passed on, and the client was told.
-    assert!(seen.iter().all(|s| s.outcome == Outcome::Told));
+    // Each replica's token was forwarded, and the client got the error event.
+    assert!(seen.iter().all(|seen| seen.outcome == Outcome::Told));
 }
 
 #[test]
-fn a_continuation_that_nobody_begins_in_time_fails_by_word() {
+fn continuation_that_does_not_begin_in_time_fails_with_an_error_event() {
     let late = vec![
         rule(
             Fault::Stall {
@@ -203,28 +234,30 @@
         ),
         rule(Fault::Silent, true),
     ];
-    let servers = Standin::start(vec![with(9, late); 2]).unwrap();
+    let servers = Standin::start(vec![faulty_script(9, late); 2]).unwrap();
     let node = Node::start(
         "late",
         servers.addrs(),
-        &format!("{SAVES}wait = 0.3\n"),
+        &format!("{CONTINUE_STREAMS}wait = 0.3\n"),
         "safe",
     );
     let seen = support::run(&node, CLIENTS, 1, 9, |n| format!("late {n}"));
-    good(&check(&seen, &servers.records()));
+    assert_consistent(&check(&seen, &servers.records()));
     assert_eq!(seen[0].outcome, Outcome::Told);
 }
 
 #[test]
-fn a_class_that_forbids_a_repeat_and_settings_without_continuing_end_at_once() {
+fn does_not_continue_streams_of_non_idempotent_classes_or_when_disabled() {
     let cut = Fault::CutBytes {
         after: 500,
         reset: true,
     };
-    for (operator, semantics, outcome) in
-        [(SAVES, "unsafe", Outcome::Told), ("", "safe", Outcome::Cut)]
-    {
-        let servers = Standin::start(vec![with(9, vec![rule(cut.clone(), false)]); 2]).unwrap();
+    for (operator, semantics, outcome) in [
+        (CONTINUE_STREAMS, "unsafe", Outcome::Told),
+        ("", "safe", Outcome::Cut),
+    ] {
+        let servers =
+            Standin::start(vec![faulty_script(9, vec![rule(cut.clone(), false)]); 2]).unwrap();
         let node = Node::start(
             &format!("ends-{semantics}"),
             servers.addrs(),
@@ -233,14 +266,14 @@
         );
         let seen = support::run(&node, CLIENTS, 3, 9, |n| format!("ends {n}"));
         let verdict = check(&seen, &servers.records());
-        good(&verdict);
-        assert!(seen.iter().all(|s| s.outcome == outcome), "{seen:?}");
+        assert_consistent(&verdict);
+        assert!(seen.iter().all(|seen| seen.outcome == outcome), "{seen:?}");
         assert_eq!(servers.records().len(), 3, "nobody is asked twice");
     }
 }
 
-/// The process's memory, in bytes.
-fn resident(node: &Node) -> usize {
+/// The resident memory of the node's process, in bytes.
+fn resident_bytes(node: &Node) -> usize {
     let text = std::fs::read_to_string(format!("/proc/{}/statm", node.child.id())).unwrap();
     text.split(' ')
         .nth(1)
@@ -250,29 +283,27 @@
 }
 
 #[test]
-fn a_reader_that_stops_is_no_stall_and_fills_no_memory() {
+fn slow_client_is_not_a_stall_and_does_not_grow_memory() {
     // Some 30 MB: more than the buffers of all sockets hold.
     let servers = Standin::start(vec![script(150_000); 2]).unwrap();
-    let node = Node::start("reader", servers.addrs(), SAVES, "safe");
-    let before = resident(&node);
-    // The stand-in plans so long an answer before its first token, for seconds where the machine has much else to do.
+    let node = Node::start("reader", servers.addrs(), CONTINUE_STREAMS, "safe");
+    let before = resident_bytes(&node);
+    // The stub server plans a response of this length before its first token, for seconds where the machine is busy.
     let (id, mut stream) = ask_within(&node, "a flood", 150_000, 25.0);
     std::thread::sleep(Duration::from_millis(700));
-    let (held, record) = (
-        resident(&node).saturating_sub(before),
-        servers.records().remove(0),
-    );
+    let held_bytes = resident_bytes(&node).saturating_sub(before);
+    let record = servers.records().remove(0);
     assert!(
         !record.whole,
         "the server was read on for a reader that stopped"
     );
     assert!(
-        held < 8 << 20,
-        "{held} bytes held for a reader that stopped"
+        held_bytes < 8 << 20,
+        "{held_bytes} bytes held for a reader that stopped"
     );
     let seen = read(id, "a flood", 150_000, &mut stream);
     let verdict = check(&[seen], &servers.records());
-    good(&verdict);
+    assert_consistent(&verdict);
     assert_eq!(
         (verdict.whole, verdict.continued, servers.records().len()),
         (1, 0, 1),
@@ -281,7 +312,7 @@
 }
 
 #[test]
-fn a_client_that_leaves_in_a_continuation_takes_it_along_and_a_stopping_node_ends_in_order() {
+fn disconnect_ends_a_continuation_and_shutdown_completes_it() {
     let rules = vec![
         rule(
             Fault::Stall {
@@ -292,54 +323,43 @@
         ),
         rule(Fault::Trickle(100), true),
     ];
-    let servers = Standin::start(vec![with(10, rules); 3]).unwrap();
-    let mut node = Node::start("leaves", servers.addrs(), SAVES, "safe");
+    let servers = Standin::start(vec![faulty_script(10, rules); 3]).unwrap();
+    let mut node = Node::start("leaves", servers.addrs(), CONTINUE_STREAMS, "safe");
     let continued = |count: usize| {
         let begun = || {
             servers
                 .records()
                 .iter()
-                .filter(|r| r.done > 0 && r.written > 0)
+                .filter(|record| record.done > 0 && record.written > 0)
                 .count()
         };
-        (0..1000).any(|_| {
-            begun() >= count || {
-                std::thread::sleep(Duration::from_millis(5));
-                false
-            }
-        })
+        holds_within(1000, || begun() >= count)
     };
     let (_, stream) = ask(&node, "leaves", 10);
     assert!(continued(1));
     drop(stream);
-    // Whoever is told to stop in the middle of a continuation ends it first.
+    // A node that is told to stop in the middle of a continuation completes it first.
     let (id, mut stream) = ask(&node, "stays", 10);
     assert!(continued(2));
-    let child = node.child.id().to_string();
-    assert!(Command::new("kill")
-        .args(["-TERM", &child])
-        .status()
-        .unwrap()
-        .success());
+    node.signal("-TERM");
     let seen = read(id, "stays", 10, &mut stream);
     let verdict = check(&[seen], &servers.records());
-    good(&verdict);
+    assert_consistent(&verdict);
     assert_eq!(verdict.whole, 1);
     assert!(node.child.wait().unwrap().success());
-    let left = servers
+    let abandoned = servers
         .records()
         .into_iter()
-        .find(|r| r.prompt == "leaves" && r.done > 0)
+        .find(|record| record.prompt == "leaves" && record.done > 0)
         .unwrap();
-    assert!(!left.whole, "its server wrote on for nobody");
+    assert!(!abandoned.whole, "its replica wrote on for nobody");
 }
 
-/// Discovery's list on a free port: each call is answered by the next text, once there is one.
-fn list_service() -> (SocketAddr, mpsc::SyncSender<String>) {
-    let (listener, (tell, told)) = (
-        TcpListener::bind("127.0.0.1:0").unwrap(),
-        mpsc::sync_channel(0),
-    );
+/// A discovery service on a free port: each poll is answered with the next text, once there is one. Sending a text waits until
+/// a poll takes it.
+fn start_discovery() -> (SocketAddr, mpsc::SyncSender<String>) {
+    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+    let (sender, answers) = mpsc::sync_channel(0);
     let addr = listener.local_addr().unwrap();
     std::thread::spawn(move || {
         for stream in listener.incoming().map_while(Result::ok) {
@@ -349,19 +369,46 @@
                 .map_while(Result::ok)
                 .filter(String::is_empty)
             {
-                let Ok(body): Result<String, _> = told.recv() else {
+                let Ok(body): Result<String, _> = answers.recv() else {
                     return;
                 };
                 let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len());
+                // A node that has ended takes no answer any more.
                 let _ = writer.write_all(format!("{head}{body}").as_bytes());
             }
         }
     });
-    (addr, tell)
+    (addr, sender)
+}
+
+/// An answer to a poll after which the endpoint list is the same.
+const NO_CHANGES: &str = r#"{"version":43,"full":false,"servers":[]}"#;
+
+/// An answer to a poll that says that this server drains.
+fn draining_list(servers: &Standin, server: usize) -> String {
+    let addr = servers.addrs()[server];
+    format!(
+        r#"{{"version":42,"full":false,"servers":[{{"id":"s-{server}","addr":"{addr}","zone":"a","kind":"k","cell":0,"state":"draining","weight":1.0,"started_ms":0}}]}}"#
+    )
+}
+
+/// Waits until a server has begun to write a continuation, and returns its index.
+fn continuing_server(servers: &Standin) -> usize {
+    let find = || {
+        servers
+            .records()
+            .into_iter()
+            .find(|record| record.done > 0 && record.written > 0)
+    };
+    let record = (0..1000).find_map(|_| {
+        std::thread::sleep(Duration::from_millis(5));
+        find()
+    });
+    record.expect("the stream is continued").server
 }
 
 #[test]
-fn a_server_drained_in_the_middle_of_a_continuation_ends_it_and_gets_no_other() {
+fn draining_replica_completes_its_continuation_and_gets_no_other_request() {
     let rules = vec![
         rule(
             Fault::Stall {
@@ -372,59 +419,47 @@
         ),
         rule(Fault::Trickle(60), true),
     ];
-    let servers = Standin::start(vec![with(10, rules); 3]).unwrap();
-    let (list, tell) = list_service();
-    let node = Node::with_list("drained", servers.addrs(), SAVES, "safe", &list.to_string());
-    let (id, mut stream) = ask(&node, "drained", 10);
-    let carries_on = || {
-        servers
-            .records()
-            .into_iter()
-            .find(|r| r.done > 0 && r.written > 0)
-    };
-    let second = (0..1000).find_map(|_| {
-        std::thread::sleep(Duration::from_millis(5));
-        carries_on()
-    });
-    let server = second.expect("it is continued").server;
-    let (addr, none) = (
-        servers.addrs()[server],
-        r#"{"version":43,"full":false,"servers":[]}"#,
+    let servers = Standin::start(vec![faulty_script(10, rules); 3]).unwrap();
+    let (discovery, answers) = start_discovery();
+    let node = Node::with_list(
+        "drained",
+        servers.addrs(),
+        CONTINUE_STREAMS,
+        "safe",
+        &discovery.to_string(),
     );
-    tell.send(format!(
-        r#"{{"version":42,"full":false,"servers":[{{"id":"s-{server}","addr":"{addr}","zone":"a","kind":"k","cell":0,"state":"draining","weight":1.0,"started_ms":0}}]}}"#
-    ))
-    .unwrap();
-    // It asks again once it has heard.
-    tell.send(none.to_string()).unwrap();
+    let (id, mut stream) = ask(&node, "drained", 10);
+    let server = continuing_server(&servers);
+    answers.send(draining_list(&servers, server)).unwrap();
+    // The node polls again once it has taken the list.
+    answers.send(NO_CHANGES.to_string()).unwrap();
     let seen = read(id, "drained", 10, &mut stream);
     let verdict = check(&[seen], &servers.records());
-    good(&verdict);
+    assert_consistent(&verdict);
     assert_eq!((verdict.whole, verdict.continued), (1, 1), "{verdict:?}");
     let before = servers.records().len();
-    servers
-        .addrs()
-        .iter()
-        .enumerate()
-        .for_each(|(n, _)| servers.set(n, script(10)));
-    good(&check(
+    for server in 0..servers.addrs().len() {
+        servers.set(server, script(10));
+    }
+    assert_consistent(&check(
         &support::run(&node, CLIENTS, 40, 10, |n| format!("after it {n}")),
         &servers.records(),
     ));
     assert!(
         servers.records()[before..]
             .iter()
-            .all(|r| r.server != server),
+            .all(|record| record.server != server),
         "work after a drain"
     );
 }
 
 #[test]
-fn a_deadline_that_passes_in_the_middle_ends_nothing() {
-    // By the protocol it is the first token's: half a second of text and a silence come before the rest is asked for.
+fn deadline_passing_after_the_first_token_does_not_end_the_stream() {
+    // By the protocol it is the deadline of the first token: half a second of text and a silence come before the remainder is
+    // requested.
     let slow = Script {
         gap_ms: 120,
-        ..with(
+        ..faulty_script(
             8,
             vec![rule(
                 Fault::Stall {
@@ -436,35 +471,35 @@
         )
     };
     let servers = Standin::start(vec![slow; 2]).unwrap();
-    let node = Node::start("deadline", servers.addrs(), SAVES, "safe");
+    let node = Node::start("deadline", servers.addrs(), CONTINUE_STREAMS, "safe");
     let (id, mut stream) = ask_within(&node, "deadline", 8, 0.5);
     let verdict = check(&[read(id, "deadline", 8, &mut stream)], &servers.records());
-    good(&verdict);
+    assert_consistent(&verdict);
     assert_eq!((verdict.whole, verdict.continued), (1, 1), "{verdict:?}");
 }
 
 #[test]
-fn an_answer_that_comes_on_a_second_connection_reaches_nobody_else() {
+fn repeated_response_reaches_no_other_client() {
     let servers = Standin::start(vec![Script {
         first_ms: 20,
         ..script(12)
     }])
     .unwrap();
     let node = Node::start("twice", servers.addrs(), "", "safe");
-    // So that there are connections that idle.
-    good(&check(
+    // So that there are idle connections.
+    assert_consistent(&check(
         &support::run(&node, 8, 16, 12, |n| format!("before {n}")),
         &servers.records(),
     ));
-    servers.set(0, with(12, vec![rule(Fault::Twice, false)]));
+    servers.set(0, faulty_script(12, vec![rule(Fault::Twice, false)]));
     let twice = |n: usize| {
-        // What was sent unasked is there before the next request leaves.
+        // The repeated response has come before the next request goes out.
         std::thread::sleep(Duration::from_millis(20));
         let (id, mut stream) = ask(&node, &format!("twice {n}"), 12);
         read(id, &format!("twice {n}"), 12, &mut stream)
     };
     let verdict = check(&(0..12).map(twice).collect::<Vec<_>>(), &servers.records());
-    good(&verdict);
+    assert_consistent(&verdict);
     assert_eq!(verdict.whole, 12, "{verdict:?}");
     assert!(
         servers.unasked() > 3,
@@ -474,9 +509,9 @@
 }
 
 #[test]
-fn what_follows_an_end_is_dropped_where_answers_are_followed_and_else_passes_as_it_came() {
+fn bytes_after_the_end_are_dropped_only_where_streams_are_continued() {
     let node = |name: &str, fault: Fault, operator: &str| {
-        let servers = Standin::start(vec![with(6, vec![rule(fault, false)])]).unwrap();
+        let servers = Standin::start(vec![faulty_script(6, vec![rule(fault, false)])]).unwrap();
         let node = Node::start(name, servers.addrs(), operator, "safe");
         check(
             &support::run(&node, 1, 1, 6, |n| format!("{name} {n}")),
@@ -484,54 +519,36 @@
         )
         .broken
     };
-    assert_eq!(node("followed", Fault::GoOn, SAVES), [""; 0]);
-    // A server that doubles its own words does so under its own name: the checker sees it, the node leaves it.
+    assert_eq!(node("followed", Fault::GoOn, CONTINUE_STREAMS), [""; 0]);
+    // A replica that repeats its own events is responsible for them: the checker sees them, and the node forwards them.
     assert!(node("unfollowed", Fault::GoOn, "")
         .iter()
-        .any(|b| b.contains("events after the end")));
+        .any(|fault| fault.contains("events after the end")));
     assert!(node("doubled", Fault::Repeat(2), "")
         .iter()
-        .any(|b| b.contains("not the beginning")));
+        .any(|fault| fault.contains("not the beginning")));
 }
 
 #[test]
-fn the_log_says_how_streams_fared_and_the_command_shows_it() {
-    let servers = Standin::start(vec![
-        with(
-            6,
-            vec![rule(
-                Fault::Stall {
-                    after: 2,
-                    ms: 60_000
-                },
-                false
-            )]
-        );
-        2
-    ]);
-    let servers = servers.unwrap();
-    let mut node = Node::start("shown", servers.addrs(), SAVES, "safe");
-    good(&check(
+fn streams_command_shows_the_logged_counters() {
+    let stall = Fault::Stall {
+        after: 2,
+        ms: 60_000,
+    };
+    let stalling = faulty_script(6, vec![rule(stall, false)]);
+    let servers = Standin::start(vec![stalling; 2]).unwrap();
+    let mut node = Node::start("shown", servers.addrs(), CONTINUE_STREAMS, "safe");
+    assert_consistent(&check(
         &support::run(&node, 1, 3, 6, |n| format!("shown {n}")),
         &servers.records(),
     ));
-    assert!(Command::new("kill")
-        .args(["-TERM", &node.child.id().to_string()])
-        .status()
-        .unwrap()
-        .success());
+    node.signal("-TERM");
     assert!(node.child.wait().unwrap().success());
-    let whole = || {
-        node.log
-            .lock()
-            .unwrap()
-            .iter()
-            .any(|l| l.contains("\"done\""))
+    let has_ended = || {
+        let log = node.log.lock().unwrap();
+        log.iter().any(|line| line.contains("\"done\""))
     };
-    assert!((0..400).any(|_| whole() || {
-        std::thread::sleep(Duration::from_millis(5));
-        false
-    }));
+    assert!(holds_within(400, has_ended));
     let path = std::env::temp_dir().join(format!("streams-shown-{}.log", std::process::id()));
     std::fs::write(&path, node.log.lock().unwrap().join("\n")).unwrap();
     let shown = Command::new(env!("CARGO_BIN_EXE_poppykeel"))
@@ -539,6 +556,7 @@
         .arg(&path)
         .output()
         .unwrap();
+    // A file that stays behind harms nobody.
     let _ = std::fs::remove_file(path);
     let shown = String::from_utf8(shown.stdout).unwrap();
     assert!(
@@ -547,15 +565,15 @@
     );
     let row = shown
         .lines()
-        .find(|l| l.starts_with("s-"))
+        .find(|line| line.starts_with("s-"))
         .expect("a replica's row");
     assert_eq!(row.split_whitespace().count(), 14, "{shown}");
-    let none = Command::new(env!("CARGO_BIN_EXE_poppykeel"))
+    let without_log = Command::new(env!("CARGO_BIN_EXE_poppykeel"))
         .args(["streams", "/dev/null"])
         .output()
         .unwrap();
     assert!(
-        !none.status.success()
-            && String::from_utf8_lossy(&none.stderr).contains("--log-format json")
+        !without_log.status.success()
+            && String::from_utf8_lossy(&without_log.stderr).contains("--log-format json")
     );
 }
--- a/tests/support/drivers.rs
+++ b/tests/support/drivers.rs
@@ -1,4 +1,4 @@
-//! What the drivers of single connections share in a node, for tests that run a driver without the node round it.
+//! What the connections of clients share in a node, for tests that drive a connection without the node round it.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -7,29 +7,30 @@
 use poppykeel::transport::clock::Clock;
 use poppykeel::transport::messages::DispatcherMessage;
 use poppykeel::transport::node_phase::NodePhase;
-use poppykeel::transport::replica::stream_monitor::StreamMonitor;
+use poppykeel::transport::replica::stream_monitor::{StreamMonitor, StreamSettings};
 use std::rc::Rc;
 use tokio::sync::{mpsc, watch};
 
-/// A small configuration whose replica and discovery are never there.
+/// A small configuration whose replica and discovery can't be reached.
 pub fn config() -> Config {
     let text = include_str!("../exchanges/config.json").replace("REPLICA", "127.0.0.1:1");
     Config::read(&text.replace("DISCOVERY", "127.0.0.1:2"), &[]).unwrap()
 }
 
-/// What a client connection shares with the others, and where the core would take what it tells: one message at a time.
-pub fn shared(
+/// What a connection of a client shares with the others, and the dispatcher's end of the channel, which holds one message.
+pub fn registry(
     phases: watch::Receiver<NodePhase>,
 ) -> (Rc<ConnectionRegistry>, mpsc::Receiver<DispatcherMessage>) {
     let config = config();
-    let (tell, told) = mpsc::channel(1);
-    let streams = Rc::new(StreamMonitor::new(Clock::start(), Default::default()));
-    let shared = ConnectionRegistry::new(
+    let (dispatcher, messages) = mpsc::channel(1);
+    let settings = StreamSettings::default();
+    let stream_monitor = Rc::new(StreamMonitor::new(Clock::start(), settings));
+    let registry = ConnectionRegistry::new(
         Rc::new(config.boot),
         Rc::new(config.bounds),
-        tell,
+        dispatcher,
         phases,
-        streams,
+        stream_monitor,
     );
-    (Rc::new(shared), told)
+    (Rc::new(registry), messages)
 }
--- a/tests/transport.rs
+++ b/tests/transport.rs
@@ -1,22 +1,20 @@
-//! The drivers on loopback sockets, with the runtime's clock fed: no real time passes and none is asserted.
+//! Connections of clients and to replicas on loopback sockets, with the runtime's clock fed: no real time passes and none is
+//! asserted.
 
-#![expect(
-    clippy::semicolon_if_nothing_returned,
-    clippy::too_many_lines,
-    reason = "not yet converted"
-)]
+#![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 #[path = "support/drivers.rs"]
 mod drivers;
 
-use drivers::{config, shared};
+use drivers::{config, registry};
 use futures_util::{SinkExt, StreamExt};
+use poppykeel::program::config::Config;
 use poppykeel::protocol::http::{Out, Part};
 use poppykeel::routing::directory::replica_id;
 use poppykeel::transport::client::connection::ClientConnection;
 use poppykeel::transport::client::listener::accept_connections;
 use poppykeel::transport::clock::Clock;
-use poppykeel::transport::messages::RequestPayload;
+use poppykeel::transport::messages::{DispatcherMessage, RequestPayload};
 use poppykeel::transport::node_phase::NodePhase;
 use poppykeel::transport::replica::attempts::{AttemptRequest, ReplicaClient};
 use poppykeel::transport::replica::pool::{ConnectionPool, ReplicaAddress, ReplicaConnection};
@@ -36,7 +34,7 @@
 const MINUTE: Duration = Duration::from_secs(60);
 
 #[tokio::test]
-async fn a_connection_with_bytes_left_over_or_another_replicas_is_not_used_again() {
+async fn pool_does_not_reuse_connection_with_unread_bytes_or_of_another_replica() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = ReplicaAddress {
         replica: replica_id("s-1"),
@@ -82,10 +80,10 @@
     assert_ne!(connection.http().get_ref().local_addr().unwrap(), port);
 }
 
-/// Guards against the second answer of a replica that says one twice, some milliseconds later: it would be taken for
-/// the answer of the next request on that connection.
+/// Guards against the second response of a replica that sends it twice, some milliseconds later: it would be taken for that
+/// of the next request on the connection.
 #[tokio::test]
-async fn a_connection_rests_after_a_stream_and_is_used_again_where_nothing_came() {
+async fn pool_reuses_connection_after_its_reuse_delay_unless_bytes_have_come() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = ReplicaAddress {
         replica: replica_id("s-1"),
@@ -95,14 +93,14 @@
     let port = |connection: &ReplicaConnection| connection.http().get_ref().local_addr().unwrap();
     for twice in [false, true] {
         let connection = pool.acquire(address).await.ok().unwrap();
-        let (rested, mut replica) = (port(&connection), listener.accept().unwrap().0);
+        let (reused_port, mut replica) = (port(&connection), listener.accept().unwrap().0);
         tokio::time::pause();
         pool.release(address, connection, MINUTE);
         let next = pool.acquire(address);
         tokio::pin!(next);
         assert!(
             tokio::time::timeout(MINUTE / 2, &mut next).await.is_err(),
-            "it is used before it has rested"
+            "the connection is used before its reuse delay is over"
         );
         if twice {
             replica.write_all(ANSWER).unwrap();
@@ -110,14 +108,14 @@
         tokio::time::advance(MINUTE).await;
         tokio::time::resume();
         let next = next.await.ok().unwrap();
-        assert_eq!(port(&next) != rested, twice);
+        assert_eq!(port(&next) != reused_port, twice);
         drop((next, replica));
     }
 }
 
-/// Guards against new connections for clients that leave in the moment in which theirs rests.
+/// Guards against new connections for clients that disconnect while theirs may not be used yet.
 #[tokio::test]
-async fn a_connection_whose_rest_was_waited_for_in_vain_is_kept() {
+async fn pool_keeps_connection_whose_reuse_delay_was_not_waited_out() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = ReplicaAddress {
         replica: replica_id("s-1"),
@@ -125,7 +123,7 @@
     };
     let pool = ConnectionPool::new(9, MINUTE, 9 * MINUTE);
     let connection = pool.acquire(address).await.ok().unwrap();
-    let (rested, _replica) = (
+    let (reused_port, _replica) = (
         connection.http().get_ref().local_addr().unwrap(),
         listener.accept().unwrap().0,
     );
@@ -145,50 +143,53 @@
             .get_ref()
             .local_addr()
             .unwrap(),
-        rested
+        reused_port
     );
 }
 
-/// A replica that answers twice, through the driver of attempts: the request right after does not get the second one.
-#[tokio::test]
-async fn a_request_right_after_an_answer_does_not_meet_that_answer_again() {
-    let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let address = ReplicaAddress {
-        replica: replica_id("s-1"),
-        addr: listener.local_addr().unwrap(),
-    };
-    let config = config();
-    let (tell, _told) = mpsc::channel(16);
+/// A node's client of replicas, which keeps a connection unused for a minute after a stream.
+fn replica_client(config: Config, dispatcher: mpsc::Sender<DispatcherMessage>) -> ReplicaClient {
     let clock = Clock::start();
     let limits = TransportLimits {
         reuse_delay: MINUTE,
         ..config.bounds
     };
-    let replica_client = ReplicaClient::new(
+    ReplicaClient::new(
         ConnectionPool::new(9, MINUTE, MINUTE),
-        tell,
+        dispatcher,
         Rc::new(config.boot),
         Rc::new(limits),
         Rc::new(StreamMonitor::new(clock, StreamSettings::default())),
         clock,
-    );
+    )
+}
+
+/// A replica that responds twice, through whole attempts: the request right after does not get the second response.
+#[tokio::test]
+async fn repeated_response_is_not_taken_for_that_of_the_next_request() {
+    let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
+    let address = ReplicaAddress {
+        replica: replica_id("s-1"),
+        addr: listener.local_addr().unwrap(),
+    };
+    let (dispatcher, _messages) = mpsc::channel(16);
+    let replica_client = replica_client(config(), dispatcher);
     let attempt = |request| {
         let payload = RequestPayload {
             head: b"POST / HTTP/1.1\r\n".to_vec(),
             body: Default::default(),
         };
-        let (request, payload, begun) = (RequestId(request), Rc::new(payload), Rc::default());
-        let job = AttemptRequest {
-            request,
+        let attempt_request = AttemptRequest {
+            request: RequestId(request),
             attempt: 0,
             address,
             timeout: 1,
             inter_token_objective: None,
             cross_zone_group: None,
-            payload,
-            has_begun: begun,
+            payload: Rc::new(payload),
+            has_begun: Rc::default(),
         };
-        tokio::task::spawn_local(replica_client.clone().run_attempt(job))
+        tokio::task::spawn_local(replica_client.clone().run_attempt(attempt_request))
     };
     let test = async {
         let first = attempt(1);
@@ -198,7 +199,7 @@
         tokio::time::pause();
         let _second = attempt(2);
         tokio::task::yield_now().await;
-        // The clock stands still: this comes while the connection rests.
+        // The clock stands still: this comes while the connection may not be used.
         let mut replica = replica.into_std().unwrap();
         replica.write_all(STREAM).unwrap();
         tokio::time::advance(MINUTE).await;
@@ -214,7 +215,7 @@
 
 /// Guards against requests lost at the end: they are in the kernel, and the runtime has had no turn since they came.
 #[tokio::test]
-async fn what_the_kernel_has_when_the_node_closes_is_answered() {
+async fn answers_connections_and_requests_pending_in_the_kernel_when_the_node_closes() {
     const HEALTH: &[u8] = b"GET /healthz HTTP/1.1\r\n\r\n";
     let answer = |stream: &mut std::net::TcpStream| {
         let mut text = String::new();
@@ -222,7 +223,7 @@
         text
     };
     let (phase, phases) = watch::channel(NodePhase::Serving);
-    let (shared, _) = shared(phases.clone());
+    let (registry, _) = registry(phases.clone());
     let test = async {
         // A connection that nobody has accepted yet.
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -230,7 +231,7 @@
         let mut new = std::net::TcpStream::connect(at).unwrap();
         new.write_all(HEALTH).unwrap();
         phase.send(NodePhase::Closing).unwrap();
-        accept_connections(listener, shared.clone(), phases.clone()).await;
+        accept_connections(listener, registry.clone(), phases.clone()).await;
         let new = tokio::task::spawn_blocking(move || answer(&mut new))
             .await
             .unwrap();
@@ -239,11 +240,11 @@
             "the new connection: '{new}'"
         );
 
-        // A request on a connection that rests.
+        // A request on an idle connection.
         phase.send(NodePhase::Serving).unwrap();
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
         let mut kept = std::net::TcpStream::connect(listener.local_addr().unwrap()).unwrap();
-        let client = ClientConnection::new(listener.accept().await.unwrap().0, shared.clone());
+        let client = ClientConnection::new(listener.accept().await.unwrap().0, registry.clone());
         let client = tokio::task::spawn_local(client.run());
         kept.write_all(HEALTH).unwrap();
         let mut kept = tokio::task::spawn_blocking(move || {
@@ -269,11 +270,11 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_request_that_is_never_whole_ends_its_connection() {
+async fn closes_connection_whose_request_is_never_complete() {
     let read = config().bounds.request_read_timeout;
     assert!(read < Duration::from_secs(3));
     let (_phase, phases) = watch::channel(NodePhase::Serving);
-    let (shared, _) = shared(phases);
+    let (registry, _) = registry(phases);
     for (bytes, answer) in [
         ("", ""),
         ("POST /v1/", "HTTP/1.1 408 "),
@@ -284,7 +285,7 @@
     ] {
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
         let mut bad = std::net::TcpStream::connect(listener.local_addr().unwrap()).unwrap();
-        let client = ClientConnection::new(listener.accept().await.unwrap().0, shared.clone());
+        let client = ClientConnection::new(listener.accept().await.unwrap().0, registry.clone());
         bad.write_all(bytes.as_bytes()).unwrap();
         // A client that trickles on gets no more time by it.
         let mut trickle = bad.try_clone().unwrap();
@@ -293,7 +294,7 @@
                 tokio::time::sleep(read / 4).await;
                 let _ = trickle.write_all(b"x");
             }
-            std::future::pending::<()>().await
+            std::future::pending::<()>().await;
         };
         tokio::select! {
             () = client.run() => {}
