--- a/crates/coordination/tests/golden.rs
+++ b/crates/coordination/tests/golden.rs
@@ -3,13 +3,14 @@
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
-use poppykeel_coordination::budget::{Message as BudgetMessage, Want};
-use poppykeel_coordination::envelope::{read, write, Body, Envelope, Figures};
-use poppykeel_coordination::lease::{Holder, ToKeeper, ToNode};
-use poppykeel_coordination::members::{Member, Members};
-use poppykeel_coordination::roll::{Message as RollMessage, Order, Part};
-use poppykeel_coordination::trials::Message as TrialsMessage;
-use std::collections::{BTreeMap, BTreeSet};
+#[path = "support/golden_messages.rs"]
+mod golden_messages;
+
+use golden_messages::message_samples;
+use poppykeel_coordination::envelope::{decode, encode, Envelope, MessageBody};
+use poppykeel_coordination::gossip::{GossipMessage, Member, Membership};
+use poppykeel_coordination::{Incarnation, ProcessId};
+use std::collections::BTreeSet;
 use std::fs;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -52,228 +53,26 @@
 }
 
 /// A message in the envelope of the golden fleet.
-fn envelope(at: SocketAddr, body: Body) -> Envelope {
+fn envelope(sender_address: SocketAddr, body: MessageBody) -> Envelope {
     Envelope {
         fleet: FLEET.into(),
-        keepers: 300,
-        from: ("node-a".into(), 0x0123_4567_89ab_cdef),
-        at,
-        to: RECEIVER.into(),
+        lease_servers_number: 300,
+        sender: ProcessId {
+            node: "node-a".into(),
+            incarnation: Incarnation(0x0123_4567_89ab_cdef),
+        },
+        sender_address,
+        recipient: RECEIVER.into(),
         body,
     }
 }
 
-/// A holder of a lease.
-fn holder() -> Holder {
-    Holder {
-        node: "node-c".into(),
-        incarnation: 0xfedc_ba98_7654_3210,
-    }
-}
-
-/// Messages to a lease server.
-fn lease_server_messages() -> Vec<(&'static str, Body)> {
-    let ask = ToKeeper::Ask {
-        task: "budgets".into(),
-        who: holder(),
-        epoch: 11,
-        round: 1_200,
-        length: 5_000_000,
-    };
-    let release = ToKeeper::Release {
-        task: "trials".into(),
-        who: holder(),
-        epoch: 12,
-    };
-    let recall = ToKeeper::Recall {
-        keeper: 2,
-        start: 130_000,
-    };
-    let memory = ToKeeper::Memory {
-        keeper: 1,
-        start: 141,
-        own: 14_200,
-        blank: true,
-        together: false,
-        epochs: vec![("budgets".into(), 143), ("roll".into(), 14_400)],
-        newest: 145,
-        starts: vec![(0, 146), (2, 14_700)],
-    };
-    let memory_of_blank_start = ToKeeper::Memory {
-        keeper: 3,
-        start: 151,
-        own: 152,
-        blank: false,
-        together: true,
-        epochs: vec![],
-        newest: 153,
-        starts: vec![],
-    };
-    let superseded = ToKeeper::Superseded {
-        keeper: 4,
-        start: 161,
-    };
-    vec![
-        ("lease-ask", Body::Keeper(ask)),
-        ("lease-release", Body::Keeper(release)),
-        ("lease-recall", Body::Keeper(recall)),
-        ("lease-memory", Body::Keeper(memory)),
-        ("lease-memory-empty", Body::Keeper(memory_of_blank_start)),
-        ("lease-superseded", Body::Keeper(superseded)),
-    ]
-}
-
-/// Answers of a lease server.
-fn lease_answers() -> Vec<(&'static str, Body)> {
-    let granted = ToNode::Granted {
-        task: "budgets".into(),
-        who: 21,
-        round: 2_200,
-        epoch: 23,
-        start: 240_000,
-        starts: vec![(1, 25), (2, 2_600)],
-    };
-    let refused = ToNode::Refused {
-        task: "roll".into(),
-        who: 31,
-        round: 3_200,
-        epoch: 33,
-        holder: Some(holder()),
-        left: 3_400_000,
-    };
-    let refused_without_holder = ToNode::Refused {
-        task: "trials".into(),
-        who: 35,
-        round: 36,
-        epoch: 37,
-        holder: None,
-        left: 38,
-    };
-    vec![
-        ("lease-granted", Body::Node(granted)),
-        ("lease-refused", Body::Node(refused)),
-        (
-            "lease-refused-without-holder",
-            Body::Node(refused_without_holder),
-        ),
-    ]
-}
-
-/// Messages of the figures for a report.
-fn figures_messages() -> Vec<(&'static str, Body)> {
-    let figures = Figures {
-        replies: vec![
-            ("chat".into(), [41, 4_200, 43]),
-            ("batch".into(), [44, 45, 460_000]),
-        ],
-        crossings: vec![("chat".into(), "acme".into(), 47)],
-        dispatches: 4_800,
-        concurrent: 49,
-        wall: 1_700_000_000_000_000,
-    };
-    vec![
-        ("figures-ask", Body::AskFigures(401)),
-        ("figures", Body::Figures(402, figures)),
-    ]
-}
-
-/// Messages of a rolling restart.
-fn roll_messages() -> Vec<(&'static str, Body)> {
-    let order = Order {
-        number: 51,
-        by: "node-d".into(),
-        nodes: vec!["node-a".into(), "node-b".into(), "node-c".into()],
-        out: 2,
-        hold: 5_300_000,
-        back: 54_000_000,
-    };
-    let messages = [
-        ("roll-order", RollMessage::Order(order)),
-        ("roll-ask", RollMessage::Ask(55, 56, (57, "node-d".into()))),
-        ("roll-want", RollMessage::Want),
-        (
-            "roll-tell-waiting",
-            RollMessage::Tell(58, 59, Part::Waiting, false),
-        ),
-        ("roll-tell-out", RollMessage::Tell(60, 61, Part::Out, true)),
-        (
-            "roll-tell-done",
-            RollMessage::Tell(62, 63, Part::Done, false),
-        ),
-        ("roll-act-leave", RollMessage::Act(64, 65, true)),
-        ("roll-act-return", RollMessage::Act(66, 67, false)),
-        ("roll-over", RollMessage::Over(68, "node-e".into())),
-    ];
-    messages
-        .map(|(name, message)| (name, Body::Roll(message)))
-        .into()
-}
-
-/// Messages of trials of ejected servers.
-fn trials_messages() -> Vec<(&'static str, Body)> {
-    let ejected = TrialsMessage::Ejected(vec!["s-1".into(), "s-22".into()]);
-    let verdicts = TrialsMessage::Verdicts(71, vec![("s-3".into(), true), ("s-4".into(), false)]);
-    vec![
-        ("trials-ejected", Body::Trials(ejected)),
-        ("trials-verdicts", Body::Trials(verdicts)),
-    ]
-}
-
-/// Rates of two budgets.
-fn rates() -> BTreeMap<String, u64> {
-    BTreeMap::from([("crossings".into(), 81), ("retries".into(), 8_200)])
-}
-
-/// Wants of two budgets.
-fn wants() -> BTreeMap<String, Want> {
-    let crossings = Want { rate: 83, worth: 1 };
-    let retries = Want {
-        rate: 8_400,
-        worth: 85,
-    };
-    BTreeMap::from([("crossings".into(), crossings), ("retries".into(), retries)])
-}
-
-/// Messages of the budgets of the whole fleet.
-fn budget_messages() -> Vec<(&'static str, Body)> {
-    let ask = BudgetMessage::Ask {
-        who: holder(),
-        epoch: 86,
-        number: 8_700,
-        have: Some((88, 89)),
-        rates: rates(),
-        wants: wants(),
-    };
-    let first_ask = BudgetMessage::Ask {
-        who: holder(),
-        epoch: 90,
-        number: 91,
-        have: None,
-        rates: BTreeMap::new(),
-        wants: wants(),
-    };
-    let share = BudgetMessage::Share {
-        who: 92,
-        epoch: 93,
-        share: 94,
-        number: 9_500,
-        length: 2_000_000,
-        rates: rates(),
-    };
-    vec![
-        ("budget-ask", Body::Budget(ask)),
-        ("budget-ask-first", Body::Budget(first_ask)),
-        ("budget-hello", Body::Budget(BudgetMessage::Hello(96))),
-        ("budget-share", Body::Budget(share)),
-    ]
-}
-
 /// A member of the fleet with every field set.
 fn member(name: &str, address: &str, incarnation: u64, generation: u64) -> Member {
     Member {
         name: name.into(),
-        addr: address.parse().unwrap(),
-        incarnation,
+        address: address.parse().unwrap(),
+        incarnation: Incarnation(incarnation),
         generation,
     }
 }
@@ -291,17 +90,17 @@
 /// The messages of a short exchange between two members, in the order sent: the one that joins announces itself, the
 /// other answers with whom it knows, both probe for a while, and the first one leaves.
 fn membership_exchange() -> Vec<Vec<u8>> {
-    let mut joining = Members::new(joining_member(), PROBE_INTERVAL, 1);
-    let mut present = Members::new(present_member(), PROBE_INTERVAL, 2);
+    let mut joining = Membership::new(joining_member(), PROBE_INTERVAL, 1);
+    let mut present = Membership::new(present_member(), PROBE_INTERVAL, 2);
     let mut sent = Vec::new();
     let mut now = 0;
     let announced = joining.announce(present_member(), now);
     deliver(announced, &mut joining, &mut present, now, &mut sent);
     while now < 3 * PROBE_INTERVAL {
         now += PROBE_INTERVAL / 10;
-        let from_joining = joining.turn(now);
+        let from_joining = joining.on_timer(now);
         deliver(from_joining, &mut joining, &mut present, now, &mut sent);
-        let from_present = present.turn(now);
+        let from_present = present.on_timer(now);
         deliver(from_present, &mut joining, &mut present, now, &mut sent);
     }
     let farewell = joining.leave(now);
@@ -311,33 +110,33 @@
 
 /// Delivers messages and the answers to them at one moment, and keeps the bytes of each.
 fn deliver(
-    messages: Vec<(Member, impl AsRef<[u8]>)>,
-    joining: &mut Members,
-    present: &mut Members,
+    messages: Vec<GossipMessage>,
+    joining: &mut Membership,
+    present: &mut Membership,
     now: u64,
     sent: &mut Vec<Vec<u8>>,
 ) {
     let mut waiting: Vec<(String, Vec<u8>)> = Vec::new();
-    for (receiver, bytes) in messages {
-        waiting.push((receiver.name, bytes.as_ref().to_vec()));
+    for message in messages {
+        waiting.push((message.recipient.name, message.payload.to_vec()));
     }
     while !waiting.is_empty() {
         let (receiver, bytes) = waiting.remove(0);
         let answers = if receiver == RECEIVER {
-            present.heard(&bytes, now)
+            present.handle_message(&bytes, now)
         } else {
-            joining.heard(&bytes, now)
+            joining.handle_message(&bytes, now)
         };
         sent.push(bytes);
-        for (receiver, answer) in answers {
-            waiting.push((receiver.name, answer.to_vec()));
+        for answer in answers {
+            waiting.push((answer.recipient.name, answer.payload.to_vec()));
         }
     }
 }
 
 /// The samples of the membership protocol, numbered in the order sent.
-fn membership_samples() -> Vec<(String, Body)> {
-    let number = |(index, bytes)| (format!("gossip-{index:02}"), Body::Gossip(bytes));
+fn membership_samples() -> Vec<(String, MessageBody)> {
+    let number = |(index, bytes)| (format!("gossip-{index:02}"), MessageBody::Gossip(bytes));
     membership_exchange()
         .into_iter()
         .enumerate()
@@ -347,16 +146,7 @@
 
 /// Every sample: its name and the message in its envelope. The first sample is there from an IPv6 address, too.
 fn samples() -> Vec<(String, Envelope)> {
-    let bodies = [
-        lease_server_messages(),
-        lease_answers(),
-        figures_messages(),
-        roll_messages(),
-        trials_messages(),
-        budget_messages(),
-    ]
-    .concat();
-    let named = bodies
+    let named = message_samples()
         .into_iter()
         .map(|(name, body)| (name.to_string(), body));
     let mut samples: Vec<(String, Envelope)> = named
@@ -380,7 +170,7 @@
 fn datagrams_of_landed_version_are_decoded_to_the_same_messages() {
     for (name, expected) in samples() {
         let datagram = fs::read(golden_path(&file_name(&name))).unwrap();
-        let decoded = read(&datagram, FLEET, RECEIVER);
+        let decoded = decode(&datagram, FLEET, RECEIVER);
         assert_eq!(decoded, Ok(expected), "{name}");
     }
 }
@@ -388,7 +178,7 @@
 #[test]
 fn same_messages_are_encoded_as_the_same_datagrams() {
     for (name, envelope) in samples() {
-        assert_equals_golden_file(&file_name(&name), &write(&envelope));
+        assert_equals_golden_file(&file_name(&name), &encode(&envelope));
     }
 }
 
@@ -401,12 +191,12 @@
 #[test]
 fn membership_announcement_of_landed_version_makes_its_sender_known() {
     let datagram = fs::read(golden_path(&file_name("gossip-00"))).unwrap();
-    let Body::Gossip(announcement) = read(&datagram, FLEET, RECEIVER).unwrap().body else {
+    let MessageBody::Gossip(announcement) = decode(&datagram, FLEET, RECEIVER).unwrap().body else {
         panic!("expected a message of the membership protocol");
     };
-    let mut members = Members::new(present_member(), PROBE_INTERVAL, 2);
-    members.heard(&announcement, 0);
-    let known: Vec<&Member> = members.others().collect();
+    let mut members = Membership::new(present_member(), PROBE_INTERVAL, 2);
+    members.handle_message(&announcement, 0);
+    let known: Vec<&Member> = members.peers().collect();
     assert_eq!(known, [&joining_member()]);
-    assert_eq!(members.garbled, 0);
+    assert_eq!(members.malformed_count(), 0);
 }
--- a/src/program/serve.rs
+++ b/src/program/serve.rs
@@ -18,10 +18,10 @@
 use crate::transport::client::registry::ConnectionRegistry;
 use crate::transport::client::shutdown::FINAL_RESPONSE_TIMEOUT;
 use crate::transport::clock::Clock;
+use crate::transport::coordination::CoordinationDriver;
 use crate::transport::dispatcher::Dispatcher;
 use crate::transport::endpoints::discovery::EndpointWatcher;
 use crate::transport::endpoints::srv::SrvWatcher;
-use crate::transport::fleet::Fleet;
 use crate::transport::handover::LearnedStateHandover;
 use crate::transport::messages::DispatcherMessage;
 use crate::transport::node_phase::NodePhase;
@@ -163,8 +163,7 @@
         discovery.set_known_version(known.version());
     }
     // Where lists are pushed the module never asks: the agent's list is watched from the start.
-    let pushed = boot.scheduler.endpoint_list_mode
-        == poppykeel_scheduler::interface::EndpointListMode::Pushed;
+    let pushed = boot.scheduler.endpoint_list_mode == poppykeel_scheduler::EndpointListMode::Pushed;
     let discovery = if pushed {
         discovery.into_pushed()
     } else {
@@ -200,7 +199,11 @@
         .map(|fleet| fleet.place(&config.name, &boot.names.tenants))
         .transpose()?;
     let fleet = match place {
-        Some(place) => Some(Fleet::start(place, tell.clone(), phase.clone(), clock).await?),
+        Some(place) => Some(
+            CoordinationDriver::start(place, tell.clone(), phase.clone(), clock)
+                .await
+                .map_err(|e| e.to_string())?,
+        ),
         None => None,
     };
     let handover = operator.handover.folder().map(|folder| {
@@ -242,7 +245,7 @@
             _ = interrupt.recv() => break,
             _ = hangup.recv() => match reread().and_then(|read| follow(&config, &boot, read)).and_then(|read| {
                 match (&fleet, &read.1.fleet) {
-                    (Some(fleet), Some(settings)) => fleet.resettle(&settings.place(&read.0.name, &read.2.names.tenants)?)?,
+                    (Some(fleet), Some(settings)) => fleet.update(&settings.place(&read.0.name, &read.2.names.tenants)?).map_err(|e| e.to_string())?,
                     (None, None) => {}
                     _ => return Err("operator: fleet: expected to come or go with a restart alone".into()),
                 }
--- a/src/transport/client/connection/exchange.rs
+++ b/src/transport/client/connection/exchange.rs
@@ -13,7 +13,7 @@
 };
 use crate::transport::replica::stream_recovery::{StreamRecovery, StreamedRequest};
 use bytes::Bytes;
-use poppykeel_scheduler::interface::{IncomingRequest, ReplicaId, RequestId};
+use poppykeel_scheduler::{IncomingRequest, ReplicaId, RequestId};
 use poppykeel_site_settings::SiteSettings;
 use tokio::sync::{mpsc, oneshot};
 
--- a/src/transport/dispatcher/commands.rs
+++ b/src/transport/dispatcher/commands.rs
@@ -6,7 +6,7 @@
 use crate::transport::messages::ClientResponse;
 use crate::transport::replica::attempts::AttemptRequest;
 use crate::transport::replica::pool::ReplicaAddress;
-use poppykeel_scheduler::interface::{AttemptOutcome, ReplicaId, RequestId};
+use poppykeel_scheduler::{AttemptOutcome, ReplicaId, RequestId};
 use std::cell::Cell;
 use std::rc::Rc;
 
--- a/src/transport/mod.rs
+++ b/src/transport/mod.rs
@@ -8,9 +8,10 @@
 pub mod admin;
 pub mod client;
 pub mod clock;
+pub mod coordination;
 pub mod dispatcher;
 pub mod endpoints;
-pub mod fleet;
+mod evacuation;
 pub mod handover;
 pub mod messages;
 pub mod node_phase;
--- a/src/transport/replica/attempts.rs
+++ b/src/transport/replica/attempts.rs
@@ -21,7 +21,7 @@
 use crate::transport::TransportLimits;
 use bytes::{Buf, Bytes};
 use futures_util::{SinkExt, StreamExt};
-use poppykeel_scheduler::interface::{AttemptOutcome, LoadReport, RequestId};
+use poppykeel_scheduler::{AttemptOutcome, LoadReport, RequestId};
 use poppykeel_site_settings::SiteSettings;
 use std::cell::{Cell, Ref, RefCell};
 use std::rc::Rc;
--- a/src/transport/replica/pool.rs
+++ b/src/transport/replica/pool.rs
@@ -6,7 +6,7 @@
 
 use crate::protocol::http::{Http, Side};
 use crate::transport::HttpConnection;
-use poppykeel_scheduler::interface::ReplicaId;
+use poppykeel_scheduler::ReplicaId;
 use rustix::io::Errno;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
--- a/src/transport/replica/probes.rs
+++ b/src/transport/replica/probes.rs
@@ -11,7 +11,7 @@
 use crate::transport::messages::DispatcherMessage;
 use bytes::Bytes;
 use futures_util::StreamExt;
-use poppykeel_scheduler::interface::{AttemptOutcome, LoadReport, ReplicaId};
+use poppykeel_scheduler::{AttemptOutcome, LoadReport, ReplicaId};
 use std::net::SocketAddr;
 use std::time::Duration;
 
--- a/src/transport/replica/stream_monitor.rs
+++ b/src/transport/replica/stream_monitor.rs
@@ -6,7 +6,7 @@
 
 use crate::routing::{DurationMicros, MonotonicMicros};
 use crate::transport::clock::Clock;
-use poppykeel_scheduler::interface::ReplicaId;
+use poppykeel_scheduler::ReplicaId;
 use poppykeel_stream_recovery::{
     ContinuationBudget, ContinuationLimits, GapHistogram, StallDetector, StallLimits, StreamState,
 };
--- a/tests/dispatcher.rs
+++ b/tests/dispatcher.rs
@@ -18,8 +18,8 @@
 use poppykeel::transport::replica::attempts::ReplicaClient;
 use poppykeel::transport::replica::pool::ConnectionPool;
 use poppykeel::transport::replica::stream_monitor::{StreamMonitor, StreamSettings};
-use poppykeel_scheduler::interface::{IncomingRequest, RequestId};
 use poppykeel_scheduler::Scheduler;
+use poppykeel_scheduler::{IncomingRequest, RequestId};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
--- a/tests/faults.rs
+++ b/tests/faults.rs
@@ -7,7 +7,7 @@
 #[allow(dead_code)] // each file of tests uses a part
 mod support;
 
-use poppykeel_stub_model_server::{Outcome, Script, Standin};
+use poppykeel_stub_model_server::{ClientOutcome, ReplyScript, StubServers};
 use std::io::{Read, Write};
 use std::path::PathBuf;
 use std::time::Duration;
@@ -30,11 +30,11 @@
 }
 
 /// A node with these faults, its replicas, and the file of its plan.
-fn start_faulty_node(name: &str, plan: &str) -> (Node, Standin, PathBuf) {
-    let servers = Standin::start(vec![
-        Script {
-            gap_ms: 1,
-            ..Script::default()
+fn start_faulty_node(name: &str, plan: &str) -> (Node, StubServers, PathBuf) {
+    let servers = StubServers::start(vec![
+        ReplyScript {
+            token_gap_ms: 1,
+            ..ReplyScript::default()
         };
         3
     ])
@@ -60,7 +60,7 @@
     });
     let incomplete: Vec<_> = seen
         .iter()
-        .filter(|seen| seen.outcome != Outcome::Whole)
+        .filter(|seen| seen.outcome != ClientOutcome::Completed)
         .map(|seen| &seen.outcome)
         .collect();
     assert!(
@@ -68,7 +68,7 @@
         "{} of {REQUESTS}: {incomplete:?}",
         incomplete.len()
     );
-    assert_eq!(servers.records().len(), REQUESTS);
+    assert_eq!(servers.served_requests().len(), REQUESTS);
     drop(node);
     // A file that stays behind harms nobody.
     let _ = std::fs::remove_file(file);
@@ -121,7 +121,7 @@
             .into_iter()
             .for_each(|client| client.join().unwrap());
     });
-    assert_eq!(servers.records().len(), REQUESTS);
+    assert_eq!(servers.served_requests().len(), REQUESTS);
     drop(node);
     // A file that stays behind harms nobody.
     let _ = std::fs::remove_file(file);
--- a/tests/rare.rs
+++ b/tests/rare.rs
@@ -6,7 +6,7 @@
 #[allow(dead_code)] // each file of tests uses a part
 mod support;
 
-use poppykeel_stub_model_server::{Outcome, Script, Standin};
+use poppykeel_stub_model_server::{ClientOutcome, ReplyScript, StubServers};
 use socket2::{Domain, Socket, Type};
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -26,10 +26,10 @@
 }
 
 /// A stub server whose streams have three tokens.
-fn stub_server() -> Standin {
-    Standin::start(vec![Script {
-        tokens: 3,
-        ..Script::default()
+fn stub_server() -> StubServers {
+    StubServers::start(vec![ReplyScript {
+        token_count: 3,
+        ..ReplyScript::default()
     }])
     .unwrap()
 }
@@ -169,8 +169,8 @@
     let response = std::thread::spawn(move || read(id, "late", 3, &mut client));
     expect_no_bytes(&late);
     // The request has never run there, so the remaining replica gets it, also where it may not be repeated.
-    assert_eq!(response.join().unwrap().outcome, Outcome::Whole);
-    assert_eq!(replica.records().len(), 1);
+    assert_eq!(response.join().unwrap().outcome, ClientOutcome::Completed);
+    assert_eq!(replica.served_requests().len(), 1);
 }
 
 /// Guards against a response whose end is lost with the reset of a close over unread bytes.
@@ -268,8 +268,11 @@
     answer_poll(&mut poll, &body);
     node.until_logged("s-9");
     let (id, mut client) = ask(&node, "later", 3);
-    assert_eq!(read(id, "later", 3, &mut client).outcome, Outcome::Whole);
-    assert_eq!(replica.records().len(), 1);
+    assert_eq!(
+        read(id, "later", 3, &mut client).outcome,
+        ClientOutcome::Completed
+    );
+    assert_eq!(replica.served_requests().len(), 1);
 }
 
 /// Reads to the end of a connection.
@@ -326,7 +329,10 @@
     health.write_all(HEALTH_AND_CLOSE).unwrap();
     assert!(read_to_close(&mut health).starts_with("HTTP/1.1 200 "));
     let (id, mut client) = ask(&node, "silent", 3);
-    assert_eq!(read(id, "silent", 3, &mut client).outcome, Outcome::Whole);
+    assert_eq!(
+        read(id, "silent", 3, &mut client).outcome,
+        ClientOutcome::Completed
+    );
 }
 
 /// Clients that send much at once and disconnect, with complete bodies that are too long, parts of bodies, and requests one
@@ -357,7 +363,7 @@
             let (id, mut client) = ask(&node, "among them", 3);
             assert_eq!(
                 read(id, "among them", 3, &mut client).outcome,
-                Outcome::Whole
+                ClientOutcome::Completed
             );
         }
     }
@@ -403,7 +409,7 @@
             // New connections may be closed unread while idle ones fill the node; their clients try again.
             until("an answer among idle clients", || {
                 let (id, mut client) = ask(&node, "among idle ones", 3);
-                read(id, "among idle ones", 3, &mut client).outcome == Outcome::Whole
+                read(id, "among idle ones", 3, &mut client).outcome == ClientOutcome::Completed
             });
         }
     }
@@ -493,8 +499,11 @@
     node.until_logged("s-9");
     for _ in 0..5 {
         let (id, mut client) = ask(&node, "older", 3);
-        assert_eq!(read(id, "older", 3, &mut client).outcome, Outcome::Whole);
+        assert_eq!(
+            read(id, "older", 3, &mut client).outcome,
+            ClientOutcome::Completed
+        );
     }
-    assert_eq!(removed.records().len(), 0);
-    assert_eq!(remaining.records().len(), 5);
+    assert_eq!(removed.served_requests().len(), 0);
+    assert_eq!(remaining.served_requests().len(), 5);
 }
--- a/tests/shutdown.rs
+++ b/tests/shutdown.rs
@@ -6,7 +6,7 @@
 #[allow(dead_code)] // each file of tests uses a part
 mod support;
 
-use poppykeel_stub_model_server::{Script, Standin};
+use poppykeel_stub_model_server::{ReplyScript, StubServers};
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
 use std::time::Duration;
@@ -37,18 +37,18 @@
     String::from_utf8_lossy(&bytes).into_owned()
 }
 
-fn unresponsive_replica() -> Standin {
-    Standin::start(vec![Script {
-        first_ms: UNRESPONSIVE_MS,
-        ..Script::default()
+fn unresponsive_replica() -> StubServers {
+    StubServers::start(vec![ReplyScript {
+        first_token_ms: UNRESPONSIVE_MS,
+        ..ReplyScript::default()
     }])
     .unwrap()
 }
 
 /// Ids of the requests that have reached a stub server.
-fn requests_reaching(servers: &Standin) -> Vec<String> {
+fn requests_reaching(servers: &StubServers) -> Vec<String> {
     servers
-        .records()
+        .served_requests()
         .into_iter()
         .map(|record| record.id)
         .collect()
--- a/tests/streams.rs
+++ b/tests/streams.rs
@@ -6,7 +6,8 @@
 mod support;
 
 use poppykeel_stub_model_server::{
-    check, Fault, Outcome, Part, Rule, Script, Seen, Standin, Verdict,
+    check, AnswerPart, CheckReport, ClientObservation, ClientOutcome, FaultRule, ReplyFault,
+    ReplyScript, StubServers,
 };
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpListener};
@@ -24,11 +25,11 @@
                      stall_least = 0.2\nstall_most = 0.2\n";
 
 /// Expects that clients and replicas saw nothing that contradicts the protocol.
-fn assert_consistent(verdict: &Verdict) {
+fn assert_consistent(verdict: &CheckReport) {
     assert!(
-        verdict.broken.is_empty(),
+        verdict.violations.is_empty(),
         "{:#?}",
-        &verdict.broken[..verdict.broken.len().min(5)]
+        &verdict.violations[..verdict.violations.len().min(5)]
     );
 }
 
@@ -43,29 +44,29 @@
 }
 
 /// Complete streams of this many tokens.
-fn script(tokens: usize) -> Script {
-    Script {
-        tokens,
-        ..Script::default()
+fn script(tokens: usize) -> ReplyScript {
+    ReplyScript {
+        token_count: tokens,
+        ..ReplyScript::default()
     }
 }
 
 /// A fault of each first attempt, or of each continuation.
-fn rule(fault: Fault, continued: bool) -> Rule {
-    Rule {
+fn rule(fault: ReplyFault, continued: bool) -> FaultRule {
+    FaultRule {
         prompt: None,
-        continued: Some(continued),
+        is_continuation: Some(continued),
         every: 1,
-        once: false,
-        most: None,
+        first_of_prompt_only: false,
+        max_count: None,
         fault,
     }
 }
 
 /// Streams of this many tokens, with these faults.
-fn faulty_script(tokens: usize, rules: Vec<Rule>) -> Script {
-    Script {
-        rule: rules,
+fn faulty_script(tokens: usize, rules: Vec<FaultRule>) -> ReplyScript {
+    ReplyScript {
+        rules,
         ..script(tokens)
     }
 }
@@ -76,12 +77,12 @@
         // The first response to each prompt is cut, whichever replica sends it; later ones are complete.
         let cut = faulty_script(
             4,
-            vec![Rule {
-                once: true,
-                ..rule(Fault::CutNamed { reset }, false)
+            vec![FaultRule {
+                first_of_prompt_only: true,
+                ..rule(ReplyFault::CutWhereTold { reset }, false)
             }],
         );
-        let servers = Standin::start(vec![cut; 3]).unwrap();
+        let servers = StubServers::start(vec![cut; 3]).unwrap();
         let node = Node::start(
             &format!("cut-{reset}"),
             servers.addrs(),
@@ -92,10 +93,10 @@
         let seen = support::run(&node, CLIENTS, 1200, 4, |n| {
             format!("any prompt {n} cut={n}")
         });
-        let verdict = check(&seen, &servers.records());
+        let verdict = check(&seen, &servers.served_requests());
         assert_consistent(&verdict);
         assert_eq!(
-            (verdict.whole, verdict.requests),
+            (verdict.completed, verdict.requests),
             (1200, 1200),
             "{verdict:?}"
         );
@@ -106,13 +107,14 @@
 #[test]
 fn stream_cut_before_any_closing_event_loses_and_repeats_no_text() {
     for (part, asked) in [
-        (Part::Finish, 2),
-        (Part::Usage, 1),
-        (Part::Done, 1),
-        (Part::LastChunk, 1),
+        (AnswerPart::Finish, 2),
+        (AnswerPart::Usage, 1),
+        (AnswerPart::Done, 1),
+        (AnswerPart::LastChunk, 1),
     ] {
-        let cut = Fault::CutBefore { part, reset: false };
-        let servers = Standin::start(vec![faulty_script(6, vec![rule(cut, false)]); 2]).unwrap();
+        let cut = ReplyFault::CutBefore { part, reset: false };
+        let servers =
+            StubServers::start(vec![faulty_script(6, vec![rule(cut, false)]); 2]).unwrap();
         let node = Node::start(
             &format!("part-{part:?}"),
             servers.addrs(),
@@ -121,14 +123,17 @@
         );
         // One token more than there are, so that a remainder can be requested.
         let seen = support::run(&node, CLIENTS, 1, 7, |n| format!("part {n}"));
-        let seen: Vec<Seen> = seen
+        let seen: Vec<ClientObservation> = seen
             .into_iter()
-            .map(|seen| Seen { tokens: 6, ..seen })
+            .map(|seen| ClientObservation {
+                expected_token_count: 6,
+                ..seen
+            })
             .collect();
-        let verdict = check(&seen, &servers.records());
+        let verdict = check(&seen, &servers.served_requests());
         assert_consistent(&verdict);
         assert_eq!(
-            (verdict.whole, servers.records().len()),
+            (verdict.completed, servers.served_requests().len()),
             (1, asked),
             "{part:?}"
         );
@@ -138,8 +143,8 @@
 #[test]
 fn stalled_replica_that_resumes_after_a_continuation_writes_nothing_more() {
     for ms in [190, 210, 230, 260] {
-        let stall = faulty_script(8, vec![rule(Fault::Stall { after: 1, ms }, false)]);
-        let servers = Standin::start(vec![stall; 3]).unwrap();
+        let stall = faulty_script(8, vec![rule(ReplyFault::Stall { after: 1, ms }, false)]);
+        let servers = StubServers::start(vec![stall; 3]).unwrap();
         let node = Node::start(
             &format!("recovers-{ms}"),
             servers.addrs(),
@@ -148,10 +153,10 @@
         );
         let verdict = check(
             &support::run(&node, CLIENTS, 40, 8, |n| format!("recovers {n}")),
-            &servers.records(),
+            &servers.served_requests(),
         );
         assert_consistent(&verdict);
-        assert_eq!(verdict.whole, 40, "{verdict:?}");
+        assert_eq!(verdict.completed, 40, "{verdict:?}");
     }
 }
 
@@ -159,34 +164,34 @@
 fn continuation_budget_holds_when_all_replicas_stall() {
     let stall = || {
         rule(
-            Fault::Stall {
+            ReplyFault::Stall {
                 after: 2,
                 ms: 60_000,
             },
             false,
         )
     };
-    let servers = Standin::start(vec![faulty_script(8, vec![stall()]); 3]).unwrap();
+    let servers = StubServers::start(vec![faulty_script(8, vec![stall()]); 3]).unwrap();
     let operator = CONTINUE_STREAMS
         .replace("free = 100000", "free = 2")
         .replace("share = 1.0", "share = 0.1");
     let node = Node::start("storm", servers.addrs(), &operator, "safe");
     let seen = support::run(&node, CLIENTS, 60, 8, |n| format!("storm {n}"));
-    let verdict = check(&seen, &servers.records());
+    let verdict = check(&seen, &servers.served_requests());
     assert_consistent(&verdict);
     let continued = servers
-        .records()
+        .served_requests()
         .iter()
-        .filter(|record| record.done > 0)
+        .filter(|record| record.tokens_before > 0)
         .count();
     assert!(
         continued <= 6 && continued > 0,
         "{continued} continuations of 60"
     );
-    assert_eq!(verdict.whole, continued);
+    assert_eq!(verdict.completed, continued);
     assert!(seen.iter().all(|seen| matches!(
         seen.outcome,
-        Outcome::Whole | Outcome::Told | Outcome::Refused(_)
+        ClientOutcome::Completed | ClientOutcome::FailedWithError | ClientOutcome::Rejected(_)
     )));
 }
 
@@ -194,47 +199,49 @@
 fn stalled_continuation_is_retried_and_then_fails_with_an_error_event() {
     let stalls = vec![
         rule(
-            Fault::Stall {
+            ReplyFault::Stall {
                 after: 1,
                 ms: 60_000,
             },
             false,
         ),
         rule(
-            Fault::Stall {
+            ReplyFault::Stall {
                 after: 1,
                 ms: 60_000,
             },
             true,
         ),
     ];
-    let servers = Standin::start(vec![faulty_script(9, stalls); 4]).unwrap();
+    let servers = StubServers::start(vec![faulty_script(9, stalls); 4]).unwrap();
     let node = Node::start("again", servers.addrs(), CONTINUE_STREAMS, "safe");
     let seen = support::run(&node, CLIENTS, 4, 9, |n| format!("again {n}"));
-    let verdict = check(&seen, &servers.records());
+    let verdict = check(&seen, &servers.served_requests());
     assert_consistent(&verdict);
     assert_eq!(
-        (verdict.failed, servers.records().len()),
+        (verdict.failed, servers.served_requests().len()),
         (4, 12),
         "{verdict:?}"
     );
     // Each replica's token was forwarded, and the client got the error event.
-    assert!(seen.iter().all(|seen| seen.outcome == Outcome::Told));
+    assert!(seen
+        .iter()
+        .all(|seen| seen.outcome == ClientOutcome::FailedWithError));
 }
 
 #[test]
 fn continuation_that_does_not_begin_in_time_fails_with_an_error_event() {
     let late = vec![
         rule(
-            Fault::Stall {
+            ReplyFault::Stall {
                 after: 1,
                 ms: 60_000,
             },
             false,
         ),
-        rule(Fault::Silent, true),
+        rule(ReplyFault::Silent, true),
     ];
-    let servers = Standin::start(vec![faulty_script(9, late); 2]).unwrap();
+    let servers = StubServers::start(vec![faulty_script(9, late); 2]).unwrap();
     let node = Node::start(
         "late",
         servers.addrs(),
@@ -242,22 +249,22 @@
         "safe",
     );
     let seen = support::run(&node, CLIENTS, 1, 9, |n| format!("late {n}"));
-    assert_consistent(&check(&seen, &servers.records()));
-    assert_eq!(seen[0].outcome, Outcome::Told);
+    assert_consistent(&check(&seen, &servers.served_requests()));
+    assert_eq!(seen[0].outcome, ClientOutcome::FailedWithError);
 }
 
 #[test]
 fn does_not_continue_streams_of_non_idempotent_classes_or_when_disabled() {
-    let cut = Fault::CutBytes {
+    let cut = ReplyFault::CutAfterBytes {
         after: 500,
         reset: true,
     };
     for (operator, semantics, outcome) in [
-        (CONTINUE_STREAMS, "unsafe", Outcome::Told),
-        ("", "safe", Outcome::Cut),
+        (CONTINUE_STREAMS, "unsafe", ClientOutcome::FailedWithError),
+        ("", "safe", ClientOutcome::Truncated),
     ] {
         let servers =
-            Standin::start(vec![faulty_script(9, vec![rule(cut.clone(), false)]); 2]).unwrap();
+            StubServers::start(vec![faulty_script(9, vec![rule(cut.clone(), false)]); 2]).unwrap();
         let node = Node::start(
             &format!("ends-{semantics}"),
             servers.addrs(),
@@ -265,10 +272,10 @@
             semantics,
         );
         let seen = support::run(&node, CLIENTS, 3, 9, |n| format!("ends {n}"));
-        let verdict = check(&seen, &servers.records());
+        let verdict = check(&seen, &servers.served_requests());
         assert_consistent(&verdict);
         assert!(seen.iter().all(|seen| seen.outcome == outcome), "{seen:?}");
-        assert_eq!(servers.records().len(), 3, "nobody is asked twice");
+        assert_eq!(servers.served_requests().len(), 3, "nobody is asked twice");
     }
 }
 
@@ -285,16 +292,16 @@
 #[test]
 fn slow_client_is_not_a_stall_and_does_not_grow_memory() {
     // Some 30 MB: more than the buffers of all sockets hold.
-    let servers = Standin::start(vec![script(150_000); 2]).unwrap();
+    let servers = StubServers::start(vec![script(150_000); 2]).unwrap();
     let node = Node::start("reader", servers.addrs(), CONTINUE_STREAMS, "safe");
     let before = resident_bytes(&node);
     // The stub server plans a response of this length before its first token, for seconds where the machine is busy.
     let (id, mut stream) = ask_within(&node, "a flood", 150_000, 25.0);
     std::thread::sleep(Duration::from_millis(700));
     let held_bytes = resident_bytes(&node).saturating_sub(before);
-    let record = servers.records().remove(0);
+    let record = servers.served_requests().remove(0);
     assert!(
-        !record.whole,
+        !record.is_complete,
         "the server was read on for a reader that stopped"
     );
     assert!(
@@ -302,10 +309,14 @@
         "{held_bytes} bytes held for a reader that stopped"
     );
     let seen = read(id, "a flood", 150_000, &mut stream);
-    let verdict = check(&[seen], &servers.records());
+    let verdict = check(&[seen], &servers.served_requests());
     assert_consistent(&verdict);
     assert_eq!(
-        (verdict.whole, verdict.continued, servers.records().len()),
+        (
+            verdict.completed,
+            verdict.continued,
+            servers.served_requests().len()
+        ),
         (1, 0, 1),
         "{verdict:?}"
     );
@@ -315,22 +326,22 @@
 fn disconnect_ends_a_continuation_and_shutdown_completes_it() {
     let rules = vec![
         rule(
-            Fault::Stall {
+            ReplyFault::Stall {
                 after: 2,
                 ms: 60_000,
             },
             false,
         ),
-        rule(Fault::Trickle(100), true),
+        rule(ReplyFault::SlowTokens(100), true),
     ];
-    let servers = Standin::start(vec![faulty_script(10, rules); 3]).unwrap();
+    let servers = StubServers::start(vec![faulty_script(10, rules); 3]).unwrap();
     let mut node = Node::start("leaves", servers.addrs(), CONTINUE_STREAMS, "safe");
     let continued = |count: usize| {
         let begun = || {
             servers
-                .records()
+                .served_requests()
                 .iter()
-                .filter(|record| record.done > 0 && record.written > 0)
+                .filter(|record| record.tokens_before > 0 && record.written_bytes > 0)
                 .count()
         };
         holds_within(1000, || begun() >= count)
@@ -343,16 +354,16 @@
     assert!(continued(2));
     node.signal("-TERM");
     let seen = read(id, "stays", 10, &mut stream);
-    let verdict = check(&[seen], &servers.records());
+    let verdict = check(&[seen], &servers.served_requests());
     assert_consistent(&verdict);
-    assert_eq!(verdict.whole, 1);
+    assert_eq!(verdict.completed, 1);
     assert!(node.child.wait().unwrap().success());
     let abandoned = servers
-        .records()
+        .served_requests()
         .into_iter()
-        .find(|record| record.prompt == "leaves" && record.done > 0)
+        .find(|record| record.prompt == "leaves" && record.tokens_before > 0)
         .unwrap();
-    assert!(!abandoned.whole, "its replica wrote on for nobody");
+    assert!(!abandoned.is_complete, "its replica wrote on for nobody");
 }
 
 /// A discovery service on a free port: each poll is answered with the next text, once there is one. Sending a text waits until
@@ -385,7 +396,7 @@
 const NO_CHANGES: &str = r#"{"version":43,"full":false,"servers":[]}"#;
 
 /// An answer to a poll that says that this server drains.
-fn draining_list(servers: &Standin, server: usize) -> String {
+fn draining_list(servers: &StubServers, server: usize) -> String {
     let addr = servers.addrs()[server];
     format!(
         r#"{{"version":42,"full":false,"servers":[{{"id":"s-{server}","addr":"{addr}","zone":"a","kind":"k","cell":0,"state":"draining","weight":1.0,"started_ms":0}}]}}"#
@@ -393,12 +404,12 @@
 }
 
 /// Waits until a server has begun to write a continuation, and returns its index.
-fn continuing_server(servers: &Standin) -> usize {
+fn continuing_server(servers: &StubServers) -> usize {
     let find = || {
         servers
-            .records()
+            .served_requests()
             .into_iter()
-            .find(|record| record.done > 0 && record.written > 0)
+            .find(|record| record.tokens_before > 0 && record.written_bytes > 0)
     };
     let record = (0..1000).find_map(|_| {
         std::thread::sleep(Duration::from_millis(5));
@@ -411,15 +422,15 @@
 fn draining_replica_completes_its_continuation_and_gets_no_other_request() {
     let rules = vec![
         rule(
-            Fault::Stall {
+            ReplyFault::Stall {
                 after: 2,
                 ms: 60_000,
             },
             false,
         ),
-        rule(Fault::Trickle(60), true),
+        rule(ReplyFault::SlowTokens(60), true),
     ];
-    let servers = Standin::start(vec![faulty_script(10, rules); 3]).unwrap();
+    let servers = StubServers::start(vec![faulty_script(10, rules); 3]).unwrap();
     let (discovery, answers) = start_discovery();
     let node = Node::with_list(
         "drained",
@@ -434,19 +445,23 @@
     // The node polls again once it has taken the list.
     answers.send(NO_CHANGES.to_string()).unwrap();
     let seen = read(id, "drained", 10, &mut stream);
-    let verdict = check(&[seen], &servers.records());
+    let verdict = check(&[seen], &servers.served_requests());
     assert_consistent(&verdict);
-    assert_eq!((verdict.whole, verdict.continued), (1, 1), "{verdict:?}");
-    let before = servers.records().len();
+    assert_eq!(
+        (verdict.completed, verdict.continued),
+        (1, 1),
+        "{verdict:?}"
+    );
+    let before = servers.served_requests().len();
     for server in 0..servers.addrs().len() {
-        servers.set(server, script(10));
+        servers.set_script(server, script(10));
     }
     assert_consistent(&check(
         &support::run(&node, CLIENTS, 40, 10, |n| format!("after it {n}")),
-        &servers.records(),
+        &servers.served_requests(),
     ));
     assert!(
-        servers.records()[before..]
+        servers.served_requests()[before..]
             .iter()
             .all(|record| record.server != server),
         "work after a drain"
@@ -457,12 +472,12 @@
 fn deadline_passing_after_the_first_token_does_not_end_the_stream() {
     // By the protocol it is the deadline of the first token: half a second of text and a silence come before the remainder is
     // requested.
-    let slow = Script {
-        gap_ms: 120,
+    let slow = ReplyScript {
+        token_gap_ms: 120,
         ..faulty_script(
             8,
             vec![rule(
-                Fault::Stall {
+                ReplyFault::Stall {
                     after: 4,
                     ms: 60_000,
                 },
@@ -470,18 +485,25 @@
             )],
         )
     };
-    let servers = Standin::start(vec![slow; 2]).unwrap();
+    let servers = StubServers::start(vec![slow; 2]).unwrap();
     let node = Node::start("deadline", servers.addrs(), CONTINUE_STREAMS, "safe");
     let (id, mut stream) = ask_within(&node, "deadline", 8, 0.5);
-    let verdict = check(&[read(id, "deadline", 8, &mut stream)], &servers.records());
+    let verdict = check(
+        &[read(id, "deadline", 8, &mut stream)],
+        &servers.served_requests(),
+    );
     assert_consistent(&verdict);
-    assert_eq!((verdict.whole, verdict.continued), (1, 1), "{verdict:?}");
+    assert_eq!(
+        (verdict.completed, verdict.continued),
+        (1, 1),
+        "{verdict:?}"
+    );
 }
 
 #[test]
 fn repeated_response_reaches_no_other_client() {
-    let servers = Standin::start(vec![Script {
-        first_ms: 20,
+    let servers = StubServers::start(vec![ReplyScript {
+        first_token_ms: 20,
         ..script(12)
     }])
     .unwrap();
@@ -489,58 +511,67 @@
     // So that there are idle connections.
     assert_consistent(&check(
         &support::run(&node, 8, 16, 12, |n| format!("before {n}")),
-        &servers.records(),
+        &servers.served_requests(),
     ));
-    servers.set(0, faulty_script(12, vec![rule(Fault::Twice, false)]));
+    servers.set_script(
+        0,
+        faulty_script(12, vec![rule(ReplyFault::DuplicateOnIdleConnection, false)]),
+    );
     let twice = |n: usize| {
         // The repeated response has come before the next request goes out.
         std::thread::sleep(Duration::from_millis(20));
         let (id, mut stream) = ask(&node, &format!("twice {n}"), 12);
         read(id, &format!("twice {n}"), 12, &mut stream)
     };
-    let verdict = check(&(0..12).map(twice).collect::<Vec<_>>(), &servers.records());
+    let verdict = check(
+        &(0..12).map(twice).collect::<Vec<_>>(),
+        &servers.served_requests(),
+    );
     assert_consistent(&verdict);
-    assert_eq!(verdict.whole, 12, "{verdict:?}");
+    assert_eq!(verdict.completed, 12, "{verdict:?}");
     assert!(
-        servers.unasked() > 3,
+        servers.unsolicited_count() > 3,
         "{} answers came twice",
-        servers.unasked()
+        servers.unsolicited_count()
     );
 }
 
 #[test]
 fn bytes_after_the_end_are_dropped_only_where_streams_are_continued() {
-    let node = |name: &str, fault: Fault, operator: &str| {
-        let servers = Standin::start(vec![faulty_script(6, vec![rule(fault, false)])]).unwrap();
+    let node = |name: &str, fault: ReplyFault, operator: &str| {
+        let servers = StubServers::start(vec![faulty_script(6, vec![rule(fault, false)])]).unwrap();
         let node = Node::start(name, servers.addrs(), operator, "safe");
         check(
             &support::run(&node, 1, 1, 6, |n| format!("{name} {n}")),
-            &servers.records(),
+            &servers.served_requests(),
         )
-        .broken
+        .violations
     };
-    assert_eq!(node("followed", Fault::GoOn, CONTINUE_STREAMS), [""; 0]);
+    assert_eq!(
+        node("followed", ReplyFault::EventsAfterEnd, CONTINUE_STREAMS),
+        [""; 0]
+    );
     // A replica that repeats its own events is responsible for them: the checker sees them, and the node forwards them.
-    assert!(node("unfollowed", Fault::GoOn, "")
+    assert!(node("unfollowed", ReplyFault::EventsAfterEnd, "")
         .iter()
         .any(|fault| fault.contains("events after the end")));
-    assert!(node("doubled", Fault::Repeat(2), "")
+    assert!(node("doubled", ReplyFault::RepeatEvent(2), "")
         .iter()
         .any(|fault| fault.contains("not the beginning")));
 }
 
 #[test]
 fn streams_command_shows_the_logged_counters() {
-    let stall = Fault::Stall {
+    let stall = ReplyFault::Stall {
         after: 2,
         ms: 60_000,
     };
     let stalling = faulty_script(6, vec![rule(stall, false)]);
-    let servers = Standin::start(vec![stalling; 2]).unwrap();
+    let servers = StubServers::start(vec![stalling; 2]).unwrap();
     let mut node = Node::start("shown", servers.addrs(), CONTINUE_STREAMS, "safe");
     assert_consistent(&check(
         &support::run(&node, 1, 3, 6, |n| format!("shown {n}")),
-        &servers.records(),
+        &servers.served_requests(),
     ));
     node.signal("-TERM");
     assert!(node.child.wait().unwrap().success());
--- a/tests/transport.rs
+++ b/tests/transport.rs
@@ -20,7 +20,7 @@
 use poppykeel::transport::replica::pool::{ConnectionPool, ReplicaAddress, ReplicaConnection};
 use poppykeel::transport::replica::stream_monitor::{StreamMonitor, StreamSettings};
 use poppykeel::transport::TransportLimits;
-use poppykeel_scheduler::interface::RequestId;
+use poppykeel_scheduler::RequestId;
 use std::io::{Read, Write};
 use std::net::TcpListener;
 use std::rc::Rc;
