--- /dev/null
+++ b/src/transport/client/connection/requests.rs
@@ -0,0 +1,235 @@
+//! Reads requests from a client's connection, heads and bodies, and decides when none is waited for any more.
+
+use super::{ClientConnection, CloseReason, ConnectionClosed};
+use crate::protocol::http::{Fault, Head, Out, Part};
+use crate::protocol::request::{Reject, MOST_BODY};
+use crate::routing::DurationMicros;
+use crate::transport::client::registry::{BodyMemoryPermit, IdleRegistration};
+use crate::transport::client::shutdown::LAST_READ_DURATION;
+use crate::transport::client::RETRY_AFTER_FULL;
+use crate::transport::node_phase::NodePhase;
+use bytes::Bytes;
+use futures_util::StreamExt;
+use tokio::sync::watch;
+use tokio::time::Instant;
+
+/// The response that lets a client send the body it has announced.
+const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
+
+/// How the wait for a request ended.
+enum RequestStart {
+    /// The first part of the request has come.
+    Part(Part),
+    /// The request can't be read, or its head is not complete in time.
+    Unreadable(Fault),
+    /// No request came, and the connection ends.
+    Closed(CloseReason),
+}
+
+/// How reading the next part of a request ended.
+enum PartRead {
+    /// The part has come.
+    Part(Part),
+    /// What has come can't be read.
+    Unreadable(Fault),
+    /// The client has disconnected.
+    Disconnected,
+    /// The part has not come in time, and is no longer waited for.
+    Overdue(Fault),
+}
+
+/// Why a request has no body to serve.
+#[derive(Debug, thiserror::Error)]
+pub(super) enum BodyError {
+    /// The request is to be rejected.
+    #[error("the request is rejected with status {}", .reject.status)]
+    Rejected {
+        /// The status and reason of the rejection.
+        reject: Reject,
+        /// When the client may try again.
+        retry_after: Option<DurationMicros>,
+    },
+    /// The connection ends.
+    #[error(transparent)]
+    Closed(#[from] ConnectionClosed),
+}
+
+impl ClientConnection {
+    /// Reads the head of the next request on this connection.
+    pub(super) async fn next_head(&mut self) -> Result<Box<Head>, ConnectionClosed> {
+        let start = match self.read_ahead.take() {
+            Some(read) => {
+                self.restart_read_deadline();
+                match read {
+                    Ok(part) => RequestStart::Part(part),
+                    Err(fault) => RequestStart::Unreadable(fault),
+                }
+            }
+            None => self.wait_for_request().await,
+        };
+        match start {
+            RequestStart::Part(Part::Head(head)) => Ok(head),
+            RequestStart::Part(Part::Body(_) | Part::End) => {
+                Err(ConnectionClosed(CloseReason::RequestRejected))
+            }
+            RequestStart::Unreadable(fault) => Err(self.reject_unreadable(&fault).await),
+            RequestStart::Closed(reason) => Err(ConnectionClosed(reason)),
+        }
+    }
+
+    fn restart_read_deadline(&mut self) {
+        self.read_deadline = Instant::now() + self.registry.limits().request_read_timeout;
+    }
+
+    /// Waits for a request for as long as the connection may stay, registered as idle.
+    async fn wait_for_request(&mut self) -> RequestStart {
+        let IdleRegistration { number, eviction } = self.registry.register_idle();
+        let has_sent_requests = self.request_count > 0;
+        let closing = wait_for_close_order(self.registry.phase(), has_sent_requests);
+        // Reading comes first: a request that has come is served, whatever else has happened. It is cancel-safe, since the
+        // codec keeps what it has read. The other branches hold no data.
+        let start = tokio::select! {
+            biased;
+            start = self.read_request_start() => start,
+            reason = closing => RequestStart::Closed(reason),
+            // Another connection needs the place: it is not kept for a client that does not see the end.
+            () = eviction.notified() => RequestStart::Closed(CloseReason::Evicted),
+        };
+        self.registry.unregister_idle(number);
+        match start {
+            // Bytes that have come in the very instant of the close are a request, to be read and answered.
+            RequestStart::Closed(reason)
+                if reason != CloseReason::ClientDisconnected && self.has_request_bytes() =>
+            {
+                self.read_request_start().await
+            }
+            start => start,
+        }
+    }
+
+    /// Reads the first part of the next request. A connection that has carried a request may be idle before the next one;
+    /// from its first byte on the read deadline holds.
+    async fn read_request_start(&mut self) -> RequestStart {
+        if self.request_count > 0 {
+            if self.http.read_buffer().is_empty() {
+                let first_byte = self.http.get_ref().peek();
+                let idle_timeout = self.registry.limits().client_idle_timeout;
+                match tokio::time::timeout(idle_timeout, first_byte).await {
+                    Ok(Ok(_)) => {}
+                    Ok(Err(_)) => return RequestStart::Closed(CloseReason::ClientDisconnected),
+                    Err(_) if self.has_request_bytes() => {}
+                    Err(_) => return RequestStart::Closed(CloseReason::IdleTimeout),
+                }
+            }
+            self.restart_read_deadline();
+        }
+        match self.read_part().await {
+            PartRead::Part(part) => RequestStart::Part(part),
+            PartRead::Unreadable(fault) => RequestStart::Unreadable(fault),
+            PartRead::Disconnected => RequestStart::Closed(CloseReason::ClientDisconnected),
+            PartRead::Overdue(_) if !self.has_request_bytes() => {
+                RequestStart::Closed(CloseReason::NoRequest)
+            }
+            PartRead::Overdue(fault) => RequestStart::Unreadable(fault),
+        }
+    }
+
+    /// Reads the next part of a request, until the read deadline or until a node that shuts down reads no more.
+    async fn read_part(&mut self) -> PartRead {
+        let registry = self.registry.clone();
+        // All branches are cancel-safe: the codec keeps what it has read, and the others hold no data. A part that has come
+        // counts even where the time is over.
+        let read = tokio::select! {
+            biased;
+            read = self.http.next() => read,
+            () = tokio::time::sleep_until(self.read_deadline) => {
+                return PartRead::Overdue(Fault::Slow);
+            }
+            () = registry.reading_ended() => return PartRead::Overdue(Fault::Late),
+        };
+        match read {
+            Some(Ok(part)) => PartRead::Part(part),
+            Some(Err(fault)) => PartRead::Unreadable(fault),
+            None => PartRead::Disconnected,
+        }
+    }
+
+    /// Whether bytes of a request have come. The kernel is asked, too: the runtime may not have seen them yet.
+    fn has_request_bytes(&self) -> bool {
+        !self.http.read_buffer().is_empty() || matches!(self.http.get_ref().unread(), Ok(1..))
+    }
+
+    /// Reads a body, within its own limit and that of all bodies together.
+    pub(super) async fn read_body(
+        &mut self,
+        head: &Head,
+        memory: &mut BodyMemoryPermit,
+    ) -> Result<Bytes, BodyError> {
+        let expected_length = head.length.unwrap_or(0);
+        if expected_length > MOST_BODY as u64 {
+            return Err(body_too_long());
+        }
+        if head.headers.has("expect", "100-continue") {
+            self.send(Out::Raw(Bytes::from_static(CONTINUE))).await?;
+        }
+        let mut body = Vec::with_capacity(expected_length as usize);
+        loop {
+            let part = match self.read_part().await {
+                PartRead::Part(part) => part,
+                PartRead::Disconnected => {
+                    return Err(ConnectionClosed(CloseReason::ClientDisconnected).into());
+                }
+                PartRead::Unreadable(fault) | PartRead::Overdue(fault) => {
+                    return Err(self.reject_unreadable(&fault).await.into());
+                }
+            };
+            match part {
+                Part::Body(bytes) if body.len() + bytes.len() > MOST_BODY => {
+                    return Err(body_too_long());
+                }
+                Part::Body(bytes) if memory.try_grow(bytes.len()) => body.extend_from_slice(&bytes),
+                Part::Body(_) => return Err(body_memory_exhausted()),
+                Part::End => return Ok(body.into()),
+                Part::Head(_) => return Err(ConnectionClosed(CloseReason::RequestRejected).into()),
+            }
+        }
+    }
+}
+
+/// Waits until idle connections are to be closed, and returns the reason. Cancel-safe.
+async fn wait_for_close_order(
+    mut phase: watch::Receiver<NodePhase>,
+    has_sent_requests: bool,
+) -> CloseReason {
+    let closes_idle =
+        |phase: &NodePhase| matches!(phase, NodePhase::Evacuated | NodePhase::Closing);
+    let reason = match phase.wait_for(closes_idle).await.as_deref() {
+        Ok(NodePhase::Evacuated) => CloseReason::Evacuated,
+        Ok(_) | Err(_) => CloseReason::Shutdown,
+    };
+    if !has_sent_requests {
+        // The connection has only just come. Were it closed now, its client would have to send its request again.
+        tokio::time::sleep(LAST_READ_DURATION).await;
+    }
+    reason
+}
+
+fn body_too_long() -> BodyError {
+    BodyError::Rejected {
+        reject: Reject {
+            status: 413,
+            reason: format!("the body is longer than {MOST_BODY} bytes"),
+        },
+        retry_after: None,
+    }
+}
+
+fn body_memory_exhausted() -> BodyError {
+    BodyError::Rejected {
+        reject: Reject {
+            status: 503,
+            reason: "this node holds as many requests as it may".to_string(),
+        },
+        retry_after: Some(RETRY_AFTER_FULL),
+    }
+}
