--- a/benches/leases.rs
+++ b/benches/leases.rs
@@ -1,7 +1,6 @@
 //! What leases cost: grants a second by how they are made durable, a fleet's messages, and a node's requests with and
 //! without `[fleet]`. `cargo bench --bench leases`; the figures of docs/leases.md are from it.
 
-#[allow(dead_code)] // what is not used here is for tests
 #[path = "../tests/support/mod.rs"]
 mod support;
 
@@ -16,7 +15,7 @@
 use std::net::{SocketAddr, TcpListener, TcpStream, UdpSocket};
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
-use support::{ask, read, Node};
+use support::{read_response, send_request, Node};
 
 /// The duration of the leases that are granted, in microseconds.
 const LEASE_DURATION: u64 = 5_000_000;
@@ -217,7 +216,11 @@
             folder.join(index.to_string()).display().to_string(),
             lease_servers.join(", ")
         );
-        Node::named(&format!("n{index}"), "bench", servers, &section)
+        Node::builder("bench")
+            .name(&format!("n{index}"))
+            .replicas(servers)
+            .operator(&section)
+            .start()
     };
     addresses.iter().enumerate().map(start).collect()
 }
@@ -259,8 +262,8 @@
     for number in 0..REQUESTS {
         let prompt = format!("p {number}");
         let started_at = Instant::now();
-        let (id, mut stream) = ask(node, &prompt, TOKENS);
-        let answer = read(id, &prompt, TOKENS, &mut stream);
+        let (id, mut stream) = send_request(node, &prompt, TOKENS);
+        let answer = read_response(id, &prompt, TOKENS, &mut stream);
         assert_eq!(answer.outcome, ClientOutcome::Completed);
         latencies.push(started_at.elapsed().as_secs_f64() * 1e3);
     }
@@ -277,8 +280,12 @@
          [fleet.report]\nto = \"127.0.0.1:1\"\nevery = \"50ms\"\n",
         folder.display().to_string()
     );
-    let without = Node::named("n0", "off", servers, "");
-    let with = Node::named("n0", "on", servers, &section);
+    let without = Node::builder("off").name("n0").replicas(servers).start();
+    let with = Node::builder("on")
+        .name("n0")
+        .replicas(servers)
+        .operator(&section)
+        .start();
     println!("milliseconds to a whole answer, p50 p90 p99, by turns:");
     for _ in 0..TURNS {
         for (name, node) in [("without", &without), ("with", &with)] {
--- a/benches/streams.rs
+++ b/benches/streams.rs
@@ -96,8 +96,8 @@
     for (what, fault) in faults {
         let faulty = script(vec![rule(1, None, fault)]);
         let servers = StubServers::start(vec![faulty, script(vec![]), script(vec![])]).unwrap();
-        let node = Node::start("seen", servers.addrs(), "", "safe");
-        let seen = support::run(&node, 8, 200, 12, |n| format!("seen {n}"));
+        let node = Node::builder("seen").replicas(servers.addrs()).start();
+        let seen = support::run_clients(&node, 8, 200, 12, |n| format!("seen {n}"));
         let verdict = check(&seen, &servers.served_requests());
         let share = servers
             .served_requests()
@@ -143,12 +143,10 @@
             ..script(faults())
         };
         let servers = StubServers::start(vec![script; 4]).unwrap();
-        let node = Node::start(
-            &format!("recovery-{what}"),
-            servers.addrs(),
-            operator,
-            "safe",
-        );
+        let node = Node::builder(&format!("recovery-{what}"))
+            .replicas(servers.addrs())
+            .operator(operator)
+            .start();
         let times: Mutex<Vec<(ClientOutcome, f64)>> = Mutex::new(Vec::new());
         let count = 10_000;
         let next = std::sync::atomic::AtomicUsize::new(0);
@@ -162,8 +160,8 @@
                         return seen;
                     }
                     let (prompt, begun) = (format!("recovery {n}"), Instant::now());
-                    let (id, mut stream) = support::ask(&node, &prompt, 12);
-                    let one = support::read(id, &prompt, 12, &mut stream);
+                    let (id, mut stream) = support::send_request(&node, &prompt, 12);
+                    let one = support::read_response(id, &prompt, 12, &mut stream);
                     times
                         .lock()
                         .unwrap()
--- a/tests/admin.rs
+++ b/tests/admin.rs
@@ -7,7 +7,6 @@
     reason = "not yet converted"
 )]
 
-#[allow(dead_code)] // the rest is for tests of streams
 mod support;
 
 use poppykeel_stub_model_server::{ClientOutcome, ReplyScript, StubServers};
@@ -15,7 +14,7 @@
 use std::net::{SocketAddr, TcpStream};
 use std::process::Command;
 use std::time::{Duration, Instant};
-use support::{ask, read, Node};
+use support::{read_response, send_request, Node};
 
 /// Only a hang runs into this.
 const PATIENCE: Duration = Duration::from_secs(10);
@@ -75,7 +74,7 @@
         ..ReplyScript::default()
     }])
     .unwrap();
-    let node = Node::start("evacuate", server.addrs(), "", "safe");
+    let node = Node::builder("evacuate").replicas(server.addrs()).start();
     let at = address(&node);
     assert_eq!(
         (call(at, "GET /api/ready").0, health_kept(&node).1),
@@ -91,9 +90,9 @@
         (call(at, "GET /api/ready").0, health_kept(&node).1),
         (200, 200)
     );
-    let (id, mut stream) = ask(&node, "after the drain", 5);
+    let (id, mut stream) = send_request(&node, "after the drain", 5);
     assert_eq!(
-        read(id, "after the drain", 5, &mut stream).outcome,
+        read_response(id, "after the drain", 5, &mut stream).outcome,
         ClientOutcome::Completed
     );
 }
@@ -122,7 +121,7 @@
         ..ReplyScript::default()
     }])
     .unwrap();
-    let node = Node::start("figures", server.addrs(), "", "safe");
+    let node = Node::builder("figures").replicas(server.addrs()).start();
     let at = address(&node);
     // Callers that say nothing, or half a call, hold nobody up.
     let silent: Vec<_> = (0..40).map(|_| TcpStream::connect(at).unwrap()).collect();
@@ -130,9 +129,9 @@
         .iter()
         .for_each(|mut s| s.write_all(b"GET /api/re").unwrap());
     for n in 0..3 {
-        let (id, mut stream) = ask(&node, "count me", 5);
+        let (id, mut stream) = send_request(&node, "count me", 5);
         assert_eq!(
-            read(id, "count me", 5, &mut stream).outcome,
+            read_response(id, "count me", 5, &mut stream).outcome,
             ClientOutcome::Completed,
             "{n}"
         );
@@ -168,13 +167,13 @@
         ..ReplyScript::default()
     }])
     .unwrap();
-    let mut old = Node::start("upgrade-old", server.addrs(), "", "safe");
-    let new = Node::process(
-        "upgrade-new",
-        server.addrs(),
-        ["", "safe", "127.0.0.1:1"],
-        Some(old.addr),
-    );
+    let mut old = Node::builder("upgrade-old")
+        .replicas(server.addrs())
+        .start();
+    let new = Node::builder("upgrade-new")
+        .replicas(server.addrs())
+        .listen(old.addr)
+        .start();
     assert_eq!(
         (new.addr, call(address(&new), "GET /api/ready").0),
         (old.addr, 200)
@@ -186,8 +185,8 @@
         .success());
     assert!(old.child.wait().unwrap().success());
     for n in 0..10 {
-        let (id, mut stream) = ask(&new, "to the new one", 5);
-        let seen = read(id, "to the new one", 5, &mut stream);
+        let (id, mut stream) = send_request(&new, "to the new one", 5);
+        let seen = read_response(id, "to the new one", 5, &mut stream);
         assert_eq!(seen.outcome, ClientOutcome::Completed, "{n}");
     }
 }
@@ -217,7 +216,7 @@
         ..ReplyScript::default()
     }])
     .unwrap();
-    let node = Node::start("settings", server.addrs(), "", "safe");
+    let node = Node::builder("settings").replicas(server.addrs()).start();
     let at = address(&node);
     let first = std::fs::read_to_string(&node.files[0]).unwrap();
     let class = first
--- a/tests/faults.rs
+++ b/tests/faults.rs
@@ -4,14 +4,13 @@
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
-#[allow(dead_code)] // each file of tests uses a part
 mod support;
 
 use poppykeel_stub_model_server::{ClientOutcome, ReplyScript, StubServers};
 use std::io::{Read, Write};
 use std::path::PathBuf;
 use std::time::Duration;
-use support::{request_within, run, Node};
+use support::{request_text, run_clients, Node};
 
 /// Requests of one test, and how many clients send them.
 const REQUESTS: usize = 240;
@@ -49,7 +48,11 @@
         ),
     ];
     (
-        Node::with_environment(name, servers.addrs(), "unsafe", environment),
+        Node::builder(name)
+            .replicas(servers.addrs())
+            .semantics("unsafe")
+            .environment(environment)
+            .start(),
         servers,
         file,
     )
@@ -58,7 +61,7 @@
 /// Plays a load against a node with these faults; each response has to be complete.
 fn assert_complete_under(name: &str, plan: &str) {
     let (node, servers, file) = start_faulty_node(name, plan);
-    let seen = run(&node, CLIENTS, REQUESTS, TOKENS, |number| {
+    let seen = run_clients(&node, CLIENTS, REQUESTS, TOKENS, |number| {
         format!("request {number} under {name}")
     });
     let incomplete: Vec<_> = seen
@@ -109,7 +112,7 @@
             let id = format!("{:016x}", client * REQUESTS + number + 1);
             let mut stream = node.connect();
             std::thread::sleep(REQUEST_DELAY);
-            let request = request_within(&id, "Connection: close\r\n", "{}", 10.0);
+            let request = request_text(&id, "Connection: close\r\n", "{}", 10.0);
             stream.write_all(request.as_bytes()).unwrap();
             let mut answer = String::new();
             let end = stream.read_to_string(&mut answer);
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -5,7 +5,6 @@
 
 #[path = "support/process_resources.rs"]
 mod process_resources;
-#[allow(dead_code)] // what is not used here is for other tests
 mod support;
 
 use poppykeel::program::config::operator::Operator;
@@ -20,7 +19,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
-use support::{ask, read, Node};
+use support::{read_response, send_request, Node};
 
 /// What is awaited of a node must come within this time.
 const PATIENCE: Duration = Duration::from_secs(10);
@@ -54,7 +53,7 @@
 #[test]
 fn without_the_section_there_is_no_listener_no_thread_and_no_file() {
     let server = StubServers::start(vec![ReplyScript::default()]).unwrap();
-    let node = Node::start("no-fleet", server.addrs(), "", "safe");
+    let node = Node::builder("no-fleet").replicas(server.addrs()).start();
     let alone = ProcessResources {
         datagram_sockets: 0,
         listeners: 2,
@@ -64,7 +63,10 @@
     let folder = test_folder("disk");
     let address = free_address();
     let section = fleet_section(address, address, &folder.display().to_string());
-    let node = Node::start("with-fleet", server.addrs(), &section, "safe");
+    let node = Node::builder("with-fleet")
+        .replicas(server.addrs())
+        .operator(&section)
+        .start();
     let in_fleet = ProcessResources {
         datagram_sockets: 1,
         listeners: 3,
@@ -259,7 +261,11 @@
     let folder = test_folder("drop");
     let address = free_address();
     let section = fleet_section(address, address, &folder.display().to_string());
-    let node = Node::named("n0", "drop", server.addrs(), &section);
+    let node = Node::builder("drop")
+        .name("n0")
+        .replicas(server.addrs())
+        .operator(&section)
+        .start();
     send_good_and_bad_messages(address);
     let started_at = Instant::now();
     loop {
@@ -306,12 +312,13 @@
         let section = folder
             .map(|folder| fleet_section(*address, addresses[0], &folder.display().to_string()));
         let node = format!("n{index}");
-        nodes.push(Node::named(
-            &node,
-            name,
-            servers,
-            &section.unwrap_or_default(),
-        ));
+        nodes.push(
+            Node::builder(name)
+                .name(&node)
+                .replicas(servers)
+                .operator(&section.unwrap_or_default())
+                .start(),
+        );
     }
     nodes
 }
@@ -326,8 +333,8 @@
                 while Instant::now() < until {
                     // Sessions of their own, so that each server is some request's first choice.
                     let prompt = format!("{} {number}", node.addr);
-                    let (id, mut stream) = ask(node, &prompt, TOKENS);
-                    let answer = read(id, &prompt, TOKENS, &mut stream);
+                    let (id, mut stream) = send_request(node, &prompt, TOKENS);
+                    let answer = read_response(id, &prompt, TOKENS, &mut stream);
                     assert_eq!(answer.outcome, ClientOutcome::Completed);
                     number += 1;
                     std::thread::sleep(Duration::from_millis(20));
@@ -394,7 +401,11 @@
     let folder = test_folder(name);
     let listen = free_address();
     let section = fleet_section(listen, listen, &folder.display().to_string()) + budget;
-    let node = Node::with_list(name, server.addrs(), &section, "safe", &address);
+    let node = Node::builder(name)
+        .replicas(server.addrs())
+        .operator(&section)
+        .discovery(&address)
+        .start();
     std::thread::sleep(Duration::from_secs(20));
     drop(node);
     std::fs::remove_dir_all(folder).unwrap();
--- a/tests/golden.rs
+++ b/tests/golden.rs
@@ -171,8 +171,10 @@
 /// The log of a node that has served a few streams, up to its first summary.
 fn log_of_present_program() -> String {
     let servers = StubServers::start(vec![ReplyScript::default()]).unwrap();
-    let node = Node::start("golden-log", servers.addrs(), "", "safe");
-    let answers = support::run(&node, 2, 4, 12, |number| format!("prompt {number}"));
+    let node = Node::builder("golden-log")
+        .replicas(servers.addrs())
+        .start();
+    let answers = support::run_clients(&node, 2, 4, 12, |number| format!("prompt {number}"));
     assert_eq!(answers.len(), 4);
     node.until_logged("streams of a replica");
     let lines = node.log.lock().unwrap();
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -2,7 +2,6 @@
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
-#[allow(dead_code)] // the rest is for tests of streams
 mod support;
 
 use poppykeel::routing::learned_state::{decode, encode, LearnedStateError, ProcessToken};
@@ -12,7 +11,7 @@
 use proptest::prelude::{any, prop_assert, proptest};
 use std::process::Command;
 use std::time::{Duration, Instant};
-use support::{ask, Node};
+use support::{send_request, Node};
 
 /// The process that writes the records, and the one that reads them.
 const WRITER: ProcessToken = ProcessToken(1);
@@ -155,8 +154,8 @@
 }
 
 fn serve_one(node: &Node) {
-    let (id, mut stream) = ask(node, "once more", 5);
-    let served = support::read(id, "once more", 5, &mut stream);
+    let (id, mut stream) = send_request(node, "once more", 5);
+    let served = support::read_response(id, "once more", 5, &mut stream);
     assert_eq!(served.outcome, ClientOutcome::Completed);
 }
 
@@ -171,16 +170,18 @@
     let folder = std::env::temp_dir().join(format!("handover-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     let operator = format!("[handover]\nfolder = {:?}\n", folder.display().to_string());
-    let mut old = Node::start("hand-old", server.addrs(), &operator, "safe");
+    let mut old = Node::builder("hand-old")
+        .replicas(server.addrs())
+        .operator(&operator)
+        .start();
     for _ in 0..20 {
         serve_one(&old);
     }
-    let new = Node::process(
-        "hand-new",
-        server.addrs(),
-        [&operator, "safe", "127.0.0.1:1"],
-        Some(old.addr),
-    );
+    let new = Node::builder("hand-new")
+        .replicas(server.addrs())
+        .operator(&operator)
+        .listen(old.addr)
+        .start();
     assert!(log_after_imports(&new, 1).contains("\"requests\":20"));
     assert!(Command::new("kill")
         .args(["-TERM", &old.child.id().to_string()])
--- a/tests/rare.rs
+++ b/tests/rare.rs
@@ -3,7 +3,6 @@
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
-#[allow(dead_code)] // each file of tests uses a part
 mod support;
 
 use poppykeel_stub_model_server::{ClientOutcome, ReplyScript, StubServers};
@@ -11,7 +10,9 @@
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::{Duration, Instant};
-use support::{ask, read, read_some, request_within, taken, until, Node};
+use support::{
+    accept_request, read_response, read_some, request_text, send_request, wait_until, Node,
+};
 
 /// How long clients wait for the first token, in seconds.
 const DEADLINE_S: f64 = 10.0;
@@ -22,7 +23,7 @@
 
 /// The text of a request; `headers` is further lines of its head.
 fn request(id: &str, headers: &str, body: &str) -> String {
-    request_within(id, headers, body, DEADLINE_S)
+    request_text(id, headers, body, DEADLINE_S)
 }
 
 /// A stub server whose streams have three tokens.
@@ -55,11 +56,13 @@
 #[test]
 fn disconnect_of_client_with_duplicate_id_does_not_end_the_first_request() {
     let replica = TcpListener::bind("127.0.0.1:0").unwrap();
-    let node = Node::start("repeated", &[replica.local_addr().unwrap()], "", "safe");
+    let node = Node::builder("repeated")
+        .replicas(&[replica.local_addr().unwrap()])
+        .start();
     let id = "00000000000000aa";
     let mut first = node.connect();
     first.write_all(request(id, "", "").as_bytes()).unwrap();
-    let mut stream = taken(&replica);
+    let mut stream = accept_request(&replica);
     node.signal("-STOP");
     let mut second = node.connect();
     second.write_all(request(id, "", "").as_bytes()).unwrap();
@@ -152,10 +155,14 @@
     let replica = stub_server();
     let addr = late.local_addr().unwrap();
     let service = discovery.local_addr().unwrap().to_string();
-    let node = Node::with_list("late", &[addr], "", "unsafe", &service);
-    let mut poll = taken(&discovery);
-    let (id, mut client) = ask(&node, "late", 3);
-    until("the connection", || is_connecting_to(addr.port()));
+    let node = Node::builder("late")
+        .replicas(&[addr])
+        .semantics("unsafe")
+        .discovery(&service)
+        .start();
+    let mut poll = accept_request(&discovery);
+    let (id, mut client) = send_request(&node, "late", 3);
+    wait_until("the connection", || is_connecting_to(addr.port()));
     let list = [
         entry("s-0", addr, "draining"),
         entry("s-9", replica.addrs()[0], "up"),
@@ -166,7 +173,7 @@
     node.until_logged("Draining");
     // From now on the connection can be established, with the kernel's next try.
     drop(queued);
-    let response = std::thread::spawn(move || read(id, "late", 3, &mut client));
+    let response = std::thread::spawn(move || read_response(id, "late", 3, &mut client));
     expect_no_bytes(&late);
     // The request has never run there, so the remaining replica gets it, also where it may not be repeated.
     assert_eq!(response.join().unwrap().outcome, ClientOutcome::Completed);
@@ -177,7 +184,9 @@
 #[test]
 fn last_response_arrives_complete_despite_unread_request_bytes() {
     let replica = TcpListener::bind("127.0.0.1:0").unwrap();
-    let node = Node::start("unread", &[replica.local_addr().unwrap()], "", "safe");
+    let node = Node::builder("unread")
+        .replicas(&[replica.local_addr().unwrap()])
+        .start();
     for is_broken in [false, true] {
         let mut client = node.connect();
         let id = if is_broken {
@@ -188,7 +197,7 @@
         client
             .write_all(request(id, "Connection: close\r\n", "").as_bytes())
             .unwrap();
-        let mut stream = taken(&replica);
+        let mut stream = accept_request(&replica);
         stream
             .write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\ndata: 1\n\n\r\n")
             .unwrap();
@@ -217,12 +226,14 @@
 #[test]
 fn notices_disconnect_behind_more_bytes_than_are_read_ahead() {
     let replica = TcpListener::bind("127.0.0.1:0").unwrap();
-    let node = Node::start("behind", &[replica.local_addr().unwrap()], "", "safe");
+    let node = Node::builder("behind")
+        .replicas(&[replica.local_addr().unwrap()])
+        .start();
     let mut client = node.connect();
     // Its deadline is longer than the test's patience: it does not end by itself.
     let first = request("00000000000000c1", "", "").replace("Deadline: 10", "Deadline: 60");
     client.write_all(first.as_bytes()).unwrap();
-    let mut stream = taken(&replica);
+    let mut stream = accept_request(&replica);
     client
         .write_all(request("00000000000000c2", "", &"x".repeat(100_000)).as_bytes())
         .unwrap();
@@ -241,8 +252,11 @@
     let discovery = TcpListener::bind("127.0.0.1:0").unwrap();
     let service = discovery.local_addr().unwrap().to_string();
     let replica = stub_server();
-    let node = Node::with_list("left", &[], "", "safe", &service);
-    let mut poll = taken(&discovery);
+    let node = Node::builder("left")
+        .replicas(&[])
+        .discovery(&service)
+        .start();
+    let mut poll = accept_request(&discovery);
     let mut clients: Vec<TcpStream> = (0..40).map(|_| node.connect()).collect();
     for (n, client) in clients.iter_mut().enumerate() {
         client
@@ -267,9 +281,9 @@
     let body = format!(r#"{{"version":42,"full":false,"servers":[{list}]}}"#);
     answer_poll(&mut poll, &body);
     node.until_logged("s-9");
-    let (id, mut client) = ask(&node, "later", 3);
+    let (id, mut client) = send_request(&node, "later", 3);
     assert_eq!(
-        read(id, "later", 3, &mut client).outcome,
+        read_response(id, "later", 3, &mut client).outcome,
         ClientOutcome::Completed
     );
     assert_eq!(replica.served_requests().len(), 1);
@@ -287,12 +301,15 @@
 #[test]
 fn concurrent_signals_do_not_lose_a_response() {
     let replica = TcpListener::bind("127.0.0.1:0").unwrap();
-    let mut node = Node::start("signals", &[replica.local_addr().unwrap()], "", "unsafe");
+    let mut node = Node::builder("signals")
+        .replicas(&[replica.local_addr().unwrap()])
+        .semantics("unsafe")
+        .start();
     let mut client = node.connect();
     client
         .write_all(request("00000000000000e1", "", "").as_bytes())
         .unwrap();
-    let mut stream = taken(&replica);
+    let mut stream = accept_request(&replica);
     node.signal("-STOP");
     for sent in ["-HUP", "-TERM", "-HUP", "-TERM", "-INT"] {
         node.signal(sent);
@@ -302,7 +319,7 @@
     late.write_all(request("00000000000000e2", "", "").as_bytes())
         .unwrap();
     node.signal("-CONT");
-    let mut second = taken(&replica);
+    let mut second = accept_request(&replica);
     for stream in [&mut stream, &mut second] {
         stream.write_all(ONE_EVENT).unwrap();
     }
@@ -313,7 +330,7 @@
             "{text}"
         );
     }
-    until("the end", || node.child.try_wait().unwrap().is_some());
+    wait_until("the end", || node.child.try_wait().unwrap().is_some());
     assert_eq!(node.child.wait().unwrap().code(), Some(0));
 }
 
@@ -323,14 +340,17 @@
     let discovery = TcpListener::bind("127.0.0.1:0").unwrap();
     let service = discovery.local_addr().unwrap().to_string();
     let replica = stub_server();
-    let node = Node::with_list("silent", replica.addrs(), "", "safe", &service);
-    let _poll = taken(&discovery);
+    let node = Node::builder("silent")
+        .replicas(replica.addrs())
+        .discovery(&service)
+        .start();
+    let _poll = accept_request(&discovery);
     let mut health = node.connect();
     health.write_all(HEALTH_AND_CLOSE).unwrap();
     assert!(read_to_close(&mut health).starts_with("HTTP/1.1 200 "));
-    let (id, mut client) = ask(&node, "silent", 3);
+    let (id, mut client) = send_request(&node, "silent", 3);
     assert_eq!(
-        read(id, "silent", 3, &mut client).outcome,
+        read_response(id, "silent", 3, &mut client).outcome,
         ClientOutcome::Completed
     );
 }
@@ -340,7 +360,7 @@
 #[test]
 fn flood_of_large_abandoned_requests_leaks_no_descriptors() {
     let replica = stub_server();
-    let node = Node::start("flood", replica.addrs(), "", "safe");
+    let node = Node::builder("flood").replicas(replica.addrs()).start();
     let before = descriptor_count(&node);
     let body = "x".repeat(200_000);
     for n in 0..120u64 {
@@ -360,15 +380,15 @@
                 .unwrap();
         }
         if n % 10 == 0 {
-            let (id, mut client) = ask(&node, "among them", 3);
+            let (id, mut client) = send_request(&node, "among them", 3);
             assert_eq!(
-                read(id, "among them", 3, &mut client).outcome,
+                read_response(id, "among them", 3, &mut client).outcome,
                 ClientOutcome::Completed
             );
         }
     }
     // A few connections to the replica stay for later use.
-    until("the room", || descriptor_count(&node) <= before + 16);
+    wait_until("the room", || descriptor_count(&node) <= before + 16);
 }
 
 /// Guards against idle clients that take all descriptors while discovery is down: polls, replicas, operators and clients with
@@ -380,14 +400,13 @@
     let service = discovery.local_addr().unwrap();
     drop(discovery);
     let replica = stub_server();
-    let node = Node::with_sockets(
-        "idle",
-        replica.addrs(),
-        &service.to_string(),
-        MAX_DESCRIPTORS,
-    );
+    let node = Node::builder("idle")
+        .replicas(replica.addrs())
+        .discovery(&service.to_string())
+        .max_sockets(MAX_DESCRIPTORS)
+        .start();
     let mut admin = None;
-    until("the operators' address", || {
+    wait_until("the operators' address", || {
         let log = node.log.lock().unwrap();
         let line = log
             .iter()
@@ -407,9 +426,10 @@
         most_held = most_held.max(descriptor_count(&node));
         if n % 64 == 63 {
             // New connections may be closed unread while idle ones fill the node; their clients try again.
-            until("an answer among idle clients", || {
-                let (id, mut client) = ask(&node, "among idle ones", 3);
-                read(id, "among idle ones", 3, &mut client).outcome == ClientOutcome::Completed
+            wait_until("an answer among idle clients", || {
+                let (id, mut client) = send_request(&node, "among idle ones", 3);
+                read_response(id, "among idle ones", 3, &mut client).outcome
+                    == ClientOutcome::Completed
             });
         }
     }
@@ -421,7 +441,7 @@
     assert!(read_to_close(&mut operator).starts_with("HTTP/1.1 200 "));
     // Discovery is back: the node's poll comes, whoever else is there.
     let discovery = TcpListener::bind(service).unwrap();
-    let _poll = taken(&discovery);
+    let _poll = accept_request(&discovery);
     assert!(descriptor_count(&node) <= MAX_DESCRIPTORS);
 }
 
@@ -441,12 +461,14 @@
 #[test]
 fn forwards_each_event_before_the_next_is_written() {
     let replica = TcpListener::bind("127.0.0.1:0").unwrap();
-    let node = Node::start("events", &[replica.local_addr().unwrap()], "", "safe");
+    let node = Node::builder("events")
+        .replicas(&[replica.local_addr().unwrap()])
+        .start();
     let mut client = node.connect();
     client
         .write_all(request("00000000000000f1", "Connection: close\r\n", "").as_bytes())
         .unwrap();
-    let mut stream = taken(&replica);
+    let mut stream = accept_request(&replica);
     stream
         .write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         .unwrap();
@@ -491,16 +513,19 @@
     let service = discovery.local_addr().unwrap().to_string();
     let removed = stub_server();
     let remaining = stub_server();
-    let node = Node::with_list("older", removed.addrs(), "", "safe", &service);
-    let mut poll = taken(&discovery);
+    let node = Node::builder("older")
+        .replicas(removed.addrs())
+        .discovery(&service)
+        .start();
+    let mut poll = accept_request(&discovery);
     let list = entry("s-9", remaining.addrs()[0], "up");
     let body = format!(r#"{{"version":7,"full":true,"servers":[{list}]}}"#);
     answer_poll(&mut poll, &body);
     node.until_logged("s-9");
     for _ in 0..5 {
-        let (id, mut client) = ask(&node, "older", 3);
+        let (id, mut client) = send_request(&node, "older", 3);
         assert_eq!(
-            read(id, "older", 3, &mut client).outcome,
+            read_response(id, "older", 3, &mut client).outcome,
             ClientOutcome::Completed
         );
     }
--- a/tests/shutdown.rs
+++ b/tests/shutdown.rs
@@ -3,14 +3,13 @@
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
-#[allow(dead_code)] // each file of tests uses a part
 mod support;
 
 use poppykeel_stub_model_server::{ReplyScript, StubServers};
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
 use std::time::Duration;
-use support::{read_some, request_within, taken, until, Node};
+use support::{accept_request, read_some, request_text, wait_until, Node};
 
 /// The deadline of clients that wait far longer than a node may run after its order to stop, in seconds.
 const LONG_DEADLINE_S: f64 = 60.0;
@@ -25,7 +24,7 @@
 }
 
 fn request(number: u64, body: &str) -> String {
-    request_within(&id(number), "", body, LONG_DEADLINE_S)
+    request_text(&id(number), "", body, LONG_DEADLINE_S)
 }
 
 /// Reads to the end of a connection; a reset ends it, too.
@@ -55,7 +54,7 @@
 }
 
 fn assert_ends(mut node: Node) {
-    until("the end of the process", || {
+    wait_until("the end of the process", || {
         node.child.try_wait().unwrap().is_some()
     });
     assert_eq!(node.child.wait().unwrap().code(), Some(0));
@@ -67,7 +66,10 @@
 fn rejects_first_request_on_open_connection_late_in_shutdown() {
     for semantics in ["safe", "unsafe"] {
         let servers = unresponsive_replica();
-        let node = Node::start(&format!("late-{semantics}"), servers.addrs(), "", semantics);
+        let node = Node::builder(&format!("late-{semantics}"))
+            .replicas(servers.addrs())
+            .semantics(semantics)
+            .start();
         let mut clients: Vec<TcpStream> = (0..8).map(|_| node.connect()).collect();
         node.signal("-TERM");
         node.until_logged("closing");
@@ -102,10 +104,12 @@
 
 fn rejects_request_behind_a_stream() {
     let server = TcpListener::bind("127.0.0.1:0").unwrap();
-    let node = Node::start("behind", &[server.local_addr().unwrap()], "", "safe");
+    let node = Node::builder("behind")
+        .replicas(&[server.local_addr().unwrap()])
+        .start();
     let mut client = node.connect();
     client.write_all(request(1, "").as_bytes()).unwrap();
-    let mut stream = taken(&server);
+    let mut stream = accept_request(&server);
     stream.write_all(STREAM_HEAD).unwrap();
     stream.write_all(b"9\r\ndata: 1\n\n\r\n").unwrap();
     let mut begun = String::new();
@@ -123,7 +127,7 @@
     let answered = std::thread::spawn(move || read_to_close(&mut client));
     // A request that went out would come on a new connection.
     server.set_nonblocking(true).unwrap();
-    until("the second answer", || {
+    wait_until("the second answer", || {
         assert!(server.accept().is_err(), "it reached a server");
         answered.is_finished()
     });
@@ -134,7 +138,7 @@
 
 fn rejects_request_that_trickles_in() {
     let servers = unresponsive_replica();
-    let node = Node::start("trickled", servers.addrs(), "", "safe");
+    let node = Node::builder("trickled").replicas(servers.addrs()).start();
     let text = request(3, "the rest comes late");
     let (head, tail) = text.split_at(text.len() - 4);
     let mut client = node.connect();
@@ -156,7 +160,7 @@
 
 fn rejects_requests_to_a_suspended_node() {
     let servers = unresponsive_replica();
-    let node = Node::start("still", servers.addrs(), "", "safe");
+    let node = Node::builder("still").replicas(servers.addrs()).start();
     let mut new = node.connect();
     let mut kept = node.connect();
     kept.write_all(b"GET /healthz HTTP/1.1\r\n\r\n").unwrap();
@@ -183,15 +187,13 @@
 fn request_on_unresponsive_replica_gets_final_response_before_the_kill_deadline() {
     for (semantics, status) in [("safe", "503"), ("unsafe", "502")] {
         let servers = unresponsive_replica();
-        let node = Node::start(
-            &format!("hangs-{semantics}"),
-            servers.addrs(),
-            "",
-            semantics,
-        );
+        let node = Node::builder(&format!("hangs-{semantics}"))
+            .replicas(servers.addrs())
+            .semantics(semantics)
+            .start();
         let mut sent = node.connect();
         sent.write_all(request(6, "").as_bytes()).unwrap();
-        until("the server has it", || {
+        wait_until("the server has it", || {
             requests_reaching(&servers) == [id(6)]
         });
         node.signal("-TERM");
@@ -216,7 +218,10 @@
         .unwrap()
         .local_addr()
         .unwrap();
-    let node = Node::start("none", &[closed], "", "unsafe");
+    let node = Node::builder("none")
+        .replicas(&[closed])
+        .semantics("unsafe")
+        .start();
     let mut waits = node.connect();
     waits.write_all(request(8, "").as_bytes()).unwrap();
     node.signal("-TERM");
--- a/tests/streams.rs
+++ b/tests/streams.rs
@@ -14,7 +14,7 @@
 use std::process::Command;
 use std::sync::mpsc;
 use std::time::Duration;
-use support::{ask, ask_within, read, Node};
+use support::{read_response, send_request, send_request_within, Node};
 
 /// Clients that send requests at the same time.
 const CLIENTS: usize = 32;
@@ -83,14 +83,12 @@
             }],
         );
         let servers = StubServers::start(vec![cut; 3]).unwrap();
-        let node = Node::start(
-            &format!("cut-{reset}"),
-            servers.addrs(),
-            CONTINUE_STREAMS,
-            "safe",
-        );
+        let node = Node::builder(&format!("cut-{reset}"))
+            .replicas(servers.addrs())
+            .operator(CONTINUE_STREAMS)
+            .start();
         // One body of four tokens is less than 1,200 bytes long; the cuts beyond it never happen.
-        let seen = support::run(&node, CLIENTS, 1200, 4, |n| {
+        let seen = support::run_clients(&node, CLIENTS, 1200, 4, |n| {
             format!("any prompt {n} cut={n}")
         });
         let verdict = check(&seen, &servers.served_requests());
@@ -115,14 +113,12 @@
         let cut = ReplyFault::CutBefore { part, reset: false };
         let servers =
             StubServers::start(vec![faulty_script(6, vec![rule(cut, false)]); 2]).unwrap();
-        let node = Node::start(
-            &format!("part-{part:?}"),
-            servers.addrs(),
-            CONTINUE_STREAMS,
-            "safe",
-        );
+        let node = Node::builder(&format!("part-{part:?}"))
+            .replicas(servers.addrs())
+            .operator(CONTINUE_STREAMS)
+            .start();
         // One token more than there are, so that a remainder can be requested.
-        let seen = support::run(&node, CLIENTS, 1, 7, |n| format!("part {n}"));
+        let seen = support::run_clients(&node, CLIENTS, 1, 7, |n| format!("part {n}"));
         let seen: Vec<ClientObservation> = seen
             .into_iter()
             .map(|seen| ClientObservation {
@@ -145,14 +141,12 @@
     for ms in [190, 210, 230, 260] {
         let stall = faulty_script(8, vec![rule(ReplyFault::Stall { after: 1, ms }, false)]);
         let servers = StubServers::start(vec![stall; 3]).unwrap();
-        let node = Node::start(
-            &format!("recovers-{ms}"),
-            servers.addrs(),
-            CONTINUE_STREAMS,
-            "safe",
-        );
+        let node = Node::builder(&format!("recovers-{ms}"))
+            .replicas(servers.addrs())
+            .operator(CONTINUE_STREAMS)
+            .start();
         let verdict = check(
-            &support::run(&node, CLIENTS, 40, 8, |n| format!("recovers {n}")),
+            &support::run_clients(&node, CLIENTS, 40, 8, |n| format!("recovers {n}")),
             &servers.served_requests(),
         );
         assert_consistent(&verdict);
@@ -175,8 +169,11 @@
     let operator = CONTINUE_STREAMS
         .replace("free = 100000", "free = 2")
         .replace("share = 1.0", "share = 0.1");
-    let node = Node::start("storm", servers.addrs(), &operator, "safe");
-    let seen = support::run(&node, CLIENTS, 60, 8, |n| format!("storm {n}"));
+    let node = Node::builder("storm")
+        .replicas(servers.addrs())
+        .operator(&operator)
+        .start();
+    let seen = support::run_clients(&node, CLIENTS, 60, 8, |n| format!("storm {n}"));
     let verdict = check(&seen, &servers.served_requests());
     assert_consistent(&verdict);
     let continued = servers
@@ -214,8 +211,11 @@
         ),
     ];
     let servers = StubServers::start(vec![faulty_script(9, stalls); 4]).unwrap();
-    let node = Node::start("again", servers.addrs(), CONTINUE_STREAMS, "safe");
-    let seen = support::run(&node, CLIENTS, 4, 9, |n| format!("again {n}"));
+    let node = Node::builder("again")
+        .replicas(servers.addrs())
+        .operator(CONTINUE_STREAMS)
+        .start();
+    let seen = support::run_clients(&node, CLIENTS, 4, 9, |n| format!("again {n}"));
     let verdict = check(&seen, &servers.served_requests());
     assert_consistent(&verdict);
     assert_eq!(
@@ -242,13 +242,11 @@
         rule(ReplyFault::Silent, true),
     ];
     let servers = StubServers::start(vec![faulty_script(9, late); 2]).unwrap();
-    let node = Node::start(
-        "late",
-        servers.addrs(),
-        &format!("{CONTINUE_STREAMS}wait = 0.3\n"),
-        "safe",
-    );
-    let seen = support::run(&node, CLIENTS, 1, 9, |n| format!("late {n}"));
+    let node = Node::builder("late")
+        .replicas(servers.addrs())
+        .operator(&format!("{CONTINUE_STREAMS}wait = 0.3\n"))
+        .start();
+    let seen = support::run_clients(&node, CLIENTS, 1, 9, |n| format!("late {n}"));
     assert_consistent(&check(&seen, &servers.served_requests()));
     assert_eq!(seen[0].outcome, ClientOutcome::FailedWithError);
 }
@@ -265,13 +263,12 @@
     ] {
         let servers =
             StubServers::start(vec![faulty_script(9, vec![rule(cut.clone(), false)]); 2]).unwrap();
-        let node = Node::start(
-            &format!("ends-{semantics}"),
-            servers.addrs(),
-            operator,
-            semantics,
-        );
-        let seen = support::run(&node, CLIENTS, 3, 9, |n| format!("ends {n}"));
+        let node = Node::builder(&format!("ends-{semantics}"))
+            .replicas(servers.addrs())
+            .operator(operator)
+            .semantics(semantics)
+            .start();
+        let seen = support::run_clients(&node, CLIENTS, 3, 9, |n| format!("ends {n}"));
         let verdict = check(&seen, &servers.served_requests());
         assert_consistent(&verdict);
         assert!(seen.iter().all(|seen| seen.outcome == outcome), "{seen:?}");
@@ -293,10 +290,13 @@
 fn slow_client_is_not_a_stall_and_does_not_grow_memory() {
     // Some 30 MB: more than the buffers of all sockets hold.
     let servers = StubServers::start(vec![script(150_000); 2]).unwrap();
-    let node = Node::start("reader", servers.addrs(), CONTINUE_STREAMS, "safe");
+    let node = Node::builder("reader")
+        .replicas(servers.addrs())
+        .operator(CONTINUE_STREAMS)
+        .start();
     let before = resident_bytes(&node);
     // The stub server plans a response of this length before its first token, for seconds where the machine is busy.
-    let (id, mut stream) = ask_within(&node, "a flood", 150_000, 25.0);
+    let (id, mut stream) = send_request_within(&node, "a flood", 150_000, 25.0);
     std::thread::sleep(Duration::from_millis(700));
     let held_bytes = resident_bytes(&node).saturating_sub(before);
     let record = servers.served_requests().remove(0);
@@ -308,7 +308,7 @@
         held_bytes < 8 << 20,
         "{held_bytes} bytes held for a reader that stopped"
     );
-    let seen = read(id, "a flood", 150_000, &mut stream);
+    let seen = read_response(id, "a flood", 150_000, &mut stream);
     let verdict = check(&[seen], &servers.served_requests());
     assert_consistent(&verdict);
     assert_eq!(
@@ -335,7 +335,10 @@
         rule(ReplyFault::SlowTokens(100), true),
     ];
     let servers = StubServers::start(vec![faulty_script(10, rules); 3]).unwrap();
-    let mut node = Node::start("leaves", servers.addrs(), CONTINUE_STREAMS, "safe");
+    let mut node = Node::builder("leaves")
+        .replicas(servers.addrs())
+        .operator(CONTINUE_STREAMS)
+        .start();
     let continued = |count: usize| {
         let begun = || {
             servers
@@ -346,14 +349,14 @@
         };
         holds_within(1000, || begun() >= count)
     };
-    let (_, stream) = ask(&node, "leaves", 10);
+    let (_, stream) = send_request(&node, "leaves", 10);
     assert!(continued(1));
     drop(stream);
     // A node that is told to stop in the middle of a continuation completes it first.
-    let (id, mut stream) = ask(&node, "stays", 10);
+    let (id, mut stream) = send_request(&node, "stays", 10);
     assert!(continued(2));
     node.signal("-TERM");
-    let seen = read(id, "stays", 10, &mut stream);
+    let seen = read_response(id, "stays", 10, &mut stream);
     let verdict = check(&[seen], &servers.served_requests());
     assert_consistent(&verdict);
     assert_eq!(verdict.completed, 1);
@@ -432,19 +435,17 @@
     ];
     let servers = StubServers::start(vec![faulty_script(10, rules); 3]).unwrap();
     let (discovery, answers) = start_discovery();
-    let node = Node::with_list(
-        "drained",
-        servers.addrs(),
-        CONTINUE_STREAMS,
-        "safe",
-        &discovery.to_string(),
-    );
-    let (id, mut stream) = ask(&node, "drained", 10);
+    let node = Node::builder("drained")
+        .replicas(servers.addrs())
+        .operator(CONTINUE_STREAMS)
+        .discovery(&discovery.to_string())
+        .start();
+    let (id, mut stream) = send_request(&node, "drained", 10);
     let server = continuing_server(&servers);
     answers.send(draining_list(&servers, server)).unwrap();
     // The node polls again once it has taken the list.
     answers.send(NO_CHANGES.to_string()).unwrap();
-    let seen = read(id, "drained", 10, &mut stream);
+    let seen = read_response(id, "drained", 10, &mut stream);
     let verdict = check(&[seen], &servers.served_requests());
     assert_consistent(&verdict);
     assert_eq!(
@@ -457,7 +458,7 @@
         servers.set_script(server, script(10));
     }
     assert_consistent(&check(
-        &support::run(&node, CLIENTS, 40, 10, |n| format!("after it {n}")),
+        &support::run_clients(&node, CLIENTS, 40, 10, |n| format!("after it {n}")),
         &servers.served_requests(),
     ));
     assert!(
@@ -486,10 +487,13 @@
         )
     };
     let servers = StubServers::start(vec![slow; 2]).unwrap();
-    let node = Node::start("deadline", servers.addrs(), CONTINUE_STREAMS, "safe");
-    let (id, mut stream) = ask_within(&node, "deadline", 8, 0.5);
+    let node = Node::builder("deadline")
+        .replicas(servers.addrs())
+        .operator(CONTINUE_STREAMS)
+        .start();
+    let (id, mut stream) = send_request_within(&node, "deadline", 8, 0.5);
     let verdict = check(
-        &[read(id, "deadline", 8, &mut stream)],
+        &[read_response(id, "deadline", 8, &mut stream)],
         &servers.served_requests(),
     );
     assert_consistent(&verdict);
@@ -507,10 +511,10 @@
         ..script(12)
     }])
     .unwrap();
-    let node = Node::start("twice", servers.addrs(), "", "safe");
+    let node = Node::builder("twice").replicas(servers.addrs()).start();
     // So that there are idle connections.
     assert_consistent(&check(
-        &support::run(&node, 8, 16, 12, |n| format!("before {n}")),
+        &support::run_clients(&node, 8, 16, 12, |n| format!("before {n}")),
         &servers.served_requests(),
     ));
     servers.set_script(
@@ -520,8 +524,8 @@
     let twice = |n: usize| {
         // The repeated response has come before the next request goes out.
         std::thread::sleep(Duration::from_millis(20));
-        let (id, mut stream) = ask(&node, &format!("twice {n}"), 12);
-        read(id, &format!("twice {n}"), 12, &mut stream)
+        let (id, mut stream) = send_request(&node, &format!("twice {n}"), 12);
+        read_response(id, &format!("twice {n}"), 12, &mut stream)
     };
     let verdict = check(
         &(0..12).map(twice).collect::<Vec<_>>(),
@@ -540,9 +544,12 @@
 fn bytes_after_the_end_are_dropped_only_where_streams_are_continued() {
     let node = |name: &str, fault: ReplyFault, operator: &str| {
         let servers = StubServers::start(vec![faulty_script(6, vec![rule(fault, false)])]).unwrap();
-        let node = Node::start(name, servers.addrs(), operator, "safe");
+        let node = Node::builder(name)
+            .replicas(servers.addrs())
+            .operator(operator)
+            .start();
         check(
-            &support::run(&node, 1, 1, 6, |n| format!("{name} {n}")),
+            &support::run_clients(&node, 1, 1, 6, |n| format!("{name} {n}")),
             &servers.served_requests(),
         )
         .violations
@@ -568,9 +575,12 @@
     };
     let stalling = faulty_script(6, vec![rule(stall, false)]);
     let servers = StubServers::start(vec![stalling; 2]).unwrap();
-    let mut node = Node::start("shown", servers.addrs(), CONTINUE_STREAMS, "safe");
+    let mut node = Node::builder("shown")
+        .replicas(servers.addrs())
+        .operator(CONTINUE_STREAMS)
+        .start();
     assert_consistent(&check(
-        &support::run(&node, 1, 3, 6, |n| format!("shown {n}")),
+        &support::run_clients(&node, 1, 3, 6, |n| format!("shown {n}")),
         &servers.served_requests(),
     ));
     node.signal("-TERM");
--- /dev/null
+++ b/tests/support/node.rs
@@ -0,0 +1,234 @@
+//! A node as a process of its own.
+
+use super::{wait_until, TEST_TIMEOUT};
+use std::io::{BufRead, BufReader};
+use std::net::{SocketAddr, TcpStream};
+use std::path::PathBuf;
+use std::process::{Child, ChildStderr, Command, Stdio};
+use std::sync::{Arc, Mutex};
+
+/// The configuration that every node starts from. It has one endpoint, the name `n0`, a class of semantics `safe` and 1,024
+/// sockets.
+const CONFIG: &str = include_str!("../exchanges/config.json");
+/// An address at which no discovery service listens.
+const NO_DISCOVERY: &str = "127.0.0.1:1";
+/// What the log says once a node accepts clients, before its address.
+const SERVING: &str = "serving on ";
+
+/// A running node. Dropping it kills the process and, in a test that fails, prints its log.
+pub struct Node {
+    /// The process.
+    pub child: Child,
+    /// The address for clients.
+    pub addr: SocketAddr,
+    /// The lines that it has logged so far, in JSON.
+    pub log: Arc<Mutex<Vec<String>>>,
+    /// Its configuration and the operators' file.
+    pub files: [PathBuf; 2],
+}
+
+/// How a node is started.
+pub struct NodeBuilder {
+    test: String,
+    name: String,
+    replicas: Vec<SocketAddr>,
+    operator: String,
+    semantics: String,
+    discovery: String,
+    max_sockets: Option<usize>,
+    listen: Option<SocketAddr>,
+    environment: Vec<(String, PathBuf)>,
+}
+
+impl NodeBuilder {
+    /// The node's name in its configuration; `n0` by default.
+    pub fn name(mut self, name: &str) -> Self {
+        self.name = name.into();
+        self
+    }
+
+    /// The replicas on the endpoint list that the node knows at its start; none by default.
+    pub fn replicas(mut self, replicas: &[SocketAddr]) -> Self {
+        self.replicas = replicas.into();
+        self
+    }
+
+    /// The text of the operators' file; empty by default.
+    pub fn operator(mut self, operator: &str) -> Self {
+        self.operator = operator.into();
+        self
+    }
+
+    /// The semantics of the class; `safe` by default.
+    pub fn semantics(mut self, semantics: &str) -> Self {
+        self.semantics = semantics.into();
+        self
+    }
+
+    /// The address of the discovery service; by default one at which nothing listens.
+    pub fn discovery(mut self, discovery: &str) -> Self {
+        self.discovery = discovery.into();
+        self
+    }
+
+    /// How many sockets the process may hold.
+    pub fn max_sockets(mut self, max_sockets: usize) -> Self {
+        self.max_sockets = Some(max_sockets);
+        self
+    }
+
+    /// The address for clients; a free port by default.
+    pub fn listen(mut self, listen: SocketAddr) -> Self {
+        self.listen = Some(listen);
+        self
+    }
+
+    /// Variables of the process's environment.
+    pub fn environment(mut self, environment: Vec<(String, PathBuf)>) -> Self {
+        self.environment = environment;
+        self
+    }
+
+    /// Starts the node and waits until it accepts clients.
+    pub fn start(self) -> Node {
+        let files = [
+            self.write_file("json", &self.config()),
+            self.write_file("toml", &self.operator),
+        ];
+        let mut child = self.command(&files).spawn().unwrap();
+        let (addr, log) = read_log(child.stderr.take().unwrap());
+        Node {
+            child,
+            addr,
+            log,
+            files,
+        }
+    }
+
+    fn config(&self) -> String {
+        let endpoints: Vec<String> = self
+            .replicas
+            .iter()
+            .enumerate()
+            .map(|(index, addr)| endpoint(index, *addr))
+            .collect();
+        let config = CONFIG
+            .replace("DISCOVERY", &self.discovery)
+            .replace("\"n0\"", &format!("\"{}\"", self.name));
+        let list_start = config.find("{\"id\"").unwrap();
+        let list_end = config.find("]},").unwrap();
+        let config = config
+            .replace(&config[list_start..list_end], &endpoints.join(","))
+            .replace("\"safe\"", &format!("\"{}\"", self.semantics));
+        match self.max_sockets {
+            Some(max) => config.replace("\"sockets\":1024", &format!("\"sockets\":{max}")),
+            None => config,
+        }
+    }
+
+    fn write_file(&self, kind: &str, text: &str) -> PathBuf {
+        let Self { test, name, .. } = self;
+        let file_name = format!("node-{test}-{name}-{}.{kind}", std::process::id());
+        let path = std::env::temp_dir().join(file_name);
+        std::fs::write(&path, text).unwrap();
+        path
+    }
+
+    fn command(&self, [config, operator]: &[PathBuf; 2]) -> Command {
+        let mut command = Command::new(env!("CARGO_BIN_EXE_poppykeel"));
+        command
+            .args(["serve", "--config"])
+            .arg(config)
+            .arg("--operator")
+            .arg(operator)
+            .args(["--log-format", "json"])
+            .env("GW_ADMIN", "127.0.0.1:0")
+            .envs(self.environment.iter().map(|(name, value)| (name, value)))
+            .env_remove("GW_DISCOVERY")
+            .stderr(Stdio::piped());
+        if let Some(listen) = self.listen {
+            command.arg("--listen").arg(listen.to_string());
+        }
+        command
+    }
+}
+
+/// An entry of the endpoint list.
+fn endpoint(index: usize, addr: SocketAddr) -> String {
+    format!(
+        r#"{{"id":"s-{index}","addr":"{addr}","zone":"a","kind":"k","cell":0,"state":"up","weight":1.0,"started_ms":0}}"#
+    )
+}
+
+/// Reads the log up to the line that tells the node's address, and from then on in a thread.
+fn read_log(stderr: ChildStderr) -> (SocketAddr, Arc<Mutex<Vec<String>>>) {
+    let mut lines = BufReader::new(stderr).lines().map_while(Result::ok);
+    let serving = lines
+        .find(|line| line.contains(SERVING))
+        .expect("the node serves");
+    let addr = serving
+        .split(SERVING)
+        .nth(1)
+        .and_then(|after| after.split('"').next())
+        .unwrap();
+    let log = Arc::new(Mutex::new(Vec::new()));
+    let thread_log = log.clone();
+    std::thread::spawn(move || lines.for_each(|line| thread_log.lock().unwrap().push(line)));
+    (addr.parse().unwrap(), log)
+}
+
+impl Node {
+    /// A node for the test of this name, which keeps its files apart from those of other tests.
+    pub fn builder(test: &str) -> NodeBuilder {
+        NodeBuilder {
+            test: test.into(),
+            name: "n0".into(),
+            replicas: Vec::new(),
+            operator: String::new(),
+            semantics: "safe".into(),
+            discovery: NO_DISCOVERY.into(),
+            max_sockets: None,
+            listen: None,
+            environment: Vec::new(),
+        }
+    }
+
+    /// Sends the process a signal, as `kill` names it.
+    pub fn signal(&self, signal: &str) {
+        let id = self.child.id().to_string();
+        let status = Command::new("kill").args([signal, &id]).status().unwrap();
+        assert!(status.success());
+    }
+
+    /// Waits until a line of the log contains this text.
+    pub fn until_logged(&self, text: &str) {
+        wait_until(text, || {
+            let log = self.log.lock().unwrap();
+            log.iter().any(|line| line.contains(text))
+        });
+    }
+
+    /// Opens a connection to the node.
+    pub fn connect(&self) -> TcpStream {
+        let stream = TcpStream::connect(self.addr).unwrap();
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
+        stream
+    }
+}
+
+impl Drop for Node {
+    fn drop(&mut self) {
+        // A process that has ended already needs no kill.
+        let _ = self.child.kill();
+        let _ = self.child.wait();
+        if std::thread::panicking() {
+            for line in self.log.lock().unwrap().iter() {
+                println!("{line}");
+            }
+        }
+        for file in &self.files {
+            // A file that stays behind harms nobody.
+            let _ = std::fs::remove_file(file);
+        }
+    }
+}
