--- a/benches/leases.rs
+++ b/benches/leases.rs
@@ -9,7 +9,7 @@
     AcquireRequest, LeaseLogRecord, LeaseRequest, LeaseResponse, LeaseServer, LeaseServerConfig,
 };
 use poppykeel_coordination::{Epoch, Incarnation, ProcessId};
-use poppykeel_durable_log::{Files, Log};
+use poppykeel_durable_log::{DurableLog, FolderDisk};
 use poppykeel_stub_model_server::{Outcome, Script, Standin};
 use serde_json::Value;
 use std::io::{Read, Write};
@@ -99,7 +99,9 @@
 fn grants_per_second(durability: Durability) -> f64 {
     let mut server = granting_server();
     let folder = bench_folder("leases");
-    let (mut log, _) = Log::open(Files::open(&folder).expect("folder")).expect("log");
+    let mut log = DurableLog::open(FolderDisk::open(&folder).expect("folder"))
+        .expect("log")
+        .log;
     let started_at = Instant::now();
     let mut count = 0;
     let mut now = 0;
--- a/crates/durable-log/src/disk.rs
+++ b/crates/durable-log/src/disk.rs
@@ -1,120 +1,63 @@
-//! The seam between the log and what keeps its bytes.
+//! The interface between the log and the files that hold its bytes.
 
-#![expect(clippy::missing_errors_doc, reason = "not yet converted")]
+use std::io;
 
-use std::collections::BTreeMap;
-use std::fs::{self, File, OpenOptions};
-use std::io::{self, Write};
-use std::path::{Path, PathBuf};
-
-/// A folder of files, as much of it as the log needs. Nothing counts as kept before its `sync`; a new or changed
-/// name not before `sync_names`.
+/// A folder of files, with the operations that the log needs.
+///
+/// What was written to a file is durable only after [`Disk::sync`]; a new, changed or removed name only after
+/// [`Disk::sync_names`].
 pub trait Disk {
     /// The names of all files.
+    ///
+    /// # Errors
+    /// Where the folder can't be read.
     fn names(&self) -> io::Result<Vec<String>>;
-    /// A file's bytes.
+
+    /// The bytes of a file.
+    ///
+    /// # Errors
+    /// Where there is no such file or it can't be read.
     fn read(&self, name: &str) -> io::Result<Vec<u8>>;
-    /// Makes a file empty, and it if need be.
+
+    /// Creates an empty file, or empties the one of this name.
+    ///
+    /// # Errors
+    /// Where the file can't be created.
     fn create(&mut self, name: &str) -> io::Result<()>;
-    /// Adds bytes to a file's end.
+
+    /// Appends bytes to a file. A write that fails may have written any part of them.
+    ///
+    /// # Errors
+    /// Where there is no such file, or not all bytes could be written.
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()>;
-    /// Cuts a file.
-    fn cut(&mut self, name: &str, length: u64) -> io::Result<()>;
-    /// Makes what has been written to a file last.
-    fn sync(&mut self, name: &str) -> io::Result<()>;
-    /// Gives a file another name, in place of what had that name.
-    fn rename(&mut self, from: &str, to: &str) -> io::Result<()>;
-    /// Takes a file away.
-    fn remove(&mut self, name: &str) -> io::Result<()>;
-    /// Makes new, changed and removed names last.
-    fn sync_names(&mut self) -> io::Result<()>;
-}
 
-/// A folder on a real disk, held by one process.
-#[derive(Debug)]
-pub struct Files {
-    folder: PathBuf,
-    open: BTreeMap<String, File>,
-    /// Held as long as this lives.
-    _lock: File,
-}
+    /// Truncates a file to this length in bytes.
+    ///
+    /// # Errors
+    /// Where there is no such file or it can't be truncated.
+    fn truncate(&mut self, name: &str, length: u64) -> io::Result<()>;
 
-impl Files {
-    /// Opens a folder, makes it if need be, and keeps other processes out of it.
+    /// Makes durable what has been written to a file.
     ///
     /// # Errors
-    /// As the system names them; `WouldBlock` where another process has it.
-    pub fn open(folder: &Path) -> io::Result<Files> {
-        fs::create_dir_all(folder)?;
-        let lock = OpenOptions::new()
-            .create(true)
-            .truncate(false)
-            .write(true)
-            .open(folder.join("lock"))?;
-        match lock.try_lock() {
-            Ok(()) => {}
-            Err(fs::TryLockError::WouldBlock) => {
-                return Err(io::Error::new(
-                    io::ErrorKind::WouldBlock,
-                    "another process holds this folder",
-                ));
-            }
-            Err(fs::TryLockError::Error(e)) => return Err(e),
-        }
-        Ok(Files {
-            folder: folder.to_path_buf(),
-            open: BTreeMap::new(),
-            _lock: lock,
-        })
-    }
+    /// Where the sync fails. What was written since the last sync may then be lost, even if a later sync succeeds.
+    fn sync(&mut self, name: &str) -> io::Result<()>;
 
-    fn file(&mut self, name: &str) -> io::Result<&mut File> {
-        if !self.open.contains_key(name) {
-            let file = OpenOptions::new()
-                .append(true)
-                .open(self.folder.join(name))?;
-            self.open.insert(name.to_string(), file);
-        }
-        self.open
-            .get_mut(name)
-            .ok_or(io::ErrorKind::NotFound.into())
-    }
-}
+    /// Renames a file; a file that already has the new name is replaced.
+    ///
+    /// # Errors
+    /// Where there is no such file or it can't be renamed.
+    fn rename(&mut self, from: &str, to: &str) -> io::Result<()>;
+
+    /// Removes a file.
+    ///
+    /// # Errors
+    /// Where there is no such file or it can't be removed.
+    fn remove(&mut self, name: &str) -> io::Result<()>;
 
-impl Disk for Files {
-    fn names(&self) -> io::Result<Vec<String>> {
-        let entries = fs::read_dir(&self.folder)?.collect::<io::Result<Vec<_>>>()?;
-        Ok(entries
-            .into_iter()
-            .map(|e| e.file_name().to_string_lossy().into_owned())
-            .collect())
-    }
-    fn read(&self, name: &str) -> io::Result<Vec<u8>> {
-        fs::read(self.folder.join(name))
-    }
-    fn create(&mut self, name: &str) -> io::Result<()> {
-        self.open.remove(name);
-        File::create(self.folder.join(name)).map(drop)
-    }
-    fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
-        self.file(name)?.write_all(bytes)
-    }
-    fn cut(&mut self, name: &str, length: u64) -> io::Result<()> {
-        self.file(name)?.set_len(length)
-    }
-    fn sync(&mut self, name: &str) -> io::Result<()> {
-        self.file(name)?.sync_data()
-    }
-    fn rename(&mut self, from: &str, to: &str) -> io::Result<()> {
-        self.open.remove(from);
-        self.open.remove(to);
-        fs::rename(self.folder.join(from), self.folder.join(to))
-    }
-    fn remove(&mut self, name: &str) -> io::Result<()> {
-        self.open.remove(name);
-        fs::remove_file(self.folder.join(name))
-    }
-    fn sync_names(&mut self) -> io::Result<()> {
-        File::open(&self.folder)?.sync_all()
-    }
+    /// Makes new, changed and removed names durable.
+    ///
+    /// # Errors
+    /// Where the sync of the folder fails.
+    fn sync_names(&mut self) -> io::Result<()>;
 }
--- a/crates/durable-log/src/log.rs
+++ b/crates/durable-log/src/log.rs
@@ -1,268 +1,216 @@
 //! The log: one live segment, appended to in groups, and replaced as a whole by a compaction.
 
-#![expect(
-    clippy::match_bool,
-    clippy::min_ident_chars,
-    reason = "not yet converted"
-)]
-
 use super::disk::Disk;
-use super::record::{self, Kind, FORMAT, HEAD, MOST};
-use std::fmt;
-use std::io;
-
-/// Why a log can't be had or can't go on.
-#[derive(Debug)]
-pub enum Fault {
-    /// The disk failed. After this nothing is acknowledged any more.
-    Disk(io::Error),
-    /// What had been acknowledged is damaged at this byte of this file.
-    Rotten {
-        /// The file.
-        file: String,
-        /// Where the damage begins, in bytes.
-        at: u64,
-    },
-    /// Written by a newer program.
-    Newer {
-        /// The file.
-        file: String,
-        /// Its format.
-        format: u8,
-    },
-    /// A record of this many bytes is too long.
-    TooLong(usize),
-    /// An earlier failure ended this log's work.
-    Broken,
-}
-
-impl fmt::Display for Fault {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            Fault::Disk(e) => write!(f, "disk: {e}"),
-            Fault::Rotten { file, at } => {
-                write!(
-                    f,
-                    "{file}: damaged at byte {at}, and what follows it was kept"
-                )
-            }
-            Fault::Newer { file, format } => {
-                write!(
-                    f,
-                    "{file}: format {format}; this program reads formats up to {FORMAT}"
-                )
-            }
-            Fault::TooLong(bytes) => write!(f, "a record of {bytes} bytes; at most {MOST}"),
-            Fault::Broken => {
-                write!(
-                    f,
-                    "an earlier write or sync failed: nothing more is kept until a restart"
-                )
-            }
-        }
-    }
-}
-
-impl From<io::Error> for Fault {
-    fn from(e: io::Error) -> Self {
-        Fault::Disk(e)
-    }
-}
+use super::error::LogError;
+use super::record::{self, RecordKind, MAX_PAYLOAD_BYTES};
+use super::segment::{
+    draft_name, read_segment, segment_name, segment_number, SegmentContents, DRAFT_EXTENSION,
+};
 
 /// A log on a disk.
+///
+/// A record is durable once the [`DurableLog::sync`] after its [`DurableLog::append`] has succeeded. Once a write or a sync
+/// has failed the log takes no more records: after a failed sync the system may count pages as written that never reached
+/// the disk.
 #[derive(Debug)]
-pub struct Log<D: Disk> {
+pub struct DurableLog<D: Disk> {
     disk: D,
+    /// The number of the live segment; 0 where there is none yet.
     segment: u64,
-    /// The number of the next record.
-    next: u64,
-    /// Written at the next sync.
-    group: Vec<u8>,
-    /// Bytes in the live segment.
-    size: u64,
-    broken: bool,
+    /// The sequence number of the next record.
+    next_sequence: u64,
+    /// The bytes of the records that the next sync writes.
+    unsynced: Vec<u8>,
+    /// The live segment's length in bytes.
+    size_bytes: u64,
+    has_failed: bool,
 }
 
-fn name(segment: u64) -> String {
-    format!("{segment:016}.log")
-}
-
-fn segment(name: &str) -> Option<u64> {
-    name.strip_suffix(".log")
-        .filter(|n| n.len() == 16)?
-        .parse()
-        .ok()
+/// A log that was opened, with the records that it holds.
+#[derive(Debug)]
+pub struct RecoveredLog<D: Disk> {
+    /// The log, ready for appending.
+    pub log: DurableLog<D>,
+    /// The payloads of its records, oldest first.
+    pub records: Vec<Vec<u8>>,
 }
 
-/// The records of a segment in their order, and how many bytes are sound.
-type Found = (Vec<Vec<u8>>, u64, u64);
-
-impl<D: Disk> Log<D> {
-    /// Opens the log and reads what it holds, oldest first. A torn end, which no sync had covered, is cut off.
+impl<D: Disk> DurableLog<D> {
+    /// Opens the log and reads what it holds. A torn write at the end, which no sync had covered, is cut off; what a
+    /// compaction left behind in a crash is removed.
     ///
     /// # Errors
-    /// [`Fault::Rotten`] where acknowledged records are damaged, [`Fault::Newer`], and the disk's own.
-    pub fn open(mut disk: D) -> Result<(Log<D>, Vec<Vec<u8>>), Fault> {
+    /// [`LogError::Corrupt`] where acknowledged records are damaged, [`LogError::UnsupportedFormat`], and
+    /// [`LogError::Io`].
+    pub fn open(disk: D) -> Result<RecoveredLog<D>, LogError> {
         let names = disk.names()?;
-        let mut segments: Vec<u64> = names.iter().filter_map(|n| segment(n)).collect();
+        let mut segments: Vec<u64> = names
+            .iter()
+            .filter_map(|name| segment_number(name))
+            .collect();
         segments.sort_unstable();
-        let Some(live) = segments.pop() else {
-            let mut log = Log {
-                disk,
-                segment: 0,
-                next: 1,
-                group: Vec::new(),
-                size: 0,
-                broken: false,
-            };
-            log.begin(&[])?;
-            return Ok((log, Vec::new()));
+        let Some(live_segment) = segments.pop() else {
+            return DurableLog::create(disk);
+        };
+        let mut opened = DurableLog::open_segment(disk, live_segment)?;
+        let old_segments = segments.into_iter().map(segment_name);
+        let drafts = names
+            .into_iter()
+            .filter(|name| name.ends_with(DRAFT_EXTENSION));
+        for leftover in old_segments.chain(drafts) {
+            opened.log.disk.remove(&leftover)?;
+        }
+        Ok(opened)
+    }
+
+    /// Begins an empty log.
+    fn create(disk: D) -> Result<RecoveredLog<D>, LogError> {
+        let mut log = DurableLog {
+            disk,
+            segment: 0,
+            next_sequence: 1,
+            unsynced: Vec::new(),
+            size_bytes: 0,
+            has_failed: false,
         };
-        let file = name(live);
+        log.start_segment(&[])?;
+        Ok(RecoveredLog {
+            log,
+            records: Vec::new(),
+        })
+    }
+
+    /// Reads the live segment and cuts off a torn write at its end.
+    fn open_segment(mut disk: D, segment: u64) -> Result<RecoveredLog<D>, LogError> {
+        let file = segment_name(segment);
         let bytes = disk.read(&file)?;
-        let (entries, last, sound) = scan(&file, &bytes)?;
-        if sound < bytes.len() as u64 {
-            disk.cut(&file, sound)?;
+        let SegmentContents {
+            payloads,
+            last_sequence,
+            sound_bytes,
+        } = read_segment(&file, &bytes)?;
+        let size_bytes = sound_bytes as u64;
+        if sound_bytes < bytes.len() {
+            disk.truncate(&file, size_bytes)?;
             disk.sync(&file)?;
         }
-        // Leftovers of a compaction that a crash cut short.
-        let stale = segments
-            .into_iter()
-            .map(name)
-            .chain(names.into_iter().filter(|n| n.ends_with(".new")));
-        for old in stale.collect::<Vec<_>>() {
-            disk.remove(&old)?;
-        }
-        let log = Log {
+        let log = DurableLog {
             disk,
-            segment: live,
-            next: last + 1,
-            group: Vec::new(),
-            size: sound,
-            broken: false,
+            segment,
+            next_sequence: last_sequence + 1,
+            unsynced: Vec::new(),
+            size_bytes,
+            has_failed: false,
         };
-        Ok((log, entries))
+        Ok(RecoveredLog {
+            log,
+            records: payloads,
+        })
     }
 
-    /// Adds a record to the group that the next [`Log::sync`] makes last; its number.
+    /// Adds a record to those that the next [`DurableLog::sync`] makes durable; returns its sequence number.
     ///
     /// # Errors
-    /// [`Fault::TooLong`], [`Fault::Broken`].
-    pub fn append(&mut self, payload: &[u8]) -> Result<u64, Fault> {
-        if self.broken {
-            return Err(Fault::Broken);
+    /// [`LogError::RecordTooLong`] and [`LogError::Failed`].
+    pub fn append(&mut self, payload: &[u8]) -> Result<u64, LogError> {
+        if self.has_failed {
+            return Err(LogError::Failed);
         }
-        if payload.len() > MOST {
-            return Err(Fault::TooLong(payload.len()));
-        }
-        let number = self.next;
-        self.next += 1;
-        record::write(&mut self.group, number, Kind::Entry, payload);
-        Ok(number)
+        check_payload_length(payload)?;
+        let sequence = self.next_sequence;
+        self.next_sequence += 1;
+        record::encode(&mut self.unsynced, sequence, RecordKind::Appended, payload);
+        Ok(sequence)
     }
 
-    /// Makes all that was appended last. Only what this has answered for may be acknowledged.
+    /// Makes all appended records durable. They may be acknowledged only once this has succeeded.
     ///
     /// # Errors
-    /// The disk's; from then on [`Fault::Broken`].
-    pub fn sync(&mut self) -> Result<(), Fault> {
-        if self.broken {
-            return Err(Fault::Broken);
+    /// [`LogError::Io`] where the disk fails; from then on [`LogError::Failed`].
+    pub fn sync(&mut self) -> Result<(), LogError> {
+        if self.has_failed {
+            return Err(LogError::Failed);
         }
-        if self.group.is_empty() {
+        if self.unsynced.is_empty() {
             return Ok(());
         }
-        let file = name(self.segment);
-        let kept = self
+        let file = segment_name(self.segment);
+        let written = self
             .disk
-            .append(&file, &self.group)
+            .append(&file, &self.unsynced)
             .and_then(|()| self.disk.sync(&file));
-        // After a failed sync the system may call pages clean that never reached the disk.
-        self.broken = kept.is_err();
-        kept?;
-        self.size += self.group.len() as u64;
-        self.group.clear();
+        self.has_failed = written.is_err();
+        written?;
+        self.size_bytes += self.unsynced.len() as u64;
+        self.unsynced.clear();
         Ok(())
     }
 
-    /// Puts these records in place of all there were: they are whole on the disk before the old ones go.
+    /// Replaces all records of the log by these. They are durable as a whole before the old ones are removed, so that a
+    /// crash leaves either the old or the new records.
     ///
     /// # Errors
-    /// As [`Log::sync`].
-    pub fn replace(&mut self, kept: &[Vec<u8>]) -> Result<(), Fault> {
+    /// As [`DurableLog::sync`], and [`LogError::RecordTooLong`].
+    pub fn replace(&mut self, payloads: &[Vec<u8>]) -> Result<(), LogError> {
         self.sync()?;
-        let begun = self.begin(kept);
-        self.broken = begun.is_err();
-        begun
+        let replaced = self.start_segment(payloads);
+        self.has_failed = replaced.is_err();
+        replaced
     }
 
-    /// Bytes in the live segment.
-    pub fn size(&self) -> u64 {
-        self.size
+    /// The live segment's length in bytes.
+    pub fn size_bytes(&self) -> u64 {
+        self.size_bytes
     }
 
-    fn begin(&mut self, kept: &[Vec<u8>]) -> Result<(), Fault> {
-        let mut bytes = record::head().to_vec();
-        for payload in kept {
-            if payload.len() > MOST {
-                return Err(Fault::TooLong(payload.len()));
-            }
-            record::write(&mut bytes, self.next, Kind::Kept, payload);
-            self.next += 1;
-        }
-        record::write(&mut bytes, self.next, Kind::Complete, &[]);
-        self.next += 1;
-        let (old, new) = (self.segment, self.segment + 1);
-        let draft = format!("{new:016}.new");
+    /// Writes a new segment with these records, makes it the live one and removes the one before it.
+    fn start_segment(&mut self, payloads: &[Vec<u8>]) -> Result<(), LogError> {
+        let bytes = self.encode_segment(payloads)?;
+        let old_segment = self.segment;
+        let new_segment = old_segment + 1;
+        let draft = draft_name(new_segment);
         self.disk.create(&draft)?;
         self.disk.append(&draft, &bytes)?;
         self.disk.sync(&draft)?;
-        self.disk.rename(&draft, &name(new))?;
+        self.disk.rename(&draft, &segment_name(new_segment))?;
         self.disk.sync_names()?;
-        (self.segment, self.size) = (new, bytes.len() as u64);
-        if old > 0 {
-            self.disk.remove(&name(old))?;
+        self.segment = new_segment;
+        self.size_bytes = bytes.len() as u64;
+        if old_segment > 0 {
+            self.disk.remove(&segment_name(old_segment))?;
         }
         Ok(())
     }
-}
 
-/// Reads a segment. Bytes after the last sound record are a torn end, unless a sound record follows them: then
-/// something in the middle is damaged.
-fn scan(file: &str, bytes: &[u8]) -> Result<Found, Fault> {
-    let rotten = |at: usize| {
-        Err(Fault::Rotten {
-            file: file.to_string(),
-            at: at as u64,
-        })
-    };
-    match record::format(bytes) {
-        Some(FORMAT) => {}
-        Some(format) if format > FORMAT => {
-            return Err(Fault::Newer {
-                file: file.to_string(),
-                format,
-            })
+    /// The bytes of a segment that begins with these records.
+    fn encode_segment(&mut self, payloads: &[Vec<u8>]) -> Result<Vec<u8>, LogError> {
+        let mut bytes = record::header().to_vec();
+        for payload in payloads {
+            check_payload_length(payload)?;
+            record::encode(
+                &mut bytes,
+                self.next_sequence,
+                RecordKind::Compacted,
+                payload,
+            );
+            self.next_sequence += 1;
         }
-        _ => return rotten(0),
+        record::encode(
+            &mut bytes,
+            self.next_sequence,
+            RecordKind::CompactionEnd,
+            &[],
+        );
+        self.next_sequence += 1;
+        Ok(bytes)
     }
-    let (mut entries, mut last, mut at, mut complete) = (Vec::new(), 0, HEAD, false);
-    while let Some(found) = record::read(&bytes[at..]).filter(|r| last == 0 || r.number == last + 1)
-    {
-        match found.kind {
-            Kind::Complete => complete = true,
-            Kind::Kept | Kind::Entry => entries.push(found.payload.to_vec()),
-        }
-        (last, at) = (found.number, at + found.size);
-    }
-    // A segment gets its name only once all that the compaction kept is on the disk.
-    if !complete {
-        return rotten(at);
-    }
-    let later = (at + 1..bytes.len())
-        .any(|from| record::read(&bytes[from..]).is_some_and(|r| r.number > last));
-    match later {
-        true => rotten(at),
-        false => Ok((entries, last, at as u64)),
+}
+
+fn check_payload_length(payload: &[u8]) -> Result<(), LogError> {
+    if payload.len() > MAX_PAYLOAD_BYTES {
+        return Err(LogError::RecordTooLong {
+            bytes: payload.len(),
+        });
     }
+    Ok(())
 }
--- a/crates/durable-log/src/record.rs
+++ b/crates/durable-log/src/record.rs
@@ -1,85 +1,95 @@
-//! Bytes of a segment: a head, then records. Numbers are little-endian.
+//! The bytes of a segment: a header, then records. Numbers are little-endian.
 //!
-//! Head: `PPKLLOG` and one byte of format version. Record: length of the payload (u32), CRC-32 of all that follows it
-//! and of the length (u32), number (u64, from 1, one higher each time), kind (u8), payload.
+//! Header: `PPKLLOG` and one byte of format version. Record: length of the payload (u32), CRC-32 of the length and of all
+//! that follows the checksum (u32), sequence number (u64, from 1, one higher each time), kind (u8), payload.
 
-/// The format that this program writes; it reads this one and older ones.
-pub const FORMAT: u8 = 1;
-/// The head's length.
-pub(crate) const HEAD: usize = 8;
+/// The format version that this program writes; it reads this one and older ones.
+pub const FORMAT_VERSION: u8 = 1;
+/// The header's length in bytes.
+pub(crate) const HEADER_BYTES: usize = 8;
+/// The longest payload, in bytes.
+pub(crate) const MAX_PAYLOAD_BYTES: usize = 16 << 20;
+/// What a segment begins with.
 const MAGIC: &[u8; 7] = b"PPKLLOG";
-const FRAME: usize = 17;
-/// The longest payload.
-pub(crate) const MOST: usize = 16 << 20;
+/// The length in bytes of what stands before a record's payload.
+const FRAME_BYTES: usize = 17;
 
-/// What a record is.
+/// What a record is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Kind {
-    /// One that was appended.
-    Entry = 0,
-    /// One of the entries that a compaction kept.
-    Kept = 1,
-    /// All that a compaction kept stands before this.
-    Complete = 2,
+pub(crate) enum RecordKind {
+    /// Appended by the log's user.
+    Appended = 0,
+    /// Written by the compaction that made this segment.
+    Compacted = 1,
+    /// Ends the records of the compaction: all of them stand before it.
+    CompactionEnd = 2,
 }
 
-/// A record as found.
+/// One record in the bytes of a segment.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) struct Record<'a> {
-    pub number: u64,
-    pub kind: Kind,
+    pub sequence: u64,
+    pub kind: RecordKind,
     pub payload: &'a [u8],
-    /// Its whole length with the frame.
+    /// Its whole length in bytes, with the frame.
     pub size: usize,
 }
 
-pub(crate) fn head() -> [u8; HEAD] {
-    let mut head = [FORMAT; HEAD];
-    head[..7].copy_from_slice(MAGIC);
-    head
+/// The header of a segment in the present format.
+pub(crate) fn header() -> [u8; HEADER_BYTES] {
+    let mut header = [FORMAT_VERSION; HEADER_BYTES];
+    header[..MAGIC.len()].copy_from_slice(MAGIC);
+    header
 }
 
-/// The format of a segment; None where this is no segment.
-pub(crate) fn format(bytes: &[u8]) -> Option<u8> {
-    (bytes.len() >= HEAD && bytes.starts_with(MAGIC)).then(|| bytes[7])
+/// The format version of a segment; `None` where these bytes are no segment.
+pub(crate) fn format_version(bytes: &[u8]) -> Option<u8> {
+    let has_header = bytes.len() >= HEADER_BYTES && bytes.starts_with(MAGIC);
+    has_header.then(|| bytes[MAGIC.len()])
 }
 
-pub(crate) fn write(out: &mut Vec<u8>, number: u64, kind: Kind, payload: &[u8]) {
+/// Appends the bytes of a record to a buffer.
+pub(crate) fn encode(buffer: &mut Vec<u8>, sequence: u64, kind: RecordKind, payload: &[u8]) {
     let length = (payload.len() as u32).to_le_bytes();
-    let mut sum = crc32fast::Hasher::new();
-    let number = number.to_le_bytes();
-    [&length[..], &number, &[kind as u8], payload]
-        .into_iter()
-        .for_each(|part| sum.update(part));
-    out.extend_from_slice(&length);
-    out.extend_from_slice(&sum.finalize().to_le_bytes());
-    out.extend_from_slice(&number);
-    out.push(kind as u8);
-    out.extend_from_slice(payload);
+    let sequence = sequence.to_le_bytes();
+    let mut checksum = crc32fast::Hasher::new();
+    checksum.update(&length);
+    checksum.update(&sequence);
+    checksum.update(&[kind as u8]);
+    checksum.update(payload);
+    buffer.extend_from_slice(&length);
+    buffer.extend_from_slice(&checksum.finalize().to_le_bytes());
+    buffer.extend_from_slice(&sequence);
+    buffer.push(kind as u8);
+    buffer.extend_from_slice(payload);
 }
 
-/// The record at the beginning of these bytes, if there is a whole and sound one.
-pub(crate) fn read(bytes: &[u8]) -> Option<Record<'_>> {
+/// The record at the beginning of these bytes; `None` unless it is whole and its checksum holds.
+pub(crate) fn decode(bytes: &[u8]) -> Option<Record<'_>> {
     let length = u32::from_le_bytes(bytes.get(..4)?.try_into().ok()?) as usize;
-    let stated = u32::from_le_bytes(bytes.get(4..8)?.try_into().ok()?);
-    let number = u64::from_le_bytes(bytes.get(8..16)?.try_into().ok()?);
+    let expected_checksum = u32::from_le_bytes(bytes.get(4..8)?.try_into().ok()?);
+    let sequence = u64::from_le_bytes(bytes.get(8..16)?.try_into().ok()?);
     let kind = match bytes.get(16)? {
-        0 => Kind::Entry,
-        1 => Kind::Kept,
-        2 => Kind::Complete,
+        0 => RecordKind::Appended,
+        1 => RecordKind::Compacted,
+        2 => RecordKind::CompactionEnd,
         _ => return None,
     };
-    if length > MOST {
+    if length > MAX_PAYLOAD_BYTES {
         return None;
     }
-    let payload = bytes.get(FRAME..FRAME + length)?;
-    let mut sum = crc32fast::Hasher::new();
-    sum.update(&bytes[..4]);
-    sum.update(&bytes[8..FRAME + length]);
-    (sum.finalize() == stated).then_some(Record {
-        number,
+    let size = FRAME_BYTES + length;
+    let payload = bytes.get(FRAME_BYTES..size)?;
+    let mut checksum = crc32fast::Hasher::new();
+    checksum.update(&bytes[..4]);
+    checksum.update(&bytes[8..size]);
+    if checksum.finalize() != expected_checksum {
+        return None;
+    }
+    Some(Record {
+        sequence,
         kind,
         payload,
-        size: FRAME + length,
+        size,
     })
 }
--- a/crates/durable-log/tests/golden.rs
+++ b/crates/durable-log/tests/golden.rs
@@ -3,7 +3,7 @@
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
-use poppykeel_durable_log::{Files, Log};
+use poppykeel_durable_log::{DurableLog, FolderDisk, RecoveredLog};
 use std::fs;
 use std::path::{Path, PathBuf};
 
@@ -59,6 +59,7 @@
 /// An empty folder for one test of this process.
 fn empty_folder(name: &str) -> PathBuf {
     let folder = std::env::temp_dir().join(format!("golden-log-{name}-{}", std::process::id()));
+    // A folder of an earlier process with this id may be left; usually there is none.
     let _ = fs::remove_dir_all(&folder);
     fs::create_dir_all(&folder).unwrap();
     folder
@@ -66,7 +67,10 @@
 
 /// Writes all records through the public interface: appended, compacted, and appended again in two groups.
 fn write_log(folder: &Path) {
-    let (mut log, found) = Log::open(Files::open(folder).unwrap()).unwrap();
+    let RecoveredLog {
+        mut log,
+        records: found,
+    } = DurableLog::open(FolderDisk::open(folder).unwrap()).unwrap();
     assert!(found.is_empty());
     for record in records_before_compaction() {
         log.append(&record).unwrap();
@@ -86,7 +90,10 @@
 fn log_segment_of_landed_version_stays_readable() {
     let folder = empty_folder("read");
     fs::copy(golden_path(SEGMENT), folder.join(SEGMENT)).unwrap();
-    let (log, found) = Log::open(Files::open(&folder).unwrap()).unwrap();
+    let RecoveredLog {
+        log,
+        records: found,
+    } = DurableLog::open(FolderDisk::open(&folder).unwrap()).unwrap();
     assert_eq!(found, all_records());
     drop(log);
     let after_opening = fs::read(folder.join(SEGMENT)).unwrap();
--- a/crates/durable-log/tests/log.rs
+++ b/crates/durable-log/tests/log.rs
@@ -1,208 +1,229 @@
-//! The log against a disk that goes wrong: nothing acknowledged is lost, nothing is invented.
+//! Tests of the log on a disk with faults: no acknowledged record is lost, and none is found that was never appended.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
-use poppykeel_durable_log::{Disk, Fault, Files, Log, SimDisk};
+use poppykeel_durable_log::{Disk, DurableLog, FolderDisk, LogError, RecoveredLog, SimulatedDisk};
 use proptest::prelude::*;
 
-fn record(n: u64) -> Vec<u8> {
-    format!("record {n}").into_bytes()
+fn record(number: u64) -> Vec<u8> {
+    format!("record {number}").into_bytes()
 }
 
-fn filled(count: u64) -> SimDisk {
-    let disk = SimDisk::default();
-    let (mut log, _) = Log::open(disk.clone()).unwrap();
-    for n in 0..count {
-        log.append(&record(n)).unwrap();
+/// The length of a record in the segment, in bytes: its frame and the payload, for numbers of one digit.
+fn record_bytes() -> usize {
+    17 + record(0).len()
+}
+
+fn disk_with_records(count: u64) -> SimulatedDisk {
+    let disk = SimulatedDisk::default();
+    let mut log = DurableLog::open(disk.clone()).unwrap().log;
+    for number in 0..count {
+        log.append(&record(number)).unwrap();
         log.sync().unwrap();
     }
     disk
 }
 
-fn live(disk: &SimDisk) -> String {
+fn live_segment(disk: &SimulatedDisk) -> String {
     disk.names()
         .unwrap()
         .into_iter()
-        .find(|n| n.ends_with(".log"))
+        .find(|name| name.ends_with(".log"))
         .unwrap()
 }
 
 #[test]
-fn cut_at_every_byte_the_records_before_the_cut_are_there() {
-    let disk = filled(5);
-    let (file, whole) = (live(&disk), disk.read(&live(&disk)).unwrap());
-    let first = whole.len() - 5 * (17 + record(0).len());
+fn recovers_all_records_before_a_truncation_at_any_byte() {
+    let disk = disk_with_records(5);
+    let file = live_segment(&disk);
+    let whole = disk.read(&file).unwrap();
+    let header_bytes = whole.len() - 5 * record_bytes();
     for length in 0..whole.len() {
-        let torn = disk.copy();
-        torn.spoil(&file, |bytes| bytes.truncate(length));
-        match Log::open(torn) {
-            Ok((_, found)) => {
-                let sound = (length - first) / (17 + record(0).len());
+        let torn = disk.snapshot();
+        torn.corrupt(&file, |bytes| bytes.truncate(length));
+        match DurableLog::open(torn) {
+            Ok(RecoveredLog { records: found, .. }) => {
+                let sound = (length - header_bytes) / record_bytes();
                 assert_eq!(
                     found,
                     (0..sound as u64).map(record).collect::<Vec<_>>(),
                     "{length}"
                 );
             }
-            Err(Fault::Rotten { .. }) => assert!(length < first, "{length}"),
+            Err(LogError::Corrupt { .. }) => assert!(length < header_bytes, "{length}"),
             Err(other) => panic!("{length}: {other}"),
         }
     }
 }
 
 #[test]
-fn a_byte_flipped_anywhere_is_never_read_as_something_else() {
-    let disk = filled(5);
-    let (file, whole) = (live(&disk), disk.read(&live(&disk)).unwrap());
-    let size = 17 + record(0).len();
-    for at in 0..whole.len() {
-        let bad = disk.copy();
-        bad.spoil(&file, |bytes| bytes[at] ^= 0x10);
-        match Log::open(bad) {
+fn rejects_or_drops_a_record_with_a_flipped_byte() {
+    let disk = disk_with_records(5);
+    let file = live_segment(&disk);
+    let whole = disk.read(&file).unwrap();
+    let size = record_bytes();
+    for offset in 0..whole.len() {
+        let corrupted = disk.snapshot();
+        corrupted.corrupt(&file, |bytes| bytes[offset] ^= 0x10);
+        match DurableLog::open(corrupted) {
             // Only the last record can't be told from one that a crash tore.
-            Ok((_, found)) => {
-                assert!(at >= whole.len() - size, "{at}");
+            Ok(RecoveredLog { records: found, .. }) => {
+                assert!(offset >= whole.len() - size, "{offset}");
                 assert_eq!(found, (0..4).map(record).collect::<Vec<_>>());
             }
-            Err(Fault::Rotten { .. } | Fault::Newer { .. }) => {}
-            Err(other) => panic!("{at}: {other}"),
+            Err(LogError::Corrupt { .. } | LogError::UnsupportedFormat { .. }) => {}
+            Err(other) => panic!("{offset}: {other}"),
         }
     }
 }
 
 #[test]
-fn after_a_failed_sync_nothing_is_acknowledged() {
-    let disk = filled(2);
-    let (mut log, _) = Log::open(disk.clone()).unwrap();
+fn accepts_no_records_after_a_failed_sync() {
+    let disk = disk_with_records(2);
+    let mut log = DurableLog::open(disk.clone()).unwrap().log;
     disk.fail_sync(Some(0));
     log.append(&record(2)).unwrap();
-    assert!(matches!(log.sync(), Err(Fault::Disk(_))));
+    assert!(matches!(log.sync(), Err(LogError::Io(_))));
     // The disk is well again, but what the system calls written may not be.
-    assert!(matches!(log.append(&record(3)), Err(Fault::Broken)));
-    assert!(matches!(log.sync(), Err(Fault::Broken)));
-    let (_, found) = Log::open(disk.crash(0, false)).unwrap();
+    assert!(matches!(log.append(&record(3)), Err(LogError::Failed)));
+    assert!(matches!(log.sync(), Err(LogError::Failed)));
+    let found = DurableLog::open(disk.crash(0, false)).unwrap().records;
     assert_eq!(found, vec![record(0), record(1)]);
 }
 
 #[test]
-fn a_full_disk_loses_nothing_that_was_acknowledged() {
-    let disk = filled(3);
-    let (mut log, _) = Log::open(disk.clone()).unwrap();
-    disk.room(Some(9));
+fn keeps_acknowledged_records_when_the_disk_is_full() {
+    let disk = disk_with_records(3);
+    let mut log = DurableLog::open(disk.clone()).unwrap().log;
+    disk.set_free_bytes(Some(9));
     log.append(&record(3)).unwrap();
-    assert!(matches!(log.sync(), Err(Fault::Disk(_))));
-    let (_, found) = Log::open(disk.crash(256, true)).unwrap();
+    assert!(matches!(log.sync(), Err(LogError::Io(_))));
+    let found = DurableLog::open(disk.crash(256, true)).unwrap().records;
     assert_eq!(found, (0..3).map(record).collect::<Vec<_>>());
 }
 
 #[test]
-fn a_newer_format_is_refused_with_its_name() {
-    let disk = filled(1);
-    let file = live(&disk);
-    disk.spoil(&file, |bytes| bytes[7] = 9);
-    let error = Log::open(disk).err().unwrap().to_string();
+fn rejects_a_newer_format_and_names_the_file() {
+    let disk = disk_with_records(1);
+    let file = live_segment(&disk);
+    disk.corrupt(&file, |bytes| bytes[7] = 9);
+    let error = DurableLog::open(disk).err().unwrap().to_string();
     assert!(
         error.contains(&file) && error.contains("format 9"),
         "{error}"
     );
 }
 
-/// The power goes at every single operation of two compactions in a row, with every outcome of unsynced names.
+/// The power is lost at each operation of two compactions in a row, with each outcome of unsynced bytes and names.
 #[test]
-fn a_crash_at_any_step_of_a_compaction_leaves_the_old_or_the_new() {
+fn keeps_old_or_new_records_after_a_crash_at_any_step_of_a_compaction() {
     let kept = vec![b"kept 1".to_vec(), b"kept 2".to_vec()];
     let again = vec![b"kept 3".to_vec()];
     for step in 0..40 {
-        for (part, new_names) in [
+        for (unsynced_256ths, keeps_unsynced_names) in [
             (0, false),
             (0, true),
             (100, true),
             (256, true),
             (256, false),
         ] {
-            let disk = filled(3);
-            let (mut log, before) = Log::open(disk.clone()).unwrap();
-            disk.die_at(Some(step));
+            let disk = disk_with_records(3);
+            let RecoveredLog {
+                mut log,
+                records: before,
+            } = DurableLog::open(disk.clone()).unwrap();
+            disk.lose_power_after(Some(step));
             let first = log.replace(&kept).is_ok();
             let second = first && log.replace(&again).is_ok();
-            let (_, found) = Log::open(disk.crash(part, new_names)).unwrap();
+            let found = DurableLog::open(disk.crash(unsynced_256ths, keeps_unsynced_names))
+                .unwrap()
+                .records;
             let good = match (first, second) {
                 (false, _) => found == before || found == kept,
                 (true, false) => found == kept || found == again,
                 (true, true) => found == again,
             };
-            assert!(good, "step {step}, {part}, {new_names}: {found:?}");
+            assert!(
+                good,
+                "step {step}, {unsynced_256ths}, {keeps_unsynced_names}: {found:?}"
+            );
         }
     }
 }
 
 #[test]
-fn two_processes_can_not_have_one_folder() {
+fn locks_the_folder_against_other_processes() {
     let folder = std::env::temp_dir().join(format!("poppykeel-durable-log-{}", std::process::id()));
-    let files = Files::open(&folder).unwrap();
+    let files = FolderDisk::open(&folder).unwrap();
     assert_eq!(
-        Files::open(&folder).err().unwrap().kind(),
+        FolderDisk::open(&folder).err().unwrap().kind(),
         std::io::ErrorKind::WouldBlock
     );
-    let (mut log, _) = Log::open(files).unwrap();
+    let mut log = DurableLog::open(files).unwrap().log;
     log.append(b"one").unwrap();
     log.sync().unwrap();
     log.replace(&[b"one".to_vec()]).unwrap();
     log.append(b"two").unwrap();
     log.sync().unwrap();
     drop(log);
-    let (_, found) = Log::open(Files::open(&folder).unwrap()).unwrap();
+    let found = DurableLog::open(FolderDisk::open(&folder).unwrap())
+        .unwrap()
+        .records;
     std::fs::remove_dir_all(&folder).unwrap();
     assert_eq!(found, vec![b"one".to_vec(), b"two".to_vec()]);
 }
 
 #[derive(Clone, Debug)]
-enum Step {
+enum Operation {
     Append(Vec<u8>),
     Sync,
     Compact,
-    Crash { part: usize, new_names: bool },
+    Crash {
+        unsynced_256ths: usize,
+        keeps_unsynced_names: bool,
+    },
 }
 
-fn step() -> impl Strategy<Value = Step> {
+fn operation() -> impl Strategy<Value = Operation> {
     prop_oneof![
-        5 => proptest::collection::vec(any::<u8>(), 0..40).prop_map(Step::Append),
-        3 => Just(Step::Sync),
-        1 => Just(Step::Compact),
-        1 => (0usize..=256, any::<bool>()).prop_map(|(part, new_names)| Step::Crash { part, new_names }),
+        5 => proptest::collection::vec(any::<u8>(), 0..40).prop_map(Operation::Append),
+        3 => Just(Operation::Sync),
+        1 => Just(Operation::Compact),
+        1 => (0usize..=256, any::<bool>()).prop_map(|(unsynced_256ths, keeps_unsynced_names)| Operation::Crash { unsynced_256ths, keeps_unsynced_names }),
     ]
 }
 
 proptest! {
     /// After any crash the log holds all that was acknowledged, and beyond that only what was appended, in order.
     #[test]
-    fn acknowledged_records_outlive_crashes(steps in proptest::collection::vec(step(), 1..60)) {
-        let mut disk = SimDisk::default();
-        let mut log = Some(Log::open(disk.clone()).unwrap().0);
-        let (mut all, mut acknowledged) = (Vec::new(), 0);
-        for step in steps {
+    fn keeps_acknowledged_records_across_crashes(operations in proptest::collection::vec(operation(), 1..60)) {
+        let mut disk = SimulatedDisk::default();
+        let mut log = Some(DurableLog::open(disk.clone()).unwrap().log);
+        let mut appended = Vec::new();
+        let mut acknowledged = 0;
+        for operation in operations {
             let open = log.as_mut().unwrap();
-            match step {
-                Step::Append(payload) => {
+            match operation {
+                Operation::Append(payload) => {
                     open.append(&payload).unwrap();
-                    all.push(payload);
+                    appended.push(payload);
                 }
-                Step::Sync => {
+                Operation::Sync => {
                     open.sync().unwrap();
-                    acknowledged = all.len();
+                    acknowledged = appended.len();
                 }
-                Step::Compact => {
-                    open.replace(&all).unwrap();
-                    acknowledged = all.len();
+                Operation::Compact => {
+                    open.replace(&appended).unwrap();
+                    acknowledged = appended.len();
                 }
-                Step::Crash { part, new_names } => {
+                Operation::Crash { unsynced_256ths, keeps_unsynced_names } => {
                     drop(log.take());
-                    disk = disk.crash(part, new_names);
-                    let (again, found) = Log::open(disk.clone()).unwrap();
+                    disk = disk.crash(unsynced_256ths, keeps_unsynced_names);
+                    let RecoveredLog { log: again, records: found } = DurableLog::open(disk.clone()).unwrap();
                     prop_assert!(found.len() >= acknowledged, "{} of {acknowledged}", found.len());
-                    prop_assert_eq!(&found[..], &all[..found.len()]);
-                    all = found;
-                    acknowledged = all.len();
+                    prop_assert_eq!(&found[..], &appended[..found.len()]);
+                    appended = found;
+                    acknowledged = appended.len();
                     log = Some(again);
                 }
             }
--- a/src/transport/coordination/log_writer/error.rs
+++ b/src/transport/coordination/log_writer/error.rs
@@ -1,6 +1,6 @@
 //! Why a lease server's log can't be opened or written.
 
-use poppykeel_durable_log::Fault;
+use poppykeel_durable_log::LogError;
 use std::io;
 use std::path::{Path, PathBuf};
 
@@ -19,18 +19,12 @@
     Io(#[from] io::Error),
     /// The log's own failure.
     #[error("{0}")]
-    Log(Fault),
+    Log(#[from] LogError),
     /// A record that is whole and sound is none of a lease server.
     #[error("{0}")]
     Decode(#[from] postcard::Error),
 }
 
-impl From<Fault> for OpenLogFailure {
-    fn from(fault: Fault) -> Self {
-        OpenLogFailure::Log(fault)
-    }
-}
-
 /// Names the folder in which something failed.
 pub(super) trait WithFolder<T> {
     /// The result with the folder's name in its error.
@@ -54,14 +48,8 @@
     Encode(#[from] postcard::Error),
     /// The log's own failure.
     #[error("{0}")]
-    Log(Fault),
+    Log(#[from] LogError),
     /// The queue is full, or the thread that writes has ended.
     #[error("more writes wait than there is room for")]
     QueueFull,
 }
-
-impl From<Fault> for LogWriteError {
-    fn from(fault: Fault) -> Self {
-        LogWriteError::Log(fault)
-    }
-}
--- a/src/transport/coordination/log_writer/mod.rs
+++ b/src/transport/coordination/log_writer/mod.rs
@@ -10,7 +10,7 @@
 mod tests;
 
 use poppykeel_coordination::lease::LeaseLogRecord;
-use poppykeel_durable_log::{Fault, Files, Log, Troubled};
+use poppykeel_durable_log::{DurableLog, FaultInjectingDisk, FolderDisk, LogError, RecoveredLog};
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
 use std::sync::mpsc::{sync_channel, Receiver, SyncSender};
@@ -72,7 +72,10 @@
         folder: &Path,
         events: mpsc::Sender<LogWriterEvent>,
     ) -> Result<OpenedLog, OpenLogError> {
-        let (log, payloads) = open_or_put_aside(folder)?;
+        let RecoveredLog {
+            log,
+            records: payloads,
+        } = open_or_put_aside(folder)?;
         let mut newest = NewestRecords::default();
         for payload in &payloads {
             let record = postcard::from_bytes(payload).in_folder(folder)?;
@@ -108,27 +111,24 @@
     }
 }
 
-/// The log with the payloads of its records.
-type LogWithPayloads = (Log<Troubled>, Vec<Vec<u8>>);
-
 /// Opens the log in a folder; a damaged one is put aside and an empty one opened.
-fn open_or_put_aside(folder: &Path) -> Result<LogWithPayloads, OpenLogError> {
-    match Log::open(open_folder(folder)?) {
-        Err(Fault::Rotten { file, at }) => {
-            tracing::error!(%file, at, "the lease server's log is damaged: put aside, the other lease servers are asked");
+fn open_or_put_aside(folder: &Path) -> Result<RecoveredLog<FaultInjectingDisk>, OpenLogError> {
+    match DurableLog::open(open_folder(folder)?) {
+        Err(LogError::Corrupt { file, offset }) => {
+            tracing::error!(%file, at = offset, "the lease server's log is damaged: put aside, the other lease servers are asked");
             let damaged = folder.join(&file);
             std::fs::rename(&damaged, damaged.with_extension(DAMAGED_EXTENSION))
                 .in_folder(folder)?;
-            Log::open(open_folder(folder)?).in_folder(folder)
+            DurableLog::open(open_folder(folder)?).in_folder(folder)
         }
         opened => opened.in_folder(folder),
     }
 }
 
-fn open_folder(folder: &Path) -> Result<Troubled, OpenLogError> {
+fn open_folder(folder: &Path) -> Result<FaultInjectingDisk, OpenLogError> {
     let orders = std::env::var_os(TEST_ORDERS_VARIABLE).map(PathBuf::from);
-    let files = Files::open(folder).in_folder(folder)?;
-    Ok(Troubled::new(files, orders))
+    let files = FolderDisk::open(folder).in_folder(folder)?;
+    Ok(FaultInjectingDisk::new(files, orders))
 }
 
 /// The records that a compaction keeps: the newest grant of each task, the newest incarnation of each server, and whether
@@ -163,7 +163,7 @@
 
 /// Writes until the way to the thread is closed.
 fn write_until_closed(
-    mut log: Log<Troubled>,
+    mut log: DurableLog<FaultInjectingDisk>,
     mut newest: NewestRecords,
     queue: &Receiver<Write>,
     events: &mpsc::Sender<LogWriterEvent>,
@@ -184,14 +184,17 @@
         if events.blocking_send(durable).is_err() {
             return Ok(());
         }
-        if log.size() > COMPACTION_BYTES {
+        if log.size_bytes() > COMPACTION_BYTES {
             compact(&mut log, &newest)?;
         }
     }
     Ok(())
 }
 
-fn compact(log: &mut Log<Troubled>, newest: &NewestRecords) -> Result<(), LogWriteError> {
+fn compact(
+    log: &mut DurableLog<FaultInjectingDisk>,
+    newest: &NewestRecords,
+) -> Result<(), LogWriteError> {
     let payloads = newest
         .iter()
         .map(postcard::to_stdvec)
