--- /dev/null
+++ b/src/program/config/node.rs
@@ -0,0 +1,229 @@
+//! The platform's configuration of a node, as JSON.
+
+use super::bounds::{
+    transport_bounds, MachineLimits, DEFAULT_MEMORY_MB, DEFAULT_SOCKETS, MIN_MEMORY_MB, MIN_SOCKETS,
+};
+use super::error::NodeConfigError;
+use crate::protocol::discovery::{self, EndpointListResponse};
+use crate::transport::Bounds;
+use poppykeel_site_settings::SiteSettings;
+use serde_json::Value;
+use std::fmt;
+use std::net::SocketAddr;
+
+/// The key of the endpoint list that a node starts with.
+const KNOWN_KEY: &str = "known";
+
+/// Values of the command line and the environment, which replace those of the configuration's text.
+#[derive(Clone, Copy, Debug, Default)]
+pub struct Overrides<'a> {
+    /// The node's name.
+    pub name: Option<&'a str>,
+    /// Where clients connect.
+    pub listen: Option<&'a str>,
+    /// Where discovery listens.
+    pub discovery: Option<&'a str>,
+    /// Where operators call.
+    pub admin: Option<&'a str>,
+}
+
+/// The configuration of a node.
+pub struct NodeConfig {
+    /// The node's name, the same after a restart.
+    pub name: String,
+    /// Where clients connect.
+    pub listen: SocketAddr,
+    /// Where discovery listens.
+    pub discovery: SocketAddr,
+    /// Where operators call; without it they can't.
+    pub admin: Option<SocketAddr>,
+    /// The seed of random numbers.
+    pub seed: u64,
+    /// The endpoint list that the node starts with.
+    pub known_endpoints: Option<EndpointListResponse>,
+    /// The site's settings.
+    pub settings: SiteSettings,
+    /// The bounds of the transport.
+    pub bounds: Bounds,
+    /// The text as read.
+    document: Value,
+}
+
+impl NodeConfig {
+    /// Reads and checks the text of the configuration; the overrides replace its values.
+    ///
+    /// # Errors
+    /// Names the key and what would be right.
+    pub fn read(text: &str, overrides: Overrides) -> Result<NodeConfig, NodeConfigError> {
+        let document: Value = serde_json::from_str(text).map_err(NodeConfigError::Json)?;
+        if !document["settings"].is_object() {
+            return Err(NodeConfigError::MissingSettings);
+        }
+        let settings = SiteSettings::parse(&document["settings"].to_string())
+            .map_err(NodeConfigError::Settings)?;
+        let known_endpoints = read_known_endpoints(&document)?;
+        let bounds = transport_bounds(read_machine_limits(&document)?, &settings)?;
+        let values = TextValues {
+            document: &document,
+        };
+        Ok(NodeConfig {
+            name: values.text("name", overrides.name)?,
+            listen: values.address("listen", overrides.listen)?,
+            discovery: values.address("discovery", overrides.discovery)?,
+            admin: values.optional_address("admin", overrides.admin)?,
+            seed: read_seed(&document["seed"])?,
+            known_endpoints,
+            settings,
+            bounds,
+            document,
+        })
+    }
+
+    /// Checks that this configuration may replace an older one while the node runs.
+    ///
+    /// # Errors
+    /// Where it lacks a key of the older one: then it was probably cut off.
+    pub fn check_replaces(&self, old: &NodeConfig) -> Result<(), NodeConfigError> {
+        match find_missing_key("config", &old.document, &self.document) {
+            Some(path) => Err(NodeConfigError::MissingKey { path }),
+            None => Ok(()),
+        }
+    }
+}
+
+/// Reads values that are texts.
+struct TextValues<'a> {
+    document: &'a Value,
+}
+
+impl TextValues<'_> {
+    fn text(
+        &self,
+        key: &'static str,
+        value_override: Option<&str>,
+    ) -> Result<String, NodeConfigError> {
+        value_override
+            .or(self.document[key].as_str())
+            .map(String::from)
+            .ok_or(NodeConfigError::NotText { key })
+    }
+
+    fn address(
+        &self,
+        key: &'static str,
+        value_override: Option<&str>,
+    ) -> Result<SocketAddr, NodeConfigError> {
+        let value = self.text(key, value_override)?;
+        value
+            .parse()
+            .map_err(|_| NodeConfigError::NotAddress { key, value })
+    }
+
+    /// An address that may be missing.
+    fn optional_address(
+        &self,
+        key: &'static str,
+        value_override: Option<&str>,
+    ) -> Result<Option<SocketAddr>, NodeConfigError> {
+        if value_override.is_none() && self.document[key].is_null() {
+            return Ok(None);
+        }
+        self.address(key, value_override).map(Some)
+    }
+}
+
+fn read_known_endpoints(document: &Value) -> Result<Option<EndpointListResponse>, NodeConfigError> {
+    match &document[KNOWN_KEY] {
+        Value::Null => Ok(None),
+        known => discovery::parse_endpoint_list(known)
+            .map(Some)
+            .map_err(NodeConfigError::KnownList),
+    }
+}
+
+fn read_machine_limits(document: &Value) -> Result<MachineLimits, NodeConfigError> {
+    let limits = &document["limits"];
+    let memory_mb = read_limit(limits, "memory_mb", DEFAULT_MEMORY_MB, MIN_MEMORY_MB)?;
+    let sockets = read_limit(limits, "sockets", DEFAULT_SOCKETS, MIN_SOCKETS)?;
+    Ok(MachineLimits {
+        memory_bytes: memory_mb << 20,
+        sockets,
+    })
+}
+
+fn read_limit(
+    limits: &Value,
+    key: &'static str,
+    default: u64,
+    min: u64,
+) -> Result<u64, NodeConfigError> {
+    match &limits[key] {
+        Value::Null => Ok(default),
+        value => value
+            .as_u64()
+            .filter(|limit| *limit >= min)
+            .ok_or(NodeConfigError::InvalidLimit { key, min }),
+    }
+}
+
+fn read_seed(value: &Value) -> Result<u64, NodeConfigError> {
+    let seed = match value {
+        Value::Null => Some(0),
+        Value::String(text) => u64::from_str_radix(text, 16).ok(),
+        other => other.as_u64(),
+    };
+    seed.ok_or(NodeConfigError::InvalidSeed)
+}
+
+/// The path of the first key of the old document that the new one lacks. Each entry of a new list is compared with the
+/// first entry of the old one. The endpoint list of the start may go.
+fn find_missing_key(path: &str, old: &Value, new: &Value) -> Option<String> {
+    match (old, new) {
+        (Value::Object(old), Value::Object(new)) => old.iter().find_map(|(key, old_value)| {
+            if key == KNOWN_KEY {
+                return None;
+            }
+            let path = format!("{path}.{key}");
+            match new.get(key) {
+                Some(new_value) => find_missing_key(&path, old_value, new_value),
+                None => Some(path),
+            }
+        }),
+        (Value::Array(old), Value::Array(new)) => {
+            let old_entry = old.first()?;
+            new.iter().enumerate().find_map(|(index, new_entry)| {
+                find_missing_key(&format!("{path}.{index}"), old_entry, new_entry)
+            })
+        }
+        (Value::Object(_) | Value::Array(_), _) => Some(path.to_string()),
+        _ => None,
+    }
+}
+
+/// The summary that `poppykeel check` shows.
+impl fmt::Display for NodeConfig {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        let scheduler = &self.settings.scheduler;
+        let bounds = &self.bounds;
+        let known_version = self
+            .known_endpoints
+            .as_ref()
+            .map_or(0, EndpointListResponse::version);
+        writeln!(
+            f,
+            "name {}, listen {}, discovery {}",
+            self.name, self.listen, self.discovery
+        )?;
+        writeln!(
+            f,
+            "router {} of {}, list version {known_version}",
+            scheduler.router_index + 1,
+            scheduler.router_count
+        )?;
+        write!(
+            f,
+            "at most {} client connections, {} replica connections, {} bytes of bodies",
+            bounds.clients, bounds.upstream, bounds.held_bytes
+        )
+    }
+}
--- /dev/null
+++ b/src/program/config/operator/fleet.rs
@@ -0,0 +1,252 @@
+//! `[fleet]` of the operators' file: how this node works with the others of its fleet.
+
+use super::budgets::BudgetsConfig;
+use super::duration::ConfigDuration;
+use super::error::{FleetPlacementError, InvalidValue};
+use crate::transport::coordination::budgets::FleetBudgets;
+use crate::transport::coordination::{CoordinationSettings, ReportSettings};
+use poppykeel_coordination::budget::BudgetSettings;
+use poppykeel_coordination::node::NodeSettings;
+use serde::Deserialize;
+use std::borrow::Cow;
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+use std::path::PathBuf;
+
+/// The longest name of a fleet or a node, in bytes.
+const MAX_NAME_BYTES: usize = 64;
+/// The largest number of lease servers.
+const MAX_LEASE_SERVERS: usize = 7;
+/// The largest drift of a node's clock, in parts in a million.
+const MAX_DRIFT_PPM: u32 = 200_000;
+const MIN_LEASE: ConfigDuration = ConfigDuration::from_micros(100_000);
+const MAX_LEASE: ConfigDuration = ConfigDuration::from_micros(600_000_000);
+const MIN_PROBE_INTERVAL: ConfigDuration = ConfigDuration::from_micros(10_000);
+const MIN_REPORT_INTERVAL: ConfigDuration = ConfigDuration::from_micros(1_000);
+
+/// `[fleet]`. The fields have the names of the keys, which `deploy/operator.toml` explains.
+#[derive(Clone, Debug, Deserialize, PartialEq)]
+#[serde(deny_unknown_fields, expecting = "struct Fleet")]
+pub struct FleetConfig {
+    /// The fleet's name: nodes ignore messages of other fleets.
+    pub name: String,
+    /// Where this node listens for the others.
+    pub listen: SocketAddr,
+    /// The address that the others use for this node, where it is not `listen`.
+    pub advertise: Option<SocketAddr>,
+    /// Nodes by name, of which this one learns the others.
+    #[serde(default)]
+    pub seeds: BTreeMap<String, SocketAddr>,
+    /// Other addresses for nodes by name, in place of the ones that they advertise.
+    #[serde(default)]
+    pub via: BTreeMap<String, SocketAddr>,
+    /// The nodes that host a lease server, by name.
+    pub keepers: BTreeMap<String, SocketAddr>,
+    /// The number of the list of lease servers; a new list needs a higher one.
+    #[serde(default = "default_keepers_number")]
+    pub keepers_number: u32,
+    /// Where the lease server that this node hosts has its log.
+    pub folder: Option<PathBuf>,
+    /// Whether a lease server trusts its log after a restart.
+    #[serde(default)]
+    pub trust_disk: bool,
+    /// How long a lease lasts.
+    #[serde(default = "default_lease")]
+    pub lease: ConfigDuration,
+    /// The largest drift of a node's clock, in parts in a million.
+    #[serde(default = "default_drift")]
+    pub drift: u32,
+    /// The interval between health checks of another node.
+    #[serde(default = "default_probe")]
+    pub probe: ConfigDuration,
+    /// The timeout of a message's answer.
+    #[serde(default = "default_patience")]
+    pub patience: ConfigDuration,
+    /// What all nodes may spend together.
+    pub budgets: Option<BudgetsConfig>,
+    /// Where the fleet's report is sent.
+    pub report: Option<FleetReportConfig>,
+}
+
+/// `[fleet.report]`: where the fleet's report is sent, and how often.
+#[derive(Clone, Debug, Deserialize, PartialEq)]
+#[serde(deny_unknown_fields, expecting = "struct ReportTo")]
+pub struct FleetReportConfig {
+    /// The collector's address.
+    pub to: SocketAddr,
+    /// The interval between two reports.
+    #[serde(default = "default_report_interval")]
+    pub every: ConfigDuration,
+}
+
+fn default_keepers_number() -> u32 {
+    1
+}
+
+fn default_lease() -> ConfigDuration {
+    ConfigDuration::from_micros(5_000_000)
+}
+
+fn default_drift() -> u32 {
+    1000
+}
+
+fn default_probe() -> ConfigDuration {
+    ConfigDuration::from_micros(1_000_000)
+}
+
+fn default_patience() -> ConfigDuration {
+    ConfigDuration::from_micros(500_000)
+}
+
+fn default_report_interval() -> ConfigDuration {
+    ConfigDuration::from_micros(60_000_000)
+}
+
+impl FleetConfig {
+    /// Checks what the types leave open.
+    pub(super) fn check(&self) -> Result<(), InvalidValue> {
+        self.check_names()?;
+        self.check_times()?;
+        if let Some(budgets) = &self.budgets {
+            budgets.check(self.drift)?;
+        }
+        if let Some(report) = &self.report {
+            if report.every < MIN_REPORT_INTERVAL {
+                return Err(invalid("report.every", "expected a time from 1ms"));
+            }
+        }
+        Ok(())
+    }
+
+    fn check_names(&self) -> Result<(), InvalidValue> {
+        if !is_valid_name(&self.name) {
+            return Err(invalid("name", "expected a name of 1 to 64 bytes"));
+        }
+        let lease_server_count = self.keepers.len();
+        if lease_server_count.is_multiple_of(2) || lease_server_count > MAX_LEASE_SERVERS {
+            return Err(invalid(
+                "keepers",
+                "expected 1, 3, 5 or 7 nodes with their addresses",
+            ));
+        }
+        for name in self.keepers.keys().chain(self.seeds.keys()) {
+            if !is_valid_name(name) {
+                let expected = format!("expected names of 1 to 64 bytes, not '{name}'");
+                return Err(invalid("keepers", expected));
+            }
+        }
+        Ok(())
+    }
+
+    fn check_times(&self) -> Result<(), InvalidValue> {
+        if !(MIN_LEASE..=MAX_LEASE).contains(&self.lease) {
+            return Err(invalid("lease", "expected a time from 100ms to 10m"));
+        }
+        if self.drift > MAX_DRIFT_PPM {
+            return Err(invalid(
+                "drift",
+                "expected parts in a million, at most 200000",
+            ));
+        }
+        if self.probe < MIN_PROBE_INTERVAL {
+            return Err(invalid("probe", "expected a time from 10ms"));
+        }
+        let patience = self.patience.as_micros();
+        if patience == 0 || patience > self.lease.as_micros() / 2 {
+            return Err(invalid(
+                "patience",
+                "expected a time above 0 and at most half of lease",
+            ));
+        }
+        Ok(())
+    }
+
+    /// The settings with which the node of this name works with the others, at a site with these tenants.
+    ///
+    /// # Errors
+    /// Names the key that is missing, or that does not fit the site.
+    pub fn coordination_settings(
+        &self,
+        node_name: &str,
+        tenants: &[String],
+    ) -> Result<CoordinationSettings, FleetPlacementError> {
+        self.check_placement(node_name, tenants)?;
+        Ok(CoordinationSettings {
+            node: self.node_settings(node_name),
+            listen: self.listen,
+            address_overrides: self.via.clone(),
+            log_folder: self.folder.clone(),
+            budgets: self
+                .budgets
+                .as_ref()
+                .map(|budgets| self.fleet_budgets(budgets, tenants)),
+            report: self.report.as_ref().map(|report| ReportSettings {
+                collector: report.to,
+                interval: report.every.as_micros(),
+            }),
+        })
+    }
+
+    /// Checks that the node and the site have what the file needs.
+    fn check_placement(
+        &self,
+        node_name: &str,
+        tenants: &[String],
+    ) -> Result<(), FleetPlacementError> {
+        let budgeted_tenants = self
+            .budgets
+            .iter()
+            .flat_map(|budgets| budgets.tenants.keys());
+        for tenant in budgeted_tenants {
+            if !tenants.contains(tenant) {
+                return Err(FleetPlacementError::UnknownTenant {
+                    tenant: tenant.clone(),
+                    known_tenants: tenants.to_vec(),
+                });
+            }
+        }
+        if self.keepers.contains_key(node_name) && self.folder.is_none() {
+            return Err(FleetPlacementError::MissingFolder {
+                node: node_name.into(),
+            });
+        }
+        Ok(())
+    }
+
+    fn node_settings(&self, node_name: &str) -> NodeSettings {
+        NodeSettings {
+            fleet: self.name.clone(),
+            name: node_name.into(),
+            address: self.advertise.unwrap_or(self.listen),
+            seeds: self.seeds.clone(),
+            lease_servers: self.keepers.clone(),
+            lease_servers_number: self.keepers_number,
+            lease_duration: self.lease.as_micros(),
+            drift_ppm: self.drift,
+            trusts_log: self.trust_disk,
+            probe_interval: self.probe.as_micros(),
+            response_timeout: self.patience.as_micros(),
+        }
+    }
+
+    fn fleet_budgets(&self, budgets: &BudgetsConfig, tenants: &[String]) -> FleetBudgets {
+        FleetBudgets {
+            settings: BudgetSettings {
+                grant_duration: budgets.share.as_micros(),
+                drift_ppm: self.drift,
+                limits: budgets.limits(),
+            },
+            tenants: tenants.to_vec(),
+        }
+    }
+}
+
+/// Whether a fleet or a node may have this name.
+fn is_valid_name(name: &str) -> bool {
+    !name.is_empty() && name.len() <= MAX_NAME_BYTES
+}
+
+fn invalid(key: &str, expected: impl Into<Cow<'static, str>>) -> InvalidValue {
+    InvalidValue::new(format!("fleet.{key}"), expected)
+}
--- /dev/null
+++ b/src/program/config/operator/mod.rs
@@ -0,0 +1,185 @@
+//! The operators' file: TOML, with a module for each of its tables. `deploy/operator.toml` lists every key with its
+//! default and its unit.
+//!
+//! [`OperatorConfig::read`] checks each key; an error names the key's path, its line and what would be right. The commands
+//! of `program` read the file at their start, and `serve` again at SIGHUP.
+
+mod budgets;
+mod duration;
+mod error;
+mod fleet;
+mod handover;
+mod membership;
+mod srv;
+mod streams;
+
+pub use budgets::{BudgetConfig, BudgetsConfig};
+pub use duration::ConfigDuration;
+pub use error::{FleetPlacementError, InvalidValue, OperatorConfigError};
+pub use fleet::{FleetConfig, FleetReportConfig};
+pub use handover::HandoverConfig;
+pub use membership::{AbsenceMeaning, EndpointListConfig, EndpointSource, MembershipConfig};
+pub use srv::{AddressFamily, SrvConfig};
+pub use streams::StreamsConfig;
+
+use crate::routing::directory::EndpointSourceSettings;
+use crate::transport::endpoints::srv::SrvLookupSettings;
+use crate::transport::streams::Settings as StreamSettings;
+use poppykeel_endpoints::DurationMicros;
+use serde::Deserialize;
+use std::fmt;
+use toml::de::{DeTable, DeValue};
+
+/// The operators' file.
+#[derive(Clone, Debug, Default, Deserialize, PartialEq)]
+#[serde(deny_unknown_fields, default, expecting = "struct Operator")]
+pub struct OperatorConfig {
+    /// Where endpoints come from; without it from the discovery service's list alone, which is believed at once.
+    pub membership: Option<MembershipConfig>,
+    /// How long streams may be silent, and whether they are continued.
+    pub streams: StreamsConfig,
+    /// How this node works with the others of its fleet; without it not at all.
+    pub fleet: Option<FleetConfig>,
+    /// What one process of the node leaves to the next.
+    pub handover: HandoverConfig,
+}
+
+impl OperatorConfig {
+    /// Reads and checks the text of the file.
+    ///
+    /// # Errors
+    /// Names the line, the key's path and what would be right.
+    pub fn read(text: &str) -> Result<OperatorConfig, OperatorConfigError> {
+        let line_of = |error: &toml::de::Error| {
+            let start = error.span().map(|span| span.start);
+            start.map_or(1, |offset| line_at(text, offset))
+        };
+        let document =
+            toml::Deserializer::parse(text).map_err(|source| OperatorConfigError::Syntax {
+                line: line_of(&source),
+                source: Box::new(source),
+            })?;
+        let config: OperatorConfig =
+            serde_path_to_error::deserialize(document).map_err(|error| {
+                OperatorConfigError::Type {
+                    line: line_of(error.inner()),
+                    path: error.path().to_string(),
+                    source: Box::new(error.into_inner()),
+                }
+            })?;
+        config
+            .check()
+            .map_err(|source| OperatorConfigError::Value {
+                line: find_key(text, source.path()).map_or(1, |offset| line_at(text, offset)),
+                source,
+            })?;
+        Ok(config)
+    }
+
+    /// Checks what the types leave open.
+    fn check(&self) -> Result<(), InvalidValue> {
+        self.streams.check()?;
+        if let Some(fleet) = &self.fleet {
+            fleet.check()?;
+        }
+        if let Some(membership) = &self.membership {
+            membership.check()?;
+        }
+        Ok(())
+    }
+
+    /// The settings of the node's streams.
+    pub fn stream_settings(&self) -> StreamSettings {
+        self.streams.settings()
+    }
+
+    /// The SRV records that are looked up; `None` where they are no endpoint source.
+    pub fn srv_lookup_settings(&self) -> Option<SrvLookupSettings> {
+        let membership = self.membership.as_ref()?;
+        if !membership.has_source(EndpointSource::Srv) {
+            return None;
+        }
+        membership.srv.as_ref().map(SrvConfig::lookup_settings)
+    }
+
+    /// Whether the discovery service's list is an endpoint source.
+    pub fn uses_endpoint_list(&self) -> bool {
+        self.membership
+            .as_ref()
+            .is_none_or(|membership| membership.has_source(EndpointSource::List))
+    }
+
+    /// The settings of the endpoint sources.
+    pub fn endpoint_source_settings(&self) -> EndpointSourceSettings {
+        match &self.membership {
+            Some(membership) => membership.source_settings(),
+            None => membership::list_only_settings(),
+        }
+    }
+}
+
+/// The summary that `poppykeel check` shows.
+impl fmt::Display for OperatorConfig {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        let registry = self.endpoint_source_settings().registry;
+        let names: Vec<&str> = registry
+            .sources
+            .iter()
+            .map(|source| source.name.as_str())
+            .collect();
+        write!(f, "servers from {}", names.join(" and "))?;
+        let guard = registry
+            .sources
+            .first()
+            .and_then(|source| source.sudden_loss_guard);
+        match guard {
+            Some(guard) => write!(
+                f,
+                "; more than {:.0}% lost at once is held for {} and {} answers",
+                guard.max_loss_fraction * 100.0,
+                in_seconds(guard.hold_time),
+                guard.confirmation_count
+            )?,
+            None => write!(f, "; every loss is believed at once")?,
+        }
+        let Some(lookup) = self.srv_lookup_settings() else {
+            return Ok(());
+        };
+        let resolver = &lookup.resolver;
+        let floor = in_seconds(resolver.lifetimes.floor);
+        let ceiling = in_seconds(resolver.lifetimes.ceiling);
+        write!(
+            f,
+            "\n{} at {:?}, asked anew every {floor} to {ceiling}",
+            resolver.name, resolver.servers
+        )
+    }
+}
+
+fn in_seconds(duration: DurationMicros) -> String {
+    format!("{} s", duration as f64 / 1e6)
+}
+
+/// The number, from 1, of the line with the byte at this offset.
+fn line_at(text: &str, offset: usize) -> usize {
+    let end = (offset + 1).min(text.len());
+    text[..end].lines().count().max(1)
+}
+
+/// The offset of a key in the text; of the innermost table on its path where the key is missing. `None` where no table on
+/// its path is there.
+fn find_key(text: &str, path: &str) -> Option<usize> {
+    let mut table = DeTable::parse(text).ok()?.into_inner();
+    let mut offset = None;
+    for name in path.split('.') {
+        let Some((key, value)) = table.remove_entry(name) else {
+            break;
+        };
+        offset = Some(key.span().start);
+        match value.into_inner() {
+            DeValue::Table(inner) => table = inner,
+            _ => break,
+        }
+    }
+    offset
+}
--- /dev/null
+++ b/src/program/config/operator/srv.rs
@@ -0,0 +1,262 @@
+//! `[membership.srv]` of the operators' file: the endpoint source that reads SRV records.
+
+use super::duration::ConfigDuration;
+use super::error::InvalidValue;
+use super::membership::AbsenceMeaning;
+use crate::protocol::srv::SrvEndpointMapping;
+use crate::transport::endpoints::srv::SrvLookupSettings;
+use poppykeel_dns_resolver as dns;
+use poppykeel_endpoints::FlapLimits;
+use regex_lite::Regex;
+use serde::Deserialize;
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+
+/// The shortest bound of a time to live, in microseconds: a bound of 0 would look up without a pause.
+const MIN_TTL_BOUND: u64 = 1;
+
+/// `[membership.srv]`. The fields have the names of the keys, which `deploy/operator.toml` explains.
+#[derive(Clone, Debug, Deserialize, PartialEq)]
+#[serde(deny_unknown_fields, expecting = "struct Srv")]
+pub struct SrvConfig {
+    /// The service's name, such as `_llm._tcp.example.test`.
+    pub name: String,
+    /// The name servers, asked in turn.
+    pub servers: Vec<SocketAddr>,
+    /// The families of addresses that are looked up, in the order of preference.
+    #[serde(default = "default_families")]
+    pub families: Vec<AddressFamily>,
+    /// No record lives shorter than this.
+    #[serde(default = "default_ttl_floor")]
+    pub ttl_floor: ConfigDuration,
+    /// No record lives longer than this.
+    #[serde(default = "default_ttl_ceiling")]
+    pub ttl_ceiling: ConfigDuration,
+    /// A negative answer lives no longer than this.
+    #[serde(default = "default_ttl_negative")]
+    pub ttl_negative: ConfigDuration,
+    /// The timeout of an attempt in the first round; it doubles in each further round.
+    #[serde(default = "default_timeout")]
+    pub timeout: ConfigDuration,
+    /// How often each name server is asked one question before the question has failed.
+    #[serde(default = "default_rounds")]
+    pub rounds: u32,
+    /// The pause after a failed look-up; it doubles with each failure.
+    #[serde(default = "default_retry")]
+    pub retry: ConfigDuration,
+    /// The longest pause after a failed look-up.
+    #[serde(default = "default_retry_most")]
+    pub retry_most: ConfigDuration,
+    /// The size of answers over UDP that is offered, in bytes.
+    #[serde(default = "default_payload")]
+    pub payload: u16,
+    /// Targets of the service beyond this number are ignored.
+    #[serde(default = "default_most_targets")]
+    pub most_targets: usize,
+    /// How many questions may be in flight.
+    #[serde(default = "default_most_questions")]
+    pub most_questions: usize,
+    /// What it means that the records list an endpoint no longer.
+    #[serde(default = "default_absence")]
+    pub absence: AbsenceMeaning,
+    /// An endpoint may return this often within `flap_window` without being held back.
+    #[serde(default = "default_flap_free")]
+    pub flap_free: u32,
+    /// The time over which returns are counted.
+    #[serde(default = "default_flap_window")]
+    pub flap_window: ConfigDuration,
+    /// How long an endpoint that returns too often is held back at first; 0 never holds one back.
+    #[serde(default = "default_flap_hold")]
+    pub flap_hold: ConfigDuration,
+    /// How long an endpoint that returns too often is held back at most.
+    #[serde(default = "default_flap_most")]
+    pub flap_most: ConfigDuration,
+    /// A regular expression for targets, whose groups `zone` and `kind` name the zone and the host type.
+    pub target: Option<String>,
+    /// The site's name of each zone in targets.
+    #[serde(default)]
+    pub zones: BTreeMap<String, String>,
+    /// The site's name of each host type in targets.
+    #[serde(default)]
+    pub kinds: BTreeMap<String, String>,
+    /// The zone of targets that name none.
+    #[serde(default)]
+    pub zone: String,
+    /// The host type of targets that name none.
+    #[serde(default)]
+    pub kind: String,
+    /// Endpoints with this priority drain.
+    pub drain_priority: Option<u16>,
+    /// The weight that stands for an endpoint of ordinary capacity.
+    pub weight_unit: Option<f64>,
+}
+
+/// A family of addresses.
+#[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
+#[serde(rename_all = "lowercase")]
+pub enum AddressFamily {
+    /// IPv4, by A records.
+    Ipv4,
+    /// IPv6, by AAAA records.
+    Ipv6,
+}
+
+impl From<AddressFamily> for dns::Family {
+    fn from(family: AddressFamily) -> Self {
+        match family {
+            AddressFamily::Ipv4 => dns::Family::V4,
+            AddressFamily::Ipv6 => dns::Family::V6,
+        }
+    }
+}
+
+impl SrvConfig {
+    /// Checks what the types leave open.
+    pub(super) fn check(&self) -> Result<(), InvalidValue> {
+        if let Some(target) = &self.target {
+            if let Err(error) = Regex::new(target) {
+                let expected = format!("expected a regular expression ({error})");
+                return Err(invalid("target", expected));
+            }
+        }
+        let has_invalid_unit = self
+            .weight_unit
+            .is_some_and(|unit| !unit.is_finite() || unit <= 0.0);
+        if has_invalid_unit {
+            return Err(invalid("weight_unit", "expected a number above 0"));
+        }
+        if self.flap_hold > self.flap_most {
+            return Err(invalid("flap_hold", "expected at most flap_most"));
+        }
+        self.resolver_config().check().map_err(|error| {
+            // The resolver names its own keys, which are those of the file. Of several it names the first is meant.
+            let (keys, expected) = error.split_once(": ").unwrap_or(("", &error));
+            let key = keys.split(',').next().unwrap_or(keys);
+            invalid(key, expected.to_string())
+        })
+    }
+
+    /// The configuration of the DNS resolver.
+    fn resolver_config(&self) -> dns::Config {
+        dns::Config {
+            name: self.name.clone(),
+            servers: self.servers.clone(),
+            families: self.families.iter().copied().map(Into::into).collect(),
+            timeout: self.timeout.as_micros(),
+            rounds: self.rounds,
+            payload: self.payload,
+            lifetimes: dns::Lifetimes {
+                floor: self.ttl_floor.as_micros().max(MIN_TTL_BOUND),
+                ceiling: self.ttl_ceiling.as_micros().max(MIN_TTL_BOUND),
+                negative: self.ttl_negative.as_micros(),
+            },
+            retry: self.retry.as_micros(),
+            retry_most: self.retry_most.as_micros(),
+            most_questions: self.most_questions,
+            most_targets: self.most_targets,
+        }
+    }
+
+    /// What is looked up, and how its records become endpoints.
+    pub(super) fn lookup_settings(&self) -> SrvLookupSettings {
+        let endpoint_mapping = SrvEndpointMapping {
+            target_pattern: self
+                .target
+                .as_ref()
+                .and_then(|target| Regex::new(target).ok()),
+            zone_names: self.zones.clone(),
+            host_type_names: self.kinds.clone(),
+            default_zone: self.zone.clone(),
+            default_host_type: self.kind.clone(),
+            drain_priority: self.drain_priority,
+        };
+        SrvLookupSettings {
+            resolver: self.resolver_config(),
+            endpoint_mapping,
+        }
+    }
+
+    /// The limits of endpoints that come and go; `None` where none is held back.
+    pub(super) fn flap_limits(&self) -> Option<FlapLimits> {
+        let limits = FlapLimits {
+            free_return_count: self.flap_free,
+            window: self.flap_window.as_micros(),
+            initial_hold: self.flap_hold.as_micros(),
+            max_hold: self.flap_most.as_micros(),
+        };
+        (limits.initial_hold > 0).then_some(limits)
+    }
+}
+
+fn invalid(key: &str, expected: impl Into<std::borrow::Cow<'static, str>>) -> InvalidValue {
+    InvalidValue::new(format!("membership.srv.{key}"), expected)
+}
+
+/// The resolver's own defaults.
+fn resolver_defaults() -> dns::Config {
+    dns::Config::new("", Vec::new())
+}
+
+fn default_families() -> Vec<AddressFamily> {
+    vec![AddressFamily::Ipv4, AddressFamily::Ipv6]
+}
+
+fn default_ttl_floor() -> ConfigDuration {
+    ConfigDuration::from_micros(dns::Lifetimes::default().floor)
+}
+
+fn default_ttl_ceiling() -> ConfigDuration {
+    ConfigDuration::from_micros(dns::Lifetimes::default().ceiling)
+}
+
+fn default_ttl_negative() -> ConfigDuration {
+    ConfigDuration::from_micros(dns::Lifetimes::default().negative)
+}
+
+fn default_timeout() -> ConfigDuration {
+    ConfigDuration::from_micros(resolver_defaults().timeout)
+}
+
+fn default_rounds() -> u32 {
+    resolver_defaults().rounds
+}
+
+fn default_retry() -> ConfigDuration {
+    ConfigDuration::from_micros(resolver_defaults().retry)
+}
+
+fn default_retry_most() -> ConfigDuration {
+    ConfigDuration::from_micros(resolver_defaults().retry_most)
+}
+
+fn default_payload() -> u16 {
+    resolver_defaults().payload
+}
+
+fn default_most_targets() -> usize {
+    resolver_defaults().most_targets
+}
+
+fn default_most_questions() -> usize {
+    resolver_defaults().most_questions
+}
+
+fn default_absence() -> AbsenceMeaning {
+    AbsenceMeaning::Removes
+}
+
+fn default_flap_free() -> u32 {
+    2
+}
+
+fn default_flap_window() -> ConfigDuration {
+    ConfigDuration::from_micros(60_000_000)
+}
+
+fn default_flap_hold() -> ConfigDuration {
+    ConfigDuration::from_micros(10_000_000)
+}
+
+fn default_flap_most() -> ConfigDuration {
+    ConfigDuration::from_micros(300_000_000)
+}
--- /dev/null
+++ b/src/program/config/operator/streams.rs
@@ -0,0 +1,120 @@
+//! `[streams]` of the operators' file: how long a streamed answer may be silent, and whether it is continued at another
+//! replica.
+
+use super::duration::ConfigDuration;
+use super::error::InvalidValue;
+use crate::transport::streams;
+use poppykeel_stream_recovery::{ContinuationLimits, StallLimits};
+use serde::Deserialize;
+use std::time::Duration;
+
+/// Of a replica's streams this part may be continued elsewhere, where the file says nothing.
+const DEFAULT_REPLICA_SHARE: f64 = 0.5;
+/// A continuation must begin within this time, where the file says nothing.
+const DEFAULT_CONTINUATION_WAIT: ConfigDuration = ConfigDuration::from_micros(5_000_000);
+
+/// `[streams]`. The fields have the names of the keys, which `deploy/operator.toml` explains.
+#[derive(Clone, Debug, Deserialize, PartialEq)]
+#[serde(deny_unknown_fields, default, expecting = "struct Streams")]
+pub struct StreamsConfig {
+    /// A stream counts as stalled no earlier than after this silence.
+    pub stall_least: ConfigDuration,
+    /// A stream counts as stalled at the latest after this silence.
+    pub stall_most: ConfigDuration,
+    /// The allowed silence as a multiple of the objective between tokens.
+    pub stall_aims: f64,
+    /// The allowed silence as a multiple of the stream's long gaps.
+    pub stall_gaps: f64,
+    /// Whether a stalled or broken stream is continued at another replica.
+    #[serde(rename = "continue")]
+    pub continues: bool,
+    /// How often one stream may be continued.
+    pub tries: u32,
+    /// The part of all streams that may be continued, from 0 to 1.
+    pub share: f64,
+    /// The part of one replica's streams that may be continued elsewhere, from 0 to 1.
+    pub replica_share: f64,
+    /// This many continuations in a window are allowed whatever `share` says.
+    pub free: u32,
+    /// The time over which continuations are counted.
+    pub window: ConfigDuration,
+    /// A continuation must begin within this time.
+    pub wait: ConfigDuration,
+}
+
+impl Default for StreamsConfig {
+    fn default() -> Self {
+        let stall = StallLimits::default();
+        let continuation = ContinuationLimits::default();
+        StreamsConfig {
+            stall_least: ConfigDuration::from_micros(stall.min_silence),
+            stall_most: ConfigDuration::from_micros(stall.max_silence),
+            stall_aims: stall.objective_factor,
+            stall_gaps: stall.long_gap_factor,
+            continues: false,
+            tries: continuation.max_per_stream,
+            share: continuation.share,
+            replica_share: DEFAULT_REPLICA_SHARE,
+            free: continuation.min_allowed,
+            window: ConfigDuration::from_micros(continuation.window),
+            wait: DEFAULT_CONTINUATION_WAIT,
+        }
+    }
+}
+
+impl StreamsConfig {
+    /// Checks what the types leave open.
+    pub(super) fn check(&self) -> Result<(), InvalidValue> {
+        let invalid = |key: &str, expected: &'static str| {
+            Err(InvalidValue::new(format!("streams.{key}"), expected))
+        };
+        if self.stall_least > self.stall_most || self.stall_least.as_micros() == 0 {
+            return invalid(
+                "stall_least",
+                "expected a time above 0 and at most stall_most",
+            );
+        }
+        for (key, factor) in [
+            ("stall_aims", self.stall_aims),
+            ("stall_gaps", self.stall_gaps),
+        ] {
+            if !factor.is_finite() || factor < 0.0 {
+                return invalid(key, "expected a number from 0");
+            }
+        }
+        for (key, share) in [("share", self.share), ("replica_share", self.replica_share)] {
+            if !(0.0..=1.0).contains(&share) {
+                return invalid(key, "expected a part from 0 to 1");
+            }
+        }
+        if self.window.as_micros() == 0 {
+            return invalid("window", "expected a time above 0");
+        }
+        Ok(())
+    }
+
+    /// The settings of the node's streams.
+    pub(super) fn settings(&self) -> streams::Settings {
+        let limits = StallLimits {
+            min_silence: self.stall_least.as_micros(),
+            max_silence: self.stall_most.as_micros(),
+            objective_factor: self.stall_aims,
+            long_gap_factor: self.stall_gaps,
+        };
+        let budget = ContinuationLimits {
+            max_per_stream: self.tries,
+            share: self.share,
+            min_allowed: self.free,
+            window: self.window.as_micros(),
+        };
+        let continuation = streams::Continues {
+            budget,
+            replica_share: self.replica_share,
+            wait: Duration::from_micros(self.wait.as_micros()),
+        };
+        streams::Settings {
+            limits,
+            continues: self.continues.then_some(continuation),
+        }
+    }
+}
--- a/src/program/files.rs
+++ b/src/program/files.rs
@@ -1,19 +1,54 @@
-//! The files that commands read, and what the command line and the environment say in their place.
+//! The files of settings that commands read, and what the command line and the environment say in their place.
+//!
+//! The commands share these groups of flags: `check`, `resolve` and `serve`.
 
-use super::config::operator::Operator;
-use super::config::Config;
+use super::config::operator::{OperatorConfig, OperatorConfigError};
+use super::config::{NodeConfig, NodeConfigError, Overrides};
 use clap::Args;
+use std::io;
 use std::path::{Path, PathBuf};
 
+/// Why a file of settings can't be read.
+#[derive(Debug, thiserror::Error)]
+pub enum SettingsFileError {
+    /// The platform's configuration can't be read from its file.
+    #[error("config {}: {source}", path.display())]
+    ReadConfig {
+        /// The file.
+        path: PathBuf,
+        /// What the system reports.
+        source: io::Error,
+    },
+    /// The operators' file can't be read.
+    #[error("operator {}: {source}", path.display())]
+    ReadOperator {
+        /// The file.
+        path: PathBuf,
+        /// What the system reports.
+        source: io::Error,
+    },
+    /// The platform's configuration is rejected.
+    #[error(transparent)]
+    Config(#[from] NodeConfigError),
+    /// The operators' file is rejected.
+    #[error("operator {}: {source}", path.display())]
+    Operator {
+        /// The file.
+        path: PathBuf,
+        /// The key, and what would be right.
+        source: OperatorConfigError,
+    },
+}
+
 #[derive(Args)]
-pub(super) struct OperatorFile {
+pub(super) struct OperatorFileArgs {
     /// The operators' file, as TOML; see deploy/operator.toml
     #[arg(long, env = "POPPYKEEL_OPERATOR", value_name = "FILE")]
     pub(super) operator: Option<PathBuf>,
 }
 
 #[derive(Args)]
-pub(super) struct Over {
+pub(super) struct ConfigOverrideArgs {
     /// This node's name, in place of the configuration's
     #[arg(long, env = "GW_NAME")]
     name: Option<String>,
@@ -28,46 +63,54 @@
     admin: Option<String>,
 }
 
-fn text(what: &str, path: &Path) -> Result<String, String> {
-    std::fs::read_to_string(path).map_err(|e| format!("{what} {}: {e}", path.display()))
-}
+impl ConfigOverrideArgs {
+    /// Reads the platform's configuration.
+    pub(super) fn read(&self, path: &Path) -> Result<NodeConfig, SettingsFileError> {
+        read_node_config(path, self.overrides())
+    }
 
-impl Over {
-    pub(super) fn read(&self, path: &Path) -> Result<Config, String> {
-        let over = [
-            ("name", &self.name),
-            ("listen", &self.listen),
-            ("discovery", &self.discovery),
-            ("admin", &self.admin),
-        ];
-        Config::read(
-            &text("config", path)?,
-            &over.map(|(key, value)| (key, value.as_deref())),
-        )
+    /// Reads the platform's configuration again, at SIGHUP. The environment is that of the start and says what discovery
+    /// was then: it must not hide what the replaced file says now.
+    pub(super) fn read_again(&self, path: &Path) -> Result<NodeConfig, SettingsFileError> {
+        let overrides = Overrides {
+            discovery: None,
+            ..self.overrides()
+        };
+        read_node_config(path, overrides)
     }
 
-    /// Reads the file again, at SIGHUP. The environment is that of the start and says what discovery was then:
-    /// it must not hide what the replaced file says now.
-    pub(super) fn reread(&self, path: &Path) -> Result<Config, String> {
-        let over = [
-            ("name", &self.name),
-            ("listen", &self.listen),
-            ("admin", &self.admin),
-        ];
-        Config::read(
-            &text("config", path)?,
-            &over.map(|(key, value)| (key, value.as_deref())),
-        )
+    fn overrides(&self) -> Overrides<'_> {
+        Overrides {
+            name: self.name.as_deref(),
+            listen: self.listen.as_deref(),
+            discovery: self.discovery.as_deref(),
+            admin: self.admin.as_deref(),
+        }
     }
 }
 
-impl OperatorFile {
-    /// What the file says; without one, nothing.
-    pub(super) fn read(&self) -> Result<Operator, String> {
+fn read_node_config(path: &Path, overrides: Overrides) -> Result<NodeConfig, SettingsFileError> {
+    let text = std::fs::read_to_string(path).map_err(|source| SettingsFileError::ReadConfig {
+        path: path.to_path_buf(),
+        source,
+    })?;
+    Ok(NodeConfig::read(&text, overrides)?)
+}
+
+impl OperatorFileArgs {
+    /// Reads the operators' file; the defaults where there is none.
+    pub(super) fn read(&self) -> Result<OperatorConfig, SettingsFileError> {
         let Some(path) = &self.operator else {
-            return Ok(Operator::default());
+            return Ok(OperatorConfig::default());
         };
-        Operator::read(&text("operator", path)?)
-            .map_err(|e| format!("operator {}: {e}", path.display()))
+        let text =
+            std::fs::read_to_string(path).map_err(|source| SettingsFileError::ReadOperator {
+                path: path.clone(),
+                source,
+            })?;
+        OperatorConfig::read(&text).map_err(|source| SettingsFileError::Operator {
+            path: path.clone(),
+            source,
+        })
     }
 }
--- a/src/program/fleet/mod.rs
+++ b/src/program/fleet/mod.rs
@@ -3,7 +3,8 @@
 mod admin_call;
 mod tables;
 
-use admin_call::{call, AdminCallError};
+use admin_call::call;
+pub use admin_call::AdminCallError;
 use clap::{Args, Subcommand};
 use serde_json::Value;
 use std::net::SocketAddr;
--- a/src/program/log.rs
+++ b/src/program/log.rs
@@ -1,28 +1,31 @@
-//! The log, on standard error: one line an event, its particulars as fields.
+//! The log on standard error: one line an event, with its details as fields.
 
 use clap::ValueEnum;
 
-/// How lines look.
+/// The format of the log's lines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
-pub enum Format {
+pub enum LogFormat {
     /// For people.
     Text,
     /// One JSON object a line.
     Json,
 }
 
-/// Starts the log; `verbose` has every event and command of the core, too.
-pub fn start(verbose: bool, format: Format) {
-    let level = if verbose {
+/// Starts the log. A verbose log has every event and command of the scheduler, too.
+///
+/// # Panics
+/// Where the process already has a log.
+pub fn start(is_verbose: bool, format: LogFormat) {
+    let level = if is_verbose {
         tracing::Level::DEBUG
     } else {
         tracing::Level::INFO
     };
-    let log = tracing_subscriber::fmt()
+    let subscriber = tracing_subscriber::fmt()
         .with_max_level(level)
         .with_writer(std::io::stderr);
     match format {
-        Format::Text => log.init(),
-        Format::Json => log.json().flatten_event(true).init(),
+        LogFormat::Text => subscriber.init(),
+        LogFormat::Json => subscriber.json().flatten_event(true).init(),
     }
 }
--- a/src/program/mod.rs
+++ b/src/program/mod.rs
@@ -1,4 +1,6 @@
-//! The command line.
+//! The command line: what `poppykeel` does for each sub-command.
+//!
+//! [`main`] parses the arguments, runs one command and turns its error into one line on standard error and an exit code.
 
 pub mod config;
 mod files;
@@ -9,8 +11,9 @@
 mod streams;
 
 use clap::{Args, Parser, Subcommand};
-use files::{OperatorFile, Over};
-use log::Format;
+use files::{ConfigOverrideArgs, OperatorFileArgs, SettingsFileError};
+use log::LogFormat;
+use serve::{ServeError, ServeSettings};
 use std::path::PathBuf;
 use std::process::ExitCode;
 
@@ -28,13 +31,13 @@
 #[derive(Subcommand)]
 enum Command {
     /// Serve clients until SIGTERM or SIGINT, then let what runs end
-    Serve(Serve),
+    Serve(ServeCommand),
     /// Read and check the configuration, the operators' file or both, and say what they come to
-    Check(Check),
+    Check(CheckCommand),
     /// Ask each source of servers and show what it says and the list that follows, with reasons
     Resolve(resolve::ResolveCommand),
     /// Show how streams fare, from a node's log in JSON
-    Streams(streams::Streams),
+    Streams(streams::StreamsCommand),
     /// Ask a running node about its fleet
     Fleet(fleet::FleetCommand),
     /// Print the version
@@ -42,21 +45,24 @@
 }
 
 #[derive(Args)]
-struct Serve {
+struct ServeCommand {
+    /// The configuration, as JSON
+    #[arg(long, env = "GW_CONFIG", value_name = "FILE")]
+    config: PathBuf,
     #[command(flatten)]
-    source: Source,
+    overrides: ConfigOverrideArgs,
     #[command(flatten)]
-    operator: OperatorFile,
+    operator_file: OperatorFileArgs,
     /// Log every event and command of the core, too
     #[arg(long, env = "GW_VERBOSE")]
     verbose: bool,
     /// How lines of the log look
     #[arg(long, env = "POPPYKEEL_LOG_FORMAT", value_enum, default_value = "text")]
-    log_format: Format,
+    log_format: LogFormat,
 }
 
 #[derive(Args)]
-struct Check {
+struct CheckCommand {
     /// The configuration, as JSON
     #[arg(
         long,
@@ -66,65 +72,79 @@
     )]
     config: Option<PathBuf>,
     #[command(flatten)]
-    operator: OperatorFile,
+    operator_file: OperatorFileArgs,
     #[command(flatten)]
-    over: Over,
+    overrides: ConfigOverrideArgs,
 }
 
-#[derive(Args)]
-struct Source {
-    /// The configuration, as JSON
-    #[arg(long, env = "GW_CONFIG", value_name = "FILE")]
-    config: PathBuf,
-    #[command(flatten)]
-    over: Over,
+/// Why a command has failed. Each text is one line.
+#[derive(Debug, thiserror::Error)]
+enum CommandError {
+    #[error(transparent)]
+    Settings(#[from] SettingsFileError),
+    #[error(transparent)]
+    Serve(#[from] ServeError),
+    #[error(transparent)]
+    Resolve(#[from] resolve::ResolveError),
+    #[error(transparent)]
+    Streams(#[from] streams::StreamsError),
+    #[error(transparent)]
+    Fleet(#[from] fleet::AdminCallError),
 }
 
-impl Serve {
-    fn run(&self) -> Result<(), String> {
-        let path = &self.source.config;
-        let (config, operator) = (self.source.over.read(path)?, self.operator.read()?);
+impl ServeCommand {
+    fn run(&self) -> Result<(), CommandError> {
+        let settings = ServeSettings {
+            node: self.overrides.read(&self.config)?,
+            operator: self.operator_file.read()?,
+        };
         log::start(self.verbose, self.log_format);
-        serve::serve(config, operator, || {
-            Ok((self.source.over.reread(path)?, self.operator.read()?))
-        })
+        let read_again = || {
+            Ok(ServeSettings {
+                node: self.overrides.read_again(&self.config)?,
+                operator: self.operator_file.read()?,
+            })
+        };
+        Ok(serve::serve(settings, read_again)?)
     }
 }
 
-impl Check {
-    fn run(&self) -> Result<(), String> {
+impl CheckCommand {
+    fn run(&self) -> Result<(), CommandError> {
         if let Some(path) = &self.config {
-            println!("{}", self.over.read(path)?);
+            println!("{}", self.overrides.read(path)?);
         }
-        if self.operator.operator.is_some() {
-            println!("{}", self.operator.read()?);
+        if self.operator_file.operator.is_some() {
+            println!("{}", self.operator_file.read()?);
         }
         Ok(())
     }
 }
 
+/// Runs a command. The exit code says whether it has succeeded; where it has shown what there is to say that is all.
+fn run(command: &Command) -> Result<ExitCode, CommandError> {
+    match command {
+        Command::Serve(serve) => serve.run()?,
+        Command::Check(check) => check.run()?,
+        Command::Resolve(resolve) => {
+            let has_usable_endpoint = resolve.run()?;
+            if !has_usable_endpoint {
+                return Ok(ExitCode::FAILURE);
+            }
+        }
+        Command::Streams(streams) => streams.run()?,
+        Command::Fleet(fleet) => fleet.run()?,
+        Command::Version => println!("poppykeel {}", env!("CARGO_PKG_VERSION")),
+    }
+    Ok(ExitCode::SUCCESS)
+}
+
 /// Runs the command line; an error is one line on standard error.
 pub fn main() -> ExitCode {
-    let done = match Cli::parse().command {
-        Command::Serve(serve) => serve.run(),
-        Command::Check(check) => check.run(),
-        Command::Resolve(resolve) => match resolve.run() {
-            Ok(true) => Ok(()),
-            // What there is to say has been shown.
-            Ok(false) => return ExitCode::FAILURE,
-            Err(e) => Err(e.to_string()),
-        },
-        Command::Streams(streams) => streams.run(),
-        Command::Fleet(fleet) => fleet.run().map_err(|e| e.to_string()),
-        Command::Version => {
-            println!("poppykeel {}", env!("CARGO_PKG_VERSION"));
-            Ok(())
-        }
-    };
-    match done {
-        Ok(()) => ExitCode::SUCCESS,
-        Err(text) => {
-            eprintln!("poppykeel: {text}");
+    match run(&Cli::parse().command) {
+        Ok(code) => code,
+        Err(error) => {
+            eprintln!("poppykeel: {error}");
             ExitCode::FAILURE
         }
     }
--- a/src/program/resolve.rs
+++ b/src/program/resolve.rs
@@ -3,9 +3,9 @@
 
 mod report;
 
-use super::config::operator::Operator;
-use super::config::Config;
-use super::files::{OperatorFile, Over};
+use super::config::operator::OperatorConfig;
+use super::config::NodeConfig;
+use super::files::{ConfigOverrideArgs, OperatorFileArgs, SettingsFileError};
 use crate::transport::clock::Clock;
 use crate::transport::endpoints::discovery::EndpointWatcher;
 use crate::transport::endpoints::srv::{LatestSrvLookup, SrvWatcher};
@@ -39,12 +39,12 @@
 #[derive(clap::Args)]
 pub(super) struct ResolveCommand {
     #[command(flatten)]
-    operator: OperatorFile,
+    operator_file: OperatorFileArgs,
     /// The platform's configuration, as JSON, for where discovery listens
     #[arg(long, env = "GW_CONFIG", value_name = "FILE")]
     config: Option<PathBuf>,
     #[command(flatten)]
-    over: Over,
+    overrides: ConfigOverrideArgs,
     /// Print one JSON object, or one for each change
     #[arg(long)]
     json: bool,
@@ -60,8 +60,8 @@
 #[derive(Debug, thiserror::Error)]
 pub(super) enum ResolveError {
     /// A file of settings could not be read.
-    #[error("{0}")]
-    Settings(String),
+    #[error(transparent)]
+    Settings(#[from] SettingsFileError),
     /// The address of discovery on the command line is not an address.
     #[error("discovery: expected ADDRESS:PORT, not '{0}'")]
     DiscoveryAddress(String),
@@ -79,8 +79,8 @@
     /// # Errors
     /// Settings that cannot be read, or a standard output that cannot be written.
     pub(super) fn run(&self) -> Result<bool, ResolveError> {
-        let operator = self.operator.read().map_err(ResolveError::Settings)?;
-        let discovery = if operator.lists() {
+        let operator = self.operator_file.read()?;
+        let discovery = if operator.uses_endpoint_list() {
             self.discovery_addr(&operator)?
         } else {
             None
@@ -94,8 +94,11 @@
 
     /// Where discovery listens, by the command line, the operators' file or the platform's configuration, in this
     /// order. `None` if none of them says.
-    fn discovery_addr(&self, operator: &Operator) -> Result<Option<SocketAddr>, ResolveError> {
-        if let Some(text) = &self.over.discovery {
+    fn discovery_addr(
+        &self,
+        operator: &OperatorConfig,
+    ) -> Result<Option<SocketAddr>, ResolveError> {
+        if let Some(text) = &self.overrides.discovery {
             return text
                 .parse()
                 .map(Some)
@@ -111,29 +114,29 @@
         let Some(path) = &self.config else {
             return Ok(None);
         };
-        let config: Config = self.over.read(path).map_err(ResolveError::Settings)?;
+        let config: NodeConfig = self.overrides.read(path)?;
         Ok(Some(config.discovery))
     }
 
     async fn resolve(
         &self,
-        operator: &Operator,
+        operator: &OperatorConfig,
         discovery: Option<SocketAddr>,
     ) -> Result<bool, ResolveError> {
         let clock = Clock::start();
         let (update_sender, updates) = mpsc::channel(UPDATE_CHANNEL_CAPACITY);
         // Owns the look-ups: they end when this is dropped.
         let mut srv_watcher = SrvWatcher::new(clock, update_sender.clone());
-        srv_watcher.watch(operator.service());
+        srv_watcher.watch(operator.srv_lookup_settings());
         let list_watcher = discovery.map(|addr| {
             EndpointWatcher::new(addr, Rc::new(bounds()), update_sender.clone(), clock)
         });
         if let Some(watcher) = &list_watcher {
             watcher.start();
-        } else if operator.lists() {
+        } else if operator.uses_endpoint_list() {
             eprintln!("poppykeel: list: where discovery listens is not told: expected --discovery, --config or membership.list.discovery");
         }
-        let registry = EndpointRegistry::new(operator.members().registry);
+        let registry = EndpointRegistry::new(operator.endpoint_source_settings().registry);
         let mut session = ResolveSession {
             command: self,
             clock,
--- /dev/null
+++ b/src/program/serve/node.rs
@@ -0,0 +1,265 @@
+//! Puts a node together: its listeners, the dispatcher, the watchers of endpoint sources, its part in the fleet, the
+//! handover of the learned state and the connections.
+//!
+//! Each task owns its sockets; the tasks end with the runtime.
+
+use super::error::ServeError;
+use super::listeners::{admin_with_address, Listeners};
+use super::ServeSettings;
+use crate::program::config::operator::OperatorConfig;
+use crate::program::config::NodeConfig;
+use crate::routing::directory::EndpointDirectory;
+use crate::routing::RequestRouter;
+use crate::transport::admin::Admin;
+use crate::transport::clients::Shared;
+use crate::transport::clock::Clock;
+use crate::transport::coordination::CoordinationDriver;
+use crate::transport::dispatcher::Dispatcher;
+use crate::transport::endpoints::discovery::EndpointWatcher;
+use crate::transport::endpoints::srv::SrvWatcher;
+use crate::transport::handover::LearnedStateHandover;
+use crate::transport::listener::accept;
+use crate::transport::messages::DispatcherMessage;
+use crate::transport::node_phase::NodePhase;
+use crate::transport::pool::Pool;
+use crate::transport::streams::Streams;
+use crate::transport::upstream::Upstream;
+use crate::transport::Bounds;
+use poppykeel_endpoints::SourceUpdate;
+use poppykeel_scheduler::{EndpointListMode, Scheduler};
+use poppykeel_site_settings::SiteSettings;
+use std::cell::Cell;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::net::TcpListener;
+use tokio::sync::{mpsc, watch};
+use tokio::task::spawn_local;
+
+/// Messages that wait for the dispatcher; tasks that send more wait themselves.
+const DISPATCHER_CHANNEL_CAPACITY: usize = 1024;
+/// How often connections to replicas that have been idle for too long are closed.
+const IDLE_CONNECTION_CHECK_INTERVAL: Duration = Duration::from_millis(500);
+
+/// What the tasks of a node share.
+struct NodeContext {
+    config: NodeConfig,
+    operator: OperatorConfig,
+    site: Rc<SiteSettings>,
+    bounds: Rc<Bounds>,
+    dispatcher: mpsc::Sender<DispatcherMessage>,
+    phase: Rc<watch::Sender<NodePhase>>,
+    clock: Clock,
+    streams: Rc<Streams>,
+    pool: Pool,
+}
+
+/// A node whose tasks run. It has what a reload of the settings and the shutdown need.
+pub(super) struct Node {
+    /// The platform's configuration in force.
+    pub(super) config: NodeConfig,
+    /// The site's settings in force.
+    pub(super) site: Rc<SiteSettings>,
+    pub(super) bounds: Rc<Bounds>,
+    /// The way to the dispatcher.
+    pub(super) dispatcher: mpsc::Sender<DispatcherMessage>,
+    pub(super) phase: Rc<watch::Sender<NodePhase>>,
+    pub(super) streams: Rc<Streams>,
+    pub(super) list_watcher: EndpointWatcher,
+    /// Owns the look-ups: they end when this is dropped.
+    pub(super) srv_watcher: SrvWatcher,
+    /// The node's part in its fleet, where it has one.
+    pub(super) coordination: Option<Rc<CoordinationDriver>>,
+    /// The handover of the learned state, where there is one.
+    pub(super) handover: Option<Rc<LearnedStateHandover>>,
+    /// What the connections of clients share.
+    pub(super) clients: Rc<Shared>,
+    pub(super) admin: Rc<Admin>,
+}
+
+impl Node {
+    /// Starts the tasks of a node. It joins its fleet before it accepts clients: a node that can't take its place must not
+    /// serve as if it had.
+    ///
+    /// # Errors
+    /// Where the node can't listen, or the settings don't fit together.
+    pub(super) async fn start(settings: ServeSettings) -> Result<Node, ServeError> {
+        let listeners = Listeners::bind(&settings.node)?;
+        let scheduler =
+            Scheduler::new(settings.node.settings.scheduler.clone(), settings.node.seed)?;
+        let (dispatcher, messages) = mpsc::channel(DISPATCHER_CHANNEL_CAPACITY);
+        let (phase_sender, phase) = watch::channel(NodePhase::Serving);
+        let context = NodeContext::new(settings, dispatcher, phase_sender);
+        let list_watcher = context.list_watcher();
+        let dispatcher_task = context.dispatcher_task(scheduler, list_watcher.clone());
+        let mut srv_watcher = SrvWatcher::new(context.clock, context.dispatcher.clone());
+        srv_watcher.watch(context.operator.srv_lookup_settings());
+        spawn_local(dispatcher_task.run(messages));
+        spawn_local(close_idle_connections(context.pool.clone()));
+        let coordination = context.join_fleet().await?;
+        let handover = context.start_handover();
+        let clients = context.clients(phase.clone());
+        let client = listeners.client;
+        spawn_local(accept(client.listener, clients.clone(), phase));
+        let bound = client.address;
+        tracing::info!(node = %context.config.name, listen = %bound, zone = context.site.scheduler.zone, "serving on {bound}");
+        let admin = Rc::new(Admin {
+            tell: context.dispatcher.clone(),
+            phase: context.phase.clone(),
+            reloads: Cell::default(),
+            fleet: coordination.clone(),
+            clients: clients.clone(),
+        });
+        if let Some(listener) = listeners.admin {
+            serve_admin(&admin, listener, &context.config.name)?;
+        }
+        Ok(Node {
+            config: context.config,
+            site: context.site,
+            bounds: context.bounds,
+            dispatcher: context.dispatcher,
+            phase: context.phase,
+            streams: context.streams,
+            list_watcher,
+            srv_watcher,
+            coordination,
+            handover,
+            clients,
+            admin,
+        })
+    }
+}
+
+impl NodeContext {
+    fn new(
+        settings: ServeSettings,
+        dispatcher: mpsc::Sender<DispatcherMessage>,
+        phase: watch::Sender<NodePhase>,
+    ) -> NodeContext {
+        let ServeSettings {
+            node: config,
+            operator,
+        } = settings;
+        let bounds = Rc::new(config.bounds.clone());
+        let pool = Pool::new(bounds.upstream, bounds.dial, bounds.idle);
+        let clock = Clock::start();
+        NodeContext {
+            site: Rc::new(config.settings.clone()),
+            streams: Rc::new(Streams::new(clock, operator.stream_settings())),
+            config,
+            operator,
+            bounds,
+            dispatcher,
+            phase: Rc::new(phase),
+            clock,
+            pool,
+        }
+    }
+
+    /// The watcher of the discovery service's list. A pushed list is watched from the start: the scheduler never asks for
+    /// it.
+    fn list_watcher(&self) -> EndpointWatcher {
+        let watcher = EndpointWatcher::new(
+            self.config.discovery,
+            self.bounds.clone(),
+            self.dispatcher.clone(),
+            self.clock,
+        );
+        watcher.set_enabled(self.operator.uses_endpoint_list());
+        if let Some(known) = &self.config.known_endpoints {
+            watcher.set_known_version(known.version());
+        }
+        match self.site.scheduler.endpoint_list_mode {
+            EndpointListMode::Pushed => watcher.into_pushed(),
+            EndpointListMode::Polled => watcher,
+        }
+    }
+
+    /// The endpoint list that the node starts with, where it uses one.
+    fn known_endpoints(&self) -> Option<SourceUpdate> {
+        if !self.operator.uses_endpoint_list() {
+            return None;
+        }
+        let known = self.config.known_endpoints.clone()?;
+        Some(known.into_source_update())
+    }
+
+    fn dispatcher_task(&self, scheduler: Scheduler, list_watcher: EndpointWatcher) -> Dispatcher {
+        let upstream = Upstream {
+            pool: self.pool.clone(),
+            tell: self.dispatcher.clone(),
+            boot: self.site.clone(),
+            bounds: self.bounds.clone(),
+            streams: self.streams.clone(),
+            written: Rc::default(),
+            cross_zone_traffic: Rc::default(),
+            clock: self.clock,
+        };
+        let sources = self.operator.endpoint_source_settings();
+        Dispatcher::new(
+            self.clock,
+            RequestRouter::new(scheduler),
+            EndpointDirectory::new(self.site.clone(), sources),
+            upstream,
+            list_watcher,
+            self.known_endpoints(),
+        )
+    }
+
+    /// Takes the node's place in its fleet, where it has one.
+    async fn join_fleet(&self) -> Result<Option<Rc<CoordinationDriver>>, ServeError> {
+        let Some(fleet) = &self.operator.fleet else {
+            return Ok(None);
+        };
+        let settings = fleet.coordination_settings(&self.config.name, &self.site.names.tenants)?;
+        let dispatcher = self.dispatcher.clone();
+        let phase = self.phase.clone();
+        let driver = CoordinationDriver::start(settings, dispatcher, phase, self.clock).await?;
+        Ok(Some(driver))
+    }
+
+    /// Starts the task that writes and reads the learned state, where there is a folder for it.
+    fn start_handover(&self) -> Option<Rc<LearnedStateHandover>> {
+        let folder = self.operator.handover.folder()?;
+        let handover = Rc::new(LearnedStateHandover::new(
+            &folder,
+            &self.config.name,
+            self.site.clone(),
+            self.dispatcher.clone(),
+            self.clock,
+        ));
+        spawn_local(handover.clone().run());
+        Some(handover)
+    }
+
+    /// What the connections of clients share.
+    fn clients(&self, phase: watch::Receiver<NodePhase>) -> Rc<Shared> {
+        Rc::new(Shared::new(
+            self.site.clone(),
+            self.bounds.clone(),
+            self.dispatcher.clone(),
+            phase,
+            self.streams.clone(),
+        ))
+    }
+}
+
+/// Begins to answer operators' calls.
+fn serve_admin(
+    admin: &Rc<Admin>,
+    listener: TcpListener,
+    node_name: &str,
+) -> Result<(), ServeError> {
+    let bound = admin_with_address(listener)?;
+    let address = bound.address;
+    tracing::info!(node = %node_name, admin = %address, "operators call at {address}");
+    spawn_local(admin.clone().serve(bound.listener));
+    Ok(())
+}
+
+/// Closes connections to replicas that have been idle for too long, again and again.
+async fn close_idle_connections(pool: Pool) {
+    loop {
+        tokio::time::sleep(IDLE_CONNECTION_CHECK_INTERVAL).await;
+        pool.sweep();
+    }
+}
--- a/src/program/serve/tests.rs
+++ b/src/program/serve/shutdown/tests.rs
@@ -1,13 +1,16 @@
-//! The order of a node's end.
+//! Tests of the order in which a node ends.
 
-use super::*;
+use super::drain;
+use crate::transport::node_phase::NodePhase;
+use std::time::Duration;
+use tokio::sync::watch;
 
 const LINGER: Duration = Duration::from_secs(1);
 
-/// Guards against answers that do not say that they are the last, and against a node that never ends, while what was
-/// learned can't be handed over.
+/// Guards against answers that do not say that they are the last, and against a node that never ends, while the learned
+/// state can't be handed over.
 #[tokio::test(start_paused = true)]
-async fn a_node_says_that_it_drains_before_it_hands_over_and_closes_however_long_that_takes() {
+async fn announces_draining_before_the_handover_and_closes_however_long_that_takes() {
     let (phase, phases) = watch::channel(NodePhase::Serving);
     let seen = phases.clone();
     let hand_over = async {
@@ -23,7 +26,7 @@
 
 /// Clients still come for the whole time, also where all is handed over at once.
 #[tokio::test(start_paused = true)]
-async fn a_node_that_has_handed_over_still_waits_for_late_clients() {
+async fn waits_for_late_clients_after_the_handover() {
     let (phase, phases) = watch::channel(NodePhase::Serving);
     let drain = drain(&phase, std::future::ready(()), LINGER);
     tokio::pin!(drain);
--- a/tests/dispatcher.rs
+++ b/tests/dispatcher.rs
@@ -4,8 +4,8 @@
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 use bytes::Bytes;
-use poppykeel::program::config::operator::Operator;
-use poppykeel::program::config::Config;
+use poppykeel::program::config::operator::OperatorConfig;
+use poppykeel::program::config::{NodeConfig, Overrides};
 use poppykeel::protocol::discovery::EndpointListResponse;
 use poppykeel::routing::directory::EndpointDirectory;
 use poppykeel::routing::RequestRouter;
@@ -38,14 +38,17 @@
     let config = include_str!("exchanges/config.json")
         .replace("REPLICA", &replica.local_addr().unwrap().to_string())
         .replace("DISCOVERY", "127.0.0.1:1");
-    let config = Config::read(&config, &[]).unwrap();
+    let config = NodeConfig::read(&config, Overrides::default()).unwrap();
     let (sender, messages) = mpsc::channel(CAPACITY);
     let clock = Clock::start();
     let bounds = Rc::new(config.bounds);
-    let site = Rc::new(config.boot);
+    let site = Rc::new(config.settings);
     let scheduler = Scheduler::new(site.scheduler.clone(), config.seed).unwrap();
     let watch = EndpointWatcher::new(config.discovery, bounds.clone(), sender.clone(), clock);
-    let directory = EndpointDirectory::new(site.clone(), Operator::default().members());
+    let directory = EndpointDirectory::new(
+        site.clone(),
+        OperatorConfig::default().endpoint_source_settings(),
+    );
     let upstream = Upstream {
         pool: Pool::new(bounds.upstream, bounds.dial, bounds.idle),
         tell: sender.clone(),
@@ -56,7 +59,9 @@
         cross_zone_traffic: Rc::default(),
         clock,
     };
-    let known = config.known.map(EndpointListResponse::into_source_update);
+    let known = config
+        .known_endpoints
+        .map(EndpointListResponse::into_source_update);
     let router = RequestRouter::new(scheduler);
     let dispatcher = Dispatcher::new(clock, router, directory, upstream, watch, known);
     tokio::task::spawn_local(dispatcher.run(messages));
--- a/tests/endpoint_watcher.rs
+++ b/tests/endpoint_watcher.rs
@@ -3,7 +3,7 @@
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
-use poppykeel::program::config::Config;
+use poppykeel::program::config::{NodeConfig, Overrides};
 use poppykeel::transport::clock::Clock;
 use poppykeel::transport::endpoints::discovery::EndpointWatcher;
 use poppykeel::transport::messages::DispatcherMessage;
@@ -30,7 +30,11 @@
 /// The bounds of a node, with a short long poll and `slack` for the answer.
 fn bounds(slack: Duration) -> Rc<Bounds> {
     let config = include_str!("exchanges/config.json").replace("REPLICA", "127.0.0.1:1");
-    let config = Config::read(&config.replace("DISCOVERY", "127.0.0.1:2"), &[]).unwrap();
+    let config = NodeConfig::read(
+        &config.replace("DISCOVERY", "127.0.0.1:2"),
+        Overrides::default(),
+    )
+    .unwrap();
     let watch = Duration::from_millis(50);
     let retry_watch = Duration::from_millis(30);
     Rc::new(Bounds {
@@ -249,9 +253,12 @@
 #[test]
 fn refused_silent_and_new_poll_fit_into_six_seconds() {
     let config = include_str!("exchanges/config.json").replace("REPLICA", "127.0.0.1:1");
-    let bounds = Config::read(&config.replace("DISCOVERY", "127.0.0.1:2"), &[])
-        .unwrap()
-        .bounds;
+    let bounds = NodeConfig::read(
+        &config.replace("DISCOVERY", "127.0.0.1:2"),
+        Overrides::default(),
+    )
+    .unwrap()
+    .bounds;
     assert!(bounds.retry_watch + bounds.retry_slack < Duration::from_secs(6));
     assert!(
         bounds.retry_slack >= Duration::from_secs(2),
@@ -312,7 +319,9 @@
             .replace("DISCOVERY", "127.0.0.1:2")
             .replace("on_request", "pushed")
             .replace("\"drainGrace\":0.5", &format!("\"drainGrace\":{grace_s}"));
-        let bounds = Config::read(&config, &[]).unwrap().bounds;
+        let bounds = NodeConfig::read(&config, Overrides::default())
+            .unwrap()
+            .bounds;
         let poll_time = bounds.watch + bounds.watch_slack;
         assert!(
             poll_time.as_secs_f64() <= 0.76 * grace_s,
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -8,7 +8,7 @@
 #[allow(dead_code)] // what is not used here is for other tests
 mod support;
 
-use poppykeel::program::config::operator::Operator;
+use poppykeel::program::config::operator::OperatorConfig;
 use poppykeel_coordination::envelope::{self, Envelope, MessageBody};
 use poppykeel_coordination::outlier_probing::ProbingMessage;
 use poppykeel_coordination::{Incarnation, ProcessId};
@@ -153,31 +153,42 @@
 #[test]
 fn wrong_settings_are_errors_with_key_and_line() {
     let valid = valid_section();
-    Operator::read(&valid).unwrap();
-    Operator::read(&section_with_budget(&valid, VALID_BUDGET)).unwrap();
+    OperatorConfig::read(&valid).unwrap();
+    OperatorConfig::read(&section_with_budget(&valid, VALID_BUDGET)).unwrap();
     let faulty = [faulty_sections(&valid), faulty_budgets(&valid)].concat();
     for (section, expected) in faulty {
-        let error = Operator::read(&section).err().unwrap_or_default();
+        let error = OperatorConfig::read(&section)
+            .err()
+            .map(|error| error.to_string())
+            .unwrap_or_default();
         assert!(
             error.starts_with(expected),
             "{expected}: {error}\n{section}"
         );
     }
-    let without_folder = Operator::read(&valid.replace("folder = \"x\"\n", ""))
+    let without_folder = OperatorConfig::read(&valid.replace("folder = \"x\"\n", ""))
         .unwrap()
         .fleet
         .unwrap();
-    let error = without_folder.place("n0", &[]).unwrap_err();
+    let error = without_folder
+        .coordination_settings("n0", &[])
+        .unwrap_err()
+        .to_string();
     assert!(error.contains("fleet.folder"));
-    assert!(without_folder.place("n9", &[]).is_ok());
+    assert!(without_folder.coordination_settings("n9", &[]).is_ok());
     let tenant = section_with_budget(&valid, VALID_BUDGET).replace("retries", "tenants.t0");
-    let tenant = Operator::read(&tenant).unwrap().fleet.unwrap();
-    let error = tenant.place("n9", &["other".to_string()]).unwrap_err();
+    let tenant = OperatorConfig::read(&tenant).unwrap().fleet.unwrap();
+    let error = tenant
+        .coordination_settings("n9", &["other".to_string()])
+        .unwrap_err()
+        .to_string();
     assert!(
         error.contains("fleet.budgets.tenants.t0") && error.contains("other"),
         "{error}"
     );
-    assert!(tenant.place("n9", &["t0".to_string()]).is_ok());
+    assert!(tenant
+        .coordination_settings("n9", &["t0".to_string()])
+        .is_ok());
 }
 
 /// The operators' address of a node, as its log names it.
--- a/tests/operator.rs
+++ b/tests/operator.rs
@@ -3,7 +3,7 @@
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 #![expect(clippy::min_ident_chars, reason = "not yet converted")]
 
-use poppykeel::program::config::operator::Operator;
+use poppykeel::program::config::operator::OperatorConfig;
 use poppykeel_stub_dns_server::{Lie, Script, Standin};
 use serde_json::Value;
 use std::net::SocketAddr;
@@ -50,18 +50,18 @@
 #[test]
 fn the_example_has_every_key_with_its_default() {
     let text = include_str!("../deploy/operator.toml");
-    let example = Operator::read(text).unwrap();
+    let example = OperatorConfig::read(text).unwrap();
     let least =
         "[membership]\nsources = [\"list\", \"srv\"]\n[membership.srv]\nname = \"_llm._tcp.example.test\"\n\
                  servers = [\"127.0.0.1:5353\"]\n\
                  target = '^(?<kind>[a-z]+)-[0-9]+\\.(?<zone>[a-z]+)\\.'\nzones = { surco = \"lima-surco\" }";
-    assert_eq!(example, Operator::read(least).unwrap());
+    assert_eq!(example, OperatorConfig::read(least).unwrap());
     // Those without a default are there as comments that can be read.
     let all = text
         .replace("# discovery = \"", "discovery = \"")
         .replace("# drain_priority", "drain_priority");
     let all = all.replace("# weight_unit", "weight_unit");
-    let srv = Operator::read(&all)
+    let srv = OperatorConfig::read(&all)
         .unwrap()
         .membership
         .unwrap()
@@ -108,7 +108,7 @@
         ("[membership\n", "line 1: "),
     ];
     for (text, expected) in cases {
-        let error = Operator::read(text).unwrap_err();
+        let error = OperatorConfig::read(text).unwrap_err().to_string();
         assert!(
             error.starts_with(expected) && error.lines().count() == 1,
             "{text}\n{error}\n{expected}"
--- a/tests/protocol.rs
+++ b/tests/protocol.rs
@@ -4,8 +4,8 @@
 #![expect(clippy::min_ident_chars, reason = "not yet converted")]
 
 use bytes::BytesMut;
-use poppykeel::program::config::operator::Operator;
-use poppykeel::program::config::Config;
+use poppykeel::program::config::operator::OperatorConfig;
+use poppykeel::program::config::{NodeConfig, Overrides};
 use poppykeel::protocol::answer::{Answer, Step};
 use poppykeel::protocol::discovery::parse_endpoint_list;
 use poppykeel::protocol::http::{Fault, Http, Part, Side};
@@ -69,7 +69,10 @@
             .unwrap()
             .into_source_update()
     };
-    let mut directory = EndpointDirectory::new(Rc::new(boot), Operator::default().members());
+    let mut directory = EndpointDirectory::new(
+        Rc::new(boot),
+        OperatorConfig::default().endpoint_source_settings(),
+    );
     let (now, unix) = (50_000_000, 1_030_000_000);
     let first = directory.apply_update(
         "list",
@@ -109,7 +112,7 @@
 
 #[test]
 fn a_faulty_configuration_names_its_key() {
-    assert!(Config::read(&config(), &[]).is_ok());
+    assert!(NodeConfig::read(&config(), Overrides::default()).is_ok());
     let cases = [
         (
             "\"listen\":\"127.0.0.1:0\"",
@@ -130,8 +133,9 @@
     ];
     for (text, bad, key) in cases {
         assert!(config().contains(text), "{text}");
-        let error = Config::read(&config().replace(text, bad), &[])
+        let error = NodeConfig::read(&config().replace(text, bad), Overrides::default())
             .err()
+            .map(|error| error.to_string())
             .unwrap_or_default();
         assert!(
             error.contains(key) && error.lines().count() == 1,
--- a/tests/support/drivers.rs
+++ b/tests/support/drivers.rs
@@ -2,7 +2,7 @@
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
-use poppykeel::program::config::Config;
+use poppykeel::program::config::{NodeConfig, Overrides};
 use poppykeel::transport::clients::Shared;
 use poppykeel::transport::clock::Clock;
 use poppykeel::transport::messages::DispatcherMessage;
@@ -12,9 +12,13 @@
 use tokio::sync::{mpsc, watch};
 
 /// A small configuration whose replica and discovery are never there.
-pub fn config() -> Config {
+pub fn config() -> NodeConfig {
     let text = include_str!("../exchanges/config.json").replace("REPLICA", "127.0.0.1:1");
-    Config::read(&text.replace("DISCOVERY", "127.0.0.1:2"), &[]).unwrap()
+    NodeConfig::read(
+        &text.replace("DISCOVERY", "127.0.0.1:2"),
+        Overrides::default(),
+    )
+    .unwrap()
 }
 
 /// What a client connection shares with the others, and where the core would take what it tells: one message at a time.
@@ -25,7 +29,7 @@
     let (tell, told) = mpsc::channel(1);
     let streams = Rc::new(Streams::new(Clock::start(), Default::default()));
     let shared = Shared::new(
-        Rc::new(config.boot),
+        Rc::new(config.settings),
         Rc::new(config.bounds),
         tell,
         phases,
--- a/tests/transport.rs
+++ b/tests/transport.rs
@@ -137,7 +137,7 @@
     let upstream = Upstream {
         pool: Pool::new(9, MINUTE, MINUTE),
         tell,
-        boot: Rc::new(config.boot),
+        boot: Rc::new(config.settings),
         bounds: Rc::new(Bounds {
             rest: MINUTE,
             ..config.bounds
