--- a/crates/testbed/src/sockets/discovery.rs
+++ b/crates/testbed/src/sockets/discovery.rs
@@ -3,7 +3,7 @@
 #![expect(clippy::min_ident_chars, reason = "not yet converted")]
 
 use futures_util::{SinkExt, StreamExt};
-use poppykeel::protocol::http::{Http, Out, Part, Side, Start};
+use poppykeel::protocol::http::{EncodedMessage, HttpCodec, MessagePart, Role, StartLine};
 use serde_json::{json, Value};
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -105,12 +105,12 @@
 
     async fn connection(&self, stream: TcpStream) -> Option<()> {
         let _ = stream.set_nodelay(true);
-        let mut wire = Framed::new(stream, Http::new(Side::Server));
+        let mut wire = Framed::new(stream, HttpCodec::new(Role::Server));
         loop {
             let target = match wire.next().await?.ok()? {
-                Part::Head(head) => match head.start {
-                    Start::Request { target, .. } => target,
-                    Start::Status(_) => return None,
+                MessagePart::Head(head) => match head.start_line {
+                    StartLine::Request { target, .. } => target,
+                    StartLine::Status(_) => return None,
                 },
                 _ => continue,
             };
@@ -141,7 +141,7 @@
                 "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
                 body.len()
             );
-            wire.send(Out::Raw(head.into())).await.ok()?;
+            wire.send(EncodedMessage::Raw(head.into())).await.ok()?;
         }
     }
 
--- a/crates/testbed/src/sockets/load.rs
+++ b/crates/testbed/src/sockets/load.rs
@@ -13,7 +13,7 @@
 use crate::emulator::{Clients, End, Measure, Outcome, Work};
 use crate::Micros;
 use futures_util::{SinkExt, StreamExt};
-use poppykeel::protocol::http::{Http, Out, Part, Side, Start};
+use poppykeel::protocol::http::{EncodedMessage, HttpCodec, MessagePart, Role, StartLine};
 use poppykeel_stub_model_server::text;
 use rand::{RngExt, SeedableRng};
 use serde_json::{json, Value};
@@ -37,7 +37,7 @@
 /// An answer that has begun is given up after this silence.
 const SILENCE: Duration = Duration::from_secs(10);
 
-type Wire = Framed<TcpStream, Http>;
+type Wire = Framed<TcpStream, HttpCodec>;
 
 struct Shared {
     run: Run,
@@ -207,7 +207,7 @@
         }
         let stream = TcpStream::connect(self.fleet.addrs()[node]).await.ok()?;
         let _ = stream.set_nodelay(true);
-        Some((node, Framed::new(stream, Http::new(Side::Client))))
+        Some((node, Framed::new(stream, HttpCodec::new(Role::Client))))
     }
 
     async fn one(&self, work: &Work, sent: Micros) -> Answer {
@@ -247,9 +247,9 @@
         let until = Instant::now() + Duration::from_secs_f64(left);
         let begins = async {
             let (node, mut wire) = self.connect().await?;
-            wire.send(Out::Raw(head.into())).await.ok()?;
+            wire.send(EncodedMessage::Raw(head.into())).await.ok()?;
             loop {
-                if let Part::Head(head) = wire.next().await?.ok()? {
+                if let MessagePart::Head(head) = wire.next().await?.ok()? {
                     return Some((node, wire, head));
                 }
             }
@@ -265,21 +265,21 @@
         let whole = loop {
             let next = tokio::time::timeout(SILENCE, wire.next()).await;
             match next {
-                Ok(Some(Ok(Part::Body(bytes)))) => {
+                Ok(Some(Ok(MessagePart::Body(bytes)))) => {
                     first.get_or_insert_with(|| self.now());
                     body.extend_from_slice(&bytes);
                 }
-                Ok(Some(Ok(Part::End))) => break true,
-                Ok(Some(Ok(Part::Head(_)))) => {}
+                Ok(Some(Ok(MessagePart::End))) => break true,
+                Ok(Some(Ok(MessagePart::Head(_)))) => {}
                 _ => break false,
             }
         };
-        if whole && head.keep && self.idle.borrow()[node].len() < MOST_IDLE {
+        if whole && head.keeps_connection && self.idle.borrow()[node].len() < MOST_IDLE {
             self.idle.borrow_mut()[node].push(wire);
         }
-        match head.start {
-            Start::Status(200) => {}
-            Start::Status(429 | 503) => {
+        match head.start_line {
+            StartLine::Status(200) => {}
+            StartLine::Status(429 | 503) => {
                 let after = head
                     .headers
                     .get("Retry-After")
--- a/crates/testbed/src/sockets/model.rs
+++ b/crates/testbed/src/sockets/model.rs
@@ -12,7 +12,7 @@
 use crate::Micros;
 use bytes::Bytes;
 use futures_util::{SinkExt, StreamExt};
-use poppykeel::protocol::http::{Http, Out, Part, Side, Start};
+use poppykeel::protocol::http::{EncodedMessage, HttpCodec, MessagePart, Role, StartLine};
 use poppykeel_stub_model_server::{prompt, token};
 use serde_json::{json, Value};
 use std::cell::RefCell;
@@ -264,24 +264,24 @@
 
     async fn connection(&self, stream: TcpStream) -> Option<()> {
         let _ = stream.set_nodelay(true);
-        let mut wire = Framed::new(stream, Http::new(Side::Server));
+        let mut wire = Framed::new(stream, HttpCodec::new(Role::Server));
         loop {
             let head = loop {
-                if let Part::Head(head) = wire.next().await?.ok()? {
+                if let MessagePart::Head(head) = wire.next().await?.ok()? {
                     break head;
                 }
             };
             let mut body = Vec::new();
             loop {
                 match wire.next().await?.ok()? {
-                    Part::Body(bytes) if body.len() + bytes.len() <= MOST_BODY => {
+                    MessagePart::Body(bytes) if body.len() + bytes.len() <= MOST_BODY => {
                         body.extend_from_slice(&bytes)
                     }
-                    Part::End => break,
+                    MessagePart::End => break,
                     _ => return None,
                 }
             }
-            let Start::Request { target, .. } = &head.start else {
+            let StartLine::Request { target, .. } = &head.start_line else {
                 return None;
             };
             match target.split('?').next() {
@@ -301,7 +301,7 @@
         }
     }
 
-    async fn answer(&self, wire: &mut Framed<TcpStream, Http>, body: &[u8]) -> Option<()> {
+    async fn answer(&self, wire: &mut Framed<TcpStream, HttpCodec>, body: &[u8]) -> Option<()> {
         if self.inner.borrow().failing {
             return plain(wire, 500, "", "").await;
         }
@@ -364,7 +364,7 @@
         let event = |delta: Value, finish: Option<&str>| {
             let value = json!({"id": own, "object": "chat.completion.chunk", "created": 1, "model": "lab",
                 "choices": [{"index": 0, "delta": delta, "finish_reason": finish}]});
-            Out::Chunk(Bytes::from(format!("data: {value}\n\n")))
+            EncodedMessage::Chunk(Bytes::from(format!("data: {value}\n\n")))
         };
         loop {
             // Whoever asked may leave meanwhile: then the work is dropped.
@@ -386,7 +386,7 @@
             };
             if !std::mem::replace(&mut begun, true) {
                 let head = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n";
-                wire.feed(Out::Raw(Bytes::from_static(head.as_bytes())))
+                wire.feed(EncodedMessage::Raw(Bytes::from_static(head.as_bytes())))
                     .await
                     .ok()?;
             }
@@ -413,8 +413,10 @@
                         "data: {usage}\n\ndata: [DONE]\n\n: Srv-Load: {}\n\n",
                         self.report()
                     );
-                    wire.feed(Out::Chunk(Bytes::from(rest))).await.ok()?;
-                    wire.send(Out::Last).await.ok()?;
+                    wire.feed(EncodedMessage::Chunk(Bytes::from(rest)))
+                        .await
+                        .ok()?;
+                    wire.send(EncodedMessage::EndOfChunks).await.ok()?;
                     return Some(());
                 }
             }
@@ -424,7 +426,7 @@
 }
 
 async fn plain(
-    wire: &mut Framed<TcpStream, Http>,
+    wire: &mut Framed<TcpStream, HttpCodec>,
     status: u16,
     headers: &str,
     body: &str,
@@ -433,5 +435,5 @@
         "HTTP/1.1 {status} Lab\r\n{headers}Content-Length: {}\r\n\r\n{body}",
         body.len()
     );
-    wire.send(Out::Raw(head.into())).await.ok()
+    wire.send(EncodedMessage::Raw(head.into())).await.ok()
 }
--- a/src/protocol/admin.rs
+++ b/src/protocol/admin.rs
@@ -7,14 +7,14 @@
     reason = "not yet converted"
 )]
 
-use super::http::{Head, Start};
-use super::request::Reject;
+use super::http::{Head, StartLine};
+use super::request::RequestError;
 use bytes::Bytes;
 use std::fmt::Write;
 
 /// What an operator can call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Call {
+pub enum AdminCall {
     /// Whether this process takes clients.
     Ready,
     /// The figures.
@@ -38,33 +38,33 @@
 
 /// What the figures say.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Figures {
+pub struct NodeMetrics {
     /// For each class its name, and requests served, refused and failed since the start.
-    pub replies: Vec<(String, [u64; 3])>,
+    pub responses: Vec<(String, [u64; 3])>,
     /// Attempts written whole to model servers.
-    pub dispatches: u64,
+    pub attempts_sent: u64,
     /// Requests taken and not ended.
-    pub concurrent: usize,
+    pub active_requests: usize,
     /// Model servers listed, and of these the ones avoided now.
-    pub targets: usize,
+    pub replica_count: usize,
     /// See there.
-    pub targets_disabled: usize,
+    pub avoided_replica_count: usize,
     /// Files taken and turned down at SIGHUP.
     pub reloads: (u64, u64),
     /// Attempts written whole to model servers of other zones, by class and tenant.
-    pub crossings: Vec<(String, String, u64)>,
+    pub cross_zone_attempts: Vec<(String, String, u64)>,
     /// Of the node's part in its fleet, by name, where it has one.
     pub fleet: Vec<(String, u64)>,
     /// Attempts that ended otherwise than served, by outcome.
     pub attempt_ends: Vec<(&'static str, u64)>,
     /// Clients' connections closed, by reason.
-    pub closes: Vec<(&'static str, u64)>,
+    pub client_closes: Vec<(&'static str, u64)>,
 }
 
 /// Reads which call a head is for.
-pub fn call(head: &Head) -> Result<Call, Reject> {
-    let Start::Request { method, target } = &head.start else {
-        return Err(Reject {
+pub fn parse_call(head: &Head) -> Result<AdminCall, RequestError> {
+    let StartLine::Request { method, target } = &head.start_line else {
+        return Err(RequestError {
             status: 400,
             reason: "a request is expected".into(),
         });
@@ -78,31 +78,31 @@
         match pair.map(|pair| pair.1.parse()) {
             None => Ok(absent),
             Some(Ok(value)) if value <= most => Ok(value),
-            Some(_) => Err(Reject {
+            Some(_) => Err(RequestError {
                 status: 400,
                 reason: format!("{key}: expected a whole number up to {most}"),
             }),
         }
     };
     let (call, wanted) = match path {
-        "/api/ready" => (Call::Ready, "GET"),
-        "/api/telemetry" => (Call::Telemetry, "GET"),
-        "/api/fleet" => (Call::Fleet, "GET"),
-        "/api/crossings" => (Call::Crossings, "GET"),
+        "/api/ready" => (AdminCall::Ready, "GET"),
+        "/api/telemetry" => (AdminCall::Telemetry, "GET"),
+        "/api/fleet" => (AdminCall::Fleet, "GET"),
+        "/api/crossings" => (AdminCall::Crossings, "GET"),
         "/api/fleet/roll" => {
             let hold = number("hold_ms", 0, 86_400_000)? * 1000;
             (
-                Call::Roll {
+                AdminCall::Roll {
                     out: number("out", 1, u64::from(u32::MAX))? as u32,
                     hold,
                 },
                 "POST",
             )
         }
-        "/api/evacuate" => (Call::Evacuate, "POST"),
-        "/api/rejoin" => (Call::Rejoin, "POST"),
+        "/api/evacuate" => (AdminCall::Evacuate, "POST"),
+        "/api/rejoin" => (AdminCall::Rejoin, "POST"),
         other => {
-            return Err(Reject {
+            return Err(RequestError {
                 status: 404,
                 reason: format!("no call {other}"),
             })
@@ -110,7 +110,7 @@
     };
     match method == wanted {
         true => Ok(call),
-        false => Err(Reject {
+        false => Err(RequestError {
             status: 405,
             reason: format!("{wanted} is expected"),
         }),
@@ -118,9 +118,9 @@
 }
 
 /// The answer that carries the figures, a line each.
-pub fn figures(f: &Figures) -> Bytes {
+pub fn metrics_response(f: &NodeMetrics) -> Bytes {
     let mut body = String::new();
-    for (class, counts) in &f.replies {
+    for (class, counts) in &f.responses {
         for (status, count) in ["success", "overload", "error"].iter().zip(counts) {
             let class = class
                 .replace('\\', "\\\\")
@@ -133,10 +133,10 @@
         }
     }
     let rest = [
-        ("dispatches", f.dispatches),
-        ("concurrent", f.concurrent as u64),
-        ("targets", f.targets as u64),
-        ("targets_disabled", f.targets_disabled as u64),
+        ("dispatches", f.attempts_sent),
+        ("concurrent", f.active_requests as u64),
+        ("targets", f.replica_count as u64),
+        ("targets_disabled", f.avoided_replica_count as u64),
         ("reload_success", f.reloads.0),
         ("reload_failure", f.reloads.1),
     ];
@@ -149,14 +149,14 @@
     for (outcome, count) in &f.attempt_ends {
         let _ = writeln!(body, "app_attempt_ends{{outcome=\"{outcome}\"}} {count}");
     }
-    for (reason, count) in &f.closes {
+    for (reason, count) in &f.client_closes {
         let _ = writeln!(body, "app_client_closes{{why=\"{reason}\"}} {count}");
     }
     answer("text/plain", &body)
 }
 
 /// The answer that carries an object.
-pub fn json(body: &str) -> Bytes {
+pub fn json_response(body: &str) -> Bytes {
     answer("application/json", body)
 }
 
--- a/src/protocol/answer.rs
+++ b/src/protocol/answer.rs
@@ -2,9 +2,9 @@
 
 #![expect(clippy::min_ident_chars, reason = "not yet converted")]
 
-use crate::protocol::events::Scan;
-use crate::protocol::http::{Head, Headers, Part, Start};
-use crate::protocol::report::report;
+use crate::protocol::events::EventStreamScanner;
+use crate::protocol::http::{Head, Headers, MessagePart, StartLine};
+use crate::protocol::report::parse_load_report;
 use bytes::{Bytes, BytesMut};
 use poppykeel_scheduler::{AttemptOutcome, LoadReport};
 use poppykeel_site_settings::SiteSettings;
@@ -18,20 +18,20 @@
 
 /// What an answer comes to, part by part.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Step {
+pub enum ResponseStep {
     /// The first event is here: the stream begins, with this content type.
-    First(String),
+    Started(String),
     /// Bytes for the client.
-    Pass(Bytes),
+    Forward(Bytes),
     /// The attempt has ended.
-    Done(AttemptOutcome, Option<LoadReport>),
+    Ended(AttemptOutcome, Option<LoadReport>),
 }
 
 /// Reads one answer.
 #[derive(Debug)]
-pub struct Answer {
+pub struct ResponseReader {
     boot: Rc<SiteSettings>,
-    scan: Scan,
+    scan: EventStreamScanner,
     report: Option<LoadReport>,
     content_type: String,
     /// The body is a stream of events, as its type says; other bodies pass as they are.
@@ -41,11 +41,11 @@
     held: BytesMut,
 }
 
-impl Answer {
+impl ResponseReader {
     /// Nothing has come yet.
     pub fn new(boot: Rc<SiteSettings>) -> Self {
         let (scan, content_type, held) = Default::default();
-        Answer {
+        ResponseReader {
             boot,
             scan,
             report: None,
@@ -58,53 +58,56 @@
     }
 
     /// Takes the next part and appends what follows from it.
-    pub fn feed(&mut self, part: Part, steps: &mut Vec<Step>) {
+    pub fn feed(&mut self, part: MessagePart, steps: &mut Vec<ResponseStep>) {
         match part {
             _ if self.done => {}
-            Part::Head(head) => {
+            MessagePart::Head(head) => {
                 self.report = head
                     .headers
                     .get("srv-load")
-                    .and_then(|v| report(v, &self.boot));
+                    .and_then(|v| parse_load_report(v, &self.boot));
                 if let Some(outcome) = verdict(&head) {
                     self.done = true;
-                    steps.push(Step::Done(outcome, self.report));
+                    steps.push(ResponseStep::Ended(outcome, self.report));
                 }
                 let kind = head.headers.get("content-type");
                 self.content_type = kind.unwrap_or(EVENTS).to_string();
                 self.events = self.content_type.starts_with(EVENTS);
             }
-            Part::Body(bytes) => {
+            MessagePart::Body(bytes) => {
                 self.scan.feed(&bytes, &self.boot);
-                if self.events && self.scan.unfinished() > MOST_EVENT {
-                    return self.broke(steps);
+                if self.events && self.scan.unfinished_event_bytes() > MOST_EVENT {
+                    return self.connection_lost(steps);
                 }
                 if self.started {
-                    return steps.push(Step::Pass(bytes));
+                    return steps.push(ResponseStep::Forward(bytes));
                 }
                 self.held.extend_from_slice(&bytes);
-                if self.scan.events() > 0 || self.held.len() > MOST_EVENT {
+                if self.scan.event_count() > 0 || self.held.len() > MOST_EVENT {
                     self.start(steps);
                 }
             }
-            Part::End => {
+            MessagePart::End => {
                 // Noise with a proper end is not an answer: nothing of it may reach the client as served.
-                if self.events && self.scan.events() == 0 {
-                    return self.broke(steps);
+                if self.events && self.scan.event_count() == 0 {
+                    return self.connection_lost(steps);
                 }
                 if !self.started {
                     self.start(steps);
                 }
                 self.done = true;
-                steps.push(Step::Done(AttemptOutcome::Completed, self.last_report()));
+                steps.push(ResponseStep::Ended(
+                    AttemptOutcome::Completed,
+                    self.last_report(),
+                ));
             }
         }
     }
 
     /// The connection broke, or ended before the answer did.
-    pub fn broke(&mut self, steps: &mut Vec<Step>) {
+    pub fn connection_lost(&mut self, steps: &mut Vec<ResponseStep>) {
         if !std::mem::replace(&mut self.done, true) {
-            steps.push(Step::Done(
+            steps.push(ResponseStep::Ended(
                 AttemptOutcome::ConnectionReset,
                 self.last_report(),
             ));
@@ -113,8 +116,8 @@
 
     /// The report in the stream, else the one in its head; what was found kept goes with either.
     fn last_report(&self) -> Option<LoadReport> {
-        let told = self.scan.report();
-        match self.report.filter(|_| !self.scan.reported()) {
+        let told = self.scan.load_report();
+        match self.report.filter(|_| !self.scan.has_load_report()) {
             Some(head) => Some(LoadReport {
                 cached_prompt_tokens: told.and_then(|r| r.cached_prompt_tokens),
                 ..head
@@ -124,16 +127,18 @@
     }
 
     /// Whether the first event has passed.
-    pub fn started(&self) -> bool {
+    pub fn has_started(&self) -> bool {
         self.started
     }
 
-    fn start(&mut self, steps: &mut Vec<Step>) {
+    fn start(&mut self, steps: &mut Vec<ResponseStep>) {
         self.started = true;
-        steps.push(Step::First(std::mem::take(&mut self.content_type)));
+        steps.push(ResponseStep::Started(std::mem::take(
+            &mut self.content_type,
+        )));
         let held = std::mem::take(&mut self.held).freeze();
         if !held.is_empty() {
-            steps.push(Step::Pass(held));
+            steps.push(ResponseStep::Forward(held));
         }
     }
 }
@@ -142,11 +147,13 @@
 /// the request never ran: a 503 without it may come from one that began.
 fn verdict(head: &Head) -> Option<AttemptOutcome> {
     let declined = |h: &Headers| h.get("srv-declined").is_some_and(|v| v.trim() == "1");
-    match head.start {
-        Start::Status(200) => None,
+    match head.start_line {
+        StartLine::Status(200) => None,
         // What a bad client sends must neither be tried at replica after replica nor make them seem ill.
-        Start::Status(400..=407 | 409..=428 | 430..=499) => Some(AttemptOutcome::InvalidRequest),
-        Start::Status(503 | 504) if declined(&head.headers) => Some(AttemptOutcome::AtCapacity),
+        StartLine::Status(400..=407 | 409..=428 | 430..=499) => {
+            Some(AttemptOutcome::InvalidRequest)
+        }
+        StartLine::Status(503 | 504) if declined(&head.headers) => Some(AttemptOutcome::AtCapacity),
         _ => Some(AttemptOutcome::ServerError),
     }
 }
--- a/src/protocol/events.rs
+++ b/src/protocol/events.rs
@@ -3,7 +3,7 @@
 
 #![expect(clippy::min_ident_chars, reason = "not yet converted")]
 
-use crate::protocol::report::report;
+use crate::protocol::report::parse_load_report;
 use poppykeel_scheduler::LoadReport;
 use poppykeel_site_settings::SiteSettings;
 use serde_json::Value;
@@ -13,7 +13,7 @@
 
 /// Follows one stream.
 #[derive(Debug, Default)]
-pub struct Scan {
+pub struct EventStreamScanner {
     line: Vec<u8>,
     has_data: bool,
     events: u64,
@@ -22,7 +22,7 @@
     kept: Option<f64>,
 }
 
-impl Scan {
+impl EventStreamScanner {
     /// Looks at the next bytes.
     pub fn feed(&mut self, bytes: &[u8], boot: &SiteSettings) {
         for piece in bytes.split_inclusive(|b| *b == b'\n') {
@@ -50,7 +50,7 @@
                 .split_once(':')
                 .filter(|(name, _)| name.eq_ignore_ascii_case("srv-load"));
             self.report = value
-                .and_then(|(_, value)| report(value, boot))
+                .and_then(|(_, value)| parse_load_report(value, boot))
                 .or(self.report);
         } else {
             self.has_data = true;
@@ -59,19 +59,19 @@
     }
 
     /// Complete events so far.
-    pub fn events(&self) -> u64 {
+    pub fn event_count(&self) -> u64 {
         self.events
     }
     /// Bytes since the last event was complete.
-    pub fn unfinished(&self) -> usize {
+    pub fn unfinished_event_bytes(&self) -> usize {
         self.since
     }
     /// Whether a load report has come.
-    pub fn reported(&self) -> bool {
+    pub fn has_load_report(&self) -> bool {
         self.report.is_some()
     }
     /// The newest load report, with the kept part of the prompt where the stream told it.
-    pub fn report(&self) -> Option<LoadReport> {
+    pub fn load_report(&self) -> Option<LoadReport> {
         let kept = self.kept.map(|_| LoadReport {
             cached_prompt_tokens: self.kept,
             ..self.report.unwrap_or_default()
--- a/src/protocol/http.rs
+++ b/src/protocol/http.rs
@@ -14,7 +14,7 @@
 use tokio_util::codec::{Decoder, Encoder};
 
 /// The longest head that is read.
-pub const MOST_HEAD: usize = 16 * 1024;
+pub const MAX_HEAD_BYTES: usize = 16 * 1024;
 /// The most headers of one head.
 const MOST_HEADERS: usize = 64;
 /// The longest chunk of an answer. Replicas' bodies are short; one said to hold gigabytes never ends.
@@ -35,7 +35,7 @@
         found.and_then(|h| std::str::from_utf8(&h.1).ok())
     }
     /// All values under a name.
-    pub fn all<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a [u8]> {
+    pub fn values<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a [u8]> {
         self.iter()
             .filter(move |h| h.0.eq_ignore_ascii_case(name))
             .map(|h| h.1)
@@ -45,9 +45,9 @@
         self.0.iter().map(|h| (h.0.as_str(), h.1.as_slice()))
     }
     /// Whether a comma-separated field holds a word.
-    pub fn has(&self, name: &str, word: &str) -> bool {
+    pub fn has_token(&self, name: &str, word: &str) -> bool {
         let text = |v| std::str::from_utf8(v).unwrap_or_default();
-        self.all(name)
+        self.values(name)
             .flat_map(|v| text(v).split(','))
             .any(|w| w.trim().eq_ignore_ascii_case(word))
     }
@@ -55,7 +55,7 @@
 
 /// The first line of a message.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Start {
+pub enum StartLine {
     /// A request.
     Request {
         /// Its method.
@@ -71,18 +71,18 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Head {
     /// Its first line.
-    pub start: Start,
+    pub start_line: StartLine,
     /// Its fields.
     pub headers: Headers,
     /// The length of its body, where the head tells it.
-    pub length: Option<u64>,
+    pub body_length: Option<u64>,
     /// Whether the connection may carry another message afterwards.
-    pub keep: bool,
+    pub keeps_connection: bool,
 }
 
 /// What a decoder yields.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Part {
+pub enum MessagePart {
     /// A message begins.
     Head(Box<Head>),
     /// The next bytes of its body.
@@ -93,49 +93,49 @@
 
 /// Why a message could not be read.
 #[derive(Debug)]
-pub enum Fault {
+pub enum HttpParseError {
     /// It breaks the framing.
     Malformed(&'static str),
     /// Its head is longer than is read here.
-    LongHead,
+    HeadTooLong,
     /// A version other than HTTP/1.1.
-    Version,
+    UnsupportedVersion,
     /// It took too long to come.
-    Slow,
+    ReadTimeout,
     /// The node ends before the message is whole.
-    Late,
+    ShuttingDown,
     /// The connection ended inside it.
-    Cut,
+    UnexpectedEof,
     /// The connection failed.
     Io(io::Error),
 }
 
-impl From<io::Error> for Fault {
+impl From<io::Error> for HttpParseError {
     fn from(e: io::Error) -> Self {
-        Fault::Io(e)
+        HttpParseError::Io(e)
     }
 }
 
-impl std::fmt::Display for Fault {
+impl std::fmt::Display for HttpParseError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Fault::Malformed(what) => write!(f, "malformed message: {what}"),
-            Fault::LongHead => write!(
+            HttpParseError::Malformed(what) => write!(f, "malformed message: {what}"),
+            HttpParseError::HeadTooLong => write!(
                 f,
-                "head longer than {MOST_HEAD} bytes or {MOST_HEADERS} fields"
+                "head longer than {MAX_HEAD_BYTES} bytes or {MOST_HEADERS} fields"
             ),
-            Fault::Version => write!(f, "only HTTP/1.1 is spoken here"),
-            Fault::Slow => write!(f, "the request took too long to come"),
-            Fault::Late => write!(f, "the node ends before the request is whole"),
-            Fault::Cut => write!(f, "the connection ended inside a message"),
-            Fault::Io(e) => write!(f, "{e}"),
+            HttpParseError::UnsupportedVersion => write!(f, "only HTTP/1.1 is spoken here"),
+            HttpParseError::ReadTimeout => write!(f, "the request took too long to come"),
+            HttpParseError::ShuttingDown => write!(f, "the node ends before the request is whole"),
+            HttpParseError::UnexpectedEof => write!(f, "the connection ended inside a message"),
+            HttpParseError::Io(e) => write!(f, "{e}"),
         }
     }
 }
 
 /// Which end of a connection this is.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Side {
+pub enum Role {
     /// Reads requests.
     Server,
     /// Reads answers.
@@ -143,7 +143,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Reading {
+enum DecoderState {
     Head,
     Fixed(u64),
     ChunkLine,
@@ -156,47 +156,47 @@
 
 /// What an encoder takes.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Out {
+pub enum EncodedMessage {
     /// Bytes as they are: a head, or a body of known length.
     Raw(Bytes),
     /// A piece of a chunked body.
     Chunk(Bytes),
     /// The end of a chunked body.
-    Last,
+    EndOfChunks,
 }
 
 /// The codec of one connection.
 #[derive(Debug)]
-pub struct Http {
-    side: Side,
-    reading: Reading,
+pub struct HttpCodec {
+    side: Role,
+    reading: DecoderState,
     /// Interim answers since the last final one.
     interim: u32,
 }
 
-impl Http {
+impl HttpCodec {
     /// A codec at the start of a connection.
-    pub fn new(side: Side) -> Self {
-        Http {
+    pub fn new(side: Role) -> Self {
+        HttpCodec {
             side,
-            reading: Reading::Head,
+            reading: DecoderState::Head,
             interim: 0,
         }
     }
     /// Between two messages.
-    pub fn idle(&self) -> bool {
-        self.reading == Reading::Head
+    pub fn is_between_messages(&self) -> bool {
+        self.reading == DecoderState::Head
     }
 
-    fn head(&mut self, src: &mut BytesMut) -> Result<Option<Part>, Fault> {
+    fn head(&mut self, src: &mut BytesMut) -> Result<Option<MessagePart>, HttpParseError> {
         let mut fields = [httparse::EMPTY_HEADER; MOST_HEADERS];
         let (start, version, parsed) = match self.side {
-            Side::Server => {
+            Role::Server => {
                 let mut r = httparse::Request::new(&mut fields);
                 let parsed = r.parse(src);
                 let (method, target) = (r.method.unwrap_or_default(), r.path.unwrap_or_default());
                 (
-                    Start::Request {
+                    StartLine::Request {
                         method: method.into(),
                         target: target.into(),
                     },
@@ -204,21 +204,23 @@
                     parsed,
                 )
             }
-            Side::Client => {
+            Role::Client => {
                 let mut r = httparse::Response::new(&mut fields);
                 let parsed = r.parse(src);
-                (Start::Status(r.code.unwrap_or(0)), r.version, parsed)
+                (StartLine::Status(r.code.unwrap_or(0)), r.version, parsed)
             }
         };
         let length = match parsed {
-            Ok(httparse::Status::Complete(length)) if length <= MOST_HEAD => length,
-            Ok(httparse::Status::Partial) if src.len() < MOST_HEAD => return Ok(None),
-            Ok(_) | Err(httparse::Error::TooManyHeaders) => return Err(Fault::LongHead),
-            Err(httparse::Error::Version) => return Err(Fault::Version),
-            Err(_) => return Err(Fault::Malformed("head")),
+            Ok(httparse::Status::Complete(length)) if length <= MAX_HEAD_BYTES => length,
+            Ok(httparse::Status::Partial) if src.len() < MAX_HEAD_BYTES => return Ok(None),
+            Ok(_) | Err(httparse::Error::TooManyHeaders) => {
+                return Err(HttpParseError::HeadTooLong)
+            }
+            Err(httparse::Error::Version) => return Err(HttpParseError::UnsupportedVersion),
+            Err(_) => return Err(HttpParseError::Malformed("head")),
         };
         if version != Some(1) {
-            return Err(Fault::Version);
+            return Err(HttpParseError::UnsupportedVersion);
         }
         let set = fields.iter().take_while(|h| !h.name.is_empty());
         let headers = Headers(
@@ -226,10 +228,10 @@
                 .collect(),
         );
         src.advance(length);
-        if matches!(start, Start::Status(100..=199)) {
+        if matches!(start, StartLine::Status(100..=199)) {
             self.interim += 1;
             return if self.interim > MOST_INTERIM {
-                Err(Fault::Malformed("interim answers"))
+                Err(HttpParseError::Malformed("interim answers"))
             } else {
                 Ok(None)
             };
@@ -237,53 +239,60 @@
         self.interim = 0;
         let (reading, length) = framing(&start, &headers)?;
         self.reading = reading;
-        let keep = reading != Reading::ToClose && !headers.has("connection", "close");
-        Ok(Some(Part::Head(Box::new(Head {
-            start,
+        let keep = reading != DecoderState::ToClose && !headers.has_token("connection", "close");
+        Ok(Some(MessagePart::Head(Box::new(Head {
+            start_line: start,
             headers,
-            length,
-            keep,
+            body_length: length,
+            keeps_connection: keep,
         }))))
     }
 }
 
 /// How the body of a message ends. A length beside chunks is how requests are smuggled: it is refused.
-fn framing(start: &Start, headers: &Headers) -> Result<(Reading, Option<u64>), Fault> {
+fn framing(
+    start: &StartLine,
+    headers: &Headers,
+) -> Result<(DecoderState, Option<u64>), HttpParseError> {
     let mut length = None;
-    for value in headers.all("content-length") {
+    for value in headers.values("content-length") {
         let digits = !value.is_empty() && value.len() < 19 && value.iter().all(u8::is_ascii_digit);
         let text = std::str::from_utf8(value).ok().filter(|_| digits);
         let value = text
             .and_then(|t| t.parse().ok())
-            .ok_or(Fault::Malformed("Content-Length"))?;
+            .ok_or(HttpParseError::Malformed("Content-Length"))?;
         if length.is_some_and(|l: u64| l != value) {
-            return Err(Fault::Malformed("two values of Content-Length"));
+            return Err(HttpParseError::Malformed("two values of Content-Length"));
         }
         length = Some(value);
     }
-    let mut codings = headers.all("transfer-encoding");
+    let mut codings = headers.values("transfer-encoding");
     if let Some(coding) = codings.next() {
         if length.is_some() {
-            return Err(Fault::Malformed("Content-Length with Transfer-Encoding"));
+            return Err(HttpParseError::Malformed(
+                "Content-Length with Transfer-Encoding",
+            ));
         }
         if !coding.eq_ignore_ascii_case(b"chunked") || codings.next().is_some() {
-            return Err(Fault::Malformed("Transfer-Encoding other than chunked"));
+            return Err(HttpParseError::Malformed(
+                "Transfer-Encoding other than chunked",
+            ));
         }
-        return Ok((Reading::ChunkLine, None));
+        return Ok((DecoderState::ChunkLine, None));
     }
     Ok(match (start, length) {
-        (Start::Status(204 | 304), _) | (_, Some(0)) => (Reading::Ended, Some(0)),
-        (_, Some(length)) => (Reading::Fixed(length), Some(length)),
-        (Start::Request { .. }, None) => (Reading::Ended, Some(0)),
-        (Start::Status(_), None) => (Reading::ToClose, None),
+        (StartLine::Status(204 | 304), _) | (_, Some(0)) => (DecoderState::Ended, Some(0)),
+        (_, Some(length)) => (DecoderState::Fixed(length), Some(length)),
+        (StartLine::Request { .. }, None) => (DecoderState::Ended, Some(0)),
+        (StartLine::Status(_), None) => (DecoderState::ToClose, None),
     })
 }
 
 /// Takes one line without its end, if it is there.
-fn line(src: &mut BytesMut) -> Result<Option<BytesMut>, Fault> {
+fn line(src: &mut BytesMut) -> Result<Option<BytesMut>, HttpParseError> {
     let Some(end) = src.iter().position(|b| *b == b'\n') else {
         return if src.len() > MOST_LINE {
-            Err(Fault::Malformed("chunk line"))
+            Err(HttpParseError::Malformed("chunk line"))
         } else {
             Ok(None)
         };
@@ -294,7 +303,7 @@
     Ok(Some(line))
 }
 
-fn chunk_size(line: &[u8]) -> Result<u64, Fault> {
+fn chunk_size(line: &[u8]) -> Result<u64, HttpParseError> {
     let digits = line
         .split(|b| *b == b';')
         .next()
@@ -303,7 +312,7 @@
     let hex = (1..16).contains(&digits.len()) && digits.iter().all(u8::is_ascii_hexdigit);
     let text = std::str::from_utf8(digits).ok().filter(|_| hex);
     text.and_then(|t| u64::from_str_radix(t, 16).ok())
-        .ok_or(Fault::Malformed("chunk size"))
+        .ok_or(HttpParseError::Malformed("chunk size"))
 }
 
 fn take(src: &mut BytesMut, left: u64) -> Bytes {
@@ -313,15 +322,15 @@
     piece
 }
 
-impl Decoder for Http {
-    type Item = Part;
-    type Error = Fault;
+impl Decoder for HttpCodec {
+    type Item = MessagePart;
+    type Error = HttpParseError;
 
-    fn decode(&mut self, src: &mut BytesMut) -> Result<Option<Part>, Fault> {
+    fn decode(&mut self, src: &mut BytesMut) -> Result<Option<MessagePart>, HttpParseError> {
         loop {
             match self.reading {
-                Reading::Head if src.is_empty() => return Ok(None),
-                Reading::Head => {
+                DecoderState::Head if src.is_empty() => return Ok(None),
+                DecoderState::Head => {
                     let interim = self.interim;
                     match self.head(src)? {
                         // An interim answer is passed over: what stands behind it is read in the same turn.
@@ -329,97 +338,97 @@
                         head => return Ok(head),
                     }
                 }
-                Reading::Ended => {
-                    self.reading = Reading::Head;
-                    return Ok(Some(Part::End));
+                DecoderState::Ended => {
+                    self.reading = DecoderState::Head;
+                    return Ok(Some(MessagePart::End));
                 }
-                Reading::ChunkLine => {
+                DecoderState::ChunkLine => {
                     let Some(line) = line(src)? else {
                         return Ok(None);
                     };
                     let size = chunk_size(&line)?;
-                    if self.side == Side::Client && size > MOST_CHUNK {
-                        return Err(Fault::Malformed("chunk longer than an answer"));
+                    if self.side == Role::Client && size > MOST_CHUNK {
+                        return Err(HttpParseError::Malformed("chunk longer than an answer"));
                     }
                     self.reading = if size == 0 {
-                        Reading::Trailer
+                        DecoderState::Trailer
                     } else {
-                        Reading::Chunk(size)
+                        DecoderState::Chunk(size)
                     };
                 }
-                Reading::Trailer => {
+                DecoderState::Trailer => {
                     let Some(line) = line(src)? else {
                         return Ok(None);
                     };
                     if line.is_empty() {
-                        self.reading = Reading::Ended;
+                        self.reading = DecoderState::Ended;
                     }
                 }
-                Reading::ChunkEnd => {
+                DecoderState::ChunkEnd => {
                     if src.len() < 2 {
                         return Ok(None);
                     }
                     if &src[..2] != b"\r\n" {
-                        return Err(Fault::Malformed("end of a chunk"));
+                        return Err(HttpParseError::Malformed("end of a chunk"));
                     }
                     src.advance(2);
-                    self.reading = Reading::ChunkLine;
+                    self.reading = DecoderState::ChunkLine;
                 }
                 _ if src.is_empty() => return Ok(None),
-                Reading::ToClose => return Ok(Some(Part::Body(take(src, u64::MAX)))),
-                Reading::Fixed(left) => {
+                DecoderState::ToClose => return Ok(Some(MessagePart::Body(take(src, u64::MAX)))),
+                DecoderState::Fixed(left) => {
                     let piece = take(src, left);
                     let left = left - piece.len() as u64;
                     self.reading = if left == 0 {
-                        Reading::Ended
+                        DecoderState::Ended
                     } else {
-                        Reading::Fixed(left)
+                        DecoderState::Fixed(left)
                     };
-                    return Ok(Some(Part::Body(piece)));
+                    return Ok(Some(MessagePart::Body(piece)));
                 }
-                Reading::Chunk(left) => {
+                DecoderState::Chunk(left) => {
                     let piece = take(src, left);
                     let left = left - piece.len() as u64;
                     self.reading = if left == 0 {
-                        Reading::ChunkEnd
+                        DecoderState::ChunkEnd
                     } else {
-                        Reading::Chunk(left)
+                        DecoderState::Chunk(left)
                     };
-                    return Ok(Some(Part::Body(piece)));
+                    return Ok(Some(MessagePart::Body(piece)));
                 }
             }
         }
     }
 
-    fn decode_eof(&mut self, src: &mut BytesMut) -> Result<Option<Part>, Fault> {
+    fn decode_eof(&mut self, src: &mut BytesMut) -> Result<Option<MessagePart>, HttpParseError> {
         if let Some(part) = self.decode(src)? {
             return Ok(Some(part));
         }
         match self.reading {
-            Reading::ToClose => {
-                self.reading = Reading::Head;
-                Ok(Some(Part::End))
+            DecoderState::ToClose => {
+                self.reading = DecoderState::Head;
+                Ok(Some(MessagePart::End))
             }
-            Reading::Head if src.is_empty() => Ok(None),
-            _ => Err(Fault::Cut),
+            DecoderState::Head if src.is_empty() => Ok(None),
+            _ => Err(HttpParseError::UnexpectedEof),
         }
     }
 }
 
-impl Encoder<Out> for Http {
-    type Error = Fault;
+impl Encoder<EncodedMessage> for HttpCodec {
+    type Error = HttpParseError;
 
-    fn encode(&mut self, item: Out, dst: &mut BytesMut) -> Result<(), Fault> {
+    fn encode(&mut self, item: EncodedMessage, dst: &mut BytesMut) -> Result<(), HttpParseError> {
         match item {
-            Out::Raw(bytes) => dst.extend_from_slice(&bytes),
+            EncodedMessage::Raw(bytes) => dst.extend_from_slice(&bytes),
             // A chunk of no bytes would end the body.
-            Out::Chunk(bytes) if bytes.is_empty() => {}
-            Out::Chunk(bytes) => {
+            EncodedMessage::Chunk(bytes) if bytes.is_empty() => {}
+            EncodedMessage::Chunk(bytes) => {
                 dst.put_slice(format!("{:x}\r\n", bytes.len()).as_bytes());
                 dst.put_slice(&bytes);
                 dst.put_slice(b"\r\n");
             }
-            Out::Last => dst.put_slice(b"0\r\n\r\n"),
+            EncodedMessage::EndOfChunks => dst.put_slice(b"0\r\n\r\n"),
         }
         Ok(())
     }
--- a/src/protocol/report.rs
+++ b/src/protocol/report.rs
@@ -12,7 +12,7 @@
 
 /// A load report in JSON; none where it can't be read, since a bad report must not cost the answer. A field that
 /// is absent is left out; one whose value is not a finite number of zero or more is left out and counted.
-pub fn report(text: &str, boot: &SiteSettings) -> Option<LoadReport> {
+pub fn parse_load_report(text: &str, boot: &SiteSettings) -> Option<LoadReport> {
     let value: Option<Value> = serde_json::from_str(text).ok().filter(Value::is_object);
     let Some(value) = value else {
         PASSED_OVER.fetch_add(1, Ordering::Relaxed);
@@ -31,12 +31,12 @@
 }
 
 /// Reports and report values passed over since the start, for the log.
-pub fn passed_over() -> u64 {
+pub fn ignored_value_count() -> u64 {
     PASSED_OVER.load(Ordering::Relaxed)
 }
 
 /// The outcome of a probe by its status.
-pub fn probed(status: u16) -> AttemptOutcome {
+pub fn probe_outcome(status: u16) -> AttemptOutcome {
     if status == 200 {
         AttemptOutcome::Completed
     } else {
--- a/src/protocol/request.rs
+++ b/src/protocol/request.rs
@@ -8,7 +8,7 @@
     reason = "not yet converted"
 )]
 
-use crate::protocol::http::{Head, Headers, Start};
+use crate::protocol::http::{Head, Headers, StartLine};
 use bytes::Bytes;
 use poppykeel_scheduler::{IncomingRequest, RequestId};
 use poppykeel_site_settings::SiteNames;
@@ -16,7 +16,7 @@
 use std::str::FromStr;
 
 /// The longest body, 256 KiB.
-pub const MOST_BODY: usize = 256 * 1024;
+pub const MAX_BODY_BYTES: usize = 256 * 1024;
 /// No client waits longer than a day; more would not fit the clock.
 const MOST_WAIT: f64 = 86_400.0;
 /// One token is so many bytes, where the client does not tell the prompt's length.
@@ -33,23 +33,23 @@
 
 /// An answer of the node's own that turns a request down before the module sees it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Reject {
+pub struct RequestError {
     /// Its status.
     pub status: u16,
     /// What is wrong, for people.
     pub reason: String,
 }
 
-fn reject<T>(status: u16, reason: impl Into<String>) -> Result<T, Reject> {
-    Err(Reject {
+fn reject<T>(status: u16, reason: impl Into<String>) -> Result<T, RequestError> {
+    Err(RequestError {
         status,
         reason: reason.into(),
     })
 }
 
 /// The route of a request.
-pub fn route(head: &Head) -> Result<Route, Reject> {
-    let Start::Request { method, target } = &head.start else {
+pub fn route(head: &Head) -> Result<Route, RequestError> {
+    let StartLine::Request { method, target } = &head.start_line else {
         return reject(400, "not a request");
     };
     let path = target.split('?').next().unwrap_or_default();
@@ -63,11 +63,11 @@
 }
 
 /// Reads the arrival that the headers tell.
-pub fn arrival(
+pub fn parse_request(
     headers: &Headers,
     names: &SiteNames,
     body: usize,
-) -> Result<IncomingRequest, Reject> {
+) -> Result<IncomingRequest, RequestError> {
     for name in [
         "Req-Id",
         "Req-Kind",
@@ -77,7 +77,7 @@
         "Req-Retry",
         "Req-Extra",
     ] {
-        if headers.all(name).count() > 1 {
+        if headers.values(name).count() > 1 {
             return reject(400, format!("{name} came more than once"));
         }
     }
@@ -151,7 +151,7 @@
     Ok(arrival)
 }
 
-fn one<'a>(headers: &'a Headers, name: &str) -> Result<Option<&'a str>, Reject> {
+fn one<'a>(headers: &'a Headers, name: &str) -> Result<Option<&'a str>, RequestError> {
     match headers.get(name).map(str::trim) {
         Some("") => reject(400, format!("{name} is empty")),
         None if headers.iter().any(|h| h.0.eq_ignore_ascii_case(name)) => {
@@ -161,13 +161,13 @@
     }
 }
 
-fn hex(headers: &Headers, name: &str) -> Result<Option<u64>, Reject> {
+fn hex(headers: &Headers, name: &str) -> Result<Option<u64>, RequestError> {
     one(headers, name)?
         .map(|text| hex_of(name, text))
         .transpose()
 }
 
-fn hex_of(name: &str, text: &str) -> Result<u64, Reject> {
+fn hex_of(name: &str, text: &str) -> Result<u64, RequestError> {
     let digits = text.len() == 16 && text.bytes().all(|b| b.is_ascii_hexdigit());
     match u64::from_str_radix(text, 16) {
         Ok(value) if digits => Ok(value),
@@ -175,21 +175,24 @@
     }
 }
 
-fn number<T: FromStr>(name: &str, text: &str) -> Result<T, Reject> {
+fn number<T: FromStr>(name: &str, text: &str) -> Result<T, RequestError> {
     text.parse()
         .or_else(|_| reject(400, format!("{name} is not a number")))
 }
 
 /// The wire allows lengths to 2^63; sums of them must not run over.
-fn tokens(name: &str, text: &str) -> Result<u64, Reject> {
+fn tokens(name: &str, text: &str) -> Result<u64, RequestError> {
     number::<u64>(name, text).map(|n| n.min(1 << 40))
 }
 
-fn place(name: &str, value: &str, known: &[String]) -> Result<usize, Reject> {
-    known.iter().position(|k| k == value).ok_or_else(|| Reject {
-        status: 400,
-        reason: format!("{name} names nothing known here"),
-    })
+fn place(name: &str, value: &str, known: &[String]) -> Result<usize, RequestError> {
+    known
+        .iter()
+        .position(|k| k == value)
+        .ok_or_else(|| RequestError {
+            status: 400,
+            reason: format!("{name} names nothing known here"),
+        })
 }
 
 /// Fields that belong to one connection, or that the node writes itself.
@@ -208,8 +211,8 @@
 ];
 
 /// The head for a replica, but for the deadline that each attempt adds. `id` stands in place of the client's.
-pub fn upstream_head(head: &Head, body: usize, id: Option<RequestId>) -> Vec<u8> {
-    let Start::Request { method, target } = &head.start else {
+pub fn replica_request_head(head: &Head, body: usize, id: Option<RequestId>) -> Vec<u8> {
+    let StartLine::Request { method, target } = &head.start_line else {
         return Vec::new();
     };
     let mut out = format!("{method} {target} HTTP/1.1\r\n").into_bytes();
@@ -221,7 +224,7 @@
             continue;
         }
         if !OWN.iter().any(|own| own.eq_ignore_ascii_case(name))
-            && !head.headers.has("connection", name)
+            && !head.headers.has_token("connection", name)
         {
             for piece in [name.as_bytes(), b": ", value, b"\r\n"] {
                 out.extend_from_slice(piece);
@@ -240,19 +243,24 @@
 }
 
 /// A request without a body, as probes and discovery send them.
-pub fn get(target: &str, host: &str) -> Bytes {
+pub fn get_request(target: &str, host: &str) -> Bytes {
     format!("GET {target} HTTP/1.1\r\nHost: {host}\r\n\r\n").into()
 }
 
 /// The head of a stream that is passed on.
-pub fn stream_head(content_type: &str, close: bool) -> Bytes {
+pub fn stream_response_head(content_type: &str, close: bool) -> Bytes {
     let close = if close { "Connection: close\r\n" } else { "" };
     format!("HTTP/1.1 200 OK\r\nContent-Type: {content_type}\r\nTransfer-Encoding: chunked\r\n{close}\r\n")
         .into()
 }
 
 /// An answer of the node's own.
-pub fn own_answer(status: u16, reason: &str, retry_after_us: Option<u64>, close: bool) -> Bytes {
+pub fn local_response(
+    status: u16,
+    reason: &str,
+    retry_after_us: Option<u64>,
+    close: bool,
+) -> Bytes {
     let title = match status {
         200 => "OK",
         400 => "Bad Request",
--- a/src/transport/admin.rs
+++ b/src/transport/admin.rs
@@ -7,8 +7,8 @@
 use super::messages::{query, DispatcherMessage, DispatcherQuery};
 use super::node_phase::NodePhase;
 use super::Wire;
-use crate::protocol::admin::{self, Call, Figures};
-use crate::protocol::http::{Fault, Http, Out, Part, Side};
+use crate::protocol::admin::{self, AdminCall, NodeMetrics};
+use crate::protocol::http::{EncodedMessage, HttpCodec, HttpParseError, MessagePart, Role};
 use crate::protocol::request;
 use bytes::Bytes;
 use futures_util::{SinkExt, StreamExt};
@@ -69,16 +69,20 @@
     }
 
     async fn caller(self: Rc<Self>, socket: TcpStream) {
-        let mut wire = Framed::new(socket.into(), Http::new(Side::Server));
+        let mut wire = Framed::new(socket.into(), HttpCodec::new(Role::Server));
         let answer = match tokio::time::timeout(CALL, read(&mut wire)).await {
             Ok(Ok(Ok(call))) => self.answer(call).await,
-            Ok(Ok(Err(reject))) => request::own_answer(reject.status, &reject.reason, None, true),
-            Ok(Err(Fault::Cut | Fault::Io(_))) => return,
-            Ok(Err(fault)) => request::own_answer(400, &fault.to_string(), None, true),
-            Err(_) => request::own_answer(408, "the call did not come whole in time", None, true),
+            Ok(Ok(Err(reject))) => {
+                request::local_response(reject.status, &reject.reason, None, true)
+            }
+            Ok(Err(HttpParseError::UnexpectedEof | HttpParseError::Io(_))) => return,
+            Ok(Err(fault)) => request::local_response(400, &fault.to_string(), None, true),
+            Err(_) => {
+                request::local_response(408, "the call did not come whole in time", None, true)
+            }
         };
         let sent = async {
-            if wire.send(Out::Raw(answer)).await.is_ok() {
+            if wire.send(EncodedMessage::Raw(answer)).await.is_ok() {
                 let _ = wire.get_mut().shutdown().await;
                 discard(wire.get_mut()).await;
             }
@@ -86,12 +90,14 @@
         let _ = tokio::time::timeout(TAKE, sent).await;
     }
 
-    async fn answer(&self, call: Call) -> Bytes {
-        let yes = |text: &str| request::own_answer(200, text, None, true);
+    async fn answer(&self, call: AdminCall) -> Bytes {
+        let yes = |text: &str| request::local_response(200, text, None, true);
         match call {
-            Call::Ready if *self.phase.borrow() == NodePhase::Serving => yes("ready"),
-            Call::Ready => request::own_answer(503, "this node takes no clients now", None, true),
-            Call::Telemetry => match query(&self.tell, DispatcherQuery::Telemetry).await {
+            AdminCall::Ready if *self.phase.borrow() == NodePhase::Serving => yes("ready"),
+            AdminCall::Ready => {
+                request::local_response(503, "this node takes no clients now", None, true)
+            }
+            AdminCall::Telemetry => match query(&self.tell, DispatcherQuery::Telemetry).await {
                 Some(told) => {
                     let fleet = self
                         .fleet
@@ -99,35 +105,35 @@
                         .map(|fleet| fleet.metrics())
                         .unwrap_or_default();
                     let closes = self.clients.closes.all();
-                    admin::figures(&Figures {
+                    admin::metrics_response(&NodeMetrics {
                         reloads: self.reloads.get(),
                         fleet,
-                        closes,
+                        client_closes: closes,
                         ..told
                     })
                 }
-                None => request::own_answer(503, "the node is ending", None, true),
+                None => request::local_response(503, "the node is ending", None, true),
             },
-            Call::Fleet => match &self.fleet {
-                Some(fleet) => admin::json(&fleet.status().to_string()),
-                None => request::own_answer(404, "this node is in no fleet", None, true),
+            AdminCall::Fleet => match &self.fleet {
+                Some(fleet) => admin::json_response(&fleet.status().to_string()),
+                None => request::local_response(404, "this node is in no fleet", None, true),
             },
-            Call::Crossings => {
+            AdminCall::Crossings => {
                 let rows = query(&self.tell, DispatcherQuery::CrossZoneTraffic).await;
                 match rows.and_then(|rows| serde_json::to_string(&rows).ok()) {
-                    Some(rows) => admin::json(&rows),
-                    None => request::own_answer(503, "the node is ending", None, true),
+                    Some(rows) => admin::json_response(&rows),
+                    None => request::local_response(503, "the node is ending", None, true),
                 }
             }
-            Call::Roll { out, hold } => match &self.fleet {
+            AdminCall::Roll { out, hold } => match &self.fleet {
                 Some(fleet) => yes(&fleet.order_rolling_restart(out, hold)),
-                None => request::own_answer(404, "this node is in no fleet", None, true),
+                None => request::local_response(404, "this node is in no fleet", None, true),
             },
-            Call::Evacuate => {
+            AdminCall::Evacuate => {
                 evacuate(&self.phase);
                 yes("evacuating")
             }
-            Call::Rejoin => {
+            AdminCall::Rejoin => {
                 rejoin(&self.phase);
                 yes("serving")
             }
@@ -136,18 +142,18 @@
 }
 
 /// Reads one call, its body too.
-async fn read(wire: &mut Wire) -> Result<Result<Call, request::Reject>, Fault> {
+async fn read(wire: &mut Wire) -> Result<Result<AdminCall, request::RequestError>, HttpParseError> {
     let mut call = None;
     loop {
         match wire.next().await {
-            Some(Ok(Part::Head(head))) => match admin::call(&head) {
+            Some(Ok(MessagePart::Head(head))) => match admin::parse_call(&head) {
                 Ok(read) => call = Some(read),
                 Err(reject) => return Ok(Err(reject)),
             },
-            Some(Ok(Part::Body(_))) => {}
-            Some(Ok(Part::End)) => return call.ok_or(Fault::Cut).map(Ok),
+            Some(Ok(MessagePart::Body(_))) => {}
+            Some(Ok(MessagePart::End)) => return call.ok_or(HttpParseError::UnexpectedEof).map(Ok),
             Some(Err(fault)) => return Err(fault),
-            None => return Err(Fault::Cut),
+            None => return Err(HttpParseError::UnexpectedEof),
         }
     }
 }
--- a/src/transport/client.rs
+++ b/src/transport/client.rs
@@ -22,8 +22,8 @@
 use super::relay::Relay;
 use super::socket::Socket;
 use super::Wire;
-use crate::protocol::http::{Fault, Head, Http, Out, Part, Side};
-use crate::protocol::request::{self, Reject, Route, MOST_BODY};
+use crate::protocol::http::{EncodedMessage, Head, HttpCodec, HttpParseError, MessagePart, Role};
+use crate::protocol::request::{self, RequestError, Route, MAX_BODY_BYTES};
 use bytes::Bytes;
 use futures_util::{SinkExt, StreamExt};
 use poppykeel_scheduler::{IncomingRequest, RequestId};
@@ -38,7 +38,7 @@
 use tokio_util::codec::Framed;
 
 /// After a last answer so much is still read, and for so long, so that the answer is not lost to a reset.
-const DISCARD: usize = 2 * MOST_BODY;
+const DISCARD: usize = 2 * MAX_BODY_BYTES;
 const DISCARD_FOR: Duration = Duration::from_secs(1);
 /// Bytes of further requests that are read while an answer is awaited.
 const AHEAD: usize = 16 * 1024;
@@ -64,7 +64,7 @@
     /// Its number among all connections of this process.
     number: u64,
     /// What was read ahead while an answer was awaited, if only that it can't be read.
-    ahead: Option<Result<Part, Fault>>,
+    ahead: Option<Result<MessagePart, HttpParseError>>,
     /// Heads of requests that have been read on this connection.
     requests: u64,
     /// The request on its way must be whole by then, however its bytes trickle in.
@@ -88,7 +88,7 @@
     pub fn new(socket: TcpStream, shared: Rc<Shared>) -> Self {
         let number = shared.enter();
         let until = Instant::now() + shared.bounds.read;
-        let wire = Framed::new(socket.into(), Http::new(Side::Server));
+        let wire = Framed::new(socket.into(), HttpCodec::new(Role::Server));
         Client {
             wire,
             shared,
@@ -145,17 +145,19 @@
     }
 
     /// Answers what can't be read, where there is anyone to answer.
-    async fn fault(&mut self, fault: Fault) -> Leave {
+    async fn fault(&mut self, fault: HttpParseError) -> Leave {
         let status = match &fault {
-            Fault::Malformed(_) => 400,
-            Fault::LongHead => 431,
-            Fault::Slow => 408,
-            Fault::Version => 505,
-            Fault::Late => return self.too_late().await,
-            Fault::Cut | Fault::Io(_) => return Leave(CloseReason::ClientLeft),
+            HttpParseError::Malformed(_) => 400,
+            HttpParseError::HeadTooLong => 431,
+            HttpParseError::ReadTimeout => 408,
+            HttpParseError::UnsupportedVersion => 505,
+            HttpParseError::ShuttingDown => return self.too_late().await,
+            HttpParseError::UnexpectedEof | HttpParseError::Io(_) => {
+                return Leave(CloseReason::ClientLeft)
+            }
         };
         self.turn_down(
-            Reject {
+            RequestError {
                 status,
                 reason: fault.to_string(),
             },
@@ -165,15 +167,15 @@
     }
 
     /// The last answer on this connection.
-    async fn turn_down(&mut self, reject: Reject, retry_after: Option<u64>) -> Leave {
+    async fn turn_down(&mut self, reject: RequestError, retry_after: Option<u64>) -> Leave {
         log_fate!(
             self,
             status = reject.status,
             why = reject.reason,
             "request turned down"
         );
-        let answer = request::own_answer(reject.status, &reject.reason, retry_after, true);
-        match self.send(Out::Raw(answer)).await {
+        let answer = request::local_response(reject.status, &reject.reason, retry_after, true);
+        match self.send(EncodedMessage::Raw(answer)).await {
             Ok(()) => Leave(CloseReason::Rejected),
             Err(leave) => leave,
         }
@@ -182,7 +184,7 @@
     /// Refuses a request that comes too late in a shutdown to be answered. It has run nowhere, and other nodes can take it
     /// at once.
     async fn too_late(&mut self) -> Leave {
-        let reject = Reject {
+        let reject = RequestError {
             status: 503,
             reason: "this node shuts down".into(),
         };
@@ -197,22 +199,24 @@
         wait: Option<u64>,
         close: bool,
     ) -> Result<(), Leave> {
-        self.send(Out::Raw(request::own_answer(status, text, wait, close)))
-            .await?;
+        self.send(EncodedMessage::Raw(request::local_response(
+            status, text, wait, close,
+        )))
+        .await?;
         match close {
             true => Err(Leave(CloseReason::LastAnswer)),
             false => Ok(()),
         }
     }
 
-    async fn send(&mut self, out: Out) -> Result<(), Leave> {
+    async fn send(&mut self, out: EncodedMessage) -> Result<(), Leave> {
         self.feed(out).await?;
         self.flush().await
     }
 
     /// A client that takes nothing any more must not hold a replica's stream for ever: both that may wait for
     /// it have a limit.
-    async fn feed(&mut self, out: Out) -> Result<(), Leave> {
+    async fn feed(&mut self, out: EncodedMessage) -> Result<(), Leave> {
         taken(tokio::time::timeout(self.shared.bounds.stall, self.wire.feed(out)).await)
     }
 
@@ -232,7 +236,7 @@
         };
         match route {
             Route::Health => {
-                let close = self.last() || !head.keep;
+                let close = self.last() || !head.keeps_connection;
                 let (status, text) = if self.last() {
                     (503, "draining")
                 } else {
@@ -247,7 +251,7 @@
     /// Serves a request for a completion that has been read whole.
     async fn complete(&mut self, head: Head, body: Bytes, hold: Hold) -> Result<(), Leave> {
         let boot = self.shared.boot.borrow().clone();
-        let arrival = match request::arrival(&head.headers, &boot.names, body.len()) {
+        let arrival = match request::parse_request(&head.headers, &boot.names, body.len()) {
             Ok(arrival) => arrival,
             Err(reject) => return Err(self.turn_down(reject, None).await),
         };
@@ -257,14 +261,14 @@
         }
         log_fate!(self, request = %id, nth = self.requests, deadline_s = arrival.time_left, "request taken");
         let payload = RequestPayload {
-            head: request::upstream_head(&head, body.len(), None),
+            head: request::replica_request_head(&head, body.len(), None),
             body: body.clone(),
         };
         let answer = match self.ask(arrival.clone(), payload).await {
             Ok(answer) => answer?,
             Err(leave) => return Err(self.gone(id, leave).await),
         };
-        let close = self.last() || !head.keep;
+        let close = self.last() || !head.keeps_connection;
         let (content_type, replica, stream) = match answer {
             ClientResponse::Stream {
                 content_type,
@@ -275,7 +279,7 @@
                 let reason = "Req-Id is that of a request still being served".to_string();
                 return Err(self
                     .turn_down(
-                        Reject {
+                        RequestError {
                             status: 400,
                             reason,
                         },
@@ -301,8 +305,11 @@
         if relay.is_none() {
             drop(hold);
         }
-        self.feed(Out::Raw(request::stream_head(&content_type, close)))
-            .await?;
+        self.feed(EncodedMessage::Raw(request::stream_response_head(
+            &content_type,
+            close,
+        )))
+        .await?;
         let done = match &mut relay {
             None => self.stream(stream).await,
             Some(relay) => self.saved(relay, stream).await,
@@ -374,7 +381,7 @@
                 biased;
                 done = &mut wait => return Ok(done),
                 read = self.wire.next() => match read {
-                    None | Some(Err(Fault::Cut | Fault::Io(_))) => return Err(Leave(CloseReason::ClientLeft)),
+                    None | Some(Err(HttpParseError::UnexpectedEof | HttpParseError::Io(_))) => return Err(Leave(CloseReason::ClientLeft)),
                     // What can't be read has its answer after this one.
                     Some(part) => self.ahead = Some(part),
                 },
@@ -384,7 +391,7 @@
 }
 
 /// Whether a client has taken what was written, in time.
-fn taken(written: Result<Result<(), Fault>, Elapsed>) -> Result<(), Leave> {
+fn taken(written: Result<Result<(), HttpParseError>, Elapsed>) -> Result<(), Leave> {
     match written {
         Ok(Ok(())) => Ok(()),
         Ok(Err(_)) => Err(Leave(CloseReason::ClientLeft)),
--- a/src/transport/client/requests.rs
+++ b/src/transport/client/requests.rs
@@ -3,8 +3,8 @@
 #![expect(clippy::min_ident_chars, reason = "not yet converted")]
 
 use super::{Client, Leave};
-use crate::protocol::http::{Fault, Head, Out, Part};
-use crate::protocol::request::{Reject, MOST_BODY};
+use crate::protocol::http::{EncodedMessage, Head, HttpParseError, MessagePart};
+use crate::protocol::request::{RequestError, MAX_BODY_BYTES};
 use crate::transport::clients::Hold;
 use crate::transport::closes::CloseReason;
 use crate::transport::node_phase::NodePhase;
@@ -27,14 +27,16 @@
             None => self.wait_for_request().await.map_err(Leave)?,
         };
         match next {
-            Ok(Part::Head(head)) => Ok(head),
+            Ok(MessagePart::Head(head)) => Ok(head),
             Ok(_) => Err(Leave(CloseReason::Rejected)),
             Err(fault) => Err(self.fault(fault).await),
         }
     }
 
     /// Waits for a request until the connection is to end, and says then why.
-    async fn wait_for_request(&mut self) -> Result<Result<Part, Fault>, CloseReason> {
+    async fn wait_for_request(
+        &mut self,
+    ) -> Result<Result<MessagePart, HttpParseError>, CloseReason> {
         let (mark, leave) = self.shared.rests();
         let (known, mut phase) = (self.requests > 0, self.shared.phase.clone());
         let closing = async {
@@ -68,7 +70,7 @@
     }
 
     /// Waits for the next request's head, and says why where none comes: the client has left or has rested for too long.
-    async fn rest(&mut self) -> Result<Result<Part, Fault>, CloseReason> {
+    async fn rest(&mut self) -> Result<Result<MessagePart, HttpParseError>, CloseReason> {
         if self.requests > 0 {
             // A kept connection may rest; from the first byte on, the request has its limit.
             if self.wire.read_buffer().is_empty() {
@@ -90,13 +92,15 @@
     }
 
     /// The next part of a request on its way, nothing where the client has left, or why it is no longer waited for.
-    async fn next_part(&mut self) -> Result<Option<Result<Part, Fault>>, Fault> {
+    async fn next_part(
+        &mut self,
+    ) -> Result<Option<Result<MessagePart, HttpParseError>>, HttpParseError> {
         let shared = self.shared.clone();
         tokio::select! {
             biased;
             part = self.wire.next() => Ok(part),
-            () = tokio::time::sleep_until(self.until) => Err(Fault::Slow),
-            () = shared.reading_over() => Err(Fault::Late),
+            () = tokio::time::sleep_until(self.until) => Err(HttpParseError::ReadTimeout),
+            () = shared.reading_over() => Err(HttpParseError::ShuttingDown),
         }
     }
 
@@ -111,17 +115,17 @@
         &mut self,
         head: &Head,
         hold: &mut Hold,
-    ) -> Result<Result<Bytes, (Reject, Option<u64>)>, Leave> {
-        let too_long = || Reject {
+    ) -> Result<Result<Bytes, (RequestError, Option<u64>)>, Leave> {
+        let too_long = || RequestError {
             status: 413,
-            reason: format!("the body is longer than {MOST_BODY} bytes"),
+            reason: format!("the body is longer than {MAX_BODY_BYTES} bytes"),
         };
-        let expected = head.length.unwrap_or(0);
-        if expected > MOST_BODY as u64 {
+        let expected = head.body_length.unwrap_or(0);
+        if expected > MAX_BODY_BYTES as u64 {
             return Ok(Err((too_long(), None)));
         }
-        if head.headers.has("expect", "100-continue") {
-            self.send(Out::Raw(Bytes::from_static(
+        if head.headers.has_token("expect", "100-continue") {
+            self.send(EncodedMessage::Raw(Bytes::from_static(
                 b"HTTP/1.1 100 Continue\r\n\r\n",
             )))
             .await?;
@@ -134,22 +138,24 @@
                 Ok(Some(Err(fault))) | Err(fault) => return Err(self.fault(fault).await),
             };
             match part {
-                Part::Body(bytes) if body.len() + bytes.len() > MOST_BODY => {
+                MessagePart::Body(bytes) if body.len() + bytes.len() > MAX_BODY_BYTES => {
                     return Ok(Err((too_long(), None)));
                 }
-                Part::Body(bytes) if hold.more(bytes.len()) => body.extend_from_slice(&bytes),
-                Part::Body(_) => {
+                MessagePart::Body(bytes) if hold.more(bytes.len()) => {
+                    body.extend_from_slice(&bytes);
+                }
+                MessagePart::Body(_) => {
                     let reason = "this node holds as many requests as it may".to_string();
                     return Ok(Err((
-                        Reject {
+                        RequestError {
                             status: 503,
                             reason,
                         },
                         Some(AGAIN_US),
                     )));
                 }
-                Part::End => return Ok(Ok(body.into())),
-                Part::Head(_) => return Err(Leave(CloseReason::Rejected)),
+                MessagePart::End => return Ok(Ok(body.into())),
+                MessagePart::Head(_) => return Err(Leave(CloseReason::Rejected)),
             }
         }
     }
--- a/src/transport/client/streams.rs
+++ b/src/transport/client/streams.rs
@@ -3,7 +3,7 @@
 #![expect(clippy::too_many_lines, reason = "not yet converted")]
 
 use super::{Client, Leave};
-use crate::protocol::http::Out;
+use crate::protocol::http::EncodedMessage;
 use crate::transport::messages::{ClientResponse, StreamChunk};
 use crate::transport::relay::{Next, Relay};
 use tokio::sync::mpsc;
@@ -19,9 +19,11 @@
             // What has come together goes out together.
             loop {
                 match next {
-                    Some(StreamChunk::Bytes(bytes)) => self.feed(Out::Chunk(bytes)).await?,
+                    Some(StreamChunk::Bytes(bytes)) => {
+                        self.feed(EncodedMessage::Chunk(bytes)).await?;
+                    }
                     Some(StreamChunk::End) => {
-                        self.send(Out::Last).await?;
+                        self.send(EncodedMessage::EndOfChunks).await?;
                         return Ok(true);
                     }
                     None => {
@@ -50,7 +52,7 @@
                 Some(StreamChunk::Bytes(bytes)) => {
                     let bytes = relay.pass(&bytes);
                     if !bytes.is_empty() {
-                        self.send(Out::Chunk(bytes)).await?;
+                        self.send(EncodedMessage::Chunk(bytes)).await?;
                     }
                     continue;
                 }
@@ -60,9 +62,9 @@
             if whole {
                 let rest = relay.rest();
                 if !rest.is_empty() {
-                    self.feed(Out::Chunk(rest)).await?;
+                    self.feed(EncodedMessage::Chunk(rest)).await?;
                 }
-                self.send(Out::Last).await?;
+                self.send(EncodedMessage::EndOfChunks).await?;
                 return Ok(true);
             }
             let mut next = relay.ended(self.last());
@@ -87,10 +89,10 @@
                 Next::Ask(_) => return Ok(false),
             };
             if !last.is_empty() {
-                self.send(Out::Chunk(last)).await?;
+                self.send(EncodedMessage::Chunk(last)).await?;
             }
             if whole {
-                self.send(Out::Last).await?;
+                self.send(EncodedMessage::EndOfChunks).await?;
             }
             return Ok(whole);
         }
--- a/src/transport/coordination/report.rs
+++ b/src/transport/coordination/report.rs
@@ -6,7 +6,7 @@
 //! one of all clocks.
 
 use super::{CoordinationDriver, ReportSettings};
-use crate::protocol::admin::Figures;
+use crate::protocol::admin::NodeMetrics;
 use crate::transport::messages::{query, DispatcherQuery};
 use poppykeel_coordination::envelope::{ClassReplies, CrossZoneAttempts, MessageBody, NodeFigures};
 use poppykeel_coordination::Epoch;
@@ -228,15 +228,15 @@
     }
 
     /// This node's figures; `None` where the dispatcher has ended.
-    pub(super) async fn own_figures(&self) -> Option<Figures> {
+    pub(super) async fn own_figures(&self) -> Option<NodeMetrics> {
         query(&self.dispatcher, DispatcherQuery::Telemetry).await
     }
 }
 
 /// A node's figures as they travel between nodes.
-fn node_figures(own: Figures, wall_clock: Micros) -> NodeFigures {
+fn node_figures(own: NodeMetrics, wall_clock: Micros) -> NodeFigures {
     let mut replies = Vec::new();
-    for (class, [served, refused, failed]) in own.replies {
+    for (class, [served, refused, failed]) in own.responses {
         replies.push(ClassReplies {
             class,
             served,
@@ -245,7 +245,7 @@
         });
     }
     let mut cross_zone_attempts = Vec::new();
-    for (class, tenant, count) in own.crossings {
+    for (class, tenant, count) in own.cross_zone_attempts {
         cross_zone_attempts.push(CrossZoneAttempts {
             class,
             tenant,
@@ -255,8 +255,8 @@
     NodeFigures {
         replies,
         cross_zone_attempts,
-        dispatches: own.dispatches,
-        requests_in_flight: own.concurrent as u64,
+        dispatches: own.attempts_sent,
+        requests_in_flight: own.active_requests as u64,
         wall_clock,
     }
 }
--- a/src/transport/coordination/rolling_restart.rs
+++ b/src/transport/coordination/rolling_restart.rs
@@ -135,7 +135,7 @@
         let driver = self.clone();
         spawn_local(async move {
             let figures = driver.own_figures().await;
-            let is_idle = figures.is_some_and(|figures| figures.concurrent == 0);
+            let is_idle = figures.is_some_and(|figures| figures.active_requests == 0);
             let now = driver.clock.now();
             let answer = driver
                 .restart
--- a/src/transport/dispatcher/queries.rs
+++ b/src/transport/dispatcher/queries.rs
@@ -1,7 +1,7 @@
 //! Answers to questions about the dispatcher's state. They change nothing.
 
 use super::{send_reply, Dispatcher};
-use crate::protocol::admin::Figures;
+use crate::protocol::admin::NodeMetrics;
 use crate::routing::cross_zone::RequestGroup;
 use crate::routing::{ReplicaStatus, ResponseCounts};
 use crate::transport::messages::{CrossZoneMinute, DispatcherQuery};
@@ -33,15 +33,15 @@
         }
     }
 
-    fn telemetry(&self) -> Figures {
+    fn telemetry(&self) -> NodeMetrics {
         let attempt_ends = self.router.failed_attempt_counts();
-        Figures {
-            replies: self.responses_by_class(),
-            dispatches: self.upstream.written.get(),
-            concurrent: self.router.active_count(),
-            targets: self.directory.listed_count(),
-            targets_disabled: self.router.unavailable_replica_count(),
-            crossings: self.cross_zone_totals(),
+        NodeMetrics {
+            responses: self.responses_by_class(),
+            attempts_sent: self.upstream.written.get(),
+            active_requests: self.router.active_count(),
+            replica_count: self.directory.listed_count(),
+            avoided_replica_count: self.router.unavailable_replica_count(),
+            cross_zone_attempts: self.cross_zone_totals(),
             attempt_ends: attempt_ends
                 .into_iter()
                 .map(|counted| (counted.outcome, counted.count))
@@ -49,7 +49,7 @@
             // The caller knows these and fills them in.
             reloads: (0, 0),
             fleet: Vec::new(),
-            closes: Vec::new(),
+            client_closes: Vec::new(),
         }
     }
 
--- a/src/transport/endpoints/poll.rs
+++ b/src/transport/endpoints/poll.rs
@@ -5,7 +5,9 @@
 //! dropped with it.
 
 use crate::protocol::discovery::{parse_endpoint_list, EndpointListError, EndpointListResponse};
-use crate::protocol::http::{Fault, Http, Out, Part, Side, Start};
+use crate::protocol::http::{
+    EncodedMessage, HttpCodec, HttpParseError, MessagePart, Role, StartLine,
+};
 use crate::protocol::request;
 use crate::transport::Wire;
 use futures_util::{SinkExt, StreamExt};
@@ -31,7 +33,7 @@
     Connect(#[source] std::io::Error),
     /// The connection failed, or what came is not HTTP.
     #[error("{0}")]
-    Http(Fault),
+    Http(HttpParseError),
     /// The service closed the connection before its answer was complete.
     #[error("connection closed")]
     Closed,
@@ -83,7 +85,7 @@
         .await
         .map_err(|_| PollError::ConnectTimeout)?
         .map_err(PollError::Connect)?;
-    Ok(Framed::new(socket.into(), Http::new(Side::Client)))
+    Ok(Framed::new(socket.into(), HttpCodec::new(Role::Client)))
 }
 
 /// Sends a request and reads its answer, whatever its status.
@@ -99,9 +101,9 @@
         poll.known_version,
         poll.wait.as_millis()
     );
-    let head = request::get(&target, &poll.service_addr.to_string());
+    let head = request::get_request(&target, &poll.service_addr.to_string());
     connection
-        .send(Out::Raw(head))
+        .send(EncodedMessage::Raw(head))
         .await
         .map_err(PollError::Http)?;
     let mut response = PollResponse {
@@ -111,20 +113,20 @@
     };
     loop {
         match connection.next().await {
-            Some(Ok(Part::Head(head))) => {
-                response.keeps_connection = head.keep;
-                response.status = match head.start {
-                    Start::Status(status) => status,
-                    Start::Request { .. } => 0,
+            Some(Ok(MessagePart::Head(head))) => {
+                response.keeps_connection = head.keeps_connection;
+                response.status = match head.start_line {
+                    StartLine::Status(status) => status,
+                    StartLine::Request { .. } => 0,
                 };
             }
-            Some(Ok(Part::Body(bytes))) => {
+            Some(Ok(MessagePart::Body(bytes))) => {
                 if response.body.len() + bytes.len() > MAX_RESPONSE_BYTES {
                     return Err(PollError::TooLong);
                 }
                 response.body.extend_from_slice(&bytes);
             }
-            Some(Ok(Part::End)) => return Ok(response),
+            Some(Ok(MessagePart::End)) => return Ok(response),
             Some(Err(fault)) => return Err(PollError::Http(fault)),
             None => return Err(PollError::Closed),
         }
--- a/src/transport/listener.rs
+++ b/src/transport/listener.rs
@@ -122,7 +122,7 @@
 /// Refuses without reading: the client gets its answer at once and the connection ends.
 async fn turn_away(socket: TcpStream, _place: Rc<()>) {
     let mut socket = Socket::from(socket);
-    let answer = request::own_answer(
+    let answer = request::local_response(
         503,
         "this node holds as many connections as it may",
         Some(AGAIN_US),
--- a/src/transport/messages.rs
+++ b/src/transport/messages.rs
@@ -4,7 +4,7 @@
 //! The channel to the dispatcher is bounded (`program::serve` names its capacity). A task that finds it full waits until the
 //! dispatcher has taken a batch of messages; nothing is dropped.
 
-use crate::protocol::admin::Figures;
+use crate::protocol::admin::NodeMetrics;
 use crate::routing::directory::EndpointSourceSettings;
 use crate::routing::{DurationMicros, ReplicaStatus};
 use bytes::Bytes;
@@ -193,7 +193,7 @@
 /// A question about the dispatcher's state, with the place where the answer goes. [`query`] asks one.
 pub enum DispatcherQuery {
     /// The figures that operators get.
-    Telemetry(Reply<Figures>),
+    Telemetry(Reply<NodeMetrics>),
     /// Traffic to other zones by minute, class and tenant.
     CrossZoneTraffic(Reply<Vec<CrossZoneMinute>>),
     /// What this node would have spent of each budget since the start.
--- a/src/transport/mod.rs
+++ b/src/transport/mod.rs
@@ -22,12 +22,12 @@
 pub mod streams;
 pub mod upstream;
 
-use crate::protocol::http::Http;
+use crate::protocol::http::HttpCodec;
 use std::time::Duration;
 use tokio_util::codec::Framed;
 
 /// A connection with its codec; both directions have one bounded buffer, used again and again.
-pub type Wire = Framed<socket::Socket, Http>;
+pub type Wire = Framed<socket::Socket, HttpCodec>;
 
 /// The figures that bound the transport; `program::config` fills them in.
 #[derive(Clone, Debug, PartialEq)]
--- a/src/transport/pool.rs
+++ b/src/transport/pool.rs
@@ -7,7 +7,7 @@
 )]
 
 use super::Wire;
-use crate::protocol::http::{Http, Side};
+use crate::protocol::http::{HttpCodec, Role};
 use poppykeel_scheduler::ReplicaId;
 use rustix::io::Errno;
 use std::cell::RefCell;
@@ -127,7 +127,7 @@
         let place = Place(self.open.clone());
         match tokio::time::timeout(self.dial, TcpStream::connect(peer.1)).await {
             Ok(Ok(socket)) => Ok(Conn {
-                wire: Framed::new(socket.into(), Http::new(Side::Client)),
+                wire: Framed::new(socket.into(), HttpCodec::new(Role::Client)),
                 _place: place,
             }),
             Ok(Err(e)) if is_local(&e) => {
@@ -155,7 +155,7 @@
     /// Takes back a connection whose answer is complete, to be used again after `rest`; one with unread bytes is
     /// closed instead.
     pub fn put(&self, peer: Peer, conn: Conn, rest: Duration) {
-        if conn.wire.codec().idle() && quiet(&conn.wire) {
+        if conn.wire.codec().is_between_messages() && quiet(&conn.wire) {
             let since = Instant::now();
             let resting = Resting {
                 since,
--- a/src/transport/relay.rs
+++ b/src/transport/relay.rs
@@ -138,7 +138,7 @@
                 arrival.is_client_retry = false;
                 tracing::info!(request = %self.arrival.id, next = %arrival.id, epoch, tokens, "stream continued");
                 self.arrival = arrival.clone();
-                let head = request::upstream_head(&self.head, rest.len(), Some(arrival.id));
+                let head = request::replica_request_head(&self.head, rest.len(), Some(arrival.id));
                 let payload = RequestPayload {
                     head,
                     body: rest.into(),
--- a/src/transport/upstream.rs
+++ b/src/transport/upstream.rs
@@ -13,9 +13,9 @@
 use super::pool::{Conn, NoConn, Peer, Pool};
 use super::streams::{Live, Streams};
 use super::Bounds;
-use crate::protocol::answer::{Answer, Step};
-use crate::protocol::http::{Out, Part, Start};
-use crate::protocol::report::{probed, report};
+use crate::protocol::answer::{ResponseReader, ResponseStep};
+use crate::protocol::http::{EncodedMessage, MessagePart, StartLine};
+use crate::protocol::report::{parse_load_report, probe_outcome};
 use crate::protocol::request;
 use crate::routing::cross_zone::{CrossZoneTraffic, RequestGroup};
 use crate::routing::DurationMicros;
@@ -93,7 +93,7 @@
             .await;
         let Some(mut conn) = conn else { return };
         let rest = async {
-            while !conn.wire.codec().idle() {
+            while !conn.wire.codec().is_between_messages() {
                 match conn.wire.next().await {
                     Some(Ok(_)) => {}
                     _ => return false,
@@ -132,7 +132,7 @@
                 .borrow_mut()
                 .record(self.clock.reading().unix_us, group);
         }
-        let mut answer = Answer::new(self.boot.clone());
+        let mut answer = ResponseReader::new(self.boot.clone());
         let mut steps = Vec::new();
         let mut keep = false;
         let mut to_client = None;
@@ -157,18 +157,18 @@
             match part {
                 Some(Ok(part)) => {
                     live.iter().for_each(Live::event);
-                    if let Part::Head(head) = &part {
-                        keep = head.keep;
+                    if let MessagePart::Head(head) = &part {
+                        keep = head.keeps_connection;
                         let (request, attempt, from) = (job.request, job.attempt, job.peer.1);
-                        tracing::debug!(%request, attempt, %from, start = ?head.start, "answer begins");
+                        tracing::debug!(%request, attempt, %from, start = ?head.start_line, "answer begins");
                     }
                     answer.feed(part, &mut steps);
                 }
-                Some(Err(_)) | None => answer.broke(&mut steps),
+                Some(Err(_)) | None => answer.connection_lost(&mut steps),
             }
             for step in steps.drain(..) {
                 match step {
-                    Step::First(content_type) => {
+                    ResponseStep::Started(content_type) => {
                         let (sender, body) = mpsc::channel(PIECES);
                         to_client = Some(sender);
                         let (request, attempt) = (job.request, job.attempt);
@@ -183,7 +183,7 @@
                         });
                         let _ = self.tell.send(first).await;
                     }
-                    Step::Pass(bytes) => {
+                    ResponseStep::Forward(bytes) => {
                         let Some(sender) = &to_client else { continue };
                         if let Err(TrySendError::Full(piece)) =
                             sender.try_send(StreamChunk::Bytes(bytes))
@@ -194,7 +194,7 @@
                             live.iter().for_each(Live::reader_took);
                         }
                     }
-                    Step::Done(outcome, report) => {
+                    ResponseStep::Ended(outcome, report) => {
                         if let (Some(sender), AttemptOutcome::Completed) = (&to_client, outcome) {
                             let _ = sender.send(StreamChunk::End).await;
                         }
@@ -238,7 +238,7 @@
         };
         if write(
             &mut conn,
-            request::get(target, &peer.1.to_string()),
+            request::get_request(target, &peer.1.to_string()),
             Bytes::new(),
         )
         .await
@@ -249,17 +249,19 @@
         let (mut status, mut keep, mut body) = (0, false, Vec::new());
         loop {
             match conn.wire.next().await {
-                Some(Ok(Part::Head(head))) => {
-                    keep = head.keep;
-                    status = if let Start::Status(status) = head.start {
+                Some(Ok(MessagePart::Head(head))) => {
+                    keep = head.keeps_connection;
+                    status = if let StartLine::Status(status) = head.start_line {
                         status
                     } else {
                         0
                     };
                 }
-                Some(Ok(Part::Body(bytes))) if body.len() < PIECE => body.extend_from_slice(&bytes),
-                Some(Ok(Part::Body(_))) => return (AttemptOutcome::ServerError, None),
-                Some(Ok(Part::End)) => break,
+                Some(Ok(MessagePart::Body(bytes))) if body.len() < PIECE => {
+                    body.extend_from_slice(&bytes);
+                }
+                Some(Ok(MessagePart::Body(_))) => return (AttemptOutcome::ServerError, None),
+                Some(Ok(MessagePart::End)) => break,
                 _ => return (AttemptOutcome::ConnectionReset, None),
             }
         }
@@ -268,8 +270,8 @@
         }
         let load = std::str::from_utf8(&body)
             .ok()
-            .and_then(|text| report(text, &self.boot));
-        (probed(status), load)
+            .and_then(|text| parse_load_report(text, &self.boot));
+        (probe_outcome(status), load)
     }
 }
 
@@ -278,11 +280,11 @@
     conn: &mut Conn,
     head: Bytes,
     mut body: Bytes,
-) -> Result<(), crate::protocol::http::Fault> {
-    conn.wire.feed(Out::Raw(head)).await?;
+) -> Result<(), crate::protocol::http::HttpParseError> {
+    conn.wire.feed(EncodedMessage::Raw(head)).await?;
     while body.has_remaining() {
         conn.wire
-            .feed(Out::Raw(body.split_to(body.len().min(PIECE))))
+            .feed(EncodedMessage::Raw(body.split_to(body.len().min(PIECE))))
             .await?;
     }
     conn.wire.flush().await
--- a/tests/protocol.rs
+++ b/tests/protocol.rs
@@ -6,9 +6,9 @@
 use bytes::BytesMut;
 use poppykeel::program::config::operator::OperatorConfig;
 use poppykeel::program::config::{NodeConfig, Overrides};
-use poppykeel::protocol::answer::{Answer, Step};
+use poppykeel::protocol::answer::{ResponseReader, ResponseStep};
 use poppykeel::protocol::discovery::parse_endpoint_list;
-use poppykeel::protocol::http::{Fault, Http, Part, Side};
+use poppykeel::protocol::http::{HttpCodec, HttpParseError, MessagePart, Role};
 use poppykeel::routing::directory::{replica_id, EndpointDirectory};
 use poppykeel::routing::ClockReading;
 use poppykeel_scheduler::AttemptOutcome;
@@ -27,15 +27,15 @@
 
 /// The body and the number of heads and ends of a connection fed in pieces of this size.
 fn decode(bytes: &[u8], size: usize) -> (Vec<u8>, usize, usize) {
-    let (mut http, mut buffer) = (Http::new(Side::Client), BytesMut::new());
+    let (mut http, mut buffer) = (HttpCodec::new(Role::Client), BytesMut::new());
     let (mut body, mut heads, mut ends) = (Vec::new(), 0, 0);
     for piece in bytes.chunks(size) {
         buffer.extend_from_slice(piece);
         while let Some(part) = http.decode(&mut buffer).unwrap() {
             match part {
-                Part::Head(_) => heads += 1,
-                Part::Body(bytes) => body.extend_from_slice(&bytes),
-                Part::End => ends += 1,
+                MessagePart::Head(_) => heads += 1,
+                MessagePart::Body(bytes) => body.extend_from_slice(&bytes),
+                MessagePart::End => ends += 1,
             }
         }
     }
@@ -144,29 +144,31 @@
     }
 }
 
-fn feed(bodies: &[&str], end: bool) -> Vec<Step> {
+fn feed(bodies: &[&str], end: bool) -> Vec<ResponseStep> {
     let settings =
         serde_json::from_str::<serde_json::Value>(CONFIG).unwrap()["settings"].to_string();
-    let mut answer = Answer::new(Rc::new(SiteSettings::parse(&settings).unwrap()));
+    let mut answer = ResponseReader::new(Rc::new(SiteSettings::parse(&settings).unwrap()));
     let mut steps = Vec::new();
     let mut buffer = BytesMut::from("HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n");
     answer.feed(
-        Http::new(Side::Client)
+        HttpCodec::new(Role::Client)
             .decode(&mut buffer)
             .unwrap()
             .unwrap(),
         &mut steps,
     );
-    let bodies = bodies.iter().map(|b| Part::Body(b.to_string().into()));
+    let bodies = bodies
+        .iter()
+        .map(|b| MessagePart::Body(b.to_string().into()));
     bodies
-        .chain(end.then_some(Part::End))
+        .chain(end.then_some(MessagePart::End))
         .for_each(|part| answer.feed(part, &mut steps));
     steps
 }
 
 #[test]
 fn a_stream_without_an_event_was_not_served() {
-    let spoilt = [Step::Done(AttemptOutcome::ConnectionReset, None)];
+    let spoilt = [ResponseStep::Ended(AttemptOutcome::ConnectionReset, None)];
     assert_eq!(feed(&["what is this"], true), spoilt);
     assert_eq!(feed(&[], true), spoilt);
     assert_eq!(feed(&["x".repeat(100_000).as_str()], false), spoilt);
@@ -176,7 +178,7 @@
     assert_eq!(late.len(), 3, "{late:?}");
     assert_eq!(
         feed(&["data: 1\n\n"], true).last(),
-        Some(&Step::Done(AttemptOutcome::Completed, None))
+        Some(&ResponseStep::Ended(AttemptOutcome::Completed, None))
     );
 }
 
@@ -191,12 +193,12 @@
         format!("{head}C0000000\r\nx"),
         format!("{head}FFFFFFFFFFFFFFFFF\r\n"),
     ] {
-        let (mut http, mut buffer) = (Http::new(Side::Client), BytesMut::from(bad.as_str()));
+        let (mut http, mut buffer) = (HttpCodec::new(Role::Client), BytesMut::from(bad.as_str()));
         let fault = (0..9)
             .map(|_| http.decode(&mut buffer))
             .find_map(Result::err);
         assert!(
-            matches!(fault, Some(Fault::Malformed(_))),
+            matches!(fault, Some(HttpParseError::Malformed(_))),
             "{bad}: {fault:?}"
         );
     }
@@ -210,7 +212,7 @@
         serde_json::from_str::<serde_json::Value>(CONFIG).unwrap()["settings"].clone();
     settings["report"]["fields"] = json!(["x0", "x1", "busy_reqs", "pending", "svc_ms"]);
     let boot = SiteSettings::parse(&settings.to_string()).unwrap();
-    let read = |text: &str| poppykeel::protocol::report::report(text, &boot).unwrap();
+    let read = |text: &str| poppykeel::protocol::report::parse_load_report(text, &boot).unwrap();
     let report = read(r#"{"x0":0.5,"x1":2.0,"inflight":6,"queue":2,"extra":1}"#);
     let expected = (Some(0.5), Some(2000.0), Some(6.0), Some(2.0));
     assert_eq!(
@@ -223,7 +225,7 @@
         expected
     );
     assert_eq!(read(r#"{"pending":3}"#).requests_queued, Some(3.0));
-    let before = poppykeel::protocol::report::passed_over();
+    let before = poppykeel::protocol::report::ignored_value_count();
     let bad = read(r#"{"x0":"much","x1":-2,"pending":null}"#);
     assert_eq!(
         (
@@ -233,9 +235,12 @@
         ),
         (None, None, None)
     );
-    assert_eq!(poppykeel::protocol::report::report("[1,2]", &boot), None);
+    assert_eq!(
+        poppykeel::protocol::report::parse_load_report("[1,2]", &boot),
+        None
+    );
     assert!(
-        poppykeel::protocol::report::passed_over() >= before + 3,
+        poppykeel::protocol::report::ignored_value_count() >= before + 3,
         "two values and a report are counted"
     );
 }
--- a/tests/transport.rs
+++ b/tests/transport.rs
@@ -11,7 +11,7 @@
 
 use drivers::{config, shared};
 use futures_util::{SinkExt, StreamExt};
-use poppykeel::protocol::http::{Out, Part};
+use poppykeel::protocol::http::{EncodedMessage, MessagePart};
 use poppykeel::routing::directory::replica_id;
 use poppykeel::transport::client::Client;
 use poppykeel::transport::clock::Clock;
@@ -43,12 +43,15 @@
     let mut conn = pool.get(peer).await.ok().unwrap();
     let mut replica = listener.accept().unwrap().0;
     conn.wire
-        .send(Out::Raw("GET / HTTP/1.1\r\n\r\n".into()))
+        .send(EncodedMessage::Raw("GET / HTTP/1.1\r\n\r\n".into()))
         .await
         .unwrap();
     replica.write_all(ANSWER).unwrap();
-    assert!(matches!(conn.wire.next().await, Some(Ok(Part::Head(_)))));
-    assert!(matches!(conn.wire.next().await, Some(Ok(Part::End))));
+    assert!(matches!(
+        conn.wire.next().await,
+        Some(Ok(MessagePart::Head(_)))
+    ));
+    assert!(matches!(conn.wire.next().await, Some(Ok(MessagePart::End))));
     let port = conn.wire.get_ref().local_addr().unwrap();
     pool.put(peer, conn, Duration::ZERO);
 
