--- a/src/program/serve/reload.rs
+++ b/src/program/serve/reload.rs
@@ -25,18 +25,18 @@
         &mut self,
         read_again: impl Fn() -> Result<ServeSettings, SettingsFileError>,
     ) {
-        let (mut success_count, mut failure_count) = self.admin.reloads.get();
+        let mut reloads = self.admin.reloads.get();
         match self.read_settings(read_again) {
             Ok(accepted) => {
                 self.apply_settings(accepted).await;
-                success_count += 1;
+                reloads.success += 1;
             }
             Err(error) => {
                 tracing::error!(why = %error, "kept as it was");
-                failure_count += 1;
+                reloads.failure += 1;
             }
         }
-        self.admin.reloads.set((success_count, failure_count));
+        self.admin.reloads.set(reloads);
     }
 
     /// Reads the settings, checks that they may replace those in force, and passes on those of the fleet.
--- a/src/protocol/answer.rs
+++ b/src/protocol/answer.rs
@@ -1,25 +1,28 @@
-//! A replica's answer: fed the parts of one message, it says what to pass on and how the attempt ended.
-
-#![expect(clippy::min_ident_chars, reason = "not yet converted")]
+//! A replica's response: fed the parts of one message, a reader says what to forward and how the attempt ended.
+//!
+//! `transport::upstream` has one reader for each attempt.
 
 use crate::protocol::events::EventStreamScanner;
-use crate::protocol::http::{Head, Headers, MessagePart, StartLine};
+use crate::protocol::http::{Head, MessagePart, StartLine};
 use crate::protocol::report::parse_load_report;
 use bytes::{Bytes, BytesMut};
 use poppykeel_scheduler::{AttemptOutcome, LoadReport};
 use poppykeel_site_settings::SiteSettings;
 use std::rc::Rc;
 
-/// The longest event: a stream that goes on without completing one is spoilt, and would never end.
-const MOST_EVENT: usize = 64 * 1024;
-
-/// The type of an event stream.
-const EVENTS: &str = "text/event-stream";
+/// The longest event, in bytes: a stream that goes on without completing one is broken, and would never end.
+const MAX_EVENT_BYTES: usize = 64 * 1024;
+/// The content type of an event stream.
+const EVENT_STREAM_TYPE: &str = "text/event-stream";
+/// The header field with a load report.
+const LOAD_REPORT_HEADER: &str = "srv-load";
+/// The header field by which a replica says that the request never ran.
+const DECLINED_HEADER: &str = "srv-declined";
 
-/// What an answer comes to, part by part.
+/// What follows from a part of a response.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ResponseStep {
-    /// The first event is here: the stream begins, with this content type.
+    /// The first event is complete: the stream begins, with this content type.
     Started(String),
     /// Bytes for the client.
     Forward(Bytes),
@@ -27,115 +30,129 @@
     Ended(AttemptOutcome, Option<LoadReport>),
 }
 
-/// Reads one answer.
+/// Reads one response.
 #[derive(Debug)]
 pub struct ResponseReader {
-    boot: Rc<SiteSettings>,
-    scan: EventStreamScanner,
-    report: Option<LoadReport>,
+    settings: Rc<SiteSettings>,
+    scanner: EventStreamScanner,
+    /// The load report in the head.
+    head_report: Option<LoadReport>,
     content_type: String,
-    /// The body is a stream of events, as its type says; other bodies pass as they are.
-    events: bool,
-    started: bool,
-    done: bool,
+    /// Whether the body is an event stream, as its content type says; other bodies are forwarded as they are.
+    is_event_stream: bool,
+    has_started: bool,
+    has_ended: bool,
+    /// Bytes that came before the first event was complete.
     held: BytesMut,
 }
 
 impl ResponseReader {
-    /// Nothing has come yet.
-    pub fn new(boot: Rc<SiteSettings>) -> Self {
-        let (scan, content_type, held) = Default::default();
+    /// A reader before the head of the response.
+    pub fn new(settings: Rc<SiteSettings>) -> Self {
         ResponseReader {
-            boot,
-            scan,
-            report: None,
-            content_type,
-            events: false,
-            started: false,
-            done: false,
-            held,
+            settings,
+            scanner: EventStreamScanner::default(),
+            head_report: None,
+            content_type: String::new(),
+            is_event_stream: false,
+            has_started: false,
+            has_ended: false,
+            held: BytesMut::new(),
         }
     }
 
-    /// Takes the next part and appends what follows from it.
+    /// Takes the next part and appends what follows from it. Parts after the end of the attempt are ignored.
     pub fn feed(&mut self, part: MessagePart, steps: &mut Vec<ResponseStep>) {
+        if self.has_ended {
+            return;
+        }
         match part {
-            _ if self.done => {}
-            MessagePart::Head(head) => {
-                self.report = head
-                    .headers
-                    .get("srv-load")
-                    .and_then(|v| parse_load_report(v, &self.boot));
-                if let Some(outcome) = verdict(&head) {
-                    self.done = true;
-                    steps.push(ResponseStep::Ended(outcome, self.report));
-                }
-                let kind = head.headers.get("content-type");
-                self.content_type = kind.unwrap_or(EVENTS).to_string();
-                self.events = self.content_type.starts_with(EVENTS);
-            }
-            MessagePart::Body(bytes) => {
-                self.scan.feed(&bytes, &self.boot);
-                if self.events && self.scan.unfinished_event_bytes() > MOST_EVENT {
-                    return self.connection_lost(steps);
-                }
-                if self.started {
-                    return steps.push(ResponseStep::Forward(bytes));
-                }
-                self.held.extend_from_slice(&bytes);
-                if self.scan.event_count() > 0 || self.held.len() > MOST_EVENT {
-                    self.start(steps);
-                }
-            }
-            MessagePart::End => {
-                // Noise with a proper end is not an answer: nothing of it may reach the client as served.
-                if self.events && self.scan.event_count() == 0 {
-                    return self.connection_lost(steps);
-                }
-                if !self.started {
-                    self.start(steps);
-                }
-                self.done = true;
-                steps.push(ResponseStep::Ended(
-                    AttemptOutcome::Completed,
-                    self.last_report(),
-                ));
-            }
+            MessagePart::Head(head) => self.take_head(&head, steps),
+            MessagePart::Body(bytes) => self.take_body(bytes, steps),
+            MessagePart::End => self.take_end(steps),
+        }
+    }
+
+    fn take_head(&mut self, head: &Head, steps: &mut Vec<ResponseStep>) {
+        self.head_report = head
+            .headers
+            .get(LOAD_REPORT_HEADER)
+            .and_then(|text| parse_load_report(text, &self.settings));
+        if let Some(outcome) = outcome_of_head(head) {
+            self.has_ended = true;
+            steps.push(ResponseStep::Ended(outcome, self.head_report));
+        }
+        let content_type = head.headers.get("content-type");
+        self.content_type = content_type.unwrap_or(EVENT_STREAM_TYPE).to_string();
+        self.is_event_stream = self.content_type.starts_with(EVENT_STREAM_TYPE);
+    }
+
+    fn take_body(&mut self, bytes: Bytes, steps: &mut Vec<ResponseStep>) {
+        self.scanner.feed(&bytes, &self.settings);
+        if self.is_event_stream && self.scanner.unfinished_event_bytes() > MAX_EVENT_BYTES {
+            self.connection_lost(steps);
+            return;
+        }
+        if self.has_started {
+            steps.push(ResponseStep::Forward(bytes));
+            return;
+        }
+        self.held.extend_from_slice(&bytes);
+        if self.scanner.event_count() > 0 || self.held.len() > MAX_EVENT_BYTES {
+            self.start(steps);
+        }
+    }
+
+    fn take_end(&mut self, steps: &mut Vec<ResponseStep>) {
+        // Bytes without an event and with a proper end are no response: none of them may reach the client as one.
+        if self.is_event_stream && self.scanner.event_count() == 0 {
+            self.connection_lost(steps);
+            return;
+        }
+        if !self.has_started {
+            self.start(steps);
         }
+        self.has_ended = true;
+        steps.push(ResponseStep::Ended(
+            AttemptOutcome::Completed,
+            self.last_report(),
+        ));
     }
 
-    /// The connection broke, or ended before the answer did.
+    /// The connection was lost, or ended before the response did.
     pub fn connection_lost(&mut self, steps: &mut Vec<ResponseStep>) {
-        if !std::mem::replace(&mut self.done, true) {
-            steps.push(ResponseStep::Ended(
-                AttemptOutcome::ConnectionReset,
-                self.last_report(),
-            ));
+        if self.has_ended {
+            return;
         }
+        self.has_ended = true;
+        steps.push(ResponseStep::Ended(
+            AttemptOutcome::ConnectionReset,
+            self.last_report(),
+        ));
     }
 
-    /// The report in the stream, else the one in its head; what was found kept goes with either.
+    /// The load report in the stream, or else the one in the head; the number of cached tokens comes with either.
     fn last_report(&self) -> Option<LoadReport> {
-        let told = self.scan.load_report();
-        match self.report.filter(|_| !self.scan.has_load_report()) {
-            Some(head) => Some(LoadReport {
-                cached_prompt_tokens: told.and_then(|r| r.cached_prompt_tokens),
-                ..head
+        let stream_report = self.scanner.load_report();
+        match self.head_report {
+            Some(head_report) if !self.scanner.has_load_report() => Some(LoadReport {
+                cached_prompt_tokens: stream_report.and_then(|report| report.cached_prompt_tokens),
+                ..head_report
             }),
-            None => told,
+            _ => stream_report,
         }
     }
 
-    /// Whether the first event has passed.
+    /// Whether the first event has been forwarded.
     pub fn has_started(&self) -> bool {
-        self.started
+        self.has_started
     }
 
+    /// Begins to forward, with the bytes held so far.
     fn start(&mut self, steps: &mut Vec<ResponseStep>) {
-        self.started = true;
-        steps.push(ResponseStep::Started(std::mem::take(
-            &mut self.content_type,
-        )));
+        self.has_started = true;
+        let content_type = std::mem::take(&mut self.content_type);
+        steps.push(ResponseStep::Started(content_type));
         let held = std::mem::take(&mut self.held).freeze();
         if !held.is_empty() {
             steps.push(ResponseStep::Forward(held));
@@ -143,17 +160,20 @@
     }
 }
 
-/// The outcome that a head alone tells; none where a stream follows. Only the replica's own word proves that
-/// the request never ran: a 503 without it may come from one that began.
-fn verdict(head: &Head) -> Option<AttemptOutcome> {
-    let declined = |h: &Headers| h.get("srv-declined").is_some_and(|v| v.trim() == "1");
+/// The outcome that a head alone says; `None` where a stream follows. Only the replica's own word proves that the request
+/// never ran: a 503 without it may come from one that began.
+fn outcome_of_head(head: &Head) -> Option<AttemptOutcome> {
+    let is_declined = head
+        .headers
+        .get(DECLINED_HEADER)
+        .is_some_and(|value| value.trim() == "1");
     match head.start_line {
         StartLine::Status(200) => None,
-        // What a bad client sends must neither be tried at replica after replica nor make them seem ill.
+        // What a bad client sends must neither be tried at replica after replica nor make them seem unhealthy.
         StartLine::Status(400..=407 | 409..=428 | 430..=499) => {
             Some(AttemptOutcome::InvalidRequest)
         }
-        StartLine::Status(503 | 504) if declined(&head.headers) => Some(AttemptOutcome::AtCapacity),
+        StartLine::Status(503 | 504) if is_declined => Some(AttemptOutcome::AtCapacity),
         _ => Some(AttemptOutcome::ServerError),
     }
 }
--- a/src/protocol/events.rs
+++ b/src/protocol/events.rs
@@ -1,91 +1,122 @@
-//! The event stream of an answer, looked at while it passes: where its first event ends, the load report in a
-//! comment line, and how much of the prompt was found kept. Nothing is changed.
-
-#![expect(clippy::min_ident_chars, reason = "not yet converted")]
+//! The event stream of a response, scanned while it passes: where its events end, the load report in a comment line, and
+//! how many prompt tokens the replica had cached. The bytes are not changed.
+//!
+//! `protocol::answer` feeds a scanner with the body of each response.
 
 use crate::protocol::report::parse_load_report;
 use poppykeel_scheduler::LoadReport;
 use poppykeel_site_settings::SiteSettings;
 use serde_json::Value;
 
-/// Lines longer than this are events for certain and are not kept to be looked at.
-const MOST_LINE: usize = 4096;
+/// Of longer lines only this many bytes are kept: they are data for certain, and too long to be looked at.
+const MAX_LINE_BYTES: usize = 4096;
+/// The name of the comment with a load report.
+const LOAD_REPORT_NAME: &str = "srv-load";
+/// The field of a line with data.
+const DATA_FIELD: &[u8] = b"data:";
+/// What an event with the number of cached tokens has.
+const CACHED_TOKENS_KEY: &[u8] = b"\"cached_tokens\"";
 
-/// Follows one stream.
+/// Scans one event stream.
 #[derive(Debug, Default)]
 pub struct EventStreamScanner {
+    /// The beginning of the line that is not complete yet.
     line: Vec<u8>,
+    /// Whether the event that is not complete yet has data.
     has_data: bool,
-    events: u64,
-    since: usize,
-    report: Option<LoadReport>,
-    kept: Option<f64>,
+    event_count: u64,
+    unfinished_event_bytes: usize,
+    load_report: Option<LoadReport>,
+    cached_prompt_tokens: Option<f64>,
 }
 
 impl EventStreamScanner {
-    /// Looks at the next bytes.
-    pub fn feed(&mut self, bytes: &[u8], boot: &SiteSettings) {
-        for piece in bytes.split_inclusive(|b| *b == b'\n') {
-            self.since = self.since.saturating_add(piece.len());
-            let room = MOST_LINE.saturating_sub(self.line.len()).min(piece.len());
-            self.line.extend_from_slice(&piece[..room]);
+    /// Scans the next bytes.
+    pub fn feed(&mut self, bytes: &[u8], settings: &SiteSettings) {
+        for piece in bytes.split_inclusive(|byte| *byte == b'\n') {
+            self.unfinished_event_bytes = self.unfinished_event_bytes.saturating_add(piece.len());
+            let free_bytes = MAX_LINE_BYTES.saturating_sub(self.line.len());
+            let kept_bytes = free_bytes.min(piece.len());
+            self.line.extend_from_slice(&piece[..kept_bytes]);
             if piece.ends_with(b"\n") {
-                let line = std::mem::take(&mut self.line);
-                self.take(line.trim_ascii_end(), boot);
+                let mut line = std::mem::take(&mut self.line);
+                self.scan_line(line.trim_ascii_end(), settings);
+                // The buffer is used again.
+                line.clear();
                 self.line = line;
-                self.line.clear();
             }
         }
     }
 
-    fn take(&mut self, line: &[u8], boot: &SiteSettings) {
+    fn scan_line(&mut self, line: &[u8], settings: &SiteSettings) {
         if line.is_empty() {
-            self.events += u64::from(std::mem::take(&mut self.has_data));
-            self.since = 0;
+            self.finish_event();
         } else if let Some(comment) = line.strip_prefix(b":") {
-            let text = std::str::from_utf8(comment)
-                .unwrap_or_default()
-                .trim_start();
-            let value = text
-                .split_once(':')
-                .filter(|(name, _)| name.eq_ignore_ascii_case("srv-load"));
-            self.report = value
-                .and_then(|(_, value)| parse_load_report(value, boot))
-                .or(self.report);
+            if let Some(report) = parse_comment(comment, settings) {
+                self.load_report = Some(report);
+            }
         } else {
             self.has_data = true;
-            self.kept = line.strip_prefix(b"data:").and_then(kept).or(self.kept);
+            let tokens = line.strip_prefix(DATA_FIELD).and_then(parse_cached_tokens);
+            if tokens.is_some() {
+                self.cached_prompt_tokens = tokens;
+            }
         }
     }
 
-    /// Complete events so far.
+    fn finish_event(&mut self) {
+        if self.has_data {
+            self.event_count += 1;
+        }
+        self.has_data = false;
+        self.unfinished_event_bytes = 0;
+    }
+
+    /// How many events with data are complete.
     pub fn event_count(&self) -> u64 {
-        self.events
+        self.event_count
     }
+
     /// Bytes since the last event was complete.
     pub fn unfinished_event_bytes(&self) -> usize {
-        self.since
+        self.unfinished_event_bytes
     }
-    /// Whether a load report has come.
+
+    /// Whether the stream had a load report.
     pub fn has_load_report(&self) -> bool {
-        self.report.is_some()
+        self.load_report.is_some()
     }
-    /// The newest load report, with the kept part of the prompt where the stream told it.
+
+    /// The newest load report, with the number of cached prompt tokens where the stream had one.
     pub fn load_report(&self) -> Option<LoadReport> {
-        let kept = self.kept.map(|_| LoadReport {
-            cached_prompt_tokens: self.kept,
-            ..self.report.unwrap_or_default()
-        });
-        kept.or(self.report)
+        if self.cached_prompt_tokens.is_none() {
+            return self.load_report;
+        }
+        Some(LoadReport {
+            cached_prompt_tokens: self.cached_prompt_tokens,
+            ..self.load_report.unwrap_or_default()
+        })
     }
 }
 
-/// Prompt tokens found kept, in an event with a usage; most events have none and are not parsed.
-fn kept(data: &[u8]) -> Option<f64> {
-    const KEY: &[u8] = b"\"cached_tokens\"";
-    data.windows(KEY.len())
-        .any(|part| part == KEY)
-        .then_some(())?;
+/// The load report in a comment line, without its colon.
+fn parse_comment(comment: &[u8], settings: &SiteSettings) -> Option<LoadReport> {
+    let text = std::str::from_utf8(comment).unwrap_or_default();
+    let (name, value) = text.trim_start().split_once(':')?;
+    if !name.eq_ignore_ascii_case(LOAD_REPORT_NAME) {
+        return None;
+    }
+    parse_load_report(value, settings)
+}
+
+/// The number of cached prompt tokens in an event with the usage. Most events have none and are not parsed.
+fn parse_cached_tokens(data: &[u8]) -> Option<f64> {
+    let has_key = data
+        .windows(CACHED_TOKENS_KEY.len())
+        .any(|window| window == CACHED_TOKENS_KEY);
+    if !has_key {
+        return None;
+    }
     let event: Value = serde_json::from_slice(data).ok()?;
     event["usage"]["prompt_tokens_details"]["cached_tokens"]
         .as_u64()
--- /dev/null
+++ b/src/protocol/http/framing.rs
@@ -0,0 +1,115 @@
+//! How the body of a message is delimited: by its length, by chunks or by the end of the connection.
+
+use super::codec::DecoderState;
+use super::error::HttpParseError;
+use super::head::{Headers, StartLine};
+use bytes::BytesMut;
+
+/// The longest line that announces a chunk, and the longest trailer line, in bytes.
+const MAX_LINE_BYTES: usize = 4 * 1024;
+/// A length has fewer decimal digits than this, so that it fits 64 bits.
+const MAX_LENGTH_DIGITS: usize = 19;
+/// The size of a chunk has fewer hex digits than this, so that it fits 64 bits.
+const MAX_CHUNK_SIZE_DIGITS: usize = 16;
+
+/// How a body is delimited.
+pub(super) struct BodyFraming {
+    /// What the decoder reads after the head.
+    pub state: DecoderState,
+    /// The length of the body in bytes, where the head says it.
+    pub body_length: Option<u64>,
+}
+
+/// How the body of a message is delimited. A length beside chunks is a way to smuggle requests: it is an error.
+pub(super) fn body_framing(
+    start_line: &StartLine,
+    headers: &Headers,
+) -> Result<BodyFraming, HttpParseError> {
+    let length = content_length(headers)?;
+    if is_chunked(headers, length.is_some())? {
+        return Ok(BodyFraming {
+            state: DecoderState::ChunkLine,
+            body_length: None,
+        });
+    }
+    let (state, body_length) = match (start_line, length) {
+        (StartLine::Status(204 | 304), _) | (_, Some(0)) => (DecoderState::Ended, Some(0)),
+        (_, Some(length)) => (DecoderState::FixedLength(length), Some(length)),
+        (StartLine::Request { .. }, None) => (DecoderState::Ended, Some(0)),
+        (StartLine::Status(_), None) => (DecoderState::UntilClose, None),
+    };
+    Ok(BodyFraming { state, body_length })
+}
+
+/// The value of `Content-Length`; all its values must be the same.
+fn content_length(headers: &Headers) -> Result<Option<u64>, HttpParseError> {
+    let mut length = None;
+    for value in headers.values("content-length") {
+        let value =
+            parse_content_length(value).ok_or(HttpParseError::Malformed("Content-Length"))?;
+        if length.is_some_and(|earlier| earlier != value) {
+            return Err(HttpParseError::Malformed("two values of Content-Length"));
+        }
+        length = Some(value);
+    }
+    Ok(length)
+}
+
+fn parse_content_length(value: &[u8]) -> Option<u64> {
+    let is_number = !value.is_empty()
+        && value.len() < MAX_LENGTH_DIGITS
+        && value.iter().all(u8::is_ascii_digit);
+    if !is_number {
+        return None;
+    }
+    std::str::from_utf8(value).ok()?.parse().ok()
+}
+
+/// Whether the body is chunked.
+fn is_chunked(headers: &Headers, has_content_length: bool) -> Result<bool, HttpParseError> {
+    let mut codings = headers.values("transfer-encoding");
+    let Some(coding) = codings.next() else {
+        return Ok(false);
+    };
+    if has_content_length {
+        return Err(HttpParseError::Malformed(
+            "Content-Length with Transfer-Encoding",
+        ));
+    }
+    if !coding.eq_ignore_ascii_case(b"chunked") || codings.next().is_some() {
+        return Err(HttpParseError::Malformed(
+            "Transfer-Encoding other than chunked",
+        ));
+    }
+    Ok(true)
+}
+
+/// Takes one line without its end off the buffer; `None` where it is not complete yet.
+pub(super) fn take_line(buffer: &mut BytesMut) -> Result<Option<BytesMut>, HttpParseError> {
+    let Some(end) = buffer.iter().position(|byte| *byte == b'\n') else {
+        if buffer.len() > MAX_LINE_BYTES {
+            return Err(HttpParseError::Malformed("chunk line"));
+        }
+        return Ok(None);
+    };
+    let mut line = buffer.split_to(end + 1);
+    let ending_bytes = if line.ends_with(b"\r\n") { 2 } else { 1 };
+    line.truncate(line.len() - ending_bytes);
+    Ok(Some(line))
+}
+
+/// The size in bytes that a chunk's line announces; extensions after a semicolon are ignored.
+pub(super) fn parse_chunk_size(line: &[u8]) -> Result<u64, HttpParseError> {
+    let digits = line
+        .split(|byte| *byte == b';')
+        .next()
+        .unwrap_or_default()
+        .trim_ascii();
+    let is_hex = (1..MAX_CHUNK_SIZE_DIGITS).contains(&digits.len())
+        && digits.iter().all(u8::is_ascii_hexdigit);
+    std::str::from_utf8(digits)
+        .ok()
+        .filter(|_| is_hex)
+        .and_then(|text| u64::from_str_radix(text, 16).ok())
+        .ok_or(HttpParseError::Malformed("chunk size"))
+}
--- /dev/null
+++ b/src/protocol/http/head.rs
@@ -0,0 +1,158 @@
+//! The head of a message: its first line and its header fields.
+
+use super::codec::Role;
+use super::error::HttpParseError;
+
+/// The longest head that is read, in bytes.
+pub const MAX_HEAD_BYTES: usize = 16 * 1024;
+/// The largest number of header fields in a head.
+pub(super) const MAX_HEADERS: usize = 64;
+/// The minor version of HTTP/1.1, the only one that is read.
+const HTTP_MINOR_VERSION: u8 = 1;
+
+/// One header field.
+#[derive(Clone, Debug, PartialEq)]
+struct HeaderField {
+    name: String,
+    value: Vec<u8>,
+}
+
+/// Header fields in the order in which they came. Names are compared without regard to case.
+#[derive(Clone, Debug, Default, PartialEq)]
+pub struct Headers(Vec<HeaderField>);
+
+impl Headers {
+    /// The first value of a name, where it is text.
+    pub fn get(&self, name: &str) -> Option<&str> {
+        let (_, value) = self
+            .iter()
+            .find(|(field_name, _)| field_name.eq_ignore_ascii_case(name))?;
+        std::str::from_utf8(value).ok()
+    }
+
+    /// All values of a name.
+    pub fn values<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a [u8]> {
+        self.iter()
+            .filter(move |(field_name, _)| field_name.eq_ignore_ascii_case(name))
+            .map(|(_, value)| value)
+    }
+
+    /// All fields, as names and values.
+    pub fn iter(&self) -> impl Iterator<Item = (&str, &[u8])> {
+        self.0
+            .iter()
+            .map(|field| (field.name.as_str(), field.value.as_slice()))
+    }
+
+    /// Whether a comma-separated field has this token.
+    pub fn has_token(&self, name: &str, token: &str) -> bool {
+        self.values(name)
+            .map(|value| std::str::from_utf8(value).unwrap_or_default())
+            .flat_map(|value| value.split(','))
+            .any(|candidate| candidate.trim().eq_ignore_ascii_case(token))
+    }
+}
+
+/// The first line of a message.
+#[derive(Clone, Debug, PartialEq)]
+pub enum StartLine {
+    /// Of a request.
+    Request {
+        /// The method.
+        method: String,
+        /// Path and query.
+        target: String,
+    },
+    /// Of a response, with its status code.
+    Status(u16),
+}
+
+/// The head of a message.
+#[derive(Clone, Debug, PartialEq)]
+pub struct Head {
+    /// The first line.
+    pub start_line: StartLine,
+    /// The header fields.
+    pub headers: Headers,
+    /// The length of the body in bytes, where the head says it.
+    pub body_length: Option<u64>,
+    /// Whether the connection may carry another message afterwards.
+    pub keeps_connection: bool,
+}
+
+/// A head as it stands at the beginning of a buffer.
+pub(super) struct ParsedHead {
+    pub start_line: StartLine,
+    pub headers: Headers,
+    /// Its length in bytes.
+    pub size: usize,
+}
+
+/// Parses the head at the beginning of the bytes; `None` where it is not complete yet.
+pub(super) fn parse_head(role: Role, bytes: &[u8]) -> Result<Option<ParsedHead>, HttpParseError> {
+    match role {
+        Role::Server => parse_request_head(bytes),
+        Role::Client => parse_response_head(bytes),
+    }
+}
+
+fn parse_request_head(bytes: &[u8]) -> Result<Option<ParsedHead>, HttpParseError> {
+    let mut fields = [httparse::EMPTY_HEADER; MAX_HEADERS];
+    let mut request = httparse::Request::new(&mut fields);
+    let Some(size) = head_size(request.parse(bytes), bytes.len())? else {
+        return Ok(None);
+    };
+    check_version(request.version)?;
+    Ok(Some(ParsedHead {
+        start_line: StartLine::Request {
+            method: request.method.unwrap_or_default().into(),
+            target: request.path.unwrap_or_default().into(),
+        },
+        headers: to_headers(request.headers),
+        size,
+    }))
+}
+
+fn parse_response_head(bytes: &[u8]) -> Result<Option<ParsedHead>, HttpParseError> {
+    let mut fields = [httparse::EMPTY_HEADER; MAX_HEADERS];
+    let mut response = httparse::Response::new(&mut fields);
+    let Some(size) = head_size(response.parse(bytes), bytes.len())? else {
+        return Ok(None);
+    };
+    check_version(response.version)?;
+    Ok(Some(ParsedHead {
+        start_line: StartLine::Status(response.code.unwrap_or(0)),
+        headers: to_headers(response.headers),
+        size,
+    }))
+}
+
+/// The length of a head in bytes by what the parser says of a buffer of this length; `None` where it is not complete yet.
+fn head_size(
+    parsed: httparse::Result<usize>,
+    buffered_bytes: usize,
+) -> Result<Option<usize>, HttpParseError> {
+    match parsed {
+        Ok(httparse::Status::Complete(size)) if size <= MAX_HEAD_BYTES => Ok(Some(size)),
+        Ok(httparse::Status::Partial) if buffered_bytes < MAX_HEAD_BYTES => Ok(None),
+        Ok(_) | Err(httparse::Error::TooManyHeaders) => Err(HttpParseError::HeadTooLong),
+        Err(httparse::Error::Version) => Err(HttpParseError::UnsupportedVersion),
+        Err(_) => Err(HttpParseError::Malformed("head")),
+    }
+}
+
+fn check_version(minor_version: Option<u8>) -> Result<(), HttpParseError> {
+    if minor_version == Some(HTTP_MINOR_VERSION) {
+        Ok(())
+    } else {
+        Err(HttpParseError::UnsupportedVersion)
+    }
+}
+
+fn to_headers(fields: &[httparse::Header]) -> Headers {
+    let fields = fields.iter().map(|field| HeaderField {
+        name: field.name.to_string(),
+        value: field.value.to_vec(),
+    });
+    Headers(fields.collect())
+}
--- a/src/protocol/mod.rs
+++ b/src/protocol/mod.rs
@@ -1,8 +1,9 @@
 //! Bytes to messages and back: no socket and no clock.
 //!
-//! `http` is the framing, `events` the event stream inside an answer. `request` turns a client's request into
-//! the module's arrival, `answer` a replica's answer into outcomes, `report` what it says of its load, `discovery` lists
-//! and `srv` DNS records into what the account of membership is told. Another client protocol would stand beside `request` and end in the same arrival.
+//! `http` is the framing, `events` the event stream inside a response. `request` turns a client's request into what the
+//! scheduler is told of it, `answer` a replica's response into the outcome of an attempt, `report` what a replica says of its
+//! load. `discovery` reads endpoint lists and `srv` maps DNS records to endpoints. `admin` has the operators' calls. Another
+//! client protocol would stand beside `request` and end in the same `IncomingRequest`.
 
 pub mod admin;
 pub mod answer;
--- /dev/null
+++ b/src/protocol/request/extra_fields.rs
@@ -0,0 +1,37 @@
+//! `Req-Extra`: what a client says of the prompt, as comma-separated fields `name=value`.
+
+use super::error::RequestError;
+use super::headers::{parse_id, parse_tokens};
+use poppykeel_scheduler::IncomingRequest;
+
+/// Takes the fields of `Req-Extra` into a request. Unknown fields, which newer clients send, are ignored.
+pub(super) fn apply_extra_fields(
+    text: &str,
+    request: &mut IncomingRequest,
+) -> Result<(), RequestError> {
+    for field in text.split(',').map(str::trim) {
+        if field.is_empty() {
+            continue;
+        }
+        let Some((name, value)) = field.split_once('=') else {
+            return Err(RequestError::bad_request(
+                "Req-Extra holds a field without a value",
+            ));
+        };
+        match name {
+            "prefix" => {
+                let prefix = parse_id("Req-Extra prefix", value)?;
+                request.shared_prefix = Some(prefix).filter(|prefix| *prefix != 0);
+            }
+            "prompt_len" => {
+                request.prompt_tokens = parse_tokens("Req-Extra prompt_len", value)?;
+            }
+            "prefix_len" => {
+                request.shared_prefix_tokens = parse_tokens("Req-Extra prefix_len", value)?;
+            }
+            "max_out" => request.max_output_tokens = parse_tokens("Req-Extra max_out", value)?,
+            _ => {}
+        }
+    }
+    Ok(())
+}
--- a/src/transport/admin.rs
+++ b/src/transport/admin.rs
@@ -7,7 +7,9 @@
 use super::messages::{query, DispatcherMessage, DispatcherQuery};
 use super::node_phase::NodePhase;
 use super::Wire;
-use crate::protocol::admin::{self, AdminCall, NodeMetrics};
+use crate::protocol::admin::{
+    self, AdminCall, ClientCloses, FleetMetric, NodeMetrics, ReloadCounts,
+};
 use crate::protocol::http::{EncodedMessage, HttpCodec, HttpParseError, MessagePart, Role};
 use crate::protocol::request;
 use bytes::Bytes;
@@ -35,8 +37,8 @@
     pub tell: mpsc::Sender<DispatcherMessage>,
     /// How far the node's life has come.
     pub phase: Rc<watch::Sender<NodePhase>>,
-    /// Files taken and turned down at SIGHUP.
-    pub reloads: Cell<(u64, u64)>,
+    /// Reloads of the settings at SIGHUP.
+    pub reloads: Cell<ReloadCounts>,
     /// The node's part in its fleet, where it has one.
     pub fleet: Option<Rc<CoordinationDriver>>,
     /// What clients' connections share.
@@ -90,6 +92,26 @@
         let _ = tokio::time::timeout(TAKE, sent).await;
     }
 
+    /// The response with the metrics: those of the dispatcher, and those that are known here.
+    async fn metrics_response(&self) -> Bytes {
+        let Some(dispatcher_metrics) = query(&self.tell, DispatcherQuery::Telemetry).await else {
+            return request::local_response(503, "the node is ending", None, true);
+        };
+        let fleet = self.fleet.as_ref().map(|fleet| fleet.metrics());
+        let fleet = fleet.unwrap_or_default().into_iter();
+        let closes = self.clients.closes.all().into_iter();
+        admin::metrics_response(&NodeMetrics {
+            reloads: self.reloads.get(),
+            fleet: fleet
+                .map(|(name, value)| FleetMetric { name, value })
+                .collect(),
+            client_closes: closes
+                .map(|(reason, count)| ClientCloses { reason, count })
+                .collect(),
+            ..dispatcher_metrics
+        })
+    }
+
     async fn answer(&self, call: AdminCall) -> Bytes {
         let yes = |text: &str| request::local_response(200, text, None, true);
         match call {
@@ -97,23 +119,7 @@
             AdminCall::Ready => {
                 request::local_response(503, "this node takes no clients now", None, true)
             }
-            AdminCall::Telemetry => match query(&self.tell, DispatcherQuery::Telemetry).await {
-                Some(told) => {
-                    let fleet = self
-                        .fleet
-                        .as_ref()
-                        .map(|fleet| fleet.metrics())
-                        .unwrap_or_default();
-                    let closes = self.clients.closes.all();
-                    admin::metrics_response(&NodeMetrics {
-                        reloads: self.reloads.get(),
-                        fleet,
-                        client_closes: closes,
-                        ..told
-                    })
-                }
-                None => request::local_response(503, "the node is ending", None, true),
-            },
+            AdminCall::Telemetry => self.metrics_response().await,
             AdminCall::Fleet => match &self.fleet {
                 Some(fleet) => admin::json_response(&fleet.status().to_string()),
                 None => request::local_response(404, "this node is in no fleet", None, true),
@@ -125,8 +131,11 @@
                     None => request::local_response(503, "the node is ending", None, true),
                 }
             }
-            AdminCall::Roll { out, hold } => match &self.fleet {
-                Some(fleet) => yes(&fleet.order_rolling_restart(out, hold)),
+            AdminCall::Roll {
+                max_nodes_out,
+                hold_us,
+            } => match &self.fleet {
+                Some(fleet) => yes(&fleet.order_rolling_restart(max_nodes_out, hold_us)),
                 None => request::local_response(404, "this node is in no fleet", None, true),
             },
             AdminCall::Evacuate => {
--- a/src/transport/coordination/report.rs
+++ b/src/transport/coordination/report.rs
@@ -236,20 +236,20 @@
 /// A node's figures as they travel between nodes.
 fn node_figures(own: NodeMetrics, wall_clock: Micros) -> NodeFigures {
     let mut replies = Vec::new();
-    for (class, [served, refused, failed]) in own.responses {
+    for responses in own.responses {
         replies.push(ClassReplies {
-            class,
-            served,
-            refused,
-            failed,
+            class: responses.class,
+            served: responses.completed,
+            refused: responses.rejected,
+            failed: responses.failed,
         });
     }
     let mut cross_zone_attempts = Vec::new();
-    for (class, tenant, count) in own.cross_zone_attempts {
+    for attempts in own.cross_zone_attempts {
         cross_zone_attempts.push(CrossZoneAttempts {
-            class,
-            tenant,
-            count,
+            class: attempts.class,
+            tenant: attempts.tenant,
+            count: attempts.count,
         });
     }
     NodeFigures {
--- a/src/transport/dispatcher/queries.rs
+++ b/src/transport/dispatcher/queries.rs
@@ -1,7 +1,9 @@
 //! Answers to questions about the dispatcher's state. They change nothing.
 
 use super::{send_reply, Dispatcher};
-use crate::protocol::admin::NodeMetrics;
+use crate::protocol::admin::{
+    ClassResponses, CrossZoneAttempts, FailedAttempts, NodeMetrics, ReloadCounts,
+};
 use crate::routing::cross_zone::RequestGroup;
 use crate::routing::{ReplicaStatus, ResponseCounts};
 use crate::transport::messages::{CrossZoneMinute, DispatcherQuery};
@@ -44,10 +46,13 @@
             cross_zone_attempts: self.cross_zone_totals(),
             attempt_ends: attempt_ends
                 .into_iter()
-                .map(|counted| (counted.outcome, counted.count))
+                .map(|counted| FailedAttempts {
+                    outcome: counted.outcome,
+                    count: counted.count,
+                })
                 .collect(),
             // The caller knows these and fills them in.
-            reloads: (0, 0),
+            reloads: ReloadCounts::default(),
             fleet: Vec::new(),
             client_closes: Vec::new(),
         }
@@ -55,22 +60,25 @@
 
     /// For each class name the responses that were complete, rejected and failed. A class whose settings have changed has had
     /// several indices, and their counts are added up.
-    fn responses_by_class(&self) -> Vec<(String, [u64; 3])> {
-        let mut rows: Vec<(String, [u64; 3])> = Vec::new();
+    fn responses_by_class(&self) -> Vec<ClassResponses> {
+        let mut rows: Vec<ClassResponses> = Vec::new();
         for (class, name) in self.upstream.boot.names.classes.iter().enumerate() {
             let ResponseCounts {
                 completed,
                 rejected,
                 failed,
             } = self.router.response_counts(class);
-            let counts = [completed, rejected, failed];
-            match rows.iter_mut().find(|(known, _)| known == name) {
-                Some((_, sums)) => {
-                    for (sum, count) in sums.iter_mut().zip(counts) {
-                        *sum += count;
-                    }
-                }
-                None => rows.push((name.clone(), counts)),
+            if let Some(row) = rows.iter_mut().find(|row| row.class == *name) {
+                row.completed += completed;
+                row.rejected += rejected;
+                row.failed += failed;
+            } else {
+                rows.push(ClassResponses {
+                    class: name.clone(),
+                    completed,
+                    rejected,
+                    failed,
+                });
             }
         }
         rows
@@ -91,13 +99,17 @@
     }
 
     /// The totals since the start. A class whose settings have changed has had several indices, and their counts are added up.
-    fn cross_zone_totals(&self) -> Vec<(String, String, u64)> {
+    fn cross_zone_totals(&self) -> Vec<CrossZoneAttempts> {
         let mut sums: BTreeMap<GroupName, u64> = BTreeMap::new();
         for counted in self.upstream.cross_zone_traffic.borrow().totals() {
             *sums.entry(self.group_name(counted.group)).or_default() += counted.count;
         }
         sums.into_iter()
-            .map(|(name, count)| (name.class, name.tenant, count))
+            .map(|(name, count)| CrossZoneAttempts {
+                class: name.class,
+                tenant: name.tenant,
+                count,
+            })
             .collect()
     }
 
