--- a/benches/endpoints/main.rs
+++ b/benches/endpoints/main.rs
@@ -10,7 +10,7 @@
 
 use load::{quantile, Clients};
 use node::Node;
-use poppykeel_stub_dns_server::{Record, Script, Standin};
+use poppykeel_stub_dns_server::{Script, StubDnsServer, ZoneRecord};
 use std::net::SocketAddr;
 use std::thread;
 use std::time::{Duration, Instant};
@@ -54,7 +54,7 @@
 }
 
 /// The operators' file with these sources and lifetimes of at least `ttl_floor`.
-fn operator_file(dns: &Standin, sources: &str, ttl_floor: &str) -> String {
+fn operator_file(dns: &StubDnsServer, sources: &str, ttl_floor: &str) -> String {
     format!(
         "[membership]\nsources = {sources}\nhold = 0\n[membership.srv]\nname = \"{SERVICE}\"\n\
          servers = [\"{}\"]\nttl_floor = \"{ttl_floor}\"\nflap_hold = 0\n",
@@ -62,8 +62,8 @@
     )
 }
 
-fn start_dns(script: Script) -> Standin {
-    Standin::start("127.0.0.1:0".parse().unwrap(), script).unwrap()
+fn start_dns(script: Script) -> StubDnsServer {
+    StubDnsServer::start("127.0.0.1:0".parse().unwrap(), script).unwrap()
 }
 
 fn start_replicas(count: usize) -> (Vec<Replica>, Vec<SocketAddr>) {
@@ -110,7 +110,7 @@
         thread::sleep(Duration::from_millis(10));
     }
     let served_count = clients.stop().len();
-    let question_count: u64 = dns.asked().values().sum();
+    let question_count: u64 = dns.question_counts().values().sum();
     println!(
         "drains: {DRAIN_COUNT} while DNS listed the server ({question_count} questions, {served_count} requests); \
          last new send after p50 {:.2} ms, p99 {:.2} ms, most {:.2} ms ({unused_count} had none)",
@@ -135,7 +135,7 @@
             // Another moment of the lifetime each time.
             thread::sleep(Duration::from_millis(37 * (round as u64 % 17)));
             let added_at = Instant::now();
-            dns.set(Script::service(SERVICE, ttl_s, &addrs));
+            dns.set_script(Script::service(SERVICE, ttl_s, &addrs));
             while replicas[1]
                 .last_request_at()
                 .is_none_or(|last| last < added_at)
@@ -144,7 +144,7 @@
                 thread::sleep(Duration::from_millis(1));
             }
             times_ms.push(added_at.elapsed().as_secs_f64() * 1e3);
-            dns.set(Script::service(SERVICE, ttl_s, &addrs[..1]));
+            dns.set_script(Script::service(SERVICE, ttl_s, &addrs[..1]));
             thread::sleep(Duration::from_millis(1100 * u64::from(ttl_s)));
         }
         clients.stop();
@@ -161,7 +161,7 @@
 /// `changing_count` of them are new targets with new addresses.
 fn large_zone(round: usize, changing_count: usize, addr: SocketAddr) -> Script {
     let mut script = Script {
-        chase: true,
+        follows_aliases: true,
         ..Script::default()
     };
     for record in 0..LARGE_ZONE_RECORD_COUNT {
@@ -183,15 +183,15 @@
             address_number / 200 % 200 + 1,
             address_number % 200 + 1
         );
-        script.record.push(Record {
+        script.records.push(ZoneRecord {
             name: SERVICE.into(),
-            kind: "SRV".into(),
+            record_type: "SRV".into(),
             ttl: 1,
             data: format!("10 1 {} {name}", addr.port()),
         });
-        script.record.push(Record {
+        script.records.push(ZoneRecord {
             name,
-            kind: "A".into(),
+            record_type: "A".into(),
             ttl: 300,
             data: ip,
         });
@@ -211,12 +211,12 @@
         let before = node.usage();
         for round in 0..SCALE_ROUND_COUNT {
             if let Some(changing_count) = changing_count.filter(|count| *count > 0) {
-                dns.set(large_zone(round + 1, changing_count, replica.addr));
+                dns.set_script(large_zone(round + 1, changing_count, replica.addr));
             }
             thread::sleep(Duration::from_secs(1));
         }
         let after = node.usage();
-        let question_count: u64 = dns.asked().values().sum();
+        let question_count: u64 = dns.question_counts().values().sum();
         println!(
             "scale: 2,000 servers, {label} of records changing a second: {:.1}% of a core, {:.1} MB at most, \
              {question_count} questions",
--- a/crates/dns-resolver/src/cache.rs
+++ b/crates/dns-resolver/src/cache.rs
@@ -1,206 +1,142 @@
-//! Answers kept for their lifetimes, and what an answer comes to: records, an alias, or nothing.
+//! Answers stored for their times to live.
 //!
-//! RFC 2308 for negative answers, RFC 8767 for stale ones: what has expired is kept and used while it cannot be
-//! asked anew. There is no limit on that, because a failed look-up must never take a server away.
+//! Answers that have expired stay and are used while they can't be asked for again (RFC 8767). There is no limit on that,
+//! because a failed look-up must never remove a server.
 
-#![expect(clippy::min_ident_chars, reason = "not yet converted")]
-
-use crate::config::{Family, Lifetimes, Micros};
-use crate::message::{code, Answer, Data, Question};
+use crate::answer::{interpret, AnswerContent};
+use crate::config::{AddressFamily, Micros, TtlBounds};
+use crate::error::AliasError;
+use crate::message::{DnsResponse, Question, RecordData};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Aliases followed from one name to another.
-pub(crate) const MOST_ALIASES: usize = 8;
-
-impl Lifetimes {
-    /// A lifetime in seconds, within the bounds, in microseconds.
-    fn of(&self, ttl: u32) -> Micros {
-        (u64::from(ttl) * 1_000_000).clamp(self.floor, self.ceiling)
-    }
-
-    fn of_nothing(&self, ttl: u32) -> Micros {
-        self.of(ttl).min(self.negative.max(self.floor))
-    }
+/// A stored answer.
+#[derive(Clone, Debug)]
+pub(crate) struct CacheEntry {
+    pub(crate) content: AnswerContent,
+    pub(crate) expires_at: Micros,
 }
 
-/// What an answer comes to.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) enum Meaning {
-    /// These records.
-    Records(Vec<Data>),
-    /// The name is another's alias, which must be asked for.
-    Alias(String),
-    /// There is none, or no such name at all.
-    Nothing(&'static str),
-}
-
-#[derive(Clone, Debug)]
-pub(crate) struct Kept {
-    pub(crate) meaning: Meaning,
-    /// Fresh until then.
-    pub(crate) until: Micros,
+/// The addresses of one target in an additional section.
+struct AdditionalAddresses {
+    records: Vec<RecordData>,
+    /// The shortest time to live of the records, in seconds.
+    ttl_s: u32,
 }
 
+/// The answers by their questions.
 #[derive(Debug, Default)]
 pub(crate) struct Cache {
-    kept: BTreeMap<Question, Kept>,
+    entries: BTreeMap<Question, CacheEntry>,
 }
 
 impl Cache {
-    /// What is kept, fresh or stale.
-    pub(crate) fn get(&self, question: &Question) -> Option<&Kept> {
-        self.kept.get(question)
+    /// The stored answer, fresh or stale.
+    pub(crate) fn get(&self, question: &Question) -> Option<&CacheEntry> {
+        self.entries.get(question)
     }
 
-    pub(crate) fn fresh(&self, question: &Question, now: Micros) -> Option<&Kept> {
-        self.get(question).filter(|k| k.until > now)
+    /// The stored answer, if it has not expired.
+    pub(crate) fn get_fresh(&self, question: &Question, now: Micros) -> Option<&CacheEntry> {
+        self.get(question).filter(|entry| entry.expires_at > now)
     }
 
-    /// Drops everything that is not among these questions.
+    /// Drops the answers to all but these questions.
     pub(crate) fn retain(&mut self, used: &[Question]) {
-        if self.kept.len() > used.len() {
+        if self.entries.len() > used.len() {
             let used: BTreeSet<&Question> = used.iter().collect();
-            self.kept.retain(|q, _| used.contains(q));
+            self.entries.retain(|question, _| used.contains(question));
         }
     }
 
-    /// Takes an answer; an error says why it is none.
-    pub(crate) fn take(
+    /// Stores the answer of a response.
+    ///
+    /// # Errors
+    /// Where the response is no answer, since its aliases lead nowhere.
+    pub(crate) fn insert(
         &mut self,
         now: Micros,
         question: &Question,
-        answer: &Answer,
-        lifetimes: &Lifetimes,
-    ) -> Result<(), String> {
-        let (meaning, ttl) = meaning(question, answer)?;
-        let span = match meaning {
-            Meaning::Nothing(_) => lifetimes.of_nothing(ttl),
-            _ => lifetimes.of(ttl),
+        response: &DnsResponse,
+        bounds: &TtlBounds,
+    ) -> Result<(), AliasError> {
+        let answer = interpret(question, response)?;
+        let time_to_live = match answer.content {
+            AnswerContent::Empty(_) => bounds.of_negative_answer(answer.ttl_s),
+            _ => bounds.of_records(answer.ttl_s),
         };
-        if let (Question::Srv(_), Meaning::Records(records)) = (question, &meaning) {
-            self.additional(now, answer, records, lifetimes);
+        if let (Question::Srv(_), AnswerContent::Records(records)) = (question, &answer.content) {
+            self.insert_additionals(now, response, records, bounds);
         }
-        self.kept.insert(
-            question.clone(),
-            Kept {
-                meaning,
-                until: now.saturating_add(span),
-            },
-        );
+        let entry = CacheEntry {
+            content: answer.content,
+            expires_at: now.saturating_add(time_to_live),
+        };
+        self.entries.insert(question.clone(), entry);
         Ok(())
     }
 
-    /// Addresses in the additional section are taken where they are those of a target in this very answer, and
-    /// where nothing fresh is known that was asked for (RFC 2181, section 5.4.1).
-    fn additional(
+    /// Stores addresses of the additional section where they are those of a target in this very response, and where no
+    /// fresh answer is stored that was asked for (RFC 2181, section 5.4.1).
+    fn insert_additionals(
         &mut self,
         now: Micros,
-        answer: &Answer,
-        records: &[Data],
-        lifetimes: &Lifetimes,
+        response: &DnsResponse,
+        records: &[RecordData],
+        bounds: &TtlBounds,
     ) {
-        if !answer
-            .additionals
-            .iter()
-            .any(|r| matches!(r.data, Data::Addr(_)))
-        {
-            return;
-        }
-        let mut sets: BTreeMap<Question, (Vec<Data>, u32)> = BTreeMap::new();
-        for target in records {
-            let Data::Srv { target, .. } = target else {
+        for (question, addresses) in additional_addresses(response, records) {
+            if addresses.records.is_empty() || self.get_fresh(&question, now).is_some() {
                 continue;
-            };
-            for family in [Family::V4, Family::V6] {
-                sets.insert(
-                    Question::Addr(target.clone(), family),
-                    (Vec::new(), u32::MAX),
-                );
             }
-        }
-        for record in &answer.additionals {
-            let Data::Addr(addr) = record.data else {
-                continue;
-            };
-            let family = if addr.is_ipv4() {
-                Family::V4
-            } else {
-                Family::V6
+            let entry = CacheEntry {
+                content: AnswerContent::Records(addresses.records),
+                expires_at: now.saturating_add(bounds.of_records(addresses.ttl_s)),
             };
-            if let Some(set) = sets.get_mut(&Question::Addr(record.owner.clone(), family)) {
-                set.0.push(record.data.clone());
-                set.1 = set.1.min(record.ttl);
-            }
-        }
-        for (question, (records, ttl)) in sets {
-            if !records.is_empty() && self.fresh(&question, now).is_none() {
-                let until = now.saturating_add(lifetimes.of(ttl));
-                self.kept.insert(
-                    question,
-                    Kept {
-                        meaning: Meaning::Records(records),
-                        until,
-                    },
-                );
-            }
+            self.entries.insert(question, entry);
         }
     }
 }
 
-/// Follows the aliases inside one answer; the lifetime is the least of the chain, in seconds.
-fn meaning(question: &Question, answer: &Answer) -> Result<(Meaning, u32), String> {
-    let (mut name, mut ttl, mut seen) = (question.name().to_string(), u32::MAX, Vec::new());
-    loop {
-        let own = answer.answers.iter().filter(|r| r.owner == name);
-        let wanted: Vec<_> = own.clone().filter(|r| question.wants(&r.data)).collect();
-        if !wanted.is_empty() {
-            let ttl = wanted.iter().map(|r| r.ttl).fold(ttl, u32::min);
-            return Ok((
-                Meaning::Records(wanted.into_iter().map(|r| r.data.clone()).collect()),
-                ttl,
-            ));
-        }
-        let alias = own.clone().find_map(|r| match &r.data {
-            Data::Alias(to) => Some((to.clone(), r.ttl)),
-            _ => None,
-        });
-        let Some((to, alias_ttl)) = alias else { break };
-        seen.push(std::mem::replace(&mut name, to));
-        ttl = ttl.min(alias_ttl);
-        if seen.contains(&name) {
-            return Err(format!("{name}: its aliases go round in a circle"));
-        }
-        if seen.len() > MOST_ALIASES {
-            return Err(format!(
-                "{}: more than {MOST_ALIASES} aliases",
-                question.name()
-            ));
-        }
+/// The addresses in the additional section, by the questions for them. There is a question for each family of each target.
+fn additional_addresses(
+    response: &DnsResponse,
+    records: &[RecordData],
+) -> BTreeMap<Question, AdditionalAddresses> {
+    let mut by_question = BTreeMap::new();
+    let is_address = |data: &RecordData| matches!(data, RecordData::Address(_));
+    if !response
+        .additionals
+        .iter()
+        .any(|record| is_address(&record.data))
+    {
+        return by_question;
     }
-    let minimum = answer.authorities.iter().find_map(|r| match r.data {
-        Data::Minimum(minimum) if inside(&name, &r.owner) => Some(minimum.min(r.ttl)),
-        _ => None,
-    });
-    if answer.code == code::NX_DOMAIN {
-        return Ok((
-            Meaning::Nothing("there is no such name"),
-            ttl.min(minimum.unwrap_or(0)),
-        ));
+    for record in records {
+        let RecordData::Srv { target, .. } = record else {
+            continue;
+        };
+        for family in [AddressFamily::V4, AddressFamily::V6] {
+            let none = AdditionalAddresses {
+                records: Vec::new(),
+                ttl_s: u32::MAX,
+            };
+            by_question.insert(Question::Address(target.clone(), family), none);
+        }
     }
-    if !seen.is_empty() && minimum.is_none() {
-        return Ok((Meaning::Alias(name), ttl));
+    for record in &response.additionals {
+        let RecordData::Address(address) = record.data else {
+            continue;
+        };
+        let family = if address.is_ipv4() {
+            AddressFamily::V4
+        } else {
+            AddressFamily::V6
+        };
+        let question = Question::Address(record.owner.clone(), family);
+        if let Some(addresses) = by_question.get_mut(&question) {
+            addresses.records.push(record.data.clone());
+            addresses.ttl_s = addresses.ttl_s.min(record.ttl);
+        }
     }
-    Ok((
-        Meaning::Nothing("the name has no such records"),
-        ttl.min(minimum.unwrap_or(0)),
-    ))
-}
-
-/// Whether a name is a zone's own or below it.
-fn inside(name: &str, zone: &str) -> bool {
-    zone.is_empty()
-        || name == zone
-        || name
-            .strip_suffix(zone)
-            .is_some_and(|rest| rest.ends_with('.'))
+    by_question
 }
--- a/crates/dns-resolver/src/driver.rs
+++ b/crates/dns-resolver/src/driver.rs
@@ -1,10 +1,14 @@
-//! The thin layer between a resolver and tokio's sockets: each question over UDP has a socket and so a random
-//! port of its own, each connection a task. All of them report over one bounded channel.
+//! The thin layer between a resolver and tokio's sockets.
+//!
+//! Each attempt over UDP has a socket and so a random port of its own, each connection is a task. All tasks report over one
+//! bounded channel. [`run`] owns the tasks and ends them when it returns or is dropped.
 
-use crate::config::{Config, Micros};
-use crate::exchange::{Asked, Key};
-use crate::resolver::{Event, Resolver};
+use crate::attempt::{SocketId, Transmit};
+use crate::config::{Micros, ResolverConfig};
+use crate::error::ResolverConfigError;
+use crate::resolver::{Resolver, ResolverEvent};
 use std::collections::BTreeMap;
+use std::io;
 use std::net::{Ipv4Addr, Ipv6Addr, SocketAddr};
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -12,93 +16,125 @@
 use tokio::sync::mpsc;
 use tokio::task::AbortHandle;
 
-/// Messages of sockets that wait for the resolver.
-const MESSAGES: usize = 256;
-/// The longest datagram that is read.
-const DATAGRAM: usize = 4096;
-/// A connection's bytes are read in pieces of this size.
-const PIECE: usize = 16 * 1024;
+/// Reads of sockets that wait for the resolver; the tasks of the sockets wait while there are more.
+const READ_CHANNEL_CAPACITY: usize = 256;
+/// The longest datagram that is read, in bytes.
+const MAX_DATAGRAM_BYTES: usize = 4096;
+/// The size of the pieces in which a connection is read, in bytes.
+const STREAM_PIECE_BYTES: usize = 16 * 1024;
+/// Why a connection counts as closed where the server has closed it.
+const CLOSED_BY_SERVER: &str = "connection closed before an answer";
 
-enum Heard {
-    Datagram(Key, SocketAddr, Vec<u8>),
-    Bytes(Key, Vec<u8>),
-    Closed(Key, String),
+/// What a socket's task reports.
+enum SocketRead {
+    Datagram {
+        socket: SocketId,
+        from: SocketAddr,
+        bytes: Vec<u8>,
+    },
+    StreamBytes {
+        socket: SocketId,
+        bytes: Vec<u8>,
+    },
+    Closed {
+        socket: SocketId,
+        reason: String,
+    },
 }
 
-/// Looks the service up until nobody listens any more. `clock` gives the time of the caller's clock.
+/// Looks the service up until nobody receives the events any more. `clock` gives the time of the caller's clock.
 ///
 /// # Errors
-/// A configuration that does not pass [`Config::check`].
+/// A configuration that does not pass [`ResolverConfig::check`].
 pub async fn run(
-    config: Config,
+    config: ResolverConfig,
     clock: impl Fn() -> Micros,
-    events: mpsc::Sender<Event>,
-) -> Result<(), String> {
+    events: mpsc::Sender<ResolverEvent>,
+) -> Result<(), ResolverConfigError> {
     let mut resolver = Resolver::new(config, rand::make_rng(), clock())?;
-    let (tell, mut told) = mpsc::channel(MESSAGES);
-    let mut sockets = Sockets(BTreeMap::new());
+    let (read_sender, mut reads) = mpsc::channel(READ_CHANNEL_CAPACITY);
+    let mut sockets = OpenSockets {
+        tasks: BTreeMap::new(),
+        reads: read_sender,
+    };
     loop {
-        resolver.turn(clock());
+        resolver.on_timer(clock());
         loop {
-            while let Some(asked) = resolver.transmit() {
-                sockets.carry_out(asked, &tell);
+            while let Some(transmit) = resolver.poll_transmit() {
+                sockets.carry_out(transmit);
             }
-            let Some(event) = resolver.event() else { break };
+            let Some(event) = resolver.poll_event() else {
+                break;
+            };
             if events.send(event).await.is_err() {
                 return Ok(());
             }
         }
         let now = clock();
-        let wait = Duration::from_micros(resolver.due().saturating_sub(now));
+        let wait = Duration::from_micros(resolver.next_timer().saturating_sub(now));
+        // All branches are cancel-safe: a read that is not taken stays in the channel.
         tokio::select! {
-            heard = told.recv() => {
-                let now = clock();
-                match heard {
-                    Some(Heard::Datagram(key, from, bytes)) => resolver.datagram(now, key, from, &bytes),
-                    Some(Heard::Bytes(key, bytes)) => resolver.bytes(now, key, &bytes),
-                    Some(Heard::Closed(key, why)) => resolver.closed(now, key, &why),
-                    None => return Ok(()),
-                }
-            }
+            read = reads.recv() => match read {
+                Some(read) => take_read(&mut resolver, clock(), read),
+                None => return Ok(()),
+            },
             () = tokio::time::sleep(wait) => {}
             () = events.closed() => return Ok(()),
         }
     }
 }
 
-/// The tasks of open sockets; dropping this ends them.
-struct Sockets(BTreeMap<Key, AbortHandle>);
+fn take_read(resolver: &mut Resolver, now: Micros, read: SocketRead) {
+    match read {
+        SocketRead::Datagram {
+            socket,
+            from,
+            bytes,
+        } => resolver.on_datagram(now, socket, from, &bytes),
+        SocketRead::StreamBytes { socket, bytes } => {
+            resolver.on_stream_bytes(now, socket, &bytes);
+        }
+        SocketRead::Closed { socket, reason } => resolver.on_closed(now, socket, &reason),
+    }
+}
+
+/// The tasks of open sockets, which own them; dropping this ends them.
+struct OpenSockets {
+    tasks: BTreeMap<SocketId, AbortHandle>,
+    /// Where the tasks report.
+    reads: mpsc::Sender<SocketRead>,
+}
 
-impl Drop for Sockets {
+impl Drop for OpenSockets {
     fn drop(&mut self) {
-        self.0.values().for_each(AbortHandle::abort);
+        for task in self.tasks.values() {
+            task.abort();
+        }
     }
 }
 
-impl Sockets {
-    fn carry_out(&mut self, asked: Asked, tell: &mpsc::Sender<Heard>) {
-        let tell = tell.clone();
-        match asked {
-            Asked::Udp(key, server, bytes) => {
-                let task = tokio::spawn(async move {
-                    if let Err(e) = datagrams(key, server, &bytes, &tell).await {
-                        let _ = tell.send(Heard::Closed(key, e.to_string())).await;
-                    }
-                });
-                self.0.insert(key, task.abort_handle());
+impl OpenSockets {
+    fn carry_out(&mut self, transmit: Transmit) {
+        let reads = self.reads.clone();
+        match transmit {
+            Transmit::Udp {
+                socket,
+                server,
+                message,
+            } => {
+                let task = tokio::spawn(run_udp(socket, server, message, reads));
+                self.tasks.insert(socket, task.abort_handle());
             }
-            Asked::Tcp(key, server, bytes) => {
-                let task = tokio::spawn(async move {
-                    let why = match stream(key, server, &bytes, &tell).await {
-                        Ok(()) => "connection closed before an answer".to_string(),
-                        Err(e) => e.to_string(),
-                    };
-                    let _ = tell.send(Heard::Closed(key, why)).await;
-                });
-                self.0.insert(key, task.abort_handle());
+            Transmit::Tcp {
+                socket,
+                server,
+                framed_message,
+            } => {
+                let task = tokio::spawn(run_tcp(socket, server, framed_message, reads));
+                self.tasks.insert(socket, task.abort_handle());
             }
-            Asked::Close(key) => {
-                if let Some(task) = self.0.remove(&key) {
+            Transmit::Close { socket } => {
+                if let Some(task) = self.tasks.remove(&socket) {
                     task.abort();
                 }
             }
@@ -106,48 +142,86 @@
     }
 }
 
-async fn datagrams(
-    key: Key,
+/// The task of a UDP socket. It ends where the socket fails.
+async fn run_udp(
+    socket: SocketId,
     server: SocketAddr,
-    bytes: &[u8],
-    tell: &mpsc::Sender<Heard>,
-) -> std::io::Result<()> {
+    message: Vec<u8>,
+    reads: mpsc::Sender<SocketRead>,
+) {
+    if let Err(error) = exchange_datagrams(socket, server, &message, &reads).await {
+        let reason = error.to_string();
+        // An error says that the driver has ended, and then nobody needs the report.
+        let _ = reads.send(SocketRead::Closed { socket, reason }).await;
+    }
+}
+
+/// The task of a connection. It ends where the connection does.
+async fn run_tcp(
+    socket: SocketId,
+    server: SocketAddr,
+    framed_message: Vec<u8>,
+    reads: mpsc::Sender<SocketRead>,
+) {
+    let reason = match exchange_over_stream(socket, server, &framed_message, &reads).await {
+        Ok(()) => CLOSED_BY_SERVER.to_string(),
+        Err(error) => error.to_string(),
+    };
+    // An error says that the driver has ended, and then nobody needs the report.
+    let _ = reads.send(SocketRead::Closed { socket, reason }).await;
+}
+
+/// Sends a datagram and reports all that come back, until the driver has ended.
+async fn exchange_datagrams(
+    socket: SocketId,
+    server: SocketAddr,
+    message: &[u8],
+    reads: &mpsc::Sender<SocketRead>,
+) -> io::Result<()> {
     // The kernel picks a random port.
-    let any = match server {
+    let any_address = match server {
         SocketAddr::V4(_) => SocketAddr::from((Ipv4Addr::UNSPECIFIED, 0)),
         SocketAddr::V6(_) => SocketAddr::from((Ipv6Addr::UNSPECIFIED, 0)),
     };
-    let socket = UdpSocket::bind(any).await?;
-    // Connected, it hears nobody else, and hears at once where nobody listens.
-    socket.connect(server).await?;
-    socket.send(bytes).await?;
-    let mut held = vec![0; DATAGRAM];
+    let udp_socket = UdpSocket::bind(any_address).await?;
+    // A connected socket receives from nobody else, and fails at once where nobody listens.
+    udp_socket.connect(server).await?;
+    udp_socket.send(message).await?;
+    let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
     loop {
-        let (size, from) = socket.recv_from(&mut held).await?;
-        let heard = Heard::Datagram(key, from, held[..size].to_vec());
-        if tell.send(heard).await.is_err() {
+        let (size, from) = udp_socket.recv_from(&mut buffer).await?;
+        let read = SocketRead::Datagram {
+            socket,
+            from,
+            bytes: buffer[..size].to_vec(),
+        };
+        if reads.send(read).await.is_err() {
             return Ok(());
         }
     }
 }
 
-async fn stream(
-    key: Key,
+/// Sends a message over a connection and reports the bytes that come back, until the server closes the connection or the
+/// driver has ended.
+async fn exchange_over_stream(
+    socket: SocketId,
     server: SocketAddr,
-    bytes: &[u8],
-    tell: &mpsc::Sender<Heard>,
-) -> std::io::Result<()> {
-    let mut socket = TcpStream::connect(server).await?;
-    socket.write_all(bytes).await?;
-    let mut held = vec![0; PIECE];
+    framed_message: &[u8],
+    reads: &mpsc::Sender<SocketRead>,
+) -> io::Result<()> {
+    let mut stream = TcpStream::connect(server).await?;
+    stream.write_all(framed_message).await?;
+    let mut buffer = vec![0; STREAM_PIECE_BYTES];
     loop {
-        let size = socket.read(&mut held).await?;
-        if size == 0
-            || tell
-                .send(Heard::Bytes(key, held[..size].to_vec()))
-                .await
-                .is_err()
-        {
+        let size = stream.read(&mut buffer).await?;
+        if size == 0 {
+            return Ok(());
+        }
+        let read = SocketRead::StreamBytes {
+            socket,
+            bytes: buffer[..size].to_vec(),
+        };
+        if reads.send(read).await.is_err() {
             return Ok(());
         }
     }
--- a/crates/dns-resolver/src/exchange.rs
+++ b/crates/dns-resolver/src/exchange.rs
@@ -1,372 +1,421 @@
-//! One question put to the name servers until one has answered it: tries, time limits, truncation, lies.
+//! One question put to the name servers until one has answered it: attempts, timeouts, truncation, wrong responses.
 //!
-//! Each try over UDP has a socket of its own, so that its port is random, and an id of its own (RFC 5452). An
-//! answer counts only from the address that was asked, on the socket that asked, with the id and the question.
-//! What does not fit is passed over and counted; the right answer may still come. A truncated answer is asked for
-//! again from the same server over TCP (RFC 7766), where a second truncation is a failure.
+//! Each attempt over UDP has a socket of its own, so that its port is random, and an id of its own (RFC 5452). A response
+//! counts only from the address that was asked, on the socket that asked, with the id and the question. What does not match
+//! is ignored and counted; the right response may still come. After a truncated response the same server is asked again over
+//! TCP (RFC 7766), where a second truncation is a failure.
 
-#![expect(
-    clippy::min_ident_chars,
-    clippy::too_many_lines,
-    reason = "not yet converted"
-)]
-
-use crate::config::{Config, Micros};
-use crate::message::{self, code, Answer, Question};
+use crate::attempt::{framed_query, Attempt, SocketId, Transmit};
+use crate::config::{Micros, ResolverConfig};
+use crate::error::{AttemptFailure, DecodeError, QuestionError, Transport};
+use crate::message::{decode_response, encode_query, response_code, DnsResponse, Question};
 use rand::RngExt as Rng;
 use std::net::SocketAddr;
 
-/// Names one socket of the driver: a UDP socket of one question, or one TCP connection.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Key(pub u64);
-
-/// The longest message over TCP, its length not counted.
-const MOST_BYTES: usize = 65_535;
-/// Tries whose answers are still waited for; older ones are let go.
-const MOST_OPEN: usize = 4;
-
-/// What the driver is to do for one exchange.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Asked {
-    /// Send this from a new UDP socket.
-    Udp(Key, SocketAddr, Vec<u8>),
-    /// Connect, and send this once connected.
-    Tcp(Key, SocketAddr, Vec<u8>),
-    /// Close this socket.
-    Close(Key),
-}
+/// How many attempts wait for a response; the oldest is given up where there are more.
+const MAX_OPEN_ATTEMPTS: usize = 4;
+/// The timeout doubles in this many rounds at most.
+const MAX_TIMEOUT_DOUBLINGS: u32 = 6;
+/// An attempt over TCP has this many times the timeout: connecting, asking and a long response are more than one datagram
+/// each way.
+const TCP_TIMEOUT_FACTOR: Micros = 4;
 
 /// How an exchange has ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Ends {
-    /// With an answer: no error, or no such name.
-    Answered(Answer),
-    /// With none; why the last try failed.
-    Failed(String),
+pub(crate) enum ExchangeOutcome {
+    /// A server has answered: no error, or no such name.
+    Answered(DnsResponse),
+    /// No server has answered; why the last attempt has failed.
+    Failed(QuestionError),
 }
 
-/// What was passed over or had to be asked again.
+/// What the exchanges of a resolver have sent and got.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Counts {
-    /// Tries over UDP.
-    pub udp: u64,
-    /// Tries over TCP.
-    pub tcp: u64,
-    /// Answers that did not belong to a question: address, id or question were others.
-    pub strange: u64,
-    /// Answers that could not be read.
-    pub unreadable: u64,
-    /// Tries without an answer in time.
-    pub late: u64,
-    /// Truncated answers.
+pub struct ExchangeCounters {
+    /// Attempts over UDP.
+    pub udp_attempts: u64,
+    /// Attempts over TCP.
+    pub tcp_attempts: u64,
+    /// Responses that did not match a question: their address, id or question was another.
+    pub mismatched: u64,
+    /// Responses that could not be read.
+    pub undecodable: u64,
+    /// Attempts without a response in time.
+    pub timeouts: u64,
+    /// Truncated responses.
     pub truncated: u64,
-    /// Answers with an error code.
-    pub refused: u64,
+    /// Responses with an error code.
+    pub error_responses: u64,
 }
 
-#[derive(Debug)]
-struct Try {
-    key: Key,
-    server: SocketAddr,
-    id: u16,
-    tcp: Option<Vec<u8>>,
-    edns: bool,
+/// What the exchanges of a resolver share.
+pub(crate) struct ExchangeContext<'a, R> {
+    pub(crate) config: &'a ResolverConfig,
+    pub(crate) rng: &'a mut R,
+    /// The number of the socket that was made last.
+    pub(crate) last_socket: &'a mut u64,
+    pub(crate) counters: &'a mut ExchangeCounters,
+    /// What the driver is to do.
+    pub(crate) transmits: &'a mut Vec<Transmit>,
 }
 
-/// One question on its way.
-#[derive(Debug)]
-pub(crate) struct Exchange {
-    pub(crate) question: Question,
-    tries: Vec<Try>,
-    /// Tries over UDP so far; it names the server and the round of the next one.
-    made: usize,
-    pub(crate) due: Micros,
-    first: usize,
-    why: String,
-}
+impl<R: Rng> ExchangeContext<'_, R> {
+    fn new_socket(&mut self) -> SocketId {
+        *self.last_socket += 1;
+        SocketId(*self.last_socket)
+    }
 
-/// What exchanges share.
-pub(crate) struct Means<'a, R> {
-    pub(crate) config: &'a Config,
-    pub(crate) rng: &'a mut R,
-    pub(crate) keys: &'a mut u64,
-    pub(crate) counts: &'a mut Counts,
-    pub(crate) out: &'a mut Vec<Asked>,
+    fn close(&mut self, socket: SocketId) {
+        self.transmits.push(Transmit::Close { socket });
+    }
 }
 
-impl<R: Rng> Means<'_, R> {
-    fn key(&mut self) -> Key {
-        *self.keys += 1;
-        Key(*self.keys)
-    }
+/// One question on its way.
+#[derive(Debug)]
+pub(crate) struct Exchange {
+    question: Question,
+    /// The open attempts, the newest last.
+    attempts: Vec<Attempt>,
+    /// Attempts over UDP so far, repeats without EDNS not counted; it decides the server and the round of the next one.
+    attempt_count: usize,
+    /// When the newest attempt times out.
+    deadline: Micros,
+    /// The index of the server that is asked first.
+    first_server: usize,
+    /// Why the last attempt that failed did so.
+    last_error: QuestionError,
 }
 
 impl Exchange {
-    /// Asks for the first time. `first` is the server to begin with.
-    pub(crate) fn begin<R: Rng>(
+    /// Asks for the first time, the server with this index.
+    pub(crate) fn start<R: Rng>(
         question: Question,
-        first: usize,
+        first_server: usize,
         now: Micros,
-        means: &mut Means<'_, R>,
+        context: &mut ExchangeContext<'_, R>,
     ) -> Self {
-        let (tries, why) = (Vec::new(), String::new());
         let mut exchange = Exchange {
             question,
-            tries,
-            made: 0,
-            due: now,
-            first,
-            why,
+            attempts: Vec::new(),
+            attempt_count: 0,
+            deadline: now,
+            first_server,
+            last_error: QuestionError::NotAsked,
         };
-        exchange.next(now, means);
+        // A checked configuration has a server and a round, so that the first attempt is never the end.
+        let _ = exchange.ask_next_server(now, context);
         exchange
     }
 
-    /// Whether this socket is one of its own.
-    pub(crate) fn owns(&self, key: Key) -> bool {
-        self.tries.iter().any(|t| t.key == key)
+    /// When [`Exchange::on_timer`] must be called.
+    pub(crate) fn deadline(&self) -> Micros {
+        self.deadline
     }
 
-    /// The next try, or the end.
-    fn next<R: Rng>(&mut self, now: Micros, means: &mut Means<'_, R>) -> Option<Ends> {
-        let servers = means.config.servers.len();
-        if self.made >= servers * means.config.rounds as usize {
-            let why = std::mem::take(&mut self.why);
-            return Some(self.end(Ends::Failed(why), means));
+    /// Whether this socket is one of the exchange.
+    pub(crate) fn owns(&self, socket: SocketId) -> bool {
+        self.find_attempt(socket).is_some()
+    }
+
+    fn find_attempt(&self, socket: SocketId) -> Option<usize> {
+        self.attempts
+            .iter()
+            .position(|attempt| attempt.socket == socket)
+    }
+
+    /// Makes the next attempt, or ends the exchange after the last round.
+    fn ask_next_server<R: Rng>(
+        &mut self,
+        now: Micros,
+        context: &mut ExchangeContext<'_, R>,
+    ) -> Option<ExchangeOutcome> {
+        let server_count = context.config.servers.len();
+        if self.attempt_count >= server_count * context.config.rounds as usize {
+            self.close_all(context);
+            return Some(ExchangeOutcome::Failed(self.last_error.clone()));
         }
-        let server = means.config.servers[(self.first + self.made) % servers];
-        let round = (self.made / servers) as u32;
-        self.made += 1;
-        self.ask(now, server, round, true, means);
+        let index = (self.first_server + self.attempt_count) % server_count;
+        let server = context.config.servers[index];
+        let round = (self.attempt_count / server_count) as u32;
+        self.attempt_count += 1;
+        self.ask_over_udp(now, server, round, true, context);
         None
     }
 
-    fn ask<R: Rng>(
+    fn ask_over_udp<R: Rng>(
         &mut self,
         now: Micros,
         server: SocketAddr,
         round: u32,
-        edns: bool,
-        means: &mut Means<'_, R>,
+        uses_edns: bool,
+        context: &mut ExchangeContext<'_, R>,
     ) {
-        let (key, id) = (means.key(), means.rng.random::<u16>());
-        let payload = edns.then_some(means.config.payload);
-        means.out.push(Asked::Udp(
-            key,
+        let socket = context.new_socket();
+        let id = context.rng.random::<u16>();
+        let payload_bytes = uses_edns.then_some(context.config.udp_payload_bytes);
+        context.transmits.push(Transmit::Udp {
+            socket,
             server,
-            message::write(id, &self.question, payload),
-        ));
-        means.counts.udp += 1;
-        self.open(
-            Try {
-                key,
-                server,
-                id,
-                tcp: None,
-                edns,
-            },
-            means,
-        );
-        let limit = means.config.timeout.saturating_mul(1 << round.min(6));
-        self.due = now.saturating_add(jitter(limit, means.rng));
+            message: encode_query(id, &self.question, payload_bytes),
+        });
+        context.counters.udp_attempts += 1;
+        let attempt = Attempt {
+            socket,
+            server,
+            id,
+            uses_edns,
+            stream: None,
+        };
+        self.add_attempt(attempt, context);
+        let factor = 1 << round.min(MAX_TIMEOUT_DOUBLINGS);
+        self.set_deadline(now, factor, context);
     }
 
-    fn ask_tcp<R: Rng>(&mut self, now: Micros, server: SocketAddr, means: &mut Means<'_, R>) {
-        let (key, id) = (means.key(), means.rng.random::<u16>());
-        let bytes = message::write(id, &self.question, Some(means.config.payload));
-        let mut framed = (bytes.len() as u16).to_be_bytes().to_vec();
-        framed.extend_from_slice(&bytes);
-        means.out.push(Asked::Tcp(key, server, framed));
-        means.counts.tcp += 1;
-        self.open(
-            Try {
-                key,
-                server,
-                id,
-                tcp: Some(Vec::new()),
-                edns: true,
-            },
-            means,
-        );
-        // Connecting, asking and a long answer: more than one datagram each way.
-        let limit = means.config.timeout.saturating_mul(4);
-        self.due = now.saturating_add(jitter(limit, means.rng));
+    fn ask_over_tcp<R: Rng>(
+        &mut self,
+        now: Micros,
+        server: SocketAddr,
+        context: &mut ExchangeContext<'_, R>,
+    ) {
+        let socket = context.new_socket();
+        let id = context.rng.random::<u16>();
+        let payload_bytes = context.config.udp_payload_bytes;
+        context.transmits.push(Transmit::Tcp {
+            socket,
+            server,
+            framed_message: framed_query(id, &self.question, payload_bytes),
+        });
+        context.counters.tcp_attempts += 1;
+        let attempt = Attempt {
+            socket,
+            server,
+            id,
+            uses_edns: true,
+            stream: Some(Vec::new()),
+        };
+        self.add_attempt(attempt, context);
+        self.set_deadline(now, TCP_TIMEOUT_FACTOR, context);
     }
 
-    fn open<R>(&mut self, new: Try, means: &mut Means<'_, R>) {
-        if self.tries.len() >= MOST_OPEN {
-            means.out.push(Asked::Close(self.tries.remove(0).key));
+    fn add_attempt<R: Rng>(&mut self, attempt: Attempt, context: &mut ExchangeContext<'_, R>) {
+        if self.attempts.len() >= MAX_OPEN_ATTEMPTS {
+            self.close_attempt(0, context);
         }
-        self.tries.push(new);
+        self.attempts.push(attempt);
     }
 
-    fn end<R>(&mut self, ends: Ends, means: &mut Means<'_, R>) -> Ends {
-        means
-            .out
-            .extend(self.tries.drain(..).map(|t| Asked::Close(t.key)));
-        ends
+    /// The newest attempt times out after this many times the timeout, with jitter.
+    fn set_deadline<R: Rng>(
+        &mut self,
+        now: Micros,
+        factor: Micros,
+        context: &mut ExchangeContext<'_, R>,
+    ) {
+        let timeout = context.config.timeout.saturating_mul(factor);
+        self.deadline = now.saturating_add(with_jitter(timeout, context.rng));
+    }
+
+    fn close_attempt<R: Rng>(&mut self, index: usize, context: &mut ExchangeContext<'_, R>) {
+        let attempt = self.attempts.remove(index);
+        context.close(attempt.socket);
     }
 
-    /// The time of the newest try may be out.
-    pub(crate) fn turn<R: Rng>(&mut self, now: Micros, means: &mut Means<'_, R>) -> Option<Ends> {
-        if now < self.due {
+    fn close_all<R: Rng>(&mut self, context: &mut ExchangeContext<'_, R>) {
+        for attempt in self.attempts.drain(..) {
+            context.close(attempt.socket);
+        }
+    }
+
+    /// Asks the next server if the newest attempt has timed out. The older attempts may still be answered.
+    pub(crate) fn on_timer<R: Rng>(
+        &mut self,
+        now: Micros,
+        context: &mut ExchangeContext<'_, R>,
+    ) -> Option<ExchangeOutcome> {
+        if now < self.deadline {
             return None;
         }
-        means.counts.late += 1;
-        if let Some(last) = self.tries.last() {
-            let how = if last.tcp.is_some() {
-                "over TCP"
+        context.counters.timeouts += 1;
+        if let Some(newest) = self.attempts.last() {
+            let transport = if newest.is_tcp() {
+                Transport::Tcp
             } else {
-                "over UDP"
+                Transport::Udp
+            };
+            self.last_error = QuestionError::Attempt {
+                server: newest.server,
+                failure: AttemptFailure::Timeout(transport),
             };
-            self.why = format!("{}: no answer in time {how}", last.server);
         }
-        self.next(now, means)
+        self.ask_next_server(now, context)
     }
 
-    /// A datagram has come on a socket of its own.
-    pub(crate) fn datagram<R: Rng>(
+    /// Takes a datagram that has come on a socket of the exchange.
+    pub(crate) fn on_datagram<R: Rng>(
         &mut self,
         now: Micros,
-        key: Key,
+        socket: SocketId,
         from: SocketAddr,
         bytes: &[u8],
-        means: &mut Means<'_, R>,
-    ) -> Option<Ends> {
-        let found = self
-            .tries
-            .iter()
-            .position(|t| t.key == key && t.tcp.is_none())?;
-        if self.tries[found].server != from {
-            means.counts.strange += 1;
+        context: &mut ExchangeContext<'_, R>,
+    ) -> Option<ExchangeOutcome> {
+        let index = self.find_attempt(socket)?;
+        let attempt = &self.attempts[index];
+        if attempt.is_tcp() {
+            return None;
+        }
+        if attempt.server != from {
+            context.counters.mismatched += 1;
             return None;
         }
-        self.message(now, found, bytes, means)
+        self.take_message(now, index, bytes, context)
     }
 
-    /// Bytes of a connection of its own, in pieces of any size.
-    pub(crate) fn bytes<R: Rng>(
+    /// Takes bytes of a connection of the exchange, in pieces of any size.
+    pub(crate) fn on_stream_bytes<R: Rng>(
         &mut self,
         now: Micros,
-        key: Key,
+        socket: SocketId,
         bytes: &[u8],
-        means: &mut Means<'_, R>,
-    ) -> Option<Ends> {
-        let found = self.tries.iter().position(|t| t.key == key)?;
-        let held = self.tries[found].tcp.as_mut()?;
-        held.extend_from_slice(bytes);
-        held.truncate(2 + MOST_BYTES);
-        let length = usize::from(u16::from_be_bytes([*held.first()?, *held.get(1)?]));
-        if held.len() < 2 + length {
-            return None;
-        }
-        let message = held[2..2 + length].to_vec();
-        held.clear();
-        self.message(now, found, &message, means)
+        context: &mut ExchangeContext<'_, R>,
+    ) -> Option<ExchangeOutcome> {
+        let index = self.find_attempt(socket)?;
+        let message = self.attempts[index].take_stream_bytes(bytes)?;
+        self.take_message(now, index, &message, context)
     }
 
-    /// A connection, or the way to a server, has ended.
-    pub(crate) fn closed<R: Rng>(
+    /// A socket of the exchange has failed, or a connection has ended.
+    pub(crate) fn on_closed<R: Rng>(
         &mut self,
         now: Micros,
-        key: Key,
-        why: &str,
-        means: &mut Means<'_, R>,
-    ) -> Option<Ends> {
-        let found = self.tries.iter().position(|t| t.key == key)?;
-        self.fail(now, found, why, means)
+        socket: SocketId,
+        reason: &str,
+        context: &mut ExchangeContext<'_, R>,
+    ) -> Option<ExchangeOutcome> {
+        let index = self.find_attempt(socket)?;
+        let failure = AttemptFailure::SocketClosed(reason.to_string());
+        self.fail_attempt(now, index, failure, context)
     }
 
-    /// One try has failed; the next follows at once if it was the newest one.
-    fn fail<R: Rng>(
+    /// Ends an attempt that has failed. If it was the newest one the next follows at once.
+    fn fail_attempt<R: Rng>(
         &mut self,
         now: Micros,
-        found: usize,
-        why: &str,
-        means: &mut Means<'_, R>,
-    ) -> Option<Ends> {
-        let newest = found + 1 == self.tries.len();
-        let failed = self.tries.remove(found);
-        means.out.push(Asked::Close(failed.key));
-        self.why = format!("{}: {why}", failed.server);
-        if newest {
-            self.next(now, means)
+        index: usize,
+        failure: AttemptFailure,
+        context: &mut ExchangeContext<'_, R>,
+    ) -> Option<ExchangeOutcome> {
+        let is_newest = index + 1 == self.attempts.len();
+        let server = self.attempts[index].server;
+        self.close_attempt(index, context);
+        self.last_error = QuestionError::Attempt { server, failure };
+        if is_newest {
+            self.ask_next_server(now, context)
         } else {
             None
         }
     }
 
-    fn message<R: Rng>(
+    /// Takes a whole message that has come for an attempt.
+    fn take_message<R: Rng>(
         &mut self,
         now: Micros,
-        found: usize,
+        index: usize,
         bytes: &[u8],
-        means: &mut Means<'_, R>,
-    ) -> Option<Ends> {
-        let (id, server, tcp) = (
-            self.tries[found].id,
-            self.tries[found].server,
-            self.tries[found].tcp.is_some(),
-        );
-        let answer = match message::read(bytes) {
-            Ok(answer) => answer,
-            Err(e) => {
-                means.counts.unreadable += 1;
-                // Whoever guesses the port can send rubbish: over UDP only the server's own id ends the try.
-                let own = bytes.get(..2).is_some_and(|b| b == id.to_be_bytes());
-                return if tcp || own {
-                    self.fail(now, found, &format!("unreadable answer ({})", e.0), means)
-                } else {
-                    None
-                };
-            }
+        context: &mut ExchangeContext<'_, R>,
+    ) -> Option<ExchangeOutcome> {
+        let response = match decode_response(bytes) {
+            Ok(response) => response,
+            Err(error) => return self.take_undecodable(now, index, bytes, error, context),
         };
-        // A truncated or refusing answer may lack the question; one with another question is not ours.
-        let other = answer
-            .question
-            .as_ref()
-            .is_some_and(|q| *q != self.question);
-        let lacking = answer.question.is_none() && answer.code == code::NO_ERROR;
-        if answer.id != id || other || (lacking && !answer.truncated) {
-            means.counts.strange += 1;
-            // Over TCP nobody else can speak: the server is out of step.
-            return if tcp {
-                self.fail(now, found, "answer to another question", means)
-            } else {
-                None
-            };
+        let attempt = &self.attempts[index];
+        let is_tcp = attempt.is_tcp();
+        if !self.matches(attempt, &response) {
+            context.counters.mismatched += 1;
+            // Nobody else can send on a connection: the server has lost track.
+            if is_tcp {
+                return self.fail_attempt(now, index, AttemptFailure::Mismatched, context);
+            }
+            return None;
         }
-        if answer.truncated {
-            means.counts.truncated += 1;
-            if tcp {
-                return self.fail(now, found, "answer truncated over TCP too", means);
+        if response.is_truncated {
+            context.counters.truncated += 1;
+            if is_tcp {
+                return self.fail_attempt(now, index, AttemptFailure::TruncatedOverTcp, context);
             }
-            means.out.push(Asked::Close(self.tries.remove(found).key));
-            self.ask_tcp(now, server, means);
+            let server = attempt.server;
+            self.close_attempt(index, context);
+            self.ask_over_tcp(now, server, context);
+            return None;
+        }
+        self.take_response(now, index, response, context)
+    }
+
+    /// Counts a message that can't be read. Whoever guesses the port can send such messages: over UDP only one with the id
+    /// of the query ends the attempt.
+    fn take_undecodable<R: Rng>(
+        &mut self,
+        now: Micros,
+        index: usize,
+        bytes: &[u8],
+        error: DecodeError,
+        context: &mut ExchangeContext<'_, R>,
+    ) -> Option<ExchangeOutcome> {
+        context.counters.undecodable += 1;
+        let attempt = &self.attempts[index];
+        if !attempt.is_tcp() && !bytes.starts_with(&attempt.id.to_be_bytes()) {
             return None;
         }
-        match answer.code {
-            _ if answer.refers() => self.fail(now, found, "it refers to other servers", means),
-            code::NO_ERROR | code::NX_DOMAIN if answer.question.is_some() => {
-                Some(self.end(Ends::Answered(answer), means))
+        self.fail_attempt(now, index, AttemptFailure::Undecodable(error), context)
+    }
+
+    /// Whether a response has the id and the question of an attempt. A truncated response or one with an error may lack the
+    /// question.
+    fn matches(&self, attempt: &Attempt, response: &DnsResponse) -> bool {
+        let matches_question = match &response.question {
+            Some(question) => *question == self.question,
+            None => response.is_truncated || response.code != response_code::NO_ERROR,
+        };
+        response.id == attempt.id && matches_question
+    }
+
+    /// Takes a whole response that matches an attempt.
+    fn take_response<R: Rng>(
+        &mut self,
+        now: Micros,
+        index: usize,
+        response: DnsResponse,
+        context: &mut ExchangeContext<'_, R>,
+    ) -> Option<ExchangeOutcome> {
+        if response.is_referral() {
+            return self.fail_attempt(now, index, AttemptFailure::Referral, context);
+        }
+        let attempt = &self.attempts[index];
+        match response.code {
+            response_code::NO_ERROR | response_code::NX_DOMAIN if response.question.is_some() => {
+                self.close_all(context);
+                Some(ExchangeOutcome::Answered(response))
             }
-            code::FORM_ERR | code::NOT_IMP if self.tries[found].edns && !tcp => {
-                // RFC 6891, section 7: a server that does not know EDNS is asked without.
-                means.counts.refused += 1;
-                means.out.push(Asked::Close(self.tries.remove(found).key));
-                self.ask(now, server, 0, false, means);
+            response_code::FORMAT_ERROR | response_code::NOT_IMPLEMENTED
+                if attempt.uses_edns && !attempt.is_tcp() =>
+            {
+                // A server that does not know EDNS is asked without (RFC 6891, section 7).
+                context.counters.error_responses += 1;
+                let server = attempt.server;
+                self.close_attempt(index, context);
+                self.ask_over_udp(now, server, 0, false, context);
                 None
             }
             code => {
-                means.counts.refused += 1;
-                self.fail(now, found, &format!("response code {code}"), means)
+                context.counters.error_responses += 1;
+                self.fail_attempt(now, index, AttemptFailure::ErrorResponse(code), context)
             }
         }
     }
 }
 
-/// A quarter more or less, so that nodes that ask together do not ask together again.
-pub(crate) fn jitter<R: Rng>(span: Micros, rng: &mut R) -> Micros {
-    let part = span / 4;
-    span - part + rng.random_range(0..=2 * part)
+/// A time with up to a quarter more or less, so that nodes that ask together do not ask together again.
+pub(crate) fn with_jitter<R: Rng>(time: Micros, rng: &mut R) -> Micros {
+    let max_deviation = time / 4;
+    time - max_deviation + rng.random_range(0..=2 * max_deviation)
 }
--- a/crates/dns-resolver/src/resolver.rs
+++ b/crates/dns-resolver/src/resolver.rs
@@ -1,300 +1,298 @@
-//! Keeps one service's list fresh: passes over what has expired, and tries again after failures.
-
-#![expect(
-    clippy::match_bool,
-    clippy::min_ident_chars,
-    clippy::missing_errors_doc,
-    clippy::semicolon_if_nothing_returned,
-    reason = "not yet converted"
-)]
+//! Keeps one service's list fresh: asks again for what has expired, and tries again after failures.
+//!
+//! A pass asks, in rounds, for all that the look-up needs and has no fresh answer; the next pass begins when the first
+//! answer that was used expires.
 
+use crate::attempt::{SocketId, Transmit};
 use crate::cache::Cache;
-use crate::config::{Config, Micros};
-use crate::exchange::{jitter, Asked, Counts, Ends, Exchange, Key, Means};
-use crate::lookup::{survey, Found, Survey};
-use crate::message::{name, normal, Question};
+use crate::config::{Micros, ResolverConfig};
+use crate::error::{LookupError, QuestionError, ResolverConfigError};
+use crate::exchange::{with_jitter, Exchange, ExchangeContext, ExchangeCounters, ExchangeOutcome};
+use crate::lookup::{look_up, LookupProgress, ServiceLookup};
+use crate::message::{normalize_name, Question};
 use rand::rngs::StdRng;
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 
-/// Surveys of one pass: each alias and each family may need one more.
-const MOST_SURVEYS: u32 = 64;
-
-/// What the driver is to do.
-pub type Transmit = Asked;
+/// How many rounds of questions a pass may need: each alias and each family may need one more.
+const MAX_ROUNDS: u32 = 64;
+/// The pause after a failure doubles this many times at most.
+const MAX_PAUSE_DOUBLINGS: u32 = 20;
 
-/// What has been found out.
+/// What the resolver has found out.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Event {
-    /// The list, asked for anew; also where it is what it was.
-    Listed(Found),
-    /// The service could not be looked up; what was listed last stands, and is tried again at this time.
+pub enum ResolverEvent {
+    /// The service was looked up; the list may be the same as before.
+    Listed(ServiceLookup),
+    /// The service could not be looked up. What was listed last stands.
     Failed {
         /// Why.
-        why: String,
-        /// When it is tried again.
-        again: Micros,
+        reason: LookupError,
+        /// When it is looked up again.
+        retry_at: Micros,
     },
 }
 
-impl Config {
-    /// Checks what the types leave open; an error says what would be right.
-    pub fn check(&self) -> Result<(), String> {
-        name(&self.name).map_err(|e| format!("name: expected a domain name ({e})"))?;
-        let bad = |what: &str| Err(what.to_string());
-        match () {
-            () if self.servers.is_empty() => bad("servers: expected at least one ADDRESS:PORT"),
-            () if self.families.is_empty() => bad("families: expected ipv4, ipv6 or both"),
-            () if self.timeout == 0 => bad("timeout: expected a time above 0"),
-            () if self.rounds == 0 => bad("rounds: expected at least 1"),
-            () if self.payload < 512 => bad("payload: expected at least 512 bytes"),
-            () if self.lifetimes.floor > self.lifetimes.ceiling => {
-                bad("ttl_floor: expected at most ttl_ceiling")
-            }
-            () if self.retry == 0 || self.retry > self.retry_most => {
-                bad("retry: expected a time above 0 and at most retry_most")
-            }
-            () if self.most_questions == 0 || self.most_targets == 0 => {
-                bad("most_questions, most_targets: expected at least 1")
-            }
-            () => Ok(()),
-        }
-    }
-}
-
 /// The resolver of one service.
 pub struct Resolver {
-    config: Config,
+    config: ResolverConfig,
     service: Question,
     rng: StdRng,
     cache: Cache,
     exchanges: BTreeMap<Question, Exchange>,
+    /// Questions of this pass that wait to be asked.
     waiting: VecDeque<Question>,
-    /// What could not be asked in this pass, and why.
-    failed: BTreeMap<Question, String>,
-    surveys: u32,
-    /// A pass is under way.
-    passing: bool,
-    /// When the next one begins.
-    next: Micros,
-    failures: u32,
-    /// The server that answered last is asked first.
-    first: usize,
-    keys: u64,
-    counts: Counts,
-    out: VecDeque<Asked>,
-    events: VecDeque<Event>,
+    /// Questions of this pass that have no answer.
+    failed: BTreeMap<Question, QuestionError>,
+    /// Rounds of this pass.
+    round_count: u32,
+    /// Whether a pass is under way.
+    is_passing: bool,
+    /// When the next pass begins.
+    next_pass_at: Micros,
+    /// Passes in a row that have failed or were incomplete.
+    failure_count: u32,
+    /// The server that is asked first, by its index modulo their number: the one that answered last.
+    first_server: usize,
+    last_socket: u64,
+    counters: ExchangeCounters,
+    transmits: VecDeque<Transmit>,
+    events: VecDeque<ResolverEvent>,
 }
 
 impl Resolver {
-    /// A resolver that begins to ask at its first turn. `rng` makes ids; it must not be guessable.
-    pub fn new(config: Config, rng: StdRng, now: Micros) -> Result<Self, String> {
+    /// A resolver that begins to ask at its first timer. The generator makes the ids of queries; it must not be guessable.
+    ///
+    /// # Errors
+    /// Where the configuration does not pass [`ResolverConfig::check`].
+    pub fn new(
+        config: ResolverConfig,
+        rng: StdRng,
+        now: Micros,
+    ) -> Result<Self, ResolverConfigError> {
         config.check()?;
-        let service = Question::Srv(normal(&config.name));
-        let (cache, exchanges, waiting, failed, out, events) = Default::default();
         Ok(Resolver {
+            service: Question::Srv(normalize_name(&config.name)),
             config,
-            service,
             rng,
-            cache,
-            exchanges,
-            waiting,
-            failed,
-            surveys: 0,
-            passing: false,
-            next: now,
-            failures: 0,
-            first: 0,
-            keys: 0,
-            counts: Counts::default(),
-            out,
-            events,
+            cache: Cache::default(),
+            exchanges: BTreeMap::new(),
+            waiting: VecDeque::new(),
+            failed: BTreeMap::new(),
+            round_count: 0,
+            is_passing: false,
+            next_pass_at: now,
+            failure_count: 0,
+            first_server: 0,
+            last_socket: 0,
+            counters: ExchangeCounters::default(),
+            transmits: VecDeque::new(),
+            events: VecDeque::new(),
         })
     }
 
-    /// When `turn` must be called next.
-    pub fn due(&self) -> Micros {
-        match self.passing {
-            true => self.exchanges.values().map(|e| e.due).min().unwrap_or(0),
-            false => self.next,
+    /// When [`Resolver::on_timer`] must be called next.
+    pub fn next_timer(&self) -> Micros {
+        if !self.is_passing {
+            return self.next_pass_at;
         }
+        let deadlines = self.exchanges.values().map(Exchange::deadline);
+        deadlines.min().unwrap_or(0)
     }
 
-    /// What is to be sent next.
-    pub fn transmit(&mut self) -> Option<Transmit> {
-        self.out.pop_front()
+    /// What the driver is to do next.
+    pub fn poll_transmit(&mut self) -> Option<Transmit> {
+        self.transmits.pop_front()
     }
 
-    /// What has been found out since.
-    pub fn event(&mut self) -> Option<Event> {
+    /// What has been found out since the last call.
+    pub fn poll_event(&mut self) -> Option<ResolverEvent> {
         self.events.pop_front()
     }
 
-    /// What was passed over or had to be asked again so far.
-    pub fn counts(&self) -> Counts {
-        self.counts
+    /// What was sent and received so far.
+    pub fn counters(&self) -> ExchangeCounters {
+        self.counters
     }
 
-    /// Lets the time pass.
-    pub fn turn(&mut self, now: Micros) {
-        if !self.passing && now >= self.next {
-            (self.passing, self.surveys) = (true, 0);
+    /// Begins a pass if it is time, and ends attempts that have timed out.
+    pub fn on_timer(&mut self, now: Micros) {
+        if !self.is_passing && now >= self.next_pass_at {
+            self.is_passing = true;
+            self.round_count = 0;
             self.failed.clear();
         }
-        let due: Vec<Question> = self
-            .exchanges
-            .iter()
-            .filter(|(_, e)| e.due <= now)
-            .map(|(q, _)| q.clone())
-            .collect();
+        let mut due = Vec::new();
+        for (question, exchange) in &self.exchanges {
+            if exchange.deadline() <= now {
+                due.push(question.clone());
+            }
+        }
         for question in due {
-            self.with(now, &question, |exchange, means| exchange.turn(now, means));
+            self.with_exchange(now, &question, |exchange, context| {
+                exchange.on_timer(now, context)
+            });
         }
-        self.go_on(now);
+        self.advance(now);
     }
 
-    /// A datagram has come on this socket, from there.
-    pub fn datagram(&mut self, now: Micros, key: Key, from: SocketAddr, bytes: &[u8]) {
-        if let Some(question) = self.owner(key) {
-            self.with(now, &question, |exchange, means| {
-                exchange.datagram(now, key, from, bytes, means)
+    /// Takes a datagram that has come on this socket, from this address.
+    pub fn on_datagram(&mut self, now: Micros, socket: SocketId, from: SocketAddr, bytes: &[u8]) {
+        if let Some(question) = self.owner(socket) {
+            self.with_exchange(now, &question, |exchange, context| {
+                exchange.on_datagram(now, socket, from, bytes, context)
             });
-            self.go_on(now);
+            self.advance(now);
         }
     }
 
-    /// Bytes of this connection.
-    pub fn bytes(&mut self, now: Micros, key: Key, bytes: &[u8]) {
-        if let Some(question) = self.owner(key) {
-            self.with(now, &question, |exchange, means| {
-                exchange.bytes(now, key, bytes, means)
+    /// Takes bytes of this connection.
+    pub fn on_stream_bytes(&mut self, now: Micros, socket: SocketId, bytes: &[u8]) {
+        if let Some(question) = self.owner(socket) {
+            self.with_exchange(now, &question, |exchange, context| {
+                exchange.on_stream_bytes(now, socket, bytes, context)
             });
-            self.go_on(now);
+            self.advance(now);
         }
     }
 
-    /// This socket or connection has failed or ended.
-    pub fn closed(&mut self, now: Micros, key: Key, why: &str) {
-        if let Some(question) = self.owner(key) {
-            self.with(now, &question, |exchange, means| {
-                exchange.closed(now, key, why, means)
+    /// This socket has failed, or this connection has ended.
+    pub fn on_closed(&mut self, now: Micros, socket: SocketId, reason: &str) {
+        if let Some(question) = self.owner(socket) {
+            self.with_exchange(now, &question, |exchange, context| {
+                exchange.on_closed(now, socket, reason, context)
             });
-            self.go_on(now);
+            self.advance(now);
         }
     }
 
-    fn owner(&self, key: Key) -> Option<Question> {
+    /// The question of the exchange that has this socket.
+    fn owner(&self, socket: SocketId) -> Option<Question> {
         self.exchanges
             .iter()
-            .find(|(_, e)| e.owns(key))
-            .map(|(q, _)| q.clone())
+            .find(|(_, exchange)| exchange.owns(socket))
+            .map(|(question, _)| question.clone())
     }
 
-    /// Lets one exchange act, and takes its end over.
-    fn with(
+    /// Lets one exchange act, and takes its outcome if it ends.
+    fn with_exchange(
         &mut self,
         now: Micros,
         question: &Question,
-        act: impl FnOnce(&mut Exchange, &mut Means<'_, StdRng>) -> Option<Ends>,
+        act: impl FnOnce(&mut Exchange, &mut ExchangeContext<'_, StdRng>) -> Option<ExchangeOutcome>,
     ) {
         let Some(exchange) = self.exchanges.get_mut(question) else {
             return;
         };
-        let mut out = Vec::new();
-        let mut means = Means {
+        let mut transmits = Vec::new();
+        let mut context = ExchangeContext {
             config: &self.config,
             rng: &mut self.rng,
-            keys: &mut self.keys,
-            counts: &mut self.counts,
-            out: &mut out,
+            last_socket: &mut self.last_socket,
+            counters: &mut self.counters,
+            transmits: &mut transmits,
         };
-        let ends = act(exchange, &mut means);
-        self.out.extend(out);
-        let Some(ends) = ends else { return };
-        self.exchanges.remove(question);
-        match ends {
-            Ends::Answered(answer) => {
-                if let Err(why) = self
-                    .cache
-                    .take(now, question, &answer, &self.config.lifetimes)
-                {
-                    self.failed.insert(question.clone(), why);
+        let outcome = act(exchange, &mut context);
+        self.transmits.extend(transmits);
+        if let Some(outcome) = outcome {
+            self.exchanges.remove(question);
+            self.take_outcome(now, question, outcome);
+        }
+    }
+
+    fn take_outcome(&mut self, now: Micros, question: &Question, outcome: ExchangeOutcome) {
+        let error = match outcome {
+            ExchangeOutcome::Answered(response) => {
+                let bounds = &self.config.ttl_bounds;
+                match self.cache.insert(now, question, &response, bounds) {
+                    Ok(()) => return,
+                    Err(error) => error.into(),
                 }
             }
-            Ends::Failed(why) => {
-                self.first += 1;
-                self.failed.insert(question.clone(), why);
+            ExchangeOutcome::Failed(error) => {
+                self.first_server += 1;
+                error
             }
-        }
+        };
+        self.failed.insert(question.clone(), error);
     }
 
-    /// Asks what waits, and looks over what is there once all has been answered.
-    fn go_on(&mut self, now: Micros) {
-        while self.passing {
-            while self.exchanges.len() < self.config.most_questions {
-                let Some(question) = self.waiting.pop_front() else {
-                    break;
-                };
-                let mut out = Vec::new();
-                let mut means = Means {
-                    config: &self.config,
-                    rng: &mut self.rng,
-                    keys: &mut self.keys,
-                    counts: &mut self.counts,
-                    out: &mut out,
-                };
-                let exchange = Exchange::begin(question.clone(), self.first, now, &mut means);
-                self.out.extend(out);
-                self.exchanges.insert(question, exchange);
-            }
+    /// Asks the questions that wait, and looks the service up once all have an answer or have failed.
+    fn advance(&mut self, now: Micros) {
+        while self.is_passing {
+            self.ask_waiting(now);
             if !self.exchanges.is_empty() {
                 return;
             }
-            self.surveys += 1;
-            match survey(&self.config, &self.service, &self.cache, now, &self.failed) {
-                Survey::Needs(questions) if self.surveys <= MOST_SURVEYS => {
-                    self.waiting.extend(questions)
-                }
-                Survey::Needs(_) => {
-                    self.fail(now, "the answers lead on without an end".to_string())
+            self.round_count += 1;
+            let progress = look_up(&self.config, &self.service, &self.cache, now, &self.failed);
+            match progress {
+                LookupProgress::NeedsAnswers(questions) if self.round_count <= MAX_ROUNDS => {
+                    self.waiting.extend(questions);
                 }
-                Survey::Failed(why) => self.fail(now, why),
-                Survey::Complete(found, used) => {
+                LookupProgress::NeedsAnswers(_) => self.fail(now, LookupError::TooManyRounds),
+                LookupProgress::Failed(error) => self.fail(now, error),
+                LookupProgress::Complete { lookup, used } => {
                     self.cache.retain(&used);
-                    self.passing = false;
-                    if found.unresolved.is_empty() {
-                        self.failures = 0;
-                        self.next = found.expires.max(now + 1);
-                    } else {
-                        let again = self.again(now);
-                        self.next = if found.expires > now {
-                            found.expires.min(again)
-                        } else {
-                            again
-                        };
-                    }
-                    self.events.push_back(Event::Listed(found));
+                    self.complete(now, lookup);
                 }
             }
         }
     }
 
-    fn again(&mut self, now: Micros) -> Micros {
-        let span = self
-            .config
-            .retry
-            .saturating_mul(1 << self.failures.min(20))
-            .min(self.config.retry_most);
-        self.failures = self.failures.saturating_add(1);
-        now.saturating_add(jitter(span, &mut self.rng).max(1))
+    /// Asks questions that wait, as many as may be in flight.
+    fn ask_waiting(&mut self, now: Micros) {
+        while self.exchanges.len() < self.config.max_questions {
+            let Some(question) = self.waiting.pop_front() else {
+                break;
+            };
+            let mut transmits = Vec::new();
+            let mut context = ExchangeContext {
+                config: &self.config,
+                rng: &mut self.rng,
+                last_socket: &mut self.last_socket,
+                counters: &mut self.counters,
+                transmits: &mut transmits,
+            };
+            let exchange = Exchange::start(question.clone(), self.first_server, now, &mut context);
+            self.transmits.extend(transmits);
+            self.exchanges.insert(question, exchange);
+        }
+    }
+
+    /// Ends a pass in which the service was looked up.
+    fn complete(&mut self, now: Micros, lookup: ServiceLookup) {
+        self.is_passing = false;
+        if lookup.unresolved.is_empty() {
+            self.failure_count = 0;
+            self.next_pass_at = lookup.expires_at.max(now + 1);
+        } else {
+            let retry_at = self.retry_time(now);
+            self.next_pass_at = if lookup.expires_at > now {
+                lookup.expires_at.min(retry_at)
+            } else {
+                retry_at
+            };
+        }
+        self.events.push_back(ResolverEvent::Listed(lookup));
     }
 
-    fn fail(&mut self, now: Micros, why: String) {
-        self.passing = false;
-        self.next = self.again(now);
-        self.events.push_back(Event::Failed {
-            why,
-            again: self.next,
+    /// Ends a pass in which the service could not be looked up.
+    fn fail(&mut self, now: Micros, reason: LookupError) {
+        self.is_passing = false;
+        self.next_pass_at = self.retry_time(now);
+        self.events.push_back(ResolverEvent::Failed {
+            reason,
+            retry_at: self.next_pass_at,
         });
     }
+
+    /// Counts a failure; returns when to try again.
+    fn retry_time(&mut self, now: Micros) -> Micros {
+        let factor = 1 << self.failure_count.min(MAX_PAUSE_DOUBLINGS);
+        let pause = self.config.retry_pause.saturating_mul(factor);
+        let pause = pause.min(self.config.max_retry_pause);
+        self.failure_count = self.failure_count.saturating_add(1);
+        now.saturating_add(with_jitter(pause, &mut self.rng).max(1))
+    }
 }
--- a/crates/dns-resolver/tests/resolver.rs
+++ b/crates/dns-resolver/tests/resolver.rs
@@ -1,156 +1,214 @@
-//! The resolver against the stand-in without sockets: every lie, in fed time that nobody waits for.
+//! Tests of the resolver against stub servers without sockets: every fault, in simulated time.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
-#![expect(
-    clippy::min_ident_chars,
-    clippy::semicolon_if_nothing_returned,
-    reason = "not yet converted"
-)]
-
-use poppykeel_dns_resolver::{Asked, Config, Event, Family, Found, Key, Micros, Resolver};
-use poppykeel_stub_dns_server::{Lie, Over, Record, Rule, Script, Server, Then};
+
+use poppykeel_dns_resolver::{
+    decode_response, AddressFamily, Micros, Resolver, ResolverConfig, ResolverEvent, ServiceLookup,
+    SocketId, Transmit,
+};
+use poppykeel_stub_dns_server::{
+    AfterReply, FaultRule, FaultyReply, Reply, Responder, Script, Transport, ZoneRecord,
+};
 use proptest::prelude::*;
 use rand::rngs::StdRng;
 use rand::SeedableRng;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
+use std::time::Duration;
 
 const SERVICE: &str = "_llm._tcp.example.test";
 const SECOND: Micros = 1_000_000;
 
-/// What comes to the resolver at some time; ties go by the order in which they were made.
-enum Comes {
-    Datagram(Key, SocketAddr, Vec<u8>),
-    Bytes(Key, Vec<u8>),
-    Closed(Key),
+/// What is delivered to the resolver at some time; what comes at the same time keeps the order in which it was sent.
+enum Delivery {
+    Datagram {
+        socket: SocketId,
+        from: SocketAddr,
+        bytes: Vec<u8>,
+    },
+    StreamBytes {
+        socket: SocketId,
+        bytes: Vec<u8>,
+    },
+    Closed {
+        socket: SocketId,
+    },
 }
 
-/// Name servers by address; one that is not there is silent. Everything takes a millisecond.
-struct Net {
+/// A network with name servers by address; one that is not there never replies. Each delivery takes a millisecond.
+struct SimulatedNetwork {
     now: Micros,
-    servers: BTreeMap<SocketAddr, Server>,
-    coming: BTreeMap<(Micros, u64), Comes>,
-    open: BTreeSet<Key>,
-    made: u64,
+    servers: BTreeMap<SocketAddr, Responder>,
+    /// By time and number.
+    deliveries: BTreeMap<(Micros, u64), Delivery>,
+    open_sockets: BTreeSet<SocketId>,
+    delivery_count: u64,
     resolver: Resolver,
-    events: Vec<(Micros, Event)>,
+    events: Vec<(Micros, ResolverEvent)>,
+}
+
+/// When a reply with this delay is delivered.
+fn delivery_time(delay: Duration) -> Micros {
+    SECOND / 1000 + delay.as_micros() as Micros
 }
 
-fn ns(n: u16) -> SocketAddr {
-    SocketAddr::from(([127, 0, 0, 1], 5300 + n))
+/// The address of a name server.
+fn ns(index: u16) -> SocketAddr {
+    SocketAddr::from(([127, 0, 0, 1], 5300 + index))
 }
 
-fn server(n: u16) -> SocketAddr {
-    SocketAddr::from(([127, 0, 1, 1], 8000 + n))
+/// The address of a server of the service.
+fn server(index: u16) -> SocketAddr {
+    SocketAddr::from(([127, 0, 1, 1], 8000 + index))
 }
 
 fn service(ttl: u32, count: u16) -> Script {
     let servers: Vec<SocketAddr> = (0..count).map(server).collect();
     Script {
-        minimum: Some(7),
+        negative_ttl: Some(7),
         ..Script::service(SERVICE, ttl, &servers)
     }
 }
 
-impl Net {
-    fn new(scripts: Vec<Script>) -> Net {
-        let config = Config::new(SERVICE, (0..scripts.len() as u16).map(ns).collect());
-        Net::with(config, scripts)
+impl SimulatedNetwork {
+    fn new(scripts: Vec<Script>) -> SimulatedNetwork {
+        let config = ResolverConfig::new(SERVICE, (0..scripts.len() as u16).map(ns).collect());
+        SimulatedNetwork::with(config, scripts)
     }
 
-    fn with(config: Config, scripts: Vec<Script>) -> Net {
+    fn with(config: ResolverConfig, scripts: Vec<Script>) -> SimulatedNetwork {
         let servers = scripts
             .into_iter()
             .enumerate()
-            .map(|(n, s)| (ns(n as u16), Server::new(s)))
+            .map(|(index, script)| (ns(index as u16), Responder::new(script)))
             .collect();
         let resolver = Resolver::new(config, StdRng::seed_from_u64(7), 0).unwrap();
-        let (coming, open, made, events) = Default::default();
-        Net {
+        let (deliveries, open_sockets, delivery_count, events) = Default::default();
+        SimulatedNetwork {
             now: 0,
             servers,
-            coming,
-            open,
-            made,
+            deliveries,
+            open_sockets,
+            delivery_count,
             resolver,
             events,
         }
     }
 
-    fn later(&mut self, after: Micros, comes: Comes) {
-        self.made += 1;
-        self.coming.insert((self.now + after, self.made), comes);
+    fn deliver_later(&mut self, after: Micros, delivery: Delivery) {
+        self.delivery_count += 1;
+        self.deliveries
+            .insert((self.now + after, self.delivery_count), delivery);
     }
 
     fn carry_out(&mut self) {
-        while let Some(asked) = self.resolver.transmit() {
-            let (key, to, bytes, over) = match asked {
-                Asked::Udp(key, to, bytes) => (key, to, bytes, Over::Udp),
-                Asked::Tcp(key, to, bytes) => (key, to, bytes[2..].to_vec(), Over::Tcp),
-                Asked::Close(key) => {
-                    self.open.remove(&key);
-                    continue;
-                }
-            };
-            self.open.insert(key);
-            assert!(self.open.len() <= 64 * 4, "sockets are bounded");
-            let Some(server) = self.servers.get_mut(&to) else {
-                continue;
-            };
-            for reply in server.answer(&bytes, over) {
-                let after = SECOND / 1000 + reply.after.as_micros() as Micros;
-                if over == Over::Udp {
-                    let from = if reply.other_port { ns(99) } else { to };
-                    self.later(after, Comes::Datagram(key, from, reply.bytes));
-                    continue;
-                }
-                let mut framed = (reply.bytes.len() as u16).to_be_bytes().to_vec();
-                framed.extend(reply.bytes);
-                framed.truncate(reply.cut.unwrap_or(usize::MAX));
-                let size = if reply.drip { 1 } else { framed.len().max(1) };
-                for part in framed.chunks(size) {
-                    self.later(after, Comes::Bytes(key, part.to_vec()));
-                }
-                if reply.then != Then::Silence {
-                    self.later(after, Comes::Closed(key));
-                }
-            }
+        while let Some(transmit) = self.resolver.poll_transmit() {
+            self.carry_out_transmit(transmit);
         }
-        while let Some(event) = self.resolver.event() {
+        while let Some(event) = self.resolver.poll_event() {
             self.events.push((self.now, event));
         }
     }
 
+    fn carry_out_transmit(&mut self, transmit: Transmit) {
+        let (socket, to, bytes, transport) = match transmit {
+            Transmit::Udp {
+                socket,
+                server,
+                message,
+            } => (socket, server, message, Transport::Udp),
+            Transmit::Tcp {
+                socket,
+                server,
+                framed_message,
+            } => (socket, server, framed_message[2..].to_vec(), Transport::Tcp),
+            Transmit::Close { socket } => {
+                self.open_sockets.remove(&socket);
+                return;
+            }
+        };
+        self.open_sockets.insert(socket);
+        assert!(self.open_sockets.len() <= 64 * 4, "sockets are bounded");
+        let Some(server) = self.servers.get_mut(&to) else {
+            return;
+        };
+        for reply in server.reply(&bytes, transport) {
+            match transport {
+                Transport::Udp => self.deliver_datagram(socket, to, reply),
+                Transport::Tcp => self.deliver_over_stream(socket, reply),
+            }
+        }
+    }
+
+    fn deliver_datagram(&mut self, socket: SocketId, to: SocketAddr, reply: Reply) {
+        let from = if reply.uses_other_port { ns(99) } else { to };
+        let delivery = Delivery::Datagram {
+            socket,
+            from,
+            bytes: reply.bytes,
+        };
+        self.deliver_later(delivery_time(reply.delay), delivery);
+    }
+
+    fn deliver_over_stream(&mut self, socket: SocketId, reply: Reply) {
+        let after = delivery_time(reply.delay);
+        let mut framed = (reply.bytes.len() as u16).to_be_bytes().to_vec();
+        framed.extend(reply.bytes);
+        framed.truncate(reply.max_bytes.unwrap_or(usize::MAX));
+        let size = if reply.is_byte_by_byte {
+            1
+        } else {
+            framed.len().max(1)
+        };
+        for piece in framed.chunks(size) {
+            let bytes = piece.to_vec();
+            self.deliver_later(after, Delivery::StreamBytes { socket, bytes });
+        }
+        if reply.after != AfterReply::StayQuiet {
+            self.deliver_later(after, Delivery::Closed { socket });
+        }
+    }
+
     fn run(&mut self, until: Micros) {
         loop {
-            let due = self.resolver.due();
-            let coming = self.coming.first_key_value().map(|(at, _)| at.0);
-            let next = coming.map_or(due, |c| c.min(due));
+            let timer = self.resolver.next_timer();
+            let next_delivery = self.deliveries.first_key_value().map(|(at, _)| at.0);
+            let next = next_delivery.map_or(timer, |delivery| delivery.min(timer));
             if next > until {
                 self.now = until;
                 return;
             }
             self.now = self.now.max(next);
-            match self.coming.first_key_value() {
-                Some((at, _)) if at.0 <= self.now => match self.coming.pop_first().unwrap().1 {
-                    Comes::Datagram(key, from, bytes) => {
-                        self.resolver.datagram(self.now, key, from, &bytes)
-                    }
-                    Comes::Bytes(key, bytes) => self.resolver.bytes(self.now, key, &bytes),
-                    Comes::Closed(key) => self.resolver.closed(self.now, key, "closed"),
-                },
-                _ => self.resolver.turn(self.now),
+            if next_delivery.is_some_and(|delivery| delivery <= self.now) {
+                let (_, delivery) = self.deliveries.pop_first().unwrap();
+                self.deliver(delivery);
+            } else {
+                self.resolver.on_timer(self.now);
             }
             self.carry_out();
         }
     }
 
-    fn lists(&self) -> Vec<(Micros, &Found)> {
+    fn deliver(&mut self, delivery: Delivery) {
+        match delivery {
+            Delivery::Datagram {
+                socket,
+                from,
+                bytes,
+            } => self.resolver.on_datagram(self.now, socket, from, &bytes),
+            Delivery::StreamBytes { socket, bytes } => {
+                self.resolver.on_stream_bytes(self.now, socket, &bytes);
+            }
+            Delivery::Closed { socket } => self.resolver.on_closed(self.now, socket, "closed"),
+        }
+    }
+
+    fn lists(&self) -> Vec<(Micros, &ServiceLookup)> {
         self.events
             .iter()
-            .filter_map(|(at, e)| {
-                if let Event::Listed(f) = e {
-                    Some((*at, f))
+            .filter_map(|(at, event)| {
+                if let ResolverEvent::Listed(lookup) = event {
+                    Some((*at, lookup))
                 } else {
                     None
                 }
@@ -158,96 +216,96 @@
             .collect()
     }
 
-    fn last(&self) -> &Found {
+    fn last(&self) -> &ServiceLookup {
         self.lists().last().expect("a list").1
     }
 
     fn failures(&self) -> usize {
         self.events
             .iter()
-            .filter(|(_, e)| matches!(e, Event::Failed { .. }))
+            .filter(|(_, event)| matches!(event, ResolverEvent::Failed { .. }))
             .count()
     }
 }
 
-fn addrs(found: &Found) -> Vec<u16> {
+fn addrs(found: &ServiceLookup) -> Vec<u16> {
     found
         .endpoints
         .iter()
-        .map(|e| e.addr.port() - 8000)
+        .map(|endpoint| endpoint.addr.port() - 8000)
         .collect()
 }
 
 #[test]
-fn a_service_is_found_and_asked_for_again_when_its_least_lifetime_is_over() {
-    let mut net = Net::new(vec![service(30, 3)]);
-    net.run(95 * SECOND);
-    assert_eq!(addrs(net.last()), [0, 1, 2]);
-    let first = &net.last().endpoints[0];
+fn looks_a_service_up_again_when_its_shortest_ttl_is_over() {
+    let mut network = SimulatedNetwork::new(vec![service(30, 3)]);
+    network.run(95 * SECOND);
+    assert_eq!(addrs(network.last()), [0, 1, 2]);
+    let first = &network.last().endpoints[0];
     assert_eq!(
         (first.target.as_str(), first.priority, first.weight),
         ("s0.example.test", 10, 10)
     );
-    let times: Vec<Micros> = net.lists().iter().map(|l| l.0 / SECOND).collect();
+    let times: Vec<Micros> = network.lists().iter().map(|(at, _)| at / SECOND).collect();
     assert_eq!(times, [0, 30, 60, 90]);
     // The addresses came along: nothing else was asked.
     assert_eq!(
-        net.servers[&ns(0)].asked.len(),
+        network.servers[&ns(0)].question_counts().len(),
         1,
         "{:?}",
-        net.servers[&ns(0)].asked
+        network.servers[&ns(0)].question_counts()
     );
 }
 
 #[test]
-fn addresses_that_did_not_come_along_are_asked_for_and_the_second_family_only_without_the_first() {
+fn asks_for_missing_addresses_and_for_the_second_family_only_without_the_first() {
     let mut script = Script {
-        additional: false,
+        adds_addresses: false,
         ..service(30, 2)
     };
-    script.record[3] = Record {
-        kind: "AAAA".into(),
+    script.records[3] = ZoneRecord {
+        record_type: "AAAA".into(),
         data: "::1".into(),
-        ..script.record[3].clone()
+        ..script.records[3].clone()
     };
-    let mut net = Net::new(vec![script]);
-    net.run(SECOND);
-    let found: Vec<String> = net
+    let mut network = SimulatedNetwork::new(vec![script]);
+    network.run(SECOND);
+    let found: Vec<String> = network
         .last()
         .endpoints
         .iter()
-        .map(|e| e.addr.to_string())
+        .map(|endpoint| endpoint.addr.to_string())
         .collect();
     assert_eq!(found, ["127.0.1.1:8000", "[::1]:8001"]);
-    assert!(!net.servers[&ns(0)]
-        .asked
+    assert!(!network.servers[&ns(0)]
+        .question_counts()
         .contains_key("s0.example.test AAAA"));
     // That there is no A record is believed no longer than the zone says.
-    assert_eq!(net.last().expires / SECOND, 7);
+    assert_eq!(network.last().expires_at / SECOND, 7);
 }
 
 #[test]
-fn only_addresses_that_belong_to_the_question_are_taken_from_the_additional_section() {
-    let mut script = service(30, 1).lying(Lie::Stuff);
+fn takes_only_addresses_of_targets_from_the_additional_section() {
+    let mut script = service(30, 1).with_fault(FaultyReply::UnrelatedAddress);
     // A target whose address is not known elsewhere must not be taken from another's answer.
-    script.record.push(Record {
+    script.records.push(ZoneRecord {
         name: SERVICE.into(),
-        kind: "SRV".into(),
+        record_type: "SRV".into(),
         ttl: 30,
         data: "1 1 8009 gone.example.test".into(),
     });
-    let mut net = Net::new(vec![script]);
-    net.run(SECOND);
-    assert_eq!(addrs(net.last()), [0]);
-    assert!(net
+    let mut network = SimulatedNetwork::new(vec![script]);
+    network.run(SECOND);
+    assert_eq!(addrs(network.last()), [0]);
+    assert!(network
         .last()
         .endpoints
         .iter()
-        .all(|e| e.addr.ip().to_string() != "127.0.0.66"));
+        .all(|endpoint| endpoint.addr.ip().to_string() != "127.0.0.66"));
 }
 
 #[test]
-fn lifetimes_are_the_least_of_the_chain_within_floor_and_ceiling() {
+fn uses_the_shortest_ttl_of_the_alias_chain_within_the_bounds() {
     for (ttl, after) in [
         (0, 1),
         (u32::MAX, 1),
@@ -255,193 +313,218 @@
         (i32::MAX as u32, 300),
         (20, 20),
     ] {
-        let mut net = Net::new(vec![service(9, 1).lying(Lie::Ttl(ttl))]);
-        net.run(SECOND / 2);
-        assert_eq!(net.last().expires / SECOND, after, "ttl {ttl}");
+        let mut network =
+            SimulatedNetwork::new(vec![service(9, 1).with_fault(FaultyReply::Ttl(ttl))]);
+        network.run(SECOND / 2);
+        assert_eq!(network.last().expires_at / SECOND, after, "ttl {ttl}");
     }
     let mut script = Script {
-        additional: false,
+        adds_addresses: false,
         ..service(50, 1)
     };
-    let record = |name: &str, kind: &str, ttl, data: &str| Record {
+    let record = |name: &str, kind: &str, ttl, data: &str| ZoneRecord {
         name: name.into(),
-        kind: kind.into(),
+        record_type: kind.into(),
         ttl,
         data: data.into(),
     };
-    script.record[1] = record("s0.example.test", "CNAME", 40, "real.example.test");
+    script.records[1] = record("s0.example.test", "CNAME", 40, "real.example.test");
     script
-        .record
+        .records
         .push(record("real.example.test", "A", 60, "127.0.1.1"));
-    for chase in [true, false] {
-        let mut net = Net::new(vec![Script {
-            chase,
+    for follows_aliases in [true, false] {
+        let mut network = SimulatedNetwork::new(vec![Script {
+            follows_aliases,
             ..script.clone()
         }]);
-        net.run(SECOND);
-        assert_eq!(addrs(net.last()), [0]);
-        assert_eq!(net.last().expires / SECOND, 40, "chase {chase}");
+        network.run(SECOND);
+        assert_eq!(addrs(network.last()), [0]);
+        assert_eq!(
+            network.last().expires_at / SECOND,
+            40,
+            "follows aliases: {follows_aliases}"
+        );
     }
 }
 
 #[test]
-fn every_lie_over_udp_is_survived_by_asking_the_next_server() {
+fn asks_the_next_server_after_any_faulty_reply() {
     let lies = [
-        Lie::Silent,
-        Lie::WrongId,
-        Lie::OtherPort,
-        Lie::OtherQuestion,
-        Lie::Rubbish,
-        Lie::Code(2),
-        Lie::Code(5),
-        Lie::Refer,
-        Lie::TruncateTcp,
+        FaultyReply::NoReply,
+        FaultyReply::WrongId,
+        FaultyReply::OtherPort,
+        FaultyReply::OtherQuestion,
+        FaultyReply::Garbage,
+        FaultyReply::ResponseCode(2),
+        FaultyReply::ResponseCode(5),
+        FaultyReply::Referral,
+        FaultyReply::TruncateTcp,
     ];
     for lie in lies {
         let bad = match lie {
-            Lie::TruncateTcp => service(30, 3).lying(Lie::Truncate).lying(lie.clone()),
-            _ => service(30, 3).lying(lie.clone()),
+            FaultyReply::TruncateTcp => service(30, 3)
+                .with_fault(FaultyReply::Truncate)
+                .with_fault(lie.clone()),
+            _ => service(30, 3).with_fault(lie.clone()),
         };
-        let mut net = Net::new(vec![bad, service(30, 3)]);
-        net.run(5 * SECOND);
-        assert_eq!(addrs(net.last()), [0, 1, 2], "{lie:?}");
-        assert_eq!(net.failures(), 0, "{lie:?}");
+        let mut network = SimulatedNetwork::new(vec![bad, service(30, 3)]);
+        network.run(5 * SECOND);
+        assert_eq!(addrs(network.last()), [0, 1, 2], "{lie:?}");
+        assert_eq!(network.failures(), 0, "{lie:?}");
     }
 }
 
 #[test]
-fn late_and_doubled_answers_count_once() {
-    for lie in [Lie::Late(300), Lie::Twice, Lie::Late(900)] {
-        let mut net = Net::new(vec![service(30, 2).lying(lie.clone())]);
-        net.run(20 * SECOND);
-        assert_eq!(net.lists().len(), 1, "{lie:?}");
-        assert_eq!(addrs(net.last()), [0, 1]);
+fn counts_late_and_duplicate_replies_once() {
+    for lie in [
+        FaultyReply::Delay(300),
+        FaultyReply::Duplicate,
+        FaultyReply::Delay(900),
+    ] {
+        let mut network = SimulatedNetwork::new(vec![service(30, 2).with_fault(lie.clone())]);
+        network.run(20 * SECOND);
+        assert_eq!(network.lists().len(), 1, "{lie:?}");
+        assert_eq!(addrs(network.last()), [0, 1]);
     }
 }
 
 #[test]
-fn what_is_truncated_is_asked_for_over_tcp_in_pieces_of_any_size() {
-    for more in [Lie::Truncate, Lie::Drip] {
-        let mut net = Net::new(vec![service(30, 3).lying(Lie::Truncate).lying(more)]);
-        net.run(5 * SECOND);
-        assert_eq!(addrs(net.last()), [0, 1, 2]);
-        assert!(net.resolver.counts().tcp > 0);
+fn asks_over_tcp_after_a_truncated_reply() {
+    for more in [FaultyReply::Truncate, FaultyReply::ByteByByte] {
+        let mut network = SimulatedNetwork::new(vec![service(30, 3)
+            .with_fault(FaultyReply::Truncate)
+            .with_fault(more)]);
+        network.run(5 * SECOND);
+        assert_eq!(addrs(network.last()), [0, 1, 2]);
+        assert!(network.resolver.counters().tcp_attempts > 0);
     }
     // Half a message and then silence is let go in time; the second server has it.
-    let half = service(30, 3).lying(Lie::Truncate).lying(Lie::HalfTcp);
-    let mut net = Net::new(vec![half, service(30, 3)]);
-    net.run(5 * SECOND);
-    assert_eq!(addrs(net.last()), [0, 1, 2]);
+    let half = service(30, 3)
+        .with_fault(FaultyReply::Truncate)
+        .with_fault(FaultyReply::HalfTcp);
+    let mut network = SimulatedNetwork::new(vec![half, service(30, 3)]);
+    network.run(5 * SECOND);
+    assert_eq!(addrs(network.last()), [0, 1, 2]);
 }
 
 #[test]
-fn a_server_that_does_not_know_edns_is_asked_without() {
+fn asks_without_edns_after_a_format_error() {
     let mut script = service(30, 2);
-    script.rule.push(Rule {
+    script.rules.push(FaultRule {
         name: None,
-        kind: None,
+        record_type: None,
         from: 0,
         to: Some(1),
-        lie: Lie::Code(1),
+        fault: FaultyReply::ResponseCode(1),
     });
-    let mut net = Net::new(vec![script]);
-    net.run(SECOND / 10);
-    assert_eq!(addrs(net.last()), [0, 1]);
+    let mut network = SimulatedNetwork::new(vec![script]);
+    network.run(SECOND / 10);
+    assert_eq!(addrs(network.last()), [0, 1]);
 }
 
 #[test]
-fn aliases_that_go_round_are_a_failure_and_not_an_empty_list() {
-    let mut net = Net::new(vec![service(2, 2)]);
-    net.run(SECOND);
-    net.servers
+fn treats_an_alias_loop_as_a_failure_and_not_as_an_empty_list() {
+    let mut network = SimulatedNetwork::new(vec![service(2, 2)]);
+    network.run(SECOND);
+    network
+        .servers
         .get_mut(&ns(0))
         .unwrap()
-        .set(service(2, 2).lying(Lie::Loop));
-    net.run(60 * SECOND);
-    assert_eq!((net.lists().len(), addrs(net.last())), (1, vec![0, 1]));
-    assert!(net.failures() > 2);
+        .set_script(service(2, 2).with_fault(FaultyReply::AliasLoop));
+    network.run(60 * SECOND);
+    assert_eq!(
+        (network.lists().len(), addrs(network.last())),
+        (1, vec![0, 1])
+    );
+    assert!(network.failures() > 2);
 }
 
 #[test]
-fn nothing_listed_is_an_answer_with_a_reason_and_a_short_lifetime() {
-    for lie in [Lie::NxDomain, Lie::Empty] {
-        let mut net = Net::new(vec![service(30, 2).lying(lie)]);
-        net.run(SECOND);
-        assert!(net.last().endpoints.is_empty() && net.last().nothing.is_some());
+fn reports_an_empty_list_with_a_reason_and_a_short_ttl() {
+    for lie in [FaultyReply::NxDomain, FaultyReply::Empty] {
+        let mut network = SimulatedNetwork::new(vec![service(30, 2).with_fault(lie)]);
+        network.run(SECOND);
+        assert!(network.last().endpoints.is_empty() && network.last().empty_reason.is_some());
     }
-    let mut net = Net::new(vec![Script {
-        minimum: Some(7),
-        additional: true,
+    let mut network = SimulatedNetwork::new(vec![Script {
+        negative_ttl: Some(7),
+        adds_addresses: true,
         ..Script::default()
     }]);
-    net.run(SECOND);
-    assert_eq!(net.last().expires / SECOND, 7);
-    let none = Record {
+    network.run(SECOND);
+    assert_eq!(network.last().expires_at / SECOND, 7);
+    let none = ZoneRecord {
         name: SERVICE.into(),
-        kind: "SRV".into(),
+        record_type: "SRV".into(),
         ttl: 30,
         data: "0 0 0 .".into(),
     };
-    let mut net = Net::new(vec![Script {
-        record: vec![none],
+    let mut network = SimulatedNetwork::new(vec![Script {
+        records: vec![none],
         ..Script::default()
     }]);
-    net.run(SECOND);
-    assert!(net
+    network.run(SECOND);
+    assert!(network
         .last()
-        .nothing
-        .as_ref()
-        .is_some_and(|n| n.contains("\".\"")));
+        .empty_reason
+        .is_some_and(|reason| reason.to_string().contains("\".\"")));
 }
 
 #[test]
-fn silent_for_an_hour_and_back_with_another_list() {
-    let mut net = Net::new(vec![service(10, 2), service(10, 2)]);
-    net.run(SECOND);
-    net.servers
+fn takes_a_new_list_from_servers_that_were_unresponsive_for_an_hour() {
+    let mut network = SimulatedNetwork::new(vec![service(10, 2), service(10, 2)]);
+    network.run(SECOND);
+    network
+        .servers
         .values_mut()
-        .for_each(|s| s.set(service(10, 2).lying(Lie::Silent)));
-    net.run(3600 * SECOND);
-    assert_eq!(net.lists().len(), 1);
-    let (asked, failures) = (net.resolver.counts().udp, net.failures() as u64);
+        .for_each(|server| server.set_script(service(10, 2).with_fault(FaultyReply::NoReply)));
+    network.run(3600 * SECOND);
+    assert_eq!(network.lists().len(), 1);
+    let (asked, failures) = (
+        network.resolver.counters().udp_attempts,
+        network.failures() as u64,
+    );
     // It is asked on, but not hammered.
     assert!(
         (60..400).contains(&failures) && asked <= 4 * failures + 4,
         "{asked} {failures}"
     );
-    net.servers.values_mut().for_each(|s| s.set(service(10, 5)));
-    net.run(3660 * SECOND);
-    assert_eq!(addrs(net.last()), [0, 1, 2, 3, 4]);
+    network
+        .servers
+        .values_mut()
+        .for_each(|server| server.set_script(service(10, 5)));
+    network.run(3660 * SECOND);
+    assert_eq!(addrs(network.last()), [0, 1, 2, 3, 4]);
 }
 
 #[test]
-fn a_target_that_cannot_be_asked_for_keeps_its_last_address() {
+fn keeps_the_last_address_of_a_target_without_an_answer() {
     let mut script = Script {
-        additional: false,
+        adds_addresses: false,
         ..service(5, 3)
     };
-    let mut net = Net::new(vec![script.clone()]);
-    net.run(SECOND);
-    let silent = |name: &str| Rule {
+    let mut network = SimulatedNetwork::new(vec![script.clone()]);
+    network.run(SECOND);
+    let silent = |name: &str| FaultRule {
         name: Some(name.into()),
-        kind: None,
+        record_type: None,
         from: 0,
         to: None,
-        lie: Lie::Silent,
+        fault: FaultyReply::NoReply,
     };
-    script.rule = vec![silent("s1.example.test")];
-    net.servers.get_mut(&ns(0)).unwrap().set(script);
-    net.run(100 * SECOND);
-    assert_eq!(addrs(net.last()), [0, 1, 2]);
-    assert!(net.last().endpoints[1].stale && !net.last().endpoints[0].stale);
-    assert_eq!(net.last().unresolved.len(), 1);
+    script.rules = vec![silent("s1.example.test")];
+    network.servers.get_mut(&ns(0)).unwrap().set_script(script);
+    network.run(100 * SECOND);
+    assert_eq!(addrs(network.last()), [0, 1, 2]);
+    assert!(network.last().endpoints[1].is_stale && !network.last().endpoints[0].is_stale);
+    assert_eq!(network.last().unresolved.len(), 1);
 }
 
 #[test]
-fn two_thousand_records_come_whole_over_tcp() {
+fn reads_two_thousand_records_over_tcp() {
     // Short names, so that the answer fits into the 65,535 bytes of a message.
     let mut script = Script {
-        additional: false,
+        adds_addresses: false,
         ..Script::service("_s._t", 30, &[])
     };
     for n in 0..2000_u16 {
@@ -450,28 +533,28 @@
             format!("127.1.{}.{}", n / 250, n % 250 + 1),
         );
         let data = format!("0 1 8000 {name}");
-        script.record.push(Record {
+        script.records.push(ZoneRecord {
             name: "_s._t".into(),
-            kind: "SRV".into(),
+            record_type: "SRV".into(),
             ttl: 30,
             data,
         });
-        script.record.push(Record {
+        script.records.push(ZoneRecord {
             name,
-            kind: "A".into(),
+            record_type: "A".into(),
             ttl: 30,
             data: addr,
         });
     }
-    let mut net = Net::with(
-        Config {
-            families: vec![Family::V4],
-            ..Config::new("_s._t", vec![ns(0)])
+    let mut network = SimulatedNetwork::with(
+        ResolverConfig {
+            families: vec![AddressFamily::V4],
+            ..ResolverConfig::new("_s._t", vec![ns(0)])
         },
         vec![script],
     );
-    net.run(5 * SECOND);
-    assert_eq!(net.last().endpoints.len(), 2000);
+    network.run(5 * SECOND);
+    assert_eq!(network.last().endpoints.len(), 2000);
 }
 
 proptest! {
@@ -479,43 +562,43 @@
 
     /// Whatever comes, nothing panics, and an honest second server is always found in the end.
     #[test]
-    fn mutated_answers_do_no_harm(
+    fn survives_mutated_replies(
         cuts in prop::collection::vec((any::<prop::sample::Index>(), any::<u8>()), 1..12),
         tcp in any::<bool>(),
         noise in prop::collection::vec(any::<u8>(), 0..64),
     ) {
-        let _ = poppykeel_dns_resolver::read(&noise);
-        let bad = if tcp { service(30, 3).lying(Lie::Truncate) } else { service(30, 3) };
-        let mut net = Net::new(vec![bad, service(30, 3)]);
+        let _ = decode_response(&noise);
+        let bad = if tcp { service(30, 3).with_fault(FaultyReply::Truncate) } else { service(30, 3) };
+        let mut network = SimulatedNetwork::new(vec![bad, service(30, 3)]);
         // The first answer that comes is spoilt, whichever it is.
-        net.resolver.turn(0);
-        net.carry_out();
-        for comes in net.coming.values_mut() {
-            let (Comes::Datagram(_, _, bytes) | Comes::Bytes(_, bytes)) = comes else { continue };
+        network.resolver.on_timer(0);
+        network.carry_out();
+        for delivery in network.deliveries.values_mut() {
+            let (Delivery::Datagram { bytes, .. } | Delivery::StreamBytes { bytes, .. }) = delivery else { continue };
             for (at, value) in &cuts {
                 let at = at.index(bytes.len());
                 bytes[at] = *value;
             }
-            let _ = poppykeel_dns_resolver::read(bytes);
+            let _ = decode_response(bytes);
         }
-        net.run(20 * SECOND);
-        prop_assert!(!net.lists().is_empty() || net.failures() > 0);
+        network.run(20 * SECOND);
+        prop_assert!(!network.lists().is_empty() || network.failures() > 0);
     }
 
     /// A list is never empty because servers lie without saying that nothing is there.
     #[test]
-    fn failures_are_never_an_empty_list(kinds in prop::collection::vec(0..10_usize, 1..30)) {
+    fn never_reports_an_empty_list_after_failures(kinds in prop::collection::vec(0..10_usize, 1..30)) {
         let lies = [
-            Lie::Silent, Lie::WrongId, Lie::OtherPort, Lie::OtherQuestion, Lie::Rubbish, Lie::Code(2),
-            Lie::Loop, Lie::Refer, Lie::Twice, Lie::Late(700),
+            FaultyReply::NoReply, FaultyReply::WrongId, FaultyReply::OtherPort, FaultyReply::OtherQuestion, FaultyReply::Garbage, FaultyReply::ResponseCode(2),
+            FaultyReply::AliasLoop, FaultyReply::Referral, FaultyReply::Duplicate, FaultyReply::Delay(700),
         ];
-        let mut net = Net::new(vec![service(3, 3), service(3, 3)]);
+        let mut network = SimulatedNetwork::new(vec![service(3, 3), service(3, 3)]);
         for (n, kind) in kinds.iter().enumerate() {
-            let script = service(3, 3).lying(lies[*kind].clone());
-            net.servers.get_mut(&ns((n % 2) as u16)).unwrap().set(script);
-            net.run(net.now + 4 * SECOND);
+            let script = service(3, 3).with_fault(lies[*kind].clone());
+            network.servers.get_mut(&ns((n % 2) as u16)).unwrap().set_script(script);
+            network.run(network.now + 4 * SECOND);
         }
-        for (_, found) in net.lists() {
+        for (_, found) in network.lists() {
             prop_assert_eq!(addrs(found), vec![0, 1, 2]);
         }
     }
--- a/crates/stub-dns-server/src/lib.rs
+++ b/crates/stub-dns-server/src/lib.rs
@@ -1,13 +1,18 @@
-//! A name server for tests and trials: it answers from a small zone, and lies by a script.
+//! A name server for tests and trials: it answers from a small zone, with the faults that a script asks for.
 //!
-//! `script` is what it is told to do, `server` turns a question's bytes into replies without a socket and without
-//! a clock, `sockets` serves that on loopback UDP and TCP from a thread of its own. Tests of the resolver use the
-//! middle layer with fed time, tests of the node the outer one.
+//! `script` says what to answer and which faults to make, `zone` has the records, `responder` turns a query's bytes into
+//! replies without a socket and without a clock, `fault` changes replies, and `stub_server` serves them on loopback UDP and
+//! TCP from threads of its own. Tests of the resolver use [`Responder`] with simulated time, tests of the node
+//! [`StubDnsServer`].
 
+mod error;
+mod fault;
+mod responder;
 mod script;
-mod server;
-mod sockets;
+mod stub_server;
+mod zone;
 
-pub use script::{Lie, Record, Rule, Script};
-pub use server::{Over, Reply, Server, Then};
-pub use sockets::Standin;
+pub use error::{RecordError, ScriptError};
+pub use responder::{AfterReply, Reply, Responder, Transport};
+pub use script::{FaultRule, FaultyReply, Script, ZoneRecord};
+pub use stub_server::StubDnsServer;
--- a/crates/stub-dns-server/src/main.rs
+++ b/crates/stub-dns-server/src/main.rs
@@ -1,7 +1,8 @@
-//! The stand-in by hand: `poppykeel-stub-dns-server --script FILE`. A line on standard input reads a script anew.
+//! The stub server by hand: `poppykeel-stub-dns-server --script FILE`. A line on standard input reads a script again.
 
 use clap::Parser;
-use poppykeel_stub_dns_server::{Script, Standin};
+use poppykeel_stub_dns_server::{Script, ScriptError, StubDnsServer};
+use std::io;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -22,50 +23,71 @@
     listen: SocketAddr,
     /// It ends by itself after so many seconds
     #[arg(long = "for", default_value_t = 600, value_name = "SECONDS")]
-    span: u64,
+    lifetime_s: u64,
 }
 
-fn read(path: &Path) -> Result<Script, String> {
-    let text = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
-    Script::read(&text).map_err(|e| format!("{}: {e}", path.display()))
+/// Why the server can't start, or a script is not taken. Each text is shown to people.
+#[derive(Debug, thiserror::Error)]
+enum StubError {
+    #[error("{}: {source}", path.display())]
+    ReadScript { path: PathBuf, source: io::Error },
+    #[error("{}: {source}", path.display())]
+    Script { path: PathBuf, source: ScriptError },
+    #[error("{0}")]
+    Listen(#[source] io::Error),
 }
 
-fn run(cli: &Cli) -> Result<(), String> {
-    let standin = Standin::start(cli.listen, read(&cli.script)?).map_err(|e| e.to_string())?;
+fn read_script(path: &Path) -> Result<Script, StubError> {
+    let text = std::fs::read_to_string(path).map_err(|source| StubError::ReadScript {
+        path: path.to_path_buf(),
+        source,
+    })?;
+    Script::read(&text).map_err(|source| StubError::Script {
+        path: path.to_path_buf(),
+        source,
+    })
+}
+
+fn run(cli: &Cli) -> Result<(), StubError> {
+    let script = read_script(&cli.script)?;
+    let server = StubDnsServer::start(cli.listen, script).map_err(StubError::Listen)?;
     println!(
         "listening on {}; a line with a file's name reads another script",
-        standin.addr()
+        server.addr()
     );
-    let span = Duration::from_secs(cli.span);
-    std::thread::spawn(move || {
-        std::thread::sleep(span);
-        std::process::exit(0);
-    });
-    for line in std::io::stdin().lines().map_while(Result::ok) {
-        let path = if line.trim().is_empty() {
-            cli.script.clone()
-        } else {
-            PathBuf::from(line.trim())
+    exit_after(Duration::from_secs(cli.lifetime_s));
+    for line in io::stdin().lines().map_while(Result::ok) {
+        let path = match line.trim() {
+            "" => cli.script.clone(),
+            name => PathBuf::from(name),
         };
-        match read(&path) {
+        match read_script(&path) {
             Ok(script) => {
-                standin.set(script);
+                server.set_script(script);
                 println!("now by {}", path.display());
             }
-            Err(e) => eprintln!("kept as it was: {e}"),
+            Err(error) => eprintln!("kept as it was: {error}"),
         }
     }
-    // Without an input it serves on until its time is out.
+    // Without an input it serves until its time is over.
     loop {
         std::thread::park();
     }
 }
 
+/// Ends the process after this time.
+fn exit_after(lifetime: Duration) {
+    std::thread::spawn(move || {
+        std::thread::sleep(lifetime);
+        std::process::exit(0);
+    });
+}
+
 fn main() -> ExitCode {
     match run(&Cli::parse()) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(text) => {
-            eprintln!("poppykeel-stub-dns-server: {text}");
+        Err(error) => {
+            eprintln!("poppykeel-stub-dns-server: {error}");
             ExitCode::FAILURE
         }
     }
--- a/crates/stub-dns-server/src/script.rs
+++ b/crates/stub-dns-server/src/script.rs
@@ -1,207 +1,191 @@
-//! The script: a zone, and rules that say which answers are lies.
+//! The script of a stub server: a zone, and rules that say which replies are faulty.
 
-#![expect(
-    clippy::min_ident_chars,
-    clippy::missing_errors_doc,
-    reason = "not yet converted"
-)]
-
-use hickory_proto::rr::rdata::{A, AAAA, CNAME, NS, SOA, SRV};
-use hickory_proto::rr::{Name, RData};
+use crate::error::ScriptError;
 use serde::Deserialize;
-use std::str::FromStr;
+use std::net::SocketAddr;
+
+/// Priority and weight of the SRV records that [`Script::service`] makes.
+const DEFAULT_PRIORITY_AND_WEIGHT: &str = "10 10";
 
-/// What the stand-in is told, as TOML.
+/// What a stub server answers, as TOML.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq)]
-#[serde(deny_unknown_fields)]
+#[serde(deny_unknown_fields, expecting = "struct Script")]
 pub struct Script {
-    /// The records it knows.
-    #[serde(default)]
-    pub record: Vec<Record>,
-    /// What it does wrong; all rules that fit a question apply, in order.
-    #[serde(default)]
-    pub rule: Vec<Rule>,
-    /// Answers to SRV questions bring the addresses of their targets along.
-    #[serde(default = "yes")]
-    pub additional: bool,
-    /// Answers follow aliases to their end.
-    #[serde(default = "yes")]
-    pub chase: bool,
-    /// The least lifetime of negative answers in the zone's SOA, in seconds; none sends no SOA.
-    pub minimum: Option<u32>,
+    /// The records of the zone.
+    #[serde(default, rename = "record")]
+    pub records: Vec<ZoneRecord>,
+    /// The faults. All rules that match a question apply, in order.
+    #[serde(default, rename = "rule")]
+    pub rules: Vec<FaultRule>,
+    /// Whether answers to SRV questions have the addresses of their targets in the additional section.
+    #[serde(default = "default_true", rename = "additional")]
+    pub adds_addresses: bool,
+    /// Whether answers follow aliases to their end.
+    #[serde(default = "default_true", rename = "chase")]
+    pub follows_aliases: bool,
+    /// The shortest time to live of negative answers in the zone's SOA, in seconds; without it there is no SOA.
+    #[serde(rename = "minimum")]
+    pub negative_ttl: Option<u32>,
 }
 
-fn yes() -> bool {
+fn default_true() -> bool {
     true
 }
 
 /// One record.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
-#[serde(deny_unknown_fields)]
-pub struct Record {
-    /// Its owner.
+#[serde(deny_unknown_fields, expecting = "struct Record")]
+pub struct ZoneRecord {
+    /// The name that has the record.
     pub name: String,
-    /// SRV, A, AAAA or CNAME.
+    /// SRV, A, AAAA, CNAME or NS.
     #[serde(rename = "type")]
-    pub kind: String,
-    /// Its lifetime, in seconds.
+    pub record_type: String,
+    /// The time to live, in seconds.
     pub ttl: u32,
-    /// As zone files have it: "priority weight port target", an address, or a name.
+    /// The data as zone files have it: "priority weight port target", an address, or a name.
     pub data: String,
 }
 
-/// When a lie is told.
+/// When a reply is faulty, and how.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
-#[serde(deny_unknown_fields)]
-pub struct Rule {
+#[serde(deny_unknown_fields, expecting = "struct Rule")]
+pub struct FaultRule {
     /// Only for questions of this name.
     pub name: Option<String>,
     /// Only for questions of this type.
     #[serde(rename = "type")]
-    pub kind: Option<String>,
-    /// Only for the n-th question that fits, counted from 0, and those after it ...
+    pub record_type: Option<String>,
+    /// Only from the question of this number among those that match, counted from 0 ...
     #[serde(default)]
     pub from: usize,
-    /// ... but not for this one and those after it.
+    /// ... to the one before this.
     pub to: Option<usize>,
-    /// What is done.
-    pub lie: Lie,
+    /// The fault.
+    #[serde(rename = "lie")]
+    pub fault: FaultyReply,
 }
 
-/// What a stand-in does wrong.
+/// What is wrong with a reply. Scripts have the names in kebab-case.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
-#[serde(rename_all = "kebab-case")]
-pub enum Lie {
-    /// Over UDP, nothing but the head with the mark of truncation.
+#[serde(rename_all = "kebab-case", expecting = "enum Lie")]
+pub enum FaultyReply {
+    /// Over UDP it has only the header, with the mark of truncation.
     Truncate,
     /// The same over TCP.
     TruncateTcp,
-    /// Answer so many milliseconds late.
-    Late(u64),
-    /// Answer twice.
-    Twice,
-    /// Repeat another question than was asked.
+    /// It comes this many milliseconds late.
+    #[serde(rename = "late")]
+    Delay(u64),
+    /// It comes twice.
+    #[serde(rename = "twice")]
+    Duplicate,
+    /// It has another question than was asked.
     OtherQuestion,
-    /// Answer with another id.
+    /// It has another id.
     WrongId,
-    /// Answer from another port.
+    /// It comes from another port.
     OtherPort,
-    /// Lifetimes of so many seconds.
+    /// Its records have this time to live, in seconds.
     Ttl(u32),
-    /// No records.
+    /// It has no records.
     Empty,
-    /// No such name.
+    /// It says that there is no such name.
     NxDomain,
-    /// This response code, such as 2 for SERVFAIL.
-    Code(u16),
-    /// The name is an alias of itself, over one more.
-    Loop,
-    /// Over TCP, half a message and then silence.
+    /// It has this response code, such as 2 for SERVFAIL.
+    #[serde(rename = "code")]
+    ResponseCode(u16),
+    /// It says that the name is an alias of itself, by way of another.
+    #[serde(rename = "loop")]
+    AliasLoop,
+    /// Over TCP only the first half comes, and then nothing.
     HalfTcp,
-    /// Over TCP, byte by byte.
-    Drip,
-    /// Bytes that are no message, but for the id.
-    Rubbish,
-    /// Refer to other servers.
-    Refer,
-    /// Addresses that nobody asked for.
-    Stuff,
-    /// Nothing at all.
-    Silent,
+    /// Over TCP it comes byte by byte.
+    #[serde(rename = "drip")]
+    ByteByByte,
+    /// Its bytes are no message, but for the id.
+    #[serde(rename = "rubbish")]
+    Garbage,
+    /// It names other servers to ask.
+    #[serde(rename = "refer")]
+    Referral,
+    /// It has an address that nobody asked for.
+    #[serde(rename = "stuff")]
+    UnrelatedAddress,
+    /// There is none.
+    #[serde(rename = "silent")]
+    NoReply,
 }
 
 impl Script {
-    /// Reads a script; an error names the key and its line.
-    pub fn read(text: &str) -> Result<Script, String> {
-        let script: Script = toml::from_str(text).map_err(|e| e.to_string())?;
-        for record in &script.record {
-            record
-                .data()
-                .map_err(|e| format!("record of {}: {e}", record.name))?;
+    /// Reads and checks the text of a script.
+    ///
+    /// # Errors
+    /// Names the key and its line, or the record.
+    pub fn read(text: &str) -> Result<Script, ScriptError> {
+        let script: Script = toml::from_str(text).map_err(Box::new)?;
+        for record in &script.records {
+            if let Err(source) = record.to_rdata() {
+                let name = record.name.clone();
+                return Err(ScriptError::Record { name, source });
+            }
         }
         Ok(script)
     }
 
-    /// A service with targets at these addresses, all named in one way, each record with this lifetime.
-    pub fn service(name: &str, ttl: u32, servers: &[std::net::SocketAddr]) -> Script {
+    /// A service with targets at these addresses, named `s0.example.test` and so on; each record has this time to live, in
+    /// seconds.
+    pub fn service(name: &str, ttl: u32, servers: &[SocketAddr]) -> Script {
         let mut script = Script {
-            additional: true,
-            chase: true,
+            adds_addresses: true,
+            follows_aliases: true,
             ..Script::default()
         };
-        for (n, addr) in servers.iter().enumerate() {
-            let target = format!("s{n}.example.test");
-            let data = format!("10 10 {} {target}", addr.port());
-            script.record.push(Record {
+        for (index, address) in servers.iter().enumerate() {
+            let target = format!("s{index}.example.test");
+            let port = address.port();
+            script.records.push(ZoneRecord {
                 name: name.into(),
-                kind: "SRV".into(),
+                record_type: "SRV".into(),
                 ttl,
-                data,
+                data: format!("{DEFAULT_PRIORITY_AND_WEIGHT} {port} {target}"),
             });
-            let kind = if addr.is_ipv4() { "A" } else { "AAAA" };
-            script.record.push(Record {
+            let address_type = if address.is_ipv4() { "A" } else { "AAAA" };
+            script.records.push(ZoneRecord {
                 name: target,
-                kind: kind.into(),
+                record_type: address_type.into(),
                 ttl,
-                data: addr.ip().to_string(),
+                data: address.ip().to_string(),
             });
         }
         script
     }
 
-    /// The same with one more rule for all questions.
-    pub fn lying(mut self, lie: Lie) -> Script {
-        self.rule.push(Rule {
+    /// The same script with a fault in all replies.
+    pub fn with_fault(mut self, fault: FaultyReply) -> Script {
+        self.rules.push(FaultRule {
             name: None,
-            kind: None,
+            record_type: None,
             from: 0,
             to: None,
-            lie,
+            fault,
         });
         self
     }
 }
 
-impl Record {
-    pub(crate) fn data(&self) -> Result<RData, String> {
-        let bad = |what: &str| format!("data: expected {what}, not '{}'", self.data);
-        let mut parts = self.data.split_whitespace();
-        let mut number = || parts.next().and_then(|p| p.parse::<u16>().ok());
-        Ok(match self.kind.as_str() {
-            "SRV" => {
-                let numbers = (number(), number(), number());
-                let (Some(priority), Some(weight), Some(port)) = numbers else {
-                    return Err(bad("PRIORITY WEIGHT PORT TARGET"));
-                };
-                let target = parts
-                    .next()
-                    .ok_or_else(|| bad("PRIORITY WEIGHT PORT TARGET"))?;
-                RData::SRV(SRV::new(priority, weight, port, name(target)?))
-            }
-            "A" => RData::A(A(self.data.parse().map_err(|_| bad("an IPv4 address"))?)),
-            "AAAA" => RData::AAAA(AAAA(self.data.parse().map_err(|_| bad("an IPv6 address"))?)),
-            "CNAME" => RData::CNAME(CNAME(name(&self.data)?)),
-            "NS" => RData::NS(NS(name(&self.data)?)),
-            kind => {
-                return Err(format!(
-                    "type: expected SRV, A, AAAA, CNAME or NS, not '{kind}'"
-                ))
-            }
-        })
+impl FaultRule {
+    /// Whether a question matches the rule.
+    pub(crate) fn matches(&self, name: &str, record_type: &str) -> bool {
+        let is_same = |own: &Option<String>, other: &str| {
+            own.as_deref()
+                .is_none_or(|own| own.trim_end_matches('.').eq_ignore_ascii_case(other))
+        };
+        is_same(&self.name, name) && is_same(&self.record_type, record_type)
     }
-}
 
-pub(crate) fn name(text: &str) -> Result<Name, String> {
-    let mut name =
-        Name::from_str(text).map_err(|e| format!("expected a name, not '{text}' ({e})"))?;
-    name.set_fqdn(true);
-    Ok(name)
-}
-
-/// The SOA of the zone that is the last two labels of a name.
-pub(crate) fn soa(of: &Name, minimum: u32) -> Option<(Name, RData)> {
-    let zone = of.trim_to(2);
-    let host = Name::from_str("ns.").ok()?;
-    let data = RData::SOA(SOA::new(host.clone(), host, 1, 60, 60, 60, minimum));
-    Some((zone, data))
+    /// Whether the rule applies to the matching question of this number.
+    pub(crate) fn applies_to(&self, number: usize) -> bool {
+        number >= self.from && self.to.is_none_or(|end| number < end)
+    }
 }
--- a/src/program/config/operator/mod.rs
+++ b/src/program/config/operator/mod.rs
@@ -146,8 +146,8 @@
             return Ok(());
         };
         let resolver = &lookup.resolver;
-        let floor = in_seconds(resolver.lifetimes.floor);
-        let ceiling = in_seconds(resolver.lifetimes.ceiling);
+        let floor = in_seconds(resolver.ttl_bounds.floor);
+        let ceiling = in_seconds(resolver.ttl_bounds.ceiling);
         write!(
             f,
             "\n{} at {:?}, asked anew every {floor} to {ceiling}",
--- a/src/program/config/operator/srv.rs
+++ b/src/program/config/operator/srv.rs
@@ -5,7 +5,7 @@
 use super::membership::AbsenceMeaning;
 use crate::protocol::srv::SrvEndpointMapping;
 use crate::transport::endpoints::srv::SrvLookupSettings;
-use poppykeel_dns_resolver as dns;
+use poppykeel_dns_resolver::{self as dns, ResolverConfig, TtlBounds};
 use poppykeel_endpoints::FlapLimits;
 use regex_lite::Regex;
 use serde::Deserialize;
@@ -101,11 +101,11 @@
     Ipv6,
 }
 
-impl From<AddressFamily> for dns::Family {
+impl From<AddressFamily> for dns::AddressFamily {
     fn from(family: AddressFamily) -> Self {
         match family {
-            AddressFamily::Ipv4 => dns::Family::V4,
-            AddressFamily::Ipv6 => dns::Family::V6,
+            AddressFamily::Ipv4 => dns::AddressFamily::V4,
+            AddressFamily::Ipv6 => dns::AddressFamily::V6,
         }
     }
 }
@@ -128,32 +128,29 @@
         if self.flap_hold > self.flap_most {
             return Err(invalid("flap_hold", "expected at most flap_most"));
         }
-        self.resolver_config().check().map_err(|error| {
-            // The resolver names its own keys, which are those of the file. Of several it names the first is meant.
-            let (keys, expected) = error.split_once(": ").unwrap_or(("", &error));
-            let key = keys.split(',').next().unwrap_or(keys);
-            invalid(key, expected.to_string())
-        })
+        self.resolver_config()
+            .check()
+            .map_err(|error| invalid(error.key(), error.expected()))
     }
 
     /// The configuration of the DNS resolver.
-    fn resolver_config(&self) -> dns::Config {
-        dns::Config {
+    fn resolver_config(&self) -> ResolverConfig {
+        ResolverConfig {
             name: self.name.clone(),
             servers: self.servers.clone(),
             families: self.families.iter().copied().map(Into::into).collect(),
             timeout: self.timeout.as_micros(),
             rounds: self.rounds,
-            payload: self.payload,
-            lifetimes: dns::Lifetimes {
+            udp_payload_bytes: self.payload,
+            ttl_bounds: TtlBounds {
                 floor: self.ttl_floor.as_micros().max(MIN_TTL_BOUND),
                 ceiling: self.ttl_ceiling.as_micros().max(MIN_TTL_BOUND),
                 negative: self.ttl_negative.as_micros(),
             },
-            retry: self.retry.as_micros(),
-            retry_most: self.retry_most.as_micros(),
-            most_questions: self.most_questions,
-            most_targets: self.most_targets,
+            retry_pause: self.retry.as_micros(),
+            max_retry_pause: self.retry_most.as_micros(),
+            max_questions: self.most_questions,
+            max_targets: self.most_targets,
         }
     }
 
@@ -193,8 +190,8 @@
 }
 
 /// The resolver's own defaults.
-fn resolver_defaults() -> dns::Config {
-    dns::Config::new("", Vec::new())
+fn resolver_defaults() -> ResolverConfig {
+    ResolverConfig::new("", Vec::new())
 }
 
 fn default_families() -> Vec<AddressFamily> {
@@ -202,15 +199,15 @@
 }
 
 fn default_ttl_floor() -> ConfigDuration {
-    ConfigDuration::from_micros(dns::Lifetimes::default().floor)
+    ConfigDuration::from_micros(TtlBounds::default().floor)
 }
 
 fn default_ttl_ceiling() -> ConfigDuration {
-    ConfigDuration::from_micros(dns::Lifetimes::default().ceiling)
+    ConfigDuration::from_micros(TtlBounds::default().ceiling)
 }
 
 fn default_ttl_negative() -> ConfigDuration {
-    ConfigDuration::from_micros(dns::Lifetimes::default().negative)
+    ConfigDuration::from_micros(TtlBounds::default().negative)
 }
 
 fn default_timeout() -> ConfigDuration {
@@ -222,23 +219,23 @@
 }
 
 fn default_retry() -> ConfigDuration {
-    ConfigDuration::from_micros(resolver_defaults().retry)
+    ConfigDuration::from_micros(resolver_defaults().retry_pause)
 }
 
 fn default_retry_most() -> ConfigDuration {
-    ConfigDuration::from_micros(resolver_defaults().retry_most)
+    ConfigDuration::from_micros(resolver_defaults().max_retry_pause)
 }
 
 fn default_payload() -> u16 {
-    resolver_defaults().payload
+    resolver_defaults().udp_payload_bytes
 }
 
 fn default_most_targets() -> usize {
-    resolver_defaults().most_targets
+    resolver_defaults().max_targets
 }
 
 fn default_most_questions() -> usize {
-    resolver_defaults().most_questions
+    resolver_defaults().max_questions
 }
 
 fn default_absence() -> AbsenceMeaning {
--- a/src/program/resolve/report.rs
+++ b/src/program/resolve/report.rs
@@ -4,7 +4,7 @@
 
 use crate::transport::endpoints::srv::SrvLookupResult;
 use crate::transport::messages::SRV_SOURCE;
-use poppykeel_dns_resolver::{Endpoint, Found};
+use poppykeel_dns_resolver::{Endpoint, ServiceLookup};
 use poppykeel_endpoints::{EndpointRegistry, MonotonicMicros, RegisteredEndpoint};
 use serde::Serialize;
 use std::collections::BTreeMap;
@@ -181,28 +181,28 @@
     fn new(lookup: &SrvLookupResult, now: MonotonicMicros) -> Option<Self> {
         match lookup {
             SrvLookupResult::Pending => None,
-            SrvLookupResult::Found(found) => Some(LookupReport::found(found, now)),
+            SrvLookupResult::Found(lookup) => Some(LookupReport::found(lookup, now)),
             SrvLookupResult::Failed(reason) => Some(LookupReport::Failed {
-                why: reason.clone(),
+                why: reason.to_string(),
             }),
         }
     }
 
-    fn found(found: &Found, now: MonotonicMicros) -> Self {
+    fn found(lookup: &ServiceLookup, now: MonotonicMicros) -> Self {
         LookupReport::Found {
-            records: found
+            records: lookup
                 .endpoints
                 .iter()
                 .map(|endpoint| RecordReport::new(endpoint, now))
                 .collect(),
-            expires_s: seconds_until(found.expires, now),
-            nothing: found.nothing.clone(),
-            unresolved: found
+            expires_s: seconds_until(lookup.expires_at, now),
+            nothing: lookup.empty_reason.map(|reason| reason.to_string()),
+            unresolved: lookup
                 .unresolved
                 .iter()
-                .map(|(target, reason)| UnresolvedTarget {
-                    target: target.clone(),
-                    why: reason.clone(),
+                .map(|unresolved| UnresolvedTarget {
+                    target: unresolved.target.clone(),
+                    why: unresolved.reason.to_string(),
                 })
                 .collect(),
         }
@@ -216,8 +216,8 @@
             addr: endpoint.addr,
             priority: endpoint.priority,
             weight: endpoint.weight,
-            expires_s: seconds_until(endpoint.expires, now),
-            stale: endpoint.stale,
+            expires_s: seconds_until(endpoint.expires_at, now),
+            stale: endpoint.is_stale,
         }
     }
 }
--- a/src/transport/endpoints/srv.rs
+++ b/src/transport/endpoints/srv.rs
@@ -7,7 +7,9 @@
 use crate::protocol::srv::SrvEndpointMapping;
 use crate::transport::clock::Clock;
 use crate::transport::messages::{DispatcherMessage, SRV_SOURCE};
-use poppykeel_dns_resolver::{driver, Config, Event, Found};
+use poppykeel_dns_resolver::{
+    driver, LookupError, ResolverConfig, ResolverEvent, ServiceLookup, UnresolvedTarget,
+};
 use poppykeel_endpoints::{ListedEndpoint, SourceUpdate};
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -22,7 +24,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct SrvLookupSettings {
     /// The resolver's settings.
-    pub resolver: Config,
+    pub resolver: ResolverConfig,
     /// How targets and records are mapped to endpoints.
     pub endpoint_mapping: SrvEndpointMapping,
 }
@@ -34,9 +36,9 @@
     #[default]
     Pending,
     /// The service was looked up.
-    Found(Found),
+    Found(ServiceLookup),
     /// The service could not be looked up, for this reason.
-    Failed(String),
+    Failed(LookupError),
 }
 
 /// The latest look-up, shared with the watcher's task, which replaces it.
@@ -103,7 +105,7 @@
 }
 
 /// Runs the resolver and reports its events, until the dispatcher has gone or the settings turn out to be invalid.
-async fn run(resolver: Config, clock: Clock, reporter: LookupReporter) {
+async fn run(resolver: ResolverConfig, clock: Clock, reporter: LookupReporter) {
     let (event_sender, events) = mpsc::channel(EVENT_CHANNEL_CAPACITY);
     let driver = driver::run(resolver, move || clock.now(), event_sender);
     // Neither branch is polled again after the other has ended, so nothing depends on their cancellation: the driver
@@ -127,12 +129,12 @@
 
 impl LookupReporter {
     /// Reports events until there are no more, or until the dispatcher has gone.
-    async fn report_all(mut self, mut events: mpsc::Receiver<Event>) {
+    async fn report_all(mut self, mut events: mpsc::Receiver<ResolverEvent>) {
         while let Some(event) = events.recv().await {
             let update = self.update_for(&event);
             *self.latest.borrow_mut() = match event {
-                Event::Listed(found) => SrvLookupResult::Found(found),
-                Event::Failed { why, .. } => SrvLookupResult::Failed(why),
+                ResolverEvent::Listed(lookup) => SrvLookupResult::Found(lookup),
+                ResolverEvent::Failed { reason, .. } => SrvLookupResult::Failed(reason),
             };
             let message = DispatcherMessage::EndpointUpdate {
                 source: SRV_SOURCE,
@@ -144,16 +146,16 @@
         }
     }
 
-    fn update_for(&mut self, event: &Event) -> SourceUpdate {
+    fn update_for(&mut self, event: &ResolverEvent) -> SourceUpdate {
         match event {
-            Event::Listed(found) => {
-                log_incomplete_answer(found);
-                let endpoints = found.endpoints.iter();
+            ResolverEvent::Listed(lookup) => {
+                log_incomplete_answer(lookup);
+                let endpoints = lookup.endpoints.iter();
                 let listed = endpoints.map(|endpoint| self.mapping.to_listed_endpoint(endpoint));
                 self.list_update(listed.collect())
             }
-            Event::Failed { why, .. } => {
-                tracing::warn!(source = SRV_SOURCE, reason = %why, "no list");
+            ResolverEvent::Failed { reason, .. } => {
+                tracing::warn!(source = SRV_SOURCE, %reason, "no list");
                 SourceUpdate::Failed
             }
         }
@@ -169,17 +171,17 @@
     }
 }
 
-fn log_incomplete_answer(found: &Found) {
-    if let Some(reason) = &found.nothing {
+fn log_incomplete_answer(lookup: &ServiceLookup) {
+    if let Some(reason) = &lookup.empty_reason {
         tracing::warn!(source = SRV_SOURCE, %reason, "nothing listed");
     }
-    for (target, reason) in &found.unresolved {
+    for UnresolvedTarget { target, reason } in &lookup.unresolved {
         tracing::warn!(source = SRV_SOURCE, target_name = %target, %reason, "target not resolved");
     }
-    if found.left_out > 0 {
+    if lookup.ignored_target_count > 0 {
         tracing::warn!(
             source = SRV_SOURCE,
-            omitted_count = found.left_out,
+            omitted_count = lookup.ignored_target_count,
             "too many targets"
         );
     }
--- a/tests/exchanges.rs
+++ b/tests/exchanges.rs
@@ -11,7 +11,7 @@
     reason = "not yet converted"
 )]
 
-use poppykeel_stub_dns_server::{Lie, Script, Standin};
+use poppykeel_stub_dns_server::{FaultyReply, Script, StubDnsServer};
 use std::collections::HashMap;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{Shutdown, TcpListener, TcpStream};
@@ -27,7 +27,7 @@
     child: Child,
     config: PathBuf,
     operator: Option<PathBuf>,
-    dns: Standin,
+    dns: StubDnsServer,
     lines: Receiver<String>,
     addr: String,
     listeners: HashMap<&'static str, TcpListener>,
@@ -54,7 +54,7 @@
     fn start(name: &str, text: String, operator: Option<&str>) -> Node {
         let listeners = ["replica", "discovery", "moved", "spare"]
             .map(|n| (n, TcpListener::bind("127.0.0.1:0").unwrap()));
-        let dns = Standin::start("127.0.0.1:0".parse().unwrap(), Script::default()).unwrap();
+        let dns = StubDnsServer::start("127.0.0.1:0".parse().unwrap(), Script::default()).unwrap();
         let addr = |n: usize| listeners[n].1.local_addr().unwrap().to_string();
         let config = text.replace("REPLICA", &addr(0));
         let path =
@@ -184,7 +184,9 @@
                 std::fs::write(self.operator.as_ref().unwrap(), "").unwrap();
                 self.signal("-HUP");
             }
-            "is silent" => self.dns.set(Script::default().lying(Lie::Silent)),
+            "is silent" => self
+                .dns
+                .set_script(Script::default().with_fault(FaultyReply::NoReply)),
             _ if what.starts_with("logs ") => {
                 let has = |line: &String| {
                     what["logs ".len()..]
@@ -199,7 +201,7 @@
                     .filter_map(|n| self.listeners.get(n));
                 let addrs: Vec<_> = named.map(|l| l.local_addr().unwrap()).collect();
                 self.dns
-                    .set(Script::service("_llm._tcp.example.test", 0, &addrs));
+                    .set_script(Script::service("_llm._tcp.example.test", 0, &addrs));
             }
             "is not called" => {
                 let listener = &self.listeners[party];
--- a/tests/operator.rs
+++ b/tests/operator.rs
@@ -4,7 +4,7 @@
 #![expect(clippy::min_ident_chars, reason = "not yet converted")]
 
 use poppykeel::program::config::operator::OperatorConfig;
-use poppykeel_stub_dns_server::{Lie, Script, Standin};
+use poppykeel_stub_dns_server::{FaultyReply, Script, StubDnsServer};
 use serde_json::Value;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -29,8 +29,8 @@
     path
 }
 
-fn standin(script: Script) -> Standin {
-    Standin::start(SocketAddr::from(([127, 0, 0, 1], 0)), script).unwrap()
+fn standin(script: Script) -> StubDnsServer {
+    StubDnsServer::start(SocketAddr::from(([127, 0, 0, 1], 0)), script).unwrap()
 }
 
 fn servers(count: u16) -> Vec<SocketAddr> {
@@ -39,7 +39,7 @@
         .collect()
 }
 
-fn settings(dns: &Standin, sources: &str) -> String {
+fn settings(dns: &StubDnsServer, sources: &str) -> String {
     format!(
         "[membership]\nsources = {sources}\n[membership.srv]\nname = \"{SERVICE}\"\nservers = [\"{}\"]\n\
          timeout = \"2s\"\nrounds = 1\n",
@@ -164,8 +164,13 @@
         "{text}"
     );
 
-    for lie in [Lie::Empty, Lie::NxDomain, Lie::Code(2), Lie::Silent] {
-        dns.set(Script::service(SERVICE, 30, &servers(3)).lying(lie.clone()));
+    for lie in [
+        FaultyReply::Empty,
+        FaultyReply::NxDomain,
+        FaultyReply::ResponseCode(2),
+        FaultyReply::NoReply,
+    ] {
+        dns.set_script(Script::service(SERVICE, 30, &servers(3)).with_fault(lie.clone()));
         let out = run(&["resolve", "--json"], &path);
         let value: Value = serde_json::from_slice(&out.stdout).unwrap();
         assert_eq!(out.status.code(), Some(1), "{lie:?}: {value}");
@@ -184,8 +189,8 @@
     let dns = standin(
         Script::read(zone)
             .unwrap()
-            .lying(Lie::Truncate)
-            .lying(Lie::Drip),
+            .with_fault(FaultyReply::Truncate)
+            .with_fault(FaultyReply::ByteByByte),
     );
     let example = include_str!("../crates/stub-dns-server/examples/operator.toml");
     let path = file(
