--- a/src/transport/admin.rs
+++ b/src/transport/admin.rs
@@ -6,8 +6,10 @@
 use super::messages::{query, DispatcherMessage, DispatcherQuery};
 use super::node_phase::NodePhase;
 use super::HttpConnection;
-use crate::protocol::admin::{self, Call, Figures};
-use crate::protocol::http::{Fault, Http, Out, Part, Side};
+use crate::protocol::admin::{
+    self, AdminCall, ClientCloses, FleetMetric, NodeMetrics, ReloadCounts,
+};
+use crate::protocol::http::{EncodedMessage, HttpCodec, HttpParseError, MessagePart, Role};
 use crate::protocol::request;
 use bytes::Bytes;
 use futures_util::{SinkExt, StreamExt};
@@ -34,8 +36,8 @@
     pub tell: mpsc::Sender<DispatcherMessage>,
     /// How far the node's life has come.
     pub phase: Rc<watch::Sender<NodePhase>>,
-    /// Files taken and turned down at SIGHUP.
-    pub reloads: Cell<(u64, u64)>,
+    /// Reloads of the settings at SIGHUP.
+    pub reloads: Cell<ReloadCounts>,
     /// The node's part in its fleet, where it has one.
     pub fleet: Option<Rc<CoordinationDriver>>,
     /// What clients' connections share.
@@ -68,16 +70,20 @@
     }
 
     async fn caller(self: Rc<Self>, socket: TcpStream) {
-        let mut wire = Framed::new(socket.into(), Http::new(Side::Server));
+        let mut wire = Framed::new(socket.into(), HttpCodec::new(Role::Server));
         let answer = match tokio::time::timeout(CALL, read(&mut wire)).await {
             Ok(Ok(Ok(call))) => self.answer(call).await,
-            Ok(Ok(Err(reject))) => request::own_answer(reject.status, &reject.reason, None, true),
-            Ok(Err(Fault::Cut | Fault::Io(_))) => return,
-            Ok(Err(fault)) => request::own_answer(400, &fault.to_string(), None, true),
-            Err(_) => request::own_answer(408, "the call did not come whole in time", None, true),
+            Ok(Ok(Err(reject))) => {
+                request::local_response(reject.status, &reject.reason, None, true)
+            }
+            Ok(Err(HttpParseError::UnexpectedEof | HttpParseError::Io(_))) => return,
+            Ok(Err(fault)) => request::local_response(400, &fault.to_string(), None, true),
+            Err(_) => {
+                request::local_response(408, "the call did not come whole in time", None, true)
+            }
         };
         let sent = async {
-            if wire.send(Out::Raw(answer)).await.is_ok() {
+            if wire.send(EncodedMessage::Raw(answer)).await.is_ok() {
                 let _ = wire.get_mut().shutdown().await;
                 wire.get_mut().discard_input().await;
             }
@@ -85,48 +91,57 @@
         let _ = tokio::time::timeout(TAKE, sent).await;
     }
 
-    async fn answer(&self, call: Call) -> Bytes {
-        let yes = |text: &str| request::own_answer(200, text, None, true);
+    /// The response with the metrics: those of the dispatcher, and those that are known here.
+    async fn metrics_response(&self) -> Bytes {
+        let Some(dispatcher_metrics) = query(&self.tell, DispatcherQuery::Telemetry).await else {
+            return request::local_response(503, "the node is ending", None, true);
+        };
+        let fleet = self.fleet.as_ref().map(|fleet| fleet.metrics());
+        let fleet = fleet.unwrap_or_default().into_iter();
+        let closes = self.clients.close_counters().by_label().into_iter();
+        admin::metrics_response(&NodeMetrics {
+            reloads: self.reloads.get(),
+            fleet: fleet
+                .map(|(name, value)| FleetMetric { name, value })
+                .collect(),
+            client_closes: closes
+                .map(|(reason, count)| ClientCloses { reason, count })
+                .collect(),
+            ..dispatcher_metrics
+        })
+    }
+
+    async fn answer(&self, call: AdminCall) -> Bytes {
+        let yes = |text: &str| request::local_response(200, text, None, true);
         match call {
-            Call::Ready if *self.phase.borrow() == NodePhase::Serving => yes("ready"),
-            Call::Ready => request::own_answer(503, "this node takes no clients now", None, true),
-            Call::Telemetry => match query(&self.tell, DispatcherQuery::Telemetry).await {
-                Some(told) => {
-                    let fleet = self
-                        .fleet
-                        .as_ref()
-                        .map(|fleet| fleet.metrics())
-                        .unwrap_or_default();
-                    let closes = self.clients.close_counters().by_label();
-                    admin::figures(&Figures {
-                        reloads: self.reloads.get(),
-                        fleet,
-                        closes,
-                        ..told
-                    })
-                }
-                None => request::own_answer(503, "the node is ending", None, true),
-            },
-            Call::Fleet => match &self.fleet {
-                Some(fleet) => admin::json(&fleet.status().to_string()),
-                None => request::own_answer(404, "this node is in no fleet", None, true),
+            AdminCall::Ready if *self.phase.borrow() == NodePhase::Serving => yes("ready"),
+            AdminCall::Ready => {
+                request::local_response(503, "this node takes no clients now", None, true)
+            }
+            AdminCall::Telemetry => self.metrics_response().await,
+            AdminCall::Fleet => match &self.fleet {
+                Some(fleet) => admin::json_response(&fleet.status().to_string()),
+                None => request::local_response(404, "this node is in no fleet", None, true),
             },
-            Call::Crossings => {
+            AdminCall::Crossings => {
                 let rows = query(&self.tell, DispatcherQuery::CrossZoneTraffic).await;
                 match rows.and_then(|rows| serde_json::to_string(&rows).ok()) {
-                    Some(rows) => admin::json(&rows),
-                    None => request::own_answer(503, "the node is ending", None, true),
+                    Some(rows) => admin::json_response(&rows),
+                    None => request::local_response(503, "the node is ending", None, true),
                 }
             }
-            Call::Roll { out, hold } => match &self.fleet {
-                Some(fleet) => yes(&fleet.order_rolling_restart(out, hold)),
-                None => request::own_answer(404, "this node is in no fleet", None, true),
+            AdminCall::Roll {
+                max_nodes_out,
+                hold_us,
+            } => match &self.fleet {
+                Some(fleet) => yes(&fleet.order_rolling_restart(max_nodes_out, hold_us)),
+                None => request::local_response(404, "this node is in no fleet", None, true),
             },
-            Call::Evacuate => {
+            AdminCall::Evacuate => {
                 evacuate(&self.phase);
                 yes("evacuating")
             }
-            Call::Rejoin => {
+            AdminCall::Rejoin => {
                 rejoin(&self.phase);
                 yes("serving")
             }
@@ -135,18 +150,20 @@
 }
 
 /// Reads one call, its body too.
-async fn read(wire: &mut HttpConnection) -> Result<Result<Call, request::Reject>, Fault> {
+async fn read(
+    wire: &mut HttpConnection,
+) -> Result<Result<AdminCall, request::RequestError>, HttpParseError> {
     let mut call = None;
     loop {
         match wire.next().await {
-            Some(Ok(Part::Head(head))) => match admin::call(&head) {
+            Some(Ok(MessagePart::Head(head))) => match admin::parse_call(&head) {
                 Ok(read) => call = Some(read),
                 Err(reject) => return Ok(Err(reject)),
             },
-            Some(Ok(Part::Body(_))) => {}
-            Some(Ok(Part::End)) => return call.ok_or(Fault::Cut).map(Ok),
+            Some(Ok(MessagePart::Body(_))) => {}
+            Some(Ok(MessagePart::End)) => return call.ok_or(HttpParseError::UnexpectedEof).map(Ok),
             Some(Err(fault)) => return Err(fault),
-            None => return Err(Fault::Cut),
+            None => return Err(HttpParseError::UnexpectedEof),
         }
     }
 }
--- a/src/transport/client/connection/disconnect.rs
+++ b/src/transport/client/connection/disconnect.rs
@@ -1,7 +1,7 @@
 //! Notices that a client disconnects while its request is being served.
 
 use super::{ClientConnection, CloseReason, ConnectionClosed};
-use crate::protocol::http::Fault;
+use crate::protocol::http::HttpParseError;
 use crate::transport::HttpConnection;
 use futures_util::StreamExt;
 use std::future::Future;
@@ -51,7 +51,7 @@
                 biased;
                 output = &mut operation => return Ok(output),
                 read = self.http.next() => match read {
-                    None | Some(Err(Fault::Cut | Fault::Io(_))) => return Err(ClientDisconnected),
+                    None | Some(Err(HttpParseError::UnexpectedEof | HttpParseError::Io(_))) => return Err(ClientDisconnected),
                     // What can't be read is answered after the present request.
                     Some(part) => self.read_ahead = Some(part),
                 },
--- a/src/transport/client/connection/exchange.rs
+++ b/src/transport/client/connection/exchange.rs
@@ -5,8 +5,8 @@
 use super::responses::OwnResponse;
 use super::streams::StreamEnd;
 use super::{log_lifecycle, ClientConnection, CloseReason, ConnectionClosed};
-use crate::protocol::http::{Head, Out};
-use crate::protocol::request::{self, Reject, Route};
+use crate::protocol::http::{EncodedMessage, Head};
+use crate::protocol::request::{self, RequestError, Route};
 use crate::transport::client::registry::BodyMemoryPermit;
 use crate::transport::messages::{
     ClientRequest, ClientResponse, DispatcherMessage, RequestPayload, StreamChunk,
@@ -87,7 +87,7 @@
             status,
             text,
             retry_after: None,
-            is_last: is_draining || !head.keep,
+            is_last: is_draining || !head.keeps_connection,
         })
         .await
     }
@@ -100,7 +100,7 @@
         body_memory: BodyMemoryPermit,
     ) -> Result<(), ConnectionClosed> {
         let site = self.registry.site();
-        let request = match request::arrival(&head.headers, &site.names, body.len()) {
+        let request = match request::parse_request(&head.headers, &site.names, body.len()) {
             Ok(request) => request,
             Err(reject) => return Err(self.reject(&reject, None).await),
         };
@@ -110,7 +110,7 @@
         }
         self.log_taken(&request);
         let payload = RequestPayload {
-            head: request::upstream_head(&head, body.len(), None),
+            head: request::replica_request_head(&head, body.len(), None),
             body: body.clone(),
         };
         let response = match self.dispatch(request.clone(), payload).await {
@@ -122,7 +122,7 @@
                 return Err(ConnectionClosed(CloseReason::DispatcherEnded));
             }
         };
-        let is_last = self.is_last_response() || !head.keep;
+        let is_last = self.is_last_response() || !head.keeps_connection;
         let dispatched = DispatchedRequest {
             request,
             head,
@@ -166,7 +166,7 @@
                 self.send_stream(site, dispatched, stream).await
             }
             ClientResponse::Duplicate => {
-                let reject = Reject {
+                let reject = RequestError {
                     status: 400,
                     reason: "Req-Id is that of a request still being served".to_string(),
                 };
@@ -226,8 +226,8 @@
         let mut recovery = StreamRecovery::new(monitor, site, streamed, &content_type);
         // Only a stream that can be recovered keeps the body of its request, and its memory with it, until it ends.
         let _body_memory = recovery.is_some().then_some(body_memory);
-        let response_head = request::stream_head(&content_type, is_last);
-        self.feed(Out::Raw(response_head)).await?;
+        let response_head = request::stream_response_head(&content_type, is_last);
+        self.feed(EncodedMessage::Raw(response_head)).await?;
         let end = match &mut recovery {
             None => self.forward_stream(chunks).await,
             Some(recovery) => self.forward_recoverable_stream(recovery, chunks).await,
--- a/src/transport/client/connection/mod.rs
+++ b/src/transport/client/connection/mod.rs
@@ -25,7 +25,7 @@
 
 use super::close_reason::CloseReason;
 use super::registry::ConnectionRegistry;
-use crate::protocol::http::{Fault, Http, Part, Side};
+use crate::protocol::http::{HttpCodec, HttpParseError, MessagePart, Role};
 use crate::transport::messages::RequestOwner;
 use crate::transport::HttpConnection;
 use std::rc::Rc;
@@ -60,7 +60,7 @@
     /// The connection's number among all connections of this process.
     number: u64,
     /// What came of the next request while a response was awaited: its head, or why it can't be read.
-    read_ahead: Option<Result<Part, Fault>>,
+    read_ahead: Option<Result<MessagePart, HttpParseError>>,
     /// Heads of requests that have been read on this connection.
     request_count: u64,
     /// The request that is being read must be complete by then, however slowly its bytes come.
@@ -85,7 +85,7 @@
     pub fn new(socket: TcpStream, registry: Rc<ConnectionRegistry>) -> Self {
         let number = registry.connection_opened();
         let read_deadline = Instant::now() + registry.limits().request_read_timeout;
-        let http = Framed::new(socket.into(), Http::new(Side::Server));
+        let http = Framed::new(socket.into(), HttpCodec::new(Role::Server));
         ClientConnection {
             http,
             registry,
--- a/src/transport/client/connection/requests.rs
+++ b/src/transport/client/connection/requests.rs
@@ -1,8 +1,8 @@
 //! Reads requests from a client's connection, heads and bodies, and decides when none is waited for any more.
 
 use super::{ClientConnection, CloseReason, ConnectionClosed};
-use crate::protocol::http::{Fault, Head, Out, Part};
-use crate::protocol::request::{Reject, MOST_BODY};
+use crate::protocol::http::{EncodedMessage, Head, HttpParseError, MessagePart};
+use crate::protocol::request::{RequestError, MAX_BODY_BYTES};
 use crate::routing::DurationMicros;
 use crate::transport::client::registry::{BodyMemoryPermit, IdleRegistration};
 use crate::transport::client::shutdown::LAST_READ_DURATION;
@@ -19,9 +19,9 @@
 /// How the wait for a request ended.
 enum RequestStart {
     /// The first part of the request has come.
-    Part(Part),
+    Part(MessagePart),
     /// The request can't be read, or its head is not complete in time.
-    Unreadable(Fault),
+    Unreadable(HttpParseError),
     /// No request came, and the connection ends.
     Closed(CloseReason),
 }
@@ -29,13 +29,13 @@
 /// How reading the next part of a request ended.
 enum PartRead {
     /// The part has come.
-    Part(Part),
+    Part(MessagePart),
     /// What has come can't be read.
-    Unreadable(Fault),
+    Unreadable(HttpParseError),
     /// The client has disconnected.
     Disconnected,
     /// The part has not come in time, and is no longer waited for.
-    Overdue(Fault),
+    Overdue(HttpParseError),
 }
 
 /// Why a request has no body to serve.
@@ -45,7 +45,7 @@
     #[error("the request is rejected with status {}", .reject.status)]
     Rejected {
         /// The status and reason of the rejection.
-        reject: Reject,
+        reject: RequestError,
         /// When the client may try again.
         retry_after: Option<DurationMicros>,
     },
@@ -68,8 +68,8 @@
             None => self.wait_for_request().await,
         };
         match start {
-            RequestStart::Part(Part::Head(head)) => Ok(head),
-            RequestStart::Part(Part::Body(_) | Part::End) => {
+            RequestStart::Part(MessagePart::Head(head)) => Ok(head),
+            RequestStart::Part(MessagePart::Body(_) | MessagePart::End) => {
                 Err(ConnectionClosed(CloseReason::RequestRejected))
             }
             RequestStart::Unreadable(fault) => Err(self.reject_unreadable(&fault).await),
@@ -143,9 +143,9 @@
             biased;
             read = self.http.next() => read,
             () = tokio::time::sleep_until(self.read_deadline) => {
-                return PartRead::Overdue(Fault::Slow);
+                return PartRead::Overdue(HttpParseError::ReadTimeout);
             }
-            () = registry.reading_ended() => return PartRead::Overdue(Fault::Late),
+            () = registry.reading_ended() => return PartRead::Overdue(HttpParseError::ShuttingDown),
         };
         match read {
             Some(Ok(part)) => PartRead::Part(part),
@@ -165,12 +165,13 @@
         head: &Head,
         memory: &mut BodyMemoryPermit,
     ) -> Result<Bytes, BodyError> {
-        let expected_length = head.length.unwrap_or(0);
-        if expected_length > MOST_BODY as u64 {
+        let expected_length = head.body_length.unwrap_or(0);
+        if expected_length > MAX_BODY_BYTES as u64 {
             return Err(body_too_long());
         }
-        if head.headers.has("expect", "100-continue") {
-            self.send(Out::Raw(Bytes::from_static(CONTINUE))).await?;
+        if head.headers.has_token("expect", "100-continue") {
+            self.send(EncodedMessage::Raw(Bytes::from_static(CONTINUE)))
+                .await?;
         }
         let mut body = Vec::with_capacity(expected_length as usize);
         loop {
@@ -184,13 +185,17 @@
                 }
             };
             match part {
-                Part::Body(bytes) if body.len() + bytes.len() > MOST_BODY => {
+                MessagePart::Body(bytes) if body.len() + bytes.len() > MAX_BODY_BYTES => {
                     return Err(body_too_long());
                 }
-                Part::Body(bytes) if memory.try_grow(bytes.len()) => body.extend_from_slice(&bytes),
-                Part::Body(_) => return Err(body_memory_exhausted()),
-                Part::End => return Ok(body.into()),
-                Part::Head(_) => return Err(ConnectionClosed(CloseReason::RequestRejected).into()),
+                MessagePart::Body(bytes) if memory.try_grow(bytes.len()) => {
+                    body.extend_from_slice(&bytes);
+                }
+                MessagePart::Body(_) => return Err(body_memory_exhausted()),
+                MessagePart::End => return Ok(body.into()),
+                MessagePart::Head(_) => {
+                    return Err(ConnectionClosed(CloseReason::RequestRejected).into())
+                }
             }
         }
     }
@@ -216,9 +221,9 @@
 
 fn body_too_long() -> BodyError {
     BodyError::Rejected {
-        reject: Reject {
+        reject: RequestError {
             status: 413,
-            reason: format!("the body is longer than {MOST_BODY} bytes"),
+            reason: format!("the body is longer than {MAX_BODY_BYTES} bytes"),
         },
         retry_after: None,
     }
@@ -226,7 +231,7 @@
 
 fn body_memory_exhausted() -> BodyError {
     BodyError::Rejected {
-        reject: Reject {
+        reject: RequestError {
             status: 503,
             reason: "this node holds as many requests as it may".to_string(),
         },
--- a/src/transport/client/connection/responses.rs
+++ b/src/transport/client/connection/responses.rs
@@ -1,8 +1,8 @@
 //! Writes to a client: responses of the node's own, and rejections after which the connection closes.
 
 use super::{log_lifecycle, ClientConnection, CloseReason, ConnectionClosed};
-use crate::protocol::http::{Fault, Out};
-use crate::protocol::request::{self, Reject};
+use crate::protocol::http::{EncodedMessage, HttpParseError};
+use crate::protocol::request::{self, RequestError};
 use crate::routing::DurationMicros;
 use futures_util::SinkExt;
 use std::future::Future;
@@ -31,8 +31,8 @@
             retry_after,
             is_last,
         } = response;
-        let bytes = request::own_answer(status, text, retry_after, is_last);
-        self.send(Out::Raw(bytes)).await?;
+        let bytes = request::local_response(status, text, retry_after, is_last);
+        self.send(EncodedMessage::Raw(bytes)).await?;
         if is_last {
             Err(ConnectionClosed(CloseReason::LastResponse))
         } else {
@@ -41,16 +41,18 @@
     }
 
     /// Rejects a request that can't be read, where there is still a client to tell.
-    pub(super) async fn reject_unreadable(&mut self, fault: &Fault) -> ConnectionClosed {
+    pub(super) async fn reject_unreadable(&mut self, fault: &HttpParseError) -> ConnectionClosed {
         let status = match fault {
-            Fault::Malformed(_) => 400,
-            Fault::LongHead => 431,
-            Fault::Slow => 408,
-            Fault::Version => 505,
-            Fault::Late => return self.reject_late().await,
-            Fault::Cut | Fault::Io(_) => return ConnectionClosed(CloseReason::ClientDisconnected),
+            HttpParseError::Malformed(_) => 400,
+            HttpParseError::HeadTooLong => 431,
+            HttpParseError::ReadTimeout => 408,
+            HttpParseError::UnsupportedVersion => 505,
+            HttpParseError::ShuttingDown => return self.reject_late().await,
+            HttpParseError::UnexpectedEof | HttpParseError::Io(_) => {
+                return ConnectionClosed(CloseReason::ClientDisconnected)
+            }
         };
-        let reject = Reject {
+        let reject = RequestError {
             status,
             reason: fault.to_string(),
         };
@@ -60,7 +62,7 @@
     /// Rejects a request that comes too late in a shutdown to be answered. It has run nowhere, and other nodes can take it at
     /// once.
     pub(super) async fn reject_late(&mut self) -> ConnectionClosed {
-        let reject = Reject {
+        let reject = RequestError {
             status: 503,
             reason: "this node shuts down".into(),
         };
@@ -70,7 +72,7 @@
     /// Rejects a request with the last response on this connection.
     pub(super) async fn reject(
         &mut self,
-        reject: &Reject,
+        reject: &RequestError,
         retry_after: Option<DurationMicros>,
     ) -> ConnectionClosed {
         log_lifecycle!(
@@ -79,22 +81,22 @@
             why = reject.reason,
             "request turned down"
         );
-        let response = request::own_answer(reject.status, &reject.reason, retry_after, true);
-        match self.send(Out::Raw(response)).await {
+        let response = request::local_response(reject.status, &reject.reason, retry_after, true);
+        match self.send(EncodedMessage::Raw(response)).await {
             Ok(()) => ConnectionClosed(CloseReason::RequestRejected),
             Err(closed) => closed,
         }
     }
 
     /// Writes and flushes.
-    pub(super) async fn send(&mut self, message: Out) -> Result<(), ConnectionClosed> {
+    pub(super) async fn send(&mut self, message: EncodedMessage) -> Result<(), ConnectionClosed> {
         self.feed(message).await?;
         self.flush().await
     }
 
     /// Writes to the buffer, which is flushed first where it is full. A client that takes nothing any more must not hold a
     /// replica's stream for ever, so this and flushing have a time limit.
-    pub(super) async fn feed(&mut self, message: Out) -> Result<(), ConnectionClosed> {
+    pub(super) async fn feed(&mut self, message: EncodedMessage) -> Result<(), ConnectionClosed> {
         let limit = self.registry.limits().client_write_timeout;
         written_in_time(limit, self.http.feed(message)).await
     }
@@ -110,7 +112,7 @@
 /// written in the codec's buffer.
 async fn written_in_time(
     limit: Duration,
-    write: impl Future<Output = Result<(), Fault>>,
+    write: impl Future<Output = Result<(), HttpParseError>>,
 ) -> Result<(), ConnectionClosed> {
     match tokio::time::timeout(limit, write).await {
         Ok(Ok(())) => Ok(()),
--- a/src/transport/client/connection/streams.rs
+++ b/src/transport/client/connection/streams.rs
@@ -1,7 +1,7 @@
 //! Passes streams on to a client.
 
 use super::{ClientConnection, ConnectionClosed};
-use crate::protocol::http::Out;
+use crate::protocol::http::EncodedMessage;
 use crate::transport::messages::{ClientResponse, StreamChunk};
 use crate::transport::replica::stream_recovery::{RecoveryStep, StreamRecovery};
 use bytes::Bytes;
@@ -35,9 +35,11 @@
             // What has come together goes out together.
             loop {
                 match next {
-                    Some(StreamChunk::Bytes(bytes)) => self.feed(Out::Chunk(bytes)).await?,
+                    Some(StreamChunk::Bytes(bytes)) => {
+                        self.feed(EncodedMessage::Chunk(bytes)).await?;
+                    }
                     Some(StreamChunk::End) => {
-                        self.send(Out::Last).await?;
+                        self.send(EncodedMessage::EndOfChunks).await?;
                         return Ok(StreamEnd::Complete);
                     }
                     None => {
@@ -74,9 +76,9 @@
             if is_complete {
                 let partial_event = recovery.take_partial_event();
                 if !partial_event.is_empty() {
-                    self.feed(Out::Chunk(partial_event)).await?;
+                    self.feed(EncodedMessage::Chunk(partial_event)).await?;
                 }
-                self.send(Out::Last).await?;
+                self.send(EncodedMessage::EndOfChunks).await?;
                 return Ok(StreamEnd::Complete);
             }
             match self.recover(recovery).await? {
@@ -109,7 +111,7 @@
             }
             RecoveryStep::Complete(closing_events) => {
                 self.send_chunk(closing_events).await?;
-                self.send(Out::Last).await?;
+                self.send(EncodedMessage::EndOfChunks).await?;
                 Ok(Recovery::Ended(StreamEnd::Complete))
             }
             RecoveryStep::Fail(error_event) => {
@@ -124,6 +126,6 @@
         if bytes.is_empty() {
             return Ok(());
         }
-        self.send(Out::Chunk(bytes)).await
+        self.send(EncodedMessage::Chunk(bytes)).await
     }
 }
--- a/src/transport/client/listener.rs
+++ b/src/transport/client/listener.rs
@@ -163,7 +163,7 @@
 /// Refuses a connection without reading its request: the client gets its response at once and the connection ends.
 async fn refuse(socket: TcpStream, _refusal: Rc<()>) {
     let mut socket = Socket::from(socket);
-    let response = request::own_answer(
+    let response = request::local_response(
         503,
         "this node holds as many connections as it may",
         Some(RETRY_AFTER_FULL),
--- a/src/transport/mod.rs
+++ b/src/transport/mod.rs
@@ -18,12 +18,12 @@
 pub mod replica;
 pub mod socket;
 
-use crate::protocol::http::Http;
+use crate::protocol::http::HttpCodec;
 use std::time::Duration;
 use tokio_util::codec::Framed;
 
 /// A socket with the HTTP codec. Each direction has one bounded buffer, which is used again and again.
-pub type HttpConnection = Framed<socket::Socket, Http>;
+pub type HttpConnection = Framed<socket::Socket, HttpCodec>;
 
 /// Limits of the transport in number, memory and time; `program::config` sets them.
 #[derive(Clone, Debug, PartialEq)]
--- a/src/transport/replica/attempts.rs
+++ b/src/transport/replica/attempts.rs
@@ -11,8 +11,8 @@
 
 use super::pool::{ConnectError, ConnectionPool, ReplicaAddress, ReplicaConnection};
 use super::stream_monitor::{MonitoredStream, StreamMonitor};
-use crate::protocol::answer::{Answer, Step};
-use crate::protocol::http::{Fault, Out, Part};
+use crate::protocol::answer::{ResponseReader, ResponseStep};
+use crate::protocol::http::{EncodedMessage, HttpParseError, MessagePart};
 use crate::protocol::request;
 use crate::routing::cross_zone::{CrossZoneTraffic, RequestGroup};
 use crate::routing::DurationMicros;
@@ -217,7 +217,7 @@
         loop {
             match forwarder.read(&mut connection).await {
                 ReplicaInput::Part(part) => forwarder.take_part(part, &mut steps),
-                ReplicaInput::Broken => forwarder.answer.broke(&mut steps),
+                ReplicaInput::Broken => forwarder.answer.connection_lost(&mut steps),
                 // A replica that has vanished leaves its connections open and quiet: its client must not be left waiting.
                 ReplicaInput::Stalled { silence_us } => {
                     if let Some(stream) = &forwarder.stream {
@@ -228,9 +228,11 @@
             }
             for step in steps.drain(..) {
                 match step {
-                    Step::First(content_type) => forwarder.start_stream(content_type).await,
-                    Step::Pass(bytes) => forwarder.pass_on(bytes).await,
-                    Step::Done(outcome, report) => {
+                    ResponseStep::Started(content_type) => {
+                        forwarder.start_stream(content_type).await;
+                    }
+                    ResponseStep::Forward(bytes) => forwarder.pass_on(bytes).await,
+                    ResponseStep::Ended(outcome, report) => {
                         let can_reuse = forwarder.finish(outcome).await;
                         return AttemptEnd {
                             outcome,
@@ -247,7 +249,7 @@
 /// What a replica's connection gives next.
 enum ReplicaInput {
     /// A part of the response.
-    Part(Part),
+    Part(MessagePart),
     /// The connection has ended or failed, or its bytes can't be read.
     Broken,
     /// Nothing has come for longer than a stream of this replica may be silent.
@@ -258,7 +260,7 @@
 struct ResponseForwarder<'a> {
     client: &'a ReplicaClient,
     attempt: &'a AttemptRequest,
-    answer: Answer,
+    answer: ResponseReader,
     /// Whether the replica keeps the connection open after the response.
     keeps_connection: bool,
     /// Where chunks go, once the first token has come.
@@ -272,7 +274,7 @@
         ResponseForwarder {
             client,
             attempt,
-            answer: Answer::new(client.site.clone()),
+            answer: ResponseReader::new(client.site.clone()),
             keeps_connection: false,
             chunks: None,
             stream: None,
@@ -303,17 +305,17 @@
     }
 
     /// Notes a part of the response and appends what follows from it.
-    fn take_part(&mut self, part: Part, steps: &mut Vec<Step>) {
+    fn take_part(&mut self, part: MessagePart, steps: &mut Vec<ResponseStep>) {
         if let Some(stream) = &self.stream {
             stream.record_event();
         }
-        if let Part::Head(head) = &part {
-            self.keeps_connection = head.keep;
+        if let MessagePart::Head(head) = &part {
+            self.keeps_connection = head.keeps_connection;
             let AttemptRequest {
                 request, attempt, ..
             } = self.attempt;
             let from = self.attempt.address.addr;
-            tracing::debug!(%request, attempt, %from, start = ?head.start, "answer begins");
+            tracing::debug!(%request, attempt, %from, start = ?head.start_line, "answer begins");
         }
         self.answer.feed(part, steps);
     }
@@ -372,7 +374,7 @@
 
 /// Reads a response to its end; false where the connection ends before.
 async fn read_to_end(connection: &mut ReplicaConnection) -> bool {
-    while !connection.http().codec().idle() {
+    while !connection.http().codec().is_between_messages() {
         let Some(Ok(_)) = connection.http_mut().next().await else {
             return false;
         };
@@ -385,12 +387,12 @@
     connection: &mut ReplicaConnection,
     head: Bytes,
     mut body: Bytes,
-) -> Result<(), Fault> {
+) -> Result<(), HttpParseError> {
     let http = connection.http_mut();
-    http.feed(Out::Raw(head)).await?;
+    http.feed(EncodedMessage::Raw(head)).await?;
     while body.has_remaining() {
         let piece = body.split_to(body.len().min(WRITE_SIZE_BYTES));
-        http.feed(Out::Raw(piece)).await?;
+        http.feed(EncodedMessage::Raw(piece)).await?;
     }
     http.flush().await
 }
--- a/src/transport/replica/pool.rs
+++ b/src/transport/replica/pool.rs
@@ -4,7 +4,7 @@
 //! is complete. A connection that is in use belongs to whoever has acquired it; dropping it closes the socket and frees its
 //! place. `program::serve` closes expired idle connections from time to time.
 
-use crate::protocol::http::{Http, Side};
+use crate::protocol::http::{HttpCodec, Role};
 use crate::transport::HttpConnection;
 use poppykeel_scheduler::ReplicaId;
 use rustix::io::Errno;
@@ -169,7 +169,7 @@
         let permit = ConnectionPermit(self.open_count.clone());
         match tokio::time::timeout(self.connect_timeout, TcpStream::connect(addr)).await {
             Ok(Ok(socket)) => Ok(ReplicaConnection {
-                http: Framed::new(socket.into(), Http::new(Side::Client)),
+                http: Framed::new(socket.into(), HttpCodec::new(Role::Client)),
                 _permit: permit,
             }),
             Ok(Err(e)) if is_local_failure(&e) => {
@@ -206,7 +206,7 @@
         connection: ReplicaConnection,
         reuse_delay: Duration,
     ) {
-        if !connection.http.codec().idle() || !connection.is_quiet() {
+        if !connection.http.codec().is_between_messages() || !connection.is_quiet() {
             return;
         }
         let idle_since = Instant::now();
--- a/src/transport/replica/probes.rs
+++ b/src/transport/replica/probes.rs
@@ -5,8 +5,8 @@
 
 use super::attempts::{write_request, ReplicaClient};
 use super::pool::{ReplicaAddress, ReplicaConnection};
-use crate::protocol::http::{Part, Start};
-use crate::protocol::report::{probed, report};
+use crate::protocol::http::{MessagePart, StartLine};
+use crate::protocol::report::{parse_load_report, probe_outcome};
 use crate::protocol::request;
 use crate::transport::messages::DispatcherMessage;
 use bytes::Bytes;
@@ -74,7 +74,7 @@
         } else {
             LOAD_PATH
         };
-        let head = request::get(path, &address.addr.to_string());
+        let head = request::get_request(path, &address.addr.to_string());
         if write_request(&mut connection, head, Bytes::new())
             .await
             .is_err()
@@ -90,8 +90,8 @@
         }
         let text = std::str::from_utf8(&response.body).ok();
         ProbeEnd {
-            outcome: probed(response.status),
-            report: text.and_then(|text| report(text, &self.site)),
+            outcome: probe_outcome(response.status),
+            report: text.and_then(|text| parse_load_report(text, &self.site)),
         }
     }
 }
@@ -107,20 +107,20 @@
     };
     loop {
         match connection.http_mut().next().await {
-            Some(Ok(Part::Head(head))) => {
-                response.keeps_connection = head.keep;
-                response.status = match head.start {
-                    Start::Status(status) => status,
-                    Start::Request { .. } => 0,
+            Some(Ok(MessagePart::Head(head))) => {
+                response.keeps_connection = head.keeps_connection;
+                response.status = match head.start_line {
+                    StartLine::Status(status) => status,
+                    StartLine::Request { .. } => 0,
                 };
             }
-            Some(Ok(Part::Body(bytes))) => {
+            Some(Ok(MessagePart::Body(bytes))) => {
                 if response.body.len() >= MAX_RESPONSE_BYTES {
                     return Err(AttemptOutcome::ServerError);
                 }
                 response.body.extend_from_slice(&bytes);
             }
-            Some(Ok(Part::End)) => return Ok(response),
+            Some(Ok(MessagePart::End)) => return Ok(response),
             Some(Err(_)) | None => return Err(AttemptOutcome::ConnectionReset),
         }
     }
--- a/src/transport/replica/stream_recovery.rs
+++ b/src/transport/replica/stream_recovery.rs
@@ -165,7 +165,7 @@
         request.is_client_retry = false;
         tracing::info!(request = %self.request.id, next = %request.id, epoch, tokens, "stream continued");
         self.request = request.clone();
-        let head = request::upstream_head(&self.head, body.len(), Some(request.id));
+        let head = request::replica_request_head(&self.head, body.len(), Some(request.id));
         let payload = RequestPayload { head, body };
         ContinuationRequest { request, payload }
     }
--- a/src/transport/socket.rs
+++ b/src/transport/socket.rs
@@ -3,7 +3,7 @@
 //!
 //! All connections of clients and replicas use it. It owns the descriptor: dropping it closes the connection.
 
-use crate::protocol::request::MOST_BODY;
+use crate::protocol::request::MAX_BODY_BYTES;
 use std::io::{self, ErrorKind};
 use std::mem::MaybeUninit;
 use std::pin::Pin;
@@ -14,7 +14,7 @@
 /// Bytes read at once where the reader has room for more.
 const MAX_READ_BYTES: usize = 16 * 1024;
 /// Bytes that are read and discarded behind the last response at most.
-const MAX_DISCARDED_BYTES: usize = 2 * MOST_BODY;
+const MAX_DISCARDED_BYTES: usize = 2 * MAX_BODY_BYTES;
 /// Bytes that are discarded at once.
 const DISCARD_BUFFER_BYTES: usize = 4096;
 
--- a/tests/support/drivers.rs
+++ b/tests/support/drivers.rs
@@ -2,7 +2,7 @@
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
-use poppykeel::program::config::Config;
+use poppykeel::program::config::{NodeConfig, Overrides};
 use poppykeel::transport::client::registry::ConnectionRegistry;
 use poppykeel::transport::clock::Clock;
 use poppykeel::transport::messages::DispatcherMessage;
@@ -12,9 +12,13 @@
 use tokio::sync::{mpsc, watch};
 
 /// A small configuration whose replica and discovery can't be reached.
-pub fn config() -> Config {
+pub fn config() -> NodeConfig {
     let text = include_str!("../exchanges/config.json").replace("REPLICA", "127.0.0.1:1");
-    Config::read(&text.replace("DISCOVERY", "127.0.0.1:2"), &[]).unwrap()
+    NodeConfig::read(
+        &text.replace("DISCOVERY", "127.0.0.1:2"),
+        Overrides::default(),
+    )
+    .unwrap()
 }
 
 /// What a connection of a client shares with the others, and the dispatcher's end of the channel, which holds one message.
@@ -26,7 +30,7 @@
     let settings = StreamSettings::default();
     let stream_monitor = Rc::new(StreamMonitor::new(Clock::start(), settings));
     let registry = ConnectionRegistry::new(
-        Rc::new(config.boot),
+        Rc::new(config.settings),
         Rc::new(config.bounds),
         dispatcher,
         phases,
--- a/tests/transport.rs
+++ b/tests/transport.rs
@@ -8,8 +8,8 @@
 
 use drivers::{config, registry};
 use futures_util::{SinkExt, StreamExt};
-use poppykeel::program::config::Config;
-use poppykeel::protocol::http::{Out, Part};
+use poppykeel::program::config::NodeConfig;
+use poppykeel::protocol::http::{EncodedMessage, MessagePart};
 use poppykeel::routing::directory::replica_id;
 use poppykeel::transport::client::connection::ClientConnection;
 use poppykeel::transport::client::listener::accept_connections;
@@ -45,17 +45,17 @@
     let mut replica = listener.accept().unwrap().0;
     connection
         .http_mut()
-        .send(Out::Raw("GET / HTTP/1.1\r\n\r\n".into()))
+        .send(EncodedMessage::Raw("GET / HTTP/1.1\r\n\r\n".into()))
         .await
         .unwrap();
     replica.write_all(ANSWER).unwrap();
     assert!(matches!(
         connection.http_mut().next().await,
-        Some(Ok(Part::Head(_)))
+        Some(Ok(MessagePart::Head(_)))
     ));
     assert!(matches!(
         connection.http_mut().next().await,
-        Some(Ok(Part::End))
+        Some(Ok(MessagePart::End))
     ));
     let port = connection.http().get_ref().local_addr().unwrap();
     pool.release(address, connection, Duration::ZERO);
@@ -148,7 +148,10 @@
 }
 
 /// A node's client of replicas, which keeps a connection unused for a minute after a stream.
-fn replica_client(config: Config, dispatcher: mpsc::Sender<DispatcherMessage>) -> ReplicaClient {
+fn replica_client(
+    config: NodeConfig,
+    dispatcher: mpsc::Sender<DispatcherMessage>,
+) -> ReplicaClient {
     let clock = Clock::start();
     let limits = TransportLimits {
         reuse_delay: MINUTE,
@@ -157,7 +160,7 @@
     ReplicaClient::new(
         ConnectionPool::new(9, MINUTE, MINUTE),
         dispatcher,
-        Rc::new(config.boot),
+        Rc::new(config.settings),
         Rc::new(limits),
         Rc::new(StreamMonitor::new(clock, StreamSettings::default())),
         clock,
