--- a/crates/testbed/benches/emulator.rs
+++ b/crates/testbed/benches/emulator.rs
@@ -2,9 +2,9 @@
 
 #![expect(clippy::min_ident_chars, reason = "not yet converted")]
 
-use poppykeel_testbed::emulator::description::Run;
+use poppykeel_testbed::emulator::description::RunDescription;
 use poppykeel_testbed::emulator::policies::Policy;
-use poppykeel_testbed::emulator::World;
+use poppykeel_testbed::emulator::Simulation;
 use rayon::prelude::*;
 use std::time::Instant;
 
@@ -29,18 +29,18 @@
     }
 }
 
-fn run(servers: usize, nodes: usize, requests: f64) -> Run {
-    let mut run = Run::default();
+fn run(servers: usize, nodes: usize, requests: f64) -> RunDescription {
+    let mut run = RunDescription::default();
     (run.fleet.servers, run.fleet.nodes) = (servers, nodes);
     run.load.seconds = requests / (run.load.per_server * servers as f64);
     run.check().expect("the description holds")
 }
 
 /// Seconds, and requests played.
-fn play(run: &Run, policy: Policy, seed: u64) -> (f64, u64, u64) {
+fn play(run: &RunDescription, policy: Policy, seed: u64) -> (f64, u64, u64) {
     let start = Instant::now();
-    let out = World::new(run, policy, seed)
-        .and_then(World::finish)
+    let out = Simulation::new(run, policy, seed)
+        .and_then(Simulation::finish)
         .expect("a run");
     (
         start.elapsed().as_secs_f64(),
--- a/crates/testbed/src/breaks/fleet.rs
+++ b/crates/testbed/src/breaks/fleet.rs
@@ -13,7 +13,7 @@
 use super::process::{Process, Start};
 use super::relay::{lasting, Relay, Weather};
 use super::roll::call;
-use crate::emulator::description::Run;
+use crate::emulator::description::RunDescription;
 use crate::sockets::{config, Arrivals, Discovery, Entry, Model};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -109,7 +109,7 @@
     ) -> Result<Fleet, String> {
         let named = |path: &Path, e: std::io::Error| format!("{}: {e}", path.display());
         let mut rng = Pcg64Mcg::seed_from_u64(seed ^ 0xf1ee7);
-        let mut run = Run::default();
+        let mut run = RunDescription::default();
         (run.fleet.nodes, run.fleet.servers, run.fleet.zones) =
             (shape.nodes, 2 * shape.zones, shape.zones);
         let run = run.check()?;
--- a/crates/testbed/src/emulator/clients.rs
+++ b/crates/testbed/src/emulator/clients.rs
@@ -3,7 +3,7 @@
 
 #![expect(clippy::min_ident_chars, reason = "not yet converted")]
 
-use super::description::{Class, Run};
+use super::description::{ClassDescription, RunDescription};
 use crate::Micros;
 use rand::{Rng, RngExt};
 use rand_distr::{Distribution, Exp1, LogNormal};
@@ -11,7 +11,7 @@
 
 /// A request as its client knows it, over all its tries.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Work {
+pub struct ClientRequest {
     /// Its class.
     pub class: usize,
     /// Its tenant.
@@ -47,9 +47,9 @@
 }
 
 /// All clients.
-pub struct Clients {
+pub struct ClientPopulation {
     tenants: Vec<Tenant>,
-    classes: Vec<(f64, Class)>,
+    classes: Vec<(f64, ClassDescription)>,
     next: u64,
 }
 
@@ -58,9 +58,9 @@
     (drawn.round().max(1.0) as u32).min(most.max(1))
 }
 
-impl Clients {
+impl ClientPopulation {
     /// The clients of a run.
-    pub fn new(run: &Run) -> Self {
+    pub fn new(run: &RunDescription) -> Self {
         let rate = run.load.per_server * run.fleet.servers as f64;
         let parts: f64 = run.tenant.iter().map(|t| t.part).sum();
         let tenant = |part: f64| Tenant {
@@ -74,7 +74,7 @@
             sum += c.part;
             (sum, c.clone())
         });
-        Clients {
+        ClientPopulation {
             classes: classes.collect(),
             tenants,
             next: 1,
@@ -94,7 +94,13 @@
     }
 
     /// A tenant's next request.
-    pub fn ask(&mut self, now: Micros, tenant: usize, run: &Run, rng: &mut impl Rng) -> Work {
+    pub fn ask(
+        &mut self,
+        now: Micros,
+        tenant: usize,
+        run: &RunDescription,
+        rng: &mut impl Rng,
+    ) -> ClientRequest {
         let load = &run.load;
         let idle = &mut self.tenants[tenant].idle;
         let goes_on = !idle.is_empty() && rng.random::<f64>() >= load.new_sessions;
@@ -131,7 +137,7 @@
                 0
             },
         );
-        Work {
+        ClientRequest {
             class,
             tenant,
             session: session.id,
@@ -144,7 +150,7 @@
     }
 
     /// A request is over; where it was whole, its session's next turn may come.
-    pub fn over(&mut self, work: &Work, whole: bool, most: usize) {
+    pub fn over(&mut self, work: &ClientRequest, whole: bool, most: usize) {
         let idle = &mut self.tenants[work.tenant].idle;
         if whole && most > 0 {
             if idle.len() >= most {
--- a/crates/testbed/src/emulator/description.rs
+++ b/crates/testbed/src/emulator/description.rs
@@ -8,32 +8,32 @@
     reason = "not yet converted"
 )]
 
-use super::server::Kind;
+use super::server::ServerProfile;
 use serde::{Deserialize, Serialize};
 
 /// One run, but for its seed and its policy.
 #[derive(Clone, Debug, Default, Deserialize, Serialize, PartialEq)]
 #[serde(deny_unknown_fields, default)]
-pub struct Run {
+pub struct RunDescription {
     /// Servers, nodes and what is between them.
-    pub fleet: Fleet,
+    pub fleet: FleetDescription,
     /// What clients send.
-    pub load: Load,
+    pub load: LoadDescription,
     /// Classes of requests; none is one ordinary class.
-    pub class: Vec<Class>,
+    pub class: Vec<ClassDescription>,
     /// Tenants; none is one.
-    pub tenant: Vec<Tenant>,
+    pub tenant: Vec<TenantDescription>,
     /// What goes wrong.
-    pub fault: Vec<Fault>,
+    pub fault: Vec<FaultDescription>,
     /// Talk between the nodes, and what they spend together; none by default.
     #[serde(skip_serializing_if = "Option::is_none")]
-    pub together: Option<Together>,
+    pub together: Option<CoordinationDescription>,
 }
 
 /// How a budget of the whole fleet reaches the nodes.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
-pub enum Division {
+pub enum BudgetDivision {
     /// By shares that follow what nodes want, under a lease.
     #[default]
     Shares,
@@ -46,7 +46,7 @@
 /// Talk between the nodes.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
 #[serde(deny_unknown_fields, default)]
-pub struct Together {
+pub struct CoordinationDescription {
     /// The first so many nodes are keepers.
     pub keepers: usize,
     /// The length of leases, in seconds.
@@ -56,7 +56,7 @@
     /// The length of shares, in seconds.
     pub share_s: f64,
     /// How the budget is divided.
-    pub division: Division,
+    pub division: BudgetDivision,
     /// Retries a second of all nodes, and at once.
     pub retries: f64,
     /// See there.
@@ -67,14 +67,14 @@
     pub floor_burst: f64,
 }
 
-impl Default for Together {
+impl Default for CoordinationDescription {
     fn default() -> Self {
-        Together {
+        CoordinationDescription {
             keepers: 3,
             lease_s: 5.0,
             probe_s: 1.0,
             share_s: 2.0,
-            division: Division::Shares,
+            division: BudgetDivision::Shares,
             retries: 100.0,
             burst: 500.0,
             floor: 0.0,
@@ -86,7 +86,7 @@
 /// Servers, nodes and what is between them.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
 #[serde(deny_unknown_fields, default)]
-pub struct Fleet {
+pub struct FleetDescription {
     /// Model servers.
     pub servers: usize,
     /// Nodes of the balancer.
@@ -94,7 +94,7 @@
     /// Zones; servers and nodes are spread over them in turn.
     pub zones: usize,
     /// What every server is like.
-    pub server: Kind,
+    pub server: ServerProfile,
     /// One way inside a zone, in microseconds.
     pub near_us: u64,
     /// One way from zone to zone.
@@ -123,13 +123,13 @@
     pub second_copies: bool,
 }
 
-impl Default for Fleet {
+impl Default for FleetDescription {
     fn default() -> Self {
-        Fleet {
+        FleetDescription {
             servers: 12,
             nodes: 2,
             zones: 3,
-            server: Kind::default(),
+            server: ServerProfile::default(),
             near_us: 250,
             far_us: 1000,
             connect_us: 300,
@@ -150,7 +150,7 @@
 /// What clients send.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
 #[serde(deny_unknown_fields, default)]
-pub struct Load {
+pub struct LoadDescription {
     /// New requests a second for each server: the whole load follows the fleet's size.
     pub per_server: f64,
     /// For so long, in seconds; after it what is under way may end.
@@ -171,9 +171,9 @@
     pub heeds_s: f64,
 }
 
-impl Default for Load {
+impl Default for LoadDescription {
     fn default() -> Self {
-        Load {
+        LoadDescription {
             per_server: 6.0,
             seconds: 60.0,
             new_sessions: 0.3,
@@ -190,7 +190,7 @@
 /// What repeating a request of a class may do.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
-pub enum Repeats {
+pub enum RepeatSafety {
     /// Nothing.
     #[default]
     Safe,
@@ -201,7 +201,7 @@
 /// One class of requests.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
 #[serde(deny_unknown_fields, default)]
-pub struct Class {
+pub struct ClassDescription {
     /// Its name.
     pub name: String,
     /// The part of requests that are of it, compared with others'.
@@ -217,7 +217,7 @@
     /// The client leaves without a first token after so many seconds.
     pub deadline_s: f64,
     /// What a repeat may do.
-    pub repeats: Repeats,
+    pub repeats: RepeatSafety,
     /// New tokens of a prompt: the median of a log-normal distribution ...
     pub prompt_tokens: f64,
     /// ... and its sigma.
@@ -230,9 +230,9 @@
     pub answer_limit: u32,
 }
 
-impl Default for Class {
+impl Default for ClassDescription {
     fn default() -> Self {
-        Class {
+        ClassDescription {
             name: "chat".into(),
             part: 1.0,
             worth: 1.0,
@@ -240,7 +240,7 @@
             aim_s: 1.0,
             token_aim_s: 0.06,
             deadline_s: 5.0,
-            repeats: Repeats::Safe,
+            repeats: RepeatSafety::Safe,
             prompt_tokens: 150.0,
             prompt_sigma: 0.8,
             answer_tokens: 60.0,
@@ -253,7 +253,7 @@
 /// One tenant.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
 #[serde(deny_unknown_fields, default)]
-pub struct Tenant {
+pub struct TenantDescription {
     /// Its name.
     pub name: String,
     /// Its share of the service, compared with others'.
@@ -262,9 +262,9 @@
     pub part: f64,
 }
 
-impl Default for Tenant {
+impl Default for TenantDescription {
     fn default() -> Self {
-        Tenant {
+        TenantDescription {
             name: "all".into(),
             share: 1.0,
             part: 1.0,
@@ -275,7 +275,7 @@
 /// What goes wrong.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
-pub enum What {
+pub enum FaultKind {
     /// Servers end and are started again, cold, at the fault's end.
     Die,
     /// Servers take connections and say nothing.
@@ -305,9 +305,9 @@
 /// Something that goes wrong.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
 #[serde(deny_unknown_fields)]
-pub struct Fault {
+pub struct FaultDescription {
     /// What.
-    pub what: What,
+    pub what: FaultKind,
     /// When, in seconds.
     pub at_s: f64,
     /// For how long.
@@ -339,14 +339,14 @@
     3.0
 }
 
-impl Run {
+impl RunDescription {
     /// Fills in what is left out, and says what cannot be.
-    pub fn check(mut self) -> Result<Run, String> {
+    pub fn check(mut self) -> Result<RunDescription, String> {
         if self.class.is_empty() {
-            self.class.push(Class::default());
+            self.class.push(ClassDescription::default());
         }
         if self.tenant.is_empty() {
-            self.tenant.push(Tenant::default());
+            self.tenant.push(TenantDescription::default());
         }
         let (f, l) = (&self.fleet, &self.load);
         let above = [
--- a/crates/testbed/src/emulator/faults.rs
+++ b/crates/testbed/src/emulator/faults.rs
@@ -8,10 +8,10 @@
     reason = "not yet converted"
 )]
 
-use super::description::{Fault, What};
-use super::measure::End;
-use super::server::Key;
-use super::world::{micros, Event, Word, World};
+use super::description::{FaultDescription, FaultKind};
+use super::measure::RequestEnd;
+use super::server::AttemptKey;
+use super::world::{micros, Event, Simulation, Word};
 use crate::Micros;
 use poppykeel_scheduler::EndpointState;
 use std::ops::Range;
@@ -21,8 +21,8 @@
 /// A fault of stalls lets servers stand still once in each such span.
 const STALLS: Micros = 2_000_000;
 
-impl World<'_> {
-    fn befallen(&self, fault: &Fault) -> Range<usize> {
+impl Simulation<'_> {
+    fn befallen(&self, fault: &FaultDescription) -> Range<usize> {
         0..((self.places.len() as f64 * fault.part).ceil() as usize).min(self.places.len())
     }
 
@@ -42,9 +42,9 @@
         let until = micros(fault.at_s + fault.for_s);
         let all = self.befallen(fault);
         match (fault.what, begins) {
-            (What::Die, true) => all.for_each(|s| self.end(now, s)),
-            (What::Die, false) => all.for_each(|s| self.start(now, s)),
-            (What::ColdRestart, true) => {
+            (FaultKind::Die, true) => all.for_each(|s| self.end(now, s)),
+            (FaultKind::Die, false) => all.for_each(|s| self.start(now, s)),
+            (FaultKind::ColdRestart, true) => {
                 for server in all {
                     self.end(now, server);
                     self.queue.put(
@@ -55,11 +55,11 @@
                     );
                 }
             }
-            (What::Silent, true) => all.for_each(|s| self.stall(now, s, until)),
-            (What::Stall, true) => self.stalls(now, number, until),
-            (What::FailFast, on) => all.for_each(|s| self.places[s].failing = on),
-            (What::LateReports, on) => all.for_each(|s| self.places[s].frozen = on),
-            (What::Slow, on) => {
+            (FaultKind::Silent, true) => all.for_each(|s| self.stall(now, s, until)),
+            (FaultKind::Stall, true) => self.stalls(now, number, until),
+            (FaultKind::FailFast, on) => all.for_each(|s| self.places[s].failing = on),
+            (FaultKind::LateReports, on) => all.for_each(|s| self.places[s].frozen = on),
+            (FaultKind::Slow, on) => {
                 for server in all {
                     self.places[server]
                         .server
@@ -67,21 +67,21 @@
                     self.plan(server as u32);
                 }
             }
-            (What::Burst, on) => self
+            (FaultKind::Burst, on) => self
                 .clients
                 .burst(fault.tenant, if on { fault.size } else { 1.0 }),
-            (What::ZoneCut, true) => {
+            (FaultKind::ZoneCut, true) => {
                 self.cut = Some(fault.zone);
                 self.lose_across(now);
             }
-            (What::ZoneCut, false) => self.cut = None,
-            (What::NoList, true) => self.no_list = true,
-            (What::NoList, false) => {
+            (FaultKind::ZoneCut, false) => self.cut = None,
+            (FaultKind::NoList, true) => self.no_list = true,
+            (FaultKind::NoList, false) => {
                 self.no_list = false;
                 // Nodes ask anew and hear of all that they have missed.
                 (0..self.nodes.len()).for_each(|n| self.whole_list(n));
             }
-            (What::NodeKill, on) => {
+            (FaultKind::NodeKill, on) => {
                 let count =
                     ((self.nodes.len() as f64 * fault.part).ceil() as usize).min(self.nodes.len());
                 for node in 0..count {
@@ -92,8 +92,11 @@
                     }
                 }
             }
-            (What::Deploys, true) => self.wave(now, number, 0),
-            (What::Silent | What::Stall | What::ColdRestart | What::Deploys, false) => {}
+            (FaultKind::Deploys, true) => self.wave(now, number, 0),
+            (
+                FaultKind::Silent | FaultKind::Stall | FaultKind::ColdRestart | FaultKind::Deploys,
+                false,
+            ) => {}
         }
     }
 
@@ -134,7 +137,7 @@
         let limit = micros(self.run.fleet.silence_s);
         if until > now + limit {
             // What has begun is given up by its nodes after the limit.
-            let streaming: Vec<Key> = self.places[server].server.streaming().collect();
+            let streaming: Vec<AttemptKey> = self.places[server].server.streaming().collect();
             for (id, attempt) in streaming {
                 self.queue.put(
                     now + limit,
@@ -261,7 +264,11 @@
             self.final_word(
                 now,
                 id,
-                if begun { End::Broken } else { End::Failed },
+                if begun {
+                    RequestEnd::Broken
+                } else {
+                    RequestEnd::Failed
+                },
                 100_000,
             );
             self.tidy(id);
--- a/crates/testbed/src/emulator/measure.rs
+++ b/crates/testbed/src/emulator/measure.rs
@@ -2,23 +2,23 @@
 
 #![expect(clippy::min_ident_chars, reason = "not yet converted")]
 
-use super::clients::Work;
-use super::description::{Class, Fault, Run};
+use super::clients::ClientRequest;
+use super::description::{ClassDescription, FaultDescription, RunDescription};
 use crate::Micros;
 use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
 
 /// Pieces that a run's time is cut into.
-pub const PIECES: usize = 120;
+pub const TIME_SLICE_COUNT: usize = 120;
 /// Rows of the heat map at most; more servers than that share rows.
 pub const ROWS: usize = 32;
 /// The parts of values that are told.
-pub const PARTS: [f64; 7] = [0.1, 0.5, 0.9, 0.95, 0.99, 0.999, 1.0];
+pub const QUANTILES: [f64; 7] = [0.1, 0.5, 0.9, 0.95, 0.99, 0.999, 1.0];
 
 /// How a request ended for its client, after all its tries.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
-pub enum End {
+pub enum RequestEnd {
     /// Whole, and in time.
     Good,
     /// Whole, but its first token or its pace was late.
@@ -33,15 +33,15 @@
     Left,
 }
 
-impl End {
+impl RequestEnd {
     /// All of them, in the order of counts.
-    pub const ALL: [End; 6] = [
-        End::Good,
-        End::Late,
-        End::Refused,
-        End::Failed,
-        End::Broken,
-        End::Left,
+    pub const ALL: [RequestEnd; 6] = [
+        RequestEnd::Good,
+        RequestEnd::Late,
+        RequestEnd::Refused,
+        RequestEnd::Failed,
+        RequestEnd::Broken,
+        RequestEnd::Left,
     ];
 }
 
@@ -52,12 +52,12 @@
     pub offered: f64,
     /// What they were worth.
     pub gained: f64,
-    /// How they ended, in the order of [`End::ALL`].
+    /// How they ended, in the order of [`RequestEnd::ALL`].
     pub ends: [u64; 6],
 }
 
 impl Tally {
-    fn add(&mut self, end: End, worth: f64, gained: f64) {
+    fn add(&mut self, end: RequestEnd, worth: f64, gained: f64) {
         self.offered += worth;
         self.gained += gained;
         self.ends[end as usize] += 1;
@@ -78,18 +78,18 @@
     }
 }
 
-/// Values' parts, in milliseconds, at [`PARTS`].
+/// Values' parts, in milliseconds, at [`QUANTILES`].
 #[derive(Clone, Debug, Default, Deserialize, Serialize, PartialEq)]
-pub struct Spread {
+pub struct QuantileSummary {
     /// How many there were.
     pub count: u64,
-    /// At each of [`PARTS`].
+    /// At each of [`QUANTILES`].
     pub at: Vec<f64>,
 }
 
 /// Rules that hold for every run.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize, PartialEq)]
-pub struct Broken {
+pub struct RuleViolations {
     /// Final outcomes beyond one for a request.
     pub doubled: u64,
     /// Requests without a final outcome at the run's end.
@@ -100,7 +100,7 @@
     pub drained: u64,
 }
 
-impl Broken {
+impl RuleViolations {
     /// All together.
     pub fn sum(&self) -> u64 {
         self.doubled + self.lost + self.repeated + self.drained
@@ -109,7 +109,7 @@
 
 /// What talk between nodes came to.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize, PartialEq)]
-pub struct Talked {
+pub struct CoordinationSummary {
     /// Messages and bytes that a node sent a second in the second half of the run, the mean.
     pub node: (f64, f64),
     /// The same of the busiest keeper.
@@ -124,7 +124,7 @@
 
 /// What a run came to.
 #[derive(Clone, Debug, Default, Deserialize, Serialize, PartialEq)]
-pub struct Outcome {
+pub struct RunOutcome {
     /// All requests.
     pub all: Tally,
     /// By class.
@@ -149,13 +149,13 @@
     /// Requests that started over for want of memory.
     pub preempted: u64,
     /// Times to the first token of answers that had one.
-    pub first: Spread,
+    pub first: QuantileSummary,
     /// Times to the last token of whole answers.
-    pub whole: Spread,
+    pub whole: QuantileSummary,
     /// Gaps between tokens as servers made them.
-    pub gaps: Spread,
+    pub gaps: QuantileSummary,
     /// Times from a client's first try to a word that it gets nothing.
-    pub refusals: Spread,
+    pub refusals: QuantileSummary,
     /// The length of one piece of the series, in seconds.
     pub piece_s: f64,
     /// By pieces of time, in the order of requests' first tries.
@@ -165,20 +165,20 @@
     /// By rows of servers and pieces of time: requests held over slots.
     pub heat: Vec<Vec<f32>>,
     /// What went wrong, for the axis of time.
-    pub faults: Vec<Fault>,
+    pub faults: Vec<FaultDescription>,
     /// Rules that were broken.
-    pub broken: Broken,
+    pub broken: RuleViolations,
     /// Of talk between the nodes, where there was any.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub talked: Option<Talked>,
+    pub talked: Option<CoordinationSummary>,
     /// Events of the run.
     pub events: u64,
 }
 
 /// Takes a run's measures.
-pub struct Measure {
+pub struct OutcomeRecorder {
     piece: Micros,
-    out: Outcome,
+    out: RunOutcome,
     first: Histogram<u64>,
     whole: Histogram<u64>,
     gaps: Histogram<u64>,
@@ -194,26 +194,26 @@
     }
 }
 
-fn spread(histogram: &Histogram<u64>) -> Spread {
+fn spread(histogram: &Histogram<u64>) -> QuantileSummary {
     let at = |part: &f64| histogram.value_at_quantile(*part) as f64 / 1000.0;
-    Spread {
+    QuantileSummary {
         count: histogram.len(),
         at: if histogram.is_empty() {
             vec![]
         } else {
-            PARTS.iter().map(at).collect()
+            QUANTILES.iter().map(at).collect()
         },
     }
 }
 
-impl Measure {
+impl OutcomeRecorder {
     /// Nothing yet.
-    pub fn new(run: &Run) -> Self {
-        let piece = ((run.load.seconds * 1e6) as Micros / PIECES as Micros).max(1);
-        let mut out = Outcome {
+    pub fn new(run: &RunDescription) -> Self {
+        let piece = ((run.load.seconds * 1e6) as Micros / TIME_SLICE_COUNT as Micros).max(1);
+        let mut out = RunOutcome {
             piece_s: piece as f64 / 1e6,
             faults: run.fault.clone(),
-            ..Outcome::default()
+            ..RunOutcome::default()
         };
         out.classes = run
             .class
@@ -225,11 +225,14 @@
             .iter()
             .map(|t| (t.name.clone(), Tally::default()))
             .collect();
-        (out.series, out.held) = (vec![Tally::default(); PIECES], vec![0.0; PIECES]);
+        (out.series, out.held) = (
+            vec![Tally::default(); TIME_SLICE_COUNT],
+            vec![0.0; TIME_SLICE_COUNT],
+        );
         let rows = run.fleet.servers.min(ROWS);
-        out.heat = vec![vec![0.0; PIECES]; rows];
+        out.heat = vec![vec![0.0; TIME_SLICE_COUNT]; rows];
         let (first, whole, gaps, refusals) = (histogram(), histogram(), histogram(), histogram());
-        Measure {
+        OutcomeRecorder {
             piece,
             out,
             first,
@@ -246,7 +249,7 @@
     }
 
     /// Counts beside ends.
-    pub fn counts(&mut self) -> &mut Outcome {
+    pub fn counts(&mut self) -> &mut RunOutcome {
         &mut self.out
     }
 
@@ -254,19 +257,23 @@
     /// here, by its class's aims; returned is whether it was whole.
     pub fn end(
         &mut self,
-        class: &Class,
-        work: &Work,
+        class: &ClassDescription,
+        work: &ClientRequest,
         now: Micros,
         first: Option<Micros>,
-        end: End,
+        end: RequestEnd,
     ) -> bool {
         let waited = first.unwrap_or(now).saturating_sub(work.sent);
         let (mut end, mut gained) = (end, 0.0);
-        if end == End::Good {
+        if end == RequestEnd::Good {
             let pace = now.saturating_sub(first.unwrap_or(now)) as f64 / 1e6;
             let pace = pace / f64::from(work.answer.saturating_sub(1).max(1));
             let good = waited as f64 <= class.aim_s * 1e6 && pace <= class.token_aim_s;
-            end = if good { End::Good } else { End::Late };
+            end = if good {
+                RequestEnd::Good
+            } else {
+                RequestEnd::Late
+            };
             gained = if good {
                 class.worth
             } else {
@@ -275,7 +282,7 @@
             self.whole
                 .saturating_record(now.saturating_sub(work.sent).max(1));
         }
-        let piece = ((work.sent / self.piece) as usize).min(PIECES - 1);
+        let piece = ((work.sent / self.piece) as usize).min(TIME_SLICE_COUNT - 1);
         let out = &mut self.out;
         let groups = [
             &mut out.all,
@@ -287,11 +294,15 @@
             .into_iter()
             .for_each(|tally| tally.add(end, class.worth, gained));
         match end {
-            End::Good | End::Late | End::Broken => self.first.saturating_record(waited.max(1)),
-            End::Refused | End::Failed => self.refusals.saturating_record(waited.max(1)),
-            End::Left => {}
+            RequestEnd::Good | RequestEnd::Late | RequestEnd::Broken => {
+                self.first.saturating_record(waited.max(1))
+            }
+            RequestEnd::Refused | RequestEnd::Failed => {
+                self.refusals.saturating_record(waited.max(1))
+            }
+            RequestEnd::Left => {}
         }
-        matches!(end, End::Good | End::Late)
+        matches!(end, RequestEnd::Good | RequestEnd::Late)
     }
 
     /// So many tokens came this long after those before them.
@@ -307,7 +318,7 @@
         servers: usize,
     ) {
         let piece = (now / self.piece) as usize;
-        if piece >= PIECES {
+        if piece >= TIME_SLICE_COUNT {
             return;
         }
         let rows = self.rows.len();
@@ -325,7 +336,7 @@
     }
 
     /// All of it.
-    pub fn done(mut self, events: u64) -> Outcome {
+    pub fn done(mut self, events: u64) -> RunOutcome {
         self.out.events = events;
         self.out.first = spread(&self.first);
         self.out.whole = spread(&self.whole);
--- a/crates/testbed/src/emulator/mod.rs
+++ b/crates/testbed/src/emulator/mod.rs
@@ -15,10 +15,13 @@
 mod trace;
 mod world;
 
-pub(crate) use clients::{Clients, Work};
-pub(crate) use measure::Measure;
+pub(crate) use clients::{ClientPopulation, ClientRequest};
+pub(crate) use measure::OutcomeRecorder;
 pub(crate) use node::settings;
 
-pub use measure::{Broken, End, Outcome, Spread, Talked, Tally, PARTS, PIECES};
-pub use trace::Trace;
-pub use world::World;
+pub use measure::{
+    CoordinationSummary, QuantileSummary, RequestEnd, RuleViolations, RunOutcome, Tally, QUANTILES,
+    TIME_SLICE_COUNT,
+};
+pub use trace::TraceWriter;
+pub use world::Simulation;
--- a/crates/testbed/src/emulator/node.rs
+++ b/crates/testbed/src/emulator/node.rs
@@ -7,7 +7,7 @@
     reason = "not yet converted"
 )]
 
-use super::description::{Repeats, Run};
+use super::description::{RepeatSafety, RunDescription};
 use super::policies::{Policy, Simple};
 use crate::Micros;
 use poppykeel::routing::{RequestRouter, RouterCommand, RouterEvent};
@@ -17,14 +17,14 @@
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr};
 
-enum Mind {
+enum PolicyState {
     Core(Box<RequestRouter>),
     Simple(Box<Simple>),
 }
 
 /// A node.
 pub struct Node {
-    mind: Mind,
+    mind: PolicyState,
     /// Its zone.
     pub zone: usize,
     /// It serves.
@@ -54,16 +54,16 @@
 }
 
 /// What the module is told at its start.
-pub fn settings(run: &Run, me: usize) -> SchedulerSettings {
+pub fn settings(run: &RunDescription, me: usize) -> SchedulerSettings {
     let f = &run.fleet;
-    let class = |c: &super::description::Class| RequestClass {
+    let class = |c: &super::description::ClassDescription| RequestClass {
         priority_weight: c.worth,
         late_weight: c.late_worth,
         ttft_objective: c.aim_s,
         ttft_objective_per_prompt_token: 0.0,
         inter_token_objective: c.token_aim_s,
         ttft_objective_per_work_second: 0.0,
-        idempotency: if c.repeats == Repeats::Safe {
+        idempotency: if c.repeats == RepeatSafety::Safe {
             Idempotency::Idempotent
         } else {
             Idempotency::NonIdempotent
@@ -115,18 +115,18 @@
 
 impl Node {
     /// A node that knows no server yet.
-    pub fn new(run: &Run, me: usize, policy: Policy, seed: u64) -> Result<Node, String> {
+    pub fn new(run: &RunDescription, me: usize, policy: Policy, seed: u64) -> Result<Node, String> {
         let settings = settings(run, me);
         settings.check().map_err(|e| e.to_string())?;
         let zone = settings.zone;
         let mind = match policy {
             Policy::Poppykeel => {
                 let brain = Scheduler::new(settings, seed).map_err(|e| e.to_string())?;
-                Mind::Core(Box::new(RequestRouter::new(brain)))
+                PolicyState::Core(Box::new(RequestRouter::new(brain)))
             }
             other => {
                 let rng = rand_pcg::Pcg64Mcg::seed_from_u64(seed);
-                Mind::Simple(Box::new(Simple::new(other, &settings, rng)))
+                PolicyState::Simple(Box::new(Simple::new(other, &settings, rng)))
             }
         };
         Ok(Node {
@@ -142,22 +142,22 @@
     /// Tells it something.
     pub fn handle(&mut self, now: Micros, input: RouterEvent, out: &mut Vec<RouterCommand>) {
         match &mut self.mind {
-            Mind::Core(router) => router.handle_event(now, input, out),
-            Mind::Simple(simple) => simple.handle(now, input, out),
+            PolicyState::Core(router) => router.handle_event(now, input, out),
+            PolicyState::Simple(simple) => simple.handle(now, input, out),
         }
     }
 
     /// Lets its timers run.
     pub fn turn(&mut self, now: Micros, out: &mut Vec<RouterCommand>) {
         match &mut self.mind {
-            Mind::Core(router) => router.on_timer(now, out),
-            Mind::Simple(simple) => simple.turn(now, out),
+            PolicyState::Core(router) => router.on_timer(now, out),
+            PolicyState::Simple(simple) => simple.turn(now, out),
         }
     }
 
     /// What the fleet allows it from now on.
     pub fn allow(&mut self, allowed: &BudgetGrants) {
-        if let Mind::Core(router) = &mut self.mind {
+        if let PolicyState::Core(router) = &mut self.mind {
             router.set_budget_grants(allowed);
         }
     }
@@ -165,24 +165,24 @@
     /// What it has wanted since its start of what the fleet has budgets for.
     pub fn wanted(&self) -> BTreeMap<BudgetKind, BudgetDemand> {
         match &self.mind {
-            Mind::Core(router) => router.budget_demand(),
-            Mind::Simple(_) => BTreeMap::new(),
+            PolicyState::Core(router) => router.budget_demand(),
+            PolicyState::Simple(_) => BTreeMap::new(),
         }
     }
 
     /// Requests that wait in it, by tenant.
     pub fn waiting(&self) -> Vec<usize> {
         match &self.mind {
-            Mind::Core(router) => router.gauges().queued_by_tenant,
-            Mind::Simple(_) => Vec::new(),
+            PolicyState::Core(router) => router.gauges().queued_by_tenant,
+            PolicyState::Simple(_) => Vec::new(),
         }
     }
 
     /// When its timers want to run.
     pub fn due(&self) -> Option<Micros> {
         match &self.mind {
-            Mind::Core(router) => router.next_timer(),
-            Mind::Simple(simple) => simple.due(),
+            PolicyState::Core(router) => router.next_timer(),
+            PolicyState::Simple(simple) => simple.due(),
         }
     }
 }
--- a/crates/testbed/src/emulator/prefixes.rs
+++ b/crates/testbed/src/emulator/prefixes.rs
@@ -7,7 +7,7 @@
 
 /// Kept beginnings by name, with their tokens.
 #[derive(Clone, Debug, Default)]
-pub struct Prefixes {
+pub struct PrefixCache {
     /// Only looked up, never walked: a walk's order would differ from run to run.
     kept: HashMap<u64, (u32, u64)>,
     /// Uses in order; one whose number is no longer its entry's is stale.
@@ -16,7 +16,7 @@
     tokens: u64,
 }
 
-impl Prefixes {
+impl PrefixCache {
     /// Tokens kept under this name, which counts as a use.
     pub fn used(&mut self, name: u64) -> u32 {
         let next = self.next;
--- a/crates/testbed/src/emulator/prefixes/tests.rs
+++ b/crates/testbed/src/emulator/prefixes/tests.rs
@@ -2,7 +2,7 @@
 
 #[test]
 fn what_was_used_longest_ago_goes_first() {
-    let mut kept = Prefixes::default();
+    let mut kept = PrefixCache::default();
     (0..4).for_each(|n| kept.keep(n, 100));
     assert_eq!(kept.used(0), 100);
     kept.shrink(250);
--- a/crates/testbed/src/emulator/queue.rs
+++ b/crates/testbed/src/emulator/queue.rs
@@ -33,15 +33,15 @@
 }
 
 /// Events by time.
-pub struct Queue<T> {
+pub struct EventQueue<T> {
     heap: BinaryHeap<Item<T>>,
     next: u64,
     now: Micros,
 }
 
-impl<T> Default for Queue<T> {
+impl<T> Default for EventQueue<T> {
     fn default() -> Self {
-        Queue {
+        EventQueue {
             heap: BinaryHeap::new(),
             next: 0,
             now: 0,
@@ -49,7 +49,7 @@
     }
 }
 
-impl<T> Queue<T> {
+impl<T> EventQueue<T> {
     /// The time of the event that was taken last.
     pub fn now(&self) -> Micros {
         self.now
--- a/crates/testbed/src/emulator/queue/tests.rs
+++ b/crates/testbed/src/emulator/queue/tests.rs
@@ -2,7 +2,7 @@
 
 #[test]
 fn ties_leave_in_the_order_they_came() {
-    let mut queue = Queue::default();
+    let mut queue = EventQueue::default();
     for n in 0..100 {
         queue.put(if n % 2 == 0 { 5 } else { 3 }, n);
     }
--- a/crates/testbed/src/emulator/server.rs
+++ b/crates/testbed/src/emulator/server.rs
@@ -9,7 +9,7 @@
     reason = "not yet converted"
 )]
 
-use super::prefixes::Prefixes;
+use super::prefixes::PrefixCache;
 use crate::Micros;
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
@@ -17,7 +17,7 @@
 /// What a server is like.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
 #[serde(deny_unknown_fields, default)]
-pub struct Kind {
+pub struct ServerProfile {
     /// Answers under way at once.
     pub slots: usize,
     /// Requests that wait at most; beyond it the server says "full".
@@ -38,9 +38,9 @@
     pub cold_s: f64,
 }
 
-impl Default for Kind {
+impl Default for ServerProfile {
     fn default() -> Self {
-        Kind {
+        ServerProfile {
             slots: 16,
             queue: 32,
             memory_tokens: 60_000,
@@ -55,13 +55,13 @@
 }
 
 /// One attempt's name: its request and its number.
-pub type Key = (u64, usize);
+pub type AttemptKey = (u64, usize);
 
 /// What a server is to do for an attempt.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Job {
+pub struct ServerJob {
     /// Its name.
-    pub key: Key,
+    pub key: AttemptKey,
     /// The session, whose earlier turns this prompt begins with.
     pub session: u64,
     /// The beginning that it shares with other sessions, and its tokens.
@@ -74,16 +74,16 @@
 
 /// What comes of a job.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Said {
+pub enum ServerOutput {
     /// Its first token.
-    First(Key),
+    First(AttemptKey),
     /// Its last, with the prompt tokens that were found kept.
-    Done(Key, u32),
+    Done(AttemptKey, u32),
 }
 
 #[derive(Clone, Debug)]
 struct Seq {
-    job: Job,
+    job: ServerJob,
     unread: u32,
     made: u32,
     kept: u32,
@@ -105,7 +105,7 @@
 
 /// Load as a server shows it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Shown {
+pub struct ReportedLoad {
     /// Prompt tokens that wait to be read.
     pub waiting: f64,
     /// The part of memory that running requests hold.
@@ -114,11 +114,11 @@
 
 /// A server.
 #[derive(Clone, Debug)]
-pub struct Server {
-    kind: Kind,
+pub struct ModelServer {
+    kind: ServerProfile,
     waiting: VecDeque<Seq>,
     running: Vec<Seq>,
-    prefixes: Prefixes,
+    prefixes: PrefixCache,
     steps: Option<Steps>,
     /// Warm before its time: it has run for long.
     started: Option<Micros>,
@@ -130,14 +130,14 @@
     pub preempted: u64,
 }
 
-impl Server {
+impl ModelServer {
     /// A warm server.
-    pub fn new(kind: Kind) -> Self {
-        Server {
+    pub fn new(kind: ServerProfile) -> Self {
+        ModelServer {
             kind,
             waiting: VecDeque::new(),
             running: Vec::new(),
-            prefixes: Prefixes::default(),
+            prefixes: PrefixCache::default(),
             steps: None,
             started: None,
             slow: 1.0,
@@ -158,12 +158,12 @@
     }
 
     /// Takes a job; false where it is full.
-    pub fn take(&mut self, now: Micros, job: Job) -> bool {
+    pub fn take(&mut self, now: Micros, job: ServerJob) -> bool {
         if self.waiting.len() >= self.kind.queue {
             return false;
         }
         self.cut(now);
-        let job = Job {
+        let job = ServerJob {
             prompt: job.prompt.max(1),
             answer: job.answer.max(1),
             ..job
@@ -179,7 +179,7 @@
     }
 
     /// Drops a job, whatever has become of it.
-    pub fn cancel(&mut self, now: Micros, key: Key) {
+    pub fn cancel(&mut self, now: Micros, key: AttemptKey) {
         self.cut(now);
         self.waiting.retain(|s| s.job.key != key);
         if let Some(place) = self.running.iter().position(|s| s.job.key == key) {
@@ -192,7 +192,7 @@
     }
 
     /// The time of `due` has come.
-    pub fn wake(&mut self, now: Micros, said: &mut Vec<Said>) {
+    pub fn wake(&mut self, now: Micros, said: &mut Vec<ServerOutput>) {
         if let Some(steps) = self.steps.filter(|s| s.from + s.length * s.count <= now) {
             self.steps = None;
             self.advance(steps.count, steps.length, said);
@@ -206,13 +206,13 @@
     }
 
     /// What has been made by now, also in the middle of a row of steps.
-    pub fn catch_up(&mut self, now: Micros, said: &mut Vec<Said>) {
+    pub fn catch_up(&mut self, now: Micros, said: &mut Vec<ServerOutput>) {
         self.cut(now);
         self.wake(now, said);
     }
 
     /// Tokens that answers under way have made.
-    pub fn making(&self) -> impl Iterator<Item = (Key, u32)> + '_ {
+    pub fn making(&self) -> impl Iterator<Item = (AttemptKey, u32)> + '_ {
         self.running
             .iter()
             .filter(|s| s.made > 0)
@@ -220,7 +220,7 @@
     }
 
     /// Everything under way and kept is lost; returned are the names of what was under way or waiting.
-    pub fn crash(&mut self) -> Vec<Key> {
+    pub fn crash(&mut self) -> Vec<AttemptKey> {
         let lost = self
             .running
             .drain(..)
@@ -228,7 +228,7 @@
             .map(|s| s.job.key)
             .collect();
         (self.steps, self.prefixes, self.slow, self.stalled_until) =
-            (None, Prefixes::default(), 1.0, 0);
+            (None, PrefixCache::default(), 1.0, 0);
         lost
     }
 
@@ -259,7 +259,7 @@
     }
 
     /// Names of answers that have begun.
-    pub fn streaming(&self) -> impl Iterator<Item = Key> + '_ {
+    pub fn streaming(&self) -> impl Iterator<Item = AttemptKey> + '_ {
         self.running
             .iter()
             .filter(|s| s.made > 0)
@@ -267,14 +267,14 @@
     }
 
     /// Its load now.
-    pub fn shown(&self) -> Shown {
+    pub fn shown(&self) -> ReportedLoad {
         let waiting = self
             .waiting
             .iter()
             .chain(&self.running)
             .map(|s| f64::from(s.unread))
             .sum();
-        Shown {
+        ReportedLoad {
             waiting,
             memory: self.held() as f64 / self.kind.memory_tokens.max(1) as f64,
         }
@@ -313,7 +313,7 @@
     }
 
     /// The work of so many steps: prompts are read in the order they came, and every answer gets its tokens.
-    fn advance(&mut self, count: u64, length: Micros, said: &mut Vec<Said>) {
+    fn advance(&mut self, count: u64, length: Micros, said: &mut Vec<ServerOutput>) {
         if count == 0 {
             return;
         }
@@ -326,7 +326,7 @@
                 if seq.unread == 0 {
                     // A request that was preempted has sent its first token before.
                     if seq.made == 0 {
-                        said.push(Said::First(seq.job.key));
+                        said.push(ServerOutput::First(seq.job.key));
                     }
                     seq.made += 1;
                 }
@@ -342,7 +342,7 @@
         self.running.retain(|seq| {
             let done = seq.unread == 0 && seq.made >= seq.job.answer.max(1);
             if done {
-                said.push(Said::Done(seq.job.key, seq.kept));
+                said.push(ServerOutput::Done(seq.job.key, seq.kept));
                 prefixes.keep(seq.job.session, seq.job.prompt + seq.job.answer);
                 if seq.job.prefix.1 > 0 {
                     prefixes.keep(seq.job.prefix.0, seq.job.prefix.1);
--- a/crates/testbed/src/emulator/together.rs
+++ b/crates/testbed/src/emulator/together.rs
@@ -6,9 +6,9 @@
     reason = "not yet converted"
 )]
 
-use super::description::{Division, Together as Described};
-use super::measure::Talked;
-use super::world::{micros, Event, World};
+use super::description::{BudgetDivision, CoordinationDescription as Described};
+use super::measure::CoordinationSummary;
+use super::world::{micros, Event, Simulation};
 use crate::Micros;
 use poppykeel::transport::coordination::budgets::{FleetBudgets, LEASE_TASK};
 use poppykeel_coordination::budget::{BudgetLimit, BudgetParticipant, BudgetSettings};
@@ -134,7 +134,7 @@
     }
 
     fn shares(&self) -> bool {
-        self.described.division == Division::Shares
+        self.described.division == BudgetDivision::Shares
     }
 
     fn holders(&self, now: Micros) -> usize {
@@ -147,7 +147,7 @@
     }
 }
 
-impl World<'_> {
+impl Simulation<'_> {
     /// A node's process begins; it may have begun before.
     pub(super) fn join(&mut self, node: usize) {
         let Some(mut t) = self.together.take() else {
@@ -155,7 +155,7 @@
         };
         let now = self.queue.now();
         match t.described.division {
-            Division::Shares => {
+            BudgetDivision::Shares => {
                 t.starts += 1;
                 let (start, place) = (t.starts, t.place(node));
                 let talker = &mut t.talkers[node];
@@ -188,7 +188,7 @@
                     self.queue.put(now + LOOK, Event::Look);
                 }
             }
-            Division::Equal => {
+            BudgetDivision::Equal => {
                 let (parts, d) = (t.talkers.len() as f64, &t.described);
                 let (rate, burst) = (d.retries / parts, d.burst / parts);
                 let budget = BudgetGrant {
@@ -200,7 +200,7 @@
                 };
                 self.nodes[node].allow(&BudgetGrants::from([(BudgetKind::Retries, budget)]));
             }
-            Division::None => {}
+            BudgetDivision::None => {}
         }
         self.together = Some(t);
     }
@@ -378,7 +378,7 @@
     }
 
     /// What it all came to.
-    pub(super) fn talked(&self) -> Option<Talked> {
+    pub(super) fn talked(&self) -> Option<CoordinationSummary> {
         let t = self.together.as_ref()?;
         let seconds = self.run.load.seconds / 2.0;
         let rates = |sent: &(u64, u64)| (sent.0 as f64 / seconds, sent.1 as f64 / seconds);
@@ -392,7 +392,7 @@
             .talkers
             .iter()
             .take(if t.shares() { t.described.keepers } else { 0 });
-        Some(Talked {
+        Some(CoordinationSummary {
             node: (node.0 / count, node.1 / count),
             keeper: rates(&keepers.map(|x| x.sent).max().unwrap_or_default()),
             overlaps: t.overlaps,
--- a/crates/testbed/src/emulator/trace.rs
+++ b/crates/testbed/src/emulator/trace.rs
@@ -2,7 +2,7 @@
 
 #![expect(clippy::missing_errors_doc, reason = "not yet converted")]
 
-use super::measure::End;
+use super::measure::RequestEnd;
 use crate::Micros;
 use serde::Serialize;
 use std::fs::File;
@@ -11,7 +11,7 @@
 
 /// One attempt on a request's path.
 #[derive(Clone, Debug, Serialize, PartialEq)]
-pub struct Hop {
+pub struct AttemptTrace {
     /// The server.
     pub server: u32,
     /// When it was sent.
@@ -22,7 +22,7 @@
 
 /// One try of a request.
 #[derive(Clone, Debug, Serialize, PartialEq)]
-pub struct Passage<'a> {
+pub struct RequestTrace<'a> {
     /// The id on the wire.
     pub id: u64,
     /// Its class and tenant.
@@ -44,28 +44,28 @@
     /// When it was over for the client.
     pub over: Micros,
     /// How; none where the client comes again.
-    pub end: Option<End>,
+    pub end: Option<RequestEnd>,
     /// Its attempts.
-    pub hops: &'a [Hop],
+    pub hops: &'a [AttemptTrace],
 }
 
 /// A file of paths.
-pub struct Trace {
+pub struct TraceWriter {
     out: zstd::Encoder<'static, BufWriter<File>>,
     failed: Option<std::io::Error>,
 }
 
-impl Trace {
+impl TraceWriter {
     /// Begins a file.
-    pub fn create(path: &Path) -> Result<Trace, String> {
+    pub fn create(path: &Path) -> Result<TraceWriter, String> {
         let named = |e: std::io::Error| format!("trace {}: {e}", path.display());
         let out = zstd::Encoder::new(BufWriter::new(File::create(path).map_err(named)?), 3)
             .map_err(named)?;
-        Ok(Trace { out, failed: None })
+        Ok(TraceWriter { out, failed: None })
     }
 
     /// Adds a path. A failure is kept for the end: the run itself is whole without its trace.
-    pub fn add(&mut self, path: &Passage) {
+    pub fn add(&mut self, path: &RequestTrace) {
         if self.failed.is_none() {
             let line = serde_json::to_writer(&mut self.out, path).map_err(std::io::Error::from);
             self.failed = line.and_then(|()| self.out.write_all(b"\n")).err();
--- a/crates/testbed/src/emulator/world.rs
+++ b/crates/testbed/src/emulator/world.rs
@@ -8,15 +8,15 @@
     reason = "not yet converted"
 )]
 
-use super::clients::{Clients, Work};
-use super::description::{Repeats, Run};
-use super::measure::{End, Measure, Outcome};
+use super::clients::{ClientPopulation, ClientRequest};
+use super::description::{RepeatSafety, RunDescription};
+use super::measure::{OutcomeRecorder, RequestEnd, RunOutcome};
 use super::node::{name, number, Node};
 use super::policies::Policy;
-use super::queue::Queue;
-use super::server::{Job, Key, Said, Server, Shown};
+use super::queue::EventQueue;
+use super::server::{AttemptKey, ModelServer, ReportedLoad, ServerJob, ServerOutput};
 use super::together::{Talk, Together};
-use super::trace::{Hop, Passage, Trace};
+use super::trace::{AttemptTrace, RequestTrace, TraceWriter};
 use crate::Micros;
 use poppykeel::routing::{RouterCommand, RouterEvent};
 use poppykeel_scheduler::{Endpoint, EndpointState, IncomingRequest, LoadReport, RequestId};
@@ -35,7 +35,11 @@
     Arrived,
     Gone,
     First(u8),
-    Ended(u8, poppykeel_scheduler::AttemptOutcome, Option<Shown>),
+    Ended(
+        u8,
+        poppykeel_scheduler::AttemptOutcome,
+        Option<ReportedLoad>,
+    ),
 }
 
 /// What a client is told.
@@ -54,7 +58,7 @@
     Turn {
         tenant: usize,
     },
-    Again(Box<Work>),
+    Again(Box<ClientRequest>),
     AtNode {
         node: u32,
         epoch: u32,
@@ -70,7 +74,7 @@
         epoch: u32,
         server: u32,
         outcome: poppykeel_scheduler::AttemptOutcome,
-        shown: Option<Shown>,
+        shown: Option<ReportedLoad>,
     },
     Listed {
         node: u32,
@@ -91,7 +95,7 @@
     },
     Cancel {
         server: u32,
-        key: Key,
+        key: AttemptKey,
     },
     Step {
         server: u32,
@@ -147,11 +151,11 @@
 /// One try of a client's request.
 pub(super) struct Try {
     id: u64,
-    work: Work,
+    work: ClientRequest,
     pub(super) node: u32,
     sent: Micros,
     pub(super) attempts: Vec<Attempt>,
-    hops: Vec<Hop>,
+    hops: Vec<AttemptTrace>,
     bound: Option<usize>,
     /// Its node has given its one final answer, or begun it.
     answered: bool,
@@ -172,7 +176,7 @@
 }
 
 pub(super) struct Place {
-    pub(super) server: Server,
+    pub(super) server: ModelServer,
     pub(super) zone: usize,
     /// Its process is there.
     pub(super) up: bool,
@@ -180,19 +184,19 @@
     pub(super) frozen: bool,
     pub(super) born: Option<Micros>,
     pub(super) listed: EndpointState,
-    shown: (Micros, Shown),
+    shown: (Micros, ReportedLoad),
     /// Steps that were planned before count no longer.
     stamp: u32,
 }
 
 /// One run.
-pub struct World<'a> {
-    pub(super) run: &'a Run,
+pub struct Simulation<'a> {
+    pub(super) run: &'a RunDescription,
     policy: Policy,
     seed: u64,
     rng: rand_pcg::Pcg64Mcg,
-    pub(super) queue: Queue<Event>,
-    pub(super) clients: Clients,
+    pub(super) queue: EventQueue<Event>,
+    pub(super) clients: ClientPopulation,
     pub(super) nodes: Vec<Node>,
     pub(super) places: Vec<Place>,
     pub(super) tries: Vec<Option<Try>>,
@@ -200,46 +204,50 @@
     next: u64,
     /// Idle connections of a node to a server. Only looked up, never walked.
     idle: HashMap<(u32, u32), u16>,
-    measure: Measure,
+    measure: OutcomeRecorder,
     pub(super) cut: Option<usize>,
     pub(super) no_list: bool,
     commands: Vec<RouterCommand>,
-    said: Vec<Said>,
-    trace: Option<Trace>,
+    said: Vec<ServerOutput>,
+    trace: Option<TraceWriter>,
     events: u64,
     pub(super) together: Option<Box<Together>>,
 }
 
-impl<'a> World<'a> {
+impl<'a> Simulation<'a> {
     /// A world before its first moment; `run` has been checked.
-    pub fn new(run: &'a Run, policy: Policy, seed: u64) -> Result<World<'a>, String> {
+    pub fn new(
+        run: &'a RunDescription,
+        policy: Policy,
+        seed: u64,
+    ) -> Result<Simulation<'a>, String> {
         let f = &run.fleet;
         let nodes = (0..f.nodes).map(|n| Node::new(run, n, policy, seed ^ ((n as u64 + 1) << 32)));
         let place = |n: usize| Place {
-            server: Server::new(f.server.clone()),
+            server: ModelServer::new(f.server.clone()),
             zone: n % f.zones,
             up: true,
             failing: false,
             frozen: false,
             born: None,
             listed: EndpointState::Available,
-            shown: (0, Shown::default()),
+            shown: (0, ReportedLoad::default()),
             stamp: 0,
         };
-        let mut world = World {
+        let mut world = Simulation {
             run,
             policy,
             seed,
             rng: rand_pcg::Pcg64Mcg::seed_from_u64(seed),
-            queue: Queue::default(),
-            clients: Clients::new(run),
+            queue: EventQueue::default(),
+            clients: ClientPopulation::new(run),
             nodes: nodes.collect::<Result<_, _>>()?,
             places: (0..f.servers).map(place).collect(),
             tries: Vec::new(),
             free: Vec::new(),
             next: 1,
             idle: HashMap::new(),
-            measure: Measure::new(run),
+            measure: OutcomeRecorder::new(run),
             cut: None,
             no_list: false,
             commands: Vec::new(),
@@ -279,7 +287,7 @@
     }
 
     /// Writes every request's path there.
-    pub fn trace(&mut self, trace: Trace) {
+    pub fn trace(&mut self, trace: TraceWriter) {
         self.trace = Some(trace);
     }
 
@@ -289,7 +297,7 @@
     }
 
     /// What has been measured so far.
-    pub fn so_far(&mut self) -> &Outcome {
+    pub fn so_far(&mut self) -> &RunOutcome {
         self.measure.counts()
     }
 
@@ -332,7 +340,7 @@
     }
 
     /// Runs to the end.
-    pub fn finish(mut self) -> Result<Outcome, String> {
+    pub fn finish(mut self) -> Result<RunOutcome, String> {
         while self.go(1 << 20) {}
         let open = self.tries.iter().flatten().filter(|t| !t.over).count() as u64;
         let talked = self.talked();
@@ -448,12 +456,12 @@
         }
     }
 
-    fn send_try(&mut self, now: Micros, mut work: Work) {
+    fn send_try(&mut self, now: Micros, mut work: ClientRequest) {
         work.tries += 1;
         let up: usize = self.nodes.iter().filter(|n| n.up).count();
         if up == 0 {
             // Nobody listens: refused connections are a failure at once.
-            return self.over(now, &work, None, End::Failed);
+            return self.over(now, &work, None, RequestEnd::Failed);
         }
         let place = self.rng.random_range(0..up);
         let node = self
@@ -513,10 +521,10 @@
             Told::First => {
                 t.first.get_or_insert(now);
             }
-            Told::Whole => self.final_word(now, id, End::Good, 0),
-            Told::Broken => self.final_word(now, id, End::Broken, 0),
-            Told::Failed => self.final_word(now, id, End::Failed, PAUSE),
-            Told::Refused(after) => self.final_word(now, id, End::Refused, after),
+            Told::Whole => self.final_word(now, id, RequestEnd::Good, 0),
+            Told::Broken => self.final_word(now, id, RequestEnd::Broken, 0),
+            Told::Failed => self.final_word(now, id, RequestEnd::Failed, PAUSE),
+            Told::Refused(after) => self.final_word(now, id, RequestEnd::Refused, after),
         }
     }
 
@@ -536,11 +544,11 @@
                 word: Word::Gone,
             },
         );
-        self.final_word(now, id, End::Left, 0);
+        self.final_word(now, id, RequestEnd::Left, 0);
     }
 
     /// The one place where a try ends for its client.
-    pub(super) fn final_word(&mut self, now: Micros, id: u64, end: End, after: Micros) {
+    pub(super) fn final_word(&mut self, now: Micros, id: u64, end: RequestEnd, after: Micros) {
         let Some(t) = self.find(id).filter(|t| !t.over) else {
             return;
         };
@@ -549,9 +557,10 @@
         let hops = std::mem::take(&mut t.hops);
         let load = &self.run.load;
         let again = match end {
-            End::Refused => work.tries <= load.retries && after <= micros(load.heeds_s),
-            End::Failed => {
-                work.tries <= load.retries && self.run.class[work.class].repeats == Repeats::Safe
+            RequestEnd::Refused => work.tries <= load.retries && after <= micros(load.heeds_s),
+            RequestEnd::Failed => {
+                work.tries <= load.retries
+                    && self.run.class[work.class].repeats == RepeatSafety::Safe
             }
             _ => false,
         };
@@ -559,7 +568,7 @@
             let (class, tenant, session) = (work.class, work.tenant, work.session);
             let (tries, prompt, over) = (work.tries, work.prompt, now);
             let end = (!again).then_some(end);
-            trace.add(&Passage {
+            trace.add(&RequestTrace {
                 id,
                 class,
                 tenant,
@@ -585,7 +594,7 @@
         }
     }
 
-    fn over(&mut self, now: Micros, work: &Work, first: Option<Micros>, end: End) {
+    fn over(&mut self, now: Micros, work: &ClientRequest, first: Option<Micros>, end: RequestEnd) {
         let class = &self.run.class[work.class];
         let whole = self.measure.end(class, work, now, first, end);
         self.clients.over(work, whole, self.run.load.sessions);
@@ -828,7 +837,7 @@
         out.broken.drained += u64::from(drained);
         let run = self.run;
         let Some(t) = self.find(id) else { return };
-        let unsafe_class = run.class[t.work.class].repeats == Repeats::Unsafe;
+        let unsafe_class = run.class[t.work.class].repeats == RepeatSafety::Unsafe;
         let again = unsafe_class && t.attempts.iter().any(|a| a.ran);
         t.attempts.push(Attempt {
             server,
@@ -838,7 +847,7 @@
             lost: cut,
         });
         debug_assert_eq!(t.attempts.len(), attempt + 1);
-        t.hops.push(Hop {
+        t.hops.push(AttemptTrace {
             server,
             sent: now,
             ended: None,
@@ -986,7 +995,7 @@
     }
 
     /// Says something of an attempt to its node, unless the network is cut or the attempt is lost.
-    pub(super) fn say(&mut self, now: Micros, key: Key, word: Word) {
+    pub(super) fn say(&mut self, now: Micros, key: AttemptKey, word: Word) {
         let Some(t) = self.find(key.0) else { return };
         let node = t.node;
         let Some(a) = t.attempts.get(key.1).filter(|a| !a.over && !a.lost) else {
@@ -1015,7 +1024,7 @@
         let (up, failing) = (place.up, place.failing);
         let Some(t) = self.find(id) else { return };
         let work = &t.work;
-        let job = Job {
+        let job = ServerJob {
             key,
             session: work.session,
             prefix: work.prefix,
@@ -1096,7 +1105,7 @@
     }
 
     /// A server's report: up to `report_ms` old, and off by the set noise.
-    fn show(&mut self, now: Micros, server: u32) -> Shown {
+    fn show(&mut self, now: Micros, server: u32) -> ReportedLoad {
         let f = &self.run.fleet;
         let place = &mut self.places[server as usize];
         if now - place.shown.0 >= f.report_ms * 1000 && !place.frozen {
@@ -1107,7 +1116,7 @@
             return shown;
         }
         let noise = LogNormal::new(0.0, f.report_noise).map_or(1.0, |d| d.sample(&mut self.rng));
-        Shown {
+        ReportedLoad {
             waiting: shown.waiting * noise,
             ..shown
         }
@@ -1125,8 +1134,8 @@
         }
         for word in said.drain(..) {
             match word {
-                Said::First(key) => self.say(now, key, Word::First(key.1 as u8)),
-                Said::Done(key, kept) => {
+                ServerOutput::First(key) => self.say(now, key, Word::First(key.1 as u8)),
+                ServerOutput::Done(key, kept) => {
                     if let Some(prompt) = self.find(key.0).map(|t| t.work.prompt) {
                         let out = self.measure.counts();
                         out.prompt = (
@@ -1164,7 +1173,7 @@
     }
 }
 
-fn report(shown: Shown) -> LoadReport {
+fn report(shown: ReportedLoad) -> LoadReport {
     LoadReport {
         queued_prompt_tokens: Some(shown.waiting),
         memory_utilization: Some(shown.memory),
--- a/crates/testbed/src/experiment/description.rs
+++ b/crates/testbed/src/experiment/description.rs
@@ -8,7 +8,10 @@
     reason = "not yet converted"
 )]
 
-use crate::emulator::description::{Class, Fault, Fleet, Load, Run, Tenant, Together};
+use crate::emulator::description::{
+    ClassDescription, CoordinationDescription, FaultDescription, FleetDescription, LoadDescription,
+    RunDescription, TenantDescription,
+};
 use crate::emulator::policies::Policy;
 use serde::Deserialize;
 use std::path::Path;
@@ -28,17 +31,17 @@
     #[serde(default)]
     sweep: Vec<Sweep>,
     #[serde(default)]
-    fleet: Fleet,
+    fleet: FleetDescription,
     #[serde(default)]
-    load: Load,
+    load: LoadDescription,
     #[serde(default)]
-    class: Vec<Class>,
+    class: Vec<ClassDescription>,
     #[serde(default)]
-    tenant: Vec<Tenant>,
+    tenant: Vec<TenantDescription>,
     #[serde(default)]
-    fault: Vec<Fault>,
+    fault: Vec<FaultDescription>,
     #[serde(default)]
-    together: Option<Together>,
+    together: Option<CoordinationDescription>,
 }
 
 fn all() -> Vec<Policy> {
@@ -68,7 +71,7 @@
     /// What it is called.
     pub label: String,
     /// The run there.
-    pub run: Run,
+    pub run: RunDescription,
 }
 
 /// An experiment.
@@ -142,7 +145,7 @@
         if policies.is_empty() || seeds.is_empty() {
             return Err("policies, seeds: expected one at least".into());
         }
-        let base = Run {
+        let base = RunDescription {
             fleet,
             load,
             class,
@@ -189,7 +192,7 @@
             }
         }
         let point = |(label, root): (String, Value)| {
-            let run: Run = root
+            let run: RunDescription = root
                 .try_into()
                 .map_err(|e: toml::de::Error| format!("sweep: {label}: {}", e.message()))?;
             let label = if label.is_empty() {
--- a/crates/testbed/src/experiment/results.rs
+++ b/crates/testbed/src/experiment/results.rs
@@ -8,9 +8,9 @@
     reason = "not yet converted"
 )]
 
-use crate::emulator::description::Run;
+use crate::emulator::description::RunDescription;
 use crate::emulator::policies::Policy;
-use crate::emulator::Outcome;
+use crate::emulator::RunOutcome;
 use serde::{Deserialize, Serialize};
 use std::path::{Path, PathBuf};
 
@@ -24,9 +24,9 @@
     /// The seed.
     pub seed: u64,
     /// The run.
-    pub run: Run,
+    pub run: RunDescription,
     /// What it came to.
-    pub outcome: Outcome,
+    pub outcome: RunOutcome,
 }
 
 /// The results of an experiment, in a folder of their own.
@@ -55,7 +55,7 @@
     }
 
     /// What was found there, if that is the result of this very run.
-    pub fn find(&self, path: &Path, label: &str, run: &Run) -> Option<Found> {
+    pub fn find(&self, path: &Path, label: &str, run: &RunDescription) -> Option<Found> {
         read(path)
             .ok()
             .filter(|f| f.run == *run && f.label == label)
--- a/crates/testbed/src/experiment/runner.rs
+++ b/crates/testbed/src/experiment/runner.rs
@@ -9,7 +9,7 @@
 use super::description::{Experiment, Point};
 use super::results::{Found, Results};
 use crate::emulator::policies::Policy;
-use crate::emulator::{Trace, World};
+use crate::emulator::{Simulation, TraceWriter};
 use indicatif::ProgressBar;
 use rayon::prelude::*;
 use std::path::Path;
@@ -72,9 +72,9 @@
     seed: u64,
     beside: Option<&Path>,
 ) -> Result<Found, String> {
-    let mut world = World::new(&point.run, policy, seed)?;
+    let mut world = Simulation::new(&point.run, policy, seed)?;
     if let Some(path) = beside {
-        world.trace(Trace::create(&path.with_extension("trace.zst"))?);
+        world.trace(TraceWriter::create(&path.with_extension("trace.zst"))?);
     }
     let outcome = world.finish()?;
     Ok(Found {
--- a/crates/testbed/src/experiment/table.rs
+++ b/crates/testbed/src/experiment/table.rs
@@ -8,7 +8,7 @@
 
 use super::results::Found;
 use crate::emulator::policies::Policy;
-use crate::emulator::{End, Outcome, Tally};
+use crate::emulator::{RequestEnd, RunOutcome, Tally};
 use std::fmt::Write;
 
 /// Student's t at 97.5%, by degrees of freedom from 1 on; beyond the table it is nearly that of the normal.
@@ -97,7 +97,7 @@
 }
 
 /// The time from the first fault's end until the service is as it was.
-fn recovery(o: &Outcome) -> f64 {
+fn recovery(o: &RunOutcome) -> f64 {
     let Some(fault) = o.faults.first() else {
         return f64::NAN;
     };
@@ -119,17 +119,20 @@
 
 impl Figure {
     /// Its value in one run.
-    pub fn of(self, o: &Outcome) -> f64 {
+    pub fn of(self, o: &RunOutcome) -> f64 {
         let requests = (o.all.requests().max(1)) as f64;
         let talked = o.talked.unwrap_or_default();
-        let ends =
-            |which: &[End]| which.iter().map(|e| o.all.ends[*e as usize]).sum::<u64>() as f64;
+        let ends = |which: &[RequestEnd]| {
+            which.iter().map(|e| o.all.ends[*e as usize]).sum::<u64>() as f64
+        };
         match self {
             Figure::Worth => o.all.part() * 100.0,
             Figure::FirstP99 => o.first.at.get(4).copied().unwrap_or(f64::NAN),
             Figure::FirstP50 => o.first.at.get(1).copied().unwrap_or(f64::NAN),
-            Figure::Refused => ends(&[End::Refused]) / requests * 100.0,
-            Figure::Failed => ends(&[End::Failed, End::Broken, End::Left]) / requests * 100.0,
+            Figure::Refused => ends(&[RequestEnd::Refused]) / requests * 100.0,
+            Figure::Failed => {
+                ends(&[RequestEnd::Failed, RequestEnd::Broken, RequestEnd::Left]) / requests * 100.0
+            }
             Figure::Attempts => o.attempts as f64 / (o.tries.max(1)) as f64,
             Figure::Kept => o.prompt.1 as f64 / (o.prompt.0.max(1)) as f64 * 100.0,
             Figure::Crossed => o.crossed as f64 / (o.attempts.max(1)) as f64 * 100.0,
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -10,9 +10,9 @@
 use clap::{Args, Parser, Subcommand};
 use indicatif::{ProgressBar, ProgressStyle};
 use poppykeel_testbed::breaks::{self, Budgeted, Fault, Kind, Roll, Shape, Wanted};
-use poppykeel_testbed::emulator::description::Run as Description;
+use poppykeel_testbed::emulator::description::RunDescription as Description;
 use poppykeel_testbed::emulator::policies::Policy;
-use poppykeel_testbed::emulator::World;
+use poppykeel_testbed::emulator::Simulation;
 use poppykeel_testbed::experiment::table::{compare, table, Figure};
 use poppykeel_testbed::experiment::{runner, Experiment, Found, Results};
 use poppykeel_testbed::sockets;
@@ -461,7 +461,7 @@
                     self.policy
                 )
             })?;
-        let mut world = World::new(&point.run, policy, self.seed)?;
+        let mut world = Simulation::new(&point.run, policy, self.seed)?;
         let tenants = point.run.tenant.iter().map(|t| t.name.clone()).collect();
         let state = view::State::new(
             &format!("{}: {}, {policy}", experiment.name, point.label),
--- a/crates/testbed/src/report/plots.rs
+++ b/crates/testbed/src/report/plots.rs
@@ -7,9 +7,9 @@
 )]
 
 use super::Cell;
-use crate::emulator::description::{Fault, What};
+use crate::emulator::description::{FaultDescription, FaultKind};
 use crate::emulator::policies::Policy;
-use crate::emulator::{Outcome, PARTS, PIECES};
+use crate::emulator::{RunOutcome, QUANTILES, TIME_SLICE_COUNT};
 use crate::experiment::table::{values, Figure, Mean};
 use crate::experiment::Found;
 use plotters::prelude::*;
@@ -58,12 +58,12 @@
 }
 
 /// A fault's name and its time, in seconds; what has no end of its own lasts to a second.
-fn span(fault: &Fault) -> (String, f64, f64) {
+fn span(fault: &FaultDescription) -> (String, f64, f64) {
     let name = serde_json::to_value(fault.what)
         .ok()
         .and_then(|v| v.as_str().map(String::from))
         .unwrap_or_default();
-    let lasts = if fault.what == What::ColdRestart {
+    let lasts = if fault.what == FaultKind::ColdRestart {
         1.0
     } else {
         fault.for_s
@@ -79,7 +79,7 @@
         .map(|f| f.outcome.piece_s)
         .next()
         .unwrap_or(1.0);
-    let end = piece * PIECES as f64;
+    let end = piece * TIME_SLICE_COUNT as f64;
     draw((1140, 300), |area| {
         let mut chart = ChartBuilder::on(area)
             .margin(8)
@@ -115,7 +115,7 @@
             chart.draw_series(std::iter::once(text)).map_err(failed)?;
         }
         for cell in cells {
-            let line = (0..PIECES / SMOOTH).filter_map(|n| {
+            let line = (0..TIME_SLICE_COUNT / SMOOTH).filter_map(|n| {
                 let pieces = n * SMOOTH..(n + 1) * SMOOTH;
                 let of = |take: fn(&crate::emulator::Tally) -> f64| -> f64 {
                     let all = cell
@@ -171,7 +171,7 @@
     };
     let all: Vec<f64> = cells
         .iter()
-        .flat_map(|c| (0..PARTS.len()).filter_map(|n| at(c, n)))
+        .flat_map(|c| (0..QUANTILES.len()).filter_map(|n| at(c, n)))
         .collect();
     let (low, high) = all
         .iter()
@@ -182,10 +182,10 @@
             .margin(8)
             .x_label_area_size(34)
             .y_label_area_size(60)
-            .build_cartesian_2d(0.0..(PARTS.len() - 1) as f64, (low..high).log_scale())
+            .build_cartesian_2d(0.0..(QUANTILES.len() - 1) as f64, (low..high).log_scale())
             .map_err(failed)?;
         let name = |x: &f64| {
-            let part = PARTS.get(x.round() as usize).copied().unwrap_or(1.0);
+            let part = QUANTILES.get(x.round() as usize).copied().unwrap_or(1.0);
             if part >= 1.0 {
                 "most".to_string()
             } else {
@@ -195,13 +195,13 @@
         chart
             .configure_mesh()
             .light_line_style(WHITE)
-            .x_labels(PARTS.len())
+            .x_labels(QUANTILES.len())
             .x_label_formatter(&name)
             .y_desc("first token, ms")
             .draw()
             .map_err(failed)?;
         for cell in cells {
-            let line = (0..PARTS.len()).filter_map(|n| at(cell, n).map(|v| (n as f64, v)));
+            let line = (0..QUANTILES.len()).filter_map(|n| at(cell, n).map(|v| (n as f64, v)));
             let (colour, width) = (colour(cell.policy), width(cell.policy));
             chart
                 .draw_series(LineSeries::new(line, colour.stroke_width(width)))
@@ -297,8 +297,11 @@
 }
 
 /// Requests that servers held, over their slots: rows of servers, columns of time.
-pub(super) fn heat(outcome: &Outcome) -> Result<String, String> {
-    let (rows, end) = (outcome.heat.len() as f64, outcome.piece_s * PIECES as f64);
+pub(super) fn heat(outcome: &RunOutcome) -> Result<String, String> {
+    let (rows, end) = (
+        outcome.heat.len() as f64,
+        outcome.piece_s * TIME_SLICE_COUNT as f64,
+    );
     draw((560, 220), |area| {
         let mut chart = ChartBuilder::on(area)
             .margin(8)
--- a/crates/testbed/src/sockets/fleet.rs
+++ b/crates/testbed/src/sockets/fleet.rs
@@ -9,7 +9,7 @@
 use super::discovery::{Discovery, Entry};
 use super::model::Model;
 use super::nodes::{config, Node};
-use crate::emulator::description::{Fault, Run, What};
+use crate::emulator::description::{FaultDescription, FaultKind, RunDescription};
 use std::cell::RefCell;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -22,7 +22,7 @@
 
 /// The fleet.
 pub struct Fleet {
-    run: Run,
+    run: RunDescription,
     program: PathBuf,
     folder: PathBuf,
     /// Its model servers.
@@ -40,11 +40,15 @@
 
 impl Fleet {
     /// Starts all of it; `folder` takes configurations and logs.
-    pub async fn start(run: &Run, program: &Path, folder: &Path) -> Result<Rc<Fleet>, String> {
+    pub async fn start(
+        run: &RunDescription,
+        program: &Path,
+        folder: &Path,
+    ) -> Result<Rc<Fleet>, String> {
         if let Some(fault) = run
             .fault
             .iter()
-            .find(|f| matches!(f.what, What::ZoneCut | What::LateReports))
+            .find(|f| matches!(f.what, FaultKind::ZoneCut | FaultKind::LateReports))
         {
             return Err(format!(
                 "fault: {:?} is not to be had on loopback sockets",
@@ -137,31 +141,31 @@
         }
     }
 
-    fn befallen(&self, fault: &Fault, of: usize) -> std::ops::Range<usize> {
+    fn befallen(&self, fault: &FaultDescription, of: usize) -> std::ops::Range<usize> {
         0..((of as f64 * fault.part).ceil() as usize).min(of)
     }
 
     /// Plays one fault from its beginning to its end; the caller has waited until it begins.
-    pub async fn fault(self: Rc<Self>, fault: Fault) {
+    pub async fn fault(self: Rc<Self>, fault: FaultDescription) {
         let span = Duration::from_secs_f64(fault.for_s);
         let all = self.befallen(&fault, self.models.len());
         match fault.what {
-            What::Die => {
+            FaultKind::Die => {
                 all.clone().for_each(|s| self.end(s));
                 tokio::time::sleep(span).await;
                 for server in all {
                     self.begin(server).await;
                 }
             }
-            What::ColdRestart => {
+            FaultKind::ColdRestart => {
                 all.clone().for_each(|s| self.end(s));
                 tokio::time::sleep(RESTART).await;
                 for server in all {
                     self.begin(server).await;
                 }
             }
-            What::Silent => all.for_each(|s| self.models[s].stall(span)),
-            What::Stall => {
+            FaultKind::Silent => all.for_each(|s| self.models[s].stall(span)),
+            FaultKind::Stall => {
                 let mut left = span;
                 while !left.is_zero() {
                     let still = Duration::from_secs_f64(fault.size).min(left);
@@ -170,22 +174,22 @@
                     left = left.saturating_sub(STALLS);
                 }
             }
-            What::FailFast => {
+            FaultKind::FailFast => {
                 all.clone().for_each(|s| self.models[s].fail(true));
                 tokio::time::sleep(span).await;
                 all.for_each(|s| self.models[s].fail(false));
             }
-            What::Slow => {
+            FaultKind::Slow => {
                 all.clone().for_each(|s| self.models[s].slow(fault.size));
                 tokio::time::sleep(span).await;
                 all.for_each(|s| self.models[s].slow(1.0));
             }
-            What::NoList => {
+            FaultKind::NoList => {
                 self.discovery.silence(true);
                 tokio::time::sleep(span).await;
                 self.discovery.silence(false);
             }
-            What::NodeKill => {
+            FaultKind::NodeKill => {
                 let nodes = self.befallen(&fault, self.addrs.len());
                 for me in nodes.clone() {
                     let node = self.nodes.borrow_mut()[me].take();
@@ -201,7 +205,7 @@
                     }
                 }
             }
-            What::Deploys => {
+            FaultKind::Deploys => {
                 let (size, mut from) = (all.len().max(1), 0);
                 loop {
                     for server in from.max(size) - size..from.min(self.models.len()) {
@@ -223,7 +227,7 @@
                 }
             }
             // The load's own, and what is refused at the start.
-            What::Burst | What::ZoneCut | What::LateReports => {}
+            FaultKind::Burst | FaultKind::ZoneCut | FaultKind::LateReports => {}
         }
     }
 
--- a/crates/testbed/src/sockets/load.rs
+++ b/crates/testbed/src/sockets/load.rs
@@ -9,8 +9,8 @@
 )]
 
 use super::fleet::Fleet;
-use crate::emulator::description::{Repeats, Run, What};
-use crate::emulator::{Clients, End, Measure, Outcome, Work};
+use crate::emulator::description::{FaultKind, RepeatSafety, RunDescription};
+use crate::emulator::{ClientPopulation, ClientRequest, OutcomeRecorder, RequestEnd, RunOutcome};
 use crate::Micros;
 use futures_util::{SinkExt, StreamExt};
 use poppykeel::protocol::http::{Http, Out, Part, Side, Start};
@@ -40,11 +40,11 @@
 type Wire = Framed<TcpStream, Http>;
 
 struct Shared {
-    run: Run,
+    run: RunDescription,
     began: Instant,
     fleet: Rc<Fleet>,
-    clients: RefCell<Clients>,
-    measure: RefCell<Measure>,
+    clients: RefCell<ClientPopulation>,
+    measure: RefCell<OutcomeRecorder>,
     rng: RefCell<rand_pcg::Pcg64Mcg>,
     idle: RefCell<Vec<Vec<Wire>>>,
     open: RefCell<usize>,
@@ -61,14 +61,19 @@
 }
 
 /// Plays a run on sockets with the node's program; `folder` takes configurations and logs.
-pub async fn play(run: &Run, program: &Path, folder: &Path, seed: u64) -> Result<Outcome, String> {
+pub async fn play(
+    run: &RunDescription,
+    program: &Path,
+    folder: &Path,
+    seed: u64,
+) -> Result<RunOutcome, String> {
     let fleet = Fleet::start(run, program, folder).await?;
     let shared = Rc::new(Shared {
         run: run.clone(),
         began: Instant::now(),
         fleet: fleet.clone(),
-        clients: RefCell::new(Clients::new(run)),
-        measure: RefCell::new(Measure::new(run)),
+        clients: RefCell::new(ClientPopulation::new(run)),
+        measure: RefCell::new(OutcomeRecorder::new(run)),
         rng: RefCell::new(rand_pcg::Pcg64Mcg::seed_from_u64(seed)),
         idle: RefCell::new((0..run.fleet.nodes).map(|_| Vec::new()).collect()),
         open: RefCell::new(0),
@@ -78,7 +83,7 @@
         let shared = shared.clone();
         spawn_local(async move {
             tokio::time::sleep_until(shared.began + Duration::from_secs_f64(fault.at_s)).await;
-            if fault.what == What::Burst {
+            if fault.what == FaultKind::Burst {
                 shared.clients.borrow_mut().burst(fault.tenant, fault.size);
                 tokio::time::sleep(Duration::from_secs_f64(fault.for_s)).await;
                 shared.clients.borrow_mut().burst(fault.tenant, 1.0);
@@ -101,7 +106,7 @@
     samples.abort();
     fleet.stop().await;
     let open = *shared.open.borrow() as u64;
-    let mut measure = shared.measure.replace(Measure::new(run));
+    let mut measure = shared.measure.replace(OutcomeRecorder::new(run));
     measure.counts().broken.lost = open;
     Ok(measure.done(0))
 }
@@ -152,10 +157,10 @@
     }
 
     /// A request with all its tries.
-    async fn request(self: Rc<Self>, mut work: Work) {
+    async fn request(self: Rc<Self>, mut work: ClientRequest) {
         let class = self.run.class[work.class].clone();
         if *self.open.borrow() >= MOST_TRIES {
-            return self.over(&work, End::Failed, None);
+            return self.over(&work, RequestEnd::Failed, None);
         }
         *self.open.borrow_mut() += 1;
         // The first try's time is when it was to be sent.
@@ -166,17 +171,19 @@
             let answer = self.one(&work, sent).await;
             let again = work.tries <= self.run.load.retries;
             let pause = match answer {
-                Answer::Whole { first } => break self.over(&work, End::Good, Some(first)),
-                Answer::Broken { first } => break self.over(&work, End::Broken, Some(first)),
-                Answer::Left => break self.over(&work, End::Left, None),
+                Answer::Whole { first } => break self.over(&work, RequestEnd::Good, Some(first)),
+                Answer::Broken { first } => {
+                    break self.over(&work, RequestEnd::Broken, Some(first))
+                }
+                Answer::Left => break self.over(&work, RequestEnd::Left, None),
                 Answer::Refused { after }
                     if again && after.as_secs_f64() <= self.run.load.heeds_s =>
                 {
                     after
                 }
-                Answer::Refused { .. } => break self.over(&work, End::Refused, None),
-                Answer::Failed if again && class.repeats == Repeats::Safe => PAUSE,
-                Answer::Failed => break self.over(&work, End::Failed, None),
+                Answer::Refused { .. } => break self.over(&work, RequestEnd::Refused, None),
+                Answer::Failed if again && class.repeats == RepeatSafety::Safe => PAUSE,
+                Answer::Failed => break self.over(&work, RequestEnd::Failed, None),
             };
             let spread = self.rng.borrow_mut().random_range(0.0..0.1);
             tokio::time::sleep(pause.mul_f64(1.0 + spread)).await;
@@ -185,7 +192,7 @@
         *self.open.borrow_mut() -= 1;
     }
 
-    fn over(&self, work: &Work, end: End, first: Option<Micros>) {
+    fn over(&self, work: &ClientRequest, end: RequestEnd, first: Option<Micros>) {
         let class = &self.run.class[work.class];
         let whole = self
             .measure
@@ -210,7 +217,7 @@
         Some((node, Framed::new(stream, Http::new(Side::Client))))
     }
 
-    async fn one(&self, work: &Work, sent: Micros) -> Answer {
+    async fn one(&self, work: &ClientRequest, sent: Micros) -> Answer {
         let class = &self.run.class[work.class];
         let id = {
             let mut next = self.next.borrow_mut();
--- a/crates/testbed/src/sockets/model.rs
+++ b/crates/testbed/src/sockets/model.rs
@@ -8,7 +8,7 @@
     reason = "not yet converted"
 )]
 
-use crate::emulator::server::{Job, Key, Kind, Said, Server};
+use crate::emulator::server::{AttemptKey, ModelServer, ServerJob, ServerOutput, ServerProfile};
 use crate::Micros;
 use bytes::Bytes;
 use futures_util::{SinkExt, StreamExt};
@@ -44,9 +44,9 @@
 }
 
 struct Inner {
-    server: Server,
+    server: ModelServer,
     began: Instant,
-    streams: HashMap<Key, Stream>,
+    streams: HashMap<AttemptKey, Stream>,
     next: u64,
     failing: bool,
     /// Tasks of the listener and of all connections; empty while the process is "gone".
@@ -101,7 +101,7 @@
     }
 
     /// Starts one on a free port.
-    pub async fn start(kind: Kind) -> Result<Model, String> {
+    pub async fn start(kind: ServerProfile) -> Result<Model, String> {
         let listener = TcpListener::bind("127.0.0.1:0")
             .await
             .map_err(|e| format!("model server: {e}"))?;
@@ -109,7 +109,7 @@
             .local_addr()
             .map_err(|e| format!("model server: {e}"))?;
         let inner = Inner {
-            server: Server::new(kind),
+            server: ModelServer::new(kind),
             began: Instant::now(),
             streams: HashMap::new(),
             next: 0,
@@ -241,7 +241,7 @@
             }
         }
         for word in said {
-            if let Said::Done(key, kept) = word {
+            if let ServerOutput::Done(key, kept) = word {
                 if let Some(stream) = streams.remove(&key) {
                     // The last token goes with the end.
                     let _ = stream
@@ -334,7 +334,7 @@
             let session = told("session").unwrap_or(u64::MAX - inner.next);
             let taken = inner.server.take(
                 now,
-                Job {
+                ServerJob {
                     key,
                     session,
                     prefix,
--- a/crates/testbed/src/sockets/nodes.rs
+++ b/crates/testbed/src/sockets/nodes.rs
@@ -7,7 +7,7 @@
 )]
 
 use super::discovery::Discovery;
-use crate::emulator::description::{Repeats, Run};
+use crate::emulator::description::{RepeatSafety, RunDescription};
 use serde_json::json;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -30,12 +30,17 @@
 }
 
 /// The configuration of one of a run's nodes.
-pub fn config(run: &Run, me: usize, listen: SocketAddr, discovery: &Discovery) -> String {
+pub fn config(
+    run: &RunDescription,
+    me: usize,
+    listen: SocketAddr,
+    discovery: &Discovery,
+) -> String {
     let f = &run.fleet;
     let settings = crate::emulator::settings(run, me);
     let zones: Vec<String> = (0..f.zones).map(|z| format!("z{z}")).collect();
-    let class = |c: &crate::emulator::description::Class| {
-        let semantics = if c.repeats == Repeats::Safe {
+    let class = |c: &crate::emulator::description::ClassDescription| {
+        let semantics = if c.repeats == RepeatSafety::Safe {
             "safe"
         } else {
             "unsafe"
--- a/crates/testbed/src/sockets/up.rs
+++ b/crates/testbed/src/sockets/up.rs
@@ -7,7 +7,7 @@
 )]
 
 use super::fleet::Fleet;
-use crate::emulator::description::Run;
+use crate::emulator::description::RunDescription;
 use std::path::Path;
 use std::rc::Rc;
 use std::time::Duration;
@@ -22,7 +22,7 @@
 }
 
 /// Starts servers, discovery and nodes.
-pub async fn up(run: &Run, program: &Path, folder: &Path) -> Result<Up, String> {
+pub async fn up(run: &RunDescription, program: &Path, folder: &Path) -> Result<Up, String> {
     let fleet = Fleet::start(run, program, folder).await?;
     let addr = fleet.addrs().first().copied().ok_or("up: no node")?;
     let class = &run.class[0];
--- a/crates/testbed/src/view/state.rs
+++ b/crates/testbed/src/view/state.rs
@@ -6,7 +6,7 @@
     reason = "not yet converted"
 )]
 
-use crate::emulator::{End, Outcome, World};
+use crate::emulator::{RequestEnd, RunOutcome, Simulation};
 use poppykeel_scheduler::EndpointState;
 use serde_json::Value;
 use std::collections::{BTreeMap, VecDeque};
@@ -104,20 +104,20 @@
     }
 
     /// Looks at an emulated world; `seconds` is the length of its load.
-    pub fn look(&mut self, world: &mut World, seconds: f64) {
+    pub fn look(&mut self, world: &mut Simulation, seconds: f64) {
         let at = world.now() as f64 / 1e6;
         self.time = (at.min(seconds), Some(seconds));
-        let out: &Outcome = world.so_far();
-        let ends = |end: End| out.all.ends[end as usize];
+        let out: &RunOutcome = world.so_far();
+        let ends = |end: RequestEnd| out.all.ends[end as usize];
         let counts = vec![
             ("tries".to_string(), out.tries),
             ("attempts".to_string(), out.attempts),
-            ("good".to_string(), ends(End::Good)),
-            ("late".to_string(), ends(End::Late)),
-            ("refused".to_string(), ends(End::Refused)),
+            ("good".to_string(), ends(RequestEnd::Good)),
+            ("late".to_string(), ends(RequestEnd::Late)),
+            ("refused".to_string(), ends(RequestEnd::Refused)),
             (
                 "failed".to_string(),
-                ends(End::Failed) + ends(End::Broken) + ends(End::Left),
+                ends(RequestEnd::Failed) + ends(RequestEnd::Broken) + ends(RequestEnd::Left),
             ),
         ];
         // A piece is shown once most of its requests have ended.
--- a/crates/testbed/src/view/terminal.rs
+++ b/crates/testbed/src/view/terminal.rs
@@ -7,7 +7,7 @@
 )]
 
 use super::{draw, State};
-use crate::emulator::World;
+use crate::emulator::Simulation;
 use ratatui::crossterm::event::{self, Event, KeyCode, KeyEventKind};
 use std::fs::File;
 use std::io::{BufRead, BufReader, Seek, SeekFrom};
@@ -50,7 +50,12 @@
 }
 
 /// Shows a world that runs at so many times real time, to its end and until a key ends the view.
-pub fn run(world: &mut World, mut state: State, seconds: f64, speed: f64) -> Result<(), String> {
+pub fn run(
+    world: &mut Simulation,
+    mut state: State,
+    seconds: f64,
+    speed: f64,
+) -> Result<(), String> {
     let mut terminal = ratatui::try_init().map_err(failed)?;
     let shown = (|| {
         let (began, mut skip, mut goes_on) = (Instant::now(), 0, true);
--- a/crates/testbed/tests/emulator.rs
+++ b/crates/testbed/tests/emulator.rs
@@ -7,28 +7,30 @@
     reason = "not yet converted"
 )]
 
-use poppykeel_testbed::emulator::description::{Class, Fault, Repeats, Run, Tenant, What};
+use poppykeel_testbed::emulator::description::{
+    ClassDescription, FaultDescription, FaultKind, RepeatSafety, RunDescription, TenantDescription,
+};
 use poppykeel_testbed::emulator::policies::Policy;
-use poppykeel_testbed::emulator::{Outcome, World};
+use poppykeel_testbed::emulator::{RunOutcome, Simulation};
 use proptest::prelude::*;
 
-const WHATS: [What; 12] = [
-    What::Die,
-    What::Silent,
-    What::FailFast,
-    What::Stall,
-    What::Slow,
-    What::ColdRestart,
-    What::ZoneCut,
-    What::LateReports,
-    What::Burst,
-    What::NoList,
-    What::NodeKill,
-    What::Deploys,
+const WHATS: [FaultKind; 12] = [
+    FaultKind::Die,
+    FaultKind::Silent,
+    FaultKind::FailFast,
+    FaultKind::Stall,
+    FaultKind::Slow,
+    FaultKind::ColdRestart,
+    FaultKind::ZoneCut,
+    FaultKind::LateReports,
+    FaultKind::Burst,
+    FaultKind::NoList,
+    FaultKind::NodeKill,
+    FaultKind::Deploys,
 ];
 
-fn fault(what: What, at_s: f64, for_s: f64, part: f64, size: f64) -> Fault {
-    Fault {
+fn fault(what: FaultKind, at_s: f64, for_s: f64, part: f64, size: f64) -> FaultDescription {
+    FaultDescription {
         what,
         at_s,
         for_s,
@@ -39,17 +41,25 @@
     }
 }
 
-fn run(servers: usize, per_server: f64, seconds: f64, faults: Vec<Fault>) -> Run {
-    let mut run = Run {
+fn run(
+    servers: usize,
+    per_server: f64,
+    seconds: f64,
+    faults: Vec<FaultDescription>,
+) -> RunDescription {
+    let mut run = RunDescription {
         fault: faults,
-        ..Run::default()
+        ..RunDescription::default()
     };
     (run.fleet.servers, run.load.per_server, run.load.seconds) = (servers, per_server, seconds);
     run.check().unwrap()
 }
 
-fn play(run: &Run, policy: Policy, seed: u64) -> Outcome {
-    World::new(run, policy, seed).unwrap().finish().unwrap()
+fn play(run: &RunDescription, policy: Policy, seed: u64) -> RunOutcome {
+    Simulation::new(run, policy, seed)
+        .unwrap()
+        .finish()
+        .unwrap()
 }
 
 #[test]
@@ -59,8 +69,8 @@
         7.0,
         12.0,
         vec![
-            fault(What::Die, 4.0, 3.0, 0.3, 1.0),
-            fault(What::Deploys, 6.0, 4.0, 0.2, 1.0),
+            fault(FaultKind::Die, 4.0, 3.0, 0.3, 1.0),
+            fault(FaultKind::Deploys, 6.0, 4.0, 0.2, 1.0),
         ],
     );
     for policy in Policy::ALL {
@@ -95,7 +105,7 @@
 fn an_overloaded_fleet_serves_what_it_can_and_holds_no_more_for_it() {
     // Three times what it bears, and with refusals that come back.
     let run = run(4, 40.0, 20.0, vec![]);
-    let mut world = World::new(&run, Policy::Poppykeel, 1).unwrap();
+    let mut world = Simulation::new(&run, Policy::Poppykeel, 1).unwrap();
     let mut most = 0;
     while world.go(10_000) {
         most = most.max(world.held());
@@ -116,13 +126,13 @@
         .all
         .part();
     for what in [
-        What::Die,
-        What::Silent,
-        What::FailFast,
-        What::Stall,
-        What::Slow,
-        What::ZoneCut,
-        What::NodeKill,
+        FaultKind::Die,
+        FaultKind::Silent,
+        FaultKind::FailFast,
+        FaultKind::Stall,
+        FaultKind::Slow,
+        FaultKind::ZoneCut,
+        FaultKind::NodeKill,
     ] {
         let run = run(8, 6.0, 48.0, vec![fault(what, 8.0, 6.0, 0.5, 1.9)]);
         let out = play(&run, Policy::RoundRobin, 2);
@@ -150,21 +160,21 @@
         12.0,
         15.0,
         vec![
-            fault(What::FailFast, 3.0, 4.0, 0.5, 1.0),
-            fault(What::Silent, 9.0, 4.0, 0.5, 1.0),
+            fault(FaultKind::FailFast, 3.0, 4.0, 0.5, 1.0),
+            fault(FaultKind::Silent, 9.0, 4.0, 0.5, 1.0),
         ],
     );
-    let class = |name: &str, part, repeats| Class {
+    let class = |name: &str, part, repeats| ClassDescription {
         name: name.into(),
         part,
         repeats,
-        ..Class::default()
+        ..ClassDescription::default()
     };
     run.class = vec![
-        class("chat", 2.0, Repeats::Safe),
-        class("order", 1.0, Repeats::Unsafe),
+        class("chat", 2.0, RepeatSafety::Safe),
+        class("order", 1.0, RepeatSafety::Unsafe),
     ];
-    let tenant = |name: &str, part| Tenant {
+    let tenant = |name: &str, part| TenantDescription {
         name: name.into(),
         part,
         share: 1.0,
@@ -189,8 +199,8 @@
 #[test]
 fn a_drain_that_ends_while_there_is_no_list_ends_with_the_next_one() {
     let faults = vec![
-        fault(What::NoList, 4.0, 4.3, 0.0, 0.2),
-        fault(What::Deploys, 2.1, 0.0, 0.0, 2.4),
+        fault(FaultKind::NoList, 4.0, 4.3, 0.0, 0.2),
+        fault(FaultKind::Deploys, 2.1, 0.0, 0.0, 2.4),
     ];
     let run = run(1, 1.0, 8.0, faults);
     for (policy, seed) in Policy::ALL.into_iter().zip(1..) {
@@ -198,7 +208,7 @@
     }
 }
 
-fn any_fault() -> impl Strategy<Value = Fault> {
+fn any_fault() -> impl Strategy<Value = FaultDescription> {
     (
         0..WHATS.len(),
         0.0..5.0f64,
@@ -228,7 +238,7 @@
         let mut run = run(servers, load, 8.0, faults);
         (run.fleet.nodes, run.fleet.second_copies, run.load.retries) = (nodes, copies, 2);
         if unsafe_too {
-            run.class[0].repeats = Repeats::Unsafe;
+            run.class[0].repeats = RepeatSafety::Unsafe;
         }
         let out = play(&run, Policy::ALL[policy], seed);
         prop_assert_eq!(out.broken.sum(), 0, "{:?}", out.broken);
--- a/crates/testbed/tests/sockets.rs
+++ b/crates/testbed/tests/sockets.rs
@@ -3,7 +3,7 @@
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 #![expect(clippy::min_ident_chars, reason = "not yet converted")]
 
-use poppykeel_testbed::emulator::description::{Fault, Run, What};
+use poppykeel_testbed::emulator::description::{FaultDescription, FaultKind, RunDescription};
 use poppykeel_testbed::sockets;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
@@ -27,10 +27,10 @@
     tokio::task::LocalSet::new().block_on(&runtime, what)
 }
 
-fn small(faults: Vec<Fault>) -> Run {
-    let mut run = Run {
+fn small(faults: Vec<FaultDescription>) -> RunDescription {
+    let mut run = RunDescription {
         fault: faults,
-        ..Run::default()
+        ..RunDescription::default()
     };
     (
         run.fleet.servers,
@@ -72,7 +72,7 @@
 
 #[test]
 fn a_load_on_sockets_ends_whole_and_right_through_faults() {
-    let fault = |what, at_s, for_s, part| Fault {
+    let fault = |what, at_s, for_s, part| FaultDescription {
         what,
         at_s,
         for_s,
@@ -82,10 +82,10 @@
         tenant: 0,
     };
     let faults = vec![
-        fault(What::FailFast, 0.5, 0.5, 0.3),
-        fault(What::ColdRestart, 1.2, 0.0, 0.3),
-        fault(What::Deploys, 1.5, 1.0, 0.3),
-        fault(What::NoList, 2.0, 0.5, 1.0),
+        fault(FaultKind::FailFast, 0.5, 0.5, 0.3),
+        fault(FaultKind::ColdRestart, 1.2, 0.0, 0.3),
+        fault(FaultKind::Deploys, 1.5, 1.0, 0.3),
+        fault(FaultKind::NoList, 2.0, 0.5, 1.0),
     ];
     let folder = folder("load");
     let run = small(faults);
@@ -105,8 +105,8 @@
 
 #[test]
 fn what_sockets_cannot_do_is_refused() {
-    let run = small(vec![Fault {
-        what: What::ZoneCut,
+    let run = small(vec![FaultDescription {
+        what: FaultKind::ZoneCut,
         at_s: 0.0,
         for_s: 1.0,
         part: 1.0,
--- a/crates/testbed/tests/together.rs
+++ b/crates/testbed/tests/together.rs
@@ -2,36 +2,43 @@
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
-use poppykeel_testbed::emulator::description::{Division, Fault, Run, Together, What};
+use poppykeel_testbed::emulator::description::{
+    BudgetDivision, CoordinationDescription, FaultDescription, FaultKind, RunDescription,
+};
 use poppykeel_testbed::emulator::policies::Policy;
-use poppykeel_testbed::emulator::{Outcome, World};
+use poppykeel_testbed::emulator::{RunOutcome, Simulation};
 
-fn play(nodes: usize, division: Division, faults: Vec<Fault>, seed: u64) -> Outcome {
+fn play(
+    nodes: usize,
+    division: BudgetDivision,
+    faults: Vec<FaultDescription>,
+    seed: u64,
+) -> RunOutcome {
     let burst = 2.0 * nodes as f64;
-    let together = Together {
+    let together = CoordinationDescription {
         lease_s: 1.0,
         share_s: 1.0,
         retries: 10.0,
         burst,
         floor: 0.1,
         division,
-        ..Together::default()
+        ..CoordinationDescription::default()
     };
-    let mut run = Run {
+    let mut run = RunDescription {
         fault: faults,
         together: Some(together),
-        ..Run::default()
+        ..RunDescription::default()
     };
     (run.fleet.nodes, run.fleet.servers) = (nodes, 8);
     (run.load.per_server, run.load.seconds) = (6.0, 24.0);
-    World::new(&run.check().unwrap(), Policy::Poppykeel, seed)
+    Simulation::new(&run.check().unwrap(), Policy::Poppykeel, seed)
         .unwrap()
         .finish()
         .unwrap()
 }
 
-fn fault(what: What, at_s: f64, for_s: f64, part: f64) -> Fault {
-    Fault {
+fn fault(what: FaultKind, at_s: f64, for_s: f64, part: f64) -> FaultDescription {
+    FaultDescription {
         what,
         at_s,
         for_s,
@@ -46,11 +53,12 @@
 fn a_run_with_talk_is_the_same_bytes_for_the_same_seed() {
     let faults = || {
         vec![
-            fault(What::NodeKill, 6.0, 4.0, 0.25),
-            fault(What::ZoneCut, 14.0, 3.0, 0.0),
+            fault(FaultKind::NodeKill, 6.0, 4.0, 0.25),
+            fault(FaultKind::ZoneCut, 14.0, 3.0, 0.0),
         ]
     };
-    let bytes = |seed| serde_json::to_vec(&play(9, Division::Shares, faults(), seed)).unwrap();
+    let bytes =
+        |seed| serde_json::to_vec(&play(9, BudgetDivision::Shares, faults(), seed)).unwrap();
     assert_eq!(bytes(3), bytes(3));
     assert_ne!(bytes(3), bytes(4));
 }
@@ -61,16 +69,16 @@
 fn repeats_at_the_servers_stay_within_the_budget_of_all_nodes() {
     let faults = || {
         vec![
-            fault(What::FailFast, 8.0, 3.0, 0.5),
-            fault(What::NodeKill, 9.0, 2.0, 0.2),
-            fault(What::ZoneCut, 15.0, 3.0, 0.0),
-            fault(What::FailFast, 16.0, 3.0, 0.5),
+            fault(FaultKind::FailFast, 8.0, 3.0, 0.5),
+            fault(FaultKind::NodeKill, 9.0, 2.0, 0.2),
+            fault(FaultKind::ZoneCut, 15.0, 3.0, 0.0),
+            fault(FaultKind::FailFast, 16.0, 3.0, 0.5),
         ]
     };
     for seed in 1..=3 {
         let (shares, none) = (
-            play(12, Division::Shares, faults(), seed),
-            play(12, Division::None, faults(), seed),
+            play(12, BudgetDivision::Shares, faults(), seed),
+            play(12, BudgetDivision::None, faults(), seed),
         );
         let talked = shares.talked.unwrap();
         assert!(
@@ -95,8 +103,8 @@
 fn the_task_is_held_again_after_the_keepers_come_back() {
     let out = play(
         12,
-        Division::Shares,
-        vec![fault(What::NodeKill, 8.0, 2.0, 0.25)],
+        BudgetDivision::Shares,
+        vec![fault(FaultKind::NodeKill, 8.0, 2.0, 0.25)],
         5,
     );
     let talked = out.talked.unwrap();
--- a/crates/testbed/tests/view.rs
+++ b/crates/testbed/tests/view.rs
@@ -2,9 +2,9 @@
 
 #![expect(clippy::min_ident_chars, reason = "not yet converted")]
 
-use poppykeel_testbed::emulator::description::Run;
+use poppykeel_testbed::emulator::description::RunDescription;
 use poppykeel_testbed::emulator::policies::Policy;
-use poppykeel_testbed::emulator::World;
+use poppykeel_testbed::emulator::Simulation;
 use poppykeel_testbed::view::{draw, State};
 use ratatui::backend::TestBackend;
 use ratatui::Terminal;
@@ -23,10 +23,10 @@
 
 #[test]
 fn a_run_shows_rates_queues_and_servers() {
-    let mut run = Run::default();
+    let mut run = RunDescription::default();
     (run.fleet.servers, run.load.per_server, run.load.seconds) = (5, 30.0, 10.0);
     let run = run.check().unwrap();
-    let mut world = World::new(&run, Policy::Poppykeel, 1).unwrap();
+    let mut world = Simulation::new(&run, Policy::Poppykeel, 1).unwrap();
     let mut state = State::new("a run", vec!["all".into()]);
     while world.now() < 6_000_000 && world.go(500) {
         state.look(&mut world, 10.0);
