--- a/crates/testbed/benches/emulator.rs
+++ b/crates/testbed/benches/emulator.rs
@@ -44,7 +44,7 @@
         .expect("a run");
     (
         start.elapsed().as_secs_f64(),
-        out.all.requests(),
+        out.all.request_count(),
         out.events,
     )
 }
--- a/crates/testbed/src/breaks/fleet.rs
+++ b/crates/testbed/src/breaks/fleet.rs
@@ -112,7 +112,7 @@
         let mut run = RunDescription::default();
         (run.fleet.nodes, run.fleet.servers, run.fleet.zones) =
             (shape.nodes, 2 * shape.zones, shape.zones);
-        let run = run.check()?;
+        let run = run.check().map_err(|e| e.to_string())?;
         let (mut models, mut entries) = (Vec::new(), Vec::new());
         let (since, arrivals) = (tokio::time::Instant::now(), Arrivals::default());
         for n in 0..run.fleet.servers {
--- a/crates/testbed/src/emulator/clients.rs
+++ b/crates/testbed/src/emulator/clients.rs
@@ -1,9 +1,11 @@
-//! Who asks: tenants with sessions, turn after turn. Arrivals do not wait for answers (an open loop), so an
-//! overloaded fleet is not asked for less.
-
-#![expect(clippy::min_ident_chars, reason = "not yet converted")]
+//! The clients of a run: tenants with sessions, turn after turn.
+//!
+//! Arrivals do not wait for answers (an open loop), so an overloaded fleet is not asked for less. The emulator and the
+//! load generator on sockets draw their requests from the same [`ClientPopulation`]. Each method draws its random
+//! numbers in a fixed order: the results of a seed depend on it.
 
 use super::description::{ClassDescription, RunDescription};
+use super::model_server::SharedPrefix;
 use crate::Micros;
 use rand::{Rng, RngExt};
 use rand_distr::{Distribution, Exp1, LogNormal};
@@ -12,89 +14,98 @@
 /// A request as its client knows it, over all its tries.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClientRequest {
-    /// Its class.
+    /// The index of its class.
     pub class: usize,
-    /// Its tenant.
+    /// The index of its tenant.
     pub tenant: usize,
-    /// Its session.
+    /// The id of its session.
     pub session: u64,
-    /// The beginning shared with other sessions, and its tokens.
-    pub prefix: (u64, u32),
-    /// Prompt tokens.
-    pub prompt: u32,
+    /// The beginning of the prompt that other sessions share.
+    pub prefix: SharedPrefix,
+    /// Tokens of the prompt.
+    pub prompt_tokens: u32,
     /// Tokens that the answer will have.
-    pub answer: u32,
-    /// Its first try's time.
-    pub sent: Micros,
+    pub answer_tokens: u32,
+    /// When the client sent it for the first time.
+    pub first_sent_at: Micros,
     /// Tries so far.
-    pub tries: u32,
+    pub try_count: u32,
 }
 
 /// A session whose next turn may come.
 #[derive(Clone, Copy, Debug)]
-struct Session {
+struct IdleSession {
     id: u64,
-    prefix: u64,
+    prefix_id: u64,
+    /// Tokens of the conversation so far: the next prompt begins with them.
     tokens: u32,
 }
 
-struct Tenant {
+struct TenantLoad {
     /// Arrivals a second.
-    rate: f64,
-    /// So many times as many now.
-    burst: f64,
-    idle: VecDeque<Session>,
+    arrival_rate: f64,
+    /// Multiplies the rate; 1 but during a burst.
+    burst_factor: f64,
+    idle_sessions: VecDeque<IdleSession>,
 }
 
-/// All clients.
-pub struct ClientPopulation {
-    tenants: Vec<Tenant>,
-    classes: Vec<(f64, ClassDescription)>,
-    next: u64,
+/// A class with the end of its interval, for drawing one by weight.
+struct WeightedClass {
+    cumulative_weight: f64,
+    description: ClassDescription,
 }
 
-fn tokens(rng: &mut impl Rng, median: f64, sigma: f64, most: u32) -> u32 {
-    let drawn = LogNormal::new(median.max(1.0).ln(), sigma).map_or(median, |d| d.sample(rng));
-    (drawn.round().max(1.0) as u32).min(most.max(1))
+/// All clients of a run.
+pub struct ClientPopulation {
+    tenants: Vec<TenantLoad>,
+    classes: Vec<WeightedClass>,
+    next_session: u64,
 }
 
 impl ClientPopulation {
-    /// The clients of a run.
+    /// The clients of a run, none of which has a session yet.
     pub fn new(run: &RunDescription) -> Self {
-        let rate = run.load.per_server * run.fleet.servers as f64;
-        let parts: f64 = run.tenant.iter().map(|t| t.part).sum();
-        let tenant = |part: f64| Tenant {
-            rate: rate * part / parts,
-            burst: 1.0,
-            idle: VecDeque::new(),
-        };
-        let tenants = run.tenant.iter().map(|t| tenant(t.part)).collect();
-        let mut sum = 0.0;
-        let classes = run.class.iter().map(|c| {
-            sum += c.part;
-            (sum, c.clone())
-        });
+        let total_rate = run.load.per_server * run.fleet.servers as f64;
+        let total_weight: f64 = run.tenant.iter().map(|tenant| tenant.part).sum();
+        let mut tenants = Vec::with_capacity(run.tenant.len());
+        for tenant in &run.tenant {
+            tenants.push(TenantLoad {
+                arrival_rate: total_rate * tenant.part / total_weight,
+                burst_factor: 1.0,
+                idle_sessions: VecDeque::new(),
+            });
+        }
+        let mut cumulative_weight = 0.0;
+        let mut classes = Vec::with_capacity(run.class.len());
+        for class in &run.class {
+            cumulative_weight += class.part;
+            classes.push(WeightedClass {
+                cumulative_weight,
+                description: class.clone(),
+            });
+        }
         ClientPopulation {
-            classes: classes.collect(),
             tenants,
-            next: 1,
+            classes,
+            next_session: 1,
         }
     }
 
-    /// The time until a tenant's next arrival; none where it sends nothing.
-    pub fn pause(&self, tenant: usize, rng: &mut impl Rng) -> Option<Micros> {
-        let t = &self.tenants[tenant];
+    /// Draws the time until a tenant's next arrival; `None` where the tenant sends nothing.
+    pub fn draw_interarrival_time(&self, tenant: usize, rng: &mut impl Rng) -> Option<Micros> {
+        let load = &self.tenants[tenant];
         let drawn: f64 = Exp1.sample(rng);
-        (t.rate * t.burst > 0.0).then(|| (drawn / (t.rate * t.burst) * 1e6) as Micros)
+        let rate = load.arrival_rate * load.burst_factor;
+        (rate > 0.0).then(|| (drawn / rate * 1e6) as Micros)
     }
 
-    /// A tenant sends so many times as much from now on.
-    pub fn burst(&mut self, tenant: usize, factor: f64) {
-        self.tenants[tenant].burst = factor;
+    /// Multiplies a tenant's rate of arrivals from now on.
+    pub fn set_burst_factor(&mut self, tenant: usize, factor: f64) {
+        self.tenants[tenant].burst_factor = factor;
     }
 
-    /// A tenant's next request.
-    pub fn ask(
+    /// Draws a tenant's next request: the next turn of an idle session, or the first of a new one.
+    pub fn draw_request(
         &mut self,
         now: Micros,
         tenant: usize,
@@ -102,65 +113,117 @@
         rng: &mut impl Rng,
     ) -> ClientRequest {
         let load = &run.load;
-        let idle = &mut self.tenants[tenant].idle;
-        let goes_on = !idle.is_empty() && rng.random::<f64>() >= load.new_sessions;
-        let session = if goes_on {
-            let place = rng.random_range(0..idle.len());
-            idle.swap_remove_back(place)
-        } else {
-            None
-        };
-        let session = session.unwrap_or_else(|| {
-            self.next += 1;
-            let prefix = if load.prefixes > 0 {
-                rng.random_range(0..load.prefixes) as u64 + 1
-            } else {
-                0
-            };
-            Session {
-                id: self.next << 16,
-                prefix,
-                tokens: if prefix > 0 { load.prefix_tokens } else { 0 },
-            }
-        });
-        let drawn = rng.random::<f64>() * self.classes.last().map_or(0.0, |c| c.0);
-        let class = self.classes.iter().position(|c| drawn < c.0).unwrap_or(0);
-        let c = &self.classes[class].1;
-        let fresh = tokens(rng, c.prompt_tokens, c.prompt_sigma, load.most_prompt);
-        let answer = tokens(rng, c.answer_tokens, c.answer_sigma, c.answer_limit);
-        let prompt = (session.tokens + fresh).min(load.most_prompt.max(1));
-        let prefix = (
-            session.prefix,
-            if session.prefix > 0 {
-                load.prefix_tokens.min(prompt)
+        let session = self.draw_session(tenant, run, rng);
+        let class = self.draw_class(rng);
+        let description = &self.classes[class].description;
+        let new_tokens = draw_token_count(
+            rng,
+            description.prompt_tokens,
+            description.prompt_sigma,
+            load.most_prompt,
+        );
+        let answer_tokens = draw_token_count(
+            rng,
+            description.answer_tokens,
+            description.answer_sigma,
+            description.answer_limit,
+        );
+        let prompt_tokens = (session.tokens + new_tokens).min(load.most_prompt.max(1));
+        let has_prefix = session.prefix_id > 0;
+        let prefix = SharedPrefix {
+            id: session.prefix_id,
+            tokens: if has_prefix {
+                load.prefix_tokens.min(prompt_tokens)
             } else {
                 0
             },
-        );
+        };
         ClientRequest {
             class,
             tenant,
             session: session.id,
             prefix,
-            prompt,
-            answer,
-            sent: now,
-            tries: 0,
+            prompt_tokens,
+            answer_tokens,
+            first_sent_at: now,
+            try_count: 0,
+        }
+    }
+
+    /// Ends a request. Where its answer was complete, its session becomes idle: its next turn may come. A tenant has at
+    /// most `max_idle_sessions`; the one that has been idle the longest gives way.
+    pub fn finish_request(
+        &mut self,
+        request: &ClientRequest,
+        is_complete: bool,
+        max_idle_sessions: usize,
+    ) {
+        if !is_complete || max_idle_sessions == 0 {
+            return;
         }
+        let idle_sessions = &mut self.tenants[request.tenant].idle_sessions;
+        if idle_sessions.len() >= max_idle_sessions {
+            idle_sessions.pop_front();
+        }
+        idle_sessions.push_back(IdleSession {
+            id: request.session,
+            prefix_id: request.prefix.id,
+            tokens: request.prompt_tokens + request.answer_tokens,
+        });
     }
 
-    /// A request is over; where it was whole, its session's next turn may come.
-    pub fn over(&mut self, work: &ClientRequest, whole: bool, most: usize) {
-        let idle = &mut self.tenants[work.tenant].idle;
-        if whole && most > 0 {
-            if idle.len() >= most {
-                idle.pop_front();
+    fn draw_session(
+        &mut self,
+        tenant: usize,
+        run: &RunDescription,
+        rng: &mut impl Rng,
+    ) -> IdleSession {
+        let idle_sessions = &mut self.tenants[tenant].idle_sessions;
+        let continues_session =
+            !idle_sessions.is_empty() && rng.random::<f64>() >= run.load.new_sessions;
+        if continues_session {
+            let index = rng.random_range(0..idle_sessions.len());
+            if let Some(session) = idle_sessions.swap_remove_back(index) {
+                return session;
             }
-            idle.push_back(Session {
-                id: work.session,
-                prefix: work.prefix.0,
-                tokens: work.prompt + work.answer,
-            });
         }
+        self.start_session(run, rng)
     }
+
+    fn start_session(&mut self, run: &RunDescription, rng: &mut impl Rng) -> IdleSession {
+        let load = &run.load;
+        self.next_session += 1;
+        let prefix_id = if load.prefixes > 0 {
+            rng.random_range(0..load.prefixes) as u64 + 1
+        } else {
+            0
+        };
+        IdleSession {
+            id: self.next_session << 16,
+            prefix_id,
+            tokens: if prefix_id > 0 { load.prefix_tokens } else { 0 },
+        }
+    }
+
+    /// Draws the index of a class by weight.
+    fn draw_class(&self, rng: &mut impl Rng) -> usize {
+        let total_weight = self
+            .classes
+            .last()
+            .map_or(0.0, |class| class.cumulative_weight);
+        let drawn = rng.random::<f64>() * total_weight;
+        self.classes
+            .iter()
+            .position(|class| drawn < class.cumulative_weight)
+            .unwrap_or(0)
+    }
+}
+
+/// Draws from a log-normal distribution, at least 1 and at most `max_tokens`.
+fn draw_token_count(rng: &mut impl Rng, median: f64, sigma: f64, max_tokens: u32) -> u32 {
+    let drawn = match LogNormal::new(median.max(1.0).ln(), sigma) {
+        Ok(distribution) => distribution.sample(rng),
+        Err(_) => median,
+    };
+    (drawn.round().max(1.0) as u32).min(max_tokens.max(1))
 }
--- /dev/null
+++ b/crates/testbed/src/emulator/description/validation.rs
@@ -0,0 +1,223 @@
+//! The check of a run's description: fills in what is left out and rejects what cannot be played.
+
+use super::{
+    ClassDescription, CoordinationDescription, FaultDescription, RunDescription, TenantDescription,
+};
+
+/// Servers of a run at most.
+const MAX_SERVERS: usize = 1 << 20;
+/// Nodes of a run at most.
+const MAX_NODES: usize = 1 << 16;
+/// The shortest duration of leases, in seconds.
+const MIN_LEASE_S: f64 = 0.1;
+/// The shortest duration of budget grants, in seconds.
+const MIN_GRANT_S: f64 = 0.2;
+
+/// Why a description cannot be played. Messages name the key and what is expected there.
+#[derive(Clone, Debug, PartialEq, thiserror::Error)]
+pub enum RunDescriptionError {
+    /// A figure is zero, negative or not finite.
+    #[error("{key}: expected more than 0, not {value}")]
+    NotPositive {
+        /// The key with its table.
+        key: &'static str,
+        /// Its value.
+        value: f64,
+    },
+    /// There are more servers or nodes than the emulator plays.
+    #[error(
+        "fleet: expected at most {} servers and {} nodes",
+        MAX_SERVERS,
+        MAX_NODES
+    )]
+    FleetTooLarge,
+    /// The number of lease servers is zero, even or greater than that of the nodes.
+    #[error("together.keepers: expected 1, 3, 5 or 7 of the nodes, not {keepers}")]
+    LeaseServerCount {
+        /// The number given.
+        keepers: usize,
+    },
+    /// A figure of the coordination is out of range.
+    #[error("together: expected figures of 0 or more, lease_s from 0.1, share_s from 0.2")]
+    CoordinationFigures,
+    /// A figure of a class is out of range.
+    #[error("class {index} ({name}): expected finite figures of 0 or more")]
+    ClassFigures {
+        /// The position of the class, from 0.
+        index: usize,
+        /// Its name.
+        name: String,
+    },
+    /// The weights of all classes or tenants do not add up to a positive number.
+    #[error("{key}: expected a sum of more than 0, not {value}")]
+    SumNotPositive {
+        /// What is summed up.
+        key: &'static str,
+        /// The sum.
+        value: f64,
+    },
+    /// A value of a fault is out of range.
+    #[error("fault {index}: {keys}: expected {expected}")]
+    Fault {
+        /// The position of the fault, from 0.
+        index: usize,
+        /// The keys.
+        keys: &'static str,
+        /// What would be right.
+        expected: &'static str,
+    },
+}
+
+impl RunDescription {
+    /// Fills in what is left out and checks the values.
+    ///
+    /// # Errors
+    ///
+    /// The first [`RunDescriptionError`] that is found.
+    pub fn check(mut self) -> Result<RunDescription, RunDescriptionError> {
+        if self.class.is_empty() {
+            self.class.push(ClassDescription::default());
+        }
+        if self.tenant.is_empty() {
+            self.tenant.push(TenantDescription::default());
+        }
+        self.check_fleet_and_load()?;
+        if let Some(coordination) = &self.together {
+            coordination.check(self.fleet.nodes)?;
+        }
+        for (index, class) in self.class.iter().enumerate() {
+            if !class.has_valid_figures() {
+                return Err(RunDescriptionError::ClassFigures {
+                    index,
+                    name: class.name.clone(),
+                });
+            }
+        }
+        self.check_weights()?;
+        for (index, fault) in self.fault.iter().enumerate() {
+            self.check_fault(index, fault)?;
+        }
+        Ok(self)
+    }
+
+    fn check_fleet_and_load(&self) -> Result<(), RunDescriptionError> {
+        let fleet = &self.fleet;
+        let load = &self.load;
+        let positive = [
+            ("fleet.servers", fleet.servers as f64),
+            ("fleet.nodes", fleet.nodes as f64),
+            ("fleet.zones", fleet.zones as f64),
+            ("fleet.attempts", fleet.attempts as f64),
+            ("fleet.server.slots", fleet.server.slots as f64),
+            ("fleet.server.chunk", f64::from(fleet.server.chunk)),
+            ("load.per_server", load.per_server),
+            ("load.seconds", load.seconds),
+        ];
+        for (key, value) in positive {
+            if !is_positive(value) {
+                return Err(RunDescriptionError::NotPositive { key, value });
+            }
+        }
+        if fleet.servers > MAX_SERVERS || fleet.nodes > MAX_NODES {
+            return Err(RunDescriptionError::FleetTooLarge);
+        }
+        Ok(())
+    }
+
+    fn check_weights(&self) -> Result<(), RunDescriptionError> {
+        let class_weights = self.class.iter().map(|class| class.part);
+        let tenant_weights = self.tenant.iter().map(|tenant| tenant.part);
+        let quotas = self.tenant.iter().map(|tenant| tenant.share);
+        let sums = [
+            ("class: part", class_weights.sum::<f64>()),
+            ("tenant: part", tenant_weights.sum()),
+            ("tenant: share", quotas.sum()),
+        ];
+        for (key, value) in sums {
+            if !is_positive(value) {
+                return Err(RunDescriptionError::SumNotPositive { key, value });
+            }
+        }
+        Ok(())
+    }
+
+    fn check_fault(
+        &self,
+        index: usize,
+        fault: &FaultDescription,
+    ) -> Result<(), RunDescriptionError> {
+        let out_of_range = |keys, expected| {
+            Err(RunDescriptionError::Fault {
+                index,
+                keys,
+                expected,
+            })
+        };
+        let end_s = fault.at_s + fault.for_s;
+        if !(fault.at_s >= 0.0 && fault.for_s >= 0.0 && end_s.is_finite()) {
+            return out_of_range("at_s, for_s", "0 or more");
+        }
+        if !(fault.part >= 0.0 && fault.part <= 1.0) {
+            return out_of_range("part", "0 to 1");
+        }
+        if !is_positive(fault.size) {
+            return out_of_range("size", "more than 0");
+        }
+        if fault.zone >= self.fleet.zones || fault.tenant >= self.tenant.len() {
+            return out_of_range("zone, tenant", "the number of one that there is, from 0");
+        }
+        Ok(())
+    }
+}
+
+impl CoordinationDescription {
+    fn check(&self, node_count: usize) -> Result<(), RunDescriptionError> {
+        if self.keepers == 0 || self.keepers > node_count || self.keepers.is_multiple_of(2) {
+            return Err(RunDescriptionError::LeaseServerCount {
+                keepers: self.keepers,
+            });
+        }
+        let figures = [
+            self.lease_s,
+            self.probe_s,
+            self.share_s,
+            self.retries,
+            self.burst,
+            self.floor,
+            self.floor_burst,
+        ];
+        let is_valid = figures.into_iter().all(is_finite_and_not_negative)
+            && self.lease_s >= MIN_LEASE_S
+            && self.share_s >= MIN_GRANT_S;
+        if is_valid {
+            Ok(())
+        } else {
+            Err(RunDescriptionError::CoordinationFigures)
+        }
+    }
+}
+
+impl ClassDescription {
+    fn has_valid_figures(&self) -> bool {
+        let figures = [
+            self.part,
+            self.worth,
+            self.late_worth,
+            self.aim_s,
+            self.deadline_s,
+            self.prompt_tokens,
+            self.prompt_sigma,
+            self.answer_tokens,
+            self.answer_sigma,
+        ];
+        self.answer_limit > 0 && figures.into_iter().all(is_finite_and_not_negative)
+    }
+}
+
+fn is_positive(value: f64) -> bool {
+    value > 0.0 && value.is_finite()
+}
+
+fn is_finite_and_not_negative(value: f64) -> bool {
+    value.is_finite() && value >= 0.0
+}
--- a/crates/testbed/src/emulator/mod.rs
+++ b/crates/testbed/src/emulator/mod.rs
@@ -1,27 +1,34 @@
-//! One run by discrete events in whole microseconds: clients, nodes, servers and what is between them. Nodes are the
-//! project's own core and module, unchanged, or a policy to compare with. A run is one thread and depends on nothing
-//! but its description, its policy and its seed: the same three give the same bytes.
+//! The emulator: one run of a whole fleet by discrete events.
+//!
+//! A [`Simulation`] plays a [`description::RunDescription`] under one of [`policies::Policy`]: clients, nodes, servers
+//! and the network between them. Nodes are the project's own request router and scheduler, unchanged, or a simple policy
+//! to compare with. A run is one thread and depends on nothing but its description, its policy and its seed: the same
+//! three give the same bytes.
+//!
+//! Experiments, the view and the benchmarks play runs; the stub servers and the load generator on sockets use
+//! [`model_server`], `ClientPopulation` and `OutcomeRecorder` for the same model in real time.
 
 mod clients;
+mod coordination;
 pub mod description;
-mod faults;
-mod measure;
+mod event_queue;
+pub mod model_server;
 mod node;
+mod outcome;
+mod outcome_recorder;
 pub mod policies;
-mod prefixes;
-mod queue;
-pub mod server;
-mod together;
-mod trace;
-mod world;
+mod prefix_cache;
+mod request_trace;
+mod simulation;
+mod time;
 
 pub(crate) use clients::{ClientPopulation, ClientRequest};
-pub(crate) use measure::OutcomeRecorder;
-pub(crate) use node::settings;
+pub(crate) use node::scheduler_settings;
+pub(crate) use outcome_recorder::{OutcomeRecorder, ServerOccupancy};
 
-pub use measure::{
-    CoordinationSummary, QuantileSummary, RequestEnd, RuleViolations, RunOutcome, Tally, QUANTILES,
-    TIME_SLICE_COUNT,
+pub use outcome::{
+    CoordinationSummary, MessageRate, PromptTokenCounts, QuantileSummary, RequestEnd,
+    RuleViolations, RunOutcome, Tally, QUANTILES, TIME_SLICE_COUNT,
 };
-pub use trace::TraceWriter;
-pub use world::Simulation;
+pub use request_trace::{TraceError, TraceWriter};
+pub use simulation::{ServerStatus, Simulation, SimulationError};
--- a/crates/testbed/src/emulator/node.rs
+++ b/crates/testbed/src/emulator/node.rs
@@ -1,98 +1,75 @@
-//! One node of the balancer: the project's core or a simple policy, and when it must be woken.
+//! One emulated node: the project's own request router or a simple policy, and the state of its process.
+//!
+//! The simulation hands a node events with the time, carries out its commands and wakes it at its next timer.
 
-#![allow(clippy::wildcard_imports, reason = "not yet converted")]
-#![expect(
-    clippy::min_ident_chars,
-    clippy::too_many_lines,
-    reason = "not yet converted"
-)]
-
-use super::description::{RepeatSafety, RunDescription};
-use super::policies::{Policy, Simple};
+use super::description::{ClassDescription, RepeatSafety, RunDescription};
+use super::policies::{Policy, SimplePolicy};
 use crate::Micros;
 use poppykeel::routing::{RequestRouter, RouterCommand, RouterEvent};
-use poppykeel_scheduler::Scheduler;
-use poppykeel_scheduler::*;
+use poppykeel_scheduler::{
+    BudgetDemand, BudgetGrants, BudgetKind, CostWeights, EndpointListMode, Idempotency,
+    LifecycleRules, LoadReportSource, ReplicaId, RequestClass, Scheduler, SchedulerSettings,
+    SettingsError, SiteLimits, Tenant,
+};
 use rand::SeedableRng;
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr};
 
+/// The address of the first server, 10.0.0.0; the others follow it.
+const FIRST_SERVER_ADDRESS: u32 = 0x0a00_0000;
+/// The port of every server.
+const SERVER_PORT: u16 = 8000;
+
+/// The state of a node by its policy.
 enum PolicyState {
-    Core(Box<RequestRouter>),
-    Simple(Box<Simple>),
+    Router(Box<RequestRouter>),
+    Simple(Box<SimplePolicy>),
 }
 
-/// A node.
+/// A node. The simulation owns the fields of its process.
 pub struct Node {
-    mind: PolicyState,
-    /// Its zone.
+    policy: PolicyState,
+    /// The index of its zone.
     pub zone: usize,
-    /// It serves.
-    pub up: bool,
-    /// Which of the processes in its place this is.
+    /// Whether its process runs.
+    pub is_up: bool,
+    /// Counts the processes that have run in its place. Events for an earlier one are dropped.
     pub epoch: u32,
-    /// When it is woken next, as things stand.
-    pub wakes: Option<Micros>,
-    /// Servers that it has been told drain, and when.
-    pub drains: Vec<Option<Micros>>,
+    /// The earliest time for which it has been scheduled to wake.
+    pub wakes_at: Option<Micros>,
+    /// By server, since when it has known that the server drains.
+    pub drain_known_since: Vec<Option<Micros>>,
 }
 
-/// A server's name for nodes.
-pub fn name(server: usize) -> ReplicaId {
-    ReplicaId(SocketAddr::from((
-        Ipv4Addr::from(0x0a00_0000 + server as u32),
-        8000,
-    )))
+/// The id under which nodes know a server.
+pub fn replica_id(server: usize) -> ReplicaId {
+    let address = Ipv4Addr::from(FIRST_SERVER_ADDRESS + server as u32);
+    ReplicaId(SocketAddr::from((address, SERVER_PORT)))
 }
 
-/// The server of this name.
-pub fn number(id: ReplicaId) -> usize {
+/// The index of the server with this id, which [`replica_id`] has made.
+pub fn server_index(id: ReplicaId) -> usize {
     match id.0 {
-        SocketAddr::V4(addr) => (addr.ip().to_bits() - 0x0a00_0000) as usize,
-        SocketAddr::V6(_) => unreachable!("names are made by `name`"),
+        SocketAddr::V4(address) => (address.ip().to_bits() - FIRST_SERVER_ADDRESS) as usize,
+        SocketAddr::V6(_) => unreachable!("ids are made by `replica_id`"),
     }
 }
 
-/// What the module is told at its start.
-pub fn settings(run: &RunDescription, me: usize) -> SchedulerSettings {
-    let f = &run.fleet;
-    let class = |c: &super::description::ClassDescription| RequestClass {
-        priority_weight: c.worth,
-        late_weight: c.late_worth,
-        ttft_objective: c.aim_s,
-        ttft_objective_per_prompt_token: 0.0,
-        inter_token_objective: c.token_aim_s,
-        ttft_objective_per_work_second: 0.0,
-        idempotency: if c.repeats == RepeatSafety::Safe {
-            Idempotency::Idempotent
-        } else {
-            Idempotency::NonIdempotent
-        },
-        streaming: true,
-    };
-    let shares: f64 = run.tenant.iter().map(|t| t.share).sum();
-    let rate = run.load.per_server * f.servers as f64;
-    let tenants = run.tenant.iter().map(|t| Tenant {
-        quota: t.share,
-        rate_limit: rate * t.share / shares,
-    });
+/// The settings of the scheduler in the node `node`, also for the node's own program on sockets.
+pub fn scheduler_settings(run: &RunDescription, node: usize) -> SchedulerSettings {
+    let fleet = &run.fleet;
     SchedulerSettings {
-        router_index: me,
-        router_count: f.nodes,
-        zone: me % f.zones,
-        classes: run.class.iter().map(class).collect(),
-        // One tenant is none to the module: there is nobody to be fair to.
-        tenants: if run.tenant.len() > 1 {
-            tenants.collect()
-        } else {
-            Vec::new()
-        },
+        router_index: node,
+        router_count: fleet.nodes,
+        zone: node % fleet.zones,
+        classes: run.class.iter().map(request_class).collect(),
+        tenants: tenants(run),
         over_quota_weight: 1.0,
         limits: SiteLimits {
-            allows_probes: f.probes,
+            allows_probes: fleet.probes,
             allows_cancellation: true,
-            allows_hedging: f.second_copies,
-            max_attempts: f.attempts,
+            allows_hedging: fleet.second_copies,
+            max_attempts: fleet.attempts,
             max_retry_after: run.load.heeds_s,
         },
         costs: CostWeights {
@@ -103,8 +80,8 @@
         load_report_source: LoadReportSource::Inline,
         lifecycle: LifecycleRules {
             drain_grace: 0.5,
-            slow_start_initial_fraction: f.server.cold_from,
-            slow_start_duration: f.server.cold_s,
+            slow_start_initial_fraction: fleet.server.cold_from,
+            slow_start_duration: fleet.server.cold_s,
             overload_factor: 3.0,
             overload_window: 2.0,
             poll_interval: 0.1,
@@ -113,76 +90,121 @@
     }
 }
 
+fn request_class(class: &ClassDescription) -> RequestClass {
+    let idempotency = match class.repeats {
+        RepeatSafety::Safe => Idempotency::Idempotent,
+        RepeatSafety::Unsafe => Idempotency::NonIdempotent,
+    };
+    RequestClass {
+        priority_weight: class.worth,
+        late_weight: class.late_worth,
+        ttft_objective: class.aim_s,
+        ttft_objective_per_prompt_token: 0.0,
+        inter_token_objective: class.token_aim_s,
+        ttft_objective_per_work_second: 0.0,
+        idempotency,
+        streaming: true,
+    }
+}
+
+/// The tenants with their quotas. A single one is left out: there is nobody to be fair to.
+fn tenants(run: &RunDescription) -> Vec<Tenant> {
+    if run.tenant.len() <= 1 {
+        return Vec::new();
+    }
+    let total_quota: f64 = run.tenant.iter().map(|tenant| tenant.share).sum();
+    let total_rate = run.load.per_server * run.fleet.servers as f64;
+    let mut tenants = Vec::with_capacity(run.tenant.len());
+    for tenant in &run.tenant {
+        tenants.push(Tenant {
+            quota: tenant.share,
+            rate_limit: total_rate * tenant.share / total_quota,
+        });
+    }
+    tenants
+}
+
 impl Node {
-    /// A node that knows no server yet.
-    pub fn new(run: &RunDescription, me: usize, policy: Policy, seed: u64) -> Result<Node, String> {
-        let settings = settings(run, me);
-        settings.check().map_err(|e| e.to_string())?;
+    /// A node whose process has just started and knows no server.
+    ///
+    /// # Errors
+    ///
+    /// [`SettingsError`] where the scheduler does not take the settings of the run.
+    pub fn new(
+        run: &RunDescription,
+        node: usize,
+        policy: Policy,
+        seed: u64,
+    ) -> Result<Node, SettingsError> {
+        let settings = scheduler_settings(run, node);
+        settings.check()?;
         let zone = settings.zone;
-        let mind = match policy {
-            Policy::Poppykeel => {
-                let brain = Scheduler::new(settings, seed).map_err(|e| e.to_string())?;
-                PolicyState::Core(Box::new(RequestRouter::new(brain)))
-            }
-            other => {
-                let rng = rand_pcg::Pcg64Mcg::seed_from_u64(seed);
-                PolicyState::Simple(Box::new(Simple::new(other, &settings, rng)))
-            }
+        let policy = if policy == Policy::Poppykeel {
+            let scheduler = Scheduler::new(settings, seed)?;
+            PolicyState::Router(Box::new(RequestRouter::new(scheduler)))
+        } else {
+            let rng = rand_pcg::Pcg64Mcg::seed_from_u64(seed);
+            PolicyState::Simple(Box::new(SimplePolicy::new(policy, &settings, rng)))
         };
         Ok(Node {
-            mind,
+            policy,
             zone,
-            up: true,
+            is_up: true,
             epoch: 0,
-            wakes: None,
-            drains: vec![None; run.fleet.servers],
+            wakes_at: None,
+            drain_known_since: vec![None; run.fleet.servers],
         })
     }
 
-    /// Tells it something.
-    pub fn handle(&mut self, now: Micros, input: RouterEvent, out: &mut Vec<RouterCommand>) {
-        match &mut self.mind {
-            PolicyState::Core(router) => router.handle_event(now, input, out),
-            PolicyState::Simple(simple) => simple.handle(now, input, out),
+    /// Takes one event and adds the commands that follow from it.
+    pub fn handle_event(
+        &mut self,
+        now: Micros,
+        event: RouterEvent,
+        commands: &mut Vec<RouterCommand>,
+    ) {
+        match &mut self.policy {
+            PolicyState::Router(router) => router.handle_event(now, event, commands),
+            PolicyState::Simple(simple) => simple.handle_event(now, event, commands),
         }
     }
 
-    /// Lets its timers run.
-    pub fn turn(&mut self, now: Micros, out: &mut Vec<RouterCommand>) {
-        match &mut self.mind {
-            PolicyState::Core(router) => router.on_timer(now, out),
-            PolicyState::Simple(simple) => simple.turn(now, out),
+    /// Runs the timers that are due, and adds the commands that follow from them.
+    pub fn on_timer(&mut self, now: Micros, commands: &mut Vec<RouterCommand>) {
+        match &mut self.policy {
+            PolicyState::Router(router) => router.on_timer(now, commands),
+            PolicyState::Simple(simple) => simple.on_timer(now, commands),
         }
     }
 
-    /// What the fleet allows it from now on.
-    pub fn allow(&mut self, allowed: &BudgetGrants) {
-        if let PolicyState::Core(router) = &mut self.mind {
-            router.set_budget_grants(allowed);
+    /// Sets what the budgets of the fleet grant it from now on. A simple policy has no budgets.
+    pub fn set_budget_grants(&mut self, grants: &BudgetGrants) {
+        if let PolicyState::Router(router) = &mut self.policy {
+            router.set_budget_grants(grants);
         }
     }
 
-    /// What it has wanted since its start of what the fleet has budgets for.
-    pub fn wanted(&self) -> BTreeMap<BudgetKind, BudgetDemand> {
-        match &self.mind {
-            PolicyState::Core(router) => router.budget_demand(),
+    /// What it has demanded of each budget of the fleet since its start.
+    pub fn budget_demand(&self) -> BTreeMap<BudgetKind, BudgetDemand> {
+        match &self.policy {
+            PolicyState::Router(router) => router.budget_demand(),
             PolicyState::Simple(_) => BTreeMap::new(),
         }
     }
 
-    /// Requests that wait in it, by tenant.
-    pub fn waiting(&self) -> Vec<usize> {
-        match &self.mind {
-            PolicyState::Core(router) => router.gauges().queued_by_tenant,
+    /// Requests queued in it, by tenant; a simple policy queues none.
+    pub fn queued_by_tenant(&self) -> Vec<usize> {
+        match &self.policy {
+            PolicyState::Router(router) => router.gauges().queued_by_tenant,
             PolicyState::Simple(_) => Vec::new(),
         }
     }
 
-    /// When its timers want to run.
-    pub fn due(&self) -> Option<Micros> {
-        match &self.mind {
-            PolicyState::Core(router) => router.next_timer(),
-            PolicyState::Simple(simple) => simple.due(),
+    /// When [`Self::on_timer`] must be called next.
+    pub fn next_timer(&self) -> Option<Micros> {
+        match &self.policy {
+            PolicyState::Router(router) => router.next_timer(),
+            PolicyState::Simple(simple) => simple.next_timer(),
         }
     }
 }
--- /dev/null
+++ b/crates/testbed/src/emulator/simulation/faults.rs
@@ -0,0 +1,335 @@
+//! The faults of a run: how each kind begins, goes on and ends.
+
+use super::super::description::{FaultDescription, FaultKind};
+use super::super::model_server::AttemptKey;
+use super::super::outcome::RequestEnd;
+use super::super::time::{micros, MICROS_PER_MS};
+use super::event::{Event, FaultEvent, NodeNotice};
+use super::tries::ClientTry;
+use super::{Route, Simulation};
+use crate::Micros;
+use poppykeel_scheduler::{AttemptOutcome, EndpointState, RequestId};
+use std::ops::Range;
+
+/// A server that ends is started again after this time, where the fault does not say when.
+const RESTART_DELAY: Micros = 1_000_000;
+/// A fault of stalls stops servers once in each such interval.
+const STALL_INTERVAL: Micros = 2_000_000;
+/// How long a client waits before it tries again after its node has ended.
+const NODE_FAILURE_PAUSE: Micros = 100_000;
+
+/// An attempt that a cut of the network has cut off from its node.
+struct CutOffAttempt {
+    key: AttemptKey,
+    is_streaming: bool,
+}
+
+/// The first `fraction` of so many.
+fn affected(count: usize, fraction: f64) -> Range<usize> {
+    0..((count as f64 * fraction).ceil() as usize).min(count)
+}
+
+impl<'a> Simulation<'a> {
+    pub(super) fn on_fault_event(&mut self, now: Micros, event: FaultEvent) {
+        match event {
+            FaultEvent::Begin { fault } => self.begin_fault(now, fault),
+            FaultEvent::End { fault } => self.end_fault(now, fault),
+            FaultEvent::NextStall { fault, until } => self.stall_repeatedly(now, fault, until),
+            FaultEvent::StartServer { server } => self.start_server(now, server),
+            FaultEvent::DeployWave {
+                fault,
+                first_server,
+            } => self.deploy_wave(now, fault, first_server),
+        }
+    }
+
+    fn begin_fault(&mut self, now: Micros, index: usize) {
+        let fault = self.fault(index);
+        let servers = self.affected_servers(fault);
+        let until = micros(fault.at_s + fault.for_s);
+        match fault.what {
+            FaultKind::Die => servers.for_each(|server| self.stop_server(now, server)),
+            FaultKind::ColdRestart => servers.for_each(|server| self.restart_server(now, server)),
+            FaultKind::Silent => servers.for_each(|server| self.stall_server(now, server, until)),
+            FaultKind::Stall => self.stall_repeatedly(now, index, until),
+            FaultKind::FailFast => self.set_failing(servers, true),
+            FaultKind::LateReports => self.set_frozen_reports(servers, true),
+            FaultKind::Slow => self.set_slowdown(now, servers, fault.size),
+            FaultKind::Burst => self.clients.set_burst_factor(fault.tenant, fault.size),
+            FaultKind::ZoneCut => self.cut_off_zone(now, fault.zone),
+            FaultKind::NoList => self.is_endpoint_list_silent = true,
+            FaultKind::NodeKill => {
+                for node in affected(self.nodes.len(), fault.part) {
+                    self.stop_node(now, node);
+                }
+            }
+            FaultKind::Deploys => self.deploy_wave(now, index, 0),
+        }
+    }
+
+    fn end_fault(&mut self, now: Micros, index: usize) {
+        let fault = self.fault(index);
+        let servers = self.affected_servers(fault);
+        match fault.what {
+            FaultKind::Die => servers.for_each(|server| self.start_server(now, server)),
+            FaultKind::FailFast => self.set_failing(servers, false),
+            FaultKind::LateReports => self.set_frozen_reports(servers, false),
+            FaultKind::Slow => self.set_slowdown(now, servers, 1.0),
+            FaultKind::Burst => self.clients.set_burst_factor(fault.tenant, 1.0),
+            FaultKind::ZoneCut => self.cut_off_zone = None,
+            FaultKind::NoList => {
+                self.is_endpoint_list_silent = false;
+                // Nodes ask again and learn of all that they have missed.
+                for node in 0..self.nodes.len() {
+                    self.send_whole_list(node);
+                }
+            }
+            FaultKind::NodeKill => {
+                for node in affected(self.nodes.len(), fault.part) {
+                    self.start_node(node);
+                }
+            }
+            // They last as long as the events that they have scheduled.
+            FaultKind::Silent | FaultKind::Stall | FaultKind::ColdRestart | FaultKind::Deploys => {}
+        }
+    }
+
+    fn fault(&self, index: usize) -> &'a FaultDescription {
+        &self.run.fault[index]
+    }
+
+    fn affected_servers(&self, fault: &FaultDescription) -> Range<usize> {
+        affected(self.servers.len(), fault.part)
+    }
+
+    fn set_failing(&mut self, servers: Range<usize>, is_failing: bool) {
+        for server in &mut self.servers[servers] {
+            server.is_failing = is_failing;
+        }
+    }
+
+    fn set_frozen_reports(&mut self, servers: Range<usize>, has_frozen_reports: bool) {
+        for server in &mut self.servers[servers] {
+            server.has_frozen_reports = has_frozen_reports;
+        }
+    }
+
+    fn set_slowdown(&mut self, now: Micros, servers: Range<usize>, factor: f64) {
+        for server in servers {
+            self.servers[server].model.set_slowdown(now, factor);
+            self.schedule_server_timer(server);
+        }
+    }
+
+    /// A server's process ends: its connections are reset, and the endpoint list shows it later.
+    fn stop_server(&mut self, now: Micros, server: usize) {
+        if !self.servers[server].is_up {
+            return;
+        }
+        self.servers[server].is_up = false;
+        for key in self.servers[server].model.crash() {
+            self.notify_node_of_end(now, key, AttemptOutcome::ConnectionReset, None);
+        }
+        self.schedule_server_timer(server);
+        let noticed_at = now + self.run.fleet.notice_ms * MICROS_PER_MS;
+        self.set_listed_state(noticed_at, server, EndpointState::Removed);
+    }
+
+    fn start_server(&mut self, now: Micros, server: usize) {
+        let process = &mut self.servers[server];
+        if process.is_up {
+            return;
+        }
+        process.is_up = true;
+        process.started_at = Some(now);
+        process.model.start(now);
+        self.set_listed_state(now, server, EndpointState::Available);
+    }
+
+    fn restart_server(&mut self, now: Micros, server: usize) {
+        self.stop_server(now, server);
+        self.queue.schedule(
+            now + RESTART_DELAY,
+            Event::Fault(FaultEvent::StartServer { server }),
+        );
+    }
+
+    /// A server stops working until a time. Nodes give up its streams if that is longer than their timeout.
+    fn stall_server(&mut self, now: Micros, server: usize, until: Micros) {
+        self.servers[server].model.stall(now, until);
+        self.schedule_server_timer(server);
+        let gives_up_at = now + micros(self.run.fleet.silence_s);
+        if until > gives_up_at {
+            for answer in self.servers[server].model.answers_in_progress() {
+                let timeout = Event::StreamTimeout { key: answer.key };
+                self.queue.schedule(gives_up_at, timeout);
+            }
+        }
+    }
+
+    /// Stalls servers for the size of the fault, and again after each interval until a time.
+    fn stall_repeatedly(&mut self, now: Micros, index: usize, until: Micros) {
+        let fault = self.fault(index);
+        let stall_end = (now + micros(fault.size)).min(until);
+        for server in self.affected_servers(fault) {
+            self.stall_server(now, server, stall_end);
+        }
+        let next_at = now + STALL_INTERVAL;
+        if next_at < until {
+            let next = FaultEvent::NextStall {
+                fault: index,
+                until,
+            };
+            self.queue.schedule(next_at, Event::Fault(next));
+        }
+    }
+
+    /// A node gives up a stream that has sent nothing for its timeout.
+    pub(super) fn on_stream_timeout(&mut self, now: Micros, key: AttemptKey) {
+        let Some(client_try) = self.tries.get_mut(key.request) else {
+            return;
+        };
+        let node = client_try.node;
+        let Some(server_attempt) = client_try.open_attempt(key.attempt) else {
+            return;
+        };
+        if !server_attempt.is_streaming() {
+            return;
+        }
+        let server = server_attempt.server;
+        // Whatever is on its way is no longer wanted.
+        server_attempt.is_cut_off = true;
+        let timed_out = Event::AtNode {
+            node,
+            epoch: self.nodes[node].epoch,
+            request: key.request,
+            notice: NodeNotice::AttemptEnded {
+                attempt: key.attempt,
+                outcome: AttemptOutcome::TimedOut,
+                load: None,
+            },
+        };
+        self.queue.schedule(now, timed_out);
+        self.queue
+            .schedule(now, Event::CancelAtServer { server, key });
+    }
+
+    /// Cuts a zone off the others. What is in flight across the cut no longer arrives; nodes give up its streams after
+    /// their timeout.
+    fn cut_off_zone(&mut self, now: Micros, zone: usize) {
+        self.cut_off_zone = Some(zone);
+        let gives_up_at = now + micros(self.run.fleet.silence_s);
+        for CutOffAttempt { key, is_streaming } in self.attempts_across_cut() {
+            if let Some(client_try) = self.tries.get_mut(key.request) {
+                client_try.attempts[key.attempt].is_cut_off = true;
+            }
+            if is_streaming {
+                self.queue
+                    .schedule(gives_up_at, Event::StreamTimeout { key });
+            }
+        }
+    }
+
+    fn attempts_across_cut(&self) -> Vec<CutOffAttempt> {
+        let mut across = Vec::new();
+        for client_try in self.tries.iter() {
+            for (attempt, server_attempt) in client_try.attempts.iter().enumerate() {
+                let route = Route {
+                    node: client_try.node,
+                    server: server_attempt.server,
+                };
+                if !server_attempt.is_closed && self.is_route_cut(route) {
+                    across.push(CutOffAttempt {
+                        key: AttemptKey {
+                            request: client_try.id,
+                            attempt,
+                        },
+                        is_streaming: server_attempt.is_streaming(),
+                    });
+                }
+            }
+        }
+        across
+    }
+
+    /// A node's process ends with all tries that it had accepted.
+    fn stop_node(&mut self, now: Micros, node: usize) {
+        let process = &mut self.nodes[node];
+        if !process.is_up {
+            return;
+        }
+        process.is_up = false;
+        process.epoch += 1;
+        self.stop_coordination(node);
+        let of_node = |client_try: &&ClientTry| client_try.node == node;
+        let accepted = self
+            .tries
+            .iter()
+            .filter(of_node)
+            .map(|accepted| accepted.id);
+        let accepted: Vec<RequestId> = accepted.collect();
+        for request in accepted {
+            self.drop_try_of_stopped_node(now, request);
+        }
+    }
+
+    fn drop_try_of_stopped_node(&mut self, now: Micros, request: RequestId) {
+        let Some(client_try) = self.tries.get_mut(request) else {
+            return;
+        };
+        let has_begun = client_try.first_token_at.is_some();
+        for (attempt, server_attempt) in client_try.attempts.iter_mut().enumerate() {
+            if server_attempt.is_closed {
+                continue;
+            }
+            server_attempt.is_closed = true;
+            let cancel = Event::CancelAtServer {
+                server: server_attempt.server,
+                key: AttemptKey { request, attempt },
+            };
+            self.queue.schedule(now + self.run.fleet.near_us, cancel);
+        }
+        let end = if has_begun {
+            RequestEnd::Broken
+        } else {
+            RequestEnd::Failed
+        };
+        self.end_try(now, request, end, NODE_FAILURE_PAUSE);
+        self.tries.remove_if_finished(request);
+    }
+
+    /// A new process takes the place of a node that has ended.
+    fn start_node(&mut self, node: usize) {
+        if self.nodes[node].is_up {
+            return;
+        }
+        if let Some(mut process) = self.new_process(node) {
+            process.epoch = self.nodes[node].epoch;
+            self.nodes[node] = process;
+            self.send_whole_list(node);
+            self.start_coordination(node);
+        }
+    }
+
+    /// Drains the servers of the next wave, and restarts those of the wave before.
+    fn deploy_wave(&mut self, now: Micros, index: usize, first_server: usize) {
+        let fault = self.fault(index);
+        let server_count = self.servers.len();
+        let wave_size = self.affected_servers(fault).len().max(1);
+        let previous_wave = first_server.saturating_sub(wave_size)..first_server;
+        for server in previous_wave.filter(|server| *server < server_count) {
+            self.restart_server(now, server);
+        }
+        for server in first_server..(first_server + wave_size).min(server_count) {
+            self.set_listed_state(now, server, EndpointState::Draining);
+        }
+        if first_server < server_count {
+            let next = FaultEvent::DeployWave {
+                fault: index,
+                first_server: first_server + wave_size,
+            };
+            self.queue
+                .schedule(now + micros(fault.size), Event::Fault(next));
+        }
+    }
+}
--- /dev/null
+++ b/crates/testbed/src/emulator/simulation/mod.rs
@@ -0,0 +1,341 @@
+//! The simulation of one run by discrete events in whole microseconds.
+//!
+//! One [`Simulation`] has clients, nodes, servers and the network between them, and one calendar of events. It runs on
+//! one thread and depends on nothing but its description, its policy and its seed: the same three give the same bytes
+//! of results and traces. So the order in which events are scheduled and random numbers are drawn is part of its
+//! behaviour. Each file has the handlers of one side:
+//!
+//! - [`event`]: the events; [`tries`]: the state of requests in flight.
+//! - [`clients`]: arrivals, retries, and the end of tries.
+//! - [`nodes`]: what nodes learn, and their commands.
+//! - [`servers`]: attempts and health checks at servers, and their load reports.
+//! - [`endpoints`]: the endpoint list as nodes receive it.
+//! - [`faults`]: what goes wrong.
+//! - [`coordination`]: leases and budgets of the nodes.
+
+mod clients;
+mod coordination;
+mod endpoints;
+mod event;
+mod faults;
+mod nodes;
+mod servers;
+mod tries;
+
+use super::clients::ClientPopulation;
+use super::coordination::{Coordination, CoordinationCommand};
+use super::description::RunDescription;
+use super::event_queue::EventQueue;
+use super::model_server::{RequestCounts, ServerOutput};
+use super::node::Node;
+use super::outcome::RunOutcome;
+use super::outcome_recorder::{OutcomeRecorder, ServerOccupancy};
+use super::policies::Policy;
+use super::request_trace::{TraceError, TraceWriter};
+use super::time::micros;
+use crate::Micros;
+use event::{Event, FaultEvent};
+use poppykeel::routing::RouterCommand;
+use poppykeel_scheduler::{EndpointState, SettingsError};
+use rand::SeedableRng;
+use servers::ServerProcess;
+use std::collections::HashMap;
+use tries::TryTable;
+
+/// A run goes on for so long at most after the last arrival, so that requests in flight may end.
+const MAX_TIME_AFTER_LOAD: Micros = 60_000_000;
+/// Events that [`Simulation::finish`] plays at a time.
+const EVENTS_PER_BATCH: u64 = 1 << 20;
+
+/// A run could not be played.
+#[derive(Debug, thiserror::Error)]
+pub enum SimulationError {
+    /// The scheduler does not take the settings of the run.
+    #[error(transparent)]
+    Settings(#[from] SettingsError),
+    /// The trace of the run could not be written.
+    #[error(transparent)]
+    Trace(#[from] TraceError),
+}
+
+/// A server as a view shows it.
+#[derive(Clone, Copy, Debug)]
+pub struct ServerStatus {
+    /// Its requests.
+    pub requests: RequestCounts,
+    /// Whether its process runs.
+    pub is_up: bool,
+    /// Its state on the endpoint list.
+    pub listed_state: EndpointState,
+}
+
+/// A connection from a node to a server, by their indexes.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+struct Route {
+    node: usize,
+    server: usize,
+}
+
+/// One run.
+pub struct Simulation<'a> {
+    run: &'a RunDescription,
+    policy: Policy,
+    seed: u64,
+    rng: rand_pcg::Pcg64Mcg,
+    queue: EventQueue<Event>,
+    clients: ClientPopulation,
+    nodes: Vec<Node>,
+    servers: Vec<ServerProcess>,
+    tries: TryTable,
+    /// Idle connections. Only looked up, never iterated: the order of iteration would differ from run to run.
+    idle_connections: HashMap<Route, u16>,
+    recorder: OutcomeRecorder,
+    /// The zone that the network is cut off from the others.
+    cut_off_zone: Option<usize>,
+    /// Nodes receive no changes of the endpoint list.
+    is_endpoint_list_silent: bool,
+    coordination: Option<Box<Coordination>>,
+    trace: Option<TraceWriter>,
+    event_count: u64,
+    /// Buffers that are used again; empty between events.
+    commands: Vec<RouterCommand>,
+    server_outputs: Vec<ServerOutput>,
+    coordination_commands: Vec<CoordinationCommand>,
+}
+
+impl<'a> Simulation<'a> {
+    /// A simulation before its first moment; `run` has been checked.
+    ///
+    /// # Errors
+    ///
+    /// [`SimulationError::Settings`] where the scheduler does not take the settings of the run.
+    pub fn new(
+        run: &'a RunDescription,
+        policy: Policy,
+        seed: u64,
+    ) -> Result<Simulation<'a>, SimulationError> {
+        let fleet = &run.fleet;
+        let mut nodes = Vec::with_capacity(fleet.nodes);
+        for node in 0..fleet.nodes {
+            nodes.push(Node::new(run, node, policy, node_seed(seed, node))?);
+        }
+        let coordination = run.together.as_ref().map(|description| {
+            Box::new(Coordination::new(
+                description,
+                fleet.nodes,
+                run.load.seconds,
+            ))
+        });
+        let mut simulation = Simulation {
+            run,
+            policy,
+            seed,
+            rng: rand_pcg::Pcg64Mcg::seed_from_u64(seed),
+            queue: EventQueue::default(),
+            clients: ClientPopulation::new(run),
+            nodes,
+            servers: (0..fleet.servers)
+                .map(|server| ServerProcess::new(fleet, server))
+                .collect(),
+            tries: TryTable::default(),
+            idle_connections: HashMap::new(),
+            recorder: OutcomeRecorder::new(run),
+            cut_off_zone: None,
+            is_endpoint_list_silent: false,
+            coordination,
+            trace: None,
+            event_count: 0,
+            commands: Vec::new(),
+            server_outputs: Vec::new(),
+            coordination_commands: Vec::new(),
+        };
+        simulation.schedule_first_events();
+        Ok(simulation)
+    }
+
+    /// Writes the trace of every try there.
+    pub fn write_traces_to(&mut self, trace: TraceWriter) {
+        self.trace = Some(trace);
+    }
+
+    /// The simulated time since the beginning of the run.
+    pub fn now(&self) -> Micros {
+        self.queue.now()
+    }
+
+    /// The outcome so far; its quantiles are empty until [`Self::finish`].
+    pub fn outcome_so_far(&mut self) -> &RunOutcome {
+        self.recorder.outcome_mut()
+    }
+
+    /// Tries that clients or nodes still wait for.
+    pub fn open_try_count(&self) -> usize {
+        self.tries.len()
+    }
+
+    /// Requests queued in nodes, by tenant; simple policies queue none.
+    pub fn queued_by_tenant(&self) -> Vec<u64> {
+        let mut queued = vec![0; self.run.tenant.len()];
+        for node in self.nodes.iter().filter(|node| node.is_up) {
+            for (sum, count) in queued.iter_mut().zip(node.queued_by_tenant()) {
+                *sum += count as u64;
+            }
+        }
+        queued
+    }
+
+    /// All servers, in order.
+    pub fn servers(&self) -> impl Iterator<Item = ServerStatus> + '_ {
+        self.servers.iter().map(ServerProcess::status)
+    }
+
+    /// Plays so many events at most. Returns false once the run is over.
+    pub fn play_events(&mut self, max_events: u64) -> bool {
+        let end = micros(self.run.load.seconds) + MAX_TIME_AFTER_LOAD;
+        for _ in 0..max_events {
+            match self.queue.pop() {
+                Some((now, event)) if now <= end => {
+                    self.event_count += 1;
+                    self.handle_event(now, event);
+                }
+                _ => return false,
+            }
+        }
+        true
+    }
+
+    /// Plays the run to its end.
+    ///
+    /// # Errors
+    ///
+    /// [`SimulationError::Trace`] where the trace could not be written.
+    pub fn finish(mut self) -> Result<RunOutcome, SimulationError> {
+        while self.play_events(EVENTS_PER_BATCH) {}
+        let unended_tries = self.tries.iter().filter(|client_try| !client_try.has_ended);
+        let lost = unended_tries.count() as u64;
+        let preempted = self
+            .servers
+            .iter()
+            .map(ServerProcess::preemption_count)
+            .sum();
+        let coordination = self.coordination.as_ref();
+        let outcome = self.recorder.outcome_mut();
+        outcome.broken.lost = lost;
+        outcome.preempted = preempted;
+        outcome.talked = coordination.map(|coordination| coordination.summary());
+        if let Some(trace) = self.trace {
+            trace.finish()?;
+        }
+        Ok(self.recorder.finish(self.event_count))
+    }
+
+    fn schedule_first_events(&mut self) {
+        for node in 0..self.nodes.len() {
+            self.start_coordination(node);
+        }
+        for node in 0..self.nodes.len() {
+            self.send_whole_list(node);
+        }
+        for tenant in 0..self.run.tenant.len() {
+            self.schedule_next_arrival(tenant);
+        }
+        for (index, fault) in self.run.fault.iter().enumerate() {
+            let begin = Event::Fault(FaultEvent::Begin { fault: index });
+            let end = Event::Fault(FaultEvent::End { fault: index });
+            self.queue.schedule(micros(fault.at_s), begin);
+            self.queue.schedule(micros(fault.at_s + fault.for_s), end);
+        }
+        self.queue.schedule(0, Event::SampleOccupancy);
+    }
+
+    fn handle_event(&mut self, now: Micros, event: Event) {
+        match event {
+            Event::Arrival { tenant } => self.on_arrival(now, tenant),
+            Event::ClientRetry(request) => self.send_try(now, *request),
+            Event::AtClient { request, notice } => self.notify_client(now, request, notice),
+            Event::ClientTimeout { request } => self.on_client_timeout(now, request),
+            Event::AtNode {
+                node,
+                epoch,
+                request,
+                notice,
+            } => self.on_node_notice(now, node, epoch, request, notice),
+            Event::NodeTimer { node, epoch } => self.on_node_timer(now, node, epoch),
+            Event::ProbeEnded {
+                node,
+                epoch,
+                server,
+                outcome,
+                load,
+            } => self.on_probe_ended(now, node, epoch, server, outcome, load),
+            Event::EndpointChanged {
+                node,
+                epoch,
+                server,
+                state,
+                started_at,
+            } => self.on_endpoint_changed(now, node, epoch, server, state, started_at),
+            Event::StreamTimeout { key } => self.on_stream_timeout(now, key),
+            Event::AttemptAtServer { server, key } => self.on_attempt_at_server(now, server, key),
+            Event::ProbeAtServer {
+                node,
+                epoch,
+                server,
+            } => self.on_probe_at_server(now, node, epoch, server),
+            Event::CancelAtServer { server, key } => self.on_cancel_at_server(now, server, key),
+            Event::ServerTimer { server, plan } => self.on_server_timer(now, server, plan),
+            Event::Fault(fault_event) => self.on_fault_event(now, fault_event),
+            Event::Coordination {
+                node,
+                process,
+                event,
+            } => self.on_coordination_event(now, node, process, event),
+            Event::CheckLeaseHolders => self.on_check_lease_holders(now),
+            Event::SampleOccupancy => self.sample_occupancy(now),
+        }
+    }
+
+    fn sample_occupancy(&mut self, now: Micros) {
+        let slots = self.run.fleet.server.slots;
+        let occupancy = self.servers.iter().map(|server| ServerOccupancy {
+            held_requests: server.request_counts().total(),
+            slots,
+        });
+        self.recorder
+            .record_occupancy(now, occupancy, self.servers.len());
+        if now < micros(self.run.load.seconds) {
+            let next = now + self.recorder.slice_duration();
+            self.queue.schedule(next, Event::SampleOccupancy);
+        }
+    }
+
+    /// The one-way latency between two zones.
+    fn latency(&self, from_zone: usize, to_zone: usize) -> Micros {
+        if from_zone == to_zone {
+            self.run.fleet.near_us
+        } else {
+            self.run.fleet.far_us
+        }
+    }
+
+    /// The one-way latency between a node and a server.
+    fn route_latency(&self, route: Route) -> Micros {
+        self.latency(self.nodes[route.node].zone, self.servers[route.server].zone)
+    }
+
+    /// Whether the network between two zones is cut.
+    fn is_cut_between(&self, from_zone: usize, to_zone: usize) -> bool {
+        let is_an_end = |zone| zone == from_zone || zone == to_zone;
+        from_zone != to_zone && self.cut_off_zone.is_some_and(is_an_end)
+    }
+
+    /// Whether the network between a node and a server is cut.
+    fn is_route_cut(&self, route: Route) -> bool {
+        self.is_cut_between(self.nodes[route.node].zone, self.servers[route.server].zone)
+    }
+}
+
+/// The seed of a node's first process.
+fn node_seed(seed: u64, node: usize) -> u64 {
+    seed ^ ((node as u64 + 1) << 32)
+}
--- /dev/null
+++ b/crates/testbed/src/emulator/simulation/nodes.rs
@@ -0,0 +1,391 @@
+//! The side of nodes: what they learn, and the commands that follow from it.
+
+use super::super::description::RepeatSafety;
+use super::super::model_server::{AttemptKey, ReportedLoad};
+use super::super::node::{replica_id, server_index, Node};
+use super::super::request_trace::AttemptTrace;
+use super::super::time::{micros, MICROS_PER_MS};
+use super::event::{ClientNotice, Event, NodeNotice};
+use super::tries::{AttemptProgress, ClientTry, ServerAttempt};
+use super::{node_seed, Route, Simulation};
+use crate::Micros;
+use poppykeel::routing::{RouterCommand, RouterEvent};
+use poppykeel_scheduler::{AttemptOutcome, IncomingRequest, LoadReport, ReplicaId, RequestId};
+
+/// How long a node may still send to a server after it knows that it drains, beside the delay of the endpoint list.
+const DRAIN_GRACE: Micros = 500_000;
+
+impl Simulation<'_> {
+    /// Hands an event to a process of a node, and carries out what follows. Dropped if the process has ended.
+    pub(super) fn hand_to_node(
+        &mut self,
+        now: Micros,
+        node: usize,
+        epoch: u32,
+        event: RouterEvent,
+    ) {
+        if self.nodes[node].epoch == epoch {
+            self.nodes[node].handle_event(now, event, &mut self.commands);
+            self.execute_commands(now, node);
+        }
+    }
+
+    pub(super) fn on_node_timer(&mut self, now: Micros, node: usize, epoch: u32) {
+        let process = &mut self.nodes[node];
+        if process.epoch == epoch && process.is_up {
+            process.wakes_at = None;
+            process.on_timer(now, &mut self.commands);
+            self.execute_commands(now, node);
+        }
+    }
+
+    pub(super) fn on_node_notice(
+        &mut self,
+        now: Micros,
+        node: usize,
+        epoch: u32,
+        request: RequestId,
+        notice: NodeNotice,
+    ) {
+        if self.nodes[node].epoch != epoch {
+            return;
+        }
+        match notice {
+            NodeNotice::Arrived => self.on_request_at_node(now, node, epoch, request),
+            NodeNotice::ClientLeft => {
+                self.hand_to_node(now, node, epoch, RouterEvent::ClientDisconnected(request));
+                self.tries.remove_if_finished(request);
+            }
+            NodeNotice::FirstToken { attempt } => {
+                let key = AttemptKey { request, attempt };
+                let Some(server_attempt) = self.tries.reachable_attempt(key) else {
+                    return;
+                };
+                server_attempt.progress = AttemptProgress::Streaming;
+                let first_token = RouterEvent::FirstToken { request, attempt };
+                self.hand_to_node(now, node, epoch, first_token);
+            }
+            NodeNotice::AttemptEnded {
+                attempt,
+                outcome,
+                load,
+            } => {
+                let key = AttemptKey { request, attempt };
+                self.on_attempt_ended(now, node, epoch, key, outcome, load);
+            }
+        }
+    }
+
+    pub(super) fn on_probe_ended(
+        &mut self,
+        now: Micros,
+        node: usize,
+        epoch: u32,
+        server: usize,
+        outcome: AttemptOutcome,
+        load: Option<ReportedLoad>,
+    ) {
+        let ended = RouterEvent::ProbeEnded {
+            replica: replica_id(server),
+            outcome,
+            report: load.map(load_report),
+        };
+        self.hand_to_node(now, node, epoch, ended);
+    }
+
+    fn on_request_at_node(&mut self, now: Micros, node: usize, epoch: u32, id: RequestId) {
+        let run = self.run;
+        let Some(client_try) = self.tries.get_unended(id) else {
+            return;
+        };
+        let request = &client_try.request;
+        let class = &run.class[request.class];
+        let waited_s = (now - client_try.sent_at) as f64 / 1e6;
+        let has_prefix = request.prefix.tokens > 0;
+        let incoming = IncomingRequest {
+            id,
+            class: request.class,
+            tenant: request.tenant,
+            session: Some(request.session),
+            shared_prefix: has_prefix.then_some(request.prefix.id),
+            time_left: class.deadline_s - waited_s,
+            expected_work: None,
+            prompt_tokens: u64::from(request.prompt_tokens),
+            shared_prefix_tokens: u64::from(request.prefix.tokens),
+            max_output_tokens: u64::from(class.answer_limit),
+            is_client_retry: request.try_count > 1,
+        };
+        self.hand_to_node(now, node, epoch, RouterEvent::RequestArrived(incoming));
+    }
+
+    fn on_attempt_ended(
+        &mut self,
+        now: Micros,
+        node: usize,
+        epoch: u32,
+        key: AttemptKey,
+        outcome: AttemptOutcome,
+        load: Option<ReportedLoad>,
+    ) {
+        let AttemptKey { request, attempt } = key;
+        let Some(client_try) = self.tries.get_mut(request) else {
+            return;
+        };
+        let Some(server_attempt) = client_try.open_attempt(attempt) else {
+            return;
+        };
+        server_attempt.is_closed = true;
+        let server = server_attempt.server;
+        let was_streaming = server_attempt.is_streaming();
+        if let Some(trace) = client_try.attempt_traces.get_mut(attempt) {
+            trace.ended = Some(outcome_name(outcome));
+        }
+        let is_bound = client_try.bound_attempt == Some(attempt);
+        let is_completed = outcome == AttemptOutcome::Completed;
+        if is_completed {
+            self.return_connection(Route { node, server });
+        }
+        let ended = RouterEvent::AttemptEnded {
+            request,
+            attempt,
+            outcome,
+            report: load.map(load_report),
+        };
+        self.hand_to_node(now, node, epoch, ended);
+        if is_bound && was_streaming {
+            let notice = if is_completed {
+                ClientNotice::Completed
+            } else {
+                ClientNotice::Broken
+            };
+            self.send_to_client(now, request, notice);
+        }
+        self.tries.remove_if_finished(request);
+    }
+
+    /// Carries out the commands of a node, and schedules its next timer.
+    fn execute_commands(&mut self, now: Micros, node: usize) {
+        let mut commands = std::mem::take(&mut self.commands);
+        for command in commands.drain(..) {
+            self.execute_command(now, node, &command);
+        }
+        self.commands = commands;
+        let process = &mut self.nodes[node];
+        let Some(due) = process.next_timer() else {
+            return;
+        };
+        if process.wakes_at.is_none_or(|wakes_at| due < wakes_at) {
+            process.wakes_at = Some(due);
+            let epoch = process.epoch;
+            self.queue.schedule(due, Event::NodeTimer { node, epoch });
+        }
+    }
+
+    fn execute_command(&mut self, now: Micros, node: usize, command: &RouterCommand) {
+        match *command {
+            RouterCommand::StartAttempt {
+                request,
+                attempt,
+                replica,
+                ..
+            } => {
+                let key = AttemptKey { request, attempt };
+                self.start_attempt(now, node, key, server_index(replica));
+            }
+            RouterCommand::AbandonAttempt { request, attempt } => {
+                self.abandon_attempt(now, AttemptKey { request, attempt });
+            }
+            RouterCommand::BindStream { request, attempt } => {
+                self.count_final_answer(request);
+                if let Some(client_try) = self.tries.get_mut(request) {
+                    client_try.bound_attempt = Some(attempt);
+                    self.send_to_client(now, request, ClientNotice::FirstToken);
+                }
+            }
+            RouterCommand::Reject {
+                request,
+                retry_after,
+            } => {
+                self.count_final_answer(request);
+                self.send_to_client(now, request, ClientNotice::Rejected { retry_after });
+            }
+            RouterCommand::Fail { request } => {
+                self.count_final_answer(request);
+                self.send_to_client(now, request, ClientNotice::Failed);
+            }
+            RouterCommand::Probe { replica } => self.send_probe(now, node, replica),
+            RouterCommand::WatchEndpoints => {}
+        }
+    }
+
+    /// Counts a node's final answer to a try, or its beginning. A second one violates a rule.
+    fn count_final_answer(&mut self, request: RequestId) {
+        let Some(client_try) = self.tries.get_mut(request) else {
+            return;
+        };
+        if client_try.is_answered {
+            self.recorder.outcome_mut().broken.doubled += 1;
+        }
+        client_try.is_answered = true;
+    }
+
+    /// A node sends something to its client, which is near.
+    fn send_to_client(&mut self, now: Micros, request: RequestId, notice: ClientNotice) {
+        self.queue.schedule(
+            now + self.run.fleet.near_us,
+            Event::AtClient { request, notice },
+        );
+    }
+
+    fn send_probe(&mut self, now: Micros, node: usize, replica: ReplicaId) {
+        let server = server_index(replica);
+        self.recorder.outcome_mut().probes += 1;
+        let latency = self.route_latency(Route { node, server });
+        let probe = Event::ProbeAtServer {
+            node,
+            epoch: self.nodes[node].epoch,
+            server,
+        };
+        self.queue.schedule(now + latency, probe);
+    }
+
+    /// Sends an attempt to a server, over an idle connection where there is one.
+    fn start_attempt(&mut self, now: Micros, node: usize, key: AttemptKey, server: usize) {
+        let route = Route { node, server };
+        let is_cut = self.is_route_cut(route);
+        let is_connected = self.take_connection(route);
+        self.count_attempt(now, route, is_connected);
+        let Some(client_try) = self.tries.get_mut(key.request) else {
+            return;
+        };
+        let is_unsafe = self.run.class[client_try.request.class].repeats == RepeatSafety::Unsafe;
+        if is_unsafe && client_try.attempts.iter().any(ServerAttempt::may_have_run) {
+            self.recorder.outcome_mut().broken.repeated += 1;
+        }
+        add_attempt(client_try, now, server, is_cut);
+        debug_assert_eq!(client_try.attempts.len(), key.attempt + 1);
+        let latency = self.route_latency(route);
+        if is_cut {
+            let timeout = micros(self.run.fleet.dial_s);
+            self.schedule_connect_failure(now + timeout, node, key);
+        } else if self.servers[server].is_up {
+            let connect_time = if is_connected {
+                0
+            } else {
+                2 * latency + self.run.fleet.connect_us
+            };
+            self.queue.schedule(
+                now + latency + connect_time,
+                Event::AttemptAtServer { server, key },
+            );
+        } else {
+            self.idle_connections.insert(route, 0);
+            self.schedule_connect_failure(now + 2 * latency, node, key);
+        }
+    }
+
+    fn count_attempt(&mut self, now: Micros, route: Route, is_connected: bool) {
+        let node = &self.nodes[route.node];
+        let grace = DRAIN_GRACE + self.run.fleet.list_ms * MICROS_PER_MS;
+        let is_drain_violation = node.drain_known_since[route.server]
+            .is_some_and(|known_since| now > known_since + grace);
+        let crosses_zones = node.zone != self.servers[route.server].zone;
+        let outcome = self.recorder.outcome_mut();
+        outcome.attempts += 1;
+        outcome.crossed += u64::from(crosses_zones);
+        outcome.connected += u64::from(!is_connected);
+        outcome.broken.drained += u64::from(is_drain_violation);
+    }
+
+    /// Takes an idle connection. Returns false where there is none, so that one has to be made.
+    fn take_connection(&mut self, route: Route) -> bool {
+        let idle_count = self.idle_connections.entry(route).or_default();
+        if *idle_count == 0 {
+            return false;
+        }
+        *idle_count -= 1;
+        true
+    }
+
+    /// Keeps a connection whose attempt is completed, if there is room.
+    fn return_connection(&mut self, route: Route) {
+        let idle_count = self.idle_connections.entry(route).or_default();
+        *idle_count = (*idle_count + 1).min(self.run.fleet.idle);
+    }
+
+    fn schedule_connect_failure(&mut self, at: Micros, node: usize, key: AttemptKey) {
+        let failed = Event::AtNode {
+            node,
+            epoch: self.nodes[node].epoch,
+            request: key.request,
+            notice: NodeNotice::AttemptEnded {
+                attempt: key.attempt,
+                outcome: AttemptOutcome::ConnectFailed,
+                load: None,
+            },
+        };
+        self.queue.schedule(at, failed);
+    }
+
+    fn abandon_attempt(&mut self, now: Micros, key: AttemptKey) {
+        let Some(client_try) = self.tries.get_mut(key.request) else {
+            return;
+        };
+        let node = client_try.node;
+        let Some(server_attempt) = client_try.open_attempt(key.attempt) else {
+            return;
+        };
+        server_attempt.is_closed = true;
+        let server = server_attempt.server;
+        let latency = self.route_latency(Route { node, server });
+        self.queue
+            .schedule(now + latency, Event::CancelAtServer { server, key });
+        self.tries.remove_if_finished(key.request);
+    }
+
+    /// A fresh process for a node, of which earlier ones have ended.
+    pub(super) fn new_process(&self, node: usize) -> Option<Node> {
+        let epoch = self.nodes[node].epoch;
+        let seed = node_seed(self.seed, node) ^ u64::from(epoch);
+        // The settings have been checked when the simulation was made.
+        Node::new(self.run, node, self.policy, seed).ok()
+    }
+}
+
+fn add_attempt(client_try: &mut ClientTry, now: Micros, server: usize, is_cut_off: bool) {
+    client_try.attempts.push(ServerAttempt {
+        server,
+        progress: AttemptProgress::NotRun,
+        is_closed: false,
+        is_cut_off,
+    });
+    client_try.attempt_traces.push(AttemptTrace {
+        server: server as u32,
+        sent: now,
+        ended: None,
+    });
+}
+
+/// A server's report as a node reads it.
+fn load_report(load: ReportedLoad) -> LoadReport {
+    LoadReport {
+        queued_prompt_tokens: Some(load.queued_prompt_tokens),
+        memory_utilization: Some(load.memory_utilization),
+        ..LoadReport::default()
+    }
+}
+
+/// The name of an outcome in traces.
+fn outcome_name(outcome: AttemptOutcome) -> &'static str {
+    match outcome {
+        AttemptOutcome::Completed => "served",
+        AttemptOutcome::ServerError => "error",
+        AttemptOutcome::AtCapacity => "full",
+        AttemptOutcome::TimedOut => "timed-out",
+        AttemptOutcome::ConnectFailed => "connect-failed",
+        AttemptOutcome::ConnectionReset => "reset",
+        AttemptOutcome::Cancelled => "cancelled",
+        AttemptOutcome::NotSent => "moot",
+        AttemptOutcome::InvalidRequest => "rejected",
+    }
+}
--- a/crates/testbed/src/experiment/description.rs
+++ b/crates/testbed/src/experiment/description.rs
@@ -153,7 +153,8 @@
             fault,
             together,
         }
-        .check()?;
+        .check()
+        .map_err(|e| e.to_string())?;
         let base = Value::try_from(&base).map_err(|e| e.to_string())?;
         let mut points = vec![(String::new(), base)];
         for sweep in &sweep {
--- a/crates/testbed/src/experiment/runner.rs
+++ b/crates/testbed/src/experiment/runner.rs
@@ -72,11 +72,12 @@
     seed: u64,
     beside: Option<&Path>,
 ) -> Result<Found, String> {
-    let mut world = Simulation::new(&point.run, policy, seed)?;
+    let mut world = Simulation::new(&point.run, policy, seed).map_err(|e| e.to_string())?;
     if let Some(path) = beside {
-        world.trace(TraceWriter::create(&path.with_extension("trace.zst"))?);
+        let trace = TraceWriter::create(&path.with_extension("trace.zst"));
+        world.write_traces_to(trace.map_err(|e| e.to_string())?);
     }
-    let outcome = world.finish()?;
+    let outcome = world.finish().map_err(|e| e.to_string())?;
     Ok(Found {
         label: point.label.clone(),
         policy,
--- a/crates/testbed/src/experiment/table.rs
+++ b/crates/testbed/src/experiment/table.rs
@@ -113,20 +113,20 @@
     let after = o.series.get(end..).unwrap_or_default();
     let back = after
         .iter()
-        .position(|t| t.offered > 0.0 && t.part() >= 0.95 * before);
+        .position(|t| t.offered > 0.0 && t.served_fraction() >= 0.95 * before);
     back.unwrap_or(after.len()) as f64 * o.piece_s
 }
 
 impl Figure {
     /// Its value in one run.
     pub fn of(self, o: &RunOutcome) -> f64 {
-        let requests = (o.all.requests().max(1)) as f64;
+        let requests = (o.all.request_count().max(1)) as f64;
         let talked = o.talked.unwrap_or_default();
         let ends = |which: &[RequestEnd]| {
             which.iter().map(|e| o.all.ends[*e as usize]).sum::<u64>() as f64
         };
         match self {
-            Figure::Worth => o.all.part() * 100.0,
+            Figure::Worth => o.all.served_fraction() * 100.0,
             Figure::FirstP99 => o.first.at.get(4).copied().unwrap_or(f64::NAN),
             Figure::FirstP50 => o.first.at.get(1).copied().unwrap_or(f64::NAN),
             Figure::Refused => ends(&[RequestEnd::Refused]) / requests * 100.0,
@@ -134,16 +134,16 @@
                 ends(&[RequestEnd::Failed, RequestEnd::Broken, RequestEnd::Left]) / requests * 100.0
             }
             Figure::Attempts => o.attempts as f64 / (o.tries.max(1)) as f64,
-            Figure::Kept => o.prompt.1 as f64 / (o.prompt.0.max(1)) as f64 * 100.0,
+            Figure::Kept => o.prompt.cached as f64 / (o.prompt.total.max(1)) as f64 * 100.0,
             Figure::Crossed => o.crossed as f64 / (o.attempts.max(1)) as f64 * 100.0,
             Figure::Broken => o.broken.sum() as f64,
             Figure::Repeats => o.repeats as f64 / requests * 100.0,
             Figure::Recovery => recovery(o),
             Figure::Window => talked.worst_window,
-            Figure::Messages => talked.node.0,
-            Figure::Bytes => talked.node.1,
-            Figure::KeeperMessages => talked.keeper.0,
-            Figure::KeeperBytes => talked.keeper.1,
+            Figure::Messages => talked.node.messages_per_second,
+            Figure::Bytes => talked.node.bytes_per_second,
+            Figure::KeeperMessages => talked.keeper.messages_per_second,
+            Figure::KeeperBytes => talked.keeper.bytes_per_second,
             Figure::Without => talked.longest_without,
         }
     }
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -382,7 +382,7 @@
         let program = sockets::program(self.node.as_deref())?;
         let mut run = Description::default();
         (run.fleet.servers, run.fleet.nodes, run.fleet.zones) = (self.servers, self.nodes, 1);
-        let run = run.check()?;
+        let run = run.check().map_err(|e| e.to_string())?;
         std::fs::create_dir_all(&self.out).map_err(|e| format!("{}: {e}", self.out.display()))?;
         on_sockets(async {
             let up = sockets::up(&run, &program, &self.out).await?;
@@ -461,7 +461,8 @@
                     self.policy
                 )
             })?;
-        let mut world = Simulation::new(&point.run, policy, self.seed)?;
+        let mut world =
+            Simulation::new(&point.run, policy, self.seed).map_err(|e| e.to_string())?;
         let tenants = point.run.tenant.iter().map(|t| t.name.clone()).collect();
         let state = view::State::new(
             &format!("{}: {}, {policy}", experiment.name, point.label),
--- a/crates/testbed/src/sockets/load.rs
+++ b/crates/testbed/src/sockets/load.rs
@@ -10,7 +10,9 @@
 
 use super::fleet::Fleet;
 use crate::emulator::description::{FaultKind, RepeatSafety, RunDescription};
-use crate::emulator::{ClientPopulation, ClientRequest, OutcomeRecorder, RequestEnd, RunOutcome};
+use crate::emulator::{
+    ClientPopulation, ClientRequest, OutcomeRecorder, RequestEnd, RunOutcome, ServerOccupancy,
+};
 use crate::Micros;
 use futures_util::{SinkExt, StreamExt};
 use poppykeel::protocol::http::{Http, Out, Part, Side, Start};
@@ -84,9 +86,15 @@
         spawn_local(async move {
             tokio::time::sleep_until(shared.began + Duration::from_secs_f64(fault.at_s)).await;
             if fault.what == FaultKind::Burst {
-                shared.clients.borrow_mut().burst(fault.tenant, fault.size);
+                shared
+                    .clients
+                    .borrow_mut()
+                    .set_burst_factor(fault.tenant, fault.size);
                 tokio::time::sleep(Duration::from_secs_f64(fault.for_s)).await;
-                shared.clients.borrow_mut().burst(fault.tenant, 1.0);
+                shared
+                    .clients
+                    .borrow_mut()
+                    .set_burst_factor(fault.tenant, 1.0);
             } else {
                 shared.fleet.clone().fault(fault).await;
             }
@@ -107,8 +115,8 @@
     fleet.stop().await;
     let open = *shared.open.borrow() as u64;
     let mut measure = shared.measure.replace(OutcomeRecorder::new(run));
-    measure.counts().broken.lost = open;
-    Ok(measure.done(0))
+    measure.outcome_mut().broken.lost = open;
+    Ok(measure.finish(0))
 }
 
 impl Shared {
@@ -117,17 +125,19 @@
     }
 
     async fn samples(self: Rc<Self>) {
-        let (piece, slots) = (self.measure.borrow().piece(), self.run.fleet.server.slots);
+        let (piece, slots) = (
+            self.measure.borrow().slice_duration(),
+            self.run.fleet.server.slots,
+        );
         loop {
             let now = self.now();
-            let loads = self
-                .fleet
-                .models
-                .iter()
-                .map(|m| (m.load().0 + m.load().1, slots));
+            let loads = self.fleet.models.iter().map(|model| ServerOccupancy {
+                held_requests: model.request_counts().total(),
+                slots,
+            });
             self.measure
                 .borrow_mut()
-                .sample(now, loads, self.fleet.models.len());
+                .record_occupancy(now, loads, self.fleet.models.len());
             tokio::time::sleep_until(self.began + Duration::from_micros((now / piece + 1) * piece))
                 .await;
         }
@@ -141,17 +151,19 @@
             let pause = self
                 .clients
                 .borrow()
-                .pause(tenant, &mut *self.rng.borrow_mut());
+                .draw_interarrival_time(tenant, &mut *self.rng.borrow_mut());
             let Some(pause) = pause else { return };
             at += pause;
             if at >= end {
                 return;
             }
             tokio::time::sleep_until(self.began + Duration::from_micros(at)).await;
-            let work =
-                self.clients
-                    .borrow_mut()
-                    .ask(at, tenant, &self.run, &mut *self.rng.borrow_mut());
+            let work = self.clients.borrow_mut().draw_request(
+                at,
+                tenant,
+                &self.run,
+                &mut *self.rng.borrow_mut(),
+            );
             spawn_local(self.clone().request(work));
         }
     }
@@ -164,12 +176,12 @@
         }
         *self.open.borrow_mut() += 1;
         // The first try's time is when it was to be sent.
-        let mut sent = work.sent;
+        let mut sent = work.first_sent_at;
         loop {
-            work.tries += 1;
-            self.measure.borrow_mut().counts().tries += 1;
+            work.try_count += 1;
+            self.measure.borrow_mut().outcome_mut().tries += 1;
             let answer = self.one(&work, sent).await;
-            let again = work.tries <= self.run.load.retries;
+            let again = work.try_count <= self.run.load.retries;
             let pause = match answer {
                 Answer::Whole { first } => break self.over(&work, RequestEnd::Good, Some(first)),
                 Answer::Broken { first } => {
@@ -197,10 +209,10 @@
         let whole = self
             .measure
             .borrow_mut()
-            .end(class, work, self.now(), first, end);
+            .record_end(class, work, self.now(), first, end);
         self.clients
             .borrow_mut()
-            .over(work, whole, self.run.load.sessions);
+            .finish_request(work, whole, self.run.load.sessions);
     }
 
     async fn connect(&self) -> Option<(usize, Wire)> {
@@ -228,14 +240,14 @@
         let body = json!({
             "model": "lab", "stream": true, "max_tokens": class.answer_limit,
             "messages": [{"role": "user", "content": prompt}],
-            "metadata": {"answer": work.answer.to_string(), "prompt": work.prompt.to_string(),
-                "session": work.session.to_string(), "prefix": work.prefix.0.to_string(),
-                "prefix_tokens": work.prefix.1.to_string()},
+            "metadata": {"answer": work.answer_tokens.to_string(), "prompt": work.prompt_tokens.to_string(),
+                "session": work.session.to_string(), "prefix": work.prefix.id.to_string(),
+                "prefix_tokens": work.prefix.tokens.to_string()},
         })
         .to_string();
         let late = self.now().saturating_sub(sent) as f64 / 1e6;
         let left = (class.deadline_s - late).max(0.0);
-        let extra = match work.prefix {
+        let extra = match (work.prefix.id, work.prefix.tokens) {
             (0, _) | (_, 0) => String::new(),
             (name, tokens) => format!("prefix={name:016x},prefix_len={tokens},"),
         };
@@ -246,9 +258,9 @@
             class.name,
             self.run.tenant[work.tenant].name,
             work.session,
-            work.prompt,
+            work.prompt_tokens,
             class.answer_limit,
-            if work.tries > 1 { "Req-Retry: 1\r\n" } else { "" },
+            if work.try_count > 1 { "Req-Retry: 1\r\n" } else { "" },
             body.len()
         );
         let until = Instant::now() + Duration::from_secs_f64(left);
@@ -306,11 +318,14 @@
         if !whole {
             return Answer::Broken { first };
         }
-        let kept = self.read(&body, &prompt, work.answer);
+        let kept = self.read(&body, &prompt, work.answer_tokens);
         let mut measure = self.measure.borrow_mut();
-        let out = measure.counts();
+        let out = measure.outcome_mut();
         match kept {
-            Some(kept) => out.prompt = (out.prompt.0 + u64::from(work.prompt), out.prompt.1 + kept),
+            Some(kept) => {
+                out.prompt.total += u64::from(work.prompt_tokens);
+                out.prompt.cached += kept;
+            }
             // Not what the server of this prompt writes.
             None => out.broken.doubled += 1,
         }
--- a/crates/testbed/src/sockets/model.rs
+++ b/crates/testbed/src/sockets/model.rs
@@ -8,11 +8,15 @@
     reason = "not yet converted"
 )]
 
-use crate::emulator::server::{AttemptKey, ModelServer, ServerJob, ServerOutput, ServerProfile};
+use crate::emulator::model_server::{
+    AttemptKey, GeneratedTokens, ModelServer, RequestCounts, ServerJob, ServerOutput,
+    ServerProfile, SharedPrefix,
+};
 use crate::Micros;
 use bytes::Bytes;
 use futures_util::{SinkExt, StreamExt};
 use poppykeel::protocol::http::{Http, Out, Part, Side, Start};
+use poppykeel_scheduler::RequestId;
 use poppykeel_stub_model_server::{prompt, token};
 use serde_json::{json, Value};
 use std::cell::RefCell;
@@ -180,7 +184,7 @@
     /// It takes so many times as long.
     pub fn slow(&self, factor: f64) {
         let now = self.now();
-        self.inner.borrow_mut().server.slow(now, factor);
+        self.inner.borrow_mut().server.set_slowdown(now, factor);
         self.changed.notify_one();
     }
 
@@ -195,8 +199,8 @@
     }
 
     /// Requests under way and waiting.
-    pub fn load(&self) -> (usize, usize) {
-        self.inner.borrow().server.load()
+    pub fn request_counts(&self) -> RequestCounts {
+        self.inner.borrow().server.request_counts()
     }
 
     /// Lets the model's steps pass in real time and sends what they make.
@@ -225,9 +229,9 @@
         } = &mut *inner;
         let mut said = Vec::new();
         server.catch_up(now, &mut said);
-        server.gaps().for_each(drop);
+        server.take_token_gaps().for_each(drop);
         let mut over = Vec::new();
-        for (key, made) in server.making() {
+        for GeneratedTokens { key, tokens: made } in server.answers_in_progress() {
             if let Some(stream) = streams.get_mut(&key).filter(|s| s.sent < made) {
                 // A reader that takes nothing loses its answer: nothing is kept for it without bound.
                 if stream
@@ -241,7 +245,11 @@
             }
         }
         for word in said {
-            if let ServerOutput::Done(key, kept) = word {
+            if let ServerOutput::Completed {
+                key,
+                cached_tokens: kept,
+            } = word
+            {
                 if let Some(stream) = streams.remove(&key) {
                     // The last token goes with the end.
                     let _ = stream
@@ -258,8 +266,8 @@
     }
 
     fn report(&self) -> String {
-        let shown = self.inner.borrow().server.shown();
-        json!({"x0": shown.memory, "x1": shown.waiting}).to_string()
+        let shown = self.inner.borrow().server.reported_load();
+        json!({"x0": shown.memory_utilization, "x1": shown.queued_prompt_tokens}).to_string()
     }
 
     async fn connection(&self, stream: TcpStream) -> Option<()> {
@@ -326,20 +334,23 @@
         let key = {
             let mut inner = self.inner.borrow_mut();
             inner.next += 1;
-            let key = (inner.next, 0);
-            let prefix = (
-                told("prefix").unwrap_or(0),
-                told("prefix_tokens").unwrap_or(0) as u32,
-            );
+            let key = AttemptKey {
+                request: RequestId(inner.next),
+                attempt: 0,
+            };
+            let prefix = SharedPrefix {
+                id: told("prefix").unwrap_or(0),
+                tokens: told("prefix_tokens").unwrap_or(0) as u32,
+            };
             let session = told("session").unwrap_or(u64::MAX - inner.next);
-            let taken = inner.server.take(
+            let taken = inner.server.enqueue(
                 now,
                 ServerJob {
                     key,
                     session,
                     prefix,
-                    prompt: tokens,
-                    answer,
+                    prompt_tokens: tokens,
+                    answer_tokens: answer,
                 },
             );
             if taken {
@@ -360,7 +371,7 @@
         };
         self.changed.notify_one();
         let mut begun = false;
-        let own = format!("lab-{}-{}", self.addr.port(), key.0);
+        let own = format!("lab-{}-{}", self.addr.port(), key.request.0);
         let event = |delta: Value, finish: Option<&str>| {
             let value = json!({"id": own, "object": "chat.completion.chunk", "created": 1, "model": "lab",
                 "choices": [{"index": 0, "delta": delta, "finish_reason": finish}]});
--- a/crates/testbed/src/sockets/nodes.rs
+++ b/crates/testbed/src/sockets/nodes.rs
@@ -37,7 +37,7 @@
     discovery: &Discovery,
 ) -> String {
     let f = &run.fleet;
-    let settings = crate::emulator::settings(run, me);
+    let settings = crate::emulator::scheduler_settings(run, me);
     let zones: Vec<String> = (0..f.zones).map(|z| format!("z{z}")).collect();
     let class = |c: &crate::emulator::description::ClassDescription| {
         let semantics = if c.repeats == RepeatSafety::Safe {
--- a/crates/testbed/src/view/state.rs
+++ b/crates/testbed/src/view/state.rs
@@ -6,7 +6,7 @@
     reason = "not yet converted"
 )]
 
-use crate::emulator::{RequestEnd, RunOutcome, Simulation};
+use crate::emulator::{RequestEnd, RunOutcome, ServerStatus, Simulation};
 use poppykeel_scheduler::EndpointState;
 use serde_json::Value;
 use std::collections::{BTreeMap, VecDeque};
@@ -107,7 +107,7 @@
     pub fn look(&mut self, world: &mut Simulation, seconds: f64) {
         let at = world.now() as f64 / 1e6;
         self.time = (at.min(seconds), Some(seconds));
-        let out: &RunOutcome = world.so_far();
+        let out: &RunOutcome = world.outcome_so_far();
         let ends = |end: RequestEnd| out.all.ends[end as usize];
         let counts = vec![
             ("tries".to_string(), out.tries),
@@ -126,28 +126,33 @@
             .min(out.series.len());
         let worth: Vec<f64> = out.series[self.pieces.min(pieces)..pieces]
             .iter()
-            .map(|t| t.part() * 100.0)
+            .map(|t| t.served_fraction() * 100.0)
             .collect();
         self.pieces = pieces;
-        self.queues = self.tenants.iter().cloned().zip(world.waiting()).collect();
-        self.streams = format!("{} tries held by nodes and servers", world.held());
+        self.queues = self
+            .tenants
+            .iter()
+            .cloned()
+            .zip(world.queued_by_tenant())
+            .collect();
+        self.streams = format!("{} tries held by nodes and servers", world.open_try_count());
         worth.into_iter().for_each(|w| self.point(w));
         self.count(at, counts);
-        let row =
-            |(n, (running, waiting, up, listed)): (usize, (usize, usize, bool, EndpointState))| {
-                Row {
-                    name: format!("m-{n}"),
-                    state: match (up, listed) {
-                        (false, _) => "away",
-                        (_, EndpointState::Draining) => "draining",
-                        (_, EndpointState::Removed) => "not listed",
-                        _ => "up",
-                    }
-                    .to_string(),
-                    held: (running as u64, waiting as u64),
-                    more: String::new(),
-                }
-            };
+        let row = |(n, server): (usize, ServerStatus)| Row {
+            name: format!("m-{n}"),
+            state: match (server.is_up, server.listed_state) {
+                (false, _) => "away",
+                (_, EndpointState::Draining) => "draining",
+                (_, EndpointState::Removed) => "not listed",
+                _ => "up",
+            }
+            .to_string(),
+            held: (
+                server.requests.running as u64,
+                server.requests.queued as u64,
+            ),
+            more: String::new(),
+        };
         self.rows = world
             .servers()
             .enumerate()
--- a/crates/testbed/src/view/terminal.rs
+++ b/crates/testbed/src/view/terminal.rs
@@ -63,7 +63,7 @@
             let frame = Instant::now() + FRAME;
             let until = (began.elapsed().as_secs_f64() * speed * 1e6) as u64;
             while goes_on && world.now() < until && Instant::now() < frame {
-                goes_on = world.go(EVENTS);
+                goes_on = world.play_events(EVENTS);
             }
             state.look(world, seconds);
             terminal.draw(|f| draw(f, &state, skip)).map_err(failed)?;
--- a/crates/testbed/tests/emulator.rs
+++ b/crates/testbed/tests/emulator.rs
@@ -85,15 +85,15 @@
     let run = run(6, 4.0, 20.0, vec![]);
     for policy in Policy::ALL {
         let out = play(&run, policy, 1);
-        assert!(out.all.requests() > 400, "{policy}: {:?}", out.all);
+        assert!(out.all.request_count() > 400, "{policy}: {:?}", out.all);
         assert_eq!(
-            out.all.requests(),
-            out.series.iter().map(|t| t.requests()).sum::<u64>()
+            out.all.request_count(),
+            out.series.iter().map(|t| t.request_count()).sum::<u64>()
         );
         assert_eq!(out.broken.sum(), 0, "{policy}: {:?}", out.broken);
-        assert!(out.all.part() > 0.9, "{policy}: {:?}", out.all);
+        assert!(out.all.served_fraction() > 0.9, "{policy}: {:?}", out.all);
         assert!(
-            out.gaps.count > 10_000 && out.prompt.1 > 0,
+            out.gaps.count > 10_000 && out.prompt.cached > 0,
             "{policy}: {:?} {:?}",
             out.gaps,
             out.prompt
@@ -107,14 +107,14 @@
     let run = run(4, 40.0, 20.0, vec![]);
     let mut world = Simulation::new(&run, Policy::Poppykeel, 1).unwrap();
     let mut most = 0;
-    while world.go(10_000) {
-        most = most.max(world.held());
+    while world.play_events(10_000) {
+        most = most.max(world.open_try_count());
     }
     assert!(most < 4000, "{most} tries held at once, of 160 a second");
     let out = play(&run, Policy::Poppykeel, 1);
     assert_eq!(out.broken.sum(), 0, "{:?}", out.broken);
     assert!(
-        out.all.part() > 0.1 && out.all.part() < 0.7,
+        out.all.served_fraction() > 0.1 && out.all.served_fraction() < 0.7,
         "{:?}",
         out.all
     );
@@ -124,7 +124,7 @@
 fn each_fault_costs_what_it_should_and_ends() {
     let calm = play(&run(8, 6.0, 48.0, vec![]), Policy::RoundRobin, 2)
         .all
-        .part();
+        .served_fraction();
     for what in [
         FaultKind::Die,
         FaultKind::Silent,
@@ -137,9 +137,9 @@
         let run = run(8, 6.0, 48.0, vec![fault(what, 8.0, 6.0, 0.5, 1.9)]);
         let out = play(&run, Policy::RoundRobin, 2);
         assert!(
-            out.all.part() < calm - 0.005,
+            out.all.served_fraction() < calm - 0.005,
             "{what:?}: {} of {calm}",
-            out.all.part()
+            out.all.served_fraction()
         );
         // The last eight seconds are long after it, and after what it left behind.
         let late = out.series[100..]
@@ -184,14 +184,17 @@
         let out = play(&run, policy, 5);
         assert_eq!(out.broken.sum(), 0, "{policy}: {:?}", out.broken);
         let of = |groups: &[(String, poppykeel_testbed::emulator::Tally)]| {
-            groups.iter().map(|g| g.1.requests()).collect::<Vec<_>>()
+            groups
+                .iter()
+                .map(|g| g.1.request_count())
+                .collect::<Vec<_>>()
         };
         let (classes, tenants) = (of(&out.classes), of(&out.tenants));
         assert!(
             classes[0] > classes[1] && tenants[1] > 3 * tenants[0],
             "{classes:?} {tenants:?}"
         );
-        assert_eq!(classes.iter().sum::<u64>(), out.all.requests());
+        assert_eq!(classes.iter().sum::<u64>(), out.all.request_count());
     }
 }
 
@@ -242,6 +245,6 @@
         }
         let out = play(&run, Policy::ALL[policy], seed);
         prop_assert_eq!(out.broken.sum(), 0, "{:?}", out.broken);
-        prop_assert_eq!(out.all.requests(), out.series.iter().map(|t| t.requests()).sum::<u64>());
+        prop_assert_eq!(out.all.request_count(), out.series.iter().map(|t| t.request_count()).sum::<u64>());
     }
 }
--- a/crates/testbed/tests/experiment.rs
+++ b/crates/testbed/tests/experiment.rs
@@ -153,7 +153,7 @@
         .lines()
         .filter(|l| !l.contains("\"end\":null"))
         .count() as u64;
-    assert_eq!(ends, found[0].outcome.all.requests());
+    assert_eq!(ends, found[0].outcome.all.request_count());
     let page = report::page("small", &found).unwrap();
     assert!(
         page.matches("<svg").count() > 16
--- a/crates/testbed/tests/sockets.rs
+++ b/crates/testbed/tests/sockets.rs
@@ -90,10 +90,10 @@
     let folder = folder("load");
     let run = small(faults);
     let out = on_sockets(sockets::play(&run, program(), &folder, 1)).unwrap();
-    assert!(out.all.requests() > 15, "{:?}", out.all);
+    assert!(out.all.request_count() > 15, "{:?}", out.all);
     assert_eq!(out.broken.sum(), 0, "{:?}", out.broken);
     assert!(
-        out.all.part() > 0.5 && out.prompt.0 > 0,
+        out.all.served_fraction() > 0.5 && out.prompt.total > 0,
         "{:?} {:?}",
         out.all,
         out.prompt
--- a/crates/testbed/tests/together.rs
+++ b/crates/testbed/tests/together.rs
@@ -111,7 +111,8 @@
     assert_eq!(talked.overlaps, 0);
     assert!((0.5..6.0).contains(&talked.longest_without), "{talked:?}");
     assert!(
-        talked.node.0 > 1.0 && talked.keeper.0 > talked.node.0,
+        talked.node.messages_per_second > 1.0
+            && talked.keeper.messages_per_second > talked.node.messages_per_second,
         "{talked:?}"
     );
 }
