--- a/crates/testbed/src/emulator/description/mod.rs
+++ b/crates/testbed/src/emulator/description/mod.rs
@@ -31,7 +31,7 @@
 }
 
 /// How the retry budget of the fleet is divided between the nodes.
-#[derive(Clone, Copy, Debug, Default, Deserialize, Serialize, PartialEq, Eq)]
+#[derive(Clone, Copy, Debug, Default, Deserialize, Serialize, PartialEq, Eq, clap::ValueEnum)]
 #[serde(rename_all = "kebab-case")]
 pub enum BudgetDivision {
     /// By the lease holder, in grants that follow the nodes' demand.
--- /dev/null
+++ b/crates/testbed/src/fault_injection/test_fleet/setup.rs
@@ -0,0 +1,264 @@
+//! The start of the fleet: ports, relays, stubs, configurations and processes.
+
+use super::super::error::FaultInjectionError;
+use super::super::link_relay::LinkRelay;
+use super::super::node_process::NodeCommand;
+use super::super::ports::{bind_restart_port, BoundPort};
+use super::super::run_history::RunHistory;
+use super::{FleetShape, Link, NodeAddresses, TestFleet, NODE_NAME_PREFIX};
+use crate::emulator::description::RunDescription;
+use crate::sockets::{config, Arrivals, Discovery, Entry, Model};
+use rand::{RngExt, SeedableRng};
+use rand_pcg::Pcg64Mcg;
+use std::cell::{Cell, RefCell};
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+use std::path::{Path, PathBuf};
+
+/// Mixed into the seed, so that faults are not drawn from the same numbers as the fleet.
+const SEED_MASK: u64 = 0xf1ee7;
+/// Model servers of each zone.
+const SERVERS_PER_ZONE: usize = 2;
+/// A year in seconds.
+const YEAR_S: i64 = 365 * 86_400;
+/// By how much wall clocks are wrong, in seconds; one of these is drawn for each node.
+const WALL_CLOCK_OFFSETS_S: [i64; 5] = [0, 0, YEAR_S, -YEAR_S, 90];
+
+/// What a fleet is started from.
+#[derive(Clone, Copy)]
+pub(in super::super) struct FleetSetup<'a> {
+    pub(in super::super) shape: &'a FleetShape,
+    /// The node's program.
+    pub(in super::super) program: &'a Path,
+    /// The folder of configurations, disks and logs.
+    pub(in super::super) folder: &'a Path,
+    pub(in super::super) history: &'a RunHistory,
+    /// Where the report task reports to.
+    pub(in super::super) collector: SocketAddr,
+    pub(in super::super) seed: u64,
+}
+
+/// The stub model servers.
+struct ModelServers {
+    models: Vec<Model>,
+    entries: Vec<Entry>,
+    arrivals: Arrivals,
+}
+
+/// What the configurations of all nodes are written from.
+struct FleetConfig<'a> {
+    setup: FleetSetup<'a>,
+    run: RunDescription,
+    addresses: Vec<NodeAddresses>,
+    links: BTreeMap<Link, LinkRelay>,
+    report_links: Vec<LinkRelay>,
+    discovery: Discovery,
+}
+
+impl TestFleet {
+    /// Starts the whole fleet. The order in which random numbers are drawn here is part of what a seed means.
+    pub(in super::super) async fn start(
+        setup: FleetSetup<'_>,
+    ) -> Result<TestFleet, FaultInjectionError> {
+        let shape = setup.shape;
+        let mut rng = Pcg64Mcg::seed_from_u64(setup.seed ^ SEED_MASK);
+        let mut run = RunDescription::default();
+        run.fleet.nodes = shape.nodes;
+        run.fleet.servers = SERVERS_PER_ZONE * shape.zones;
+        run.fleet.zones = shape.zones;
+        let run = run.check()?;
+        let servers = start_model_servers(&run, shape.zones).await?;
+        let discovery = Discovery::start(servers.entries)
+            .await
+            .map_err(FaultInjectionError::Sockets)?;
+        let (addresses, reserved_ports) = reserve_addresses(shape.nodes).await?;
+        let links = start_links(&addresses, &mut rng).await?;
+        let mut report_links = Vec::new();
+        for _ in 0..shape.nodes {
+            report_links.push(LinkRelay::start(setup.collector, rng.random()).await?);
+        }
+        // The nodes take these ports now.
+        drop(reserved_ports);
+        let config = FleetConfig {
+            setup,
+            run,
+            addresses,
+            links,
+            report_links,
+            discovery,
+        };
+        let mut commands = Vec::new();
+        for node in 0..shape.nodes {
+            commands.push(config.write(node, &mut rng)?);
+        }
+        let fleet = TestFleet {
+            shape: shape.clone(),
+            folder: setup.folder.to_path_buf(),
+            history: setup.history.clone(),
+            addresses: config.addresses,
+            commands,
+            processes: RefCell::new((0..shape.nodes).map(|_| None).collect()),
+            links: config.links,
+            report_links: config.report_links,
+            _discovery: config.discovery,
+            servers: servers.models,
+            arrivals: servers.arrivals,
+            failed_disk_count: Cell::new(0),
+        };
+        for node in 0..shape.nodes {
+            fleet.start_node(node)?;
+        }
+        Ok(fleet)
+    }
+}
+
+async fn start_model_servers(
+    run: &RunDescription,
+    zones: usize,
+) -> Result<ModelServers, FaultInjectionError> {
+    let since = tokio::time::Instant::now();
+    let mut servers = ModelServers {
+        models: Vec::new(),
+        entries: Vec::new(),
+        arrivals: Arrivals::default(),
+    };
+    for index in 0..run.fleet.servers {
+        let mut model = Model::start(run.fleet.server.clone())
+            .await
+            .map_err(FaultInjectionError::Sockets)?;
+        // Restarted, so that the listener's own copy has the record, too.
+        model.end();
+        model.record(since, &servers.arrivals, index);
+        model
+            .restart()
+            .await
+            .map_err(FaultInjectionError::Sockets)?;
+        servers.entries.push(Entry {
+            name: format!("m-{index}"),
+            addr: model.addr,
+            zone: format!("z{}", index % zones),
+            state: "up",
+            started_ms: 0,
+        });
+        servers.models.push(model);
+    }
+    Ok(servers)
+}
+
+/// Finds the addresses of all nodes. Their ports are held until the second value is dropped.
+async fn reserve_addresses(
+    node_count: usize,
+) -> Result<(Vec<NodeAddresses>, Vec<BoundPort>), FaultInjectionError> {
+    let mut ports = Vec::new();
+    for _ in 0..3 * node_count {
+        ports.push(
+            bind_restart_port()
+                .await
+                .map_err(FaultInjectionError::Port)?,
+        );
+    }
+    let mut addresses = Vec::new();
+    for node in 0..node_count {
+        addresses.push(NodeAddresses {
+            coordination: ports[node].address,
+            admin: ports[node_count + node].address,
+            serving: ports[2 * node_count + node].address,
+        });
+    }
+    Ok((addresses, ports))
+}
+
+async fn start_links(
+    addresses: &[NodeAddresses],
+    rng: &mut Pcg64Mcg,
+) -> Result<BTreeMap<Link, LinkRelay>, FaultInjectionError> {
+    let mut links = BTreeMap::new();
+    for from in 0..addresses.len() {
+        for (to, receiver) in addresses.iter().enumerate() {
+            if to != from {
+                let relay = LinkRelay::start(receiver.coordination, rng.random()).await?;
+                links.insert(Link { from, to }, relay);
+            }
+        }
+    }
+    Ok(links)
+}
+
+impl FleetConfig<'_> {
+    /// Writes the files of a node, and draws its clocks.
+    fn write(&self, node: usize, rng: &mut Pcg64Mcg) -> Result<NodeCommand, FaultInjectionError> {
+        let addresses = self.addresses[node];
+        let config_file = self.path(node, "json");
+        let config = config(&self.run, node, addresses.serving, &self.discovery);
+        std::fs::write(&config_file, config).map_err(FaultInjectionError::file(&config_file))?;
+        let operator_file = self.path(node, "toml");
+        std::fs::write(&operator_file, self.operator_settings(node))
+            .map_err(FaultInjectionError::file(&operator_file))?;
+        let clock_ppm = self.draw_clock_ppm(node, rng);
+        let wall_clock_offset_s = if self.setup.shape.has_wrong_wall_clocks {
+            WALL_CLOCK_OFFSETS_S[rng.random_range(0..WALL_CLOCK_OFFSETS_S.len())]
+        } else {
+            0
+        };
+        Ok(NodeCommand {
+            program: self.setup.program.to_path_buf(),
+            config: config_file,
+            operator_file,
+            log: self.path(node, "log"),
+            admin_address: addresses.admin.to_string(),
+            clock_ppm,
+            wall_clock_offset_s,
+            disk_faults: self.path(node, "orders"),
+        })
+    }
+
+    fn path(&self, node: usize, extension: &str) -> PathBuf {
+        self.setup.folder.join(format!("node-{node}.{extension}"))
+    }
+
+    /// The operators' file of a node, as TOML.
+    fn operator_settings(&self, node: usize) -> String {
+        let shape = self.setup.shape;
+        let lease_servers: Vec<String> = (0..shape.lease_servers)
+            .map(|server| address_line(server, self.addresses[server].coordination))
+            .collect();
+        let relays: Vec<String> = self
+            .links
+            .iter()
+            .filter(|(link, _)| link.from == node)
+            .map(|(link, relay)| address_line(link.to, relay.address()))
+            .collect();
+        format!(
+            "[fleet]\nname = \"lab\"\nlisten = \"{}\"\nfolder = {:?}\nlease = \"{}ms\"\ndrift = {}\n\
+             probe = \"200ms\"\npatience = \"100ms\"\n[fleet.keepers]\n{}\n[fleet.via]\n{}\n\
+             [fleet.report]\nto = \"{}\"\nevery = \"{}ms\"\n{}",
+            self.addresses[node].coordination,
+            self.path(node, "disk").display().to_string(),
+            shape.lease_duration.as_millis(),
+            shape.allowed_drift_ppm,
+            lease_servers.join("\n"),
+            relays.join("\n"),
+            self.report_links[node].address(),
+            shape.report_interval.as_millis(),
+            shape.more_operator_settings,
+        )
+    }
+
+    fn draw_clock_ppm(&self, node: usize, rng: &mut Pcg64Mcg) -> i64 {
+        let shape = self.setup.shape;
+        let skew_ppm = i64::from(shape.clock_skew_ppm);
+        if !shape.has_opposed_clocks {
+            return rng.random_range(-skew_ppm..=skew_ppm);
+        }
+        if node < shape.lease_servers {
+            skew_ppm
+        } else {
+            -skew_ppm
+        }
+    }
+}
+
+/// A line of the operators' file: a node's name with an address.
+fn address_line(node: usize, address: SocketAddr) -> String {
+    format!("{NODE_NAME_PREFIX}{node} = \"{address}\"")
+}
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -1,15 +1,15 @@
 //! The lab: a model of what is balanced, to try designs at sizes that sockets don't reach.
 //!
-//! - [`breaks`]: several processes of the program, and faults between them;
 //! - [`emulator`]: one run, by discrete events, around the project's own core and module or a policy to compare with;
 //! - [`experiment`]: descriptions in TOML, sweeps, runs over the cores, results and their tables;
+//! - [`fault_injection`]: several processes of the program, and faults between them;
 //! - [`report`]: results as one page with pictures;
 //! - [`sockets`]: the same fleet and load on loopback, round the node's own program;
 //! - [`view`]: a run or a node on the terminal.
 
-pub mod breaks;
 pub mod emulator;
 pub mod experiment;
+pub mod fault_injection;
 pub mod report;
 pub mod sockets;
 pub mod view;
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -9,12 +9,17 @@
 
 use clap::{Args, Parser, Subcommand};
 use indicatif::{ProgressBar, ProgressStyle};
-use poppykeel_testbed::breaks::{self, Budgeted, Fault, Kind, Roll, Shape, Wanted};
+use poppykeel_testbed::emulator::description::BudgetDivision;
 use poppykeel_testbed::emulator::description::RunDescription as Description;
 use poppykeel_testbed::emulator::policies::Policy;
 use poppykeel_testbed::emulator::Simulation;
 use poppykeel_testbed::experiment::table::{compare, table, Figure};
 use poppykeel_testbed::experiment::{runner, Experiment, Found, Results};
+use poppykeel_testbed::fault_injection::{
+    run_budget_scenario, run_lease_scenario, run_rolling_restart_scenario, BudgetScenario,
+    BudgetWhole, FleetShape, InjectedFault, InjectedFaultKind, LeaseScenario,
+    RollingRestartScenario,
+};
 use poppykeel_testbed::sockets;
 use poppykeel_testbed::view;
 use std::path::{Path, PathBuf};
@@ -90,8 +95,8 @@
     #[arg(long, default_value_t = 20.0)]
     burst: f64,
     /// How the budgets reach the nodes
-    #[arg(long, value_enum, default_value_t = breaks::Division::Shares)]
-    division: breaks::Division,
+    #[arg(long, value_enum, default_value_t = BudgetDivision::Shares)]
+    division: BudgetDivision,
     /// The first node gets so many times the requests of any other
     #[arg(long, default_value_t = 1.0)]
     hot: f64,
@@ -100,7 +105,7 @@
     zones: usize,
     /// Only faults of these kinds
     #[arg(long, value_enum, value_delimiter = ',')]
-    only: Vec<Kind>,
+    only: Vec<InjectedFaultKind>,
     /// The node's program; by default this very one serves
     #[arg(long, value_name = "FILE")]
     node: Option<PathBuf>,
@@ -170,7 +175,7 @@
     skew: u32,
     /// Only faults of these kinds
     #[arg(long, value_enum, value_delimiter = ',')]
-    only: Vec<Kind>,
+    only: Vec<InjectedFaultKind>,
     /// These faults in their order, as TOML ([[fault]] with kind, for_ms, whom and size), in place of drawn ones
     #[arg(long, value_name = "FILE")]
     script: Option<PathBuf>,
@@ -481,113 +486,129 @@
     fn run(&self) -> Result<bool, String> {
         let program = sockets::program(self.node.as_deref())?;
         let lease = std::time::Duration::from_millis(self.lease_ms);
-        let (nodes, keepers, drift, skew) = (self.nodes, self.keepers, self.drift, self.skew);
-        let shape = Shape {
-            nodes,
-            keepers,
-            lease,
-            drift,
-            skew,
-            ..Shape::default()
+        let shape = FleetShape {
+            nodes: self.nodes,
+            lease_servers: self.keepers,
+            lease_duration: lease,
+            allowed_drift_ppm: self.drift,
+            clock_skew_ppm: self.skew,
+            ..FleetShape::default()
         };
         let (rounds, seed, only) = (self.rounds, self.seed, self.only.clone());
         let script = self
             .script
             .as_deref()
-            .map(Fault::script)
-            .transpose()?
+            .map(InjectedFault::read_script)
+            .transpose()
+            .map_err(|e| e.to_string())?
             .unwrap_or_default();
-        let wanted = Wanted {
+        let wanted = LeaseScenario {
             shape,
             rounds,
             seed,
             only,
             script,
-            fence: true,
+            rejects_old_epochs: true,
         };
-        let found = on_sockets(breaks::run(&wanted, &program, &self.out))?;
+        let found = on_sockets(async {
+            let played = run_lease_scenario(&wanted, &program, &self.out).await;
+            played.map_err(|e| e.to_string())
+        })?;
         found
-            .wrong
+            .problems
             .iter()
             .chain(&found.verdict.overlaps)
             .for_each(|what| println!("{what}"));
-        let [p50, p99] = [0.5, 0.99].map(|part| found.quantile(part) as f64 / 1e6);
+        let [p50, p99] = [0.5, 0.99].map(|part| found.gap_quantile(part) as f64 / 1e6);
         println!("each round's longest time without an act: p50 {p50:.2} s, p99 {p99:.2} s");
-        println!("{}", found.line(seed));
-        Ok(found.good())
+        println!("{}", found.summary(seed));
+        Ok(found.is_good())
     }
 }
 
 impl BreakRoll {
     fn run(&self) -> Result<bool, String> {
         let program = sockets::program(self.node.as_deref())?;
-        let shape = Shape {
+        let shape = FleetShape {
             nodes: self.nodes,
-            every: std::time::Duration::from_secs(1),
-            ..Shape::default()
+            report_interval: std::time::Duration::from_secs(1),
+            ..FleetShape::default()
         };
-        let wanted = Roll {
+        let wanted = RollingRestartScenario {
             shape,
             seed: self.seed,
-            faults: self.faults,
-            out: self.most,
+            fault_count: self.faults,
+            max_out: self.most,
         };
-        let found = on_sockets(breaks::roll(&wanted, &program, &self.out))?;
+        let found = on_sockets(async {
+            let played = run_rolling_restart_scenario(&wanted, &program, &self.out).await;
+            played.map_err(|e| e.to_string())
+        })?;
         println!(
             "nodes {}, been out {}, most out at once {} of {}, in charge {}, {:.1} s, seed {}",
-            self.nodes, found.been, found.most, self.most, found.charges, found.seconds, self.seed
+            self.nodes,
+            found.seen_out,
+            found.max_out_at_once,
+            self.most,
+            found.coordinator_count,
+            found.duration_s,
+            self.seed
         );
-        Ok(found.most <= self.most && found.back == self.nodes)
+        Ok(found.max_out_at_once <= self.most && found.ready_at_end == self.nodes)
     }
 }
 
 impl BreakBudgets {
     fn run(&self) -> Result<bool, String> {
         let program = sockets::program(self.node.as_deref())?;
-        let shape = Shape {
+        let shape = FleetShape {
             nodes: self.nodes,
-            every: std::time::Duration::from_secs(1),
-            ..Shape::default()
-        };
-        let shape = Shape {
             zones: self.zones,
-            ..shape
+            report_interval: std::time::Duration::from_secs(1),
+            ..FleetShape::default()
         };
-        let (whole, only, rounds) = ((self.rate, self.burst), self.only.clone(), self.rounds);
-        let (seed, division, hot) = (self.seed, self.division, self.hot);
-        let wanted = Budgeted {
+        let wanted = BudgetScenario {
             shape,
-            rounds,
-            seed,
-            only,
-            whole,
-            division,
-            hot,
+            rounds: self.rounds,
+            seed: self.seed,
+            only: self.only.clone(),
+            retries: BudgetWhole {
+                rate: self.rate,
+                burst: self.burst,
+            },
+            division: self.division,
+            first_node_load_factor: self.hot,
         };
-        let found = on_sockets(breaks::budgets(&wanted, &program, &self.out))?;
+        let found = on_sockets(async {
+            let played = run_budget_scenario(&wanted, &program, &self.out).await;
+            played.map_err(|e| e.to_string())
+        })?;
         for (name, c) in [
             ("repeats", found.repeats),
             ("probes", found.probes),
-            ("crossings", found.crossings),
+            ("crossings", found.cross_zone),
         ] {
             println!(
                 "{name}: {} at the servers, worst window {:.2} of its bound, busiest second {:.2} of the rate",
-                c.count, c.worst, c.busiest
+                c.count, c.worst_window, c.busiest_second
             );
         }
         println!(
             "requests {} of {} answered whole; crossings {} by the servers, {} by the nodes",
-            found.served, found.asked, found.crossings.count, found.reported
+            found.completed_requests,
+            found.sent_requests,
+            found.cross_zone.count,
+            found.reported_cross_zone
         );
         println!(
             "rounds {}, windows checked {}, worst window {:.2} of its bound, units lost {:.1}, seed {}",
             found.rounds,
-            found.windows(),
-            found.worst(),
-            found.lost,
+            found.window_count(),
+            found.worst_window(),
+            found.lost_retry_rate,
             self.seed
         );
-        Ok(found.worst() <= 1.0)
+        Ok(found.worst_window() <= 1.0)
     }
 }
 
--- /dev/null
+++ b/crates/testbed/tests/fault_injection/processes.rs
@@ -0,0 +1,48 @@
+//! What is left of a testbed that is killed.
+
+use crate::support::folder;
+
+/// Processes whose command line has this text.
+fn running(text: &str) -> usize {
+    let all = std::fs::read_dir("/proc")
+        .unwrap()
+        .filter_map(|e| std::fs::read(e.ok()?.path().join("cmdline")).ok());
+    all.filter(|line| String::from_utf8_lossy(line).contains(text))
+        .count()
+}
+
+#[test]
+fn killed_testbed_leaves_no_process_behind() {
+    let folder = folder("killed");
+    let mut lab = std::process::Command::new(env!("CARGO_BIN_EXE_poppykeel-testbed"))
+        .args([
+            "break",
+            "leases",
+            "--nodes",
+            "3",
+            "--rounds",
+            "9",
+            "--only",
+            "stop-holder",
+            "--out",
+        ])
+        .arg(&folder)
+        .stdout(std::process::Stdio::null())
+        .spawn()
+        .unwrap();
+    let config = folder.join("node-").display().to_string();
+    let until = |wanted: &dyn Fn(usize) -> bool| {
+        for _ in 0..1000 {
+            if wanted(running(&config)) {
+                return;
+            }
+            std::thread::sleep(std::time::Duration::from_millis(10));
+        }
+        panic!("{} processes", running(&config));
+    };
+    until(&|count| count == 3);
+    lab.kill().unwrap();
+    lab.wait().unwrap();
+    until(&|count| count == 0);
+    std::fs::remove_dir_all(folder).unwrap();
+}
