--- a/crates/testbed/src/experiment/mod.rs
+++ b/crates/testbed/src/experiment/mod.rs
@@ -1,10 +1,19 @@
-//! Experiments: one description, swept over parameters, policies and seeds; results as files that can be taken up
-//! again and compared.
+//! Experiments: one described run, swept over parameters, policies and seeds.
+//!
+//! An [`Experiment`] is read from a TOML file, [`runner`] plays what is missing of it over all cores and keeps each
+//! result as a file of a [`ResultsFolder`], and [`table`] shows [`Metric`]s of the results with confidence intervals.
+//! The sub-commands `run`, `table`, `compare`, `load` and `report` are built from these.
 
-pub mod description;
-pub mod results;
+mod confidence;
+mod description;
+mod error;
+mod metric;
+mod results_folder;
 pub mod runner;
 pub mod table;
 
-pub use description::{Experiment, Point};
-pub use results::{Found, Results};
+pub use confidence::ConfidenceInterval;
+pub use description::{Experiment, ExperimentPoint};
+pub use error::ExperimentError;
+pub use metric::Metric;
+pub use results_folder::{ResultsFolder, RunResult};
--- a/crates/testbed/src/experiment/runner.rs
+++ b/crates/testbed/src/experiment/runner.rs
@@ -1,84 +1,125 @@
-//! Runs an experiment over the cores.
+//! Plays the runs of an experiment over all cores.
 
-#![expect(
-    clippy::min_ident_chars,
-    clippy::missing_errors_doc,
-    reason = "not yet converted"
-)]
-
-use super::description::{Experiment, Point};
-use super::results::{Found, Results};
+use super::description::{Experiment, ExperimentPoint};
+use super::error::ExperimentError;
+use super::results_folder::{ResultsFolder, RunResult};
 use crate::emulator::policies::Policy;
 use crate::emulator::{Simulation, TraceWriter};
 use indicatif::ProgressBar;
 use rayon::prelude::*;
+use std::cmp::Reverse;
 use std::path::Path;
 
+/// The end of a trace's name, which stands beside the result.
+const TRACE_EXTENSION: &str = "trace.zst";
+
 /// How an experiment is run.
-pub struct How<'a> {
-    /// Results that are there already are not made again.
-    pub again: bool,
-    /// Every run's paths are written beside its result.
-    pub trace: bool,
-    /// Told of each run that is done.
+pub struct RunOptions<'a> {
+    /// Results that are there already are made again.
+    pub repeats_existing: bool,
+    /// The trace of every run is written beside its result.
+    pub writes_traces: bool,
+    /// Is moved on with each run.
     pub progress: &'a ProgressBar,
 }
 
-/// Runs what is missing of an experiment; an error of one run does not keep the others from being kept.
-pub fn run(experiment: &Experiment, results: &Results, how: &How) -> Result<usize, String> {
-    let mut jobs: Vec<(usize, &Point, Policy, u64)> = Vec::new();
-    for (n, point) in experiment.points.iter().enumerate() {
-        for policy in &experiment.policies {
-            jobs.extend(
-                experiment
-                    .seeds
-                    .iter()
-                    .map(|seed| (n, point, *policy, *seed)),
-            );
-        }
+/// One run of an experiment.
+struct Job<'a> {
+    point_number: usize,
+    point: &'a ExperimentPoint,
+    policy: Policy,
+    seed: u64,
+}
+
+impl Job<'_> {
+    /// Grows with the time that the run takes.
+    fn size(&self) -> usize {
+        let fleet = &self.point.run.fleet;
+        fleet.servers * fleet.nodes
     }
-    how.progress.set_length(jobs.len() as u64);
+}
+
+/// Plays what is missing of an experiment, and returns how many runs were played. An error of one run does not keep the
+/// others from being kept.
+///
+/// # Errors
+///
+/// The first [`ExperimentError`] of all runs, in their order.
+pub fn run_missing(
+    experiment: &Experiment,
+    results: &ResultsFolder,
+    options: &RunOptions,
+) -> Result<usize, ExperimentError> {
+    let mut jobs = jobs(experiment);
+    options.progress.set_length(jobs.len() as u64);
     // Long runs first, so that the last core does not run alone; what follows from it is only the order in time.
-    jobs.sort_by_key(|(n, p, _, _)| {
-        std::cmp::Reverse((p.run.fleet.servers * p.run.fleet.nodes, usize::MAX - n))
-    });
-    let done: Vec<Result<usize, String>> = jobs
+    jobs.sort_by_key(|job| Reverse((job.size(), usize::MAX - job.point_number)));
+    let outcomes: Vec<Result<bool, ExperimentError>> = jobs
         .into_par_iter()
-        .map(|(n, point, policy, seed)| {
-            let path = results.path(n, policy, seed);
-            let known = (!how.again)
-                .then(|| results.find(&path, &point.label, &point.run))
-                .flatten();
-            let made = usize::from(known.is_none());
-            if known.is_none() {
-                let found = one(point, policy, seed, how.trace.then_some(path.as_path()))?;
-                results.keep(&path, &found)?;
-            }
-            how.progress.inc(1);
-            Ok(made)
-        })
+        .map(|job| run_if_missing(&job, results, options))
         .collect();
-    let mut made = 0;
-    for one in done {
-        made += one?;
+    let mut played_count = 0;
+    for was_played in outcomes {
+        played_count += usize::from(was_played?);
+    }
+    Ok(played_count)
+}
+
+fn jobs(experiment: &Experiment) -> Vec<Job<'_>> {
+    let mut jobs = Vec::new();
+    for (point_number, point) in experiment.points.iter().enumerate() {
+        for policy in &experiment.policies {
+            for seed in &experiment.seeds {
+                jobs.push(Job {
+                    point_number,
+                    point,
+                    policy: *policy,
+                    seed: *seed,
+                });
+            }
+        }
+    }
+    jobs
+}
+
+/// Returns whether the run was played.
+fn run_if_missing(
+    job: &Job,
+    results: &ResultsFolder,
+    options: &RunOptions,
+) -> Result<bool, ExperimentError> {
+    let path = results.path(job.point_number, job.policy, job.seed);
+    let is_known = !options.repeats_existing
+        && results
+            .find(&path, &job.point.label, &job.point.run)
+            .is_some();
+    if !is_known {
+        let trace_beside = options.writes_traces.then_some(path.as_path());
+        let result = play_run(job.point, job.policy, job.seed, trace_beside)?;
+        results.keep(&path, &result)?;
     }
-    Ok(made)
+    options.progress.inc(1);
+    Ok(!is_known)
 }
 
-/// One run.
-pub fn one(
-    point: &Point,
+/// Plays one run. Its trace is written beside a results file, where one is given.
+///
+/// # Errors
+///
+/// [`ExperimentError::Simulation`] where the run cannot be played, [`ExperimentError::Trace`] where the trace cannot be
+/// made.
+pub fn play_run(
+    point: &ExperimentPoint,
     policy: Policy,
     seed: u64,
-    beside: Option<&Path>,
-) -> Result<Found, String> {
-    let mut world = Simulation::new(&point.run, policy, seed).map_err(|e| e.to_string())?;
-    if let Some(path) = beside {
-        let trace = TraceWriter::create(&path.with_extension("trace.zst"));
-        world.write_traces_to(trace.map_err(|e| e.to_string())?);
+    trace_beside: Option<&Path>,
+) -> Result<RunResult, ExperimentError> {
+    let mut simulation = Simulation::new(&point.run, policy, seed)?;
+    if let Some(path) = trace_beside {
+        simulation.write_traces_to(TraceWriter::create(&path.with_extension(TRACE_EXTENSION))?);
     }
-    let outcome = world.finish().map_err(|e| e.to_string())?;
-    Ok(Found {
+    let outcome = simulation.finish()?;
+    Ok(RunResult {
         label: point.label.clone(),
         policy,
         seed,
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -13,8 +13,8 @@
 use poppykeel_testbed::emulator::description::RunDescription as Description;
 use poppykeel_testbed::emulator::policies::Policy;
 use poppykeel_testbed::emulator::Simulation;
-use poppykeel_testbed::experiment::table::{compare, table, Figure};
-use poppykeel_testbed::experiment::{runner, Experiment, Found, Results};
+use poppykeel_testbed::experiment::table::{compare, table};
+use poppykeel_testbed::experiment::{runner, Experiment, Metric, ResultsFolder, RunResult};
 use poppykeel_testbed::fault_injection::{
     run_budget_scenario, run_lease_scenario, run_rolling_restart_scenario, BudgetScenario,
     BudgetWhole, FleetShape, InjectedFault, InjectedFaultKind, LeaseScenario,
@@ -210,8 +210,8 @@
 #[derive(Args)]
 struct Figures {
     /// What the tables show
-    #[arg(long = "figure", value_enum, default_values_t = [Figure::Worth, Figure::FirstP99])]
-    figures: Vec<Figure>,
+    #[arg(long = "figure", value_enum, default_values_t = [Metric::Worth, Metric::FirstP99])]
+    figures: Vec<Metric>,
 }
 
 #[derive(Args)]
@@ -301,7 +301,7 @@
     figures: Figures,
 }
 
-fn title(figure: Figure) -> String {
+fn title(figure: Metric) -> String {
     use clap::ValueEnum;
     let value = figure.to_possible_value();
     value
@@ -309,24 +309,26 @@
         .unwrap_or_default()
 }
 
-fn existing(folder: &Path) -> Result<Vec<Found>, String> {
+fn existing(folder: &Path) -> Result<Vec<RunResult>, String> {
     if !folder.is_dir() {
         return Err(format!(
             "results {}: there is no such folder",
             folder.display()
         ));
     }
-    Results::open(folder)?.all()
+    ResultsFolder::open(folder)
+        .and_then(|results| results.all())
+        .map_err(|e| e.to_string())
 }
 
 impl Run {
     fn run(&self) -> Result<(), String> {
-        let experiment = Experiment::read(&self.file)?;
+        let experiment = Experiment::read(&self.file).map_err(|e| e.to_string())?;
         let folder = self
             .out
             .clone()
             .unwrap_or_else(|| Path::new("target/lab").join(&experiment.name));
-        let results = Results::open(&folder)?;
+        let results = ResultsFolder::open(&folder).map_err(|e| e.to_string())?;
         if let Some(threads) = self.threads {
             let pool = rayon::ThreadPoolBuilder::new()
                 .num_threads(threads)
@@ -337,24 +339,24 @@
             "{bar:40} {pos}/{len} runs, {elapsed} of about {duration}",
         );
         let progress = ProgressBar::new(0).with_style(style.map_err(|e| e.to_string())?);
-        let how = runner::How {
-            again: self.again,
-            trace: self.trace,
+        let how = runner::RunOptions {
+            repeats_existing: self.again,
+            writes_traces: self.trace,
             progress: &progress,
         };
-        let made = runner::run(&experiment, &results, &how)?;
+        let made = runner::run_missing(&experiment, &results, &how).map_err(|e| e.to_string())?;
         progress.finish_and_clear();
         println!(
             "{}: {made} runs made, all results in {}",
             experiment.name,
             folder.display()
         );
-        show(&results.all()?, &self.figures);
+        show(&results.all().map_err(|e| e.to_string())?, &self.figures);
         Ok(())
     }
 }
 
-fn show(found: &[Found], figures: &Figures) {
+fn show(found: &[RunResult], figures: &Figures) {
     for figure in &figures.figures {
         println!("\n{}\n{}", title(*figure), table(found, *figure));
     }
@@ -401,7 +403,7 @@
 impl Load {
     fn run(&self) -> Result<(), String> {
         let (experiment, program) = (
-            Experiment::read(&self.file)?,
+            Experiment::read(&self.file).map_err(|e| e.to_string())?,
             sockets::program(self.node.as_deref())?,
         );
         let name = format!("{}-sockets", experiment.name);
@@ -409,7 +411,7 @@
             .out
             .clone()
             .unwrap_or_else(|| Path::new("target/lab").join(name));
-        let results = Results::open(&folder)?;
+        let results = ResultsFolder::open(&folder).map_err(|e| e.to_string())?;
         for (n, point) in experiment.points.iter().enumerate() {
             for seed in &experiment.seeds {
                 let path = results.path(n, Policy::Poppykeel, *seed);
@@ -419,20 +421,22 @@
                 eprintln!("{}, seed {seed}: {} s", point.label, point.run.load.seconds);
                 let outcome = on_sockets(sockets::play(&point.run, &program, &folder, *seed))?;
                 let (label, policy, seed) = (point.label.clone(), Policy::Poppykeel, *seed);
-                results.keep(
-                    &path,
-                    &Found {
-                        label,
-                        policy,
-                        seed,
-                        run: point.run.clone(),
-                        outcome,
-                    },
-                )?;
+                results
+                    .keep(
+                        &path,
+                        &RunResult {
+                            label,
+                            policy,
+                            seed,
+                            run: point.run.clone(),
+                            outcome,
+                        },
+                    )
+                    .map_err(|e| e.to_string())?;
             }
         }
         println!("{}: all results in {}", experiment.name, folder.display());
-        show(&results.all()?, &self.figures);
+        show(&results.all().map_err(|e| e.to_string())?, &self.figures);
         Ok(())
     }
 }
@@ -446,7 +450,7 @@
         let Some(file) = &self.experiment else {
             return Err("view: give --log or --experiment".into());
         };
-        let experiment = Experiment::read(file)?;
+        let experiment = Experiment::read(file).map_err(|e| e.to_string())?;
         let count = experiment.points.len();
         let point = experiment.points.get(self.point);
         let point = point.ok_or_else(|| {
@@ -632,7 +636,7 @@
 }
 
 fn check(file: &Path) -> Result<(), String> {
-    let e = Experiment::read(file)?;
+    let e = Experiment::read(file).map_err(|e| e.to_string())?;
     let runs = e.points.len() * e.policies.len() * e.seeds.len();
     println!(
         "{}: {} points, {} policies, {} seeds: {runs} runs",
--- a/crates/testbed/src/report/mod.rs
+++ b/crates/testbed/src/report/mod.rs
@@ -11,8 +11,8 @@
 mod plots;
 
 use crate::emulator::policies::Policy;
-use crate::experiment::table::{axes, values, Figure, Mean};
-use crate::experiment::Found;
+use crate::experiment::table::{cell_values, TableAxes};
+use crate::experiment::{ConfidenceInterval, Metric, RunResult};
 use clap::ValueEnum;
 use std::fmt::Write;
 
@@ -35,12 +35,12 @@
 /// The results of one point and policy, over seeds.
 pub(crate) struct Cell<'a> {
     pub(crate) policy: Policy,
-    pub(crate) found: Vec<&'a Found>,
+    pub(crate) found: Vec<&'a RunResult>,
 }
 
 /// The page. `name` is the experiment's.
-pub fn page(name: &str, found: &[Found]) -> Result<String, String> {
-    let (labels, policies) = axes(found);
+pub fn page(name: &str, found: &[RunResult]) -> Result<String, String> {
+    let TableAxes { labels, policies } = TableAxes::of(found);
     let mut html = String::new();
     let seeds = found
         .iter()
@@ -58,15 +58,15 @@
         seeds
     );
     for figure in [
-        Figure::Worth,
-        Figure::FirstP50,
-        Figure::FirstP99,
-        Figure::Refused,
-        Figure::Failed,
+        Metric::Worth,
+        Metric::FirstP50,
+        Metric::FirstP99,
+        Metric::Refused,
+        Metric::Failed,
     ] {
         table(&mut html, found, &labels, &policies, figure);
     }
-    for figure in [Figure::Kept, Figure::Crossed, Figure::Attempts] {
+    for figure in [Metric::Kept, Metric::Crossed, Metric::Attempts] {
         table(&mut html, found, &labels, &policies, figure);
     }
     if let Some(svg) = plots::over_points(found, &labels, &policies)? {
@@ -135,7 +135,13 @@
     );
 }
 
-fn table(html: &mut String, found: &[Found], labels: &[&str], policies: &[Policy], figure: Figure) {
+fn table(
+    html: &mut String,
+    found: &[RunResult],
+    labels: &[&str],
+    policies: &[Policy],
+    figure: Metric,
+) {
     let title = figure
         .to_possible_value()
         .and_then(|v| v.get_help().map(|h| h.to_string()))
@@ -146,12 +152,12 @@
     });
     html.push_str("</tr>");
     for label in labels {
-        let means: Vec<Option<Mean>> = policies
+        let means: Vec<Option<ConfidenceInterval>> = policies
             .iter()
             .map(|p| {
-                Some(values(found, label, *p, figure))
+                Some(cell_values(found, label, *p, figure))
                     .filter(|v| !v.is_empty())
-                    .map(|v| Mean::of(&v))
+                    .map(|v| ConfidenceInterval::of(&v))
             })
             .collect();
         let best = means
@@ -162,8 +168,8 @@
         let _ = write!(html, "<tr><td>{}</td>", escape(label));
         for mean in means {
             let text = mean.map_or("-".to_string(), |m| m.to_string());
-            let top =
-                figure == Figure::Worth && mean.is_some_and(|m| m.mean + m.half.max(0.05) >= best);
+            let top = figure == Metric::Worth
+                && mean.is_some_and(|m| m.mean + m.half_width.max(0.05) >= best);
             let _ = write!(
                 html,
                 "<td{}>{text}</td>",
--- a/crates/testbed/src/report/plots.rs
+++ b/crates/testbed/src/report/plots.rs
@@ -10,8 +10,8 @@
 use crate::emulator::description::{FaultDescription, FaultKind};
 use crate::emulator::policies::Policy;
 use crate::emulator::{RunOutcome, QUANTILES, TIME_SLICE_COUNT};
-use crate::experiment::table::{values, Figure, Mean};
-use crate::experiment::Found;
+use crate::experiment::table::cell_values;
+use crate::experiment::{ConfidenceInterval, Metric, RunResult};
 use plotters::prelude::*;
 
 /// Pieces that are drawn as one, so that a line is not all noise.
@@ -350,7 +350,7 @@
 
 /// Served worth over the points, in their order, with intervals; none where there is one point.
 pub(super) fn over_points(
-    found: &[Found],
+    found: &[RunResult],
     labels: &[&str],
     policies: &[Policy],
 ) -> Result<Option<String>, String> {
@@ -376,17 +376,20 @@
         for (k, policy) in policies.iter().enumerate() {
             let aside = (k as f64 / policies.len() as f64 - 0.5) * 0.5;
             let means = labels.iter().enumerate().filter_map(|(n, label)| {
-                let values = values(found, label, *policy, Figure::Worth);
-                (!values.is_empty()).then(|| (n as f64 + aside, Mean::of(&values)))
+                let values = cell_values(found, label, *policy, Metric::Worth);
+                (!values.is_empty()).then(|| (n as f64 + aside, ConfidenceInterval::of(&values)))
             });
-            let means: Vec<(f64, Mean)> = means.collect();
+            let means: Vec<(f64, ConfidenceInterval)> = means.collect();
             let (colour, width) = (colour(*policy), width(*policy));
-            let bars = means.iter().filter(|m| m.1.half.is_finite()).map(|(x, m)| {
-                PathElement::new(
-                    [(*x, m.mean - m.half), (*x, m.mean + m.half)],
-                    colour.stroke_width(width),
-                )
-            });
+            let bars = means
+                .iter()
+                .filter(|m| m.1.half_width.is_finite())
+                .map(|(x, m)| {
+                    PathElement::new(
+                        [(*x, m.mean - m.half_width), (*x, m.mean + m.half_width)],
+                        colour.stroke_width(width),
+                    )
+                });
             chart.draw_series(bars).map_err(failed)?;
             chart
                 .draw_series(
--- a/crates/testbed/tests/experiment.rs
+++ b/crates/testbed/tests/experiment.rs
@@ -7,8 +7,8 @@
     reason = "not yet converted"
 )]
 
-use poppykeel_testbed::experiment::table::{compare, table, Figure, Mean};
-use poppykeel_testbed::experiment::{Experiment, Results};
+use poppykeel_testbed::experiment::table::{compare, table};
+use poppykeel_testbed::experiment::{ConfidenceInterval, Experiment, Metric, ResultsFolder};
 use poppykeel_testbed::report;
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
@@ -80,7 +80,9 @@
         ("\"random\"", "\"chance\"", "chance"),
         ("for_s = 2", "for_s = -2", "for_s"),
     ] {
-        let error = Experiment::parse(&SMALL.replace(from, to)).unwrap_err();
+        let error = Experiment::parse(&SMALL.replace(from, to))
+            .unwrap_err()
+            .to_string();
         assert!(error.contains(named), "{to}: {error}");
     }
 }
@@ -95,7 +97,7 @@
     let said = |output: &Output| String::from_utf8_lossy(&output.stdout).into_owned();
     let first = said(&run());
     assert!(first.contains("16 runs made"), "{first}");
-    let results = Results::open(&out).unwrap();
+    let results = ResultsFolder::open(&out).unwrap();
     let all = results.all().unwrap();
     assert_eq!(all.len(), 16);
     // One is missing, one was written halfway, one is another description's.
@@ -129,14 +131,14 @@
         "worth",
     ];
     assert!(lab(&["run"], &file, &more).status.success());
-    let found = Results::open(&out).unwrap().all().unwrap();
-    let text = table(&found, Figure::Worth);
+    let found = ResultsFolder::open(&out).unwrap().all().unwrap();
+    let text = table(&found, Metric::Worth);
     assert_eq!(
         (text.lines().count(), text.matches('±').count()),
         (5, 8),
         "{text}"
     );
-    let same = compare(&found, &found, Figure::Worth);
+    let same = compare(&found, &found, Metric::Worth);
     assert!(
         !same.contains('*') && same.matches("0.0 ±0.0").count() == 8,
         "{same}"
@@ -146,7 +148,7 @@
         // By nearly as much for each seed, whatever the module under test makes of them.
         f.outcome.all.gained += f.outcome.all.offered * (0.2 + f.seed as f64 / 1e6);
     }
-    assert!(compare(&found, &better, Figure::Worth).contains('*'));
+    assert!(compare(&found, &better, Metric::Worth).contains('*'));
     // Each request's path has been written, and its ends are those of the result.
     let trace = results_trace(&out);
     let ends = trace
@@ -208,10 +210,10 @@
 #[test]
 fn intervals_are_students() {
     // Two values 1 apart: half is 12.706 times 0.5.
-    let mean = Mean::of(&[1.0, 2.0]);
+    let mean = ConfidenceInterval::of(&[1.0, 2.0]);
     assert!(
-        (mean.mean - 1.5).abs() < 1e-9 && (mean.half - 6.353).abs() < 1e-3,
+        (mean.mean - 1.5).abs() < 1e-9 && (mean.half_width - 6.353).abs() < 1e-3,
         "{mean:?}"
     );
-    assert!(Mean::of(&[1.0]).half.is_nan());
+    assert!(ConfidenceInterval::of(&[1.0]).half_width.is_nan());
 }
--- a/crates/testbed/tests/golden.rs
+++ b/crates/testbed/tests/golden.rs
@@ -3,9 +3,9 @@
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
-use poppykeel_testbed::experiment::runner::one;
-use poppykeel_testbed::experiment::table::{table, Figure};
-use poppykeel_testbed::experiment::{Experiment, Found, Results};
+use poppykeel_testbed::experiment::runner::play_run;
+use poppykeel_testbed::experiment::table::table;
+use poppykeel_testbed::experiment::{Experiment, Metric, ResultsFolder, RunResult};
 use poppykeel_testbed::view::{draw, State};
 use ratatui::backend::TestBackend;
 use ratatui::Terminal;
@@ -31,24 +31,24 @@
 /// What the view is told of the node's tenants.
 const TENANTS: [&str; 2] = ["acme", "zeta"];
 /// Figures of the tables that every run has.
-const FIGURES: [Figure; 17] = [
-    Figure::Worth,
-    Figure::FirstP99,
-    Figure::FirstP50,
-    Figure::Refused,
-    Figure::Failed,
-    Figure::Attempts,
-    Figure::Kept,
-    Figure::Crossed,
-    Figure::Broken,
-    Figure::Repeats,
-    Figure::Recovery,
-    Figure::Window,
-    Figure::Messages,
-    Figure::Bytes,
-    Figure::KeeperMessages,
-    Figure::KeeperBytes,
-    Figure::Without,
+const FIGURES: [Metric; 17] = [
+    Metric::Worth,
+    Metric::FirstP99,
+    Metric::FirstP50,
+    Metric::Refused,
+    Metric::Failed,
+    Metric::Attempts,
+    Metric::Kept,
+    Metric::Crossed,
+    Metric::Broken,
+    Metric::Repeats,
+    Metric::Recovery,
+    Metric::Window,
+    Metric::Messages,
+    Metric::Bytes,
+    Metric::KeeperMessages,
+    Metric::KeeperBytes,
+    Metric::Without,
 ];
 
 /// The committed file of this name.
@@ -79,15 +79,15 @@
 
 /// Runs the day once for each policy, at the sweep's points in turn: the file of each result, the result, and the bytes
 /// of its paths.
-fn run_day(folder: &Path) -> Vec<(PathBuf, Found, Vec<u8>)> {
+fn run_day(folder: &Path) -> Vec<(PathBuf, RunResult, Vec<u8>)> {
     let day = Experiment::read(&golden_path(DAY)).unwrap();
-    let results = Results::open(folder).unwrap();
+    let results = ResultsFolder::open(folder).unwrap();
     let seed = day.seeds[0];
     let mut runs = Vec::new();
     for (index, policy) in day.policies.iter().enumerate() {
         let point = index % day.points.len();
         let path = results.path(point, *policy, seed);
-        let found = one(&day.points[point], *policy, seed, Some(&path)).unwrap();
+        let found = play_run(&day.points[point], *policy, seed, Some(&path)).unwrap();
         let paths = decompressed(&path.with_extension("trace.zst"));
         runs.push((path, found, paths));
     }
@@ -95,7 +95,7 @@
 }
 
 /// One line for each run: its result file's name, and the checksums of its result and of its paths.
-fn digests(runs: &[(PathBuf, Found, Vec<u8>)]) -> String {
+fn digests(runs: &[(PathBuf, RunResult, Vec<u8>)]) -> String {
     let mut text = String::new();
     for (path, found, paths) in runs {
         let name = path.file_name().unwrap().to_string_lossy();
@@ -112,7 +112,7 @@
 }
 
 /// All tables of some results.
-fn tables(found: &[Found]) -> String {
+fn tables(found: &[RunResult]) -> String {
     let tables = FIGURES.iter().map(|figure| table(found, *figure) + "\n");
     tables.collect()
 }
@@ -145,7 +145,7 @@
 
 #[test]
 fn result_files_of_landed_version_stay_readable() {
-    let results = Results::open(&golden_path(RESULTS)).unwrap();
+    let results = ResultsFolder::open(&golden_path(RESULTS)).unwrap();
     let found = results.all().unwrap();
     for result in &found {
         let point = ["shares", "equal", "none"]
@@ -161,9 +161,9 @@
 
 #[test]
 fn kept_result_is_written_as_the_same_json() {
-    let golden = Results::open(&golden_path(RESULTS)).unwrap();
+    let golden = ResultsFolder::open(&golden_path(RESULTS)).unwrap();
     let folder = empty_folder("keep");
-    let copy = Results::open(&folder).unwrap();
+    let copy = ResultsFolder::open(&folder).unwrap();
     for result in golden.all().unwrap() {
         let path = copy.path(0, result.policy, result.seed);
         copy.keep(&path, &result).unwrap();
