--- a/crates/testbed/src/fault_injection/error.rs
+++ b/crates/testbed/src/fault_injection/error.rs
@@ -2,6 +2,7 @@
 
 use super::injected_fault::InjectedFault;
 use crate::emulator::description::RunDescriptionError;
+use crate::sockets::SocketsError;
 use std::io;
 use std::path::{Path, PathBuf};
 
@@ -40,8 +41,8 @@
     #[error(transparent)]
     Description(#[from] RunDescriptionError),
     /// A stub server on sockets does not start.
-    #[error("{0}")]
-    Sockets(String),
+    #[error(transparent)]
+    Sockets(#[from] SocketsError),
     /// A fleet of one node has no link over which a twin could be reached.
     #[error("a fleet of one has no twins")]
     NoTwin,
--- a/crates/testbed/src/fault_injection/test_fleet/mod.rs
+++ b/crates/testbed/src/fault_injection/test_fleet/mod.rs
@@ -11,7 +11,7 @@
 use super::link_relay::{LinkFaults, LinkRelay};
 use super::node_process::{NodeCommand, NodeProcess};
 use super::run_history::RunHistory;
-use crate::sockets::{Arrivals, Discovery, Model};
+use crate::sockets::{ArrivalRecord, StubDiscovery, StubModelServer};
 use serde_json::json;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -97,9 +97,9 @@
     /// By node, the link to what the report task acts upon.
     report_links: Vec<LinkRelay>,
     /// Kept alive for the nodes.
-    _discovery: Discovery,
-    servers: Vec<Model>,
-    arrivals: Arrivals,
+    _discovery: StubDiscovery,
+    servers: Vec<StubModelServer>,
+    arrivals: ArrivalRecord,
     failed_disk_count: Cell<usize>,
 }
 
@@ -115,7 +115,7 @@
     }
 
     /// What the servers write down.
-    pub(super) fn arrivals(&self) -> Arrivals {
+    pub(super) fn arrivals(&self) -> ArrivalRecord {
         self.arrivals.clone()
     }
 
@@ -127,7 +127,7 @@
     /// The first so many servers answer every request with an error from now on, the others none.
     pub(super) fn set_failing(&self, failing_count: usize) {
         for (index, server) in self.servers.iter().enumerate() {
-            server.fail(index < failing_count);
+            server.set_failing(index < failing_count);
         }
     }
 
--- a/crates/testbed/src/fault_injection/test_fleet/setup.rs
+++ b/crates/testbed/src/fault_injection/test_fleet/setup.rs
@@ -7,7 +7,7 @@
 use super::super::run_history::RunHistory;
 use super::{FleetShape, Link, NodeAddresses, TestFleet, NODE_NAME_PREFIX};
 use crate::emulator::description::RunDescription;
-use crate::sockets::{config, Arrivals, Discovery, Entry, Model};
+use crate::sockets::{node_config, ArrivalRecord, DiscoveryEntry, StubDiscovery, StubModelServer};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::cell::{Cell, RefCell};
@@ -40,9 +40,9 @@
 
 /// The stub model servers.
 struct ModelServers {
-    models: Vec<Model>,
-    entries: Vec<Entry>,
-    arrivals: Arrivals,
+    models: Vec<StubModelServer>,
+    entries: Vec<DiscoveryEntry>,
+    arrivals: ArrivalRecord,
 }
 
 /// What the configurations of all nodes are written from.
@@ -52,7 +52,7 @@
     addresses: Vec<NodeAddresses>,
     links: BTreeMap<Link, LinkRelay>,
     report_links: Vec<LinkRelay>,
-    discovery: Discovery,
+    discovery: StubDiscovery,
 }
 
 impl TestFleet {
@@ -68,9 +68,7 @@
         run.fleet.zones = shape.zones;
         let run = run.check()?;
         let servers = start_model_servers(&run, shape.zones).await?;
-        let discovery = Discovery::start(servers.entries)
-            .await
-            .map_err(FaultInjectionError::Sockets)?;
+        let discovery = StubDiscovery::start(servers.entries).await?;
         let (addresses, reserved_ports) = reserve_addresses(shape.nodes).await?;
         let links = start_links(&addresses, &mut rng).await?;
         let mut report_links = Vec::new();
@@ -120,26 +118,17 @@
     let mut servers = ModelServers {
         models: Vec::new(),
         entries: Vec::new(),
-        arrivals: Arrivals::default(),
+        arrivals: ArrivalRecord::default(),
     };
     for index in 0..run.fleet.servers {
-        let mut model = Model::start(run.fleet.server.clone())
-            .await
-            .map_err(FaultInjectionError::Sockets)?;
+        let mut model = StubModelServer::start(run.fleet.server.clone()).await?;
         // Restarted, so that the listener's own copy has the record, too.
-        model.end();
-        model.record(since, &servers.arrivals, index);
-        model
-            .restart()
-            .await
-            .map_err(FaultInjectionError::Sockets)?;
-        servers.entries.push(Entry {
-            name: format!("m-{index}"),
-            addr: model.addr,
-            zone: format!("z{}", index % zones),
-            state: "up",
-            started_ms: 0,
-        });
+        model.stop();
+        model.record_arrivals(since, &servers.arrivals, index);
+        model.restart().await?;
+        servers
+            .entries
+            .push(DiscoveryEntry::new(index, index % zones, model.address()));
         servers.models.push(model);
     }
     Ok(servers)
@@ -189,7 +178,7 @@
     fn write(&self, node: usize, rng: &mut Pcg64Mcg) -> Result<NodeCommand, FaultInjectionError> {
         let addresses = self.addresses[node];
         let config_file = self.path(node, "json");
-        let config = config(&self.run, node, addresses.serving, &self.discovery);
+        let config = node_config(&self.run, node, addresses.serving, &self.discovery);
         std::fs::write(&config_file, config).map_err(FaultInjectionError::file(&config_file))?;
         let operator_file = self.path(node, "toml");
         std::fs::write(&operator_file, self.operator_settings(node))
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -386,15 +386,23 @@
 
 impl Up {
     fn run(&self) -> Result<(), String> {
-        let program = sockets::program(self.node.as_deref())?;
+        let program = sockets::node_program(self.node.as_deref()).map_err(|e| e.to_string())?;
         let mut run = Description::default();
         (run.fleet.servers, run.fleet.nodes, run.fleet.zones) = (self.servers, self.nodes, 1);
         let run = run.check().map_err(|e| e.to_string())?;
         std::fs::create_dir_all(&self.out).map_err(|e| format!("{}: {e}", self.out.display()))?;
         on_sockets(async {
-            let up = sockets::up(&run, &program, &self.out).await?;
-            println!("{}\n{}\n\nCtrl-C ends all.", up.text, up.curl);
-            up.wait(std::time::Duration::from_secs(self.span)).await;
+            let deployment = sockets::LocalDeployment::start(&run, &program, &self.out)
+                .await
+                .map_err(|e| e.to_string())?;
+            println!(
+                "{}\n{}\n\nCtrl-C ends all.",
+                deployment.summary(),
+                deployment.curl_command()
+            );
+            deployment
+                .serve_for(std::time::Duration::from_secs(self.span))
+                .await;
             Ok(())
         })
     }
@@ -404,7 +412,7 @@
     fn run(&self) -> Result<(), String> {
         let (experiment, program) = (
             Experiment::read(&self.file).map_err(|e| e.to_string())?,
-            sockets::program(self.node.as_deref())?,
+            sockets::node_program(self.node.as_deref()).map_err(|e| e.to_string())?,
         );
         let name = format!("{}-sockets", experiment.name);
         let folder = self
@@ -419,7 +427,10 @@
                     continue;
                 }
                 eprintln!("{}, seed {seed}: {} s", point.label, point.run.load.seconds);
-                let outcome = on_sockets(sockets::play(&point.run, &program, &folder, *seed))?;
+                let outcome = on_sockets(async {
+                    let played = sockets::play_load(&point.run, &program, &folder, *seed).await;
+                    played.map_err(|e| e.to_string())
+                })?;
                 let (label, policy, seed) = (point.label.clone(), Policy::Poppykeel, *seed);
                 results
                     .keep(
@@ -488,7 +499,7 @@
 
 impl BreakLeases {
     fn run(&self) -> Result<bool, String> {
-        let program = sockets::program(self.node.as_deref())?;
+        let program = sockets::node_program(self.node.as_deref()).map_err(|e| e.to_string())?;
         let lease = std::time::Duration::from_millis(self.lease_ms);
         let shape = FleetShape {
             nodes: self.nodes,
@@ -532,7 +543,7 @@
 
 impl BreakRoll {
     fn run(&self) -> Result<bool, String> {
-        let program = sockets::program(self.node.as_deref())?;
+        let program = sockets::node_program(self.node.as_deref()).map_err(|e| e.to_string())?;
         let shape = FleetShape {
             nodes: self.nodes,
             report_interval: std::time::Duration::from_secs(1),
@@ -564,7 +575,7 @@
 
 impl BreakBudgets {
     fn run(&self) -> Result<bool, String> {
-        let program = sockets::program(self.node.as_deref())?;
+        let program = sockets::node_program(self.node.as_deref()).map_err(|e| e.to_string())?;
         let shape = FleetShape {
             nodes: self.nodes,
             zones: self.zones,
--- /dev/null
+++ b/crates/testbed/src/sockets/stub_model_server/mod.rs
@@ -0,0 +1,287 @@
+//! Stub of a model server: HTTP/1.1 round the emulator's model, in real time.
+//!
+//! One task lets the steps of the model pass and hands the tokens to the connections that stream them ([`answers`]). The
+//! listener and each connection are tasks of their own, which end when the "process" is stopped. Clones share all state
+//! but the record of arrivals.
+
+mod answers;
+
+use super::error::SocketsError;
+use crate::emulator::model_server::{
+    AttemptKey, GeneratedTokens, ModelServer, RequestCounts, ServerOutput, ServerProfile,
+};
+use crate::Micros;
+use answers::AnswerSender;
+use poppykeel_scheduler::RequestId;
+use serde_json::json;
+use std::cell::RefCell;
+use std::collections::HashMap;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::net::TcpListener;
+use tokio::sync::Notify;
+use tokio::task::{spawn_local, AbortHandle};
+use tokio::time::Instant;
+
+/// Arrivals that a record holds; later ones are left out.
+const MAX_ARRIVALS: usize = 4_000_000;
+/// How often a restart tries to listen at its address.
+const MAX_RESTART_TRIES: usize = 200;
+/// The time between two of these.
+const RESTART_INTERVAL: Duration = Duration::from_millis(10);
+/// The time after a connection that could not be accepted.
+const ACCEPT_PAUSE: Duration = Duration::from_millis(5);
+
+struct ServerState {
+    model: ModelServer,
+    started_at: Instant,
+    answers: HashMap<AttemptKey, AnswerSender>,
+    last_request: u64,
+    is_failing: bool,
+    /// The listener and all connections; empty while the "process" is stopped.
+    tasks: Vec<AbortHandle>,
+}
+
+/// A request as a server wrote it down.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Arrival {
+    /// Microseconds since the record began.
+    pub at: Micros,
+    /// The index of the server.
+    pub server: usize,
+    /// The id of the request; `None` for a question for the server's load.
+    pub id: Option<String>,
+}
+
+/// What servers wrote down, in the order of arrival.
+pub type ArrivalRecord = Rc<RefCell<Vec<Arrival>>>;
+
+/// Where a server writes down what arrives.
+#[derive(Clone)]
+struct ArrivalRecorder {
+    since: Instant,
+    record: ArrivalRecord,
+    server: usize,
+}
+
+impl ArrivalRecorder {
+    fn write_down(&self, id: Option<String>) {
+        let mut record = self.record.borrow_mut();
+        if record.len() < MAX_ARRIVALS {
+            record.push(Arrival {
+                at: self.since.elapsed().as_micros() as Micros,
+                server: self.server,
+                id,
+            });
+        }
+    }
+}
+
+/// The stub.
+#[derive(Clone)]
+pub struct StubModelServer {
+    address: SocketAddr,
+    state: Rc<RefCell<ServerState>>,
+    /// Wakes the task of the model when its next step has changed.
+    changed: Rc<Notify>,
+    recorder: Option<ArrivalRecorder>,
+}
+
+impl StubModelServer {
+    /// Starts a warm server on a free port. Its tasks run as long as the `LocalSet` that it is started in.
+    pub async fn start(profile: ServerProfile) -> Result<StubModelServer, SocketsError> {
+        let listener = TcpListener::bind("127.0.0.1:0")
+            .await
+            .map_err(SocketsError::ModelServer)?;
+        let address = listener.local_addr().map_err(SocketsError::ModelServer)?;
+        let state = ServerState {
+            model: ModelServer::new(profile),
+            started_at: Instant::now(),
+            answers: HashMap::new(),
+            last_request: 0,
+            is_failing: false,
+            tasks: Vec::new(),
+        };
+        let server = StubModelServer {
+            address,
+            state: Rc::new(RefCell::new(state)),
+            changed: Rc::new(Notify::new()),
+            recorder: None,
+        };
+        server.listen(listener);
+        spawn_local(server.clone().run_model());
+        Ok(server)
+    }
+
+    /// Where it listens, also after a restart.
+    pub fn address(&self) -> SocketAddr {
+        self.address
+    }
+
+    /// Writes down arrivals, from the next restart on; several servers may share a record.
+    pub fn record_arrivals(&mut self, since: Instant, record: &ArrivalRecord, server: usize) {
+        self.recorder = Some(ArrivalRecorder {
+            since,
+            record: record.clone(),
+            server,
+        });
+    }
+
+    /// Its "process" ends: nobody listens, and requests in flight are lost.
+    pub fn stop(&self) {
+        let mut state = self.state.borrow_mut();
+        for task in state.tasks.drain(..) {
+            task.abort();
+        }
+        state.model.crash();
+        state.answers.clear();
+    }
+
+    /// Starts it again at its address, without cache and at low speed.
+    ///
+    /// # Errors
+    ///
+    /// [`SocketsError::AddressTaken`] where the address is not free in time.
+    pub async fn restart(&self) -> Result<(), SocketsError> {
+        for _ in 0..MAX_RESTART_TRIES {
+            if let Ok(listener) = TcpListener::bind(self.address).await {
+                let now = self.now();
+                self.state.borrow_mut().model.start(now);
+                self.listen(listener);
+                return Ok(());
+            }
+            tokio::time::sleep(RESTART_INTERVAL).await;
+        }
+        Err(SocketsError::AddressTaken {
+            address: self.address,
+        })
+    }
+
+    /// Whether every request is answered with an error from now on.
+    pub fn set_failing(&self, is_failing: bool) {
+        self.state.borrow_mut().is_failing = is_failing;
+    }
+
+    /// Its steps take so many times as long from now on.
+    pub fn set_slowdown(&self, factor: f64) {
+        let now = self.now();
+        self.state.borrow_mut().model.set_slowdown(now, factor);
+        self.changed.notify_one();
+    }
+
+    /// It stops working for so long.
+    pub fn stall(&self, duration: Duration) {
+        let now = self.now();
+        let until = now + duration.as_micros() as Micros;
+        self.state.borrow_mut().model.stall(now, until);
+        self.changed.notify_one();
+    }
+
+    /// Requests running and queued.
+    pub fn request_counts(&self) -> RequestCounts {
+        self.state.borrow().model.request_counts()
+    }
+
+    /// The time of the model.
+    fn now(&self) -> Micros {
+        self.state.borrow().started_at.elapsed().as_micros() as Micros
+    }
+
+    /// Its load report, as nodes read it.
+    fn load_report(&self) -> String {
+        let load = self.state.borrow().model.reported_load();
+        json!({"x0": load.memory_utilization, "x1": load.queued_prompt_tokens}).to_string()
+    }
+
+    fn listen(&self, listener: TcpListener) {
+        let task = spawn_local(self.clone().accept_connections(listener));
+        self.state.borrow_mut().tasks.push(task.abort_handle());
+    }
+
+    async fn accept_connections(self, listener: TcpListener) {
+        loop {
+            let Ok((stream, _)) = listener.accept().await else {
+                tokio::time::sleep(ACCEPT_PAUSE).await;
+                continue;
+            };
+            let server = self.clone();
+            let task = spawn_local(async move { server.serve(stream).await });
+            let tasks = &mut self.state.borrow_mut().tasks;
+            tasks.retain(|task| !task.is_finished());
+            tasks.push(task.abort_handle());
+        }
+    }
+
+    /// Lets the steps of the model pass in real time, and sends the tokens that they make.
+    async fn run_model(self) {
+        loop {
+            let step_end = self.next_step_end();
+            match step_end {
+                // Both branches are cancel-safe: a notification that comes during the sleep ends it, one that comes
+                // before is kept by the `Notify`. The step's end is looked up anew in the next round.
+                Some(step_end) => tokio::select! {
+                    () = tokio::time::sleep_until(step_end) => {}
+                    () = self.changed.notified() => {}
+                },
+                None => self.changed.notified().await,
+            }
+            self.send_new_tokens();
+        }
+    }
+
+    fn next_step_end(&self) -> Option<Instant> {
+        let state = self.state.borrow();
+        let step_end = state.model.step_end()?;
+        Some(state.started_at + Duration::from_micros(step_end))
+    }
+
+    /// Catches up with the model, and hands new tokens to the connections of their answers. A connection that takes
+    /// nothing loses its answer: nothing is kept for it without bound.
+    fn send_new_tokens(&self) {
+        let now = self.now();
+        let state = &mut *self.state.borrow_mut();
+        let mut outputs = Vec::new();
+        state.model.catch_up(now, &mut outputs);
+        // Gaps between tokens are measured by clients here.
+        state.model.take_token_gaps().for_each(drop);
+        let mut overflowing = Vec::new();
+        for GeneratedTokens { key, tokens } in state.model.answers_in_progress() {
+            if let Some(answer) = state.answers.get_mut(&key) {
+                if !answer.send_tokens_up_to(tokens) {
+                    overflowing.push(key);
+                }
+            }
+        }
+        for output in outputs {
+            if let ServerOutput::Completed { key, cached_tokens } = output {
+                if let Some(answer) = state.answers.remove(&key) {
+                    answer.complete(cached_tokens);
+                }
+            }
+        }
+        for key in overflowing {
+            state.answers.remove(&key);
+            state.model.cancel(now, key);
+        }
+    }
+
+    /// The key of a new request, which has one attempt here.
+    fn next_key(state: &mut ServerState) -> AttemptKey {
+        state.last_request += 1;
+        AttemptKey {
+            request: RequestId(state.last_request),
+            attempt: 0,
+        }
+    }
+
+    /// Drops a request whose client has left.
+    fn cancel(&self, key: AttemptKey) {
+        let now = self.now();
+        let mut state = self.state.borrow_mut();
+        state.answers.remove(&key);
+        state.model.cancel(now, key);
+        drop(state);
+        self.changed.notify_one();
+    }
+}
--- a/crates/testbed/tests/sockets.rs
+++ b/crates/testbed/tests/sockets.rs
@@ -47,15 +47,15 @@
 fn up_streams_an_answer_to_the_line_it_prints() {
     let folder = folder("up");
     let output = on_sockets(async {
-        let up = sockets::up(&small(vec![]), program(), &folder)
+        let up = sockets::LocalDeployment::start(&small(vec![]), program(), &folder)
             .await
             .unwrap();
-        assert!(up.text.contains("3 model servers"), "{}", up.text);
+        assert!(up.summary().contains("3 model servers"), "{}", up.summary());
         let output = tokio::process::Command::new("bash")
-            .args(["-c", &up.curl])
+            .args(["-c", up.curl_command()])
             .output()
             .await;
-        up.wait(Duration::ZERO).await;
+        up.serve_for(Duration::ZERO).await;
         output
     });
     // A machine without curl can't take the line; the load's test asks in its own words.
@@ -89,7 +89,7 @@
     ];
     let folder = folder("load");
     let run = small(faults);
-    let out = on_sockets(sockets::play(&run, program(), &folder, 1)).unwrap();
+    let out = on_sockets(sockets::play_load(&run, program(), &folder, 1)).unwrap();
     assert!(out.all.request_count() > 15, "{:?}", out.all);
     assert_eq!(out.broken.sum(), 0, "{:?}", out.broken);
     assert!(
@@ -115,7 +115,9 @@
         tenant: 0,
     }]);
     let folder = folder("refused");
-    let error = on_sockets(sockets::play(&run, program(), &folder, 1)).unwrap_err();
+    let error = on_sockets(sockets::play_load(&run, program(), &folder, 1))
+        .unwrap_err()
+        .to_string();
     assert!(error.contains("ZoneCut"), "{error}");
     std::fs::remove_dir_all(folder).unwrap();
 }
