--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -456,7 +456,8 @@
     fn run(&self) -> Result<(), String> {
         if let Some(log) = &self.log {
             let title = log.display().to_string();
-            return view::node(log, view::State::new(&title, Vec::new()));
+            let state = view::ViewState::new(&title, Vec::new());
+            return view::follow_node_log(log, state).map_err(|e| e.to_string());
         }
         let Some(file) = &self.experiment else {
             return Err("view: give --log or --experiment".into());
@@ -484,16 +485,17 @@
         let mut world =
             Simulation::new(&point.run, policy, self.seed).map_err(|e| e.to_string())?;
         let tenants = point.run.tenant.iter().map(|t| t.name.clone()).collect();
-        let state = view::State::new(
+        let state = view::ViewState::new(
             &format!("{}: {}, {policy}", experiment.name, point.label),
             tenants,
         );
-        view::run(
+        view::show_simulation(
             &mut world,
             state,
             point.run.load.seconds,
             self.speed.max(0.01),
         )
+        .map_err(|e| e.to_string())
     }
 }
 
--- a/crates/testbed/src/view/terminal.rs
+++ b/crates/testbed/src/view/terminal.rs
@@ -1,107 +1,169 @@
-//! The loop: time passes, keys are heard, the screen is drawn.
+//! The loops of the view: time passes, keys are read, the screen is drawn.
 
-#![expect(
-    clippy::missing_errors_doc,
-    clippy::needless_pass_by_value,
-    reason = "not yet converted"
-)]
-
-use super::{draw, State};
+use super::{draw, ViewState};
 use crate::emulator::Simulation;
-use ratatui::crossterm::event::{self, Event, KeyCode, KeyEventKind};
+use ratatui::crossterm::event::{self, Event, KeyCode, KeyEvent, KeyEventKind, KeyModifiers};
+use ratatui::DefaultTerminal;
 use std::fs::File;
-use std::io::{BufRead, BufReader, Seek, SeekFrom};
-use std::path::Path;
+use std::io::{self, BufRead, BufReader, Seek, SeekFrom};
+use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 
-/// Time from one picture to the next.
-const FRAME: Duration = Duration::from_millis(100);
-/// Events of a world between two looks at the clock.
-const EVENTS: u64 = 64;
-/// A log's last part is read at the start, so many bytes of it.
-const TAIL: u64 = 4 << 20;
+/// The time from one picture to the next.
+const FRAME_DURATION: Duration = Duration::from_millis(100);
+/// Events of a simulation between two looks at the clock.
+const EVENTS_PER_BATCH: u64 = 64;
+/// Bytes at the end of a log that are read at the start.
+const MAX_TAIL_BYTES: u64 = 4 << 20;
+/// Rows that a page key scrolls.
+const PAGE_ROWS: usize = 20;
+
+/// The view cannot be shown.
+#[derive(Debug, thiserror::Error)]
+pub enum ViewError {
+    /// The terminal cannot be used.
+    #[error("terminal: {0}")]
+    Terminal(#[source] io::Error),
+    /// The log cannot be read.
+    #[error("log {}: {source}", path.display())]
+    Log {
+        /// The log.
+        path: PathBuf,
+        /// Why.
+        source: io::Error,
+    },
+}
+
+/// What a key does.
+enum KeyAction {
+    Quit,
+    ScrollDown(usize),
+    ScrollUp(usize),
+    Nothing,
+}
 
-fn failed(e: std::io::Error) -> String {
-    format!("terminal: {e}")
+/// The screen, with the rows that are scrolled over.
+struct Screen {
+    terminal: DefaultTerminal,
+    skipped_rows: usize,
 }
 
-/// Handles what was typed until it is time for the next picture; false where the view ends.
-fn keys(until: Instant, skip: &mut usize) -> Result<bool, String> {
-    loop {
-        let left = until.saturating_duration_since(Instant::now());
-        if !event::poll(left).map_err(failed)? {
-            return Ok(true);
+/// Shows a simulation that runs at so many times real time, to its end and until a key ends the view.
+///
+/// # Errors
+///
+/// [`ViewError::Terminal`] where the terminal cannot be used.
+pub fn show_simulation(
+    simulation: &mut Simulation,
+    mut state: ViewState,
+    load_seconds: f64,
+    speed: f64,
+) -> Result<(), ViewError> {
+    let started_at = Instant::now();
+    let mut has_events = true;
+    show(|screen, frame_end| {
+        let until = (started_at.elapsed().as_secs_f64() * speed * 1e6) as u64;
+        while has_events && simulation.now() < until && Instant::now() < frame_end {
+            has_events = simulation.play_events(EVENTS_PER_BATCH);
         }
-        if let Event::Key(key) = event::read().map_err(failed)? {
-            match key.code {
-                _ if key.kind != KeyEventKind::Press => {}
-                KeyCode::Char('q') | KeyCode::Esc => return Ok(false),
-                KeyCode::Char('c') if key.modifiers.contains(event::KeyModifiers::CONTROL) => {
-                    return Ok(false)
-                }
-                KeyCode::Down | KeyCode::Char('j') => *skip += 1,
-                KeyCode::Up | KeyCode::Char('k') => *skip = skip.saturating_sub(1),
-                KeyCode::PageDown => *skip += 20,
-                KeyCode::PageUp => *skip = skip.saturating_sub(20),
-                _ => {}
-            }
+        state.update_from_simulation(simulation, load_seconds);
+        screen.draw_until(&state, frame_end)
+    })
+}
+
+/// Shows a running node by its log, which is followed as it grows.
+///
+/// # Errors
+///
+/// [`ViewError::Log`] where the log cannot be read, [`ViewError::Terminal`] where the terminal cannot be used.
+pub fn follow_node_log(log: &Path, mut state: ViewState) -> Result<(), ViewError> {
+    let log_error = |source| ViewError::Log {
+        path: log.to_path_buf(),
+        source,
+    };
+    let mut lines = open_tail(log).map_err(log_error)?;
+    let mut line = Vec::new();
+    show(|screen, frame_end| {
+        // A line that is not whole yet is kept until the rest of it is there.
+        while lines.read_until(b'\n', &mut line).map_err(log_error)? > 0 && line.ends_with(b"\n") {
+            state.apply_log_line(&String::from_utf8_lossy(&line));
+            line.clear();
         }
-    }
+        screen.draw_until(&state, frame_end)
+    })
 }
 
-/// Shows a world that runs at so many times real time, to its end and until a key ends the view.
-pub fn run(
-    world: &mut Simulation,
-    mut state: State,
-    seconds: f64,
-    speed: f64,
-) -> Result<(), String> {
-    let mut terminal = ratatui::try_init().map_err(failed)?;
-    let shown = (|| {
-        let (began, mut skip, mut goes_on) = (Instant::now(), 0, true);
-        loop {
-            let frame = Instant::now() + FRAME;
-            let until = (began.elapsed().as_secs_f64() * speed * 1e6) as u64;
-            while goes_on && world.now() < until && Instant::now() < frame {
-                goes_on = world.play_events(EVENTS);
-            }
-            state.look(world, seconds);
-            terminal.draw(|f| draw(f, &state, skip)).map_err(failed)?;
-            if !keys(frame, &mut skip)? {
-                return Ok(());
-            }
-            skip = skip.min(state.rows.len().saturating_sub(1));
+/// Opens a log near its end.
+fn open_tail(log: &Path) -> io::Result<BufReader<File>> {
+    let mut file = File::open(log)?;
+    let length = file.metadata()?.len();
+    file.seek(SeekFrom::Start(length.saturating_sub(MAX_TAIL_BYTES)))?;
+    Ok(BufReader::new(file))
+}
+
+/// Takes the terminal, shows one frame after the other until one says that the view ends, and gives the terminal back.
+fn show(
+    mut show_frame: impl FnMut(&mut Screen, Instant) -> Result<bool, ViewError>,
+) -> Result<(), ViewError> {
+    let mut screen = Screen {
+        terminal: ratatui::try_init().map_err(ViewError::Terminal)?,
+        skipped_rows: 0,
+    };
+    let shown = loop {
+        match show_frame(&mut screen, Instant::now() + FRAME_DURATION) {
+            Ok(true) => {}
+            Ok(false) => break Ok(()),
+            Err(error) => break Err(error),
         }
-    })();
+    };
     ratatui::restore();
     shown
 }
 
-/// Shows a running node by its log, which is followed as it grows.
-pub fn node(log: &Path, mut state: State) -> Result<(), String> {
-    let named = |e: std::io::Error| format!("log {}: {e}", log.display());
-    let mut file = File::open(log).map_err(named)?;
-    let length = file.metadata().map_err(named)?.len();
-    file.seek(SeekFrom::Start(length.saturating_sub(TAIL)))
-        .map_err(named)?;
-    let mut lines = BufReader::new(file);
-    let mut terminal = ratatui::try_init().map_err(failed)?;
-    let shown = (|| {
-        let (mut skip, mut line) = (0, Vec::new());
+impl Screen {
+    /// Draws a frame and handles keys until its end. Returns false where a key ends the view.
+    fn draw_until(&mut self, state: &ViewState, frame_end: Instant) -> Result<bool, ViewError> {
+        self.terminal
+            .draw(|frame| draw(frame, state, self.skipped_rows))
+            .map_err(ViewError::Terminal)?;
+        let goes_on = self.handle_keys(frame_end)?;
+        let last_row = state.rows().len().saturating_sub(1);
+        self.skipped_rows = self.skipped_rows.min(last_row);
+        Ok(goes_on)
+    }
+
+    fn handle_keys(&mut self, frame_end: Instant) -> Result<bool, ViewError> {
         loop {
-            let frame = Instant::now() + FRAME;
-            // A line that is not whole yet is kept until its rest is there.
-            while lines.read_until(b'\n', &mut line).map_err(named)? > 0 && line.ends_with(b"\n") {
-                state.line(&String::from_utf8_lossy(&line));
-                line.clear();
+            let time_left = frame_end.saturating_duration_since(Instant::now());
+            if !event::poll(time_left).map_err(ViewError::Terminal)? {
+                return Ok(true);
             }
-            terminal.draw(|f| draw(f, &state, skip)).map_err(failed)?;
-            if !keys(frame, &mut skip)? {
-                return Ok(());
+            let Event::Key(key) = event::read().map_err(ViewError::Terminal)? else {
+                continue;
+            };
+            match key_action(key) {
+                KeyAction::Quit => return Ok(false),
+                KeyAction::ScrollDown(rows) => self.skipped_rows += rows,
+                KeyAction::ScrollUp(rows) => {
+                    self.skipped_rows = self.skipped_rows.saturating_sub(rows);
+                }
+                KeyAction::Nothing => {}
             }
-            skip = skip.min(state.rows.len().saturating_sub(1));
         }
-    })();
-    ratatui::restore();
-    shown
+    }
+}
+
+fn key_action(key: KeyEvent) -> KeyAction {
+    if key.kind != KeyEventKind::Press {
+        return KeyAction::Nothing;
+    }
+    match key.code {
+        KeyCode::Char('q') | KeyCode::Esc => KeyAction::Quit,
+        KeyCode::Char('c') if key.modifiers.contains(KeyModifiers::CONTROL) => KeyAction::Quit,
+        KeyCode::Down | KeyCode::Char('j') => KeyAction::ScrollDown(1),
+        KeyCode::Up | KeyCode::Char('k') => KeyAction::ScrollUp(1),
+        KeyCode::PageDown => KeyAction::ScrollDown(PAGE_ROWS),
+        KeyCode::PageUp => KeyAction::ScrollUp(PAGE_ROWS),
+        _ => KeyAction::Nothing,
+    }
 }
--- a/crates/testbed/tests/golden.rs
+++ b/crates/testbed/tests/golden.rs
@@ -6,7 +6,7 @@
 use poppykeel_testbed::experiment::runner::play_run;
 use poppykeel_testbed::experiment::table::table;
 use poppykeel_testbed::experiment::{Experiment, Metric, ResultsFolder, RunResult};
-use poppykeel_testbed::view::{draw, State};
+use poppykeel_testbed::view::{draw, ViewState};
 use ratatui::backend::TestBackend;
 use ratatui::Terminal;
 use std::fmt::Write;
@@ -119,8 +119,8 @@
 
 /// What the view shows of a log.
 fn screen_of_log(log: &str) -> String {
-    let mut state = State::new("node", TENANTS.map(String::from).into());
-    log.lines().for_each(|line| state.line(line));
+    let mut state = ViewState::new("node", TENANTS.map(String::from).into());
+    log.lines().for_each(|line| state.apply_log_line(line));
     let (columns, rows) = SCREEN_SIZE;
     let mut terminal = Terminal::new(TestBackend::new(columns, rows)).unwrap();
     terminal.draw(|frame| draw(frame, &state, 0)).unwrap();
--- a/crates/testbed/tests/view.rs
+++ b/crates/testbed/tests/view.rs
@@ -1,15 +1,13 @@
 //! The view on ratatui's test backend.
 
-#![expect(clippy::min_ident_chars, reason = "not yet converted")]
-
 use poppykeel_testbed::emulator::description::RunDescription;
 use poppykeel_testbed::emulator::policies::Policy;
 use poppykeel_testbed::emulator::Simulation;
-use poppykeel_testbed::view::{draw, State};
+use poppykeel_testbed::view::{draw, ConcurrencyUse, TenantQueue, ViewState};
 use ratatui::backend::TestBackend;
 use ratatui::Terminal;
 
-fn screen(state: &State, width: u16, height: u16, skip: usize) -> String {
+fn screen(state: &ViewState, width: u16, height: u16, skip: usize) -> String {
     let mut terminal = Terminal::new(TestBackend::new(width, height)).unwrap();
     terminal.draw(|frame| draw(frame, state, skip)).unwrap();
     let buffer = terminal.backend().buffer();
@@ -27,9 +25,9 @@
     (run.fleet.servers, run.load.per_server, run.load.seconds) = (5, 30.0, 10.0);
     let run = run.check().unwrap();
     let mut world = Simulation::new(&run, Policy::Poppykeel, 1).unwrap();
-    let mut state = State::new("a run", vec!["all".into()]);
+    let mut state = ViewState::new("a run", vec!["all".into()]);
     while world.now() < 6_000_000 && world.play_events(500) {
-        state.look(&mut world, 10.0);
+        state.update_from_simulation(&mut world, 10.0);
     }
     let text = screen(&state, 110, 24, 0);
     for wanted in [
@@ -47,17 +45,17 @@
         assert!(text.contains(wanted), "{wanted}:\n{text}");
     }
     assert!(
-        state.queues[0].1 > 0 && state.rows.iter().any(|r| r.held.0 > 0),
+        state.queues()[0].queued > 0 && state.rows().iter().any(|row| row.running > 0),
         "{:?}",
-        state.queues
+        state.queues()
     );
     assert!(!screen(&state, 110, 24, 3).contains("m-2"));
 }
 
 #[test]
 fn any_size_of_terminal_will_do() {
-    let mut state = State::new("any", vec![]);
-    state.line(r#"{"message":"summary","arrived":1,"served":1}"#);
+    let mut state = ViewState::new("any", vec![]);
+    state.apply_log_line(r#"{"message":"summary","arrived":1,"served":1}"#);
     for (width, height) in [(1, 1), (10, 3), (40, 12), (300, 80)] {
         screen(&state, width, height, 7);
     }
@@ -65,19 +63,19 @@
 
 #[test]
 fn a_node_is_shown_by_its_log() {
-    let mut state = State::new("node", vec!["acme".into(), "zeta".into()]);
+    let mut state = ViewState::new("node", vec!["acme".into(), "zeta".into()]);
     let summary = |uptime: u64, arrived: u64, served: u64| {
         format!(
             r#"{{"message":"summary","uptime_s":{uptime},"arrived":{arrived},"served":{served},"refused":{},"window":12.5,"out":7,"waiting":"[3, 0]"}}"#,
             arrived - served
         )
     };
-    state.line(&summary(10, 100, 100));
-    state.line("no JSON at all");
-    state.line(&summary(20, 300, 200));
-    state.line(r#"{"message":"streams","live":4,"whole":200,"stalled":1,"broken":2}"#);
-    state.line(r#"{"message":"streams of a replica","replica":"s-1","flowing":3,"slow":1,"gap_p50_ms":20,"limit_ms":3000}"#);
-    state.line(r#"{"message":"list changed","name":"s-1","state":"Draining"}"#);
+    state.apply_log_line(&summary(10, 100, 100));
+    state.apply_log_line("no JSON at all");
+    state.apply_log_line(&summary(20, 300, 200));
+    state.apply_log_line(r#"{"message":"streams","live":4,"whole":200,"stalled":1,"broken":2}"#);
+    state.apply_log_line(r#"{"message":"streams of a replica","replica":"s-1","flowing":3,"slow":1,"gap_p50_ms":20,"limit_ms":3000}"#);
+    state.apply_log_line(r#"{"message":"list changed","name":"s-1","state":"Draining"}"#);
     let text = screen(&state, 120, 20, 0);
     for wanted in [
         "draining",
@@ -107,13 +105,21 @@
         ],
     ];
     let [today, earlier] = lines.map(|lines| {
-        let mut state = State::new("node", vec!["acme".into(), "zeta".into()]);
-        lines.iter().for_each(|line| state.line(line));
+        let mut state = ViewState::new("node", vec!["acme".into(), "zeta".into()]);
+        lines.iter().for_each(|line| state.apply_log_line(line));
         state
     });
     assert_eq!(today, earlier);
-    assert_eq!(today.window, Some((12.5, 7)));
-    let served = today.counts.iter().find(|(name, _)| name == "served");
-    assert_eq!(served.map(|(_, count)| *count), Some(200));
-    assert_eq!(today.queues[0], ("acme".to_string(), 3));
+    let concurrency = ConcurrencyUse {
+        limit: 12.5,
+        in_flight: 7,
+    };
+    assert_eq!(today.concurrency(), Some(concurrency));
+    let served = today.counts().iter().find(|count| count.name == "served");
+    assert_eq!(served.map(|count| count.count), Some(200));
+    let queue = TenantQueue {
+        tenant: "acme".to_string(),
+        queued: 3,
+    };
+    assert_eq!(today.queues()[0], queue);
 }
