--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -9,12 +9,17 @@
 
 use clap::{Args, Parser, Subcommand};
 use indicatif::{ProgressBar, ProgressStyle};
-use poppykeel_testbed::breaks::{self, Budgeted, Fault, Kind, Roll, Shape, Wanted};
-use poppykeel_testbed::emulator::description::Run as Description;
+use poppykeel_testbed::emulator::description::BudgetDivision;
+use poppykeel_testbed::emulator::description::RunDescription as Description;
 use poppykeel_testbed::emulator::policies::Policy;
-use poppykeel_testbed::emulator::World;
-use poppykeel_testbed::experiment::table::{compare, table, Figure};
-use poppykeel_testbed::experiment::{runner, Experiment, Found, Results};
+use poppykeel_testbed::emulator::Simulation;
+use poppykeel_testbed::experiment::table::{compare, table};
+use poppykeel_testbed::experiment::{runner, Experiment, Metric, ResultsFolder, RunResult};
+use poppykeel_testbed::fault_injection::{
+    run_budget_scenario, run_lease_scenario, run_rolling_restart_scenario, BudgetScenario,
+    BudgetWhole, FleetShape, InjectedFault, InjectedFaultKind, LeaseScenario,
+    RollingRestartScenario,
+};
 use poppykeel_testbed::sockets;
 use poppykeel_testbed::view;
 use std::path::{Path, PathBuf};
@@ -90,8 +95,8 @@
     #[arg(long, default_value_t = 20.0)]
     burst: f64,
     /// How the budgets reach the nodes
-    #[arg(long, value_enum, default_value_t = breaks::Division::Shares)]
-    division: breaks::Division,
+    #[arg(long, value_enum, default_value_t = BudgetDivision::Shares)]
+    division: BudgetDivision,
     /// The first node gets so many times the requests of any other
     #[arg(long, default_value_t = 1.0)]
     hot: f64,
@@ -100,7 +105,7 @@
     zones: usize,
     /// Only faults of these kinds
     #[arg(long, value_enum, value_delimiter = ',')]
-    only: Vec<Kind>,
+    only: Vec<InjectedFaultKind>,
     /// The node's program; by default this very one serves
     #[arg(long, value_name = "FILE")]
     node: Option<PathBuf>,
@@ -170,7 +175,7 @@
     skew: u32,
     /// Only faults of these kinds
     #[arg(long, value_enum, value_delimiter = ',')]
-    only: Vec<Kind>,
+    only: Vec<InjectedFaultKind>,
     /// These faults in their order, as TOML ([[fault]] with kind, for_ms, whom and size), in place of drawn ones
     #[arg(long, value_name = "FILE")]
     script: Option<PathBuf>,
@@ -205,8 +210,8 @@
 #[derive(Args)]
 struct Figures {
     /// What the tables show
-    #[arg(long = "figure", value_enum, default_values_t = [Figure::Worth, Figure::FirstP99])]
-    figures: Vec<Figure>,
+    #[arg(long = "figure", value_enum, default_values_t = [Metric::Worth, Metric::FirstP99])]
+    figures: Vec<Metric>,
 }
 
 #[derive(Args)]
@@ -296,7 +301,7 @@
     figures: Figures,
 }
 
-fn title(figure: Figure) -> String {
+fn title(figure: Metric) -> String {
     use clap::ValueEnum;
     let value = figure.to_possible_value();
     value
@@ -304,24 +309,26 @@
         .unwrap_or_default()
 }
 
-fn existing(folder: &Path) -> Result<Vec<Found>, String> {
+fn existing(folder: &Path) -> Result<Vec<RunResult>, String> {
     if !folder.is_dir() {
         return Err(format!(
             "results {}: there is no such folder",
             folder.display()
         ));
     }
-    Results::open(folder)?.all()
+    ResultsFolder::open(folder)
+        .and_then(|results| results.all())
+        .map_err(|e| e.to_string())
 }
 
 impl Run {
     fn run(&self) -> Result<(), String> {
-        let experiment = Experiment::read(&self.file)?;
+        let experiment = Experiment::read(&self.file).map_err(|e| e.to_string())?;
         let folder = self
             .out
             .clone()
             .unwrap_or_else(|| Path::new("target/lab").join(&experiment.name));
-        let results = Results::open(&folder)?;
+        let results = ResultsFolder::open(&folder).map_err(|e| e.to_string())?;
         if let Some(threads) = self.threads {
             let pool = rayon::ThreadPoolBuilder::new()
                 .num_threads(threads)
@@ -332,24 +339,24 @@
             "{bar:40} {pos}/{len} runs, {elapsed} of about {duration}",
         );
         let progress = ProgressBar::new(0).with_style(style.map_err(|e| e.to_string())?);
-        let how = runner::How {
-            again: self.again,
-            trace: self.trace,
+        let how = runner::RunOptions {
+            repeats_existing: self.again,
+            writes_traces: self.trace,
             progress: &progress,
         };
-        let made = runner::run(&experiment, &results, &how)?;
+        let made = runner::run_missing(&experiment, &results, &how).map_err(|e| e.to_string())?;
         progress.finish_and_clear();
         println!(
             "{}: {made} runs made, all results in {}",
             experiment.name,
             folder.display()
         );
-        show(&results.all()?, &self.figures);
+        show(&results.all().map_err(|e| e.to_string())?, &self.figures);
         Ok(())
     }
 }
 
-fn show(found: &[Found], figures: &Figures) {
+fn show(found: &[RunResult], figures: &Figures) {
     for figure in &figures.figures {
         println!("\n{}\n{}", title(*figure), table(found, *figure));
     }
@@ -379,15 +386,23 @@
 
 impl Up {
     fn run(&self) -> Result<(), String> {
-        let program = sockets::program(self.node.as_deref())?;
+        let program = sockets::node_program(self.node.as_deref()).map_err(|e| e.to_string())?;
         let mut run = Description::default();
         (run.fleet.servers, run.fleet.nodes, run.fleet.zones) = (self.servers, self.nodes, 1);
-        let run = run.check()?;
+        let run = run.check().map_err(|e| e.to_string())?;
         std::fs::create_dir_all(&self.out).map_err(|e| format!("{}: {e}", self.out.display()))?;
         on_sockets(async {
-            let up = sockets::up(&run, &program, &self.out).await?;
-            println!("{}\n{}\n\nCtrl-C ends all.", up.text, up.curl);
-            up.wait(std::time::Duration::from_secs(self.span)).await;
+            let deployment = sockets::LocalDeployment::start(&run, &program, &self.out)
+                .await
+                .map_err(|e| e.to_string())?;
+            println!(
+                "{}\n{}\n\nCtrl-C ends all.",
+                deployment.summary(),
+                deployment.curl_command()
+            );
+            deployment
+                .serve_for(std::time::Duration::from_secs(self.span))
+                .await;
             Ok(())
         })
     }
@@ -396,15 +411,15 @@
 impl Load {
     fn run(&self) -> Result<(), String> {
         let (experiment, program) = (
-            Experiment::read(&self.file)?,
-            sockets::program(self.node.as_deref())?,
+            Experiment::read(&self.file).map_err(|e| e.to_string())?,
+            sockets::node_program(self.node.as_deref()).map_err(|e| e.to_string())?,
         );
         let name = format!("{}-sockets", experiment.name);
         let folder = self
             .out
             .clone()
             .unwrap_or_else(|| Path::new("target/lab").join(name));
-        let results = Results::open(&folder)?;
+        let results = ResultsFolder::open(&folder).map_err(|e| e.to_string())?;
         for (n, point) in experiment.points.iter().enumerate() {
             for seed in &experiment.seeds {
                 let path = results.path(n, Policy::Poppykeel, *seed);
@@ -412,22 +427,27 @@
                     continue;
                 }
                 eprintln!("{}, seed {seed}: {} s", point.label, point.run.load.seconds);
-                let outcome = on_sockets(sockets::play(&point.run, &program, &folder, *seed))?;
+                let outcome = on_sockets(async {
+                    let played = sockets::play_load(&point.run, &program, &folder, *seed).await;
+                    played.map_err(|e| e.to_string())
+                })?;
                 let (label, policy, seed) = (point.label.clone(), Policy::Poppykeel, *seed);
-                results.keep(
-                    &path,
-                    &Found {
-                        label,
-                        policy,
-                        seed,
-                        run: point.run.clone(),
-                        outcome,
-                    },
-                )?;
+                results
+                    .keep(
+                        &path,
+                        &RunResult {
+                            label,
+                            policy,
+                            seed,
+                            run: point.run.clone(),
+                            outcome,
+                        },
+                    )
+                    .map_err(|e| e.to_string())?;
             }
         }
         println!("{}: all results in {}", experiment.name, folder.display());
-        show(&results.all()?, &self.figures);
+        show(&results.all().map_err(|e| e.to_string())?, &self.figures);
         Ok(())
     }
 }
@@ -436,12 +456,13 @@
     fn run(&self) -> Result<(), String> {
         if let Some(log) = &self.log {
             let title = log.display().to_string();
-            return view::node(log, view::State::new(&title, Vec::new()));
+            let state = view::ViewState::new(&title, Vec::new());
+            return view::follow_node_log(log, state).map_err(|e| e.to_string());
         }
         let Some(file) = &self.experiment else {
             return Err("view: give --log or --experiment".into());
         };
-        let experiment = Experiment::read(file)?;
+        let experiment = Experiment::read(file).map_err(|e| e.to_string())?;
         let count = experiment.points.len();
         let point = experiment.points.get(self.point);
         let point = point.ok_or_else(|| {
@@ -461,132 +482,150 @@
                     self.policy
                 )
             })?;
-        let mut world = World::new(&point.run, policy, self.seed)?;
+        let mut world =
+            Simulation::new(&point.run, policy, self.seed).map_err(|e| e.to_string())?;
         let tenants = point.run.tenant.iter().map(|t| t.name.clone()).collect();
-        let state = view::State::new(
+        let state = view::ViewState::new(
             &format!("{}: {}, {policy}", experiment.name, point.label),
             tenants,
         );
-        view::run(
+        view::show_simulation(
             &mut world,
             state,
             point.run.load.seconds,
             self.speed.max(0.01),
         )
+        .map_err(|e| e.to_string())
     }
 }
 
 impl BreakLeases {
     fn run(&self) -> Result<bool, String> {
-        let program = sockets::program(self.node.as_deref())?;
+        let program = sockets::node_program(self.node.as_deref()).map_err(|e| e.to_string())?;
         let lease = std::time::Duration::from_millis(self.lease_ms);
-        let (nodes, keepers, drift, skew) = (self.nodes, self.keepers, self.drift, self.skew);
-        let shape = Shape {
-            nodes,
-            keepers,
-            lease,
-            drift,
-            skew,
-            ..Shape::default()
+        let shape = FleetShape {
+            nodes: self.nodes,
+            lease_servers: self.keepers,
+            lease_duration: lease,
+            allowed_drift_ppm: self.drift,
+            clock_skew_ppm: self.skew,
+            ..FleetShape::default()
         };
         let (rounds, seed, only) = (self.rounds, self.seed, self.only.clone());
         let script = self
             .script
             .as_deref()
-            .map(Fault::script)
-            .transpose()?
+            .map(InjectedFault::read_script)
+            .transpose()
+            .map_err(|e| e.to_string())?
             .unwrap_or_default();
-        let wanted = Wanted {
+        let wanted = LeaseScenario {
             shape,
             rounds,
             seed,
             only,
             script,
-            fence: true,
+            rejects_old_epochs: true,
         };
-        let found = on_sockets(breaks::run(&wanted, &program, &self.out))?;
+        let found = on_sockets(async {
+            let played = run_lease_scenario(&wanted, &program, &self.out).await;
+            played.map_err(|e| e.to_string())
+        })?;
         found
-            .wrong
+            .problems
             .iter()
             .chain(&found.verdict.overlaps)
             .for_each(|what| println!("{what}"));
-        let [p50, p99] = [0.5, 0.99].map(|part| found.quantile(part) as f64 / 1e6);
+        let [p50, p99] = [0.5, 0.99].map(|part| found.gap_quantile(part) as f64 / 1e6);
         println!("each round's longest time without an act: p50 {p50:.2} s, p99 {p99:.2} s");
-        println!("{}", found.line(seed));
-        Ok(found.good())
+        println!("{}", found.summary(seed));
+        Ok(found.is_good())
     }
 }
 
 impl BreakRoll {
     fn run(&self) -> Result<bool, String> {
-        let program = sockets::program(self.node.as_deref())?;
-        let shape = Shape {
+        let program = sockets::node_program(self.node.as_deref()).map_err(|e| e.to_string())?;
+        let shape = FleetShape {
             nodes: self.nodes,
-            every: std::time::Duration::from_secs(1),
-            ..Shape::default()
+            report_interval: std::time::Duration::from_secs(1),
+            ..FleetShape::default()
         };
-        let wanted = Roll {
+        let wanted = RollingRestartScenario {
             shape,
             seed: self.seed,
-            faults: self.faults,
-            out: self.most,
+            fault_count: self.faults,
+            max_out: self.most,
         };
-        let found = on_sockets(breaks::roll(&wanted, &program, &self.out))?;
+        let found = on_sockets(async {
+            let played = run_rolling_restart_scenario(&wanted, &program, &self.out).await;
+            played.map_err(|e| e.to_string())
+        })?;
         println!(
             "nodes {}, been out {}, most out at once {} of {}, in charge {}, {:.1} s, seed {}",
-            self.nodes, found.been, found.most, self.most, found.charges, found.seconds, self.seed
+            self.nodes,
+            found.seen_out,
+            found.max_out_at_once,
+            self.most,
+            found.coordinator_count,
+            found.duration_s,
+            self.seed
         );
-        Ok(found.most <= self.most && found.back == self.nodes)
+        Ok(found.max_out_at_once <= self.most && found.ready_at_end == self.nodes)
     }
 }
 
 impl BreakBudgets {
     fn run(&self) -> Result<bool, String> {
-        let program = sockets::program(self.node.as_deref())?;
-        let shape = Shape {
+        let program = sockets::node_program(self.node.as_deref()).map_err(|e| e.to_string())?;
+        let shape = FleetShape {
             nodes: self.nodes,
-            every: std::time::Duration::from_secs(1),
-            ..Shape::default()
-        };
-        let shape = Shape {
             zones: self.zones,
-            ..shape
+            report_interval: std::time::Duration::from_secs(1),
+            ..FleetShape::default()
         };
-        let (whole, only, rounds) = ((self.rate, self.burst), self.only.clone(), self.rounds);
-        let (seed, division, hot) = (self.seed, self.division, self.hot);
-        let wanted = Budgeted {
+        let wanted = BudgetScenario {
             shape,
-            rounds,
-            seed,
-            only,
-            whole,
-            division,
-            hot,
+            rounds: self.rounds,
+            seed: self.seed,
+            only: self.only.clone(),
+            retries: BudgetWhole {
+                rate: self.rate,
+                burst: self.burst,
+            },
+            division: self.division,
+            first_node_load_factor: self.hot,
         };
-        let found = on_sockets(breaks::budgets(&wanted, &program, &self.out))?;
+        let found = on_sockets(async {
+            let played = run_budget_scenario(&wanted, &program, &self.out).await;
+            played.map_err(|e| e.to_string())
+        })?;
         for (name, c) in [
             ("repeats", found.repeats),
             ("probes", found.probes),
-            ("crossings", found.crossings),
+            ("crossings", found.cross_zone),
         ] {
             println!(
                 "{name}: {} at the servers, worst window {:.2} of its bound, busiest second {:.2} of the rate",
-                c.count, c.worst, c.busiest
+                c.count, c.worst_window, c.busiest_second
             );
         }
         println!(
             "requests {} of {} answered whole; crossings {} by the servers, {} by the nodes",
-            found.served, found.asked, found.crossings.count, found.reported
+            found.completed_requests,
+            found.sent_requests,
+            found.cross_zone.count,
+            found.reported_cross_zone
         );
         println!(
             "rounds {}, windows checked {}, worst window {:.2} of its bound, units lost {:.1}, seed {}",
             found.rounds,
-            found.windows(),
-            found.worst(),
-            found.lost,
+            found.window_count(),
+            found.worst_window(),
+            found.lost_retry_rate,
             self.seed
         );
-        Ok(found.worst() <= 1.0)
+        Ok(found.worst_window() <= 1.0)
     }
 }
 
@@ -610,7 +649,7 @@
 }
 
 fn check(file: &Path) -> Result<(), String> {
-    let e = Experiment::read(file)?;
+    let e = Experiment::read(file).map_err(|e| e.to_string())?;
     let runs = e.points.len() * e.policies.len() * e.seeds.len();
     println!(
         "{}: {} points, {} policies, {} seeds: {runs} runs",
--- a/crates/testbed/tests/sockets.rs
+++ b/crates/testbed/tests/sockets.rs
@@ -3,7 +3,7 @@
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 #![expect(clippy::min_ident_chars, reason = "not yet converted")]
 
-use poppykeel_testbed::emulator::description::{Fault, Run, What};
+use poppykeel_testbed::emulator::description::{FaultDescription, FaultKind, RunDescription};
 use poppykeel_testbed::sockets;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
@@ -27,10 +27,10 @@
     tokio::task::LocalSet::new().block_on(&runtime, what)
 }
 
-fn small(faults: Vec<Fault>) -> Run {
-    let mut run = Run {
+fn small(faults: Vec<FaultDescription>) -> RunDescription {
+    let mut run = RunDescription {
         fault: faults,
-        ..Run::default()
+        ..RunDescription::default()
     };
     (
         run.fleet.servers,
@@ -47,15 +47,15 @@
 fn up_streams_an_answer_to_the_line_it_prints() {
     let folder = folder("up");
     let output = on_sockets(async {
-        let up = sockets::up(&small(vec![]), program(), &folder)
+        let up = sockets::LocalDeployment::start(&small(vec![]), program(), &folder)
             .await
             .unwrap();
-        assert!(up.text.contains("3 model servers"), "{}", up.text);
+        assert!(up.summary().contains("3 model servers"), "{}", up.summary());
         let output = tokio::process::Command::new("bash")
-            .args(["-c", &up.curl])
+            .args(["-c", up.curl_command()])
             .output()
             .await;
-        up.wait(Duration::ZERO).await;
+        up.serve_for(Duration::ZERO).await;
         output
     });
     // A machine without curl can't take the line; the load's test asks in its own words.
@@ -72,7 +72,7 @@
 
 #[test]
 fn a_load_on_sockets_ends_whole_and_right_through_faults() {
-    let fault = |what, at_s, for_s, part| Fault {
+    let fault = |what, at_s, for_s, part| FaultDescription {
         what,
         at_s,
         for_s,
@@ -82,18 +82,18 @@
         tenant: 0,
     };
     let faults = vec![
-        fault(What::FailFast, 0.5, 0.5, 0.3),
-        fault(What::ColdRestart, 1.2, 0.0, 0.3),
-        fault(What::Deploys, 1.5, 1.0, 0.3),
-        fault(What::NoList, 2.0, 0.5, 1.0),
+        fault(FaultKind::FailFast, 0.5, 0.5, 0.3),
+        fault(FaultKind::ColdRestart, 1.2, 0.0, 0.3),
+        fault(FaultKind::Deploys, 1.5, 1.0, 0.3),
+        fault(FaultKind::NoList, 2.0, 0.5, 1.0),
     ];
     let folder = folder("load");
     let run = small(faults);
-    let out = on_sockets(sockets::play(&run, program(), &folder, 1)).unwrap();
-    assert!(out.all.requests() > 15, "{:?}", out.all);
+    let out = on_sockets(sockets::play_load(&run, program(), &folder, 1)).unwrap();
+    assert!(out.all.request_count() > 15, "{:?}", out.all);
     assert_eq!(out.broken.sum(), 0, "{:?}", out.broken);
     assert!(
-        out.all.part() > 0.5 && out.prompt.0 > 0,
+        out.all.served_fraction() > 0.5 && out.prompt.total > 0,
         "{:?} {:?}",
         out.all,
         out.prompt
@@ -105,8 +105,8 @@
 
 #[test]
 fn what_sockets_cannot_do_is_refused() {
-    let run = small(vec![Fault {
-        what: What::ZoneCut,
+    let run = small(vec![FaultDescription {
+        what: FaultKind::ZoneCut,
         at_s: 0.0,
         for_s: 1.0,
         part: 1.0,
@@ -115,7 +115,9 @@
         tenant: 0,
     }]);
     let folder = folder("refused");
-    let error = on_sockets(sockets::play(&run, program(), &folder, 1)).unwrap_err();
+    let error = on_sockets(sockets::play_load(&run, program(), &folder, 1))
+        .unwrap_err()
+        .to_string();
     assert!(error.contains("ZoneCut"), "{error}");
     std::fs::remove_dir_all(folder).unwrap();
 }
