--- a/crates/scheduler/src/affinity.rs
+++ b/crates/scheduler/src/affinity.rs
@@ -13,7 +13,7 @@
 
 /// A replica's place in a session's order. The derived order compares the fields from the first to the last.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
-struct Place {
+struct RankedReplica {
     is_remote: bool,
     score: u64,
     replica: ReplicaId,
@@ -27,26 +27,26 @@
     qualifies: impl Fn(ReplicaId, &Replica) -> bool,
 ) -> Vec<ReplicaId> {
     let session = request.session.unwrap_or(request.id.0);
-    let mut places = Vec::new();
+    let mut ranked = Vec::new();
     for (id, replica) in view.replicas.iter() {
         if qualifies(id, replica) {
-            places.push(Place {
+            ranked.push(RankedReplica {
                 is_remote: !is_near(view, replica),
                 score: replica.rendezvous_score(session, rendezvous_weight(view, replica)),
                 replica: id,
             });
         }
     }
-    places.sort_unstable();
-    let first_remote = places.iter().position(|place| place.is_remote);
+    ranked.sort_unstable();
+    let first_remote = ranked.iter().position(|replica| replica.is_remote);
     if let Some(position) = first_remote.filter(|position| *position > CANDIDATE_COUNT) {
-        places.swap(CANDIDATE_COUNT, position);
+        ranked.swap(CANDIDATE_COUNT, position);
     }
-    let has_remote_next = places
+    let has_remote_next = ranked
         .get(CANDIDATE_COUNT)
-        .is_some_and(|place| place.is_remote);
-    places.truncate(CANDIDATE_COUNT + usize::from(has_remote_next));
-    places.into_iter().map(|place| place.replica).collect()
+        .is_some_and(|replica| replica.is_remote);
+    ranked.truncate(CANDIDATE_COUNT + usize::from(has_remote_next));
+    ranked.into_iter().map(|ranked| ranked.replica).collect()
 }
 
 /// The replicas that a session's requests go to first, as far as they are healthy.
--- a/crates/stub-dns-server/src/main.rs
+++ b/crates/stub-dns-server/src/main.rs
@@ -14,7 +14,7 @@
     version,
     about = "A name server on loopback that lies by a script"
 )]
-struct Cli {
+struct StubDnsServerCli {
     /// The script, as TOML: records and rules
     #[arg(long, value_name = "FILE")]
     script: PathBuf,
@@ -48,7 +48,7 @@
     })
 }
 
-fn run(cli: &Cli) -> Result<(), StubError> {
+fn run(cli: &StubDnsServerCli) -> Result<(), StubError> {
     let script = read_script(&cli.script)?;
     let server = StubDnsServer::start(cli.listen, script).map_err(StubError::Listen)?;
     println!(
@@ -84,7 +84,7 @@
 }
 
 fn main() -> ExitCode {
-    match run(&Cli::parse()) {
+    match run(&StubDnsServerCli::parse()) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("poppykeel-stub-dns-server: {error}");
--- a/crates/stub-model-server/src/main.rs
+++ b/crates/stub-model-server/src/main.rs
@@ -13,7 +13,7 @@
     version,
     about = "Model servers on loopback that answer by scripts"
 )]
-struct Cli {
+struct StubModelServerCli {
     /// A server's script, as TOML; one server for each
     #[arg(long = "script", value_name = "FILE", required = true)]
     scripts: Vec<PathBuf>,
@@ -51,7 +51,7 @@
     })
 }
 
-fn run(cli: &Cli) -> Result<(), StubError> {
+fn run(cli: &StubModelServerCli) -> Result<(), StubError> {
     let scripts = cli
         .scripts
         .iter()
@@ -98,7 +98,7 @@
 }
 
 fn main() -> ExitCode {
-    match run(&Cli::parse()) {
+    match run(&StubModelServerCli::parse()) {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
             eprintln!("poppykeel-stub-model-server: {e}");
--- a/crates/testbed/src/experiment/runner.rs
+++ b/crates/testbed/src/experiment/runner.rs
@@ -24,14 +24,14 @@
 }
 
 /// One run of an experiment.
-struct Job<'a> {
+struct PlannedRun<'a> {
     point_number: usize,
     point: &'a ExperimentPoint,
     policy: Policy,
     seed: u64,
 }
 
-impl Job<'_> {
+impl PlannedRun<'_> {
     /// Grows with the time that the run takes.
     fn size(&self) -> usize {
         let fleet = &self.point.run.fleet;
@@ -50,13 +50,13 @@
     results: &ResultsFolder,
     options: &RunOptions,
 ) -> Result<usize, ExperimentError> {
-    let mut jobs = jobs(experiment);
-    options.progress.set_length(jobs.len() as u64);
+    let mut runs = runs(experiment);
+    options.progress.set_length(runs.len() as u64);
     // Long runs first, so that the last core does not run alone; what follows from it is only the order in time.
-    jobs.sort_by_key(|job| Reverse((job.size(), usize::MAX - job.point_number)));
-    let outcomes: Vec<Result<bool, ExperimentError>> = jobs
+    runs.sort_by_key(|run| Reverse((run.size(), usize::MAX - run.point_number)));
+    let outcomes: Vec<Result<bool, ExperimentError>> = runs
         .into_par_iter()
-        .map(|job| run_if_missing(&job, results, options))
+        .map(|run| run_if_missing(&run, results, options))
         .collect();
     let mut played_count = 0;
     for was_played in outcomes {
@@ -65,12 +65,12 @@
     Ok(played_count)
 }
 
-fn jobs(experiment: &Experiment) -> Vec<Job<'_>> {
-    let mut jobs = Vec::new();
+fn runs(experiment: &Experiment) -> Vec<PlannedRun<'_>> {
+    let mut runs = Vec::new();
     for (point_number, point) in experiment.points.iter().enumerate() {
         for policy in &experiment.policies {
             for seed in &experiment.seeds {
-                jobs.push(Job {
+                runs.push(PlannedRun {
                     point_number,
                     point,
                     policy: *policy,
@@ -79,23 +79,23 @@
             }
         }
     }
-    jobs
+    runs
 }
 
 /// Returns whether the run was played.
 fn run_if_missing(
-    job: &Job,
+    run: &PlannedRun,
     results: &ResultsFolder,
     options: &RunOptions,
 ) -> Result<bool, ExperimentError> {
-    let path = results.path(job.point_number, job.policy, job.seed);
+    let path = results.path(run.point_number, run.policy, run.seed);
     let is_known = !options.repeats_existing
         && results
-            .find(&path, &job.point.label, &job.point.run)
+            .find(&path, &run.point.label, &run.point.run)
             .is_some();
     if !is_known {
         let trace_beside = options.writes_traces.then_some(path.as_path());
-        let result = play_run(job.point, job.policy, job.seed, trace_beside)?;
+        let result = play_run(run.point, run.policy, run.seed, trace_beside)?;
         results.keep(&path, &result)?;
     }
     options.progress.inc(1);
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -15,4 +15,4 @@
 pub mod view;
 
 /// Microseconds since a run's beginning.
-pub type Micros = u64;
+pub use poppykeel_coordination::Micros;
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -31,7 +31,7 @@
     version,
     about = "Tries designs on an emulated fleet, and a node on sockets"
 )]
-struct Cli {
+struct TestbedCli {
     #[command(subcommand)]
     command: Command,
 }
@@ -47,7 +47,7 @@
     /// Make one page with pictures of results
     Report(Report),
     /// Start model servers, discovery and a node on loopback, to try it by hand; Ctrl-C ends all
-    Up(Up),
+    Up(UpCommand),
     /// Play an experiment on loopback sockets instead, and show its table
     Load(Load),
     /// Show a run of the emulator, or a running node by its log, on the terminal
@@ -223,7 +223,7 @@
 }
 
 #[derive(Args)]
-struct Up {
+struct UpCommand {
     /// Model servers
     #[arg(long, default_value_t = 3)]
     servers: usize,
@@ -384,7 +384,7 @@
     tokio::task::LocalSet::new().block_on(&runtime.map_err(|e| format!("runtime: {e}"))?, what)
 }
 
-impl Up {
+impl UpCommand {
     fn run(&self) -> Result<(), String> {
         let program = sockets::node_program(self.node.as_deref()).map_err(|e| e.to_string())?;
         let mut run = Description::default();
@@ -674,7 +674,7 @@
     if std::env::args().nth(1).as_deref() == Some("serve") {
         return poppykeel::program::main();
     }
-    let done = match Cli::parse().command {
+    let done = match TestbedCli::parse().command {
         Command::Run(run) => run.run(),
         Command::Table(table) => existing(&table.folder).map(|found| show(&found, &table.figures)),
         Command::Compare(compare) => compare.run(),
--- a/src/program/serve/node.rs
+++ b/src/program/serve/node.rs
@@ -103,10 +103,10 @@
         let bound = client.address;
         tracing::info!(node = %context.config.name, listen = %bound, zone = context.site.scheduler.zone, "serving on {bound}");
         let admin = Rc::new(Admin {
-            tell: context.dispatcher.clone(),
+            dispatcher: context.dispatcher.clone(),
             phase: context.phase.clone(),
             reloads: Cell::default(),
-            fleet: coordination.clone(),
+            coordination: coordination.clone(),
             clients: clients.clone(),
         });
         if let Some(listener) = listeners.admin {
--- a/src/transport/admin.rs
+++ b/src/transport/admin.rs
@@ -1,4 +1,8 @@
-//! The operators' own address: one call a connection, answered whatever the load, whoever else stays silent there.
+//! The operators' address: one call a connection, answered whatever the clients' load.
+//!
+//! [`Admin::serve`] starts a task for each caller. The task owns the socket; aborting it closes the connection. Callers that send
+//! nothing or do not read their response are disconnected after a time limit, so none of them keeps others out.
+//! `program::serve` starts it; `docs/oncall.md` has the calls.
 
 use super::client::registry::ConnectionRegistry;
 use super::coordination::CoordinationDriver;
@@ -10,7 +14,7 @@
     self, AdminCall, ClientCloses, FleetMetric, NodeMetrics, ReloadCounts,
 };
 use crate::protocol::http::{EncodedMessage, HttpCodec, HttpParseError, MessagePart, Role};
-use crate::protocol::request;
+use crate::protocol::request::{self, RequestError};
 use bytes::Bytes;
 use futures_util::{SinkExt, StreamExt};
 use std::cell::Cell;
@@ -23,147 +27,180 @@
 use tokio::task::{spawn_local, AbortHandle};
 use tokio_util::codec::Framed;
 
-/// Callers at once; for one more the oldest is let go, since whoever is answered does not stay.
-pub const MOST_CALLERS: usize = 32;
-/// A call must be whole within this time.
-const CALL: Duration = Duration::from_secs(2);
-/// An answer must be taken within this time.
-const TAKE: Duration = Duration::from_secs(1);
+/// Callers at once. For one more the oldest is disconnected: whoever gets a response does not stay.
+pub const MAX_CALLERS: usize = 32;
+/// A call must be complete within this time.
+const READ_TIMEOUT: Duration = Duration::from_secs(2);
+/// A response must have been taken within this time.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(1);
+/// The pause after a failed accept.
+const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
+const NODE_IS_ENDING: &str = "the node is ending";
+const NO_FLEET: &str = "this node is in no fleet";
 
 /// What the operators' calls act on.
 pub struct Admin {
-    /// To the core.
-    pub tell: mpsc::Sender<DispatcherMessage>,
-    /// How far the node's life has come.
+    /// The way to the dispatcher.
+    pub dispatcher: mpsc::Sender<DispatcherMessage>,
+    /// The phase of the node's life.
     pub phase: Rc<watch::Sender<NodePhase>>,
-    /// Reloads of the settings at SIGHUP.
+    /// How often settings were read again at SIGHUP.
     pub reloads: Cell<ReloadCounts>,
-    /// The node's part in its fleet, where it has one.
-    pub fleet: Option<Rc<CoordinationDriver>>,
+    /// The node's part in its fleet, if it has one.
+    pub coordination: Option<Rc<CoordinationDriver>>,
     /// What clients' connections share.
     pub clients: Rc<ConnectionRegistry>,
 }
 
+/// Why a call cannot be carried out.
+#[derive(Debug, thiserror::Error)]
+enum CallError {
+    /// The call is not one of the known ones.
+    #[error("the call is rejected with status {}", .0.status)]
+    Rejected(RequestError),
+    /// The caller's bytes are not a request, or the caller has disconnected.
+    #[error(transparent)]
+    Unreadable(#[from] HttpParseError),
+}
+
 impl Admin {
     /// Answers calls until the process ends.
     pub async fn serve(self: Rc<Self>, listener: TcpListener) {
         let mut callers: VecDeque<AbortHandle> = VecDeque::new();
         loop {
             let Ok((socket, _)) = listener.accept().await else {
-                // Out of descriptors: the oldest caller makes room.
-                callers
-                    .pop_front()
-                    .into_iter()
-                    .for_each(|oldest| oldest.abort());
-                tokio::time::sleep(Duration::from_millis(10)).await;
+                // The process has no descriptors left: the oldest caller makes room.
+                disconnect_oldest(&mut callers);
+                tokio::time::sleep(ACCEPT_PAUSE).await;
                 continue;
             };
             callers.retain(|caller| !caller.is_finished());
-            if callers.len() >= MOST_CALLERS {
-                callers
-                    .pop_front()
-                    .into_iter()
-                    .for_each(|oldest| oldest.abort());
+            if callers.len() >= MAX_CALLERS {
+                disconnect_oldest(&mut callers);
             }
-            callers.push_back(spawn_local(self.clone().caller(socket)).abort_handle());
+            let task = spawn_local(self.clone().serve_caller(socket));
+            callers.push_back(task.abort_handle());
         }
     }
 
-    async fn caller(self: Rc<Self>, socket: TcpStream) {
-        let mut wire = Framed::new(socket.into(), HttpCodec::new(Role::Server));
-        let answer = match tokio::time::timeout(CALL, read(&mut wire)).await {
-            Ok(Ok(Ok(call))) => self.answer(call).await,
-            Ok(Ok(Err(reject))) => {
-                request::local_response(reject.status, &reject.reason, None, true)
-            }
-            Ok(Err(HttpParseError::UnexpectedEof | HttpParseError::Io(_))) => return,
-            Ok(Err(fault)) => request::local_response(400, &fault.to_string(), None, true),
-            Err(_) => {
-                request::local_response(408, "the call did not come whole in time", None, true)
-            }
-        };
-        let sent = async {
-            if wire.send(EncodedMessage::Raw(answer)).await.is_ok() {
-                let _ = wire.get_mut().shutdown().await;
-                wire.get_mut().discard_input().await;
-            }
-        };
-        let _ = tokio::time::timeout(TAKE, sent).await;
-    }
-
-    /// The response with the metrics: those of the dispatcher, and those that are known here.
-    async fn metrics_response(&self) -> Bytes {
-        let Some(dispatcher_metrics) = query(&self.tell, DispatcherQuery::Telemetry).await else {
-            return request::local_response(503, "the node is ending", None, true);
+    async fn serve_caller(self: Rc<Self>, socket: TcpStream) {
+        let mut http = Framed::new(socket.into(), HttpCodec::new(Role::Server));
+        let response = match tokio::time::timeout(READ_TIMEOUT, read_call(&mut http)).await {
+            Ok(Ok(call)) => self.carry_out(call).await,
+            Ok(Err(CallError::Rejected(error))) => respond(error.status, &error.reason),
+            Ok(Err(CallError::Unreadable(
+                HttpParseError::UnexpectedEof | HttpParseError::Io(_),
+            ))) => return,
+            Ok(Err(CallError::Unreadable(error))) => respond(400, &error.to_string()),
+            Err(_) => respond(408, "the call did not come whole in time"),
         };
-        let fleet = self.fleet.as_ref().map(|fleet| fleet.metrics());
-        let fleet = fleet.unwrap_or_default().into_iter();
-        let closes = self.clients.close_counters().by_label().into_iter();
-        admin::metrics_response(&NodeMetrics {
-            reloads: self.reloads.get(),
-            fleet: fleet
-                .map(|(name, value)| FleetMetric { name, value })
-                .collect(),
-            client_closes: closes
-                .map(|(reason, count)| ClientCloses { reason, count })
-                .collect(),
-            ..dispatcher_metrics
-        })
+        // A caller that does not take its response in time is disconnected.
+        let _ = tokio::time::timeout(WRITE_TIMEOUT, send_and_close(&mut http, response)).await;
     }
 
-    async fn answer(&self, call: AdminCall) -> Bytes {
-        let yes = |text: &str| request::local_response(200, text, None, true);
+    /// Carries out a call and returns the response.
+    async fn carry_out(&self, call: AdminCall) -> Bytes {
         match call {
-            AdminCall::Ready if *self.phase.borrow() == NodePhase::Serving => yes("ready"),
-            AdminCall::Ready => {
-                request::local_response(503, "this node takes no clients now", None, true)
-            }
+            AdminCall::Ready if *self.phase.borrow() == NodePhase::Serving => respond(200, "ready"),
+            AdminCall::Ready => respond(503, "this node takes no clients now"),
             AdminCall::Telemetry => self.metrics_response().await,
-            AdminCall::Fleet => match &self.fleet {
-                Some(fleet) => admin::json_response(&fleet.status().to_string()),
-                None => request::local_response(404, "this node is in no fleet", None, true),
+            AdminCall::Fleet => match &self.coordination {
+                Some(coordination) => admin::json_response(&coordination.status().to_string()),
+                None => respond(404, NO_FLEET),
             },
-            AdminCall::Crossings => {
-                let rows = query(&self.tell, DispatcherQuery::CrossZoneTraffic).await;
-                match rows.and_then(|rows| serde_json::to_string(&rows).ok()) {
-                    Some(rows) => admin::json_response(&rows),
-                    None => request::local_response(503, "the node is ending", None, true),
-                }
-            }
+            AdminCall::Crossings => self.cross_zone_response().await,
             AdminCall::Roll {
                 max_nodes_out,
                 hold_us,
-            } => match &self.fleet {
-                Some(fleet) => yes(&fleet.order_rolling_restart(max_nodes_out, hold_us)),
-                None => request::local_response(404, "this node is in no fleet", None, true),
+            } => match &self.coordination {
+                Some(coordination) => respond(
+                    200,
+                    &coordination.order_rolling_restart(max_nodes_out, hold_us),
+                ),
+                None => respond(404, NO_FLEET),
             },
             AdminCall::Evacuate => {
                 evacuate(&self.phase);
-                yes("evacuating")
+                respond(200, "evacuating")
             }
             AdminCall::Rejoin => {
                 rejoin(&self.phase);
-                yes("serving")
+                respond(200, "serving")
             }
         }
     }
+
+    /// The response with the metrics: those of the dispatcher, and those that are known here.
+    async fn metrics_response(&self) -> Bytes {
+        let Some(dispatcher_metrics) = query(&self.dispatcher, DispatcherQuery::Telemetry).await
+        else {
+            return respond(503, NODE_IS_ENDING);
+        };
+        let fleet = self
+            .coordination
+            .as_ref()
+            .map(|coordination| coordination.metrics())
+            .unwrap_or_default()
+            .into_iter()
+            .map(|(name, value)| FleetMetric { name, value })
+            .collect();
+        let client_closes = self
+            .clients
+            .close_counters()
+            .by_label()
+            .into_iter()
+            .map(|(reason, count)| ClientCloses { reason, count })
+            .collect();
+        admin::metrics_response(&NodeMetrics {
+            reloads: self.reloads.get(),
+            fleet,
+            client_closes,
+            ..dispatcher_metrics
+        })
+    }
+
+    async fn cross_zone_response(&self) -> Bytes {
+        let rows = query(&self.dispatcher, DispatcherQuery::CrossZoneTraffic).await;
+        match rows.and_then(|rows| serde_json::to_string(&rows).ok()) {
+            Some(json) => admin::json_response(&json),
+            None => respond(503, NODE_IS_ENDING),
+        }
+    }
+}
+
+fn disconnect_oldest(callers: &mut VecDeque<AbortHandle>) {
+    if let Some(oldest) = callers.pop_front() {
+        oldest.abort();
+    }
+}
+
+/// A response of this node with a text; it is the last on its connection.
+fn respond(status: u16, text: &str) -> Bytes {
+    request::local_response(status, text, None, true)
 }
 
 /// Reads one call, its body too.
-async fn read(
-    wire: &mut HttpConnection,
-) -> Result<Result<AdminCall, request::RequestError>, HttpParseError> {
+async fn read_call(http: &mut HttpConnection) -> Result<AdminCall, CallError> {
     let mut call = None;
     loop {
-        match wire.next().await {
-            Some(Ok(MessagePart::Head(head))) => match admin::parse_call(&head) {
-                Ok(read) => call = Some(read),
-                Err(reject) => return Ok(Err(reject)),
-            },
+        match http.next().await {
+            Some(Ok(MessagePart::Head(head))) => {
+                call = Some(admin::parse_call(&head).map_err(CallError::Rejected)?);
+            }
             Some(Ok(MessagePart::Body(_))) => {}
-            Some(Ok(MessagePart::End)) => return call.ok_or(HttpParseError::UnexpectedEof).map(Ok),
-            Some(Err(fault)) => return Err(fault),
-            None => return Err(HttpParseError::UnexpectedEof),
+            Some(Ok(MessagePart::End)) => {
+                return call.ok_or_else(|| HttpParseError::UnexpectedEof.into());
+            }
+            Some(Err(error)) => return Err(error.into()),
+            None => return Err(HttpParseError::UnexpectedEof.into()),
         }
     }
 }
+
+async fn send_and_close(http: &mut HttpConnection, response: Bytes) {
+    if http.send(EncodedMessage::Raw(response)).await.is_ok() {
+        // Where the caller has closed the connection already, there is nothing left to shut down.
+        let _ = http.get_mut().shutdown().await;
+        http.get_mut().discard_input().await;
+    }
+}
