--- a/crates/coordination/src/budget/allocator/mod.rs
+++ b/crates/coordination/src/budget/allocator/mod.rs
@@ -40,7 +40,7 @@
     pub allocated: u64,
     /// Where that is more than is allocatable, since operators have lowered the limit: the lower limit is reached at the
     /// latest after so many microseconds.
-    pub lowered_in: Micros,
+    pub excess_expires_in: Micros,
     /// What may be in use at each node.
     pub nodes: Vec<NodeAllocation>,
 }
@@ -253,7 +253,7 @@
         let allocated = nodes.iter().map(|node| node.rate).sum();
         let allocatable = self.allocatable_rate(limit);
         let last_end = self.nodes.values().filter_map(NodeAccount::last_end).max();
-        let lowered_in = if allocated > allocatable {
+        let excess_expires_in = if allocated > allocatable {
             last_end.unwrap_or(now).saturating_sub(now)
         } else {
             0
@@ -262,7 +262,7 @@
             budget: budget.into(),
             allocatable,
             allocated,
-            lowered_in,
+            excess_expires_in,
             nodes,
         }
     }
--- a/crates/coordination/src/node/mod.rs
+++ b/crates/coordination/src/node/mod.rs
@@ -256,7 +256,7 @@
         let goes_by_other_list =
             envelope.lease_servers_number != self.settings.lease_servers_number;
         if goes_by_other_list && !matches!(envelope.body, MessageBody::Gossip(_)) {
-            self.counters.other_server_list += 1;
+            self.counters.mismatched_server_list += 1;
             return Vec::new();
         }
         match envelope.body {
--- a/crates/coordination/src/node/status.rs
+++ b/crates/coordination/src/node/status.rs
@@ -12,7 +12,7 @@
     /// Messages received.
     pub messages_received: u64,
     /// Messages dropped, since they go by another list of lease servers.
-    pub other_server_list: u64,
+    pub mismatched_server_list: u64,
     /// Leases granted by this lease server, renewals included.
     pub granted: u64,
     /// Leases refused by this lease server.
--- a/crates/coordination/src/outlier_probing/coordinator.rs
+++ b/crates/coordination/src/outlier_probing/coordinator.rs
@@ -11,7 +11,7 @@
     /// It is ejected here and gets probes only.
     pub is_ejected: bool,
     /// When the last answer came from it, if nothing has failed there since; in microseconds.
-    pub healthy_since: Option<Micros>,
+    pub last_success_at: Option<Micros>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -74,7 +74,9 @@
             let Some(health) = health_of(replica) else {
                 continue;
             };
-            let has_answered = health.healthy_since.is_some_and(|at| at > report.first_at);
+            let has_answered = health
+                .last_success_at
+                .is_some_and(|at| at > report.first_at);
             if health.is_ejected || has_answered {
                 verdicts.push(Verdict {
                     replica: replica.clone(),
--- a/crates/coordination/src/rolling_restart/participant.rs
+++ b/crates/coordination/src/rolling_restart/participant.rs
@@ -109,7 +109,7 @@
     }
 
     /// Whether to come back by itself now, since no coordinator was heard of for too long.
-    pub fn returns_by_itself(&mut self, now: Micros) -> bool {
+    pub fn return_if_timed_out(&mut self, now: Micros) -> bool {
         let returns = self.progress == NodeProgress::Out && self.is_forgotten(now);
         if returns {
             self.progress = NodeProgress::Done;
--- a/crates/coordination/tests/budget.rs
+++ b/crates/coordination/tests/budget.rs
@@ -238,7 +238,7 @@
         let now = fleet.allocator_now();
         let status = fleet.allocator.status(now).remove(0);
         let is_above = status.allocated > status.allocatable;
-        let is_told = (1..=GRANT_DURATION).contains(&status.lowered_in);
+        let is_told = (1..=GRANT_DURATION).contains(&status.excess_expires_in);
         assert_eq!(is_above, is_told, "{rate}: {status:?}");
         assert!(is_above || rate < 30_000, "{status:?}");
         let granted = granted_after(&mut fleet, 5);
--- a/crates/coordination/tests/outlier_probing.rs
+++ b/crates/coordination/tests/outlier_probing.rs
@@ -39,7 +39,7 @@
     coordinator.handle_report(vec!["a".into()], SECOND);
     let ejected = ReplicaHealth {
         is_ejected: true,
-        healthy_since: None,
+        last_success_at: None,
     };
     assert_eq!(
         verdicts(&mut coordinator, Some(ejected), SECOND),
@@ -48,12 +48,12 @@
     // An answer from before the report proves nothing, one after it does.
     let healthy_before = ReplicaHealth {
         is_ejected: false,
-        healthy_since: Some(SECOND / 2),
+        last_success_at: Some(SECOND / 2),
     };
     assert_eq!(verdicts(&mut coordinator, Some(healthy_before), SECOND), []);
     let healthy_after = ReplicaHealth {
         is_ejected: false,
-        healthy_since: Some(SECOND + 1),
+        last_success_at: Some(SECOND + 1),
     };
     assert_eq!(
         verdicts(&mut coordinator, Some(healthy_after), SECOND + 2),
--- a/crates/coordination/tests/rolling_restart.rs
+++ b/crates/coordination/tests/rolling_restart.rs
@@ -189,7 +189,7 @@
             self.deliver(node, &message, now);
         }
         for participant in &mut self.participants {
-            participant.returns_by_itself(now);
+            participant.return_if_timed_out(now);
         }
         self.observe();
     }
@@ -325,8 +325,8 @@
     let mut participant = participant_with_order();
     participant.handle_query(query(1, 1), &order_id(), true, 0);
     assert!(participant.handle_command(query(1, 1), RestartCommand::Leave, 2));
-    assert!(!participant.returns_by_itself(RETURN_AFTER - 1));
-    assert!(participant.returns_by_itself(RETURN_AFTER));
+    assert!(!participant.return_if_timed_out(RETURN_AFTER - 1));
+    assert!(participant.return_if_timed_out(RETURN_AFTER));
     assert!(participant.progress() == NodeProgress::Done);
 }
 
--- a/src/transport/coordination/budgets.rs
+++ b/src/transport/coordination/budgets.rs
@@ -268,7 +268,7 @@
         "divided": units(allocation.allocatable),
         "given": units(allocation.allocated),
         "free": units(free),
-        "lowered_in_ms": allocation.lowered_in / 1000,
+        "lowered_in_ms": allocation.excess_expires_in / 1000,
         "nodes": nodes,
     })
 }
--- a/src/transport/coordination/outlier_probing.rs
+++ b/src/transport/coordination/outlier_probing.rs
@@ -67,7 +67,7 @@
 fn health(replica: &ReplicaStatus) -> ReplicaHealth {
     ReplicaHealth {
         is_ejected: replica.is_ejected,
-        healthy_since: replica.last_success_at,
+        last_success_at: replica.last_success_at,
     }
 }
 
--- a/src/transport/coordination/rolling_restart.rs
+++ b/src/transport/coordination/rolling_restart.rs
@@ -173,7 +173,11 @@
 
     fn return_if_forgotten(&self) {
         let now = self.clock.now();
-        let returns = self.restart.participant.borrow_mut().returns_by_itself(now);
+        let returns = self
+            .restart
+            .participant
+            .borrow_mut()
+            .return_if_timed_out(now);
         if returns {
             tracing::warn!("out of service and no word from a coordinator: returning");
             rejoin(&self.phase);
--- a/src/transport/coordination/status.rs
+++ b/src/transport/coordination/status.rs
@@ -39,7 +39,7 @@
             ("fleet_messages_garbled", transport.malformed),
             (
                 "fleet_messages_foreign",
-                transport.misaddressed + counters.other_server_list,
+                transport.misaddressed + counters.mismatched_server_list,
             ),
         ];
         let mut metrics: Vec<(String, u64)> = Vec::new();
@@ -95,7 +95,7 @@
             "taken": counters.messages_received,
             "garbled": transport.malformed,
             "foreign": transport.misaddressed,
-            "other_keepers": counters.other_server_list,
+            "other_keepers": counters.mismatched_server_list,
             "unreached": transport.unreachable,
         })
     }
