--- a/crates/scheduler/src/scheduler/shutdown.rs
+++ b/crates/scheduler/src/scheduler/shutdown.rs
@@ -7,7 +7,7 @@
 impl Scheduler {
     /// The router ends: every request that waits for its first token, now or later, has its final answer by this time.
     /// Streams that have begun go on.
-    pub fn set_answer_deadline(&mut self, time: Seconds) {
+    pub fn set_response_deadline(&mut self, time: Seconds) {
         self.answer_deadline = self.answer_deadline.min(time);
         for id in self.requests_awaiting_first_token() {
             self.shorten_deadlines(id);
--- a/src/program/serve/shutdown.rs
+++ b/src/program/serve/shutdown.rs
@@ -37,7 +37,7 @@
 
     /// Bounds the time of the last responses and hands the learned state over.
     async fn hand_over(&self) {
-        let deadline = DispatcherMessage::SetAnswerDeadline(FINAL_RESPONSE_TIMEOUT);
+        let deadline = DispatcherMessage::SetResponseDeadline(FINAL_RESPONSE_TIMEOUT);
         // An error says that the dispatcher has ended, and then there are no answers to bound.
         let _ = self.dispatcher.send(deadline).await;
         if let Some(handover) = &self.handover {
--- a/src/routing/router.rs
+++ b/src/routing/router.rs
@@ -116,8 +116,8 @@
     }
 
     /// The node shuts down: whoever waits for a first token has a final response by this time.
-    pub fn set_answer_deadline(&mut self, deadline: MonotonicMicros) {
-        self.scheduler.set_answer_deadline(seconds(deadline));
+    pub fn set_response_deadline(&mut self, deadline: MonotonicMicros) {
+        self.scheduler.set_response_deadline(seconds(deadline));
     }
 
     /// What this node may spend of budgets that are shared with other nodes, from now on.
--- a/src/transport/dispatcher/mod.rs
+++ b/src/transport/dispatcher/mod.rs
@@ -184,7 +184,9 @@
             DispatcherMessage::UpdateSettings { settings, applied } => {
                 self.update_settings(settings, applied);
             }
-            DispatcherMessage::SetAnswerDeadline(within) => self.set_answer_deadline(now, within),
+            DispatcherMessage::SetResponseDeadline(within) => {
+                self.set_response_deadline(now, within)
+            }
             DispatcherMessage::LogSummary(done) => {
                 self.log_summary();
                 send_reply(done, ());
@@ -215,9 +217,9 @@
         send_reply(applied, ());
     }
 
-    fn set_answer_deadline(&mut self, now: MonotonicMicros, within: Duration) {
+    fn set_response_deadline(&mut self, now: MonotonicMicros, within: Duration) {
         let deadline = now.saturating_add(within.as_micros() as DurationMicros);
-        self.router.set_answer_deadline(deadline);
+        self.router.set_response_deadline(deadline);
     }
 }
 
--- a/src/transport/messages.rs
+++ b/src/transport/messages.rs
@@ -187,7 +187,7 @@
         applied: Reply<()>,
     },
     /// The node shuts down: whoever waits for a first token gets a final response within this time.
-    SetAnswerDeadline(Duration),
+    SetResponseDeadline(Duration),
     /// Write the summary to the log; answered once that is done.
     LogSummary(Reply<()>),
     /// A question about the dispatcher's state.
--- a/tests/routing.rs
+++ b/tests/routing.rs
@@ -262,7 +262,7 @@
     for number in 1..=WAITING {
         log.note(&arrive(&mut router, RequestId(number), 60.0), streaming);
     }
-    router.set_answer_deadline(3_500_000);
+    router.set_response_deadline(3_500_000);
     let late = arrive(&mut router, RequestId(WAITING + 1), 60.0);
     log.note(&late, streaming);
     log.note(&run_timers_until(&mut router, 3_550_000), streaming);
