--- a/src/program/config/bounds.rs
+++ b/src/program/config/bounds.rs
@@ -1,7 +1,7 @@
 //! The bounds of the transport, which follow from the limits of the machine and the site's settings.
 
 use super::error::NodeConfigError;
-use crate::transport::admin::MAX_CALLERS;
+use crate::transport::admin::MAX_ADMIN_CONNECTIONS;
 use crate::transport::client::listener::MAX_PENDING_REFUSALS;
 use crate::transport::client::registry::MAX_PENDING_EVICTIONS;
 use crate::transport::client::shutdown;
@@ -25,7 +25,7 @@
 /// File descriptors that connections to clients and replicas leave free, so that whoever fills those can take none of
 /// these: the process's own, and clients that are leaving, are turned away or call as operators.
 const RESERVED_SOCKETS: u64 =
-    (OWN_SOCKETS + MAX_PENDING_EVICTIONS + MAX_PENDING_REFUSALS + MAX_CALLERS) as u64;
+    (OWN_SOCKETS + MAX_PENDING_EVICTIONS + MAX_PENDING_REFUSALS + MAX_ADMIN_CONNECTIONS) as u64;
 /// One part in this many of the memory is for bodies of requests; the others are for connections and the program.
 const BODY_MEMORY_DIVISOR: u64 = 4;
 /// The buffers and tasks of one connection, estimated generously.
--- a/src/program/config/operator/budgets.rs
+++ b/src/program/config/operator/budgets.rs
@@ -2,7 +2,7 @@
 
 use super::duration::ConfigDuration;
 use super::error::InvalidValue;
-use crate::transport::coordination::budgets::TENANT_PREFIX;
+use crate::transport::coordination::budgets::TENANT_BUDGET_PREFIX;
 use poppykeel_coordination::budget::{BudgetLimit, MAX_BUDGETS};
 use serde::Deserialize;
 use std::borrow::Cow;
@@ -99,7 +99,7 @@
         }
         for (tenant, budget) in &self.tenants {
             budgets.push(NamedBudget {
-                name: format!("{TENANT_PREFIX}{tenant}"),
+                name: format!("{TENANT_BUDGET_PREFIX}{tenant}"),
                 key: format!("tenants.{tenant}"),
                 budget: *budget,
             });
--- a/src/program/serve/node.rs
+++ b/src/program/serve/node.rs
@@ -10,7 +10,7 @@
 use crate::program::config::NodeConfig;
 use crate::routing::directory::EndpointDirectory;
 use crate::routing::RequestRouter;
-use crate::transport::admin::Admin;
+use crate::transport::admin::AdminServer;
 use crate::transport::client::listener::accept_connections;
 use crate::transport::client::registry::ConnectionRegistry;
 use crate::transport::clock::Clock;
@@ -73,7 +73,7 @@
     pub(super) handover: Option<Rc<LearnedStateHandover>>,
     /// What the connections of clients share.
     pub(super) clients: Rc<ConnectionRegistry>,
-    pub(super) admin: Rc<Admin>,
+    pub(super) admin: Rc<AdminServer>,
 }
 
 impl Node {
@@ -102,7 +102,7 @@
         spawn_local(accept_connections(client.listener, clients.clone(), phase));
         let bound = client.address;
         tracing::info!(node = %context.config.name, listen = %bound, zone = context.site.scheduler.zone, "serving on {bound}");
-        let admin = Rc::new(Admin {
+        let admin = Rc::new(AdminServer {
             dispatcher: context.dispatcher.clone(),
             phase: context.phase.clone(),
             reloads: Cell::default(),
@@ -252,7 +252,7 @@
 
 /// Begins to answer operators' calls.
 fn serve_admin(
-    admin: &Rc<Admin>,
+    admin: &Rc<AdminServer>,
     listener: TcpListener,
     node_name: &str,
 ) -> Result<(), ServeError> {
--- a/src/program/serve/shutdown.rs
+++ b/src/program/serve/shutdown.rs
@@ -22,7 +22,7 @@
     pub(super) async fn shut_down(&self) {
         let node_name = &self.config.name;
         let clients = &self.clients;
-        clients.shutdown().order();
+        clients.shutdown().begin();
         tracing::info!(node = %node_name, connections = clients.open_count(), "draining");
         if let Some(coordination) = &self.coordination {
             coordination.leave();
@@ -41,7 +41,7 @@
         // An error says that the dispatcher has ended, and then there are no answers to bound.
         let _ = self.dispatcher.send(deadline).await;
         if let Some(handover) = &self.handover {
-            handover.leave().await;
+            handover.publish().await;
         }
     }
 
--- a/src/transport/admin.rs
+++ b/src/transport/admin.rs
@@ -1,6 +1,6 @@
 //! The operators' address: one call a connection, answered whatever the clients' load.
 //!
-//! [`Admin::serve`] starts a task for each caller. The task owns the socket; aborting it closes the connection. Callers that send
+//! [`AdminServer::serve`] starts a task for each caller. The task owns the socket; aborting it closes the connection. Callers that send
 //! nothing or do not read their response are disconnected after a time limit, so none of them keeps others out.
 //! `program::serve` starts it; `docs/oncall.md` has the calls.
 
@@ -28,7 +28,7 @@
 use tokio_util::codec::Framed;
 
 /// Callers at once. For one more the oldest is disconnected: whoever gets a response does not stay.
-pub const MAX_CALLERS: usize = 32;
+pub const MAX_ADMIN_CONNECTIONS: usize = 32;
 /// A call must be complete within this time.
 const READ_TIMEOUT: Duration = Duration::from_secs(2);
 /// A response must have been taken within this time.
@@ -39,7 +39,7 @@
 const NO_FLEET: &str = "this node is in no fleet";
 
 /// What the operators' calls act on.
-pub struct Admin {
+pub struct AdminServer {
     /// The way to the dispatcher.
     pub dispatcher: mpsc::Sender<DispatcherMessage>,
     /// The phase of the node's life.
@@ -63,7 +63,7 @@
     Unreadable(#[from] HttpParseError),
 }
 
-impl Admin {
+impl AdminServer {
     /// Answers calls until the process ends.
     pub async fn serve(self: Rc<Self>, listener: TcpListener) {
         let mut callers: VecDeque<AbortHandle> = VecDeque::new();
@@ -75,7 +75,7 @@
                 continue;
             };
             callers.retain(|caller| !caller.is_finished());
-            if callers.len() >= MAX_CALLERS {
+            if callers.len() >= MAX_ADMIN_CONNECTIONS {
                 disconnect_oldest(&mut callers);
             }
             let task = spawn_local(self.clone().serve_caller(socket));
--- a/src/transport/client/shutdown.rs
+++ b/src/transport/client/shutdown.rs
@@ -38,7 +38,7 @@
 
 impl Shutdown {
     /// Gives the order; a second one changes nothing.
-    pub fn order(&self) {
+    pub fn begin(&self) {
         if self.ordered_at.get().is_none() {
             self.ordered_at.set(Some(Instant::now()));
         }
--- a/src/transport/client/shutdown/tests.rs
+++ b/src/transport/client/shutdown/tests.rs
@@ -16,10 +16,10 @@
             && shutdown.elapsed().is_none()
             && shutdown.read_deadline().is_none()
     );
-    shutdown.order();
+    shutdown.begin();
     advance(ADMISSION_DURATION - Duration::from_millis(1)).await;
     assert!(shutdown.admits_requests());
-    shutdown.order();
+    shutdown.begin();
     advance(Duration::from_millis(1)).await;
     assert!(!shutdown.admits_requests());
     assert_eq!(shutdown.elapsed(), Some(ADMISSION_DURATION));
--- a/src/transport/coordination/budgets.rs
+++ b/src/transport/coordination/budgets.rs
@@ -22,7 +22,7 @@
 /// The name of the lease under which budgets are allocated.
 pub const LEASE_TASK: &str = "budgets";
 /// A tenant's budget is named so, with the tenant's name behind it.
-pub const TENANT_PREFIX: &str = "tenant:";
+pub const TENANT_BUDGET_PREFIX: &str = "tenant:";
 /// The names of all other budgets, as they travel between nodes.
 const BUDGET_NAMES: [(&str, BudgetKind); 6] = [
     ("retries", BudgetKind::Retries),
@@ -57,7 +57,7 @@
         if let Some((_, kind)) = known {
             return Some(*kind);
         }
-        let tenant = name.strip_prefix(TENANT_PREFIX)?;
+        let tenant = name.strip_prefix(TENANT_BUDGET_PREFIX)?;
         let index = self.tenants.iter().position(|known| known == tenant)?;
         Some(BudgetKind::Tenant(index))
     }
--- a/src/transport/handover.rs
+++ b/src/transport/handover.rs
@@ -4,7 +4,7 @@
 //! old one sees the question, removes it and leaves a record, `poppykeel-NAME.learned`; it leaves another one when it is told
 //! to end. The new one takes each record and removes it. `routing::learned_state` decides whether a record is used.
 //!
-//! `program::serve` starts the task and calls [`LearnedStateHandover::leave`] at shutdown. The files are small and on a local
+//! `program::serve` starts the task and calls [`LearnedStateHandover::publish`] at shutdown. The files are small and on a local
 //! disk: they are read and written without leaving the runtime's thread.
 
 use super::clock::Clock;
@@ -90,7 +90,7 @@
                 }
                 Ok(_) => {
                     self.remove(QUESTION);
-                    self.leave().await;
+                    self.publish().await;
                 }
                 Err(_) => {}
             }
@@ -99,7 +99,7 @@
     }
 
     /// Leaves a record of what this process has learned, if it has learned anything.
-    pub async fn leave(&self) {
+    pub async fn publish(&self) {
         let learned = query(&self.dispatcher, DispatcherQuery::LearnedState).await;
         let Some(learned) = learned.filter(|learned| learned.requests_seen > 0) else {
             return;
