--- a/crates/endpoints/src/address_identity.rs
+++ b/crates/endpoints/src/address_identity.rs
@@ -1,9 +1,9 @@
-//! Names for the endpoints that only sources without ids list.
+//! Assigns names to the endpoints that no source lists under an id.
 //!
-//! DNS leads from names to addresses, and several names may lead to one. An endpoint that no source lists under an id
-//! is named after the first of its names and its address. It keeps that name while at least one of its names stays;
-//! if all of them are replaced at once, another endpoint runs at the address and gets a name that was never used,
-//! so that nothing learned about the previous one applies to it.
+//! DNS resolves names to addresses, and several names may share an address. An endpoint without an id is named after
+//! the first of its DNS names and its address. The name stays while at least one of the DNS names stays. If all of them
+//! are replaced at once, a different endpoint is assumed to run at the address and gets a name that was never used
+//! before, so that no learned state of the previous endpoint applies to it.
 
 use crate::update::MonotonicMicros;
 use std::collections::{BTreeMap, BTreeSet};
@@ -12,22 +12,22 @@
 /// The endpoint at one address.
 #[derive(Clone, Debug)]
 struct AddressIdentity {
-    /// The names that lead to the address.
+    /// The DNS names that resolve to the address.
     names: BTreeSet<String>,
     endpoint_name: String,
-    /// How many endpoints have been seen at the address, this one counted.
+    /// The number of endpoints seen at the address, including this one.
     generation: u32,
     last_seen_at: MonotonicMicros,
 }
 
-/// The endpoints at all addresses where only sources without ids list anything.
+/// The endpoints at all addresses that are listed only by sources without ids.
 #[derive(Debug, Default)]
 pub(crate) struct AddressIdentities {
     by_addr: BTreeMap<SocketAddr, AddressIdentity>,
 }
 
 impl AddressIdentities {
-    /// The name of the endpoint at an address to which these names lead now.
+    /// The name of the endpoint at an address to which these DNS names currently resolve.
     pub(crate) fn endpoint_name(
         &mut self,
         now: MonotonicMicros,
@@ -54,17 +54,16 @@
         identity.endpoint_name.clone()
     }
 
-    /// The number of addresses.
     pub(crate) fn len(&self) -> usize {
         self.by_addr.len()
     }
 
-    /// Keeps only addresses that some source lists.
+    /// Drops the addresses that no source lists.
     pub(crate) fn retain_listed(&mut self, is_listed: impl Fn(&SocketAddr) -> bool) {
         self.by_addr.retain(|addr, _| is_listed(addr));
     }
 
-    /// Forgets addresses that no source lists and that were last seen before `cutoff`.
+    /// Drops addresses that no source lists and that were last seen before `cutoff`.
     pub(crate) fn forget_before(
         &mut self,
         cutoff: MonotonicMicros,
--- a/crates/endpoints/src/dated_verdict.rs
+++ b/crates/endpoints/src/dated_verdict.rs
@@ -1,11 +1,11 @@
-//! A source's verdict on one endpoint with its time and cause.
+//! A source's verdict on one endpoint, with its time and cause.
 
 use crate::listing::TrackedEndpoint;
 use crate::update::{ListedState, MonotonicMicros};
 use crate::verdict::SourceVerdict;
 use std::net::SocketAddr;
 
-/// A source's verdict on an endpoint, since when it holds, and what explains it.
+/// A source's verdict on an endpoint, the time since which it holds, and its cause.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct DatedVerdict {
     pub(crate) verdict: SourceVerdict,
@@ -13,31 +13,29 @@
     pub(crate) detail: VerdictDetail,
 }
 
-/// What explains a verdict beyond its name.
+/// The cause of a verdict, where the verdict alone does not explain it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum VerdictDetail {
-    /// Nothing.
     None,
-    /// The endpoint is held; so many answers in a row lack it.
+    /// The endpoint is held, because this number of consecutive answers lack it.
     MissingFromAnswers(u32),
-    /// The endpoint's address comes and goes and is kept out until this time.
+    /// The endpoint's address is flapping and is suppressed until this time.
     DampedUntil(MonotonicMicros),
 }
 
-/// The endpoint on which a source is asked for its verdict.
+/// Identifies the endpoint for which a source is queried for its verdict.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct EndpointQuery<'a> {
-    /// Its name, if a source that identifies endpoints by name lists it.
+    /// The endpoint's name; `None` if no source that identifies endpoints by name lists it.
     pub(crate) name: Option<&'a str>,
-    /// Its address.
     pub(crate) addr: SocketAddr,
-    /// When its present start was first seen by any source. A start ends earlier drains and withdrawals of other
-    /// sources.
+    /// When any source first saw the endpoint's current start. A start overrides earlier drains and withdrawals of
+    /// other sources.
     pub(crate) start_seen_at: Option<MonotonicMicros>,
 }
 
 impl DatedVerdict {
-    /// A verdict that needs no explanation.
+    /// A verdict without further detail.
     pub(crate) fn new(verdict: SourceVerdict, since: MonotonicMicros) -> Self {
         DatedVerdict {
             verdict,
@@ -48,7 +46,7 @@
 }
 
 impl TrackedEndpoint {
-    /// The verdict of the source that lists this endpoint and cannot be asked since `failing_since`.
+    /// The verdict of the source that lists this endpoint. `failing_since` is when the source became unreachable.
     pub(crate) fn verdict(&self, failing_since: Option<MonotonicMicros>) -> DatedVerdict {
         if self.listed.state == ListedState::Draining {
             return DatedVerdict::new(SourceVerdict::Draining, self.state_since);
--- a/crates/endpoints/src/endpoint.rs
+++ b/crates/endpoints/src/endpoint.rs
@@ -1,42 +1,41 @@
-//! One endpoint of the combined list, with the decision on its status and the reason for it in words.
+//! An endpoint of the merged list, with its status and a readable reason for that status.
 
 use crate::dated_verdict::{DatedVerdict, VerdictDetail};
 use crate::update::{DurationMicros, ListedEndpoint, MonotonicMicros};
 use crate::verdict::{EndpointStatus, SourceVerdict};
 use std::sync::Arc;
 
-/// One endpoint of the combined list.
+/// An endpoint of the merged list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RegisteredEndpoint {
-    /// Its name, which no other endpoint has or has had: the id from a source that identifies endpoints by name, or
-    /// the first of its names in DNS with its address.
+    /// Unique name, never reused for another endpoint: the id from a source that identifies endpoints by name,
+    /// otherwise the first of its DNS names with its address.
     pub name: String,
-    /// Whether it takes requests.
+    /// Whether the endpoint takes requests.
     pub status: EndpointStatus,
-    /// Its description by the first source that lists it.
+    /// The description from the first source that lists the endpoint.
     pub listing: Arc<ListedEndpoint>,
-    /// Its weight, by the first source that has one.
+    /// The weight from the first source that gives one.
     pub weight: Option<f64>,
-    /// Its priority, by the first source that has one.
+    /// The priority from the first source that gives one.
     pub priority: Option<u16>,
     /// The verdict of each source, in the order of the settings.
     pub verdicts: Vec<SourceVerdict>,
     pub(crate) decision: StatusDecision,
 }
 
-/// What an endpoint's status rests on.
+/// The verdict that determines an endpoint's status.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct StatusDecision {
     /// The index of the source whose verdict prevails.
     pub(crate) source_index: usize,
-    /// Its verdict.
     pub(crate) dated_verdict: DatedVerdict,
-    /// Whether the endpoint is out of service only because others have a lower priority number.
+    /// Whether the endpoint is out of service only because usable endpoints have a lower priority number.
     pub(crate) is_standby: bool,
 }
 
 impl RegisteredEndpoint {
-    /// Whether a change from `previous` to this is reported. A change of reason or verdicts alone is not.
+    /// Whether the change from `previous` is reported. A change of the reason or of verdicts alone is not.
     pub(crate) fn differs_from(&self, previous: &RegisteredEndpoint) -> bool {
         let has_same_listing =
             Arc::ptr_eq(&previous.listing, &self.listing) || previous.listing == self.listing;
@@ -49,8 +48,8 @@
 }
 
 impl StatusDecision {
-    /// The reason in words. `source_name` is the name of the source whose verdict prevails, `is_listed` whether any
-    /// source still lists or withholds the endpoint.
+    /// A readable reason for the status. `source_name` is the source whose verdict prevails; `is_listed` is whether
+    /// any source still lists the endpoint.
     pub(crate) fn explain(
         &self,
         now: MonotonicMicros,
@@ -70,10 +69,10 @@
             since,
             detail,
         } = self.dated_verdict;
-        let age = in_seconds(now.saturating_sub(since));
+        let age = format_seconds(now.saturating_sub(since));
         match (verdict, detail) {
             (_, VerdictDetail::DampedUntil(damped_until)) => {
-                let remaining = in_seconds(damped_until.saturating_sub(now));
+                let remaining = format_seconds(damped_until.saturating_sub(now));
                 format!(
                     "its record in {source_name} comes and goes; kept out for {remaining} more"
                 )
@@ -93,6 +92,6 @@
     }
 }
 
-fn in_seconds(duration: DurationMicros) -> String {
+fn format_seconds(duration: DurationMicros) -> String {
     format!("{:.1} s", duration as f64 / 1e6)
 }
--- a/crates/endpoints/src/flap_damping.rs
+++ b/crates/endpoints/src/flap_damping.rs
@@ -1,7 +1,7 @@
-//! Keeps out addresses whose records come and go, for a time that doubles with each return.
+//! Suppresses addresses whose records are flapping, for a time that doubles with each return.
 //!
-//! The damping is per source and per address. It does not apply if it would keep out more than half of what the
-//! source lists: a DNS server that hands out a part of its records each time is not flapping.
+//! Damping is per source and per address. It is not applied if it would suppress more than half of the addresses that
+//! the source lists: a DNS server that returns a different subset of its records each time is not flapping.
 
 use crate::listing::Listing;
 use crate::settings::FlapLimits;
@@ -9,21 +9,21 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// The number of addresses whose returns are remembered. Beyond it the address with the oldest return is forgotten.
+/// Limit on tracked addresses. Beyond it the address with the oldest return is dropped.
 const MAX_TRACKED_ADDRS: usize = 16_384;
 
-/// The largest power of two by which the initial hold is multiplied.
+/// The initial hold is doubled at most this many times.
 const MAX_DOUBLING_COUNT: u32 = 20;
 
-/// The addresses that are kept out, and until when.
+/// The suppressed addresses, each with the time at which its suppression ends.
 pub(crate) type DampedAddresses = BTreeMap<SocketAddr, MonotonicMicros>;
 
-/// The returns of one address.
+/// The returns of one address after withdrawals.
 #[derive(Clone, Copy, Debug, Default)]
 struct ReturnHistory {
     return_count: u32,
     last_return_at: MonotonicMicros,
-    /// The address is kept out until this time.
+    /// The address is suppressed until this time.
     damped_until: MonotonicMicros,
 }
 
@@ -34,7 +34,7 @@
 }
 
 impl FlapDamping {
-    /// Counts a return of an address that had been withdrawn, and starts or extends its damping.
+    /// Counts the return of a withdrawn address, and starts or extends its suppression beyond the tolerated returns.
     pub(crate) fn record_return(
         &mut self,
         now: MonotonicMicros,
@@ -75,7 +75,7 @@
         }
     }
 
-    /// The listed addresses that are kept out now; none if they were more than half of those listed.
+    /// The listed addresses that are suppressed now; empty if they are more than half of all listed addresses.
     pub(crate) fn damped_addresses(
         &self,
         now: MonotonicMicros,
@@ -93,7 +93,7 @@
         damped
     }
 
-    /// When the next damping ends.
+    /// When the next suppression ends.
     pub(crate) fn next_release(&self, now: MonotonicMicros) -> Option<MonotonicMicros> {
         self.histories
             .values()
@@ -102,7 +102,7 @@
             .min()
     }
 
-    /// Forgets addresses whose last return was before `cutoff`.
+    /// Drops addresses whose last return was before `cutoff`.
     pub(crate) fn forget_before(&mut self, cutoff: MonotonicMicros) {
         self.histories
             .retain(|_, history| history.last_return_at >= cutoff);
--- a/crates/endpoints/src/lib.rs
+++ b/crates/endpoints/src/lib.rs
@@ -1,23 +1,23 @@
-//! One endpoint list out of several sources that may disagree, fail or fall silent.
+//! Merges the endpoint lists of several sources, which may disagree or fail, into one list.
 //!
-//! Each source reports which endpoints there are: discovery by an endpoint list, DNS by SRV records. The
-//! [`EndpointRegistry`] combines them into one list, and says for each endpoint whether it is in service, held,
-//! draining or out of service, and why. `src/routing/directory.rs` hands the changes to the scheduler, and
-//! `poppykeel resolve` shows the list.
+//! The sources are the discovery service, which publishes an endpoint list, and DNS with its SRV records. The
+//! [`EndpointRegistry`] merges them and determines for each endpoint whether it is in service, held, draining or out
+//! of service, and why. `src/routing/directory.rs` passes the changes to the scheduler, and `poppykeel resolve`
+//! prints the list.
 //!
-//! The crate does no input or output and reads no clock: the time comes with every call, in whole microseconds on a
-//! clock that never runs backwards. By module:
+//! The crate does no I/O and reads no clock: callers pass the time to each call, in whole microseconds of a monotonic
+//! clock. Modules:
 //!
 //! * `settings`: settings of the registry and of each source.
-//! * `update`: what a source reports.
-//! * `verdict`: what a source says of an endpoint, and **the table of precedence**, which decides whose verdict
-//!   prevails; see [`PRECEDENCE`] and [`SourceVerdict`].
-//! * `source_state`: the state of one source. It owns a `listing` (what it lists now), `withdrawals` (what it has
-//!   removed), `sudden_loss` (whether a loss is believed) and `flap_damping` (records that come and go), and gives
-//!   a `dated_verdict` on each endpoint.
-//! * `merge`: the verdicts of all sources combined into `endpoint`s; `address_identity` names those that only DNS
-//!   lists.
-//! * `registry`: the list itself and its changes.
+//! * `update`: the updates that a source reports.
+//! * `verdict`: a source's verdict on an endpoint, and **the precedence table**, which decides whose verdict prevails;
+//!   see [`PRECEDENCE`] and [`SourceVerdict`].
+//! * `source_state`: the state of one source. It owns a `listing` (current endpoints), `withdrawals` (removed
+//!   endpoints), `sudden_loss` (detection of implausibly large losses) and `flap_damping` (suppression of flapping
+//!   records), and gives a `dated_verdict` on each endpoint.
+//! * `merge`: combines the verdicts of all sources into `endpoint`s; `address_identity` names the endpoints that only
+//!   DNS lists.
+//! * `registry`: the merged list and its changes.
 //!
 //! `docs/membership.md` explains the rules to operators.
 //!
@@ -35,7 +35,7 @@
 //! let record = ListedEndpoint::new("s1.example.test:8000", addr);
 //! let changes = registry.apply_update(0, 1, SourceUpdate::FullList(vec![record]));
 //! assert_eq!(changes[0].status, EndpointStatus::InService);
-//! // The list drains the same endpoint under its own name: it is one endpoint, and DNS does not keep it in service.
+//! // The list reports the same address as draining under another name: both are one endpoint, and the drain prevails.
 //! let drained = ListedEndpoint { state: ListedState::Draining, ..ListedEndpoint::new("s-1", addr) };
 //! registry.apply_update(1_000, 0, SourceUpdate::FullList(vec![drained]));
 //! let endpoints = registry.endpoints();
--- a/crates/endpoints/src/listing.rs
+++ b/crates/endpoints/src/listing.rs
@@ -1,7 +1,7 @@
-//! The endpoints that one source lists now, by key and by address.
+//! The endpoints that one source currently lists, indexed by key and by address.
 //!
 //! Invariant: `keys_by_addr` holds exactly the keys of `endpoints`, each under the address of its endpoint, and no
-//! empty set. [`SourceState`](crate::source_state::SourceState) owns one and decides what goes into it.
+//! empty set. Each [`SourceState`](crate::source_state::SourceState) owns one [`Listing`] and decides on its content.
 
 use crate::settings::EndpointIdentity;
 use crate::update::{ListedEndpoint, ListedState, MonotonicMicros};
@@ -9,8 +9,8 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// What identifies a listed endpoint within one source: its name, and for sources that identify endpoints by address
-/// the address too, since one name may lead to several.
+/// Identifies a listed endpoint within one source: by its name, and in sources that identify endpoints by address also
+/// by the address, since one name may resolve to several.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct ListingKey {
     pub(crate) name: String,
@@ -18,7 +18,7 @@
     pub(crate) addr: Option<SocketAddr>,
 }
 
-/// A [`ListingKey`] that borrows its name, to look keys up without an allocation.
+/// A [`ListingKey`] with a borrowed name, for lookups without allocation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct ListingKeyRef<'a> {
     name: &'a str,
@@ -26,7 +26,6 @@
 }
 
 impl ListingKey {
-    /// The same key, borrowed.
     pub(crate) fn as_key_ref(&self) -> ListingKeyRef<'_> {
         ListingKeyRef {
             name: &self.name,
@@ -36,7 +35,7 @@
 }
 
 impl<'a> ListingKeyRef<'a> {
-    /// The key of an endpoint in a source that identifies endpoints this way.
+    /// The key of an endpoint in a source with this `identity`.
     pub(crate) fn of(endpoint: &'a ListedEndpoint, identity: EndpointIdentity) -> Self {
         ListingKeyRef {
             name: &endpoint.name,
@@ -44,7 +43,6 @@
         }
     }
 
-    /// The same key with a name of its own.
     pub(crate) fn to_key(self) -> ListingKey {
         ListingKey {
             name: self.name.to_string(),
@@ -53,31 +51,31 @@
     }
 }
 
-/// Full answers in a row that lack an endpoint and are not believed yet.
+/// A run of consecutive answers that lack an endpoint whose loss is not accepted yet.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct MissingStreak {
-    /// When the first of them came.
+    /// When the first of these answers arrived.
     pub(crate) since: MonotonicMicros,
-    /// How many came, the first one counted.
+    /// The number of answers, including the first.
     pub(crate) answer_count: u32,
 }
 
-/// A listed endpoint and what has been observed of it.
+/// A listed endpoint with its history in this source.
 #[derive(Clone, Debug)]
 pub(crate) struct TrackedEndpoint {
-    /// The newest description.
+    /// The latest description.
     pub(crate) listed: Arc<ListedEndpoint>,
-    /// Since when it is listed in its present state.
+    /// When it was first listed in its current state.
     pub(crate) state_since: MonotonicMicros,
-    /// When its present start was first seen; `None` if it was part of the source's first answer, since it may have
-    /// started long before.
+    /// When its current start was first seen; `None` if it was in the source's first answer, since it may have started
+    /// long before.
     pub(crate) start_seen_at: Option<MonotonicMicros>,
-    /// The answers that lack it, if the newest ones do.
+    /// The run of latest answers that lack the endpoint; `None` if the latest answer lists it.
     pub(crate) missing: Option<MissingStreak>,
 }
 
 impl TrackedEndpoint {
-    /// An endpoint that was not listed before. Its start is new if the source has answered before.
+    /// An endpoint that was not listed before. It counts as newly started if the source has answered before.
     pub(crate) fn new(
         now: MonotonicMicros,
         listed: ListedEndpoint,
@@ -91,7 +89,7 @@
         }
     }
 
-    /// The same endpoint as it is listed now.
+    /// Updates the endpoint with its new description and ends a run of answers that lacked it.
     pub(crate) fn relisted(self, now: MonotonicMicros, listed: ListedEndpoint) -> Self {
         let state_since = if listed.state == self.listed.state {
             self.state_since
@@ -117,27 +115,27 @@
     }
 }
 
-/// An endpoint that [`Listing::remove`] has taken out.
+/// An endpoint that [`Listing::remove`] has removed.
 pub(crate) struct UnlistedEndpoint {
-    /// Where it was listed.
+    /// The address at which it was listed.
     pub(crate) addr: SocketAddr,
-    /// Whether nothing else is listed at that address.
+    /// Whether no other endpoint is listed at that address.
     pub(crate) was_last_at_addr: bool,
 }
 
-/// What a full list lacks of what was listed before.
+/// The previously listed endpoints that a full list lacks.
 pub(crate) struct Unlisted {
-    /// Endpoints that were draining: their absence is expected.
+    /// Endpoints that were draining, whose absence is expected.
     pub(crate) draining: Vec<ListingKey>,
     /// Endpoints whose address is listed under another name.
     pub(crate) renamed: Vec<ListingKey>,
-    /// Available endpoints of which the list has nothing.
+    /// Available endpoints that the list has under no name.
     pub(crate) lost: Vec<ListingKey>,
-    /// The number of endpoints that were available before the list, lost and renamed ones included.
+    /// The number of endpoints that were available before this list, including lost and renamed ones.
     pub(crate) available_count: usize,
 }
 
-/// The endpoints that one source lists now.
+/// The endpoints that one source currently lists.
 #[derive(Debug, Default)]
 pub(crate) struct Listing {
     endpoints: BTreeMap<ListingKey, TrackedEndpoint>,
@@ -145,17 +143,16 @@
 }
 
 impl Listing {
-    /// The endpoint of this key.
     pub(crate) fn get(&self, key: &ListingKey) -> Option<&TrackedEndpoint> {
         self.endpoints.get(key)
     }
 
-    /// The endpoint of this key, to change what has been observed of it. Its address must stay.
+    /// Mutable access to an endpoint. The caller must not change its address, which is indexed.
     pub(crate) fn get_mut(&mut self, key: &ListingKey) -> Option<&mut TrackedEndpoint> {
         self.endpoints.get_mut(key)
     }
 
-    /// The endpoint of this name in a source that identifies endpoints by name.
+    /// The endpoint with this name, in a source that identifies endpoints by name.
     pub(crate) fn by_name(&self, name: &str) -> Option<&TrackedEndpoint> {
         let key = ListingKey {
             name: name.to_string(),
@@ -164,7 +161,7 @@
         self.endpoints.get(&key)
     }
 
-    /// The endpoints at this address, in the order of their names.
+    /// The endpoints at this address, sorted by name.
     pub(crate) fn at(&self, addr: SocketAddr) -> impl Iterator<Item = &TrackedEndpoint> {
         self.keys_by_addr
             .get(&addr)
@@ -173,33 +170,33 @@
             .filter_map(|key| self.endpoints.get(key))
     }
 
-    /// Whether anything is listed at this address.
+    /// Whether any endpoint is listed at this address.
     pub(crate) fn has_addr(&self, addr: &SocketAddr) -> bool {
         self.keys_by_addr.contains_key(addr)
     }
 
-    /// The addresses at which anything is listed.
+    /// The addresses of all listed endpoints, each once.
     pub(crate) fn addrs(&self) -> impl Iterator<Item = &SocketAddr> {
         self.keys_by_addr.keys()
     }
 
-    /// The number of addresses at which anything is listed.
+    /// The number of distinct addresses.
     pub(crate) fn addr_count(&self) -> usize {
         self.keys_by_addr.len()
     }
 
-    /// All endpoints in the order of their keys.
+    /// All endpoints, sorted by key.
     pub(crate) fn iter(&self) -> impl Iterator<Item = (&ListingKey, &TrackedEndpoint)> {
         self.endpoints.iter()
     }
 
-    /// All endpoints in the order of their keys, to change what has been observed of them. Addresses must stay.
+    /// Mutable access to all endpoints, sorted by key. The caller must not change their addresses, which are indexed.
     pub(crate) fn values_mut(&mut self) -> impl Iterator<Item = &mut TrackedEndpoint> {
         self.endpoints.values_mut()
     }
 
-    /// Adds an endpoint, or replaces the one of this key. An endpoint that has moved must be detached from its
-    /// previous address first.
+    /// Adds or replaces the endpoint with this key. The caller must first [`detach`](Self::detach) an endpoint whose
+    /// address has changed.
     pub(crate) fn insert(&mut self, key: ListingKey, endpoint: TrackedEndpoint) {
         self.keys_by_addr
             .entry(endpoint.listed.addr)
@@ -208,7 +205,7 @@
         self.endpoints.insert(key, endpoint);
     }
 
-    /// Takes an endpoint out; `None` if it is not listed.
+    /// Removes an endpoint; `None` if it is not listed.
     pub(crate) fn remove(&mut self, key: &ListingKey) -> Option<UnlistedEndpoint> {
         let endpoint = self.endpoints.remove(key)?;
         let addr = endpoint.listed.addr;
@@ -218,8 +215,8 @@
         })
     }
 
-    /// Removes a key from the index of an address, before its endpoint is inserted at another one. Returns whether
-    /// it was the last one there.
+    /// Removes a key from the index of an address, before its endpoint is inserted at another address. Returns whether
+    /// it was the last key at that address.
     pub(crate) fn detach(&mut self, key: &ListingKey, addr: SocketAddr) -> bool {
         let Some(keys) = self.keys_by_addr.get_mut(&addr) else {
             return false;
@@ -232,7 +229,7 @@
         is_last
     }
 
-    /// What a full list lacks of this listing.
+    /// The endpoints of this listing that a full list lacks.
     pub(crate) fn find_unlisted(
         &self,
         endpoints: &[ListedEndpoint],
--- a/crates/endpoints/src/merge.rs
+++ b/crates/endpoints/src/merge.rs
@@ -1,8 +1,8 @@
-//! Combines the verdicts of all sources into endpoints.
+//! Merges the verdicts of all sources into endpoints.
 //!
-//! A pass over some or all addresses, without state of its own but for the names of endpoints that no source lists
-//! under an id. [`EndpointRegistry`](crate::EndpointRegistry) makes one pass for each update and compares the result
-//! with the previous list.
+//! A pass covers some or all addresses. Its only state is the names of endpoints that no source lists under an id.
+//! [`EndpointRegistry`](crate::EndpointRegistry) makes one pass per update and compares the result with the previous
+//! list.
 
 use crate::address_identity::AddressIdentities;
 use crate::dated_verdict::{DatedVerdict, EndpointQuery};
@@ -20,14 +20,14 @@
 pub(crate) struct MergePass<'a> {
     /// All sources, in the order of the settings.
     pub(crate) sources: &'a [SourceState],
-    /// The addresses that are kept out, one map per source.
+    /// The suppressed addresses, one map per source.
     pub(crate) damped: &'a [DampedAddresses],
-    /// The addresses to look at.
+    /// The addresses that this pass covers.
     pub(crate) addrs: &'a BTreeSet<SocketAddr>,
 }
 
 impl<'a> MergePass<'a> {
-    /// The endpoints at the addresses of this pass, by name.
+    /// The endpoints at the addresses of this pass, keyed by name.
     pub(crate) fn merge(
         &self,
         now: MonotonicMicros,
@@ -39,7 +39,7 @@
         endpoints
     }
 
-    /// Adds the endpoints that some source lists under an id.
+    /// Adds the endpoints that at least one source lists under an id.
     fn merge_named(&self, endpoints: &mut BTreeMap<String, RegisteredEndpoint>) {
         for (name, tracked) in self.tracked_by_name() {
             let first = tracked[0];
@@ -68,7 +68,7 @@
 
     fn tracked_by_name(&self) -> BTreeMap<&'a str, Vec<&'a TrackedEndpoint>> {
         let mut by_name: BTreeMap<&str, Vec<&TrackedEndpoint>> = BTreeMap::new();
-        for source in self.sources_by_name() {
+        for source in self.sources_identifying_by_name() {
             for addr in self.addrs {
                 for tracked in source.listing().at(*addr) {
                     by_name
@@ -90,7 +90,7 @@
     ) {
         for addr in self.addrs {
             let has_named_endpoint = self
-                .sources_by_name()
+                .sources_identifying_by_name()
                 .any(|source| source.listing().has_addr(addr));
             if has_named_endpoint {
                 continue;
@@ -123,7 +123,7 @@
         }
     }
 
-    fn sources_by_name(&self) -> impl Iterator<Item = &'a SourceState> {
+    fn sources_identifying_by_name(&self) -> impl Iterator<Item = &'a SourceState> {
         self.sources
             .iter()
             .filter(|source| source.identifies_by_name())
@@ -139,7 +139,7 @@
     }
 }
 
-/// Combines the verdicts by the table of precedence. The first source whose verdict prevails is the reason.
+/// Combines the verdicts by the precedence table. The first source whose verdict prevails is given as the reason.
 fn combine<'a>(
     name: String,
     listing: Arc<ListedEndpoint>,
@@ -175,8 +175,8 @@
     }
 }
 
-/// Takes every usable endpoint out of service whose priority number is higher than the lowest one of a usable
-/// endpoint (RFC 2782). An endpoint without a priority counts as 0.
+/// Takes usable endpoints out of service unless their priority number is the lowest of all usable endpoints (RFC 2782).
+/// A missing priority counts as 0.
 pub(crate) fn apply_priority_standby(endpoints: &mut BTreeMap<String, RegisteredEndpoint>) {
     let lowest_priority = endpoints
         .values()
--- a/crates/endpoints/src/registry.rs
+++ b/crates/endpoints/src/registry.rs
@@ -1,10 +1,10 @@
-//! The combined list of endpoints.
+//! The merged list of endpoints.
 //!
-//! [`EndpointRegistry`] owns the state of each source, takes their updates and the time, and reports the endpoints that
-//! have changed. Invariants, which `tests/invariants.rs` checks with generated sequences:
+//! [`EndpointRegistry`] owns the state of each source, applies updates and timers, and returns the endpoints that have
+//! changed. Invariants, which `tests/invariants.rs` checks with generated sequences:
 //!
-//! * The reported changes, applied one after the other, give the list.
-//! * Looking at every address gives the same list as looking only at those that have changed.
+//! * The reported changes, applied in order, reproduce the list.
+//! * Merging only the changed addresses gives the same list as merging all addresses.
 //! * One address has at most one usable endpoint.
 
 use crate::address_identity::AddressIdentities;
@@ -18,32 +18,32 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// The number of withdrawn addresses, and of withdrawn names, that are remembered for each source.
+/// Limit on withdrawn addresses, and on withdrawn names, remembered per source.
 const MAX_WITHDRAWALS: usize = 65_536;
-/// How long an endpoint that no source lists any more is still shown, for whoever asks for the reason: 10 minutes.
-const DEPARTED_RETENTION: DurationMicros = 600_000_000;
-/// The number of such endpoints that are shown.
-const MAX_DEPARTED: usize = 4096;
-/// Withdrawals are cleaned up this many times within their retention.
+/// How long an endpoint that no source lists any more is still shown, so that operators can see the reason: 10 minutes.
+const DELISTED_RETENTION: DurationMicros = 600_000_000;
+/// Limit on the number of such endpoints.
+const MAX_DELISTED: usize = 4096;
+/// How many times within the retention of withdrawals expired ones are cleaned up.
 const CLEANUPS_PER_RETENTION: u64 = 16;
 
 /// An endpoint that no source lists any more.
 #[derive(Clone, Debug)]
-struct DepartedEndpoint {
-    departed_at: MonotonicMicros,
+struct DelistedEndpoint {
+    delisted_at: MonotonicMicros,
     endpoint: RegisteredEndpoint,
 }
 
 /// A source's verdict on an endpoint, with the source's name.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct NamedVerdict {
-    /// The name of the source.
+    /// The source's name in the settings.
     pub source: String,
-    /// Its verdict.
+    /// The source's verdict on the endpoint.
     pub verdict: SourceVerdict,
 }
 
-/// The combined list of endpoints out of all sources.
+/// The list of endpoints, merged from all sources.
 #[derive(Debug)]
 pub struct EndpointRegistry {
     settings: RegistrySettings,
@@ -51,8 +51,8 @@
     sources: Vec<SourceState>,
     identities: AddressIdentities,
     endpoints: BTreeMap<String, RegisteredEndpoint>,
-    departed: BTreeMap<String, DepartedEndpoint>,
-    /// The addresses that are kept out, one map per source; empty after a change of settings.
+    delisted: BTreeMap<String, DelistedEndpoint>,
+    /// The suppressed addresses, one map per source; empty after a change of settings.
     damped: Vec<DampedAddresses>,
     last_cleanup_at: MonotonicMicros,
     now: MonotonicMicros,
@@ -72,20 +72,20 @@
             sources,
             identities: AddressIdentities::default(),
             endpoints: BTreeMap::new(),
-            departed: BTreeMap::new(),
+            delisted: BTreeMap::new(),
             damped: Vec::new(),
             last_cleanup_at: 0,
             now: 0,
         }
     }
 
-    /// The settings in force.
+    /// The current settings.
     pub fn settings(&self) -> &RegistrySettings {
         &self.settings
     }
 
-    /// Replaces the settings and returns the endpoints that have changed by it. A source that is in both, by its
-    /// name, keeps its state.
+    /// Replaces the settings and returns the endpoints that change as a result. A source keeps its state if the new
+    /// settings have one of the same name.
     pub fn update_settings(
         &mut self,
         now: MonotonicMicros,
@@ -93,10 +93,10 @@
     ) -> Vec<RegisteredEndpoint> {
         let mut previous = std::mem::take(&mut self.sources);
         for source_settings in &settings.sources {
-            let kept = previous
+            let existing_index = previous
                 .iter()
                 .position(|source| source.settings().name == source_settings.name);
-            let mut source = if let Some(index) = kept {
+            let mut source = if let Some(index) = existing_index {
                 previous.swap_remove(index)
             } else {
                 SourceState::new(source_settings.clone())
@@ -109,8 +109,8 @@
         self.on_timer(now)
     }
 
-    /// Applies one report of the source with this index in the settings; an unknown index is ignored. Returns the
-    /// endpoints that have changed; those that no source lists any more are out of service.
+    /// Applies an update of the source with this index in the settings; an unknown index is ignored. Returns the
+    /// changed endpoints; those that no source lists any more are returned as out of service.
     pub fn apply_update(
         &mut self,
         now: MonotonicMicros,
@@ -126,7 +126,7 @@
         self.on_timer(now)
     }
 
-    /// When [`Self::on_timer`] must be called, unless an update comes first.
+    /// When [`Self::on_timer`] must be called next; `None` if only an update can change the list.
     pub fn next_timer(&self) -> Option<MonotonicMicros> {
         self.sources
             .iter()
@@ -134,8 +134,7 @@
             .min()
     }
 
-    /// Lets the time pass, so that addresses which were kept out until now are let in. Returns the endpoints that
-    /// have changed.
+    /// Advances the time, ending suppressions that are due. Returns the endpoints that have changed.
     pub fn on_timer(&mut self, now: MonotonicMicros) -> Vec<RegisteredEndpoint> {
         let now = self.advance_clock(now);
         self.clean_up(now);
@@ -152,13 +151,13 @@
             }
         }
         let merged = self.merge(now, &changed);
-        let previous = self.take_endpoints(&changed);
+        let previous = self.remove_endpoints(&changed);
         self.replace(now, previous, merged)
     }
 
-    /// The addresses to look at. Where several sources identify endpoints by name, an endpoint may be listed at
-    /// other addresses than those that have changed, and a priority standby depends on all endpoints: then these
-    /// are all addresses.
+    /// The addresses to merge again. These are all addresses if several sources identify endpoints by name, because an
+    /// endpoint may also be listed at addresses that have not changed, or if priority standby is on, because it
+    /// depends on all endpoints.
     fn take_changed_addresses(&mut self, damped: &[DampedAddresses]) -> ChangedAddresses {
         let mut has_changed_everywhere = damped.len() != self.damped.len();
         let mut addrs = BTreeSet::new();
@@ -175,12 +174,12 @@
                 ChangedAddresses::Only(changed) => addrs.extend(changed),
             }
         }
-        let by_name_count = self
+        let named_source_count = self
             .sources
             .iter()
             .filter(|source| source.identifies_by_name())
             .count();
-        let depends_on_all = by_name_count > 1 || self.settings.has_priority_standby;
+        let depends_on_all = named_source_count > 1 || self.settings.has_priority_standby;
         if has_changed_everywhere || (!addrs.is_empty() && depends_on_all) {
             ChangedAddresses::All
         } else {
@@ -188,7 +187,7 @@
         }
     }
 
-    /// The endpoints at the changed addresses as they are now.
+    /// Merges the verdicts on the endpoints at the changed addresses.
     fn merge(
         &mut self,
         now: MonotonicMicros,
@@ -214,8 +213,8 @@
         merged
     }
 
-    /// Takes the endpoints at the changed addresses out of the list.
-    fn take_endpoints(
+    /// Removes the endpoints at the changed addresses from the list and returns them.
+    fn remove_endpoints(
         &mut self,
         changed: &ChangedAddresses,
     ) -> BTreeMap<String, RegisteredEndpoint> {
@@ -229,16 +228,16 @@
             .filter(|(_, endpoint)| addrs.contains(&endpoint.listing.addr))
             .map(|(name, _)| name.clone())
             .collect();
-        let mut taken = BTreeMap::new();
+        let mut removed = BTreeMap::new();
         for name in names {
             if let Some(endpoint) = self.endpoints.remove(&name) {
-                taken.insert(name, endpoint);
+                removed.insert(name, endpoint);
             }
         }
-        taken
+        removed
     }
 
-    /// Puts the merged endpoints in the place of the previous ones and returns those that have changed.
+    /// Replaces the previous endpoints with the merged ones and returns those that have changed.
     fn replace(
         &mut self,
         now: MonotonicMicros,
@@ -247,11 +246,11 @@
     ) -> Vec<RegisteredEndpoint> {
         let mut changes = Vec::new();
         for (name, endpoint) in &merged {
-            let departed = self.departed.remove(name);
-            let before = previous
+            let delisted = self.delisted.remove(name);
+            let last_reported = previous
                 .get(name)
-                .or(departed.as_ref().map(|departed| &departed.endpoint));
-            if before.is_none_or(|before| endpoint.differs_from(before)) {
+                .or(delisted.as_ref().map(|delisted| &delisted.endpoint));
+            if last_reported.is_none_or(|last_reported| endpoint.differs_from(last_reported)) {
                 changes.push(endpoint.clone());
             }
         }
@@ -264,32 +263,32 @@
             if last_status != EndpointStatus::OutOfService {
                 changes.push(endpoint.clone());
             }
-            let departed = DepartedEndpoint {
-                departed_at: now,
+            let delisted = DelistedEndpoint {
+                delisted_at: now,
                 endpoint,
             };
-            self.departed.insert(name, departed);
+            self.delisted.insert(name, delisted);
         }
         changes
     }
 
-    /// The list: every endpoint that a source lists, then those that no source lists any more for a while, each by
-    /// name. An endpoint that has departed under one name and is listed under another is in it once.
+    /// All endpoints that a source lists, followed by those that were delisted recently, each group sorted by name. An
+    /// endpoint that was delisted under one name and is listed under another is included once.
     pub fn endpoints(&self) -> Vec<RegisteredEndpoint> {
         let listed_addrs: BTreeSet<SocketAddr> = self
             .endpoints
             .values()
             .map(|endpoint| endpoint.listing.addr)
             .collect();
-        let departed = self
-            .departed
+        let delisted = self
+            .delisted
             .values()
-            .map(|departed| &departed.endpoint)
+            .map(|delisted| &delisted.endpoint)
             .filter(|endpoint| !listed_addrs.contains(&endpoint.listing.addr));
-        self.endpoints.values().chain(departed).cloned().collect()
+        self.endpoints.values().chain(delisted).cloned().collect()
     }
 
-    /// The number of endpoints that take requests now.
+    /// The number of endpoints that currently take requests.
     pub fn usable_count(&self) -> usize {
         self.endpoints
             .values()
@@ -297,7 +296,7 @@
             .count()
     }
 
-    /// The reason for an endpoint's status, in words.
+    /// A readable reason for an endpoint's status.
     pub fn status_reason(&self, endpoint: &RegisteredEndpoint) -> String {
         let source_name = self
             .settings
@@ -308,7 +307,7 @@
         endpoint.decision.explain(self.now, source_name, is_listed)
     }
 
-    /// The verdicts on an endpoint, without those of sources that have never answered or do not list it.
+    /// The verdicts on an endpoint, except those of sources that have never answered or have no record of it.
     pub fn source_verdicts(&self, endpoint: &RegisteredEndpoint) -> Vec<NamedVerdict> {
         self.settings
             .sources
@@ -322,13 +321,13 @@
             .collect()
     }
 
-    /// The time now, which never runs backwards.
+    /// Sets the current time, which never goes backwards, and returns it.
     fn advance_clock(&mut self, now: MonotonicMicros) -> MonotonicMicros {
         self.now = self.now.max(now);
         self.now
     }
 
-    /// The addresses that any source lists.
+    /// All addresses that any source lists.
     fn listed_addrs(&self) -> BTreeSet<SocketAddr> {
         self.sources
             .iter()
@@ -336,12 +335,12 @@
             .collect()
     }
 
-    /// Forgets departed endpoints, and now and then what was withdrawn long ago.
+    /// Drops expired delisted endpoints and, at intervals, expired withdrawals.
     fn clean_up(&mut self, now: MonotonicMicros) {
-        self.departed
-            .retain(|_, departed| now.saturating_sub(departed.departed_at) < DEPARTED_RETENTION);
-        while self.departed.len() > MAX_DEPARTED {
-            self.departed.pop_first();
+        self.delisted
+            .retain(|_, delisted| now.saturating_sub(delisted.delisted_at) < DELISTED_RETENTION);
+        while self.delisted.len() > MAX_DELISTED {
+            self.delisted.pop_first();
         }
         if self.identities.len() > MAX_WITHDRAWALS {
             let sources = &self.sources;
--- a/crates/endpoints/src/settings.rs
+++ b/crates/endpoints/src/settings.rs
@@ -1,72 +1,72 @@
-//! Settings of the registry and of each source: plain data that the embedding program fills in.
+//! Settings of the registry and of each source, provided by the embedding program.
 
 use crate::update::DurationMicros;
 
-/// How long the registry remembers withdrawn endpoints unless it is set otherwise: one day.
+/// Default retention of withdrawn endpoints: one day.
 const DEFAULT_WITHDRAWAL_RETENTION: DurationMicros = 24 * 3_600_000_000;
 
-/// By what a source identifies the endpoints it lists.
+/// How a source identifies its endpoints.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointIdentity {
-    /// By name: another name is another endpoint, and a name that moves to a new address is the same endpoint.
+    /// By name: a different name is a different endpoint, and an endpoint keeps its identity when its address changes.
     ByName,
-    /// By address, as DNS does: names only lead to addresses, and two names of one address are one endpoint.
+    /// By address, as DNS does: names only resolve to addresses, and two names of one address are one endpoint.
     ByAddress,
 }
 
-/// What it means that a source no longer lists an endpoint.
+/// The effect when a source no longer lists an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AbsencePolicy {
-    /// The endpoint is removed, whatever other sources list.
+    /// The endpoint is removed even if other sources list it.
     Removes,
-    /// The source says nothing about the endpoint any more, and other sources decide.
+    /// The source has no further influence on the endpoint; the other sources decide.
     Abstains,
 }
 
-/// When a sudden loss of many endpoints is believed.
+/// When a sudden loss of many endpoints is accepted. Until then the endpoints are held and still take requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SuddenLossGuard {
-    /// A sudden loss is held back for at least this long.
+    /// The minimum time before a sudden loss is accepted.
     pub hold_time: DurationMicros,
-    /// It is held back until this many answers in a row lack the endpoint, the first one counted.
+    /// The number of consecutive answers, including the first, that must lack an endpoint before its loss is accepted.
     pub confirmation_count: u32,
-    /// A loss of more than this fraction of the available endpoints within one `hold_time` is sudden, and so is an
-    /// empty list.
+    /// A loss is sudden if it exceeds this fraction of the available endpoints within one `hold_time`. An empty list
+    /// always is.
     pub max_loss_fraction: f64,
 }
 
-/// When a record that comes and goes is kept out.
+/// When a flapping record (repeatedly withdrawn and listed again) is suppressed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FlapLimits {
-    /// The number of returns within `window` that have no consequence; the next one keeps the address out.
+    /// The number of returns within `window` that are tolerated; the next one suppresses the address.
     pub free_return_count: u32,
-    /// A return counts as repeated if it follows the previous one within this time. An address without a change for
-    /// as long starts to count anew.
+    /// A return counts as repeated if it follows the previous one within this time. The count restarts for an address
+    /// that is unchanged for longer.
     pub window: DurationMicros,
-    /// The address is kept out for this long after the first return beyond the free ones. The time doubles with each
-    /// further return.
+    /// How long the address is suppressed after the first return beyond the tolerated ones. Doubles with each further
+    /// return.
     pub initial_hold: DurationMicros,
-    /// The longest time for which an address is kept out.
+    /// The maximum time for which an address is suppressed.
     pub max_hold: DurationMicros,
 }
 
 /// Settings of one source.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SourceSettings {
-    /// The name of the source in reasons and logs.
+    /// The name of the source, shown in reasons and logs.
     pub name: String,
-    /// By what it identifies endpoints.
+    /// How the source identifies endpoints.
     pub identity: EndpointIdentity,
-    /// What it means that it no longer lists an endpoint.
+    /// The effect when the source no longer lists an endpoint.
     pub absence_policy: AbsencePolicy,
-    /// The guard against sudden losses; without one every answer is believed at once.
+    /// The guard against sudden losses; `None` accepts every answer immediately.
     pub sudden_loss_guard: Option<SuddenLossGuard>,
-    /// The limits on flapping records; without them every return takes effect at once.
+    /// The limits on flapping records; with `None` every return takes effect immediately.
     pub flap_limits: Option<FlapLimits>,
 }
 
 impl SourceSettings {
-    /// A source whose answers are believed at once and whose absences remove endpoints.
+    /// A source without a guard or flap limits, which removes the endpoints that it no longer lists.
     pub fn new(name: impl Into<String>, identity: EndpointIdentity) -> Self {
         SourceSettings {
             name: name.into(),
@@ -81,12 +81,12 @@
 /// Settings of the registry.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RegistrySettings {
-    /// The sources. If they describe one endpoint differently, the first one that describes it is used.
+    /// The sources. If several describe one endpoint, the first of them takes precedence.
     pub sources: Vec<SourceSettings>,
-    /// Whether endpoints of a higher priority number are out of service while one of a lower number is usable
+    /// Whether endpoints with a higher priority number are out of service while one with a lower number is usable
     /// (RFC 2782).
     pub has_priority_standby: bool,
-    /// A withdrawn endpoint that no source lists is forgotten after this time.
+    /// How long the withdrawal of an endpoint that no source lists is remembered.
     pub withdrawal_retention: DurationMicros,
 }
 
--- a/crates/endpoints/src/source_state.rs
+++ b/crates/endpoints/src/source_state.rs
@@ -1,13 +1,12 @@
-//! One source's state: what it lists, what it has withdrawn, and how far its answers are believed.
+//! The state of one source: its listing, its withdrawals, and its unconfirmed losses.
 //!
-//! The [`EndpointRegistry`](crate::EndpointRegistry) owns one [`SourceState`] per source, feeds it the source's
-//! updates and asks it for its verdict on each endpoint. Invariants:
+//! The [`EndpointRegistry`](crate::EndpointRegistry) owns one [`SourceState`] per source, applies the source's updates
+//! to it and queries its verdict on each endpoint. Invariants:
 //!
 //! * An endpoint is listed or withdrawn, never both.
-//! * A sudden loss is held back by the [`SuddenLossGuard`](crate::SuddenLossGuard); explicit drains and removals
-//!   never are.
-//! * A failed update changes nothing in the listing.
-//! * Every address whose verdict may have changed is reported once by [`SourceState::take_changed_addresses`].
+//! * The [`SuddenLossGuard`](crate::SuddenLossGuard) delays sudden losses, but never explicit drains and removals.
+//! * A failed update does not change the listing.
+//! * [`SourceState::take_changed_addresses`] reports every address whose verdict may have changed, once per change.
 
 use crate::dated_verdict::{DatedVerdict, EndpointQuery, VerdictDetail};
 use crate::flap_damping::{DampedAddresses, FlapDamping};
@@ -22,11 +21,9 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-/// The addresses on which a source's verdict may have changed.
+/// The addresses whose verdict may have changed.
 pub(crate) enum ChangedAddresses {
-    /// All addresses.
     All,
-    /// These addresses only.
     Only(BTreeSet<SocketAddr>),
 }
 
@@ -35,7 +32,7 @@
 pub(crate) struct SourceState {
     settings: SourceSettings,
     has_answered: bool,
-    /// Since when the source cannot be asked.
+    /// When the source became unreachable; `None` while it is reachable.
     failing_since: Option<MonotonicMicros>,
     listing: Listing,
     withdrawals: Withdrawals,
@@ -61,7 +58,6 @@
         }
     }
 
-    /// The settings in force.
     pub(crate) fn settings(&self) -> &SourceSettings {
         &self.settings
     }
@@ -76,12 +72,12 @@
         self.settings.identity == EndpointIdentity::ByName
     }
 
-    /// What the source lists now.
+    /// The endpoints that the source currently lists.
     pub(crate) fn listing(&self) -> &Listing {
         &self.listing
     }
 
-    /// The addresses on which the verdict may have changed since the previous call.
+    /// The addresses whose verdict may have changed since the previous call.
     pub(crate) fn take_changed_addresses(&mut self) -> ChangedAddresses {
         if std::mem::take(&mut self.has_changed_everywhere) {
             self.changed_addrs.clear();
@@ -90,7 +86,7 @@
         ChangedAddresses::Only(std::mem::take(&mut self.changed_addrs))
     }
 
-    /// Applies one report of the source.
+    /// Applies one update of the source.
     pub(crate) fn apply_update(&mut self, now: MonotonicMicros, update: SourceUpdate) {
         let was_failing = self.failing_since.is_some();
         let is_failing = update == SourceUpdate::Failed;
@@ -107,7 +103,8 @@
                 for endpoint in endpoints {
                     self.apply_endpoint(now, endpoint);
                 }
-                // A change list leaves what is missing as it was: it counts as one more answer that lacks it.
+                // A change list confirms that missing endpoints are still missing, so it counts as one more answer
+                // that lacks them.
                 self.count_missing_answer(now);
             }
         }
@@ -124,7 +121,7 @@
         }
         if !unlisted.lost.is_empty() {
             if self.is_sudden_loss(now, &unlisted, endpoints.is_empty()) {
-                self.hold_back(now, &unlisted.lost);
+                self.count_loss(now, &unlisted.lost);
             } else {
                 self.recent_losses.record(now, unlisted.lost.len());
                 for key in &unlisted.lost {
@@ -154,8 +151,8 @@
         self.recent_losses.is_sudden(now, guard, loss)
     }
 
-    /// Counts an answer that lacks these endpoints, and withdraws those that enough answers have lacked.
-    fn hold_back(&mut self, now: MonotonicMicros, lost: &[ListingKey]) {
+    /// Counts an answer that lacks these endpoints, and withdraws those whose loss is now confirmed.
+    fn count_loss(&mut self, now: MonotonicMicros, lost: &[ListingKey]) {
         for key in lost {
             let Some(endpoint) = self.listing.get_mut(key) else {
                 continue;
@@ -173,7 +170,7 @@
         self.withdraw_confirmed_losses(now);
     }
 
-    /// Counts one more answer that lacks every endpoint that is missing already.
+    /// Counts one more answer that lacks all endpoints that are missing already.
     fn count_missing_answer(&mut self, now: MonotonicMicros) {
         for endpoint in self.listing.values_mut() {
             if let Some(streak) = &mut endpoint.missing {
@@ -184,7 +181,7 @@
         self.withdraw_confirmed_losses(now);
     }
 
-    /// Withdraws the endpoints that have been missing for long enough, in enough answers.
+    /// Withdraws the endpoints that have been missing for the hold time and from enough answers.
     fn withdraw_confirmed_losses(&mut self, now: MonotonicMicros) {
         let Some(guard) = self.settings.sudden_loss_guard else {
             return;
@@ -204,7 +201,7 @@
         }
     }
 
-    /// Takes an endpoint out of the listing because the source no longer lists it.
+    /// Handles that the source no longer lists an endpoint, according to the absence policy.
     fn withdraw(&mut self, now: MonotonicMicros, key: &ListingKey) {
         if self.settings.absence_policy == AbsencePolicy::Removes {
             self.remove(now, key);
@@ -213,7 +210,7 @@
         }
     }
 
-    /// Takes an endpoint out of the listing and remembers that the source has removed it.
+    /// Removes an endpoint from the listing and records its withdrawal.
     fn remove(&mut self, now: MonotonicMicros, key: &ListingKey) {
         let Some(unlisted) = self.unlist(key) else {
             return;
@@ -232,7 +229,7 @@
         Some(unlisted)
     }
 
-    /// Applies one listed endpoint: nothing new, a removal, a change, or a new endpoint.
+    /// Applies one endpoint of an update: unchanged, removed, changed, or new.
     fn apply_endpoint(&mut self, now: MonotonicMicros, listed: ListedEndpoint) {
         let key = ListingKeyRef::of(&listed, self.settings.identity).to_key();
         let previous = self.listing.get(&key);
@@ -252,7 +249,7 @@
             self.remove(now, key);
             return;
         }
-        // It was not listed here, but another source may list it.
+        // Not listed by this source, but another source may list the endpoint.
         if !self.listing.has_addr(&listed.addr) {
             self.withdrawals.record_addr_once(listed.addr, now);
         }
@@ -266,7 +263,7 @@
         let previous = self.listing.get(&key).cloned();
         match &previous {
             Some(known) if known.listed.addr != addr => {
-                self.leave_previous_addr(now, &key, known.listed.addr);
+                self.withdraw_previous_addr(now, &key, known.listed.addr);
             }
             Some(_) => {}
             None => self.count_return(now, addr),
@@ -279,15 +276,15 @@
         self.listing.insert(key, tracked);
     }
 
-    /// An endpoint has moved: nobody is known to be at its previous address now.
-    fn leave_previous_addr(&mut self, now: MonotonicMicros, key: &ListingKey, addr: SocketAddr) {
+    /// Withdraws the previous address of an endpoint that has moved, unless another endpoint is listed there.
+    fn withdraw_previous_addr(&mut self, now: MonotonicMicros, key: &ListingKey, addr: SocketAddr) {
         self.changed_addrs.insert(addr);
         if self.listing.detach(key, addr) {
             self.withdrawals.record_addr(addr, now);
         }
     }
 
-    /// Counts the return of an address that was withdrawn before now.
+    /// Counts the return of an address that was withdrawn by an earlier update.
     fn count_return(&mut self, now: MonotonicMicros, addr: SocketAddr) {
         let withdrawn_at = self.withdrawals.addr_withdrawn_at(&addr);
         let was_withdrawn = withdrawn_at.is_some_and(|withdrawn_at| withdrawn_at < now);
@@ -296,26 +293,26 @@
         }
     }
 
-    /// The addresses that are kept out now because their records come and go.
+    /// The addresses that are currently suppressed because their records are flapping.
     pub(crate) fn damped_addresses(&self, now: MonotonicMicros) -> DampedAddresses {
         self.flap_damping.damped_addresses(now, &self.listing)
     }
 
-    /// When the next address that is kept out may be let in.
+    /// When the next suppression of an address ends.
     pub(crate) fn next_release(&self, now: MonotonicMicros) -> Option<MonotonicMicros> {
         self.flap_damping.next_release(now)
     }
 
-    /// The source's verdict on an endpoint, given the addresses of this source that are kept out.
+    /// The source's verdict on an endpoint. `damped` holds the suppressed addresses of this source.
     pub(crate) fn verdict(
         &self,
         query: EndpointQuery<'_>,
         damped: &DampedAddresses,
     ) -> DatedVerdict {
         let name = query.name.filter(|_| self.identifies_by_name());
-        let listed = self.verdict_of_listing(name, query);
+        let listed = self.verdict_if_listed(name, query);
         let Some(listed) = listed else {
-            return self.verdict_of_absence(name, query);
+            return self.verdict_if_unlisted(name, query);
         };
         if let Some(damped_until) = damped.get(&query.addr) {
             return DatedVerdict {
@@ -328,7 +325,7 @@
     }
 
     /// The verdict if the source lists the endpoint.
-    fn verdict_of_listing(
+    fn verdict_if_listed(
         &self,
         name: Option<&str>,
         query: EndpointQuery<'_>,
@@ -347,7 +344,7 @@
             if is_outdated_drain {
                 continue;
             }
-            // Several names of one address: the strongest verdict counts.
+            // If several names share the address, the strongest verdict applies.
             if strongest.is_none_or(|strongest| dated.verdict > strongest.verdict) {
                 strongest = Some(dated);
             }
@@ -356,7 +353,7 @@
     }
 
     /// The verdict if the source does not list the endpoint.
-    fn verdict_of_absence(&self, name: Option<&str>, query: EndpointQuery<'_>) -> DatedVerdict {
+    fn verdict_if_unlisted(&self, name: Option<&str>, query: EndpointQuery<'_>) -> DatedVerdict {
         let withdrawn_at = name
             .and_then(|name| self.withdrawals.name_withdrawn_at(name))
             .or(self.withdrawals.addr_withdrawn_at(&query.addr));
@@ -369,7 +366,7 @@
         }
     }
 
-    /// Forgets withdrawals and returns from before `cutoff`, except withdrawals of addresses that some source lists.
+    /// Drops withdrawals and returns from before `cutoff`, except withdrawals of addresses that any source lists.
     pub(crate) fn forget_before(
         &mut self,
         cutoff: MonotonicMicros,
@@ -379,7 +376,7 @@
         self.flap_damping.forget_before(cutoff);
     }
 
-    /// Keeps at most this many withdrawn addresses and as many withdrawn names, the newest ones.
+    /// Drops the oldest withdrawals beyond `max_count` addresses and `max_count` names.
     pub(crate) fn limit_withdrawals(&mut self, max_count: usize) {
         self.withdrawals.keep_newest(max_count);
     }
--- a/crates/endpoints/src/sudden_loss.rs
+++ b/crates/endpoints/src/sudden_loss.rs
@@ -1,38 +1,38 @@
-//! Recognises sudden losses: answers that lack so many endpoints at once that the source is probably wrong.
+//! Detects sudden losses: answers that lack so many endpoints at once that the source is probably wrong.
 //!
-//! Losses that were believed at once within the last hold time count towards the next one, so many small losses are
-//! as sudden as a large one.
+//! Losses accepted without confirmation within the last hold time count towards the next loss, so that many small
+//! losses are detected like one large loss.
 
 use crate::settings::SuddenLossGuard;
 use crate::update::MonotonicMicros;
 use std::collections::VecDeque;
 
-/// A loss that was believed at once.
+/// A loss that was accepted without confirmation.
 #[derive(Clone, Copy, Debug)]
-struct BelievedLoss {
+struct AcceptedLoss {
     at: MonotonicMicros,
     endpoint_count: usize,
 }
 
-/// What an answer lacks.
+/// The size of a loss: how many endpoints an answer lacks.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Loss {
-    /// Available endpoints that it lacks and that nothing explains.
+    /// The number of available endpoints that the answer lacks, without renamed ones.
     pub(crate) lost_count: usize,
-    /// Available endpoints before it, without those that it lists under another name.
+    /// The number of endpoints available before the answer, without renamed ones.
     pub(crate) available_count: usize,
-    /// Whether it lists nothing at all.
+    /// Whether the answer lists no endpoint at all.
     pub(crate) is_empty_list: bool,
 }
 
-/// The losses of one source that were believed at once, oldest first.
+/// The losses of one source that were accepted without confirmation, oldest first.
 #[derive(Debug, Default)]
 pub(crate) struct RecentLosses {
-    losses: VecDeque<BelievedLoss>,
+    losses: VecDeque<AcceptedLoss>,
 }
 
 impl RecentLosses {
-    /// Whether a loss is too large to be believed at once. Losses that are older than the hold time are dropped.
+    /// Whether a loss is too large to be accepted without confirmation. Drops losses older than the hold time.
     pub(crate) fn is_sudden(
         &mut self,
         now: MonotonicMicros,
@@ -51,9 +51,9 @@
         loss.is_empty_list || lost_count > guard.max_loss_fraction * available_count
     }
 
-    /// Notes a loss that is believed at once.
+    /// Records a loss that is accepted without confirmation.
     pub(crate) fn record(&mut self, now: MonotonicMicros, endpoint_count: usize) {
-        self.losses.push_back(BelievedLoss {
+        self.losses.push_back(AcceptedLoss {
             at: now,
             endpoint_count,
         });
--- a/crates/endpoints/src/update.rs
+++ b/crates/endpoints/src/update.rs
@@ -1,14 +1,14 @@
-//! What an endpoint source reports: everything it lists, what has changed since, or that it cannot be asked.
+//! The updates of an endpoint source: a full list, a list of changes, or a failure.
 //!
-//! Plain data without behaviour. The watchers of discovery and of DNS build a [`SourceUpdate`] out of each answer
-//! and hand it to [`EndpointRegistry::apply_update`](crate::EndpointRegistry::apply_update).
+//! Plain data. The watchers of discovery and of DNS build a [`SourceUpdate`] from each answer and pass it to
+//! [`EndpointRegistry::apply_update`](crate::EndpointRegistry::apply_update).
 
 use std::net::SocketAddr;
 
-/// A point in time in whole microseconds, counted on a monotonic clock whose zero the caller chooses.
+/// A point in time, in microseconds of a monotonic clock whose origin the caller chooses.
 pub type MonotonicMicros = u64;
 
-/// A span of time in whole microseconds.
+/// A duration in microseconds.
 pub type DurationMicros = u64;
 
 /// The state in which a source lists an endpoint.
@@ -16,7 +16,7 @@
 pub enum ListedState {
     /// The endpoint takes new requests.
     Available,
-    /// The endpoint finishes the requests it has and takes no new ones.
+    /// The endpoint completes its current requests and takes no new ones.
     Draining,
     /// The endpoint has been removed explicitly.
     Removed,
@@ -25,29 +25,29 @@
 /// One endpoint as one source lists it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ListedEndpoint {
-    /// The name under which the source lists it. A source that identifies endpoints by name uses an id that is the
-    /// same on every node; one that identifies them by address uses the target's host name and port.
+    /// The name in the source's list: an id that is the same on every node if the source identifies endpoints by
+    /// name, the target's host name and port if it identifies them by address.
     pub name: String,
     /// The address where the endpoint listens.
     pub addr: SocketAddr,
     /// The state in which it is listed.
     pub state: ListedState,
-    /// The name of its zone; empty if the source does not say.
+    /// The name of its zone; empty if the source reports none.
     pub zone: String,
-    /// The name of its host type; empty if the source does not say.
+    /// The name of its host type; empty if the source reports none.
     pub host_type: String,
-    /// The number of its cell within the zone; 0 if the source does not say.
+    /// The number of its cell within the zone; 0 if the source reports none.
     pub cell: usize,
-    /// Its relative weight, without a unit.
+    /// Its relative weight, unitless; `None` if the source reports none.
     pub weight: Option<f64>,
-    /// Its priority as in RFC 2782: a lower number is preferred.
+    /// Its priority (RFC 2782): lower numbers are preferred. `None` if the source reports none.
     pub priority: Option<u16>,
-    /// The time of its last start in milliseconds of Unix time; 0 if the source does not say.
+    /// The time of its last start in Unix milliseconds; 0 if the source reports none.
     pub started_ms: i64,
 }
 
 impl ListedEndpoint {
-    /// An available endpoint of which nothing but name and address is known.
+    /// An available endpoint with a name and an address; all other fields are unset.
     pub fn new(name: impl Into<String>, addr: SocketAddr) -> Self {
         ListedEndpoint {
             name: name.into(),
@@ -63,13 +63,13 @@
     }
 }
 
-/// One report of a source.
+/// One update from a source.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SourceUpdate {
-    /// Everything that the source lists. An endpoint that it listed before and does not list now is withdrawn.
+    /// All endpoints of the source. An endpoint that it listed before and no longer lists is withdrawn.
     FullList(Vec<ListedEndpoint>),
-    /// What has changed. Everything else is as it was before, so an empty change list confirms the previous state.
+    /// Only the changed endpoints. All others are unchanged, so an empty list confirms the previous state.
     Changes(Vec<ListedEndpoint>),
-    /// The source cannot be asked, and what it reported before is past its lifetime.
+    /// The source is unreachable, and its last answer has expired.
     Failed,
 }
--- a/crates/endpoints/src/verdict.rs
+++ b/crates/endpoints/src/verdict.rs
@@ -1,40 +1,40 @@
-//! What a source says of an endpoint, and which of two sources prevails if they disagree.
+//! The verdict of a source on an endpoint, and which verdict prevails if sources disagree.
 //!
 //! # Precedence
 //!
-//! Each source has exactly one [`SourceVerdict`] on each endpoint. [`PRECEDENCE`] names the verdict that prevails for
+//! Each source has exactly one [`SourceVerdict`] on each endpoint. [`PRECEDENCE`] gives the prevailing verdict for
 //! every pair of verdicts, and the prevailing verdict determines the endpoint's [`EndpointStatus`]. The verdicts of
-//! more than two sources are combined two by two; the table is commutative, associative and idempotent, so neither
-//! their order nor their number matters. From the weakest to the strongest:
+//! more than two sources are combined pairwise; the table is commutative, associative and idempotent, so neither the
+//! order nor the number of the sources matters. From the weakest to the strongest:
 //!
 //! | verdict | the source | status if it prevails |
 //! | --- | --- | --- |
 //! | `silent` | has never answered | out of service |
 //! | `absent` | has answered and does not list the endpoint | out of service |
-//! | `stale` | listed the endpoint in its last answer, and cannot be asked any more | held |
-//! | `held` | suddenly lacks many endpoints, this one among them, and is not believed yet | held |
+//! | `stale` | listed the endpoint in its last answer, and has become unreachable | held |
+//! | `held` | suddenly lacks many endpoints, including this one; the loss is not confirmed yet | held |
 //! | `listed` | lists the endpoint | in service |
 //! | `draining` | lists the endpoint as draining | draining |
 //! | `removed` | has removed or withdrawn the endpoint | out of service |
 //!
-//! Three rules follow from that order:
+//! Three rules follow from this order:
 //!
-//! * An explicit drain or removal prevails over any listing, because another source may have cached an old answer.
+//! * An explicit drain or removal prevails over any listing, because another source may serve a stale cached answer.
 //! * A listing prevails over the failure or silence of another source.
-//! * A failure never takes an endpoint out of service: a source that listed it and cannot be asked leaves it held.
+//! * A failure never takes an endpoint out of service: while the source that listed it is unreachable, it is held.
 //!
-//! `docs/membership.md` has the table for operators, and a test compares both.
+//! `docs/membership.md` documents the same table for operators; a test compares both.
 
-/// What one source says of one endpoint. Declared from the weakest verdict to the strongest.
+/// The verdict of one source on one endpoint. Variants are ordered from the weakest to the strongest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum SourceVerdict {
     /// The source has never answered.
     Silent,
     /// The source has answered and does not list this endpoint.
     Absent,
-    /// The source listed the endpoint in its last answer, which is past its lifetime, and cannot be asked.
+    /// The source listed the endpoint in its last answer, which has expired, and is unreachable.
     Stale,
-    /// The source lacks the endpoint since a sudden loss of many, which is not believed yet.
+    /// The source no longer lists the endpoint after a sudden loss of many, which is not confirmed yet.
     Held,
     /// The source lists the endpoint.
     Listed,
@@ -47,10 +47,10 @@
 use SourceVerdict::{Absent, Draining, Held, Listed, Removed, Silent, Stale};
 
 impl SourceVerdict {
-    /// All verdicts in the order of the rows and columns of [`PRECEDENCE`].
+    /// All verdicts, in the order of the rows and columns of [`PRECEDENCE`].
     pub const ALL: [SourceVerdict; 7] = [Silent, Absent, Stale, Held, Listed, Draining, Removed];
 
-    /// The word for the verdict in logs, tables and JSON.
+    /// The verdict's label in logs, tables and JSON.
     pub fn label(self) -> &'static str {
         match self {
             Silent => "silent",
@@ -63,7 +63,7 @@
         }
     }
 
-    /// The status of an endpoint on which this verdict prevails.
+    /// The status of an endpoint for which this verdict prevails.
     pub fn status(self) -> EndpointStatus {
         match self {
             Listed => EndpointStatus::InService,
@@ -74,8 +74,8 @@
     }
 }
 
-/// Which of two sources' verdicts prevails: `PRECEDENCE[one as usize][other as usize]`. Rows and columns are in the
-/// order of [`SourceVerdict::ALL`]; the module's documentation explains the order.
+/// The prevailing verdict of two sources: `PRECEDENCE[one as usize][other as usize]`. Rows and columns are in the order
+/// of [`SourceVerdict::ALL`]; the module documentation explains this order.
 pub const PRECEDENCE: [[SourceVerdict; 7]; 7] = [
     [Silent, Absent, Stale, Held, Listed, Draining, Removed],
     [Absent, Absent, Stale, Held, Listed, Draining, Removed],
@@ -90,27 +90,27 @@
     ],
 ];
 
-/// The verdict that prevails if two sources have these.
+/// The prevailing verdict if two sources disagree, by [`PRECEDENCE`].
 pub fn prevailing_verdict(one: SourceVerdict, other: SourceVerdict) -> SourceVerdict {
     PRECEDENCE[one as usize][other as usize]
 }
 
-/// Whether an endpoint takes requests, combined from all sources. Declared from the most usable status to the least.
+/// Whether an endpoint takes requests, merged from all sources. Variants are ordered from the most to the least usable.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum EndpointStatus {
     /// The endpoint takes new requests.
     InService,
-    /// The endpoint takes new requests although the source that listed it cannot be asked, or suddenly stopped
-    /// listing it and is not believed yet.
+    /// The endpoint takes new requests although the source that listed it is unreachable, or has suddenly stopped
+    /// listing it and the loss is not confirmed yet.
     Held,
-    /// The endpoint finishes the requests it has and takes no new ones.
+    /// The endpoint completes its current requests and takes no new ones.
     Draining,
     /// The endpoint takes no requests.
     OutOfService,
 }
 
 impl EndpointStatus {
-    /// The word for the status in logs, tables and JSON.
+    /// The status's label in logs, tables and JSON.
     pub fn label(self) -> &'static str {
         match self {
             EndpointStatus::InService => "in",
@@ -120,7 +120,7 @@
         }
     }
 
-    /// Whether an endpoint of this status takes new requests.
+    /// Whether an endpoint with this status takes new requests.
     pub fn is_usable(self) -> bool {
         self <= EndpointStatus::Held
     }
--- a/crates/endpoints/src/withdrawals.rs
+++ b/crates/endpoints/src/withdrawals.rs
@@ -1,7 +1,7 @@
-//! The addresses and names that one source has withdrawn, and when.
+//! The addresses and names that one source has withdrawn, with the times of withdrawal.
 //!
-//! A withdrawal outlives the listing, so that another source with an older view does not bring the endpoint back.
-//! It ends when the source lists the endpoint again, or after the registry's retention time.
+//! A withdrawal is kept after the endpoint has left the listing, so that another source with an older view does not
+//! restore the endpoint. It ends when the source lists the endpoint again, or after the registry's retention time.
 
 use crate::update::MonotonicMicros;
 use std::collections::BTreeMap;
@@ -15,32 +15,32 @@
 }
 
 impl Withdrawals {
-    /// Notes that an address has been withdrawn now, even if it was withdrawn before.
+    /// Records the withdrawal of an address, replacing the time of an earlier one.
     pub(crate) fn record_addr(&mut self, addr: SocketAddr, now: MonotonicMicros) {
         self.addrs.insert(addr, now);
     }
 
-    /// Notes that an address has been withdrawn; an earlier withdrawal keeps its time.
+    /// Records the withdrawal of an address unless one is recorded already.
     pub(crate) fn record_addr_once(&mut self, addr: SocketAddr, now: MonotonicMicros) {
         self.addrs.entry(addr).or_insert(now);
     }
 
-    /// Notes that a name has been withdrawn now, even if it was withdrawn before.
+    /// Records the withdrawal of a name, replacing the time of an earlier one.
     pub(crate) fn record_name(&mut self, name: String, now: MonotonicMicros) {
         self.names.insert(name, now);
     }
 
-    /// Notes that a name has been withdrawn; an earlier withdrawal keeps its time.
+    /// Records the withdrawal of a name unless one is recorded already.
     pub(crate) fn record_name_once(&mut self, name: String, now: MonotonicMicros) {
         self.names.entry(name).or_insert(now);
     }
 
-    /// When this address was withdrawn, if it is.
+    /// When this address was withdrawn; `None` if it is not withdrawn.
     pub(crate) fn addr_withdrawn_at(&self, addr: &SocketAddr) -> Option<MonotonicMicros> {
         self.addrs.get(addr).copied()
     }
 
-    /// When this name was withdrawn, if it is.
+    /// When this name was withdrawn; `None` if it is not withdrawn.
     pub(crate) fn name_withdrawn_at(&self, name: &str) -> Option<MonotonicMicros> {
         self.names.get(name).copied()
     }
@@ -51,7 +51,7 @@
         self.names.remove(name);
     }
 
-    /// Forgets what was withdrawn before `cutoff`, except for addresses that some source lists.
+    /// Drops withdrawals from before `cutoff`, except those of addresses that any source lists.
     pub(crate) fn forget_before(
         &mut self,
         cutoff: MonotonicMicros,
@@ -62,7 +62,7 @@
         self.names.retain(|_, withdrawn_at| *withdrawn_at >= cutoff);
     }
 
-    /// Keeps at most this many addresses and as many names, the newest ones.
+    /// Drops the oldest withdrawals beyond `max_count` addresses and `max_count` names.
     pub(crate) fn keep_newest(&mut self, max_count: usize) {
         keep_newest(&mut self.addrs, max_count);
         keep_newest(&mut self.names, max_count);
--- a/crates/endpoints/tests/damping.rs
+++ b/crates/endpoints/tests/damping.rs
@@ -1,4 +1,4 @@
-//! What is not believed at once, by example, in fed time: sudden losses and flapping records.
+//! Example-based tests of delayed changes in simulated time: sudden losses and flapping records.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -13,7 +13,7 @@
 };
 
 #[test]
-fn empty_list_is_held_until_time_and_answers_confirm_it() {
+fn empty_list_is_held_until_hold_time_and_answer_count_confirm_it() {
     let mut registry = EndpointRegistry::new(two_sources());
     registry.apply_update(0, SRV, listed_targets(1..=4));
     registry.apply_update(SECOND, SRV, listed_targets([]));
@@ -25,12 +25,12 @@
     assert!(registry
         .status_reason(&registry.endpoints()[0])
         .contains("1 answers said so"));
-    // Lifetimes end in the middle of the hold, and look-ups fail: neither confirms anything.
+    // Failed lookups during the hold time do not confirm the loss.
     for n in 2..60 {
         registry.apply_update(n * SECOND, SRV, SourceUpdate::Failed);
     }
     assert_eq!(usable_numbers(&registry).len(), 4);
-    // Time alone is not enough, nor are answers alone.
+    // Neither the hold time alone nor enough answers alone confirm the loss.
     registry.apply_update(60 * SECOND, SRV, listed_targets([]));
     assert_eq!(usable_numbers(&registry).len(), 4);
     registry.apply_update(61 * SECOND, SRV, listed_targets([]));
@@ -42,7 +42,7 @@
         registry.apply_update(n * SECOND, SRV, listed_targets([]));
     }
     assert_eq!(usable_numbers(&registry).len(), 4);
-    // Two come back and are believed at once; the count of the others goes on.
+    // Two endpoints return, which leaves a loss too small to be sudden: it is accepted immediately.
     registry.apply_update(20 * SECOND, SRV, listed_targets([1, 2]));
     let held_count = registry
         .endpoints()
@@ -52,19 +52,19 @@
     assert_eq!(
         (usable_numbers(&registry).len(), held_count),
         (2, 0),
-        "two of four is no sudden loss"
+        "a loss of two of four endpoints is not sudden"
     );
 }
 
 #[test]
-fn many_small_losses_are_as_sudden_as_a_large_one() {
+fn many_small_losses_are_held_like_a_large_one() {
     let mut registry = EndpointRegistry::new(two_sources());
     registry.apply_update(0, SRV, listed_targets(0..20));
     for n in 1..20_u16 {
         registry.apply_update(u64::from(n) * SECOND, SRV, listed_targets(n..20));
     }
     assert_eq!(usable_numbers(&registry).len(), 10);
-    // Explicit drains are never held back, however many.
+    // Explicit drains take effect immediately, regardless of their number.
     let mut registry = EndpointRegistry::new(two_sources());
     registry.apply_update(0, LIST, listed_ids(0..20));
     let drains = (0..20)
@@ -89,35 +89,35 @@
 }
 
 #[test]
-fn flapping_records_are_kept_out_unless_the_whole_source_flaps() {
+fn flapping_records_are_suppressed_unless_the_whole_source_flaps() {
     let mut registry = EndpointRegistry::new(two_sources());
     registry.apply_update(0, SRV, listed_targets(0..10));
-    let mut changes = 0;
+    let mut change_count = 0;
     for n in 1..=60_u64 {
         let lists_all = n % 2 == 0;
-        changes += registry
+        change_count += registry
             .apply_update(
                 n * SECOND,
                 SRV,
                 listed_targets(if lists_all { 0..10 } else { 1..10 }),
             )
             .len();
-        changes += registry.on_timer(n * SECOND + SECOND / 2).len();
+        change_count += registry.on_timer(n * SECOND + SECOND / 2).len();
     }
-    assert!(changes <= 8, "{changes} changes for 60 flaps");
+    assert!(change_count <= 8, "{change_count} changes for 60 flaps");
     assert_eq!(usable_numbers(&registry), (1..10).collect::<Vec<_>>());
-    // Listed steadily, it is let in when its time is over.
+    // Once listed steadily, the endpoint returns to service when its suppression ends.
     let released_at = registry.next_timer().unwrap();
     assert!(released_at > 60 * SECOND && released_at <= 60 * SECOND + 5 * MINUTE);
     assert_eq!(registry.on_timer(released_at).len(), 1);
     assert_eq!(usable_numbers(&registry).len(), 10);
-    // It has kept its name, so what was learned about it still applies.
+    // It keeps its name, so learned state still applies to it.
     assert!(registry
         .endpoints()
         .iter()
         .any(|endpoint| endpoint.name == "t0.example.test:8000@127.0.0.1:8000"));
 
-    // Each answer lists another part: no endpoint is kept out for that.
+    // A source that lists a different subset in each answer is not flapping: no endpoint is suppressed.
     let mut registry = EndpointRegistry::new(two_sources());
     for n in 0..40_u64 {
         let first = (n % 2) as u16 * 2;
--- a/crates/endpoints/tests/identity.rs
+++ b/crates/endpoints/tests/identity.rs
@@ -1,4 +1,4 @@
-//! Which listings are one endpoint, by example, in fed time.
+//! Example-based tests of endpoint identity: which listings of several sources are the same endpoint.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -13,7 +13,7 @@
 };
 
 #[test]
-fn endpoint_of_two_sources_is_one_endpoint_under_its_id() {
+fn endpoint_in_two_sources_is_one_endpoint_named_by_its_id() {
     let mut registry = EndpointRegistry::new(two_sources());
     registry.apply_update(0, SRV, listed_targets([1, 2]));
     assert_eq!(
@@ -24,7 +24,7 @@
     assert_eq!(
         changes.len(),
         2,
-        "its DNS name leaves, its id comes: {changes:?}"
+        "removed under its DNS name, added under its id: {changes:?}"
     );
     let endpoints = registry.endpoints();
     let one = endpoints
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn new_endpoint_at_a_previous_address_is_in_service_under_a_new_name() {
+fn new_endpoint_at_a_reused_address_is_in_service_under_a_new_name() {
     let mut registry = EndpointRegistry::new(two_sources());
     registry.apply_update(0, LIST, listed_ids([1, 2, 3]));
     registry.apply_update(0, SRV, listed_targets([1, 2, 3]));
@@ -55,7 +55,7 @@
         .endpoints()
         .iter()
         .any(|endpoint| endpoint.name == "s-9" && endpoint.status == EndpointStatus::InService));
-    // Only a new start that the list reports brings back what DNS has withdrawn.
+    // Only a new start reported by the list restores an endpoint that DNS has withdrawn.
     registry.apply_update(3, SRV, listed_targets([1, 3]));
     assert_eq!(usable_numbers(&registry), [1, 3]);
     registry.apply_update(4, LIST, state_change(2, ListedState::Available));
@@ -69,7 +69,7 @@
         }]),
     );
     assert_eq!(usable_numbers(&registry), [1, 2, 3]);
-    // In DNS alone, an address with none of its previous names is another endpoint.
+    // If only DNS lists an address and all of its names are replaced, it is a different endpoint.
     let mut registry = EndpointRegistry::new(two_sources());
     registry.apply_update(0, SRV, listed_targets([1, 2]));
     let renamed = ListedEndpoint {
@@ -103,7 +103,7 @@
         SourceUpdate::FullList(vec![dns_target(1), second.clone()]),
     );
     assert_eq!(changes.len(), 1, "{changes:?}");
-    // Losing one of the names changes nothing.
+    // Removing one of the names changes nothing.
     assert!(registry
         .apply_update(1, SRV, SourceUpdate::FullList(vec![second]))
         .is_empty());
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn moved_dns_target_is_another_endpoint_and_moved_id_the_same_one() {
+fn moved_dns_target_is_a_new_endpoint_and_moved_id_is_the_same_endpoint() {
     let mut registry = EndpointRegistry::new(two_sources());
     registry.apply_update(0, SRV, listed_targets([1, 2, 3]));
     let moved = ListedEndpoint {
--- a/crates/endpoints/tests/invariants.rs
+++ b/crates/endpoints/tests/invariants.rs
@@ -1,13 +1,13 @@
-//! The invariants of the registry, driven by generated sequences against a model:
+//! Checks the invariants of the registry with generated sequences against a model:
 //!
 //! 1. An endpoint that a source has drained or removed explicitly takes no requests until that source lists it again
-//!    or reports a new start, whatever any source lists meanwhile.
-//! 2. A failed lookup changes nothing about which endpoints take requests.
-//! 3. No answer removes more than the configured fraction, except endpoints that the configured number of answers
-//!    over the configured time have lacked.
+//!    or reports a new start, regardless of other sources.
+//! 2. A failed lookup does not change which endpoints take requests.
+//! 3. No answer removes more than the configured fraction of endpoints, not counting confirmed losses: endpoints that
+//!    the configured number of answers over the configured time have lacked.
 //! 4. One address has at most one endpoint that takes requests.
-//! 5. The reported changes, applied one after the other, give the list.
-//! 6. Looking at everything again finds nothing that was not reported.
+//! 5. The reported changes, applied in order, reproduce the list.
+//! 6. Merging all addresses again finds no change that was not reported.
 
 use poppykeel_endpoints::{
     EndpointIdentity, EndpointRegistry, EndpointStatus, FlapLimits, ListedEndpoint, ListedState,
@@ -27,24 +27,24 @@
 const LIST: usize = 0;
 const SRV: usize = 1;
 
-/// One event. Endpoints are known by number.
+/// One generated event. Endpoints are identified by number.
 #[derive(Clone, Debug)]
 enum Step {
-    /// The list reports a state of one endpoint.
+    /// The list reports the state of one endpoint.
     StateChange(u16, ListedState),
     /// The list reports a new start of one endpoint.
     NewStart(u16),
     /// The list reports all of its endpoints.
     FullList(BTreeSet<u16>),
-    /// DNS answers; the same endpoint may be listed under either or both of two names.
+    /// DNS answers; each endpoint may be listed under either or both of two names.
     DnsAnswer {
         first_names: BTreeSet<u16>,
         second_names: BTreeSet<u16>,
     },
     /// The source with this index fails.
     Failure(usize),
-    /// So many seconds pass.
-    Pass(u64),
+    /// This number of seconds passes.
+    Wait(u64),
 }
 
 #[derive(Clone, Debug, Default)]
@@ -80,7 +80,7 @@
                 second_names,
             }),
             2 => (0..2_usize).prop_map(Step::Failure),
-            2 => (1..100_u64).prop_map(Step::Pass),
+            2 => (1..100_u64).prop_map(Step::Wait),
         ]
         .boxed()
     }
@@ -98,13 +98,13 @@
                 *model.starts.entry(*number).or_default() += 1;
             }
             Step::FullList(listed) => model.blocked.retain(|number| !listed.contains(number)),
-            Step::DnsAnswer { .. } | Step::Failure(_) | Step::Pass(_) => {}
+            Step::DnsAnswer { .. } | Step::Failure(_) | Step::Wait(_) => {}
         }
         model
     }
 }
 
-/// An answer of DNS.
+/// An answer of DNS that was applied.
 struct DnsAnswer {
     at: MonotonicMicros,
     addrs: BTreeSet<SocketAddr>,
@@ -113,7 +113,7 @@
 struct RegistryUnderTest {
     registry: EndpointRegistry,
     now: MonotonicMicros,
-    /// The reported changes, applied one after the other.
+    /// The list as reproduced from the reported changes.
     mirror: BTreeMap<String, RegisteredEndpoint>,
     answers: Vec<DnsAnswer>,
 }
@@ -173,7 +173,7 @@
 }
 
 impl RegistryUnderTest {
-    /// Whether enough answers in a row have lacked an address for long enough.
+    /// Whether enough consecutive answers over the hold time have lacked an address.
     fn is_confirmed_loss(&self, now: MonotonicMicros, addr: &SocketAddr) -> bool {
         let lacking: Vec<&DnsAnswer> = self
             .answers
@@ -215,7 +215,7 @@
                 (SRV, SourceUpdate::FullList(first.chain(second).collect()))
             }
             Step::Failure(source) => (*source, SourceUpdate::Failed),
-            Step::Pass(seconds) => {
+            Step::Wait(seconds) => {
                 self.now += seconds * SECOND;
                 return self.registry.on_timer(self.now);
             }
@@ -223,7 +223,7 @@
         self.registry.apply_update(self.now, source, update)
     }
 
-    /// Invariant 3, after an answer of DNS.
+    /// Checks invariant 3 after an answer of DNS.
     fn check_losses(
         &self,
         now: MonotonicMicros,
@@ -238,7 +238,7 @@
         let endpoint_count = self.registry.endpoints().len();
         assert!(
             unconfirmed_count as f64 <= MAX_LOSS_FRACTION * endpoint_count.max(1) as f64 + 0.5,
-            "3: {unconfirmed_count} of {endpoint_count}"
+            "invariant 3: {unconfirmed_count} of {endpoint_count} endpoints removed"
         );
     }
 }
@@ -264,10 +264,14 @@
             test.mirror.insert(endpoint.name.clone(), endpoint);
         }
         let settings = test.registry.settings().clone();
-        assert_eq!(test.registry.update_settings(test.now, settings), [], "6");
+        assert_eq!(
+            test.registry.update_settings(test.now, settings),
+            [],
+            "invariant 6"
+        );
         let after = usable(&test.registry.endpoints());
         if matches!(step, Step::Failure(_)) {
-            assert_eq!(before, after, "2: a failure changed the list");
+            assert_eq!(before, after, "invariant 2: a failure changed the list");
         }
         if let Step::DnsAnswer {
             first_names,
@@ -292,16 +296,16 @@
                 !usable_addrs
                     .values()
                     .any(|addr| *addr == endpoint_addr(*number)),
-                "1: {number} takes requests: {endpoints:?}"
+                "invariant 1: {number} takes requests: {endpoints:?}"
             );
         }
         let addrs: BTreeSet<&SocketAddr> = usable_addrs.values().collect();
         assert_eq!(
             addrs.len(),
             usable_addrs.len(),
-            "4: an address twice in {usable_addrs:?}"
+            "invariant 4: an address occurs twice in {usable_addrs:?}"
         );
-        assert_eq!(usable(test.mirror.values()), usable_addrs, "5");
+        assert_eq!(usable(test.mirror.values()), usable_addrs, "invariant 5");
     }
 }
 
--- a/crates/endpoints/tests/precedence.rs
+++ b/crates/endpoints/tests/precedence.rs
@@ -1,4 +1,4 @@
-//! Which source prevails, by example, in fed time: drains and removals, failures, disagreement, standby.
+//! Example-based tests of precedence in simulated time: drains and removals, failures, disagreement, priority standby.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -15,7 +15,7 @@
 
 #[test]
 fn precedence_table_matches_the_documentation_and_combines_in_any_order() {
-    let page = include_str!("../../../docs/membership.md");
+    let documentation = include_str!("../../../docs/membership.md");
     let verdict_of = |label: &str| {
         SourceVerdict::ALL
             .iter()
@@ -23,7 +23,7 @@
             .find(|verdict| verdict.label() == label)
     };
     let mut row_count = 0;
-    for line in page.lines() {
+    for line in documentation.lines() {
         let cells: Vec<&str> = line.split('|').map(str::trim).collect();
         let [_, one, other, prevailing, status, _] = cells[..] else {
             continue;
@@ -46,7 +46,7 @@
     assert_eq!(
         row_count,
         SourceVerdict::ALL.len() * SourceVerdict::ALL.len(),
-        "every pair is a row"
+        "the documentation has a row for every pair"
     );
     for first in SourceVerdict::ALL {
         assert_eq!(prevailing_verdict(first, first), first);
@@ -85,7 +85,7 @@
             registry.apply_update(now, LIST, listed_ids([1, 3, 4]));
         }
         if n == 200 {
-            // DNS calls it by another name: that is no proof of a new start.
+            // A new name in DNS is no evidence of a new start.
             let renamed = ListedEndpoint {
                 name: "other.example.test:8002".into(),
                 ..dns_target(2)
@@ -110,7 +110,7 @@
         "{}",
         registry.status_reason(&drained)
     );
-    // Only the list brings it back.
+    // Only the list can restore the endpoint.
     registry.apply_update(20 * MINUTE, LIST, state_change(2, ListedState::Available));
     assert_eq!(usable_numbers(&registry), [1, 2, 3, 4]);
 }
@@ -142,7 +142,7 @@
 }
 
 #[test]
-fn sources_that_disagree_give_their_union_without_what_either_removed() {
+fn sources_that_disagree_give_their_union_without_endpoints_that_either_removed() {
     let mut registry = EndpointRegistry::new(two_sources());
     registry.apply_update(0, LIST, listed_ids([1, 2, 3]));
     registry.apply_update(0, SRV, listed_targets([2, 3, 4]));
@@ -151,24 +151,24 @@
         registry.apply_update(n * SECOND, LIST, SourceUpdate::Changes(vec![]));
         assert_eq!(usable_numbers(&registry), [1, 2, 3, 4]);
     }
-    let abstains = |mut settings: RegistrySettings| {
+    let with_abstaining_srv = |mut settings: RegistrySettings| {
         settings.sources[SRV].absence_policy = AbsencePolicy::Abstains;
         settings
     };
-    let mut lenient = EndpointRegistry::new(abstains(two_sources()));
-    for registry in [&mut registry, &mut lenient] {
+    let mut abstaining = EndpointRegistry::new(with_abstaining_srv(two_sources()));
+    for registry in [&mut registry, &mut abstaining] {
         registry.apply_update(600 * SECOND, LIST, listed_ids([1, 2, 3]));
         registry.apply_update(600 * SECOND, SRV, listed_targets([2, 3, 4]));
         registry.apply_update(601 * SECOND, SRV, listed_targets([3, 4]));
     }
     assert_eq!(
-        (usable_numbers(&registry), usable_numbers(&lenient)),
+        (usable_numbers(&registry), usable_numbers(&abstaining)),
         (vec![1, 3, 4], vec![1, 2, 3, 4])
     );
 }
 
 #[test]
-fn endpoints_of_a_higher_priority_number_stand_by_if_configured() {
+fn endpoints_with_a_higher_priority_number_are_standby_if_configured() {
     let backup = ListedEndpoint {
         priority: Some(20),
         ..dns_target(3)
@@ -210,6 +210,6 @@
     assert_eq!(
         usable_numbers(&registry),
         [1, 2, 3],
-        "a source that is no longer asked has no say"
+        "a source that is no longer configured has no influence"
     );
 }
--- a/crates/endpoints/tests/support/mod.rs
+++ b/crates/endpoints/tests/support/mod.rs
@@ -1,7 +1,7 @@
-//! Two sources with endpoints that are known by number: the list, which identifies them by name, and DNS, which
-//! identifies them by address. Each test file uses a part of this.
+//! Two sources with numbered endpoints: the list, which identifies endpoints by name, and DNS, which identifies them by
+//! address.
 
-#![allow(dead_code, reason = "each test file uses a part")]
+#![allow(dead_code, reason = "each test file uses only some of the helpers")]
 
 use poppykeel_endpoints::{
     EndpointIdentity, EndpointRegistry, EndpointStatus, FlapLimits, ListedEndpoint, ListedState,
@@ -23,12 +23,12 @@
     SocketAddr::from(([127, 0, 0, 1], 8000 + n))
 }
 
-/// An endpoint as the list has it.
+/// The endpoint with this number in the list's form.
 pub fn endpoint_with_id(n: u16) -> ListedEndpoint {
     ListedEndpoint::new(format!("s-{n}"), endpoint_addr(n))
 }
 
-/// The same endpoint as DNS has it.
+/// The same endpoint in DNS's form.
 pub fn dns_target(n: u16) -> ListedEndpoint {
     ListedEndpoint {
         priority: Some(10),
@@ -36,7 +36,7 @@
     }
 }
 
-/// The guard of both sources.
+/// The sudden loss guard of both sources.
 pub fn guard() -> Option<SuddenLossGuard> {
     Some(SuddenLossGuard {
         hold_time: 30 * SECOND,
@@ -45,13 +45,13 @@
     })
 }
 
-/// A list and DNS, in this order.
+/// Settings with the list and DNS as sources, in this order.
 pub fn two_sources() -> RegistrySettings {
     let list = SourceSettings {
         sudden_loss_guard: guard(),
         ..SourceSettings::new("list", EndpointIdentity::ByName)
     };
-    let flaps = FlapLimits {
+    let flap_limits = FlapLimits {
         free_return_count: 2,
         window: MINUTE,
         initial_hold: 10 * SECOND,
@@ -60,7 +60,7 @@
     let srv = SourceSettings::new("srv", EndpointIdentity::ByAddress);
     let srv = SourceSettings {
         sudden_loss_guard: guard(),
-        flap_limits: Some(flaps),
+        flap_limits: Some(flap_limits),
         ..srv
     };
     RegistrySettings {
@@ -69,17 +69,17 @@
     }
 }
 
-/// A full list of endpoints by id.
+/// A full update of the list.
 pub fn listed_ids(numbers: impl IntoIterator<Item = u16>) -> SourceUpdate {
     SourceUpdate::FullList(numbers.into_iter().map(endpoint_with_id).collect())
 }
 
-/// A full answer of DNS.
+/// A full update of DNS.
 pub fn listed_targets(numbers: impl IntoIterator<Item = u16>) -> SourceUpdate {
     SourceUpdate::FullList(numbers.into_iter().map(dns_target).collect())
 }
 
-/// A change of the list.
+/// A change of one endpoint's state in the list.
 pub fn state_change(n: u16, state: ListedState) -> SourceUpdate {
     SourceUpdate::Changes(vec![ListedEndpoint {
         state,
@@ -87,7 +87,7 @@
     }])
 }
 
-/// The numbers of the endpoints that take requests, in order.
+/// The numbers of the endpoints that take requests, sorted.
 pub fn usable_numbers(registry: &EndpointRegistry) -> Vec<u16> {
     let mut numbers: Vec<u16> = registry
         .endpoints()
