--- a/crates/dns-resolver/src/answer.rs
+++ b/crates/dns-resolver/src/answer.rs
@@ -1,42 +1,43 @@
-//! What a response says: records, an alias, or that there is nothing (RFC 2308).
+//! Interprets a response: records, an alias, or a negative answer (RFC 2308).
 
 use crate::error::AliasError;
 use crate::lookup::EmptyReason;
 use crate::message::{response_code, DnsRecord, DnsResponse, Question, RecordData};
 
-/// How many aliases are followed from one name to another.
+/// Limit on the length of a chain of aliases.
 pub(crate) const MAX_ALIASES: usize = 8;
 
 /// The content of an answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum AnswerContent {
-    /// Records of the kind that was asked for.
+    /// Records of the queried type.
     Records(Vec<RecordData>),
-    /// The name is an alias of this one, which must be asked for.
+    /// The queried name is an alias of this name, which must be queried next.
     Alias(String),
-    /// There are no such records.
+    /// There are no records of the queried type.
     Empty(EmptyReason),
 }
 
-/// An answer to a question.
+/// The interpreted answer to a question.
 #[derive(Debug)]
 pub(crate) struct InterpretedAnswer {
     pub(crate) content: AnswerContent,
-    /// The shortest time to live of the records on the way to the content, in seconds.
+    /// The shortest TTL of the content and of the aliases that lead to it, in seconds.
     pub(crate) ttl_s: u32,
 }
 
-/// The aliases that a response has from the name that was asked for.
+/// The chain of aliases in a response, starting at the queried name.
 struct AliasChain {
-    /// The names that were followed.
+    /// The aliases already followed.
     followed: Vec<String>,
-    /// The name at the end.
+    /// The current end of the chain.
     name: String,
+    /// The shortest TTL of the aliases, in seconds.
     ttl_s: u32,
 }
 
 impl AliasChain {
-    /// Goes on to the name of which the present one is an alias.
+    /// Extends the chain by the name of which its current end is an alias.
     fn follow(&mut self, target: &str, ttl_s: u32, question: &Question) -> Result<(), AliasError> {
         let alias = std::mem::replace(&mut self.name, target.to_string());
         self.followed.push(alias);
@@ -55,10 +56,10 @@
     }
 }
 
-/// Interprets a response, with the aliases in it followed.
+/// Interprets a response, following the aliases in it.
 ///
 /// # Errors
-/// Where the aliases lead nowhere.
+/// If the aliases form a loop or are too many.
 pub(crate) fn interpret(
     question: &Question,
     response: &DnsResponse,
@@ -73,25 +74,25 @@
             .answers
             .iter()
             .filter(|record| record.owner == chain.name);
-        let wanted: Vec<&DnsRecord> = own_records
+        let matching: Vec<&DnsRecord> = own_records
             .clone()
             .filter(|record| question.is_answered_by(&record.data))
             .collect();
-        if !wanted.is_empty() {
-            return Ok(with_records(&wanted, chain.ttl_s));
+        if !matching.is_empty() {
+            return Ok(positive_answer(&matching, chain.ttl_s));
         }
         let alias = own_records.clone().find_map(|record| match &record.data {
             RecordData::Alias(target) => Some((target, record.ttl)),
             _ => None,
         });
         let Some((target, ttl_s)) = alias else {
-            return Ok(without_records(response, chain));
+            return Ok(alias_or_negative_answer(response, chain));
         };
         chain.follow(target, ttl_s, question)?;
     }
 }
 
-fn with_records(records: &[&DnsRecord], chain_ttl_s: u32) -> InterpretedAnswer {
+fn positive_answer(records: &[&DnsRecord], chain_ttl_s: u32) -> InterpretedAnswer {
     let ttl_s = records.iter().map(|record| record.ttl).min();
     let data = records.iter().map(|record| record.data.clone());
     InterpretedAnswer {
@@ -100,18 +101,18 @@
     }
 }
 
-/// The answer where a response has no wanted record of the name at the end of the aliases.
-fn without_records(response: &DnsResponse, chain: AliasChain) -> InterpretedAnswer {
+/// The answer if a response has no record of the queried type for the name at the end of the alias chain.
+fn alias_or_negative_answer(response: &DnsResponse, chain: AliasChain) -> InterpretedAnswer {
     let negative_ttl_s = negative_ttl(response, &chain.name);
-    let empty = |reason| InterpretedAnswer {
+    let empty_answer = |reason| InterpretedAnswer {
         content: AnswerContent::Empty(reason),
         ttl_s: chain.ttl_s.min(negative_ttl_s.unwrap_or(0)),
     };
     if response.code == response_code::NX_DOMAIN {
-        return empty(EmptyReason::NoSuchName);
+        return empty_answer(EmptyReason::NoSuchName);
     }
     if chain.followed.is_empty() || negative_ttl_s.is_some() {
-        return empty(EmptyReason::NoSuchRecords);
+        return empty_answer(EmptyReason::NoSuchRecords);
     }
     InterpretedAnswer {
         content: AnswerContent::Alias(chain.name),
@@ -119,7 +120,7 @@
     }
 }
 
-/// The time to live of a negative answer for a name, in seconds, where the response says it.
+/// The TTL of a negative answer for a name in seconds (RFC 2308, section 5); `None` without a matching SOA record.
 fn negative_ttl(response: &DnsResponse, name: &str) -> Option<u32> {
     response
         .authorities
@@ -132,7 +133,7 @@
         })
 }
 
-/// Whether a name is a zone's own or below it.
+/// Whether a name is the zone's own name or a subdomain of it.
 fn is_in_zone(name: &str, zone: &str) -> bool {
     if zone.is_empty() || name == zone {
         return true;
--- a/crates/dns-resolver/src/attempt.rs
+++ b/crates/dns-resolver/src/attempt.rs
@@ -1,46 +1,46 @@
-//! One attempt at a name server, and what the driver does for it.
+//! One attempt at a name server, and the operations that the driver performs for it.
 
 use crate::message::{encode_query, Question};
 use std::net::SocketAddr;
 
-/// The longest message over TCP in bytes, without the length before it.
+/// The longest message over TCP in bytes, without the length prefix.
 const MAX_MESSAGE_BYTES: usize = 65_535;
-/// The bytes of the length before a message over TCP.
+/// The size of the length prefix of a message over TCP.
 const LENGTH_BYTES: usize = 2;
 
-/// One socket of the driver: a UDP socket of one attempt, or a TCP connection.
+/// Identifies a socket of the driver: the UDP socket or the TCP connection of one attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SocketId(pub u64);
 
-/// What the driver is to do.
+/// An operation that the driver must perform.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Transmit {
     /// Send a datagram from a new UDP socket.
     Udp {
-        /// The new socket.
+        /// The id of the new socket.
         socket: SocketId,
-        /// Where it is sent.
+        /// The destination address.
         server: SocketAddr,
-        /// The message.
+        /// The encoded query.
         message: Vec<u8>,
     },
-    /// Connect, and send a message over the connection.
+    /// Open a connection and send a message over it.
     Tcp {
-        /// The new connection.
+        /// The id of the new connection.
         socket: SocketId,
-        /// Where to connect.
+        /// The destination address.
         server: SocketAddr,
-        /// The message with its length before it.
+        /// The encoded query with its length prefix.
         framed_message: Vec<u8>,
     },
     /// Close a socket or a connection.
     Close {
-        /// Which one.
+        /// The id of the socket or connection.
         socket: SocketId,
     },
 }
 
-/// One attempt at a name server, with a socket and an id of its own.
+/// One attempt at a name server, with its own socket and query id.
 #[derive(Debug)]
 pub(crate) struct Attempt {
     pub(crate) socket: SocketId,
@@ -49,18 +49,17 @@
     pub(crate) id: u16,
     /// Whether the query has EDNS.
     pub(crate) uses_edns: bool,
-    /// The bytes that have come over TCP; `None` for an attempt over UDP.
+    /// The bytes received over TCP; `None` for an attempt over UDP.
     pub(crate) stream: Option<Vec<u8>>,
 }
 
 impl Attempt {
-    /// Whether the attempt is over TCP.
     pub(crate) fn is_tcp(&self) -> bool {
         self.stream.is_some()
     }
 
-    /// Takes bytes that have come over TCP; returns the message once it is whole.
-    pub(crate) fn take_stream_bytes(&mut self, bytes: &[u8]) -> Option<Vec<u8>> {
+    /// Buffers bytes received over TCP; returns the message once it is complete.
+    pub(crate) fn push_stream_bytes(&mut self, bytes: &[u8]) -> Option<Vec<u8>> {
         let stream = self.stream.as_mut()?;
         stream.extend_from_slice(bytes);
         stream.truncate(LENGTH_BYTES + MAX_MESSAGE_BYTES);
@@ -75,8 +74,8 @@
     }
 }
 
-/// A query with its length before it, as TCP carries it.
-pub(crate) fn framed_query(id: u16, question: &Question, payload_bytes: u16) -> Vec<u8> {
+/// Encodes a query with its length prefix, as sent over TCP.
+pub(crate) fn encode_framed_query(id: u16, question: &Question, payload_bytes: u16) -> Vec<u8> {
     let message = encode_query(id, question, Some(payload_bytes));
     let mut framed = (message.len() as u16).to_be_bytes().to_vec();
     framed.extend_from_slice(&message);
--- a/crates/dns-resolver/src/cache.rs
+++ b/crates/dns-resolver/src/cache.rs
@@ -1,7 +1,7 @@
-//! Answers stored for their times to live.
+//! Caches answers for their TTLs.
 //!
-//! Answers that have expired stay and are used while they can't be asked for again (RFC 8767). There is no limit on that,
-//! because a failed look-up must never remove a server.
+//! Expired answers stay in the cache and are served as stale while they can't be refreshed (RFC 8767). There is no time
+//! limit on stale answers, because a failed lookup must never remove a server.
 
 use crate::answer::{interpret, AnswerContent};
 use crate::config::{AddressFamily, Micros, TtlBounds};
@@ -9,38 +9,38 @@
 use crate::message::{DnsResponse, Question, RecordData};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A stored answer.
+/// A cached answer.
 #[derive(Clone, Debug)]
 pub(crate) struct CacheEntry {
     pub(crate) content: AnswerContent,
     pub(crate) expires_at: Micros,
 }
 
-/// The addresses of one target in an additional section.
+/// The addresses of one target from an additional section.
 struct AdditionalAddresses {
     records: Vec<RecordData>,
-    /// The shortest time to live of the records, in seconds.
+    /// The shortest TTL of the records, in seconds.
     ttl_s: u32,
 }
 
-/// The answers by their questions.
+/// The cached answers, by question.
 #[derive(Debug, Default)]
 pub(crate) struct Cache {
     entries: BTreeMap<Question, CacheEntry>,
 }
 
 impl Cache {
-    /// The stored answer, fresh or stale.
+    /// The cached answer, fresh or stale.
     pub(crate) fn get(&self, question: &Question) -> Option<&CacheEntry> {
         self.entries.get(question)
     }
 
-    /// The stored answer, if it has not expired.
+    /// The cached answer, if it has not expired.
     pub(crate) fn get_fresh(&self, question: &Question, now: Micros) -> Option<&CacheEntry> {
         self.get(question).filter(|entry| entry.expires_at > now)
     }
 
-    /// Drops the answers to all but these questions.
+    /// Drops the answers to all other questions.
     pub(crate) fn retain(&mut self, used: &[Question]) {
         if self.entries.len() > used.len() {
             let used: BTreeSet<&Question> = used.iter().collect();
@@ -48,10 +48,10 @@
         }
     }
 
-    /// Stores the answer of a response.
+    /// Caches the answer of a response.
     ///
     /// # Errors
-    /// Where the response is no answer, since its aliases lead nowhere.
+    /// If the aliases in the response form a loop or are too many.
     pub(crate) fn insert(
         &mut self,
         now: Micros,
@@ -60,23 +60,23 @@
         bounds: &TtlBounds,
     ) -> Result<(), AliasError> {
         let answer = interpret(question, response)?;
-        let time_to_live = match answer.content {
-            AnswerContent::Empty(_) => bounds.of_negative_answer(answer.ttl_s),
-            _ => bounds.of_records(answer.ttl_s),
+        let ttl = match answer.content {
+            AnswerContent::Empty(_) => bounds.clamp_negative_ttl(answer.ttl_s),
+            _ => bounds.clamp_record_ttl(answer.ttl_s),
         };
         if let (Question::Srv(_), AnswerContent::Records(records)) = (question, &answer.content) {
             self.insert_additionals(now, response, records, bounds);
         }
         let entry = CacheEntry {
             content: answer.content,
-            expires_at: now.saturating_add(time_to_live),
+            expires_at: now.saturating_add(ttl),
         };
         self.entries.insert(question.clone(), entry);
         Ok(())
     }
 
-    /// Stores addresses of the additional section where they are those of a target in this very response, and where no
-    /// fresh answer is stored that was asked for (RFC 2181, section 5.4.1).
+    /// Caches addresses from the additional section. Accepts only addresses of targets in the same response, and only if
+    /// no fresh answer is cached, because an answer to a direct query is more trustworthy (RFC 2181, section 5.4.1).
     fn insert_additionals(
         &mut self,
         now: Micros,
@@ -90,14 +90,15 @@
             }
             let entry = CacheEntry {
                 content: AnswerContent::Records(addresses.records),
-                expires_at: now.saturating_add(bounds.of_records(addresses.ttl_s)),
+                expires_at: now.saturating_add(bounds.clamp_record_ttl(addresses.ttl_s)),
             };
             self.entries.insert(question, entry);
         }
     }
 }
 
-/// The addresses in the additional section, by the questions for them. There is a question for each family of each target.
+/// The addresses in the additional section by the question that they answer. If there are any, the map has a question for
+/// each family of each target, possibly without addresses.
 fn additional_addresses(
     response: &DnsResponse,
     records: &[RecordData],
@@ -116,11 +117,11 @@
             continue;
         };
         for family in [AddressFamily::V4, AddressFamily::V6] {
-            let none = AdditionalAddresses {
+            let no_addresses = AdditionalAddresses {
                 records: Vec::new(),
                 ttl_s: u32::MAX,
             };
-            by_question.insert(Question::Address(target.clone(), family), none);
+            by_question.insert(Question::Address(target.clone(), family), no_addresses);
         }
     }
     for record in &response.additionals {
--- a/crates/dns-resolver/src/config.rs
+++ b/crates/dns-resolver/src/config.rs
@@ -1,53 +1,53 @@
-//! The settings of a resolver, and the units they have.
+//! The settings of a resolver and their units.
 
 use crate::error::ResolverConfigError;
 use crate::message::parse_name;
 use std::net::SocketAddr;
 
-/// Microseconds on a monotonic clock.
+/// A point in time or a duration, in microseconds of a monotonic clock.
 pub type Micros = u64;
 
-/// The smallest size of responses over UDP, in bytes (RFC 6891, section 6.2.3).
+/// The smallest UDP payload size that may be advertised, in bytes (RFC 6891, section 6.2.3).
 const MIN_UDP_PAYLOAD_BYTES: u16 = 512;
 
-/// The family of a target's addresses.
+/// An address family, with the record type that is queried for it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum AddressFamily {
-    /// IPv4, by A records.
+    /// IPv4, from A records.
     V4,
-    /// IPv6, by AAAA records (RFC 3596).
+    /// IPv6, from AAAA records (RFC 3596).
     V6,
 }
 
 /// The settings of a resolver.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ResolverConfig {
-    /// The service's name, such as `_llm._tcp.example.test`.
+    /// The name of the service's SRV records, such as `_llm._tcp.example.test`.
     pub name: String,
-    /// The name servers, asked in turn.
+    /// The name servers, queried in turn.
     pub servers: Vec<SocketAddr>,
-    /// A target's addresses are those of the first family that has any.
+    /// The address families in order of preference. Only the first family in which a target has addresses is used.
     pub families: Vec<AddressFamily>,
-    /// The timeout of an attempt in the first round; it doubles in each further one.
+    /// The timeout of an attempt in the first round; doubles in each further round.
     pub timeout: Micros,
-    /// How often each name server is asked one question before the question has failed.
+    /// How often each name server is queried before a question fails.
     pub rounds: u32,
-    /// The size of responses over UDP that is offered (RFC 6891), in bytes.
+    /// The advertised size of responses over UDP, in bytes (RFC 6891).
     pub udp_payload_bytes: u16,
-    /// The bounds of times to live.
+    /// The limits that are applied to TTLs.
     pub ttl_bounds: TtlBounds,
-    /// The pause after a failed look-up; it doubles with each failure, up to `max_retry_pause`.
+    /// The pause after a failed lookup; doubles with each consecutive failure, up to `max_retry_pause`.
     pub retry_pause: Micros,
-    /// The longest pause after a failed look-up.
+    /// The longest pause after a failed lookup.
     pub max_retry_pause: Micros,
-    /// How many questions may be in flight.
+    /// How many questions may be in flight at a time.
     pub max_questions: usize,
-    /// Targets of the service beyond this number are ignored.
+    /// How many targets of the service are used; further ones are ignored.
     pub max_targets: usize,
 }
 
 impl ResolverConfig {
-    /// The defaults, for a service and its name servers.
+    /// The default settings for a service and its name servers.
     pub fn new(name: impl Into<String>, servers: Vec<SocketAddr>) -> Self {
         ResolverConfig {
             name: name.into(),
@@ -64,10 +64,10 @@
         }
     }
 
-    /// Checks what the types leave open.
+    /// Checks the ranges that the types do not enforce.
     ///
     /// # Errors
-    /// Names the key and what would be right.
+    /// The first invalid value, with its key and the expected range.
     pub fn check(&self) -> Result<(), ResolverConfigError> {
         parse_name(&self.name).map_err(ResolverConfigError::InvalidName)?;
         let ranges = [
@@ -111,26 +111,27 @@
     }
 }
 
-/// The bounds of times to live.
+/// Limits on TTLs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TtlBounds {
-    /// No record lives shorter, so that a time to live of 0 does not ask without a pause.
+    /// The minimum TTL, so that a TTL of 0 does not cause queries without a pause.
     pub floor: Micros,
-    /// No record lives longer.
+    /// The maximum TTL of records.
     pub ceiling: Micros,
-    /// No negative answer lives longer (RFC 2308, section 5).
+    /// The maximum TTL of negative answers (RFC 2308, section 5).
     pub negative: Micros,
 }
 
 impl TtlBounds {
-    /// The time to live of records, from seconds to microseconds within the bounds.
-    pub(crate) fn of_records(&self, ttl_s: u32) -> Micros {
+    /// Converts the TTL of records to microseconds within the limits.
+    pub(crate) fn clamp_record_ttl(&self, ttl_s: u32) -> Micros {
         (u64::from(ttl_s) * 1_000_000).clamp(self.floor, self.ceiling)
     }
 
-    /// The time to live of a negative answer, from seconds to microseconds within the bounds.
-    pub(crate) fn of_negative_answer(&self, ttl_s: u32) -> Micros {
-        self.of_records(ttl_s).min(self.negative.max(self.floor))
+    /// Converts the TTL of a negative answer to microseconds within the limits.
+    pub(crate) fn clamp_negative_ttl(&self, ttl_s: u32) -> Micros {
+        self.clamp_record_ttl(ttl_s)
+            .min(self.negative.max(self.floor))
     }
 }
 
--- a/crates/dns-resolver/src/driver.rs
+++ b/crates/dns-resolver/src/driver.rs
@@ -1,7 +1,7 @@
-//! The thin layer between a resolver and tokio's sockets.
+//! Runs a resolver on tokio's sockets.
 //!
-//! Each attempt over UDP has a socket and so a random port of its own, each connection is a task. All tasks report over one
-//! bounded channel. [`run`] owns the tasks and ends them when it returns or is dropped.
+//! Each attempt over UDP has its own socket, and so its own random port. Each socket and each connection has a task, and
+//! all tasks report over one bounded channel. [`run`] owns the tasks and aborts them when it returns or is dropped.
 
 use crate::attempt::{SocketId, Transmit};
 use crate::config::{Micros, ResolverConfig};
@@ -16,16 +16,16 @@
 use tokio::sync::mpsc;
 use tokio::task::AbortHandle;
 
-/// Reads of sockets that wait for the resolver; the tasks of the sockets wait while there are more.
+/// How many reads may be queued for the resolver; the socket tasks wait while the channel is full.
 const READ_CHANNEL_CAPACITY: usize = 256;
-/// The longest datagram that is read, in bytes.
+/// The longest datagram that is received, in bytes.
 const MAX_DATAGRAM_BYTES: usize = 4096;
-/// The size of the pieces in which a connection is read, in bytes.
-const STREAM_PIECE_BYTES: usize = 16 * 1024;
-/// Why a connection counts as closed where the server has closed it.
-const CLOSED_BY_SERVER: &str = "connection closed before an answer";
+/// The size of the read buffer of a connection, in bytes.
+const STREAM_BUFFER_BYTES: usize = 16 * 1024;
+/// The reason that is reported when the server closes a connection.
+const CLOSED_BY_SERVER: &str = "connection closed before a complete response";
 
-/// What a socket's task reports.
+/// An event that a socket's task reports.
 enum SocketRead {
     Datagram {
         socket: SocketId,
@@ -42,10 +42,10 @@
     },
 }
 
-/// Looks the service up until nobody receives the events any more. `clock` gives the time of the caller's clock.
+/// Looks up the service repeatedly until the receiver of the events is dropped. `clock` returns the current time.
 ///
 /// # Errors
-/// A configuration that does not pass [`ResolverConfig::check`].
+/// If the configuration does not pass [`ResolverConfig::check`].
 pub async fn run(
     config: ResolverConfig,
     clock: impl Fn() -> Micros,
@@ -61,7 +61,7 @@
         resolver.on_timer(clock());
         loop {
             while let Some(transmit) = resolver.poll_transmit() {
-                sockets.carry_out(transmit);
+                sockets.execute(transmit);
             }
             let Some(event) = resolver.poll_event() else {
                 break;
@@ -72,10 +72,10 @@
         }
         let now = clock();
         let wait = Duration::from_micros(resolver.next_timer().saturating_sub(now));
-        // All branches are cancel-safe: a read that is not taken stays in the channel.
+        // All branches are cancel-safe: a read that is not received stays in the channel.
         tokio::select! {
             read = reads.recv() => match read {
-                Some(read) => take_read(&mut resolver, clock(), read),
+                Some(read) => handle_read(&mut resolver, clock(), read),
                 None => return Ok(()),
             },
             () = tokio::time::sleep(wait) => {}
@@ -84,7 +84,7 @@
     }
 }
 
-fn take_read(resolver: &mut Resolver, now: Micros, read: SocketRead) {
+fn handle_read(resolver: &mut Resolver, now: Micros, read: SocketRead) {
     match read {
         SocketRead::Datagram {
             socket,
@@ -98,10 +98,10 @@
     }
 }
 
-/// The tasks of open sockets, which own them; dropping this ends them.
+/// The tasks that own the open sockets; dropping this aborts them.
 struct OpenSockets {
     tasks: BTreeMap<SocketId, AbortHandle>,
-    /// Where the tasks report.
+    /// The channel on which the tasks report.
     reads: mpsc::Sender<SocketRead>,
 }
 
@@ -114,7 +114,7 @@
 }
 
 impl OpenSockets {
-    fn carry_out(&mut self, transmit: Transmit) {
+    fn execute(&mut self, transmit: Transmit) {
         let reads = self.reads.clone();
         match transmit {
             Transmit::Udp {
@@ -142,7 +142,7 @@
     }
 }
 
-/// The task of a UDP socket. It ends where the socket fails.
+/// The task of a UDP socket; reports if the socket fails.
 async fn run_udp(
     socket: SocketId,
     server: SocketAddr,
@@ -151,12 +151,12 @@
 ) {
     if let Err(error) = exchange_datagrams(socket, server, &message, &reads).await {
         let reason = error.to_string();
-        // An error says that the driver has ended, and then nobody needs the report.
+        // Sending fails only if the driver has ended, and then the report is not needed.
         let _ = reads.send(SocketRead::Closed { socket, reason }).await;
     }
 }
 
-/// The task of a connection. It ends where the connection does.
+/// The task of a connection; reports when it is closed or fails.
 async fn run_tcp(
     socket: SocketId,
     server: SocketAddr,
@@ -167,24 +167,24 @@
         Ok(()) => CLOSED_BY_SERVER.to_string(),
         Err(error) => error.to_string(),
     };
-    // An error says that the driver has ended, and then nobody needs the report.
+    // Sending fails only if the driver has ended, and then the report is not needed.
     let _ = reads.send(SocketRead::Closed { socket, reason }).await;
 }
 
-/// Sends a datagram and reports all that come back, until the driver has ended.
+/// Sends a datagram and reports the datagrams received in return, until the driver has ended.
 async fn exchange_datagrams(
     socket: SocketId,
     server: SocketAddr,
     message: &[u8],
     reads: &mpsc::Sender<SocketRead>,
 ) -> io::Result<()> {
-    // The kernel picks a random port.
+    // With port 0 the kernel picks a random port.
     let any_address = match server {
         SocketAddr::V4(_) => SocketAddr::from((Ipv4Addr::UNSPECIFIED, 0)),
         SocketAddr::V6(_) => SocketAddr::from((Ipv6Addr::UNSPECIFIED, 0)),
     };
     let udp_socket = UdpSocket::bind(any_address).await?;
-    // A connected socket receives from nobody else, and fails at once where nobody listens.
+    // A connected socket receives only from the server, and fails immediately if no process listens at its port.
     udp_socket.connect(server).await?;
     udp_socket.send(message).await?;
     let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
@@ -201,8 +201,8 @@
     }
 }
 
-/// Sends a message over a connection and reports the bytes that come back, until the server closes the connection or the
-/// driver has ended.
+/// Sends a message over a connection and reports the bytes received, until the server closes the connection or the driver
+/// has ended.
 async fn exchange_over_stream(
     socket: SocketId,
     server: SocketAddr,
@@ -211,7 +211,7 @@
 ) -> io::Result<()> {
     let mut stream = TcpStream::connect(server).await?;
     stream.write_all(framed_message).await?;
-    let mut buffer = vec![0; STREAM_PIECE_BYTES];
+    let mut buffer = vec![0; STREAM_BUFFER_BYTES];
     loop {
         let size = stream.read(&mut buffer).await?;
         if size == 0 {
--- a/crates/dns-resolver/src/error.rs
+++ b/crates/dns-resolver/src/error.rs
@@ -1,48 +1,48 @@
-//! Why a configuration is rejected, a message can't be read, or a look-up has failed.
+//! Errors of the configuration, of decoding, and of lookups.
 
 use crate::answer::MAX_ALIASES;
 use std::net::SocketAddr;
 
-/// Why a text is no domain name.
+/// A text is not a valid domain name; the message is the parser's.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{0}")]
 pub struct NameError(pub(crate) String);
 
-/// Why bytes are no response.
+/// Bytes are not a valid DNS response.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DecodeError {
-    /// The bytes are no DNS message; the text is the decoder's.
+    /// The bytes are not a DNS message; the text is the decoder's.
     #[error("{0}")]
     Malformed(String),
     /// The message is a query.
-    #[error("a question where an answer was expected")]
+    #[error("received a query instead of a response")]
     NotAResponse,
 }
 
-/// Why a configuration is rejected.
+/// A configuration is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ResolverConfigError {
-    /// The service's name is no domain name.
+    /// The service's name is not a domain name.
     #[error("name: expected a domain name ({0})")]
     InvalidName(#[source] NameError),
-    /// A value is out of its range.
+    /// A value is out of range.
     #[error("{key}: {expected}")]
     InvalidValue {
-        /// The key of the value in the operators' file.
+        /// The key of the value in the operator's settings file.
         key: &'static str,
-        /// What would be right.
+        /// The valid values, as "expected ...".
         expected: &'static str,
     },
-    /// One of the limits is 0.
+    /// `max_questions` or `max_targets` is 0.
     #[error("most_questions, most_targets: {AT_LEAST_ONE}")]
     ZeroLimit,
 }
 
-/// What would be right for a limit.
+/// The valid values of a limit.
 const AT_LEAST_ONE: &str = "expected at least 1";
 
 impl ResolverConfigError {
-    /// The key at fault in the operators' file; the first one where there are several.
+    /// The invalid key in the operator's settings file; the first one if several are possible.
     pub fn key(&self) -> &'static str {
         match self {
             ResolverConfigError::InvalidName(_) => "name",
@@ -51,7 +51,7 @@
         }
     }
 
-    /// What would be right.
+    /// The valid values, as "expected ...".
     pub fn expected(&self) -> String {
         match self {
             ResolverConfigError::InvalidName(error) => {
@@ -63,29 +63,29 @@
     }
 }
 
-/// Why aliases lead nowhere.
+/// A chain of aliases (CNAME records) cannot be resolved.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum AliasError {
     /// The aliases of a name lead back to it.
-    #[error("{name}: its aliases go round in a circle")]
+    #[error("{name}: its CNAME records form a loop")]
     Loop {
-        /// The name.
+        /// The name that occurs twice in the chain.
         name: String,
     },
-    /// There are more aliases than are followed.
-    #[error("{name}: more than {MAX_ALIASES} aliases")]
+    /// The chain is longer than the limit on aliases.
+    #[error("{name}: more than {MAX_ALIASES} CNAME records in a chain")]
     TooMany {
-        /// The name that was asked for.
+        /// The queried name.
         name: String,
     },
 }
 
-/// The protocol that carries a message.
+/// The transport protocol of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Transport {
-    /// Datagrams.
+    /// One datagram per message.
     Udp,
-    /// A connection.
+    /// One connection per attempt.
     Tcp,
 }
 
@@ -98,58 +98,58 @@
     }
 }
 
-/// Why an attempt at a name server has failed.
+/// An attempt at a name server has failed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum AttemptFailure {
-    /// No response came in time.
-    #[error("no answer in time over {0}")]
+    /// No response arrived before the timeout.
+    #[error("no response over {0} before the timeout")]
     Timeout(Transport),
-    /// The response can't be read.
-    #[error("unreadable answer ({0})")]
+    /// The response can't be decoded.
+    #[error("response could not be decoded ({0})")]
     Undecodable(#[source] DecodeError),
-    /// The response has another id or another question.
-    #[error("answer to another question")]
+    /// The id or the question of the response does not match the query.
+    #[error("id or question of the response does not match the query")]
     Mismatched,
-    /// The response is truncated although it came over TCP.
-    #[error("answer truncated over TCP too")]
+    /// The response is truncated although it was sent over TCP.
+    #[error("response truncated over TCP")]
     TruncatedOverTcp,
-    /// The name server names others instead of answering.
-    #[error("it refers to other servers")]
+    /// The name server returned a referral to other servers, which a stub resolver does not follow.
+    #[error("referral to other name servers instead of an answer")]
     Referral,
-    /// The response has an error code.
+    /// The response has this error code.
     #[error("response code {0}")]
     ErrorResponse(u16),
-    /// The socket failed or the connection ended; the text is the system's.
+    /// The socket failed or the connection was closed; the text is the operating system's or the driver's.
     #[error("{0}")]
     SocketClosed(String),
 }
 
-/// Why a question has no answer.
+/// A question could not be answered.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum QuestionError {
-    /// No name server was asked.
-    #[error("no name server was asked")]
+    /// No attempt has been made.
+    #[error("no name server was queried")]
     NotAsked,
-    /// The last attempt has failed.
+    /// All attempts have failed; this is the last one.
     #[error("{server}: {failure}")]
     Attempt {
-        /// The name server.
+        /// The address of the name server.
         server: SocketAddr,
-        /// Why.
+        /// The cause of the failure.
         failure: AttemptFailure,
     },
-    /// The aliases of the name lead nowhere.
+    /// The aliases of the name cannot be resolved.
     #[error(transparent)]
     Alias(#[from] AliasError),
 }
 
-/// Why a service can't be looked up.
+/// A service lookup has failed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum LookupError {
-    /// A question that is needed has no answer.
+    /// A required question could not be answered.
     #[error(transparent)]
     Question(#[from] QuestionError),
-    /// The answers need further questions again and again.
-    #[error("the answers lead on without an end")]
+    /// The answers required more rounds of questions than the limit.
+    #[error("lookup abandoned: too many rounds of questions")]
     TooManyRounds,
 }
--- a/crates/dns-resolver/src/exchange.rs
+++ b/crates/dns-resolver/src/exchange.rs
@@ -1,46 +1,46 @@
-//! One question put to the name servers until one has answered it: attempts, timeouts, truncation, wrong responses.
+//! Sends one question to the name servers until one has answered it, with timeouts, retries and fallback to TCP.
 //!
-//! Each attempt over UDP has a socket of its own, so that its port is random, and an id of its own (RFC 5452). A response
-//! counts only from the address that was asked, on the socket that asked, with the id and the question. What does not match
-//! is ignored and counted; the right response may still come. After a truncated response the same server is asked again over
-//! TCP (RFC 7766), where a second truncation is a failure.
+//! Each attempt over UDP has its own socket, so that its port is random, and its own id (RFC 5452). A response is accepted
+//! only if its source address, socket, id and question match the query. Over UDP a response that does not match is counted
+//! and ignored, because the correct response may still arrive. After a truncated response the same server is queried over
+//! TCP (RFC 7766), where truncation is a failure.
 
-use crate::attempt::{framed_query, Attempt, SocketId, Transmit};
+use crate::attempt::{encode_framed_query, Attempt, SocketId, Transmit};
 use crate::config::{Micros, ResolverConfig};
 use crate::error::{AttemptFailure, DecodeError, QuestionError, Transport};
 use crate::message::{decode_response, encode_query, response_code, DnsResponse, Question};
 use rand::RngExt as Rng;
 use std::net::SocketAddr;
 
-/// How many attempts wait for a response; the oldest is given up where there are more.
+/// How many attempts may be open at a time; the oldest is closed to make room for a new one.
 const MAX_OPEN_ATTEMPTS: usize = 4;
-/// The timeout doubles in this many rounds at most.
+/// The timeout doubles at most this many times.
 const MAX_TIMEOUT_DOUBLINGS: u32 = 6;
-/// An attempt over TCP has this many times the timeout: connecting, asking and a long response are more than one datagram
-/// each way.
+/// The timeout of an attempt over TCP is this many times the configured timeout: the handshake, the query and a long
+/// response take longer than one datagram each way.
 const TCP_TIMEOUT_FACTOR: Micros = 4;
 
-/// How an exchange has ended.
+/// The outcome of an exchange.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum ExchangeOutcome {
-    /// A server has answered: no error, or no such name.
+    /// A server has answered with NOERROR or NXDOMAIN.
     Answered(DnsResponse),
-    /// No server has answered; why the last attempt has failed.
+    /// No server has answered; the error is that of the last attempt.
     Failed(QuestionError),
 }
 
-/// What the exchanges of a resolver have sent and got.
+/// Counters of all exchanges of a resolver since its start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ExchangeCounters {
     /// Attempts over UDP.
     pub udp_attempts: u64,
     /// Attempts over TCP.
     pub tcp_attempts: u64,
-    /// Responses that did not match a question: their address, id or question was another.
+    /// Responses whose address, id or question did not match the query.
     pub mismatched: u64,
-    /// Responses that could not be read.
+    /// Responses that could not be decoded.
     pub undecodable: u64,
-    /// Attempts without a response in time.
+    /// Attempts that timed out.
     pub timeouts: u64,
     /// Truncated responses.
     pub truncated: u64,
@@ -48,21 +48,21 @@
     pub error_responses: u64,
 }
 
-/// What the exchanges of a resolver share.
+/// The resolver's state that all of its exchanges share.
 pub(crate) struct ExchangeContext<'a, R> {
     pub(crate) config: &'a ResolverConfig,
     pub(crate) rng: &'a mut R,
-    /// The number of the socket that was made last.
-    pub(crate) last_socket: &'a mut u64,
+    /// The number of the last socket created.
+    pub(crate) last_socket_number: &'a mut u64,
     pub(crate) counters: &'a mut ExchangeCounters,
-    /// What the driver is to do.
+    /// Operations for the driver.
     pub(crate) transmits: &'a mut Vec<Transmit>,
 }
 
 impl<R: Rng> ExchangeContext<'_, R> {
     fn new_socket(&mut self) -> SocketId {
-        *self.last_socket += 1;
-        SocketId(*self.last_socket)
+        *self.last_socket_number += 1;
+        SocketId(*self.last_socket_number)
     }
 
     fn close(&mut self, socket: SocketId) {
@@ -70,24 +70,25 @@
     }
 }
 
-/// One question on its way.
+/// One question in flight.
 #[derive(Debug)]
 pub(crate) struct Exchange {
     question: Question,
-    /// The open attempts, the newest last.
+    /// The open attempts, oldest first.
     attempts: Vec<Attempt>,
-    /// Attempts over UDP so far, repeats without EDNS not counted; it decides the server and the round of the next one.
+    /// The number of attempts over UDP, not counting repeats without EDNS. Determines the server and the round of the next
+    /// attempt.
     attempt_count: usize,
     /// When the newest attempt times out.
     deadline: Micros,
-    /// The index of the server that is asked first.
+    /// The index of the server that is queried first.
     first_server: usize,
-    /// Why the last attempt that failed did so.
+    /// The error of the last failed attempt.
     last_error: QuestionError,
 }
 
 impl Exchange {
-    /// Asks for the first time, the server with this index.
+    /// Starts an exchange with a query to the server with index `first_server`, modulo the number of servers.
     pub(crate) fn start<R: Rng>(
         question: Question,
         first_server: usize,
@@ -102,8 +103,8 @@
             first_server,
             last_error: QuestionError::NotAsked,
         };
-        // A checked configuration has a server and a round, so that the first attempt is never the end.
-        let _ = exchange.ask_next_server(now, context);
+        // A valid configuration has at least one server and one round, so the first attempt cannot end the exchange.
+        let _ = exchange.query_next_server(now, context);
         exchange
     }
 
@@ -112,7 +113,7 @@
         self.deadline
     }
 
-    /// Whether this socket is one of the exchange.
+    /// Whether the socket belongs to this exchange.
     pub(crate) fn owns(&self, socket: SocketId) -> bool {
         self.find_attempt(socket).is_some()
     }
@@ -123,8 +124,8 @@
             .position(|attempt| attempt.socket == socket)
     }
 
-    /// Makes the next attempt, or ends the exchange after the last round.
-    fn ask_next_server<R: Rng>(
+    /// Starts the next attempt, or fails the exchange after the last round.
+    fn query_next_server<R: Rng>(
         &mut self,
         now: Micros,
         context: &mut ExchangeContext<'_, R>,
@@ -138,11 +139,11 @@
         let server = context.config.servers[index];
         let round = (self.attempt_count / server_count) as u32;
         self.attempt_count += 1;
-        self.ask_over_udp(now, server, round, true, context);
+        self.query_over_udp(now, server, round, true, context);
         None
     }
 
-    fn ask_over_udp<R: Rng>(
+    fn query_over_udp<R: Rng>(
         &mut self,
         now: Micros,
         server: SocketAddr,
@@ -171,7 +172,7 @@
         self.set_deadline(now, factor, context);
     }
 
-    fn ask_over_tcp<R: Rng>(
+    fn query_over_tcp<R: Rng>(
         &mut self,
         now: Micros,
         server: SocketAddr,
@@ -183,7 +184,7 @@
         context.transmits.push(Transmit::Tcp {
             socket,
             server,
-            framed_message: framed_query(id, &self.question, payload_bytes),
+            framed_message: encode_framed_query(id, &self.question, payload_bytes),
         });
         context.counters.tcp_attempts += 1;
         let attempt = Attempt {
@@ -204,7 +205,7 @@
         self.attempts.push(attempt);
     }
 
-    /// The newest attempt times out after this many times the timeout, with jitter.
+    /// Sets the deadline of the newest attempt to `factor` times the timeout, with jitter.
     fn set_deadline<R: Rng>(
         &mut self,
         now: Micros,
@@ -226,7 +227,7 @@
         }
     }
 
-    /// Asks the next server if the newest attempt has timed out. The older attempts may still be answered.
+    /// Queries the next server if the newest attempt has timed out. Older attempts stay open and may still be answered.
     pub(crate) fn on_timer<R: Rng>(
         &mut self,
         now: Micros,
@@ -247,10 +248,10 @@
                 failure: AttemptFailure::Timeout(transport),
             };
         }
-        self.ask_next_server(now, context)
+        self.query_next_server(now, context)
     }
 
-    /// Takes a datagram that has come on a socket of the exchange.
+    /// Handles a datagram received on a socket of this exchange.
     pub(crate) fn on_datagram<R: Rng>(
         &mut self,
         now: Micros,
@@ -268,10 +269,10 @@
             context.counters.mismatched += 1;
             return None;
         }
-        self.take_message(now, index, bytes, context)
+        self.handle_message(now, index, bytes, context)
     }
 
-    /// Takes bytes of a connection of the exchange, in pieces of any size.
+    /// Handles bytes received on a connection of this exchange, in chunks of any size.
     pub(crate) fn on_stream_bytes<R: Rng>(
         &mut self,
         now: Micros,
@@ -280,11 +281,11 @@
         context: &mut ExchangeContext<'_, R>,
     ) -> Option<ExchangeOutcome> {
         let index = self.find_attempt(socket)?;
-        let message = self.attempts[index].take_stream_bytes(bytes)?;
-        self.take_message(now, index, &message, context)
+        let message = self.attempts[index].push_stream_bytes(bytes)?;
+        self.handle_message(now, index, &message, context)
     }
 
-    /// A socket of the exchange has failed, or a connection has ended.
+    /// Handles that a socket of this exchange has failed or a connection has closed.
     pub(crate) fn on_closed<R: Rng>(
         &mut self,
         now: Micros,
@@ -297,7 +298,7 @@
         self.fail_attempt(now, index, failure, context)
     }
 
-    /// Ends an attempt that has failed. If it was the newest one the next follows at once.
+    /// Closes a failed attempt. If it was the newest, the next attempt starts immediately.
     fn fail_attempt<R: Rng>(
         &mut self,
         now: Micros,
@@ -310,14 +311,14 @@
         self.close_attempt(index, context);
         self.last_error = QuestionError::Attempt { server, failure };
         if is_newest {
-            self.ask_next_server(now, context)
+            self.query_next_server(now, context)
         } else {
             None
         }
     }
 
-    /// Takes a whole message that has come for an attempt.
-    fn take_message<R: Rng>(
+    /// Handles a complete message received for an attempt.
+    fn handle_message<R: Rng>(
         &mut self,
         now: Micros,
         index: usize,
@@ -326,13 +327,13 @@
     ) -> Option<ExchangeOutcome> {
         let response = match decode_response(bytes) {
             Ok(response) => response,
-            Err(error) => return self.take_undecodable(now, index, bytes, error, context),
+            Err(error) => return self.handle_undecodable(now, index, bytes, error, context),
         };
         let attempt = &self.attempts[index];
         let is_tcp = attempt.is_tcp();
         if !self.matches(attempt, &response) {
             context.counters.mismatched += 1;
-            // Nobody else can send on a connection: the server has lost track.
+            // Only the server can send on a connection, so the mismatch is its fault.
             if is_tcp {
                 return self.fail_attempt(now, index, AttemptFailure::Mismatched, context);
             }
@@ -345,15 +346,15 @@
             }
             let server = attempt.server;
             self.close_attempt(index, context);
-            self.ask_over_tcp(now, server, context);
+            self.query_over_tcp(now, server, context);
             return None;
         }
-        self.take_response(now, index, response, context)
+        self.handle_response(now, index, response, context)
     }
 
-    /// Counts a message that can't be read. Whoever guesses the port can send such messages: over UDP only one with the id
-    /// of the query ends the attempt.
-    fn take_undecodable<R: Rng>(
+    /// Counts a message that can't be decoded. Over UDP it fails the attempt only if it begins with the id of the query,
+    /// because anyone who guesses the port can send such messages.
+    fn handle_undecodable<R: Rng>(
         &mut self,
         now: Micros,
         index: usize,
@@ -369,8 +370,8 @@
         self.fail_attempt(now, index, AttemptFailure::Undecodable(error), context)
     }
 
-    /// Whether a response has the id and the question of an attempt. A truncated response or one with an error may lack the
-    /// question.
+    /// Whether a response has the id and the question of an attempt. The question may be missing if the response is
+    /// truncated or has an error code.
     fn matches(&self, attempt: &Attempt, response: &DnsResponse) -> bool {
         let matches_question = match &response.question {
             Some(question) => *question == self.question,
@@ -379,8 +380,8 @@
         response.id == attempt.id && matches_question
     }
 
-    /// Takes a whole response that matches an attempt.
-    fn take_response<R: Rng>(
+    /// Handles a complete response that matches an attempt.
+    fn handle_response<R: Rng>(
         &mut self,
         now: Micros,
         index: usize,
@@ -399,11 +400,11 @@
             response_code::FORMAT_ERROR | response_code::NOT_IMPLEMENTED
                 if attempt.uses_edns && !attempt.is_tcp() =>
             {
-                // A server that does not know EDNS is asked without (RFC 6891, section 7).
+                // The server may not support EDNS: repeat the query without it (RFC 6891, section 7).
                 context.counters.error_responses += 1;
                 let server = attempt.server;
                 self.close_attempt(index, context);
-                self.ask_over_udp(now, server, 0, false, context);
+                self.query_over_udp(now, server, 0, false, context);
                 None
             }
             code => {
@@ -414,8 +415,8 @@
     }
 }
 
-/// A time with up to a quarter more or less, so that nodes that ask together do not ask together again.
-pub(crate) fn with_jitter<R: Rng>(time: Micros, rng: &mut R) -> Micros {
-    let max_deviation = time / 4;
-    time - max_deviation + rng.random_range(0..=2 * max_deviation)
+/// Changes a duration by up to a quarter in either direction, so that nodes do not stay synchronized.
+pub(crate) fn with_jitter<R: Rng>(duration: Micros, rng: &mut R) -> Micros {
+    let max_deviation = duration / 4;
+    duration - max_deviation + rng.random_range(0..=2 * max_deviation)
 }
--- a/crates/dns-resolver/src/lib.rs
+++ b/crates/dns-resolver/src/lib.rs
@@ -1,12 +1,18 @@
 //! A stub resolver for SRV records (RFC 2782) and the addresses of their targets.
 //!
-//! The core is a state machine without sockets and without a clock: [`Resolver`] is fed datagrams, bytes of TCP
-//! connections and the time, and says what to send, when to call it again and what it has found. `driver` is the thin
-//! layer over tokio's sockets. Inside the core `config` has the settings, `message` decodes and encodes DNS messages,
-//! `exchange` puts one question to the name servers, `answer` interprets a response, `cache` stores answers for their times
-//! to live, `lookup` goes from the service's name to addresses, and `resolver` keeps the list fresh.
+//! The core is a state machine without sockets or a clock: [`Resolver`] receives datagrams, bytes of TCP connections and
+//! the time, and returns what to send, when to call it again, and the results. `driver` connects it to tokio's sockets.
+//! The modules of the core:
 //!
-//! Time is whole microseconds on a clock that never runs backwards.
+//! * `config`: the settings.
+//! * `message`: decodes and encodes DNS messages.
+//! * `exchange`: sends one question to the name servers until one has answered it.
+//! * `answer`: interprets a response.
+//! * `cache`: stores answers with their TTLs.
+//! * `lookup`: resolves the service's name to addresses.
+//! * `resolver`: refreshes the result when it expires.
+//!
+//! Time is in whole microseconds of a monotonic clock.
 
 mod answer;
 mod attempt;
--- a/crates/dns-resolver/src/lookup.rs
+++ b/crates/dns-resolver/src/lookup.rs
@@ -1,4 +1,4 @@
-//! From the service's name to addresses, by the stored answers: what must still be asked, or what was found.
+//! Resolves the service's name to addresses from cached answers; returns the questions that are still open, or the result.
 
 use crate::answer::{AnswerContent, MAX_ALIASES};
 use crate::cache::{Cache, CacheEntry};
@@ -13,44 +13,44 @@
 pub struct Endpoint {
     /// The target's name.
     pub target: String,
-    /// Where it listens.
+    /// The address and port on which the target listens.
     pub addr: SocketAddr,
-    /// Endpoints with a lower number come first (RFC 2782).
+    /// Endpoints with a lower number are preferred (RFC 2782).
     pub priority: u16,
-    /// The endpoint's part of the load among those of its priority (RFC 2782).
+    /// The endpoint's relative share of the load among endpoints of the same priority (RFC 2782).
     pub weight: u16,
-    /// When the first record on the way to it expires.
+    /// When the first of the records that lead to this address expires.
     pub expires_at: Micros,
-    /// Whether it comes from records that have expired and can't be asked for again.
+    /// Whether it comes from expired records that could not be refreshed.
     pub is_stale: bool,
 }
 
-/// The result of a look-up.
+/// The result of a lookup.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ServiceLookup {
     /// The addresses, sorted.
     pub endpoints: Vec<Endpoint>,
-    /// When the first record that was used expires.
+    /// When the first of the records used expires.
     pub expires_at: Micros,
-    /// Why the service has no targets, where it has none.
+    /// Why the service has no targets; `None` if it has any.
     pub empty_reason: Option<EmptyReason>,
-    /// Targets that could not be looked up.
+    /// Targets whose addresses could not be looked up or refreshed.
     pub unresolved: Vec<UnresolvedTarget>,
-    /// How many targets were ignored, since there are more than the configuration allows.
+    /// The number of targets ignored beyond [`ResolverConfig::max_targets`].
     pub ignored_target_count: usize,
 }
 
-/// Why there are no records.
+/// Why an answer has no usable records.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum EmptyReason {
     /// The name does not exist.
-    #[error("there is no such name")]
+    #[error("the name does not exist")]
     NoSuchName,
-    /// The name has no records of this kind.
-    #[error("the name has no such records")]
+    /// The name has no records of the queried type.
+    #[error("the name has no records of the queried type")]
     NoSuchRecords,
-    /// The only target is ".", which says that the service is not available (RFC 2782).
-    #[error("the service is said not to be there (a target of \".\")")]
+    /// The only target is ".", which declares the service unavailable (RFC 2782).
+    #[error("the service is declared unavailable (its only target is \".\")")]
     ServiceUnavailable,
 }
 
@@ -59,27 +59,29 @@
 pub struct UnresolvedTarget {
     /// The target's name.
     pub target: String,
-    /// Why.
+    /// The cause of the failure.
     pub reason: UnresolvedReason,
 }
 
 /// Why a target's addresses could not be looked up.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum UnresolvedReason {
-    /// The stored addresses have expired and are used further.
-    #[error("its addresses cannot be asked anew; the last ones are used")]
+    /// The cached addresses have expired and could not be refreshed; they stay in use.
+    #[error(
+        "its addresses have expired and could not be refreshed; the last known ones stay in use"
+    )]
     Stale,
-    /// No addresses are stored.
+    /// The lookup failed and no addresses are cached.
     #[error(transparent)]
     Failed(#[from] QuestionError),
 }
 
-/// How far a look-up has come.
+/// The progress of a lookup.
 #[derive(Debug)]
 pub(crate) enum LookupProgress {
-    /// These questions must be asked.
+    /// These questions must be answered first.
     NeedsAnswers(Vec<Question>),
-    /// The look-up is complete; it has used the answers to these questions.
+    /// The lookup is complete; `used` are the questions whose answers it has used.
     Complete {
         lookup: ServiceLookup,
         used: Vec<Question>,
@@ -88,37 +90,37 @@
     Failed(LookupError),
 }
 
-/// Where aliases lead from a question.
+/// The end of the alias chain that starts at a question.
 enum ChainEnd<'a> {
-    /// To a stored answer.
+    /// A cached answer.
     Entry(ChainEntry<'a>),
-    /// To a question that must be asked.
+    /// A question that must be answered first.
     NeedsAnswer(Question),
-    /// To one that has no answer.
+    /// A question that could not be answered.
     Failed(QuestionError),
 }
 
-/// A stored answer at the end of aliases.
+/// A cached answer at the end of an alias chain.
 struct ChainEntry<'a> {
     content: &'a AnswerContent,
-    /// When the first answer on the way expires.
+    /// When the first answer of the chain expires.
     expires_at: Micros,
-    /// Whether any answer on the way has expired.
+    /// Whether any answer of the chain has expired.
     is_stale: bool,
 }
 
-/// Follows aliases through the stored answers.
+/// Follows aliases through the cached answers.
 struct CnameChainFollower<'a> {
     cache: &'a Cache,
     now: Micros,
-    /// The questions of this pass that have no answer.
+    /// The questions of this refresh that could not be answered.
     failed: &'a BTreeMap<Question, QuestionError>,
     /// The questions that were followed.
     used: Vec<Question>,
 }
 
 impl<'a> CnameChainFollower<'a> {
-    /// Follows the aliases from a question to their end.
+    /// Follows the alias chain of a question to its end.
     fn follow(&mut self, mut question: Question) -> ChainEnd<'a> {
         let mut expires_at = Micros::MAX;
         let mut is_stale = false;
@@ -151,7 +153,7 @@
         }
     }
 
-    /// The stored answer to a question: a fresh one, or a stale one where the question could not be asked.
+    /// The cached answer to a question: a fresh one, or a stale one if the question could not be answered.
     fn find_entry(&self, question: &Question) -> Result<&'a CacheEntry, ChainEnd<'a>> {
         if let Some(fresh) = self.cache.get_fresh(question, self.now) {
             return Ok(fresh);
@@ -164,24 +166,24 @@
     }
 }
 
-/// Where one record says that a target listens.
+/// Priority, weight and port of a target from one SRV record.
 struct TargetPort {
     priority: u16,
     weight: u16,
     port: u16,
 }
 
-/// A look-up under way.
+/// Builds the result of a lookup.
 struct LookupBuilder<'a> {
     config: &'a ResolverConfig,
     chains: CnameChainFollower<'a>,
-    /// When the first answer on the way to the service's records expires.
+    /// When the first answer that leads to the service's records expires.
     service_expires_at: Micros,
     lookup: ServiceLookup,
     needed: Vec<Question>,
 }
 
-/// Looks a service up by the stored answers.
+/// Looks up a service from the cached answers.
 pub(crate) fn look_up(
     config: &ResolverConfig,
     service: &Question,
@@ -201,7 +203,7 @@
         ChainEnd::Failed(error) => return LookupProgress::Failed(error.into()),
     };
     if entry.is_stale {
-        // What was listed last stands, but it has not been confirmed.
+        // The previous list stays in use, but it could not be refreshed.
         let first_error = failed.values().next().cloned();
         let error = first_error.unwrap_or(QuestionError::NotAsked);
         return LookupProgress::Failed(error.into());
@@ -242,7 +244,7 @@
         }
     }
 
-    /// Adds the addresses of a target, or the question for them.
+    /// Adds the addresses of a target, or the question that must be answered to get them.
     fn add_target(&mut self, target: &str, ports: &[TargetPort]) {
         match self.follow_target(target) {
             Some(ChainEnd::Entry(entry)) => self.add_endpoints(target, ports, &entry),
@@ -252,8 +254,8 @@
         }
     }
 
-    /// Follows the aliases of a target in the first family that has any addresses. The next family counts only where the
-    /// one before it has no addresses for certain.
+    /// Follows the aliases of a target in the first family that has any addresses. A family is used only if all families
+    /// before it have a negative answer.
     fn follow_target(&mut self, target: &str) -> Option<ChainEnd<'a>> {
         let mut end = None;
         for family in &self.config.families {
@@ -267,7 +269,7 @@
             };
             end = Some(family_end);
             match empty_until {
-                Some(expires_at) => self.expire_at(expires_at),
+                Some(expires_at) => self.limit_expiry(expires_at),
                 None => break,
             }
         }
@@ -275,7 +277,7 @@
     }
 
     fn add_endpoints(&mut self, target: &str, ports: &[TargetPort], entry: &ChainEntry) {
-        self.expire_at(entry.expires_at);
+        self.limit_expiry(entry.expires_at);
         if entry.is_stale {
             self.add_unresolved(target, UnresolvedReason::Stale);
         }
@@ -306,9 +308,9 @@
         });
     }
 
-    /// The look-up expires at this time at the latest.
-    fn expire_at(&mut self, time: Micros) {
-        self.lookup.expires_at = self.lookup.expires_at.min(time);
+    /// Makes the lookup expire at this time at the latest.
+    fn limit_expiry(&mut self, expires_at: Micros) {
+        self.lookup.expires_at = self.lookup.expires_at.min(expires_at);
     }
 
     fn finish(mut self) -> LookupProgress {
@@ -327,7 +329,7 @@
     }
 }
 
-/// Where the targets of SRV records listen, by the target's name.
+/// Groups SRV records by target.
 fn ports_by_target(records: &[RecordData]) -> BTreeMap<&str, Vec<TargetPort>> {
     let mut targets: BTreeMap<&str, Vec<TargetPort>> = BTreeMap::new();
     for record in records {
--- a/crates/dns-resolver/src/message.rs
+++ b/crates/dns-resolver/src/message.rs
@@ -1,5 +1,4 @@
-//! DNS messages (RFC 1035) to and from the few kinds of record that are used here. The coding itself is
-//! hickory-proto's.
+//! Encodes and decodes DNS messages (RFC 1035) with hickory-proto, for the few record types that are used here.
 
 use crate::config::AddressFamily;
 use crate::error::{DecodeError, NameError};
@@ -9,27 +8,27 @@
 use std::net::IpAddr;
 use std::str::FromStr;
 
-/// A time to live with its highest bit set counts as zero (RFC 2181, section 8).
+/// The largest valid TTL in seconds. A TTL with the highest bit set counts as zero (RFC 2181, section 8).
 const MAX_TTL_S: u32 = 0x7fff_ffff;
 
 /// A question to a name server.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Question {
-    /// The targets of a service.
+    /// The SRV records of a service.
     Srv(String),
-    /// The addresses of a target.
+    /// The addresses of a target in one family.
     Address(String, AddressFamily),
 }
 
 impl Question {
-    /// The name that is asked for.
+    /// The queried name.
     pub fn name(&self) -> &str {
         match self {
             Question::Srv(name) | Question::Address(name, _) => name,
         }
     }
 
-    /// The same question for another name, as an alias needs it.
+    /// The same question for another name, used to follow an alias.
     pub fn with_name(&self, name: String) -> Question {
         match self {
             Question::Srv(_) => Question::Srv(name),
@@ -45,7 +44,7 @@
         }
     }
 
-    /// Whether a record answers this kind of question.
+    /// Whether the record's type is the one that this question queries.
     pub fn is_answered_by(&self, data: &RecordData) -> bool {
         match (self, data) {
             (Question::Srv(_), RecordData::Srv { .. }) => true,
@@ -66,49 +65,49 @@
     }
 }
 
-/// The data of a record.
+/// The data of a record, by its type.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RecordData {
-    /// A server of a service (RFC 2782).
+    /// SRV: a server of a service (RFC 2782).
     Srv {
-        /// Servers with a lower number come first.
+        /// Servers with a lower number are preferred.
         priority: u16,
-        /// The server's part of the load among those of its priority.
+        /// The server's relative share of the load among servers of the same priority.
         weight: u16,
-        /// The port.
+        /// The port on which the server listens.
         port: u16,
-        /// The server's name; empty where the service is decidedly not available (a target of ".").
+        /// The server's name; empty if the service is explicitly unavailable (a target of ".").
         target: String,
     },
-    /// An address, of an A or AAAA record.
+    /// A or AAAA: an address.
     Address(IpAddr),
-    /// The name is an alias of this one.
+    /// CNAME: the owner is an alias of this name.
     Alias(String),
-    /// The shortest time to live of negative answers, in seconds (RFC 2308, section 4).
+    /// SOA: the TTL of negative answers in seconds (RFC 2308, section 4).
     NegativeTtl(u32),
-    /// Another name server must be asked.
+    /// NS: another name server is responsible.
     NameServer,
 }
 
-/// A record of a kind that is used here.
+/// A record of one of the types that are used here.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DnsRecord {
-    /// The name that has the record, in lower case without the last dot.
+    /// The name of the record, in lower case without the trailing dot.
     pub owner: String,
-    /// The time to live, in seconds.
+    /// The TTL in seconds.
     pub ttl: u32,
-    /// The data.
+    /// The record's data.
     pub data: RecordData,
 }
 
-/// A response, as far as it is used.
+/// The used parts of a decoded response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DnsResponse {
-    /// The id, to be compared with the question's.
+    /// The message id, which must equal that of the query.
     pub id: u16,
-    /// The question that it answers; `None` where it repeats none or one of another kind.
+    /// The question in the response; `None` if it has none, several, or one of a type that is not used here.
     pub question: Option<Question>,
-    /// Whether it is incomplete.
+    /// Whether the message was truncated (the TC bit).
     pub is_truncated: bool,
     /// The response code (RFC 1035, section 4.1.1; RFC 6891, section 6.1.3).
     pub code: u16,
@@ -121,8 +120,8 @@
 }
 
 impl DnsResponse {
-    /// Whether it has neither records nor says that there are none, but names other servers (RFC 2308, section 2.2). That
-    /// is no answer for a stub resolver, which asks servers that do this themselves.
+    /// Whether the response is a referral: it has neither answers nor a SOA record, but names other servers (RFC 2308,
+    /// section 2.2). A stub resolver cannot use referrals, since it relies on servers that follow them.
     pub fn is_referral(&self) -> bool {
         let mut names_servers = false;
         let mut is_negative_answer = false;
@@ -137,20 +136,20 @@
     }
 }
 
-/// Response codes that are told apart.
+/// The response codes that are handled differently.
 pub(crate) mod response_code {
-    /// The question is answered.
+    /// No error.
     pub(crate) const NO_ERROR: u16 = 0;
-    /// The server can't read the question: it may not know EDNS.
+    /// The server could not interpret the query; it may not support EDNS.
     pub(crate) const FORMAT_ERROR: u16 = 1;
-    /// There is no such name.
+    /// The name does not exist.
     pub(crate) const NX_DOMAIN: u16 = 3;
-    /// The server does not do this: it may not know EDNS.
+    /// The server does not support the query; it may not support EDNS.
     pub(crate) const NOT_IMPLEMENTED: u16 = 4;
 }
 
-/// A name as it is compared and shown: in lower case, without the last dot.
-fn normalized(name: &Name) -> String {
+/// The canonical form for comparison and display: in lower case without the trailing dot.
+fn to_canonical_text(name: &Name) -> String {
     let mut text = name.to_lowercase().to_ascii();
     if text.ends_with('.') {
         text.pop();
@@ -158,23 +157,23 @@
     text
 }
 
-/// Parses a name of the configuration or of a record.
+/// Parses a domain name from the configuration or a record.
 pub(crate) fn parse_name(text: &str) -> Result<Name, NameError> {
     let mut name = Name::from_str(text).map_err(|error| NameError(error.to_string()))?;
     name.set_fqdn(true);
     Ok(name)
 }
 
-/// A name of the configuration in the form in which names are compared.
+/// A name from the configuration in canonical form, as used for comparisons.
 pub(crate) fn normalize_name(text: &str) -> String {
     match parse_name(text) {
-        Ok(name) => normalized(&name),
+        Ok(name) => to_canonical_text(&name),
         Err(_) => text.to_ascii_lowercase(),
     }
 }
 
-/// The bytes of a query, empty where its name is no domain name. A payload is the size in bytes that EDNS offers (RFC 6891);
-/// without one the query has no EDNS.
+/// Encodes a query; empty if the name is not a domain name. `payload_bytes` is the payload size advertised by EDNS (RFC
+/// 6891); `None` omits EDNS.
 pub(crate) fn encode_query(id: u16, question: &Question, payload_bytes: Option<u16>) -> Vec<u8> {
     let Ok(name) = parse_name(question.name()) else {
         return Vec::new();
@@ -190,10 +189,10 @@
     message.to_vec().unwrap_or_default()
 }
 
-/// Decodes a response. The bytes may come from anybody.
+/// Decodes a response from untrusted bytes.
 ///
 /// # Errors
-/// Where they are no DNS message, or a query.
+/// If the bytes are not a DNS message, or are a query.
 pub fn decode_response(bytes: &[u8]) -> Result<DnsResponse, DecodeError> {
     let message =
         Message::from_vec(bytes).map_err(|error| DecodeError::Malformed(error.to_string()))?;
@@ -211,7 +210,7 @@
     })
 }
 
-/// The only question of a message, if it is of a kind that is used here.
+/// The question of a message; `None` unless there is exactly one and its type is used here.
 fn to_question(queries: &[Query]) -> Option<Question> {
     let [query] = queries else {
         return None;
@@ -219,7 +218,7 @@
     if query.query_class() != DNSClass::IN {
         return None;
     }
-    let name = normalized(query.name());
+    let name = to_canonical_text(query.name());
     match query.query_type() {
         RecordType::SRV => Some(Question::Srv(name)),
         RecordType::A => Some(Question::Address(name, AddressFamily::V4)),
@@ -228,7 +227,7 @@
     }
 }
 
-/// The records of a section that are of a kind used here.
+/// The records of a section whose types are used here.
 fn to_records(records: &[Record]) -> Vec<DnsRecord> {
     records.iter().filter_map(to_record).collect()
 }
@@ -242,11 +241,11 @@
             priority: srv.priority,
             weight: srv.weight,
             port: srv.port,
-            target: normalized(&srv.target),
+            target: to_canonical_text(&srv.target),
         },
         RData::A(address) => RecordData::Address(IpAddr::V4(address.0)),
         RData::AAAA(address) => RecordData::Address(IpAddr::V6(address.0)),
-        RData::CNAME(alias) => RecordData::Alias(normalized(&alias.0)),
+        RData::CNAME(alias) => RecordData::Alias(to_canonical_text(&alias.0)),
         RData::SOA(soa) => RecordData::NegativeTtl(soa.minimum),
         RData::NS(_) => RecordData::NameServer,
         _ => return None,
@@ -257,7 +256,7 @@
         record.ttl
     };
     Some(DnsRecord {
-        owner: normalized(&record.name),
+        owner: to_canonical_text(&record.name),
         ttl,
         data,
     })
--- a/crates/dns-resolver/src/resolver.rs
+++ b/crates/dns-resolver/src/resolver.rs
@@ -1,7 +1,7 @@
-//! Keeps one service's list fresh: asks again for what has expired, and tries again after failures.
+//! Keeps the lookup result of one service fresh: refreshes expired answers and retries after failures.
 //!
-//! A pass asks, in rounds, for all that the look-up needs and has no fresh answer; the next pass begins when the first
-//! answer that was used expires.
+//! A refresh sends, in rounds, all questions that the lookup needs and that have no fresh answer in the cache. The next
+//! refresh starts when the first answer that was used expires.
 
 use crate::attempt::{SocketId, Transmit};
 use crate::cache::Cache;
@@ -14,21 +14,21 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 
-/// How many rounds of questions a pass may need: each alias and each family may need one more.
-const MAX_ROUNDS: u32 = 64;
-/// The pause after a failure doubles this many times at most.
+/// Limit on rounds of questions in a refresh: each alias and each address family may need a further round.
+const MAX_QUESTION_ROUNDS: u32 = 64;
+/// The pause after a failure doubles at most this many times.
 const MAX_PAUSE_DOUBLINGS: u32 = 20;
 
-/// What the resolver has found out.
+/// The result of a refresh.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ResolverEvent {
-    /// The service was looked up; the list may be the same as before.
+    /// The service was looked up; the result may be unchanged.
     Listed(ServiceLookup),
-    /// The service could not be looked up. What was listed last stands.
+    /// The service could not be looked up. The previous result stays valid.
     Failed {
-        /// Why.
+        /// The cause of the failure.
         reason: LookupError,
-        /// When it is looked up again.
+        /// When the next lookup starts.
         retry_at: Micros,
     },
 }
@@ -40,31 +40,32 @@
     rng: StdRng,
     cache: Cache,
     exchanges: BTreeMap<Question, Exchange>,
-    /// Questions of this pass that wait to be asked.
-    waiting: VecDeque<Question>,
-    /// Questions of this pass that have no answer.
+    /// Questions of this refresh that have not been sent yet.
+    pending: VecDeque<Question>,
+    /// Questions of this refresh that could not be answered.
     failed: BTreeMap<Question, QuestionError>,
-    /// Rounds of this pass.
+    /// Rounds of questions in this refresh.
     round_count: u32,
-    /// Whether a pass is under way.
-    is_passing: bool,
-    /// When the next pass begins.
-    next_pass_at: Micros,
-    /// Passes in a row that have failed or were incomplete.
+    /// Whether a refresh is in progress.
+    is_refreshing: bool,
+    /// When the next refresh starts.
+    next_refresh_at: Micros,
+    /// The number of consecutive refreshes that failed or left targets unresolved.
     failure_count: u32,
-    /// The server that is asked first, by its index modulo their number: the one that answered last.
+    /// The index, modulo the number of servers, of the server that is queried first. Advances when a question fails.
     first_server: usize,
-    last_socket: u64,
+    last_socket_number: u64,
     counters: ExchangeCounters,
     transmits: VecDeque<Transmit>,
     events: VecDeque<ResolverEvent>,
 }
 
 impl Resolver {
-    /// A resolver that begins to ask at its first timer. The generator makes the ids of queries; it must not be guessable.
+    /// A resolver that sends its first query at the first call of [`Resolver::on_timer`]. `rng` generates the ids of
+    /// queries and must be unpredictable.
     ///
     /// # Errors
-    /// Where the configuration does not pass [`ResolverConfig::check`].
+    /// If the configuration does not pass [`ResolverConfig::check`].
     pub fn new(
         config: ResolverConfig,
         rng: StdRng,
@@ -77,14 +78,14 @@
             rng,
             cache: Cache::default(),
             exchanges: BTreeMap::new(),
-            waiting: VecDeque::new(),
+            pending: VecDeque::new(),
             failed: BTreeMap::new(),
             round_count: 0,
-            is_passing: false,
-            next_pass_at: now,
+            is_refreshing: false,
+            next_refresh_at: now,
             failure_count: 0,
             first_server: 0,
-            last_socket: 0,
+            last_socket_number: 0,
             counters: ExchangeCounters::default(),
             transmits: VecDeque::new(),
             events: VecDeque::new(),
@@ -93,32 +94,32 @@
 
     /// When [`Resolver::on_timer`] must be called next.
     pub fn next_timer(&self) -> Micros {
-        if !self.is_passing {
-            return self.next_pass_at;
+        if !self.is_refreshing {
+            return self.next_refresh_at;
         }
         let deadlines = self.exchanges.values().map(Exchange::deadline);
         deadlines.min().unwrap_or(0)
     }
 
-    /// What the driver is to do next.
+    /// The next operation for the driver; `None` if there is none now.
     pub fn poll_transmit(&mut self) -> Option<Transmit> {
         self.transmits.pop_front()
     }
 
-    /// What has been found out since the last call.
+    /// The next event; `None` if there is none now.
     pub fn poll_event(&mut self) -> Option<ResolverEvent> {
         self.events.pop_front()
     }
 
-    /// What was sent and received so far.
+    /// Counters of queries and responses since the start.
     pub fn counters(&self) -> ExchangeCounters {
         self.counters
     }
 
-    /// Begins a pass if it is time, and ends attempts that have timed out.
+    /// Starts a refresh if it is due, and handles attempts that have timed out.
     pub fn on_timer(&mut self, now: Micros) {
-        if !self.is_passing && now >= self.next_pass_at {
-            self.is_passing = true;
+        if !self.is_refreshing && now >= self.next_refresh_at {
+            self.is_refreshing = true;
             self.round_count = 0;
             self.failed.clear();
         }
@@ -129,44 +130,44 @@
             }
         }
         for question in due {
-            self.with_exchange(now, &question, |exchange, context| {
+            self.update_exchange(now, &question, |exchange, context| {
                 exchange.on_timer(now, context)
             });
         }
         self.advance(now);
     }
 
-    /// Takes a datagram that has come on this socket, from this address.
+    /// Handles a datagram received on this socket from this address.
     pub fn on_datagram(&mut self, now: Micros, socket: SocketId, from: SocketAddr, bytes: &[u8]) {
         if let Some(question) = self.owner(socket) {
-            self.with_exchange(now, &question, |exchange, context| {
+            self.update_exchange(now, &question, |exchange, context| {
                 exchange.on_datagram(now, socket, from, bytes, context)
             });
             self.advance(now);
         }
     }
 
-    /// Takes bytes of this connection.
+    /// Handles bytes received on this connection.
     pub fn on_stream_bytes(&mut self, now: Micros, socket: SocketId, bytes: &[u8]) {
         if let Some(question) = self.owner(socket) {
-            self.with_exchange(now, &question, |exchange, context| {
+            self.update_exchange(now, &question, |exchange, context| {
                 exchange.on_stream_bytes(now, socket, bytes, context)
             });
             self.advance(now);
         }
     }
 
-    /// This socket has failed, or this connection has ended.
+    /// Handles that this socket has failed or this connection has closed. `reason` becomes part of the error.
     pub fn on_closed(&mut self, now: Micros, socket: SocketId, reason: &str) {
         if let Some(question) = self.owner(socket) {
-            self.with_exchange(now, &question, |exchange, context| {
+            self.update_exchange(now, &question, |exchange, context| {
                 exchange.on_closed(now, socket, reason, context)
             });
             self.advance(now);
         }
     }
 
-    /// The question of the exchange that has this socket.
+    /// The question of the exchange that owns this socket; `None` if it is closed already.
     fn owner(&self, socket: SocketId) -> Option<Question> {
         self.exchanges
             .iter()
@@ -174,12 +175,12 @@
             .map(|(question, _)| question.clone())
     }
 
-    /// Lets one exchange act, and takes its outcome if it ends.
-    fn with_exchange(
+    /// Updates one exchange, and handles its outcome if it has ended.
+    fn update_exchange(
         &mut self,
         now: Micros,
         question: &Question,
-        act: impl FnOnce(&mut Exchange, &mut ExchangeContext<'_, StdRng>) -> Option<ExchangeOutcome>,
+        update: impl FnOnce(&mut Exchange, &mut ExchangeContext<'_, StdRng>) -> Option<ExchangeOutcome>,
     ) {
         let Some(exchange) = self.exchanges.get_mut(question) else {
             return;
@@ -188,19 +189,19 @@
         let mut context = ExchangeContext {
             config: &self.config,
             rng: &mut self.rng,
-            last_socket: &mut self.last_socket,
+            last_socket_number: &mut self.last_socket_number,
             counters: &mut self.counters,
             transmits: &mut transmits,
         };
-        let outcome = act(exchange, &mut context);
+        let outcome = update(exchange, &mut context);
         self.transmits.extend(transmits);
         if let Some(outcome) = outcome {
             self.exchanges.remove(question);
-            self.take_outcome(now, question, outcome);
+            self.handle_outcome(now, question, outcome);
         }
     }
 
-    fn take_outcome(&mut self, now: Micros, question: &Question, outcome: ExchangeOutcome) {
+    fn handle_outcome(&mut self, now: Micros, question: &Question, outcome: ExchangeOutcome) {
         let error = match outcome {
             ExchangeOutcome::Answered(response) => {
                 let bounds = &self.config.ttl_bounds;
@@ -217,18 +218,20 @@
         self.failed.insert(question.clone(), error);
     }
 
-    /// Asks the questions that wait, and looks the service up once all have an answer or have failed.
+    /// Sends pending questions, and looks up the service once all questions are answered or have failed.
     fn advance(&mut self, now: Micros) {
-        while self.is_passing {
-            self.ask_waiting(now);
+        while self.is_refreshing {
+            self.send_pending(now);
             if !self.exchanges.is_empty() {
                 return;
             }
             self.round_count += 1;
             let progress = look_up(&self.config, &self.service, &self.cache, now, &self.failed);
             match progress {
-                LookupProgress::NeedsAnswers(questions) if self.round_count <= MAX_ROUNDS => {
-                    self.waiting.extend(questions);
+                LookupProgress::NeedsAnswers(questions)
+                    if self.round_count <= MAX_QUESTION_ROUNDS =>
+                {
+                    self.pending.extend(questions);
                 }
                 LookupProgress::NeedsAnswers(_) => self.fail(now, LookupError::TooManyRounds),
                 LookupProgress::Failed(error) => self.fail(now, error),
@@ -240,17 +243,17 @@
         }
     }
 
-    /// Asks questions that wait, as many as may be in flight.
-    fn ask_waiting(&mut self, now: Micros) {
+    /// Sends pending questions up to the limit on questions in flight.
+    fn send_pending(&mut self, now: Micros) {
         while self.exchanges.len() < self.config.max_questions {
-            let Some(question) = self.waiting.pop_front() else {
+            let Some(question) = self.pending.pop_front() else {
                 break;
             };
             let mut transmits = Vec::new();
             let mut context = ExchangeContext {
                 config: &self.config,
                 rng: &mut self.rng,
-                last_socket: &mut self.last_socket,
+                last_socket_number: &mut self.last_socket_number,
                 counters: &mut self.counters,
                 transmits: &mut transmits,
             };
@@ -260,15 +263,15 @@
         }
     }
 
-    /// Ends a pass in which the service was looked up.
+    /// Ends a successful refresh.
     fn complete(&mut self, now: Micros, lookup: ServiceLookup) {
-        self.is_passing = false;
+        self.is_refreshing = false;
         if lookup.unresolved.is_empty() {
             self.failure_count = 0;
-            self.next_pass_at = lookup.expires_at.max(now + 1);
+            self.next_refresh_at = lookup.expires_at.max(now + 1);
         } else {
-            let retry_at = self.retry_time(now);
-            self.next_pass_at = if lookup.expires_at > now {
+            let retry_at = self.schedule_retry(now);
+            self.next_refresh_at = if lookup.expires_at > now {
                 lookup.expires_at.min(retry_at)
             } else {
                 retry_at
@@ -277,18 +280,18 @@
         self.events.push_back(ResolverEvent::Listed(lookup));
     }
 
-    /// Ends a pass in which the service could not be looked up.
+    /// Ends a refresh in which the service could not be looked up.
     fn fail(&mut self, now: Micros, reason: LookupError) {
-        self.is_passing = false;
-        self.next_pass_at = self.retry_time(now);
+        self.is_refreshing = false;
+        self.next_refresh_at = self.schedule_retry(now);
         self.events.push_back(ResolverEvent::Failed {
             reason,
-            retry_at: self.next_pass_at,
+            retry_at: self.next_refresh_at,
         });
     }
 
-    /// Counts a failure; returns when to try again.
-    fn retry_time(&mut self, now: Micros) -> Micros {
+    /// Counts a failure and returns the time of the next refresh.
+    fn schedule_retry(&mut self, now: Micros) -> Micros {
         let factor = 1 << self.failure_count.min(MAX_PAUSE_DOUBLINGS);
         let pause = self.config.retry_pause.saturating_mul(factor);
         let pause = pause.min(self.config.max_retry_pause);
--- a/crates/dns-resolver/tests/resolver.rs
+++ b/crates/dns-resolver/tests/resolver.rs
@@ -1,4 +1,4 @@
-//! Tests of the resolver against stub servers without sockets: every fault, in simulated time.
+//! Tests of the resolver against stub servers with all faults, without sockets and in simulated time.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -19,7 +19,7 @@
 const SERVICE: &str = "_llm._tcp.example.test";
 const SECOND: Micros = 1_000_000;
 
-/// What is delivered to the resolver at some time; what comes at the same time keeps the order in which it was sent.
+/// An event for the resolver. Events at the same time are delivered in the order in which they were scheduled.
 enum Delivery {
     Datagram {
         socket: SocketId,
@@ -35,11 +35,11 @@
     },
 }
 
-/// A network with name servers by address; one that is not there never replies. Each delivery takes a millisecond.
+/// A network of name servers. An address without a server never replies. Each delivery takes at least one millisecond.
 struct SimulatedNetwork {
     now: Micros,
     servers: BTreeMap<SocketAddr, Responder>,
-    /// By time and number.
+    /// Scheduled deliveries, by time and sequence number.
     deliveries: BTreeMap<(Micros, u64), Delivery>,
     open_sockets: BTreeSet<SocketId>,
     delivery_count: u64,
@@ -47,23 +47,23 @@
     events: Vec<(Micros, ResolverEvent)>,
 }
 
-/// When a reply with this delay is delivered.
+/// The time from a query to the delivery of a reply with this delay.
 fn delivery_time(delay: Duration) -> Micros {
     SECOND / 1000 + delay.as_micros() as Micros
 }
 
 /// The address of a name server.
-fn ns(index: u16) -> SocketAddr {
+fn name_server(index: u16) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 5300 + index))
 }
 
-/// The address of a server of the service.
-fn server(index: u16) -> SocketAddr {
+/// The address of a target of the service.
+fn target_addr(index: u16) -> SocketAddr {
     SocketAddr::from(([127, 0, 1, 1], 8000 + index))
 }
 
-fn service(ttl: u32, count: u16) -> Script {
-    let servers: Vec<SocketAddr> = (0..count).map(server).collect();
+fn service_script(ttl: u32, count: u16) -> Script {
+    let servers: Vec<SocketAddr> = (0..count).map(target_addr).collect();
     Script {
         negative_ttl: Some(7),
         ..Script::service(SERVICE, ttl, &servers)
@@ -72,15 +72,18 @@
 
 impl SimulatedNetwork {
     fn new(scripts: Vec<Script>) -> SimulatedNetwork {
-        let config = ResolverConfig::new(SERVICE, (0..scripts.len() as u16).map(ns).collect());
-        SimulatedNetwork::with(config, scripts)
+        let config = ResolverConfig::new(
+            SERVICE,
+            (0..scripts.len() as u16).map(name_server).collect(),
+        );
+        SimulatedNetwork::with_config(config, scripts)
     }
 
-    fn with(config: ResolverConfig, scripts: Vec<Script>) -> SimulatedNetwork {
+    fn with_config(config: ResolverConfig, scripts: Vec<Script>) -> SimulatedNetwork {
         let servers = scripts
             .into_iter()
             .enumerate()
-            .map(|(index, script)| (ns(index as u16), Responder::new(script)))
+            .map(|(index, script)| (name_server(index as u16), Responder::new(script)))
             .collect();
         let resolver = Resolver::new(config, StdRng::seed_from_u64(7), 0).unwrap();
         let (deliveries, open_sockets, delivery_count, events) = Default::default();
@@ -95,22 +98,22 @@
         }
     }
 
-    fn deliver_later(&mut self, after: Micros, delivery: Delivery) {
+    fn schedule(&mut self, after: Micros, delivery: Delivery) {
         self.delivery_count += 1;
         self.deliveries
             .insert((self.now + after, self.delivery_count), delivery);
     }
 
-    fn carry_out(&mut self) {
+    fn process_output(&mut self) {
         while let Some(transmit) = self.resolver.poll_transmit() {
-            self.carry_out_transmit(transmit);
+            self.execute_transmit(transmit);
         }
         while let Some(event) = self.resolver.poll_event() {
             self.events.push((self.now, event));
         }
     }
 
-    fn carry_out_transmit(&mut self, transmit: Transmit) {
+    fn execute_transmit(&mut self, transmit: Transmit) {
         let (socket, to, bytes, transport) = match transmit {
             Transmit::Udp {
                 socket,
@@ -134,23 +137,27 @@
         };
         for reply in server.reply(&bytes, transport) {
             match transport {
-                Transport::Udp => self.deliver_datagram(socket, to, reply),
-                Transport::Tcp => self.deliver_over_stream(socket, reply),
+                Transport::Udp => self.schedule_datagram(socket, to, reply),
+                Transport::Tcp => self.schedule_stream_bytes(socket, reply),
             }
         }
     }
 
-    fn deliver_datagram(&mut self, socket: SocketId, to: SocketAddr, reply: Reply) {
-        let from = if reply.uses_other_port { ns(99) } else { to };
+    fn schedule_datagram(&mut self, socket: SocketId, to: SocketAddr, reply: Reply) {
+        let from = if reply.uses_other_port {
+            name_server(99)
+        } else {
+            to
+        };
         let delivery = Delivery::Datagram {
             socket,
             from,
             bytes: reply.bytes,
         };
-        self.deliver_later(delivery_time(reply.delay), delivery);
+        self.schedule(delivery_time(reply.delay), delivery);
     }
 
-    fn deliver_over_stream(&mut self, socket: SocketId, reply: Reply) {
+    fn schedule_stream_bytes(&mut self, socket: SocketId, reply: Reply) {
         let after = delivery_time(reply.delay);
         let mut framed = (reply.bytes.len() as u16).to_be_bytes().to_vec();
         framed.extend(reply.bytes);
@@ -160,12 +167,12 @@
         } else {
             framed.len().max(1)
         };
-        for piece in framed.chunks(size) {
-            let bytes = piece.to_vec();
-            self.deliver_later(after, Delivery::StreamBytes { socket, bytes });
+        for chunk in framed.chunks(size) {
+            let bytes = chunk.to_vec();
+            self.schedule(after, Delivery::StreamBytes { socket, bytes });
         }
-        if reply.after != AfterReply::StayQuiet {
-            self.deliver_later(after, Delivery::Closed { socket });
+        if reply.after != AfterReply::StopResponding {
+            self.schedule(after, Delivery::Closed { socket });
         }
     }
 
@@ -185,7 +192,7 @@
             } else {
                 self.resolver.on_timer(self.now);
             }
-            self.carry_out();
+            self.process_output();
         }
     }
 
@@ -203,7 +210,7 @@
         }
     }
 
-    fn lists(&self) -> Vec<(Micros, &ServiceLookup)> {
+    fn lookups(&self) -> Vec<(Micros, &ServiceLookup)> {
         self.events
             .iter()
             .filter_map(|(at, event)| {
@@ -216,11 +223,11 @@
             .collect()
     }
 
-    fn last(&self) -> &ServiceLookup {
-        self.lists().last().expect("a list").1
+    fn last_lookup(&self) -> &ServiceLookup {
+        self.lookups().last().expect("at least one lookup").1
     }
 
-    fn failures(&self) -> usize {
+    fn failure_count(&self) -> usize {
         self.events
             .iter()
             .filter(|(_, event)| matches!(event, ResolverEvent::Failed { .. }))
@@ -228,8 +235,8 @@
     }
 }
 
-fn addrs(found: &ServiceLookup) -> Vec<u16> {
-    found
+fn target_indexes(lookup: &ServiceLookup) -> Vec<u16> {
+    lookup
         .endpoints
         .iter()
         .map(|endpoint| endpoint.addr.port() - 8000)
@@ -237,31 +244,35 @@
 }
 
 #[test]
-fn looks_a_service_up_again_when_its_shortest_ttl_is_over() {
-    let mut network = SimulatedNetwork::new(vec![service(30, 3)]);
+fn repeats_the_lookup_when_the_shortest_ttl_expires() {
+    let mut network = SimulatedNetwork::new(vec![service_script(30, 3)]);
     network.run(95 * SECOND);
-    assert_eq!(addrs(network.last()), [0, 1, 2]);
-    let first = &network.last().endpoints[0];
+    assert_eq!(target_indexes(network.last_lookup()), [0, 1, 2]);
+    let first = &network.last_lookup().endpoints[0];
     assert_eq!(
         (first.target.as_str(), first.priority, first.weight),
         ("s0.example.test", 10, 10)
     );
-    let times: Vec<Micros> = network.lists().iter().map(|(at, _)| at / SECOND).collect();
+    let times: Vec<Micros> = network
+        .lookups()
+        .iter()
+        .map(|(at, _)| at / SECOND)
+        .collect();
     assert_eq!(times, [0, 30, 60, 90]);
-    // The addresses came along: nothing else was asked.
+    // The additional section has the addresses, so no other question was sent.
     assert_eq!(
-        network.servers[&ns(0)].question_counts().len(),
+        network.servers[&name_server(0)].question_counts().len(),
         1,
         "{:?}",
-        network.servers[&ns(0)].question_counts()
+        network.servers[&name_server(0)].question_counts()
     );
 }
 
 #[test]
-fn asks_for_missing_addresses_and_for_the_second_family_only_without_the_first() {
+fn queries_missing_addresses_and_the_second_family_only_if_the_first_has_none() {
     let mut script = Script {
         adds_addresses: false,
-        ..service(30, 2)
+        ..service_script(30, 2)
     };
     script.records[3] = ZoneRecord {
         record_type: "AAAA".into(),
@@ -271,23 +282,23 @@
     let mut network = SimulatedNetwork::new(vec![script]);
     network.run(SECOND);
     let found: Vec<String> = network
-        .last()
+        .last_lookup()
         .endpoints
         .iter()
         .map(|endpoint| endpoint.addr.to_string())
         .collect();
     assert_eq!(found, ["127.0.1.1:8000", "[::1]:8001"]);
-    assert!(!network.servers[&ns(0)]
+    assert!(!network.servers[&name_server(0)]
         .question_counts()
         .contains_key("s0.example.test AAAA"));
-    // That there is no A record is believed no longer than the zone says.
-    assert_eq!(network.last().expires_at / SECOND, 7);
+    // The negative answer for the A record is cached for the TTL in the zone's SOA record.
+    assert_eq!(network.last_lookup().expires_at / SECOND, 7);
 }
 
 #[test]
-fn takes_only_addresses_of_targets_from_the_additional_section() {
-    let mut script = service(30, 1).with_fault(FaultyReply::UnrelatedAddress);
-    // A target whose address is not known elsewhere must not be taken from another's answer.
+fn accepts_only_addresses_of_targets_from_the_additional_section() {
+    let mut script = service_script(30, 1).with_fault(FaultyReply::UnrelatedAddress);
+    // A target without an address record of its own must not get an unrelated address.
     script.records.push(ZoneRecord {
         name: SERVICE.into(),
         record_type: "SRV".into(),
@@ -296,9 +307,9 @@
     });
     let mut network = SimulatedNetwork::new(vec![script]);
     network.run(SECOND);
-    assert_eq!(addrs(network.last()), [0]);
+    assert_eq!(target_indexes(network.last_lookup()), [0]);
     assert!(network
-        .last()
+        .last_lookup()
         .endpoints
         .iter()
         .all(|endpoint| endpoint.addr.ip().to_string() != "127.0.0.66"));
@@ -306,7 +317,7 @@
 
 #[test]
 fn uses_the_shortest_ttl_of_the_alias_chain_within_the_bounds() {
-    for (ttl, after) in [
+    for (ttl, expected_s) in [
         (0, 1),
         (u32::MAX, 1),
         (1 << 31, 1),
@@ -314,17 +325,21 @@
         (20, 20),
     ] {
         let mut network =
-            SimulatedNetwork::new(vec![service(9, 1).with_fault(FaultyReply::Ttl(ttl))]);
+            SimulatedNetwork::new(vec![service_script(9, 1).with_fault(FaultyReply::Ttl(ttl))]);
         network.run(SECOND / 2);
-        assert_eq!(network.last().expires_at / SECOND, after, "ttl {ttl}");
+        assert_eq!(
+            network.last_lookup().expires_at / SECOND,
+            expected_s,
+            "ttl {ttl}"
+        );
     }
     let mut script = Script {
         adds_addresses: false,
-        ..service(50, 1)
+        ..service_script(50, 1)
     };
-    let record = |name: &str, kind: &str, ttl, data: &str| ZoneRecord {
+    let record = |name: &str, record_type: &str, ttl, data: &str| ZoneRecord {
         name: name.into(),
-        record_type: kind.into(),
+        record_type: record_type.into(),
         ttl,
         data: data.into(),
     };
@@ -338,9 +353,9 @@
             ..script.clone()
         }]);
         network.run(SECOND);
-        assert_eq!(addrs(network.last()), [0]);
+        assert_eq!(target_indexes(network.last_lookup()), [0]);
         assert_eq!(
-            network.last().expires_at / SECOND,
+            network.last_lookup().expires_at / SECOND,
             40,
             "follows aliases: {follows_aliases}"
         );
@@ -348,8 +363,8 @@
 }
 
 #[test]
-fn asks_the_next_server_after_any_faulty_reply() {
-    let lies = [
+fn queries_the_next_server_after_any_faulty_reply() {
+    let faults = [
         FaultyReply::NoReply,
         FaultyReply::WrongId,
         FaultyReply::OtherPort,
@@ -360,56 +375,61 @@
         FaultyReply::Referral,
         FaultyReply::TruncateTcp,
     ];
-    for lie in lies {
-        let bad = match lie {
-            FaultyReply::TruncateTcp => service(30, 3)
+    for fault in faults {
+        let faulty_script = match fault {
+            FaultyReply::TruncateTcp => service_script(30, 3)
                 .with_fault(FaultyReply::Truncate)
-                .with_fault(lie.clone()),
-            _ => service(30, 3).with_fault(lie.clone()),
+                .with_fault(fault.clone()),
+            _ => service_script(30, 3).with_fault(fault.clone()),
         };
-        let mut network = SimulatedNetwork::new(vec![bad, service(30, 3)]);
+        let mut network = SimulatedNetwork::new(vec![faulty_script, service_script(30, 3)]);
         network.run(5 * SECOND);
-        assert_eq!(addrs(network.last()), [0, 1, 2], "{lie:?}");
-        assert_eq!(network.failures(), 0, "{lie:?}");
+        assert_eq!(
+            target_indexes(network.last_lookup()),
+            [0, 1, 2],
+            "{fault:?}"
+        );
+        assert_eq!(network.failure_count(), 0, "{fault:?}");
     }
 }
 
 #[test]
-fn counts_late_and_duplicate_replies_once() {
-    for lie in [
+fn accepts_late_and_duplicate_replies_once() {
+    for fault in [
         FaultyReply::Delay(300),
         FaultyReply::Duplicate,
         FaultyReply::Delay(900),
     ] {
-        let mut network = SimulatedNetwork::new(vec![service(30, 2).with_fault(lie.clone())]);
+        let mut network =
+            SimulatedNetwork::new(vec![service_script(30, 2).with_fault(fault.clone())]);
         network.run(20 * SECOND);
-        assert_eq!(network.lists().len(), 1, "{lie:?}");
-        assert_eq!(addrs(network.last()), [0, 1]);
+        assert_eq!(network.lookups().len(), 1, "{fault:?}");
+        assert_eq!(target_indexes(network.last_lookup()), [0, 1]);
     }
 }
 
 #[test]
-fn asks_over_tcp_after_a_truncated_reply() {
-    for more in [FaultyReply::Truncate, FaultyReply::ByteByByte] {
-        let mut network = SimulatedNetwork::new(vec![service(30, 3)
+fn queries_over_tcp_after_a_truncated_reply() {
+    for tcp_fault in [FaultyReply::Truncate, FaultyReply::ByteByByte] {
+        let mut network = SimulatedNetwork::new(vec![service_script(30, 3)
             .with_fault(FaultyReply::Truncate)
-            .with_fault(more)]);
+            .with_fault(tcp_fault)]);
         network.run(5 * SECOND);
-        assert_eq!(addrs(network.last()), [0, 1, 2]);
+        assert_eq!(target_indexes(network.last_lookup()), [0, 1, 2]);
         assert!(network.resolver.counters().tcp_attempts > 0);
     }
-    // Half a message and then silence is let go in time; the second server has it.
-    let half = service(30, 3)
+    // After an incomplete message over TCP the attempt times out, and the second server answers.
+    let partial_script = service_script(30, 3)
         .with_fault(FaultyReply::Truncate)
         .with_fault(FaultyReply::HalfTcp);
-    let mut network = SimulatedNetwork::new(vec![half, service(30, 3)]);
+    let mut network = SimulatedNetwork::new(vec![partial_script, service_script(30, 3)]);
     network.run(5 * SECOND);
-    assert_eq!(addrs(network.last()), [0, 1, 2]);
+    assert_eq!(target_indexes(network.last_lookup()), [0, 1, 2]);
 }
 
 #[test]
-fn asks_without_edns_after_a_format_error() {
-    let mut script = service(30, 2);
+fn queries_without_edns_after_a_format_error() {
+    let mut script = service_script(30, 2);
     script.rules.push(FaultRule {
         name: None,
         record_type: None,
@@ -419,32 +439,38 @@
     });
     let mut network = SimulatedNetwork::new(vec![script]);
     network.run(SECOND / 10);
-    assert_eq!(addrs(network.last()), [0, 1]);
+    assert_eq!(target_indexes(network.last_lookup()), [0, 1]);
 }
 
 #[test]
 fn treats_an_alias_loop_as_a_failure_and_not_as_an_empty_list() {
-    let mut network = SimulatedNetwork::new(vec![service(2, 2)]);
+    let mut network = SimulatedNetwork::new(vec![service_script(2, 2)]);
     network.run(SECOND);
     network
         .servers
-        .get_mut(&ns(0))
+        .get_mut(&name_server(0))
         .unwrap()
-        .set_script(service(2, 2).with_fault(FaultyReply::AliasLoop));
+        .set_script(service_script(2, 2).with_fault(FaultyReply::AliasLoop));
     network.run(60 * SECOND);
     assert_eq!(
-        (network.lists().len(), addrs(network.last())),
+        (
+            network.lookups().len(),
+            target_indexes(network.last_lookup())
+        ),
         (1, vec![0, 1])
     );
-    assert!(network.failures() > 2);
+    assert!(network.failure_count() > 2);
 }
 
 #[test]
 fn reports_an_empty_list_with_a_reason_and_a_short_ttl() {
-    for lie in [FaultyReply::NxDomain, FaultyReply::Empty] {
-        let mut network = SimulatedNetwork::new(vec![service(30, 2).with_fault(lie)]);
+    for fault in [FaultyReply::NxDomain, FaultyReply::Empty] {
+        let mut network = SimulatedNetwork::new(vec![service_script(30, 2).with_fault(fault)]);
         network.run(SECOND);
-        assert!(network.last().endpoints.is_empty() && network.last().empty_reason.is_some());
+        assert!(
+            network.last_lookup().endpoints.is_empty()
+                && network.last_lookup().empty_reason.is_some()
+        );
     }
     let mut network = SimulatedNetwork::new(vec![Script {
         negative_ttl: Some(7),
@@ -452,77 +478,82 @@
         ..Script::default()
     }]);
     network.run(SECOND);
-    assert_eq!(network.last().expires_at / SECOND, 7);
-    let none = ZoneRecord {
+    assert_eq!(network.last_lookup().expires_at / SECOND, 7);
+    let no_target = ZoneRecord {
         name: SERVICE.into(),
         record_type: "SRV".into(),
         ttl: 30,
         data: "0 0 0 .".into(),
     };
     let mut network = SimulatedNetwork::new(vec![Script {
-        records: vec![none],
+        records: vec![no_target],
         ..Script::default()
     }]);
     network.run(SECOND);
     assert!(network
-        .last()
+        .last_lookup()
         .empty_reason
         .is_some_and(|reason| reason.to_string().contains("\".\"")));
 }
 
 #[test]
-fn takes_a_new_list_from_servers_that_were_unresponsive_for_an_hour() {
-    let mut network = SimulatedNetwork::new(vec![service(10, 2), service(10, 2)]);
+fn recovers_after_servers_were_unresponsive_for_an_hour() {
+    let mut network = SimulatedNetwork::new(vec![service_script(10, 2), service_script(10, 2)]);
     network.run(SECOND);
-    network
-        .servers
-        .values_mut()
-        .for_each(|server| server.set_script(service(10, 2).with_fault(FaultyReply::NoReply)));
+    network.servers.values_mut().for_each(|server| {
+        server.set_script(service_script(10, 2).with_fault(FaultyReply::NoReply));
+    });
     network.run(3600 * SECOND);
-    assert_eq!(network.lists().len(), 1);
-    let (asked, failures) = (
+    assert_eq!(network.lookups().len(), 1);
+    let (attempt_count, failure_count) = (
         network.resolver.counters().udp_attempts,
-        network.failures() as u64,
+        network.failure_count() as u64,
     );
-    // It is asked on, but not hammered.
+    // The resolver retries, but with increasing pauses.
     assert!(
-        (60..400).contains(&failures) && asked <= 4 * failures + 4,
-        "{asked} {failures}"
+        (60..400).contains(&failure_count) && attempt_count <= 4 * failure_count + 4,
+        "{attempt_count} attempts, {failure_count} failures"
     );
     network
         .servers
         .values_mut()
-        .for_each(|server| server.set_script(service(10, 5)));
+        .for_each(|server| server.set_script(service_script(10, 5)));
     network.run(3660 * SECOND);
-    assert_eq!(addrs(network.last()), [0, 1, 2, 3, 4]);
+    assert_eq!(target_indexes(network.last_lookup()), [0, 1, 2, 3, 4]);
 }
 
 #[test]
-fn keeps_the_last_address_of_a_target_without_an_answer() {
+fn keeps_the_last_known_address_of_a_target_that_cannot_be_refreshed() {
     let mut script = Script {
         adds_addresses: false,
-        ..service(5, 3)
+        ..service_script(5, 3)
     };
     let mut network = SimulatedNetwork::new(vec![script.clone()]);
     network.run(SECOND);
-    let silent = |name: &str| FaultRule {
+    let no_reply_rule = |name: &str| FaultRule {
         name: Some(name.into()),
         record_type: None,
         from: 0,
         to: None,
         fault: FaultyReply::NoReply,
     };
-    script.rules = vec![silent("s1.example.test")];
-    network.servers.get_mut(&ns(0)).unwrap().set_script(script);
+    script.rules = vec![no_reply_rule("s1.example.test")];
+    network
+        .servers
+        .get_mut(&name_server(0))
+        .unwrap()
+        .set_script(script);
     network.run(100 * SECOND);
-    assert_eq!(addrs(network.last()), [0, 1, 2]);
-    assert!(network.last().endpoints[1].is_stale && !network.last().endpoints[0].is_stale);
-    assert_eq!(network.last().unresolved.len(), 1);
+    assert_eq!(target_indexes(network.last_lookup()), [0, 1, 2]);
+    assert!(
+        network.last_lookup().endpoints[1].is_stale && !network.last_lookup().endpoints[0].is_stale
+    );
+    assert_eq!(network.last_lookup().unresolved.len(), 1);
 }
 
 #[test]
 fn reads_two_thousand_records_over_tcp() {
-    // Short names, so that the answer fits into the 65,535 bytes of a message.
+    // Short names, so that the answer fits into a message of 65,535 bytes.
     let mut script = Script {
         adds_addresses: false,
         ..Script::service("_s._t", 30, &[])
@@ -546,60 +577,60 @@
             data: addr,
         });
     }
-    let mut network = SimulatedNetwork::with(
+    let mut network = SimulatedNetwork::with_config(
         ResolverConfig {
             families: vec![AddressFamily::V4],
-            ..ResolverConfig::new("_s._t", vec![ns(0)])
+            ..ResolverConfig::new("_s._t", vec![name_server(0)])
         },
         vec![script],
     );
     network.run(5 * SECOND);
-    assert_eq!(network.last().endpoints.len(), 2000);
+    assert_eq!(network.last_lookup().endpoints.len(), 2000);
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 512, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Whatever comes, nothing panics, and an honest second server is always found in the end.
+    /// Mutated replies cause no panic, and a refresh always ends with a result or a failure.
     #[test]
     fn survives_mutated_replies(
-        cuts in prop::collection::vec((any::<prop::sample::Index>(), any::<u8>()), 1..12),
+        mutations in prop::collection::vec((any::<prop::sample::Index>(), any::<u8>()), 1..12),
         tcp in any::<bool>(),
         noise in prop::collection::vec(any::<u8>(), 0..64),
     ) {
         let _ = decode_response(&noise);
-        let bad = if tcp { service(30, 3).with_fault(FaultyReply::Truncate) } else { service(30, 3) };
-        let mut network = SimulatedNetwork::new(vec![bad, service(30, 3)]);
-        // The first answer that comes is spoilt, whichever it is.
+        let faulty_script = if tcp { service_script(30, 3).with_fault(FaultyReply::Truncate) } else { service_script(30, 3) };
+        let mut network = SimulatedNetwork::new(vec![faulty_script, service_script(30, 3)]);
+        // Mutates all replies to the first query.
         network.resolver.on_timer(0);
-        network.carry_out();
+        network.process_output();
         for delivery in network.deliveries.values_mut() {
             let (Delivery::Datagram { bytes, .. } | Delivery::StreamBytes { bytes, .. }) = delivery else { continue };
-            for (at, value) in &cuts {
+            for (at, value) in &mutations {
                 let at = at.index(bytes.len());
                 bytes[at] = *value;
             }
             let _ = decode_response(bytes);
         }
         network.run(20 * SECOND);
-        prop_assert!(!network.lists().is_empty() || network.failures() > 0);
+        prop_assert!(!network.lookups().is_empty() || network.failure_count() > 0);
     }
 
-    /// A list is never empty because servers lie without saying that nothing is there.
+    /// Faulty replies that are not negative answers never lead to an empty or incomplete list.
     #[test]
-    fn never_reports_an_empty_list_after_failures(kinds in prop::collection::vec(0..10_usize, 1..30)) {
-        let lies = [
+    fn never_reports_an_empty_list_after_failures(fault_indexes in prop::collection::vec(0..10_usize, 1..30)) {
+        let faults = [
             FaultyReply::NoReply, FaultyReply::WrongId, FaultyReply::OtherPort, FaultyReply::OtherQuestion, FaultyReply::Garbage, FaultyReply::ResponseCode(2),
             FaultyReply::AliasLoop, FaultyReply::Referral, FaultyReply::Duplicate, FaultyReply::Delay(700),
         ];
-        let mut network = SimulatedNetwork::new(vec![service(3, 3), service(3, 3)]);
-        for (n, kind) in kinds.iter().enumerate() {
-            let script = service(3, 3).with_fault(lies[*kind].clone());
-            network.servers.get_mut(&ns((n % 2) as u16)).unwrap().set_script(script);
+        let mut network = SimulatedNetwork::new(vec![service_script(3, 3), service_script(3, 3)]);
+        for (n, fault_index) in fault_indexes.iter().enumerate() {
+            let script = service_script(3, 3).with_fault(faults[*fault_index].clone());
+            network.servers.get_mut(&name_server((n % 2) as u16)).unwrap().set_script(script);
             network.run(network.now + 4 * SECOND);
         }
-        for (_, found) in network.lists() {
-            prop_assert_eq!(addrs(found), vec![0, 1, 2]);
+        for (_, lookup) in network.lookups() {
+            prop_assert_eq!(target_indexes(lookup), vec![0, 1, 2]);
         }
     }
 }
--- a/crates/stub-dns-server/src/error.rs
+++ b/crates/stub-dns-server/src/error.rs
@@ -1,41 +1,41 @@
-//! Why a script is rejected.
+//! Errors of scripts.
 
-/// Why a script is rejected.
+/// A script is invalid.
 #[derive(Debug, thiserror::Error)]
 pub enum ScriptError {
-    /// The text is no TOML, or a key is unknown or has the wrong type; the text names the key and its line.
+    /// The text is not valid TOML, or a key is unknown or has the wrong type; the message names the key and its line.
     #[error("{0}")]
     Toml(#[from] Box<toml::de::Error>),
-    /// A record can't be understood.
+    /// A record is invalid.
     #[error("record of {name}: {source}")]
     Record {
-        /// The name that has the record.
+        /// The name of the record.
         name: String,
-        /// Why not.
+        /// Why the record is invalid.
         source: RecordError,
     },
 }
 
-/// Why a record can't be understood.
+/// A record is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RecordError {
-    /// The data is not what the type needs.
+    /// The data does not have the format of the record type.
     #[error("data: expected {expected}, not '{data}'")]
     Data {
-        /// What the type needs.
+        /// The format that the type requires.
         expected: &'static str,
-        /// What the script has.
+        /// The data in the script.
         data: String,
     },
-    /// The type is unknown.
+    /// The record type is not supported.
     #[error("type: expected SRV, A, AAAA, CNAME or NS, not '{0}'")]
     Type(String),
-    /// A name is no domain name.
-    #[error("expected a name, not '{name}' ({reason})")]
+    /// A name is not a valid domain name.
+    #[error("expected a domain name, not '{name}' ({reason})")]
     Name {
-        /// What the script has.
+        /// The name in the script.
         name: String,
-        /// Why it is none.
+        /// The parser's error.
         reason: String,
     },
 }
--- a/crates/stub-dns-server/src/fault.rs
+++ b/crates/stub-dns-server/src/fault.rs
@@ -1,4 +1,4 @@
-//! What the faults of a script change in a message.
+//! Applies the faults of a script to a message.
 
 use crate::responder::Transport;
 use crate::script::FaultyReply;
@@ -8,12 +8,12 @@
 use hickory_proto::rr::{RData, Record};
 use std::net::Ipv4Addr;
 
-/// The time to live of records that only a fault has, in seconds.
+/// The TTL of records that a fault adds, in seconds.
 const FAULT_TTL: u32 = 30;
-/// The bits of a response code that the header has.
+/// The bits of a response code that are in the header; the others need EDNS.
 const HEADER_CODE_MASK: u16 = 15;
 
-/// Changes a message as a fault asks. Faults that only change how a reply is sent leave the message as it is.
+/// Applies a fault to a message. Faults that only affect how a reply is sent leave the message unchanged.
 pub(crate) fn apply_fault(message: &mut Message, fault: &FaultyReply, transport: Transport) {
     match fault {
         FaultyReply::Truncate if transport == Transport::Udp => truncate(message),
--- a/crates/stub-dns-server/src/lib.rs
+++ b/crates/stub-dns-server/src/lib.rs
@@ -1,9 +1,12 @@
-//! A name server for tests and trials: it answers from a small zone, with the faults that a script asks for.
+//! A stub name server for tests and manual trials. It answers from a small zone and injects the faults of a script.
 //!
-//! `script` says what to answer and which faults to make, `zone` has the records, `responder` turns a query's bytes into
-//! replies without a socket and without a clock, `fault` changes replies, and `stub_server` serves them on loopback UDP and
-//! TCP from threads of its own. Tests of the resolver use [`Responder`] with simulated time, tests of the node
-//! [`StubDnsServer`].
+//! * `script`: the script, with the records of the zone and the rules for faults.
+//! * `zone`: the correct answers.
+//! * `responder`: turns the bytes of a query into replies, without sockets or a clock.
+//! * `fault`: applies faults to replies.
+//! * `stub_server`: serves the replies on loopback over UDP and TCP, on its own threads.
+//!
+//! Tests of the resolver use [`Responder`] with simulated time, tests of the node use [`StubDnsServer`].
 
 mod error;
 mod fault;
--- a/crates/stub-dns-server/src/main.rs
+++ b/crates/stub-dns-server/src/main.rs
@@ -1,4 +1,5 @@
-//! The stub server by hand: `poppykeel-stub-dns-server --script FILE`. A line on standard input reads a script again.
+//! Command line of the stub server: `poppykeel-stub-dns-server --script FILE`. Each line on standard input loads a script:
+//! the named file, or `FILE` again if the line is empty.
 
 use clap::Parser;
 use poppykeel_stub_dns_server::{Script, ScriptError, StubDnsServer};
@@ -12,28 +13,28 @@
 #[command(
     name = "poppykeel-stub-dns-server",
     version,
-    about = "A name server on loopback that lies by a script"
+    about = "A stub name server on loopback with scripted faults"
 )]
 struct StubDnsServerCli {
-    /// The script, as TOML: records and rules
+    /// Script in TOML, with records and fault rules
     #[arg(long, value_name = "FILE")]
     script: PathBuf,
-    /// Where it listens, over UDP and TCP
+    /// Loopback address to listen on, over UDP and TCP
     #[arg(long, default_value = "127.0.0.1:5353", value_name = "ADDRESS")]
     listen: SocketAddr,
-    /// It ends by itself after so many seconds
+    /// Exit after this many seconds
     #[arg(long = "for", default_value_t = 600, value_name = "SECONDS")]
     lifetime_s: u64,
 }
 
-/// Why the server can't start, or a script is not taken. Each text is shown to people.
+/// The server can't start, or a script can't be loaded.
 #[derive(Debug, thiserror::Error)]
 enum StubError {
-    #[error("{}: {source}", path.display())]
+    #[error("cannot read script {}: {source}", path.display())]
     ReadScript { path: PathBuf, source: io::Error },
-    #[error("{}: {source}", path.display())]
+    #[error("invalid script {}: {source}", path.display())]
     Script { path: PathBuf, source: ScriptError },
-    #[error("{0}")]
+    #[error("cannot listen: {0}")]
     Listen(#[source] io::Error),
 }
 
@@ -52,7 +53,7 @@
     let script = read_script(&cli.script)?;
     let server = StubDnsServer::start(cli.listen, script).map_err(StubError::Listen)?;
     println!(
-        "listening on {}; a line with a file's name reads another script",
+        "listening on {}; enter a file name to load another script",
         server.addr()
     );
     exit_after(Duration::from_secs(cli.lifetime_s));
@@ -64,18 +65,17 @@
         match read_script(&path) {
             Ok(script) => {
                 server.set_script(script);
-                println!("now by {}", path.display());
+                println!("loaded {}", path.display());
             }
-            Err(error) => eprintln!("kept as it was: {error}"),
+            Err(error) => eprintln!("script not loaded, the previous one stays in use: {error}"),
         }
     }
-    // Without an input it serves until its time is over.
+    // At the end of standard input, keep serving until the lifetime is over.
     loop {
         std::thread::park();
     }
 }
 
-/// Ends the process after this time.
 fn exit_after(lifetime: Duration) {
     std::thread::spawn(move || {
         std::thread::sleep(lifetime);
--- a/crates/stub-dns-server/src/responder.rs
+++ b/crates/stub-dns-server/src/responder.rs
@@ -1,4 +1,4 @@
-//! A query's bytes to replies: the zone's answer, changed by the faults of the script.
+//! Turns the bytes of a query into replies: the zone's answer, with the faults of the script.
 
 use crate::fault::apply_fault;
 use crate::script::{FaultyReply, Script};
@@ -7,47 +7,47 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The size of replies over UDP where the query offers none, in bytes (RFC 1035, section 4.2.1).
+/// The size limit of replies over UDP without EDNS, in bytes (RFC 1035, section 4.2.1).
 const DEFAULT_UDP_PAYLOAD_BYTES: usize = 512;
-/// The length of an id, which stays in a garbage reply, in bytes.
+/// The size of the message id, which a garbage reply keeps, in bytes.
 const ID_BYTES: usize = 2;
-/// What follows the id in a garbage reply.
+/// The bytes after the id in a garbage reply.
 const GARBAGE: [u8; 9] = [0xff; 9];
-/// The bytes of the length before a message over TCP.
+/// The size of the length prefix of a message over TCP.
 const LENGTH_BYTES: usize = 2;
 
-/// How a query came.
+/// The transport protocol of a query.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Transport {
-    /// As a datagram.
+    /// A datagram.
     Udp,
-    /// On a connection.
+    /// A connection.
     Tcp,
 }
 
 /// What happens to a connection after a reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AfterReply {
-    /// Further queries are answered.
+    /// The server answers further queries.
     KeepServing,
-    /// It stays open, and nothing more is sent.
-    StayQuiet,
+    /// The connection stays open, but the server sends nothing more.
+    StopResponding,
 }
 
-/// One reply.
+/// One reply, and how it is sent.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Reply {
-    /// How late it is sent.
+    /// The delay before the reply is sent.
     pub delay: Duration,
-    /// The message; over TCP the sender puts its length before it.
+    /// The message; over TCP the sender adds the length prefix.
     pub bytes: Vec<u8>,
-    /// Whether it is sent from another port than was asked.
+    /// Whether the reply is sent from a different port than the one queried.
     pub uses_other_port: bool,
-    /// Whether it is sent byte by byte.
+    /// Whether the reply is sent byte by byte (TCP only).
     pub is_byte_by_byte: bool,
-    /// Only this many bytes are sent, the length before the message counted; without it all are.
+    /// How many bytes are sent, including the length prefix; `None` sends all. Only applied over TCP.
     pub max_bytes: Option<usize>,
-    /// What happens to a connection afterwards.
+    /// What happens to the connection after the reply.
     pub after: AfterReply,
 }
 
@@ -56,14 +56,14 @@
 pub struct Responder {
     script: Script,
     zone: Zone,
-    /// How many questions have matched each rule, by the rule's index.
+    /// The number of questions that matched each rule, by the rule's index.
     match_counts: BTreeMap<usize, usize>,
-    /// How many questions there were, by "NAME TYPE".
+    /// The number of questions received, by "NAME TYPE".
     question_counts: BTreeMap<String, u64>,
 }
 
 impl Responder {
-    /// A responder that answers by this script.
+    /// A responder that answers according to this script.
     pub fn new(script: Script) -> Self {
         Responder {
             zone: Zone::new(&script),
@@ -73,19 +73,19 @@
         }
     }
 
-    /// Answers by another script from now on; the rules count from 0 again.
+    /// Replaces the script; the rules count questions from 0 again.
     pub fn set_script(&mut self, script: Script) {
         self.match_counts.clear();
         self.zone = Zone::new(&script);
         self.script = script;
     }
 
-    /// How many questions there were, by "NAME TYPE".
+    /// The number of questions received, by "NAME TYPE". A new script does not reset it.
     pub fn question_counts(&self) -> &BTreeMap<String, u64> {
         &self.question_counts
     }
 
-    /// The replies to these bytes.
+    /// The replies to a query; empty if the bytes are not a query or a fault suppresses the reply.
     pub fn reply(&mut self, bytes: &[u8], transport: Transport) -> Vec<Reply> {
         let Ok(question) = Message::from_vec(bytes) else {
             return Vec::new();
@@ -109,7 +109,7 @@
         replies_with_faults(bytes, &faults, transport)
     }
 
-    /// Counts a question; returns the faults in the reply to it.
+    /// Counts a question and returns the faults that apply to its reply.
     fn count_question(&mut self, query: &Query) -> Vec<FaultyReply> {
         let name = query.name().to_lowercase().to_ascii();
         let name = name.trim_end_matches('.');
@@ -135,7 +135,7 @@
     Message::new(id, MessageType::Response, OpCode::Query)
 }
 
-/// The longest message that may answer a query, in bytes.
+/// The size limit of the reply to a query, in bytes.
 fn max_message_bytes(question: &Message, transport: Transport) -> usize {
     match transport {
         Transport::Udp => question
@@ -149,7 +149,7 @@
     }
 }
 
-/// The bytes of a message; of a truncated one without records where it is too long.
+/// Encodes a message. A message beyond the size limit is replaced with a truncated one without records.
 fn encode(message: &Message, query: Query, max_bytes: usize) -> Vec<u8> {
     let bytes = message.to_vec().unwrap_or_default();
     if !bytes.is_empty() && bytes.len() <= max_bytes {
@@ -161,7 +161,7 @@
     truncated.to_vec().unwrap_or_default()
 }
 
-/// The replies with a message, with the faults in how they are sent.
+/// The replies that send a message, with the faults that affect the bytes or how they are sent.
 fn replies_with_faults(
     mut bytes: Vec<u8>,
     faults: &[FaultyReply],
@@ -172,7 +172,7 @@
         bytes.truncate(ID_BYTES);
         bytes.extend_from_slice(&GARBAGE);
     }
-    let is_cut = has(&FaultyReply::HalfTcp) && transport == Transport::Tcp;
+    let is_partial = has(&FaultyReply::HalfTcp) && transport == Transport::Tcp;
     let delay_ms = faults.iter().find_map(|fault| match fault {
         FaultyReply::Delay(delay_ms) => Some(*delay_ms),
         _ => None,
@@ -181,9 +181,9 @@
         delay: Duration::from_millis(delay_ms.unwrap_or(0)),
         uses_other_port: has(&FaultyReply::OtherPort),
         is_byte_by_byte: has(&FaultyReply::ByteByByte),
-        max_bytes: is_cut.then_some(LENGTH_BYTES + bytes.len() / 2),
-        after: if is_cut {
-            AfterReply::StayQuiet
+        max_bytes: is_partial.then_some(LENGTH_BYTES + bytes.len() / 2),
+        after: if is_partial {
+            AfterReply::StopResponding
         } else {
             AfterReply::KeepServing
         },
--- a/crates/stub-dns-server/src/script.rs
+++ b/crates/stub-dns-server/src/script.rs
@@ -1,29 +1,29 @@
-//! The script of a stub server: a zone, and rules that say which replies are faulty.
+//! The script of a stub server: the records of a zone, and the rules that inject faults into replies.
 
 use crate::error::ScriptError;
 use serde::Deserialize;
 use std::net::SocketAddr;
 
-/// Priority and weight of the SRV records that [`Script::service`] makes.
+/// Priority and weight of the SRV records that [`Script::service`] creates.
 const DEFAULT_PRIORITY_AND_WEIGHT: &str = "10 10";
 
-/// What a stub server answers, as TOML.
+/// The zone and the faults of a stub server, read from TOML.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields, expecting = "struct Script")]
 pub struct Script {
     /// The records of the zone.
     #[serde(default, rename = "record")]
     pub records: Vec<ZoneRecord>,
-    /// The faults. All rules that match a question apply, in order.
+    /// The fault rules. All rules that match a question are applied, in order.
     #[serde(default, rename = "rule")]
     pub rules: Vec<FaultRule>,
-    /// Whether answers to SRV questions have the addresses of their targets in the additional section.
+    /// Whether answers to SRV questions include the addresses of the targets in the additional section.
     #[serde(default = "default_true", rename = "additional")]
     pub adds_addresses: bool,
-    /// Whether answers follow aliases to their end.
+    /// Whether answers include the complete chain of aliases; if not, only the first alias.
     #[serde(default = "default_true", rename = "chase")]
     pub follows_aliases: bool,
-    /// The shortest time to live of negative answers in the zone's SOA, in seconds; without it there is no SOA.
+    /// The TTL of negative answers in the zone's SOA record, in seconds; `None` omits the SOA record.
     #[serde(rename = "minimum")]
     pub negative_ttl: Option<u32>,
 }
@@ -32,96 +32,96 @@
     true
 }
 
-/// One record.
+/// A record of the zone.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields, expecting = "struct Record")]
 pub struct ZoneRecord {
-    /// The name that has the record.
+    /// The owner name of the record.
     pub name: String,
-    /// SRV, A, AAAA, CNAME or NS.
+    /// The record type: SRV, A, AAAA, CNAME or NS.
     #[serde(rename = "type")]
     pub record_type: String,
-    /// The time to live, in seconds.
+    /// The TTL in seconds.
     pub ttl: u32,
-    /// The data as zone files have it: "priority weight port target", an address, or a name.
+    /// The data in zone file format: "priority weight port target", an address, or a name.
     pub data: String,
 }
 
-/// When a reply is faulty, and how.
+/// A fault and the questions to whose replies it applies.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields, expecting = "struct Rule")]
 pub struct FaultRule {
-    /// Only for questions of this name.
+    /// The queried name; `None` matches all names.
     pub name: Option<String>,
-    /// Only for questions of this type.
+    /// The queried record type; `None` matches all types.
     #[serde(rename = "type")]
     pub record_type: Option<String>,
-    /// Only from the question of this number among those that match, counted from 0 ...
+    /// The first matching question to which the fault applies, counted from 0.
     #[serde(default)]
     pub from: usize,
-    /// ... to the one before this.
+    /// The first matching question to which the fault no longer applies; `None` for no end.
     pub to: Option<usize>,
-    /// The fault.
+    /// The fault in the replies.
     #[serde(rename = "lie")]
     pub fault: FaultyReply,
 }
 
-/// What is wrong with a reply. Scripts have the names in kebab-case.
+/// A fault in a reply. Scripts use the names in kebab-case unless an attribute renames them.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(rename_all = "kebab-case", expecting = "enum Lie")]
 pub enum FaultyReply {
-    /// Over UDP it has only the header, with the mark of truncation.
+    /// Over UDP the reply is truncated: the TC bit is set and all records are removed.
     Truncate,
-    /// The same over TCP.
+    /// Over TCP the reply is truncated in the same way.
     TruncateTcp,
-    /// It comes this many milliseconds late.
+    /// The reply is delayed by this many milliseconds.
     #[serde(rename = "late")]
     Delay(u64),
-    /// It comes twice.
+    /// The reply is sent twice.
     #[serde(rename = "twice")]
     Duplicate,
-    /// It has another question than was asked.
+    /// The reply has a different question than the query.
     OtherQuestion,
-    /// It has another id.
+    /// The reply has a different id than the query.
     WrongId,
-    /// It comes from another port.
+    /// The reply is sent from a different port.
     OtherPort,
-    /// Its records have this time to live, in seconds.
+    /// All answers and additional records have this TTL, in seconds.
     Ttl(u32),
-    /// It has no records.
+    /// The reply has no records.
     Empty,
-    /// It says that there is no such name.
+    /// The response code is NXDOMAIN, without records.
     NxDomain,
-    /// It has this response code, such as 2 for SERVFAIL.
+    /// The response code is this one, such as 2 for SERVFAIL, without records.
     #[serde(rename = "code")]
     ResponseCode(u16),
-    /// It says that the name is an alias of itself, by way of another.
+    /// The name is an alias of another name, which is an alias of the first.
     #[serde(rename = "loop")]
     AliasLoop,
-    /// Over TCP only the first half comes, and then nothing.
+    /// Over TCP only the first half of the reply is sent, and the connection stays open.
     HalfTcp,
-    /// Over TCP it comes byte by byte.
+    /// Over TCP the reply is sent byte by byte.
     #[serde(rename = "drip")]
     ByteByByte,
-    /// Its bytes are no message, but for the id.
+    /// The bytes after the id are not a DNS message.
     #[serde(rename = "rubbish")]
     Garbage,
-    /// It names other servers to ask.
+    /// The reply is a referral to other name servers.
     #[serde(rename = "refer")]
     Referral,
-    /// It has an address that nobody asked for.
+    /// The additional section has an unrelated address that was not queried.
     #[serde(rename = "stuff")]
     UnrelatedAddress,
-    /// There is none.
+    /// No reply is sent.
     #[serde(rename = "silent")]
     NoReply,
 }
 
 impl Script {
-    /// Reads and checks the text of a script.
+    /// Parses and validates a script.
     ///
     /// # Errors
-    /// Names the key and its line, or the record.
+    /// If the text is not valid; the error names the key and its line, or the record.
     pub fn read(text: &str) -> Result<Script, ScriptError> {
         let script: Script = toml::from_str(text).map_err(Box::new)?;
         for record in &script.records {
@@ -133,7 +133,7 @@
         Ok(script)
     }
 
-    /// A service with targets at these addresses, named `s0.example.test` and so on; each record has this time to live, in
+    /// A service with targets at these addresses, named `s0.example.test` and so on; `ttl` is the TTL of all records in
     /// seconds.
     pub fn service(name: &str, ttl: u32, servers: &[SocketAddr]) -> Script {
         let mut script = Script {
@@ -161,7 +161,7 @@
         script
     }
 
-    /// The same script with a fault in all replies.
+    /// Adds a rule that applies this fault to all replies.
     pub fn with_fault(mut self, fault: FaultyReply) -> Script {
         self.rules.push(FaultRule {
             name: None,
@@ -175,16 +175,17 @@
 }
 
 impl FaultRule {
-    /// Whether a question matches the rule.
+    /// Whether a question has the name and the type of the rule.
     pub(crate) fn matches(&self, name: &str, record_type: &str) -> bool {
-        let is_same = |own: &Option<String>, other: &str| {
-            own.as_deref()
-                .is_none_or(|own| own.trim_end_matches('.').eq_ignore_ascii_case(other))
+        let matches_filter = |filter: &Option<String>, value: &str| {
+            filter
+                .as_deref()
+                .is_none_or(|filter| filter.trim_end_matches('.').eq_ignore_ascii_case(value))
         };
-        is_same(&self.name, name) && is_same(&self.record_type, record_type)
+        matches_filter(&self.name, name) && matches_filter(&self.record_type, record_type)
     }
 
-    /// Whether the rule applies to the matching question of this number.
+    /// Whether the fault applies to the matching question with this number, counted from 0.
     pub(crate) fn applies_to(&self, number: usize) -> bool {
         number >= self.from && self.to.is_none_or(|end| number < end)
     }
--- a/crates/stub-dns-server/src/stub_server.rs
+++ b/crates/stub-dns-server/src/stub_server.rs
@@ -1,4 +1,4 @@
-//! A stub server on loopback sockets, UDP and TCP on one port, served by threads of its own that end with it.
+//! A stub server on loopback, over UDP and TCP on the same port. Its threads end when it is dropped.
 
 use crate::responder::{AfterReply, Reply, Responder, Transport};
 use crate::script::Script;
@@ -10,49 +10,49 @@
 use std::thread;
 use std::time::Duration;
 
-/// How often threads check whether the server has ended.
-const END_CHECK_INTERVAL: Duration = Duration::from_millis(50);
-/// The pause of the thread that accepts where there is no connection.
+/// How often threads check whether the server has shut down.
+const SHUTDOWN_CHECK_INTERVAL: Duration = Duration::from_millis(50);
+/// The pause of the accepting thread while no connection is waiting.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(2);
-/// Threads for late replies and connections; further ones are dropped.
+/// Limit on threads for delayed replies and connections; further ones are dropped.
 const MAX_THREADS: usize = 256;
-/// The size of the buffer of reads, in bytes.
+/// The size of a read buffer, in bytes.
 const READ_BUFFER_BYTES: usize = 4096;
-/// The bytes of the length before a message over TCP.
+/// The size of the length prefix of a message over TCP.
 const LENGTH_BYTES: usize = 2;
 
-/// A running stub server; dropping it ends it.
+/// A running stub server; dropping it shuts it down.
 pub struct StubDnsServer {
     addr: SocketAddr,
     shared: Arc<SharedState>,
 }
 
-/// What the threads of a server share.
+/// The state that the threads of a server share.
 struct SharedState {
     responder: Mutex<Responder>,
-    has_ended: AtomicBool,
+    is_shut_down: AtomicBool,
     thread_count: AtomicUsize,
 }
 
 impl StubDnsServer {
-    /// Listens on a loopback address; port 0 takes a free one.
+    /// Starts a server on a loopback address; port 0 selects a free port.
     ///
     /// # Errors
-    /// Where the address is no loopback address, or the system does not allow to listen there.
+    /// If the address is not a loopback address, or can't be bound.
     pub fn start(listen: SocketAddr, script: Script) -> Result<StubDnsServer, io::Error> {
         if !listen.ip().is_loopback() {
             return Err(io::Error::other(
-                "a stand-in listens on loopback addresses only",
+                "the stub server listens on loopback addresses only",
             ));
         }
         let listener = TcpListener::bind(listen)?;
         let addr = listener.local_addr()?;
         let socket = UdpSocket::bind(addr)?;
-        socket.set_read_timeout(Some(END_CHECK_INTERVAL))?;
+        socket.set_read_timeout(Some(SHUTDOWN_CHECK_INTERVAL))?;
         listener.set_nonblocking(true)?;
         let shared = Arc::new(SharedState {
             responder: Mutex::new(Responder::new(script)),
-            has_ended: AtomicBool::new(false),
+            is_shut_down: AtomicBool::new(false),
             thread_count: AtomicUsize::new(0),
         });
         let udp_state = shared.clone();
@@ -62,17 +62,17 @@
         Ok(StubDnsServer { addr, shared })
     }
 
-    /// Where it listens.
+    /// The address on which the server listens.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// Answers by another script from now on.
+    /// Replaces the script; the rules count questions from 0 again.
     pub fn set_script(&self, script: Script) {
         self.shared.responder().set_script(script);
     }
 
-    /// How many questions there were, by "NAME TYPE".
+    /// The number of questions received, by "NAME TYPE". A new script does not reset it.
     pub fn question_counts(&self) -> BTreeMap<String, u64> {
         self.shared.responder().question_counts().clone()
     }
@@ -80,7 +80,7 @@
 
 impl Drop for StubDnsServer {
     fn drop(&mut self) {
-        self.shared.has_ended.store(true, Ordering::SeqCst);
+        self.shared.is_shut_down.store(true, Ordering::SeqCst);
     }
 }
 
@@ -91,11 +91,11 @@
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn has_ended(&self) -> bool {
-        self.has_ended.load(Ordering::SeqCst)
+    fn is_shut_down(&self) -> bool {
+        self.is_shut_down.load(Ordering::SeqCst)
     }
 
-    /// Runs a task on a thread of its own, unless there are too many.
+    /// Runs a task on a new thread; drops it if the limit on threads is reached.
     fn spawn(self: &Arc<Self>, task: impl FnOnce(&Arc<SharedState>) + Send + 'static) {
         if self.thread_count.fetch_add(1, Ordering::SeqCst) >= MAX_THREADS {
             self.thread_count.fetch_sub(1, Ordering::SeqCst);
@@ -109,10 +109,10 @@
     }
 }
 
-/// Answers datagrams until the server has ended.
+/// Answers datagrams until the server shuts down.
 fn serve_datagrams(shared: &Arc<SharedState>, socket: &UdpSocket) {
     let mut buffer = [0; READ_BUFFER_BYTES];
-    while !shared.has_ended() {
+    while !shared.is_shut_down() {
         let Ok((size, from)) = socket.recv_from(&mut buffer) else {
             continue;
         };
@@ -140,16 +140,16 @@
     } else {
         own_socket.send_to(&reply.bytes, to)
     };
-    // A reply that is lost is what a resolver must expect of datagrams.
+    // An error is ignored: resolvers must expect that datagrams are lost.
     let _ = sent;
 }
 
-/// Accepts connections until the server has ended.
+/// Accepts connections until the server shuts down.
 fn accept_connections(shared: &Arc<SharedState>, listener: &TcpListener) {
-    while !shared.has_ended() {
+    while !shared.is_shut_down() {
         match listener.accept() {
             Ok((stream, _)) => shared.spawn(move |shared| {
-                // An error says that the resolver has closed the connection.
+                // An error means that the resolver has closed the connection.
                 let _ = serve_connection(shared, stream);
             }),
             Err(_) => thread::sleep(ACCEPT_PAUSE),
@@ -157,21 +157,21 @@
     }
 }
 
-/// Answers the queries of a connection until it or the server has ended.
+/// Answers the queries of a connection until it is closed or the server shuts down.
 fn serve_connection(shared: &Arc<SharedState>, mut stream: TcpStream) -> io::Result<()> {
     stream.set_nonblocking(false)?;
     stream.set_nodelay(true)?;
-    stream.set_read_timeout(Some(END_CHECK_INTERVAL))?;
+    stream.set_read_timeout(Some(SHUTDOWN_CHECK_INTERVAL))?;
     let mut received = Vec::new();
     let mut buffer = [0; READ_BUFFER_BYTES];
-    while !shared.has_ended() {
+    while !shared.is_shut_down() {
         match stream.read(&mut buffer) {
             Ok(0) => return Ok(()),
             Ok(size) => received.extend_from_slice(&buffer[..size]),
             Err(error) if is_timeout(&error) => continue,
             Err(error) => return Err(error),
         }
-        while let Some(question) = take_message(&mut received) {
+        while let Some(question) = extract_message(&mut received) {
             let replies = shared.responder().reply(&question, Transport::Tcp);
             for reply in replies {
                 send_over_stream(shared, &mut stream, &reply)?;
@@ -185,8 +185,8 @@
     matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut)
 }
 
-/// Takes the first message off the bytes of a connection, if it is whole.
-fn take_message(received: &mut Vec<u8>) -> Option<Vec<u8>> {
+/// Removes the first message from the received bytes; `None` if it is not complete yet.
+fn extract_message(received: &mut Vec<u8>) -> Option<Vec<u8>> {
     let length = u16::from_be_bytes([*received.first()?, *received.get(1)?]);
     let end = LENGTH_BYTES + usize::from(length);
     if received.len() < end {
@@ -200,16 +200,16 @@
     let mut framed = (reply.bytes.len() as u16).to_be_bytes().to_vec();
     framed.extend_from_slice(&reply.bytes);
     framed.truncate(reply.max_bytes.unwrap_or(usize::MAX));
-    let piece_bytes = if reply.is_byte_by_byte {
+    let chunk_bytes = if reply.is_byte_by_byte {
         1
     } else {
         framed.len().max(1)
     };
-    for piece in framed.chunks(piece_bytes) {
-        stream.write_all(piece)?;
+    for chunk in framed.chunks(chunk_bytes) {
+        stream.write_all(chunk)?;
     }
-    while reply.after == AfterReply::StayQuiet && !shared.has_ended() {
-        thread::sleep(END_CHECK_INTERVAL);
+    while reply.after == AfterReply::StopResponding && !shared.is_shut_down() {
+        thread::sleep(SHUTDOWN_CHECK_INTERVAL);
     }
     Ok(())
 }
--- a/crates/stub-dns-server/src/zone.rs
+++ b/crates/stub-dns-server/src/zone.rs
@@ -1,4 +1,4 @@
-//! The zone of a stub server, and the correct answers from it.
+//! The zone of a stub server and its correct answers.
 
 use crate::error::RecordError;
 use crate::script::{Script, ZoneRecord};
@@ -8,16 +8,16 @@
 use std::collections::BTreeMap;
 use std::str::FromStr;
 
-/// How many aliases are followed.
+/// Limit on the aliases in an answer.
 const MAX_ALIASES: usize = 16;
-/// How many labels the name of the zone has.
+/// The number of labels in the name of the zone of an SOA record.
 const ZONE_LABELS: usize = 2;
 const SRV_DATA: &str = "PRIORITY WEIGHT PORT TARGET";
-/// Refresh, retry and expiry of the zone's SOA, in seconds; no resolver reads them.
+/// The refresh, retry and expire intervals in SOA records, in seconds; resolvers don't use them.
 const SOA_INTERVAL_S: i32 = 60;
 const SOA_SERIAL: u32 = 1;
 
-/// The records of a script.
+/// The records and the zone settings of a script.
 #[derive(Debug, Default)]
 pub(crate) struct Zone {
     records: BTreeMap<Name, Vec<Record>>,
@@ -27,7 +27,7 @@
 }
 
 impl Zone {
-    /// The zone of a script. Records that can't be understood are left out.
+    /// The zone of a script, without its invalid records.
     pub(crate) fn new(script: &Script) -> Zone {
         let mut records: BTreeMap<Name, Vec<Record>> = BTreeMap::new();
         for record in &script.records {
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Adds the correct answer to a question to a message.
+    /// Fills a message with the correct answer to a question.
     pub(crate) fn answer(&self, message: &mut Message, query: &Query) {
         let end = self.add_answers(message, query);
         let has_answer = message
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Adds the records that answer the question, and the aliases on the way to them.
+    /// Adds the records that answer the question, and the aliases that lead to them.
     fn add_answers(&self, message: &mut Message, query: &Query) -> AliasEnd {
         let mut end = AliasEnd {
             name: query.name().to_lowercase(),
@@ -90,7 +90,7 @@
         end
     }
 
-    /// Says that the name does not exist or has no such records.
+    /// Makes the message a negative answer: NXDOMAIN if the name does not exist, and an SOA record if the zone has one.
     fn add_negative_answer(&self, message: &mut Message, end: &AliasEnd) {
         if !end.exists {
             message.metadata.response_code = ResponseCode::NXDomain;
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Adds the addresses of the targets to the additional section.
+    /// Adds the addresses of SRV targets to the additional section.
     fn add_addresses(&self, message: &mut Message) {
         let targets: Vec<Name> = message.answers.iter().filter_map(srv_target).collect();
         for target in targets {
@@ -116,10 +116,10 @@
     }
 }
 
-/// Where the aliases of a name lead.
+/// The end of the alias chain of a name.
 struct AliasEnd {
     name: Name,
-    /// Whether any name on the way has records.
+    /// Whether any name in the chain has records.
     exists: bool,
 }
 
@@ -135,10 +135,10 @@
 }
 
 impl ZoneRecord {
-    /// The data of the record.
+    /// Parses the data of the record.
     ///
     /// # Errors
-    /// Where the data does not fit the type, or the type is unknown.
+    /// If the data does not have the format of the type, or the type is not supported.
     pub(crate) fn to_rdata(&self) -> Result<RData, RecordError> {
         let invalid = |expected| RecordError::Data {
             expected,
@@ -178,7 +178,7 @@
     }
 }
 
-/// Parses a name of the script.
+/// Parses a domain name from a script.
 pub(crate) fn parse_name(text: &str) -> Result<Name, RecordError> {
     let mut name = Name::from_str(text).map_err(|error| RecordError::Name {
         name: text.to_string(),
@@ -188,7 +188,7 @@
     Ok(name)
 }
 
-/// The SOA of the zone that is the last two labels of a name.
+/// The SOA record of the zone whose name is the last two labels of a name.
 fn soa_record(name: &Name, negative_ttl: u32) -> Option<Record> {
     let zone = name.trim_to(ZONE_LABELS);
     let host = Name::from_str("ns.").ok()?;
