--- a/src/transport/dispatcher/mod.rs
+++ b/src/transport/dispatcher/mod.rs
@@ -184,9 +184,7 @@
             DispatcherMessage::UpdateSettings { settings, applied } => {
                 self.update_settings(settings, applied);
             }
-            DispatcherMessage::SetResponseDeadline(within) => {
-                self.set_response_deadline(now, within)
-            }
+            DispatcherMessage::SetResponseDeadline(delay) => self.set_response_deadline(now, delay),
             DispatcherMessage::LogSummary(done) => {
                 self.log_summary();
                 send_reply(done, ());
