--- a/crates/coordination/src/identity.rs
+++ b/crates/coordination/src/identity.rs
@@ -1,17 +1,17 @@
-//! Identifiers that all parts of coordination share: epochs, incarnations and processes.
+//! Identifiers shared by all coordination modules: epochs, incarnations and processes.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// The number of a lease's grant. Each new holder of a lease has a higher epoch than all holders before it, so whatever
-/// is acted upon can refuse the acts of an earlier one (fencing). 0 stands for "none".
+/// A fencing token of a lease. Each new holder has a higher epoch than all previous holders, so a resource can reject
+/// actions of a previous holder. 0 means "none".
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Epoch(pub u64);
 
 impl Epoch {
-    /// The epoch after this one.
+    /// The next higher epoch.
     pub fn next(self) -> Epoch {
         Epoch(self.0 + 1)
     }
@@ -23,7 +23,7 @@
     }
 }
 
-/// A number that tells one start of a process from the others under the same name.
+/// Distinguishes the processes that were started under the same name.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -35,12 +35,12 @@
     }
 }
 
-/// One process of a node. A node that is back under the same name has another incarnation and is another process: it
-/// holds nothing of what the process before it held.
+/// One process of a node. A restarted node has the same name and a new incarnation; it inherits no lease or grant of
+/// the previous process.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ProcessId {
     /// The node's name.
     pub node: String,
-    /// Drawn at random at each start of the process.
+    /// Chosen at random when the process starts.
     pub incarnation: Incarnation,
 }
--- a/crates/coordination/src/lease/client/mod.rs
+++ b/crates/coordination/src/lease/client/mod.rs
@@ -1,12 +1,13 @@
-//! The client of one lease: one process asks for one task.
+//! The client of one lease: acquires and renews the lease of one task for one process.
 //!
-//! | state | meaning | leaves it when |
+//! | state | meaning | next state |
 //! | --- | --- | --- |
-//! | `Idle` | holds nothing, waits for its next round | the time of the next round comes: `Acquiring` |
-//! | `Acquiring` | asked all servers, waits for a majority | a majority granted: `Held`; too many refused, or no answers in time: `Idle` |
-//! | `Held` | may act until the holding time ends | renewed by a majority: `Held`; the holding time ends: `Idle` |
+//! | `Idle` | not held; waits for the next round | `Acquiring` when the next round starts |
+//! | `Acquiring` | requests sent to all servers; waits for a majority | `Held` once a majority has granted; `Idle` if too many refuse or the round times out |
+//! | `Held` | the lease may be used until the holding time ends | `Held` once a majority has renewed; `Idle` when the holding time ends |
 //!
-//! A round that fails gives back what it may have got, so that other clients need not wait for it.
+//! A failed round releases the grants that it may have received, so that other clients need not wait for them to
+//! expire.
 
 mod round;
 #[cfg(test)]
@@ -17,68 +18,67 @@
 use crate::{Epoch, Micros, ProcessId};
 use round::{Grantor, Round};
 
-/// A holder renews after this part of the lease's duration.
+/// A holder renews after the lease duration divided by this number.
 const RENEWALS_PER_LEASE: Micros = 3;
-/// Lost rounds in a row beyond this number do not lengthen the pause any more.
+/// The number of consecutive failed rounds beyond which the pause no longer grows.
 const MAX_BACKOFF_SHIFT: u32 = 5;
-/// The shift of the pause's random part where somebody else is known to hold the lease.
+/// The shift of the pause's random part if another process is known to hold the lease.
 const HELD_BACKOFF_SHIFT: u32 = 2;
 
-/// How a lease is asked for.
+/// The parameters of a lease client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseParameters {
-    /// How many lease servers there are.
+    /// The number of lease servers.
     pub server_count: usize,
-    /// The lease's duration by the servers' clocks, in microseconds.
+    /// The lease duration by the servers' clocks, in microseconds.
     pub duration: Micros,
-    /// How wrong any clock of the fleet may run, in parts in a million.
+    /// The largest rate error of any clock in the fleet, in parts per million.
     pub drift_ppm: u32,
-    /// A round whose answers do not come within this time is given up; in microseconds.
+    /// The time after which a round without a majority fails, in microseconds.
     pub response_timeout: Micros,
-    /// The shortest pause before another round, in microseconds.
+    /// The base of the pause before the next round, in microseconds. The pause is at least half of it.
     pub min_pause: Micros,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum ClientState {
-    /// Holds nothing; the next round begins at this time.
+    /// Not held; the next round starts at this time.
     Idle(Micros),
     /// The first round for an epoch.
     Acquiring(Round),
-    /// Holds the lease.
     Held {
-        /// No act from this time on.
+        /// The end of the holding time; no action is allowed from here on.
         until: Micros,
-        /// When the next round begins.
+        /// When the next renewal round starts.
         renew_at: Micros,
-        /// The round that renews the lease, if one is going on.
+        /// The renewal round in progress, if any.
         renewal: Option<Round>,
     },
 }
 
-/// The client of one lease. It holds the lease while [`LeaseClient::held_epoch`] says so, and whoever acts under the
-/// lease asks that before every act.
+/// The client of one lease. The process holds the lease while [`LeaseClient::held_epoch`] returns an epoch; callers
+/// must check that before every action under the lease.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseClient {
     task: String,
     process: ProcessId,
     parameters: LeaseParameters,
-    /// The epoch last asked under.
+    /// The epoch of the last request.
     epoch: Epoch,
-    /// The highest epoch heard of. What is heard while a round goes on is for the next one: the grants of this round are
-    /// for the epoch that it asked under.
+    /// The highest known epoch. It may rise during a round, but then applies to the next round only: grants of the
+    /// current round are for the epoch that it requested.
     highest_known_epoch: Epoch,
     rounds_started: u64,
     is_requested: bool,
     state: ClientState,
-    /// How many rounds in a row were lost.
-    lost_rounds: u32,
-    /// Which other process holds the lease, as last heard.
+    /// The number of consecutive failed rounds.
+    failed_rounds: u32,
+    /// The other process that holds the lease, as last reported.
     other_holder: Option<ProcessId>,
 }
 
 impl LeaseClient {
-    /// A client that asks for the lease from now on.
+    /// Creates a client that requests the lease from now on.
     pub fn new(
         task: &str,
         process: ProcessId,
@@ -94,13 +94,13 @@
             rounds_started: 0,
             is_requested: true,
             state: ClientState::Idle(now),
-            lost_rounds: 0,
+            failed_rounds: 0,
             other_holder: None,
         }
     }
 
-    /// Another list of lease servers is in force from now on. A round that goes on is given up, since its answers count
-    /// for the old list.
+    /// Sets the number of lease servers after the server list has changed. A round in progress is dropped, since its
+    /// responses belong to the old list.
     pub fn set_server_count(&mut self, server_count: usize, now: Micros) {
         self.parameters.server_count = server_count;
         match &mut self.state {
@@ -120,7 +120,7 @@
         &self.task
     }
 
-    /// The epoch under which this process may act, if it holds the lease at this moment.
+    /// The epoch under which this process may act; `None` if it does not hold the lease at `now`.
     pub fn held_epoch(&self, now: Micros) -> Option<Epoch> {
         match self.state {
             ClientState::Held { until, .. } if now < until => Some(self.epoch),
@@ -128,7 +128,7 @@
         }
     }
 
-    /// How much longer this process holds the lease, in microseconds; 0 if it does not.
+    /// The remaining holding time, in microseconds; 0 if the lease is not held.
     pub fn remaining(&self, now: Micros) -> Micros {
         match self.state {
             ClientState::Held { until, .. } => until.saturating_sub(now),
@@ -136,12 +136,12 @@
         }
     }
 
-    /// Which other process holds the lease, as last heard.
+    /// The other process that holds the lease, as last reported by a lease server; `None` if unknown.
     pub fn other_holder(&self) -> Option<&ProcessId> {
         self.other_holder.as_ref()
     }
 
-    /// When [`LeaseClient::on_timer`] has something to do.
+    /// When [`LeaseClient::on_timer`] must be called next; `None` if the lease is not requested.
     pub fn next_deadline(&self) -> Option<Micros> {
         match &self.state {
             ClientState::Idle(_) if !self.is_requested => None,
@@ -158,12 +158,13 @@
         }
     }
 
-    /// Does what is due. `random` is a fresh random number; what is returned goes to every lease server.
+    /// Starts, renews or abandons rounds that are due. `random` is a fresh random number for the backoff. The returned
+    /// messages must be sent to every lease server.
     pub fn on_timer(&mut self, now: Micros, random: u64) -> Vec<LeaseRequest> {
         match &self.state {
             ClientState::Idle(at) if self.is_requested && now >= *at => vec![self.acquire(now)],
             ClientState::Acquiring(round) if now >= self.deadline_of(round) => {
-                vec![self.give_up(now, random, 0)]
+                vec![self.abandon_round(now, random, 0)]
             }
             ClientState::Held { until, .. } if now >= *until => {
                 self.state = ClientState::Idle(now);
@@ -182,8 +183,8 @@
         }
     }
 
-    /// Takes the answer of the lease server of this index. `random` is a fresh random number; what is returned goes to
-    /// every lease server.
+    /// Handles the response of the lease server with this index. `random` is a fresh random number for the backoff. The
+    /// returned messages must be sent to every lease server.
     pub fn handle_response(
         &mut self,
         now: Micros,
@@ -192,7 +193,7 @@
         random: u64,
     ) -> Vec<LeaseRequest> {
         if response.requester() != self.process.incarnation {
-            // It answers another process of this name, or the one that was here before.
+            // The response is for another process of this name, such as the one before a restart.
             return Vec::new();
         }
         self.learn_from_refusal(response);
@@ -200,7 +201,7 @@
         let Some(round) = self.current_round(response) else {
             return Vec::new();
         };
-        record_answer(round, server, epoch, response);
+        record_response(round, server, epoch, response);
         let superseded = round.superseded();
         let counted_grants = round.granted.len() - superseded.len();
         let refusals = round.refused.len();
@@ -210,24 +211,24 @@
             self.hold_from(started_at, now);
             return Vec::new();
         }
-        let can_still_win = refusals <= self.parameters.server_count - majority;
-        if !can_still_win && matches!(self.state, ClientState::Acquiring(_)) {
+        let can_reach_majority = refusals <= self.parameters.server_count - majority;
+        if !can_reach_majority && matches!(self.state, ClientState::Acquiring(_)) {
             let holder_remaining = match response {
                 LeaseResponse::Refused { remaining, .. } => *remaining,
                 LeaseResponse::Granted { .. } => 0,
             };
-            return vec![self.give_up(now, random, holder_remaining)];
+            return vec![self.abandon_round(now, random, holder_remaining)];
         }
-        let tell_superseded = |(server, incarnation)| {
+        let superseded_message = |(server, incarnation)| {
             LeaseRequest::Superseded(ServerIncarnation {
                 server,
                 incarnation,
             })
         };
-        superseded.into_iter().map(tell_superseded).collect()
+        superseded.into_iter().map(superseded_message).collect()
     }
 
-    /// Holds the lease no more and gives it back. What is returned goes to every lease server.
+    /// Releases the lease and stops requesting it. The returned message must be sent to every lease server.
     pub fn release(&mut self, now: Micros) -> Option<LeaseRequest> {
         self.is_requested = false;
         let may_have_grants = !matches!(self.state, ClientState::Idle(_));
@@ -235,7 +236,7 @@
         may_have_grants.then(|| self.release_message())
     }
 
-    /// Asks for the lease again after a release; without one it changes nothing.
+    /// Requests the lease again after a release. Does nothing if it is already requested.
     pub fn request(&mut self, now: Micros) {
         if !self.is_requested {
             self.is_requested = true;
@@ -243,14 +244,14 @@
         }
     }
 
-    /// When a round is given up.
+    /// When a round times out.
     fn deadline_of(&self, round: &Round) -> Micros {
         round
             .started_at
             .saturating_add(self.parameters.response_timeout)
     }
 
-    /// Takes the holder and the epoch that a refusal tells of.
+    /// Records the holder and the epoch of a refusal.
     fn learn_from_refusal(&mut self, response: &LeaseResponse) {
         let LeaseResponse::Refused { epoch, holder, .. } = response else {
             return;
@@ -261,7 +262,7 @@
         }
     }
 
-    /// The round that goes on, if this answers it.
+    /// The round in progress, if the response belongs to it.
     fn current_round(&mut self, response: &LeaseResponse) -> Option<&mut Round> {
         let (LeaseResponse::Granted { round: number, .. }
         | LeaseResponse::Refused { round: number, .. }) = response;
@@ -275,8 +276,8 @@
         }
     }
 
-    /// A majority has granted a round that began at `started_at`. The holding time counts from there, since the servers'
-    /// time began later than that.
+    /// Holds the lease after a majority has granted a round. The holding time starts at `started_at`, when the requests
+    /// were sent, since the grants of the servers start later.
     fn hold_from(&mut self, started_at: Micros, now: Micros) {
         let duration = self.parameters.duration;
         let until = started_at.saturating_add(reduce_by_drift(duration, self.parameters.drift_ppm));
@@ -286,13 +287,13 @@
                 renew_at: started_at.saturating_add(duration / RENEWALS_PER_LEASE),
                 renewal: None,
             };
-            self.lost_rounds = 0;
+            self.failed_rounds = 0;
             self.other_holder = None;
         }
     }
 
-    /// Begins a round under a new epoch. Never under an epoch asked under before: what that round left behind must not
-    /// count for this one.
+    /// Starts a round under a new epoch. An epoch is never reused, since grants of an earlier round must not count for
+    /// this one.
     fn acquire(&mut self, now: Micros) -> LeaseRequest {
         self.epoch = self.highest_known_epoch.max(self.epoch).next();
         let round = self.start_round(now);
@@ -301,7 +302,7 @@
         message
     }
 
-    /// Begins a round that renews the lease, under the same epoch.
+    /// Starts a round that renews the lease under the same epoch.
     fn renew(&mut self, now: Micros) -> LeaseRequest {
         let round = self.start_round(now);
         let message = self.acquire_message(round.number);
@@ -334,16 +335,22 @@
         }
     }
 
-    /// Gives back what a lost round may have got, and waits. With each lost round in a row the wait grows; whoever is
-    /// told that somebody holds the lease waits until that may have run out, in `holder_remaining` microseconds.
-    fn give_up(&mut self, now: Micros, random: u64, holder_remaining: Micros) -> LeaseRequest {
+    /// Releases the grants that a failed round may have received, and backs off. The pause grows with each consecutive
+    /// failure. If another process holds the lease, the pause also covers its remaining time of `holder_remaining`
+    /// microseconds.
+    fn abandon_round(
+        &mut self,
+        now: Micros,
+        random: u64,
+        holder_remaining: Micros,
+    ) -> LeaseRequest {
         let release = self.release_message();
         let min_pause = self.parameters.min_pause;
-        self.lost_rounds = (self.lost_rounds + 1).min(MAX_BACKOFF_SHIFT);
+        self.failed_rounds = (self.failed_rounds + 1).min(MAX_BACKOFF_SHIFT);
         let shift = if holder_remaining > min_pause {
             HELD_BACKOFF_SHIFT
         } else {
-            self.lost_rounds
+            self.failed_rounds
         };
         let random_range = (min_pause << shift).max(1);
         let pause = holder_remaining
@@ -354,15 +361,20 @@
     }
 }
 
-/// Counts a server's answer in its round. A grant for another epoch counts as a refusal.
-fn record_answer(round: &mut Round, server: usize, epoch_asked: Epoch, response: &LeaseResponse) {
+/// Records a server's response in its round. A grant for another epoch counts as a refusal.
+fn record_response(
+    round: &mut Round,
+    server: usize,
+    requested_epoch: Epoch,
+    response: &LeaseResponse,
+) {
     match response {
         LeaseResponse::Granted {
             epoch,
             server_incarnation,
             incarnations,
             ..
-        } if *epoch == epoch_asked => {
+        } if *epoch == requested_epoch => {
             let grantor = Grantor {
                 incarnation: *server_incarnation,
                 known_incarnations: incarnations.clone(),
--- a/crates/coordination/src/lease/client/round.rs
+++ b/crates/coordination/src/lease/client/round.rs
@@ -1,31 +1,30 @@
-//! One round of a lease client: the same question to every lease server, and their answers.
+//! One round of a lease client: one request sent to every lease server, and the responses.
 
 use crate::lease::messages::ServerIncarnation;
 use crate::{Incarnation, Micros};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The process of a lease server that granted.
+/// The lease server process that sent a grant.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Grantor {
     pub(super) incarnation: Incarnation,
-    /// The newest incarnation that it knows of each other server.
+    /// The newest incarnation of each other server that it knows.
     pub(super) known_incarnations: Vec<ServerIncarnation>,
 }
 
-/// One round and the answers to it so far.
+/// A round and the responses received so far.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Round {
     pub(super) number: u64,
-    /// When the round began: a lease is held from here on, not from the answers.
+    /// When the requests were sent. The holding time starts here, not at the responses.
     pub(super) started_at: Micros,
     /// The servers that granted, by index.
     pub(super) granted: BTreeMap<usize, Grantor>,
-    /// The indexes of the servers that did not.
+    /// The indexes of the servers that refused.
     pub(super) refused: BTreeSet<usize>,
 }
 
 impl Round {
-    /// A round that begins now.
     pub(super) fn new(number: u64, started_at: Micros) -> Round {
         Round {
             number,
@@ -35,7 +34,7 @@
         }
     }
 
-    /// Takes a server's grant, unless a newer process of that server has granted already.
+    /// Records a server's grant, unless a newer process of that server has already granted.
     pub(super) fn add_grant(&mut self, server: usize, grantor: Grantor) {
         let is_newest = self
             .granted
@@ -46,8 +45,8 @@
         }
     }
 
-    /// Servers whose grant does not count, each with its newest incarnation: another server that granted knows a newer
-    /// process of theirs. Two processes of one name must not both be counted, one for each of two holders.
+    /// The servers whose grant does not count, because another granting server knows a newer incarnation of them; with
+    /// that incarnation. Two processes of the same name must not count for two different holders.
     pub(super) fn superseded(&self) -> BTreeMap<usize, Incarnation> {
         let mut superseded = BTreeMap::new();
         for grantor in self.granted.values() {
--- a/crates/coordination/src/lease/client/tests/mod.rs
+++ b/crates/coordination/src/lease/client/tests/mod.rs
@@ -1,5 +1,6 @@
-//! Explores lease servers and clients, as they run in the node, in every order of events within bounds: messages lost,
-//! repeated and out of order, pauses, restarts of servers with the right and an old log, clocks at the ends of the drift.
+//! Model checking of the lease servers and clients that run in the node. Explores every order of events within bounds:
+//! lost, duplicated and reordered messages, pauses, server restarts with a current or a stale log, and clocks at both
+//! ends of the drift.
 
 mod model;
 mod reduction;
@@ -10,22 +11,22 @@
 use stateright::{Checker, HasDiscoveries, Model};
 use std::time::Instant;
 
-/// How many states a run of the tests looks at, with those met again.
+/// The maximum number of states per model in a normal test run, including revisited states.
 const MAX_STATES: usize = 2_000_000;
-/// How many states the longer exploration looks at.
-const MAX_STATES_FURTHER: usize = 40_000_000;
+/// The maximum number of states per model in the extended run.
+const MAX_STATES_EXTENDED: usize = 40_000_000;
 
-/// A model with its name.
+/// A named model.
 type Case = (&'static str, LeaseModel);
 
-fn unchanged() -> LeaseModel {
+fn model_with_all_safeguards() -> LeaseModel {
     LeaseModel::new(None)
 }
 
-/// Looks through all states; the property that was violated, or `None`.
+/// Explores up to `max_states` states. Returns the violated property, or `None`.
 fn explore(name: &str, model: LeaseModel, max_states: usize) -> Option<&'static str> {
     let started_at = Instant::now();
-    let properties = ["never two holders", "epochs never fall"];
+    let properties = ["at most one holder", "epochs never decrease"];
     let any_violation = HasDiscoveries::AnyOf(properties.into_iter().collect());
     let checker = model
         .checker()
@@ -44,11 +45,11 @@
         checker.max_depth(),
         started_at.elapsed().as_secs_f64(),
         if is_exhaustive {
-            "all within bounds"
+            "all states within bounds"
         } else {
-            "the first of more"
+            "state limit reached"
         },
-        violated.unwrap_or("no fault"),
+        violated.unwrap_or("no violation"),
     );
     if let Some(path) = violated.and_then(|property| checker.discovery(property)) {
         for action in path.into_actions() {
@@ -58,19 +59,19 @@
     let is_reached = |property: &'static str| checker.discovery(property).is_some();
     if is_exhaustive && violated.is_none() {
         assert!(
-            is_reached("somebody holds") && is_reached("a restarted server grants"),
+            is_reached("a lease is held") && is_reached("a restarted server grants"),
             "{name}"
         );
     }
     violated
 }
 
-/// Models that are explored in full within seconds.
+/// Models that can be explored exhaustively within seconds.
 fn short_cases() -> [Case; 5] {
     let one_round = LeaseModel {
         max_rounds: 1,
         ticks: 3,
-        ..unchanged()
+        ..model_with_all_safeguards()
     };
     let slow_servers = LeaseModel {
         clock_rates: ClockRates::uniform(SLOW, FAST),
@@ -85,10 +86,10 @@
         restarts: 2,
         ..one_round.clone()
     };
-    let old_log = LeaseModel {
+    let stale_log = LeaseModel {
         ticks: 1,
         restarts: 1,
-        restarts_with_old_log: true,
+        restarts_with_stale_log: true,
         trusts_log: false,
         ..one_round.clone()
     };
@@ -97,11 +98,11 @@
         ("servers slow", slow_servers),
         ("one epoch ahead", one_epoch_ahead),
         ("two servers restart", two_restarts),
-        ("an old log", old_log),
+        ("stale log", stale_log),
     ]
 }
 
-/// Models in which one safeguard is taken out.
+/// Models with one safeguard disabled.
 fn cases_without_safeguard() -> [Case; 6] {
     let without = |safeguard| LeaseModel {
         max_rounds: 1,
@@ -115,28 +116,28 @@
         is_second_client_ahead: false,
         ..without(Safeguard::DurableGrants)
     };
-    let old_log_believed = LeaseModel {
+    let stale_log_trusted = LeaseModel {
         restarts: 1,
         ticks: 1,
-        restarts_with_old_log: true,
-        ..without(Safeguard::DistrustOfLog)
+        restarts_with_stale_log: true,
+        ..without(Safeguard::LogDistrust)
     };
     [
-        ("no margin for drift", without(Safeguard::DriftMargin)),
+        ("no drift margin", without(Safeguard::DriftMargin)),
         (
-            "no look at the lease before the act",
-            without(Safeguard::CheckBeforeAct),
+            "lease not checked before the action",
+            without(Safeguard::CheckBeforeAction),
         ),
         ("grants not durable", grants_not_durable),
         (
-            "no look at the epoch by what is acted upon",
+            "epoch not checked by the resource",
             without(Safeguard::EpochFence),
         ),
         (
-            "counted from the answer",
+            "holding time counted from the response",
             without(Safeguard::HoldingFromRequest),
         ),
-        ("an old log believed", old_log_believed),
+        ("stale log trusted", stale_log_trusted),
     ]
 }
 
@@ -144,7 +145,7 @@
 fn long_cases() -> [Case; 6] {
     let one_round = LeaseModel {
         max_rounds: 1,
-        ..unchanged()
+        ..model_with_all_safeguards()
     };
     let mixed_clocks = LeaseModel {
         clock_rates: ClockRates {
@@ -153,14 +154,14 @@
         },
         ..one_round.clone()
     };
-    let one_repeat = LeaseModel {
+    let one_duplicate = LeaseModel {
         ticks: 3,
-        repeats: 1,
+        duplicates: 1,
         ..one_round.clone()
     };
     let two_rounds = LeaseModel {
         ticks: 3,
-        ..unchanged()
+        ..model_with_all_safeguards()
     };
     let two_restarts = LeaseModel {
         ticks: 3,
@@ -168,9 +169,9 @@
         is_second_client_ahead: true,
         ..one_round.clone()
     };
-    let old_log = LeaseModel {
+    let stale_log = LeaseModel {
         restarts: 1,
-        restarts_with_old_log: true,
+        restarts_with_stale_log: true,
         trusts_log: false,
         is_second_client_ahead: true,
         ..one_round.clone()
@@ -178,16 +179,17 @@
     [
         ("one round each, four ticks", one_round),
         ("mixed clocks", mixed_clocks),
-        ("one message repeated", one_repeat),
+        ("one message duplicated", one_duplicate),
         ("two rounds each", two_rounds),
         ("two servers restart", two_restarts),
-        ("an old log", old_log),
+        ("stale log", stale_log),
     ]
 }
 
-/// What can be explored in full within seconds; the longer list is `explores_further`.
+/// Covers the models that can be explored exhaustively within seconds; `extended_models_have_no_violation` covers
+/// larger ones.
 #[test]
-fn never_has_two_holders_within_bounds() {
+fn has_at_most_one_holder_within_bounds() {
     for (name, model) in short_cases() {
         assert_eq!(explore(name, model, MAX_STATES), None, "{name}");
     }
@@ -200,13 +202,14 @@
     }
 }
 
-/// Minutes on four cores: `cargo test --release -p poppykeel-coordination explores_further -- --ignored --nocapture`.
+/// Takes minutes on four cores:
+/// `cargo test --release -p poppykeel-coordination extended_models -- --ignored --nocapture`.
 #[test]
-#[ignore = "takes minutes; docs/leases.md has its figures"]
-fn explores_further() {
+#[ignore = "takes minutes; results are in docs/leases.md"]
+fn extended_models_have_no_violation() {
     let violations: Vec<_> = long_cases()
         .into_iter()
-        .map(|(name, model)| explore(name, model, MAX_STATES_FURTHER))
+        .map(|(name, model)| explore(name, model, MAX_STATES_EXTENDED))
         .collect();
     assert!(violations.iter().all(Option::is_none));
 }
--- a/crates/coordination/src/lease/client/tests/model.rs
+++ b/crates/coordination/src/lease/client/tests/model.rs
@@ -1,8 +1,8 @@
-//! The model that is explored: what may happen to lease servers, clients and the messages between them.
+//! The lease model: events that may happen to lease servers, clients and the messages between them.
 
 use super::state::{
-    current_round_mut, send_to_all_servers, Act, Action, ClockRates, ModelState, Packet, Safeguard,
-    CLIENTS, SERVERS,
+    current_round_mut, send_to_all_servers, Action, ClockRates, LeaseAction, ModelState, Packet,
+    Safeguard, CLIENTS, SERVERS,
 };
 use crate::lease::client::{ClientState, LeaseClient, LeaseParameters};
 use crate::lease::{
@@ -13,39 +13,39 @@
 use stateright::{Model, Property};
 use std::collections::BTreeSet;
 
-/// A slow and a fast clock, in units by tick: as far apart as the drift below allows, to the unit.
+/// The rates of a slow and a fast clock, in units per tick. They differ by exactly the maximum that `DRIFT_PPM` allows.
 pub(super) const SLOW: u64 = 1;
 pub(super) const FAST: u64 = 2;
 const DRIFT_PPM: u32 = 333_333;
 const LEASE_DURATION: u64 = 4;
 
-/// How far to look.
+/// The bounds and faults of an exploration.
 #[derive(Clone, Debug)]
 pub(super) struct LeaseModel {
-    pub(super) without: Option<Safeguard>,
+    pub(super) disabled_safeguard: Option<Safeguard>,
     pub(super) ticks: u64,
-    /// How many messages are delivered twice.
-    pub(super) repeats: u8,
-    /// How many restarts of servers there are.
+    /// The number of messages that are delivered twice.
+    pub(super) duplicates: u8,
+    /// The number of server restarts.
     pub(super) restarts: u8,
-    /// Whether restarts come with the log as it was at the very start.
-    pub(super) restarts_with_old_log: bool,
+    /// Whether servers restart with the log from the initial state.
+    pub(super) restarts_with_stale_log: bool,
     pub(super) trusts_log: bool,
-    /// How many rounds a client may begin.
+    /// The number of rounds that a client may start.
     pub(super) max_rounds: u64,
     pub(super) clock_rates: ClockRates,
-    /// Whether the second client has heard of one more epoch than the first.
+    /// Whether the highest epoch known to the second client is one higher than that of the first.
     pub(super) is_second_client_ahead: bool,
 }
 
 impl LeaseModel {
-    pub(super) fn new(without: Option<Safeguard>) -> LeaseModel {
+    pub(super) fn new(disabled_safeguard: Option<Safeguard>) -> LeaseModel {
         LeaseModel {
-            without,
+            disabled_safeguard,
             ticks: 4,
-            repeats: 0,
+            duplicates: 0,
             restarts: 0,
-            restarts_with_old_log: false,
+            restarts_with_stale_log: false,
             trusts_log: true,
             max_rounds: 2,
             clock_rates: ClockRates::uniform(FAST, SLOW),
@@ -54,12 +54,13 @@
     }
 
     pub(super) fn lacks(&self, safeguard: Safeguard) -> bool {
-        self.without == Some(safeguard)
+        self.disabled_safeguard == Some(safeguard)
     }
 
     fn server_config(&self, server: usize) -> LeaseServerConfig {
-        let trusts_log = self.trusts_log || self.lacks(Safeguard::DistrustOfLog);
-        // Where nobody asks the others their indexes don't matter, and servers alike are one.
+        let trusts_log = self.trusts_log || self.lacks(Safeguard::LogDistrust);
+        // Without recovery requests the index has no effect. Equal indexes let the model treat servers in the same
+        // state as interchangeable.
         LeaseServerConfig {
             server_count: SERVERS,
             server_index: if trusts_log { 0 } else { server },
@@ -91,9 +92,10 @@
         state.clients[client].held_epoch(self.client_now(state, client))
     }
 
-    /// Whether a client takes itself for the holder; without the check, whoever once held does.
-    fn takes_itself_for_holder(&self, state: &ModelState, client: usize) -> bool {
-        if self.lacks(Safeguard::CheckBeforeAct) {
+    /// Whether a client assumes that it holds the lease. Without the check before an action, a client that has ever
+    /// held the lease does.
+    fn assumes_it_holds(&self, state: &ModelState, client: usize) -> bool {
+        if self.lacks(Safeguard::CheckBeforeAction) {
             matches!(state.clients[client].state, ClientState::Held { .. })
         } else {
             self.held_epoch(state, client).is_some()
@@ -178,22 +180,22 @@
         }
     }
 
-    /// What is acted upon refuses what is older than what it has seen. Never an older epoch, and never one epoch of two
-    /// clients, may be accepted.
+    /// The resource rejects epochs lower than the highest it has seen. It must never accept a lower epoch, nor the same
+    /// epoch from two clients.
     fn act(&self, state: &mut ModelState, client: usize) -> Option<()> {
         let epoch = state.about_to_act[client].take()?;
-        let last = state.last_act;
+        let last = state.last_accepted;
         if epoch >= last.epoch || self.lacks(Safeguard::EpochFence) {
-            let is_second_of_epoch = epoch == last.epoch && last.client != client;
-            state.is_violated |= epoch < last.epoch || is_second_of_epoch;
-            state.last_act = Act { epoch, client };
+            let is_epoch_reused = epoch == last.epoch && last.client != client;
+            state.has_accepted_invalid_action |= epoch < last.epoch || is_epoch_reused;
+            state.last_accepted = LeaseAction { epoch, client };
         }
         Some(())
     }
 
     fn restart(&self, state: &mut ModelState, server: usize) {
         state.restarts -= 1;
-        if self.restarts_with_old_log {
+        if self.restarts_with_stale_log {
             state.logs[server] = initial_log();
         }
         let incarnation = Incarnation(u64::from(self.restarts - state.restarts));
@@ -202,16 +204,17 @@
         state.servers[server] = LeaseServer::new(config, incarnation, &state.logs[server], now);
     }
 
-    /// A pause between the look and the act is an `about_to_act` that is kept; without the look, whoever once held acts.
-    fn act_without_look(&self, state: &mut ModelState) {
-        if !self.lacks(Safeguard::CheckBeforeAct) {
+    /// Without the check before an action, a client that has ever held the lease prepares an action. A pause between
+    /// the check and the action is modelled by leaving `about_to_act` set.
+    fn prepare_unchecked_actions(&self, state: &mut ModelState) {
+        if !self.lacks(Safeguard::CheckBeforeAction) {
             return;
         }
         for index in 0..CLIENTS {
             let client = &state.clients[index];
-            let once_held = matches!(client.state, ClientState::Held { .. });
+            let has_held = matches!(client.state, ClientState::Held { .. });
             let is_idle = state.about_to_act[index].is_none();
-            if is_idle && once_held && state.last_act.epoch < client.epoch {
+            if is_idle && has_held && state.last_accepted.epoch < client.epoch {
                 state.about_to_act[index] = Some(client.epoch);
             }
         }
@@ -227,11 +230,11 @@
         if state.about_to_act[index].is_some() {
             actions.push(Action::Act(index));
         } else if let Some(epoch) = self.held_epoch(state, index) {
-            let act = Act {
+            let action = LeaseAction {
                 epoch,
                 client: index,
             };
-            if state.last_act != act {
+            if state.last_accepted != action {
                 actions.push(Action::CheckLease(index));
             }
         }
@@ -253,12 +256,12 @@
                 state.network.remove(&packet);
                 self.deliver(state, &packet);
             }
-            Action::Repeat(packet) => {
-                state.repeats -= 1;
+            Action::Duplicate(packet) => {
+                state.duplicates -= 1;
                 self.deliver(state, &packet);
             }
             Action::Restart(server) => self.restart(state, server),
-            Action::AskForRecovery(server) => {
+            Action::RequestRecovery(server) => {
                 let message = last.servers[server].recovery_request()?;
                 for other in (0..SERVERS).filter(|other| *other != server) {
                     state.network.insert(Packet::BetweenServers {
@@ -272,7 +275,7 @@
     }
 }
 
-/// The log of a server that has been in service for long.
+/// The log of a server whose recovery was completed long ago.
 fn initial_log() -> Vec<LeaseLogRecord> {
     vec![LeaseLogRecord::RecoveryComplete {
         founders: Vec::new(),
@@ -285,7 +288,7 @@
 
     fn init_states(&self) -> Vec<ModelState> {
         let log = initial_log();
-        // The fleet is in service: its servers have been granting for long.
+        // The servers start in the state `Granting`.
         let server = |index| {
             let config = LeaseServerConfig {
                 trusts_log: true,
@@ -300,13 +303,13 @@
             clients: (0..CLIENTS).map(|index| self.new_client(index)).collect(),
             network: BTreeSet::new(),
             about_to_act: vec![None; CLIENTS],
-            repeats: self.repeats,
+            duplicates: self.duplicates,
             restarts: self.restarts,
-            last_act: Act {
+            last_accepted: LeaseAction {
                 epoch: Epoch(0),
                 client: 0,
             },
-            is_violated: false,
+            has_accepted_invalid_action: false,
             was_held: false,
         }]
     }
@@ -320,8 +323,8 @@
         }
         for packet in &state.network {
             actions.push(Action::Deliver(packet.clone()));
-            if state.repeats > 0 {
-                actions.push(Action::Repeat(packet.clone()));
+            if state.duplicates > 0 {
+                actions.push(Action::Duplicate(packet.clone()));
             }
         }
         for server in 0..SERVERS {
@@ -329,7 +332,7 @@
                 actions.push(Action::Restart(server));
             }
             if state.servers[server].recovery_request().is_some() {
-                actions.push(Action::AskForRecovery(server));
+                actions.push(Action::RequestRecovery(server));
             }
         }
     }
@@ -337,7 +340,7 @@
     fn next_state(&self, last: &ModelState, action: Action) -> Option<ModelState> {
         let mut state = last.clone();
         self.apply(last, &mut state, action)?;
-        self.act_without_look(&mut state);
+        self.prepare_unchecked_actions(&mut state);
         self.drop_ineffective(&mut state);
         self.sort_servers(&mut state);
         state.was_held |= (0..CLIENTS).any(|client| self.held_epoch(&state, client).is_some());
@@ -347,19 +350,19 @@
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
             Property::always(
-                "never two holders",
+                "at most one holder",
                 |model: &LeaseModel, state: &ModelState| {
-                    let holds = |client: &usize| model.takes_itself_for_holder(state, *client);
+                    let holds = |client: &usize| model.assumes_it_holds(state, *client);
                     (0..CLIENTS).filter(holds).count() < 2
                 },
             ),
-            Property::always("epochs never fall", |_, state: &ModelState| {
-                !state.is_violated
+            Property::always("epochs never decrease", |_, state: &ModelState| {
+                !state.has_accepted_invalid_action
             }),
-            Property::sometimes("somebody holds", |_, state: &ModelState| state.was_held),
-            Property::sometimes("both have acted in turn", |_, state: &ModelState| {
-                let have_all_asked = state.clients.iter().all(|client| client.rounds_started > 0);
-                state.last_act.epoch > Epoch(1) && have_all_asked
+            Property::sometimes("a lease is held", |_, state: &ModelState| state.was_held),
+            Property::sometimes("both clients have acted", |_, state: &ModelState| {
+                let have_all_started = state.clients.iter().all(|client| client.rounds_started > 0);
+                state.last_accepted.epoch > Epoch(1) && have_all_started
             }),
             Property::sometimes(
                 "a restarted server grants",
--- a/crates/coordination/src/lease/client/tests/reduction.rs
+++ b/crates/coordination/src/lease/client/tests/reduction.rs
@@ -1,4 +1,4 @@
-//! Makes states that differ in nothing that matters one, so that fewer are explored.
+//! State-space reduction: maps equivalent states to one representative, so that fewer states are explored.
 
 use super::model::LeaseModel;
 use super::state::{current_round, current_round_mut, ModelState, Packet, Safeguard, SERVERS};
@@ -7,7 +7,7 @@
 use std::collections::BTreeSet;
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-/// What a message to or from a server is about, and the client at its other end.
+/// The client and the content of a message between a client and a server.
 type ServerMessage<'state> = (
     usize,
     Option<&'state LeaseRequest>,
@@ -15,8 +15,8 @@
 );
 
 impl LeaseModel {
-    /// Takes away what can have no effect any more: messages that would be ignored, what is only shown, and what only
-    /// makes pauses longer.
+    /// Removes state that can have no effect: messages that would be ignored, fields that are only shown to operators,
+    /// and the counter that only lengthens pauses.
     pub(super) fn drop_ineffective(&self, state: &mut ModelState) {
         let clients = &state.clients;
         let servers = &state.servers;
@@ -25,23 +25,23 @@
             .retain(|packet| has_effect(packet, clients, servers));
         for client in &mut state.clients {
             client.other_holder = None;
-            client.lost_rounds = 0;
+            client.failed_rounds = 0;
             if client.highest_known_epoch <= client.epoch {
                 client.highest_known_epoch = Epoch(0);
             }
         }
     }
 
-    /// Puts servers in an order that depends on nothing but what they and their messages are.
+    /// Sorts the servers by their state, log and messages, independently of their index.
     pub(super) fn sort_servers(&self, state: &mut ModelState) {
-        if !self.trusts_log && !self.lacks(Safeguard::DistrustOfLog) {
+        if !self.trusts_log && !self.lacks(Safeguard::LogDistrust) {
             return;
         }
         let mut order: Vec<usize> = (0..SERVERS).collect();
         order.sort_by_cached_key(|server| sorting_key(state, *server));
-        let place_of = |server: usize| {
-            let place = order.iter().position(|other| *other == server);
-            place.unwrap_or(server)
+        let new_index_of = |server: usize| {
+            let new_index = order.iter().position(|other| *other == server);
+            new_index.unwrap_or(server)
         };
         let in_order = order.iter();
         state.servers = in_order
@@ -51,20 +51,20 @@
         state.logs = in_order.map(|server| state.logs[*server].clone()).collect();
         state.network = std::mem::take(&mut state.network)
             .into_iter()
-            .map(|packet| move_packet(packet, place_of))
+            .map(|packet| reindex_packet(packet, new_index_of))
             .collect();
         for client in &mut state.clients {
-            move_answers(client, place_of);
+            reindex_responses(client, new_index_of);
         }
     }
 }
 
-/// Whether a message could still change something.
+/// Whether a message could still change a state.
 fn has_effect(packet: &Packet, clients: &[LeaseClient], servers: &[LeaseServer]) -> bool {
     match packet {
         Packet::ToClient {
             client, response, ..
-        } => answer_has_effect(&clients[*client], response),
+        } => response_has_effect(&clients[*client], response),
         Packet::ToServer {
             server,
             message: LeaseRequest::Release { epoch, .. },
@@ -83,7 +83,7 @@
     }
 }
 
-fn answer_has_effect(client: &LeaseClient, response: &LeaseResponse) -> bool {
+fn response_has_effect(client: &LeaseClient, response: &LeaseResponse) -> bool {
     let current = current_round(client).map_or(0, |round| round.number);
     match response {
         LeaseResponse::Granted { round, .. } => *round == current,
@@ -93,30 +93,30 @@
     }
 }
 
-/// A key that depends on nothing but what a server, its log and its messages are.
+/// A sorting key that depends only on a server's state, log and messages.
 fn sorting_key(state: &ModelState, server: usize) -> u64 {
     let messages: Vec<ServerMessage<'_>> = state
         .network
         .iter()
         .filter_map(|packet| message_of(packet, server))
         .collect();
-    let mut answers: Vec<(bool, bool)> = Vec::new();
+    let mut responses: Vec<(bool, bool)> = Vec::new();
     for round in state.clients.iter().filter_map(current_round) {
         let has_granted = round.granted.contains_key(&server);
-        answers.push((has_granted, round.refused.contains(&server)));
+        responses.push((has_granted, round.refused.contains(&server)));
     }
     let mut hasher = DefaultHasher::new();
     (
         &state.servers[server],
         &state.logs[server],
         messages,
-        answers,
+        responses,
     )
         .hash(&mut hasher);
     hasher.finish()
 }
 
-/// A message between a client and this server.
+/// The message of a packet between a client and this server; `None` for other packets.
 fn message_of(packet: &Packet, of_server: usize) -> Option<ServerMessage<'_>> {
     match packet {
         Packet::ToServer {
@@ -133,7 +133,7 @@
     }
 }
 
-fn move_packet(packet: Packet, place_of: impl Fn(usize) -> usize) -> Packet {
+fn reindex_packet(packet: Packet, new_index_of: impl Fn(usize) -> usize) -> Packet {
     match packet {
         Packet::ToServer {
             client,
@@ -141,7 +141,7 @@
             message,
         } => Packet::ToServer {
             client,
-            server: place_of(server),
+            server: new_index_of(server),
             message,
         },
         Packet::ToClient {
@@ -149,7 +149,7 @@
             client,
             response,
         } => Packet::ToClient {
-            server: place_of(server),
+            server: new_index_of(server),
             client,
             response,
         },
@@ -157,14 +157,14 @@
     }
 }
 
-fn move_answers(client: &mut LeaseClient, place_of: impl Fn(usize) -> usize) {
+fn reindex_responses(client: &mut LeaseClient, new_index_of: impl Fn(usize) -> usize) {
     let Some(round) = current_round_mut(client) else {
         return;
     };
     let granted = std::mem::take(&mut round.granted);
     for (server, grantor) in granted {
-        round.granted.insert(place_of(server), grantor);
+        round.granted.insert(new_index_of(server), grantor);
     }
-    let refused: BTreeSet<usize> = round.refused.iter().copied().map(place_of).collect();
+    let refused: BTreeSet<usize> = round.refused.iter().copied().map(new_index_of).collect();
     round.refused = refused;
 }
--- a/crates/coordination/src/lease/client/tests/state.rs
+++ b/crates/coordination/src/lease/client/tests/state.rs
@@ -1,4 +1,4 @@
-//! The states that are explored, and what happens between them.
+//! The states of the lease model, and the actions that lead from one to the next.
 
 use crate::lease::client::round::Round;
 use crate::lease::client::{ClientState, LeaseClient};
@@ -9,24 +9,24 @@
 pub(super) const SERVERS: usize = 3;
 pub(super) const CLIENTS: usize = 2;
 
-/// What keeps two processes from holding one lease. A model may have one of these taken out.
+/// The mechanisms that prevent two processes from holding the same lease. A model can disable one of them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Safeguard {
-    /// The margin for drift in the holding time.
+    /// The holding time is reduced by the drift.
     DriftMargin,
-    /// The look at the lease before the act.
-    CheckBeforeAct,
-    /// The server's write before its answer.
+    /// The holder checks the lease before each action.
+    CheckBeforeAction,
+    /// The server writes a grant to its log before it responds.
     DurableGrants,
-    /// The look at the epoch by what is acted upon.
+    /// The resource rejects lower epochs.
     EpochFence,
-    /// The holding time's count from the request.
+    /// The holding time starts when the request is sent, not at the response.
     HoldingFromRequest,
-    /// The distrust of a log that may be an older one.
-    DistrustOfLog,
+    /// A server with a log that may be stale recovers from the other servers.
+    LogDistrust,
 }
 
-/// How fast each clock runs, in units by tick.
+/// The rate of each clock, in units per tick.
 #[derive(Clone, Debug)]
 pub(super) struct ClockRates {
     pub(super) servers: [u64; SERVERS],
@@ -42,7 +42,7 @@
     }
 }
 
-/// A message on its way. The variants' order is that in which messages are tried.
+/// A message in flight. Messages are explored in the order of the variants.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(super) enum Packet {
     ToServer {
@@ -61,9 +61,9 @@
     },
 }
 
-/// An act under a lease.
+/// An action under a lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub(super) struct Act {
+pub(super) struct LeaseAction {
     pub(super) epoch: Epoch,
     pub(super) client: usize,
 }
@@ -74,16 +74,18 @@
     pub(super) servers: Vec<LeaseServer>,
     pub(super) logs: Vec<Vec<LeaseLogRecord>>,
     pub(super) clients: Vec<LeaseClient>,
-    /// Messages on their way. One that is never delivered is lost.
+    /// Messages in flight. A message that is never delivered is lost.
     pub(super) network: BTreeSet<Packet>,
-    /// The epoch under which a client looked at the lease and has not acted yet.
+    /// For each client, the epoch that it has checked but not acted under yet.
     pub(super) about_to_act: Vec<Option<Epoch>>,
-    pub(super) repeats: u8,
+    /// Duplicate deliveries left.
+    pub(super) duplicates: u8,
+    /// Server restarts left.
     pub(super) restarts: u8,
-    /// The act of the highest epoch.
-    pub(super) last_act: Act,
-    /// Whether something that must not be has been accepted.
-    pub(super) is_violated: bool,
+    /// The last action that the resource accepted.
+    pub(super) last_accepted: LeaseAction,
+    /// Whether the resource has accepted a lower epoch, or one epoch from two clients.
+    pub(super) has_accepted_invalid_action: bool,
     pub(super) was_held: bool,
 }
 
@@ -94,12 +96,12 @@
     CheckLease(usize),
     Act(usize),
     Deliver(Packet),
-    Repeat(Packet),
+    Duplicate(Packet),
     Restart(usize),
-    AskForRecovery(usize),
+    RequestRecovery(usize),
 }
 
-/// The round that a client is in, if any.
+/// A client's round in progress, if any.
 pub(super) fn current_round(client: &LeaseClient) -> Option<&Round> {
     match &client.state {
         ClientState::Acquiring(round)
@@ -111,7 +113,6 @@
     }
 }
 
-/// The round that a client is in, if any, to be changed.
 pub(super) fn current_round_mut(client: &mut LeaseClient) -> Option<&mut Round> {
     match &mut client.state {
         ClientState::Acquiring(round)
--- a/crates/coordination/src/lease/messages.rs
+++ b/crates/coordination/src/lease/messages.rs
@@ -1,5 +1,5 @@
-//! The messages between lease clients and lease servers. The serialised form is positional: no field or variant may
-//! change its place.
+//! Messages between lease clients and lease servers. The serialised form is positional: fields and variants must keep
+//! their order.
 
 use crate::{Epoch, Incarnation, Micros, ProcessId};
 use serde::{Deserialize, Serialize};
@@ -9,50 +9,51 @@
 pub struct ServerIncarnation {
     /// The server's index in the list of lease servers.
     pub server: usize,
-    /// The incarnation. Unlike those of other processes they are ordered: the newest one is the highest.
+    /// Incarnations of lease servers are ordered, unlike those of other processes: the newest is the highest.
     pub incarnation: Incarnation,
 }
 
-/// A task with the highest epoch known for it.
+/// The highest known epoch of a task.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct TaskEpoch {
     /// The task's name.
     pub task: String,
-    /// The highest epoch known.
+    /// The highest known epoch.
     pub epoch: Epoch,
 }
 
-/// What a lease server remembers, for another one that has just started.
+/// The state of a lease server, sent to another server that is recovering after a start.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RecoveryResponse {
-    /// The index of the server that answers.
+    /// The index of the responding server.
     pub server: usize,
-    /// The incarnation that asked.
+    /// The requesting incarnation.
     pub requester: Incarnation,
-    /// The incarnation that answers.
+    /// The responding incarnation.
     pub responder: Incarnation,
-    /// Whether the server that answers has no memory of its own.
+    /// Whether the responding server started without a log and has not recovered yet.
     pub is_blank: bool,
-    /// Whether the incarnation that asked was blank when the server that answers found all servers blank.
+    /// Whether the requesting incarnation was blank when the responding server found all servers blank.
     pub is_founder: bool,
-    /// Each task with the highest epoch known for it.
+    /// The highest known epoch of each task.
     pub epochs: Vec<TaskEpoch>,
-    /// The newest incarnation known of the server that asked. If that is another one, this answer does not count.
+    /// The newest known incarnation of the requesting server. If it is newer than `requester`, the response does not
+    /// count.
     pub newest_requester: Incarnation,
-    /// The newest incarnation known of each server but the one that answers.
+    /// The newest known incarnation of each server except the responding one.
     pub incarnations: Vec<ServerIncarnation>,
 }
 
-/// A client's question for a lease.
+/// A client's request for a lease.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct AcquireRequest {
     /// The task's name.
     pub task: String,
-    /// The process that asks.
+    /// The requesting process.
     pub requester: ProcessId,
-    /// The epoch under which it asks.
+    /// The epoch that the lease is requested under.
     pub epoch: Epoch,
-    /// Comes back with the answer and tells an old answer from a new one.
+    /// Returned in the response, to distinguish current from stale responses.
     pub round: u64,
     /// The lease's duration, in microseconds.
     pub duration: Micros,
@@ -61,63 +62,64 @@
 /// A message to a lease server, from a client or from another server.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum LeaseRequest {
-    /// A client asks for a lease, or renews it.
+    /// From a client that acquires or renews a lease.
     Acquire(AcquireRequest),
-    /// A client no longer acts under this epoch.
+    /// From a client that no longer acts under this epoch.
     Release {
         /// The task's name.
         task: String,
         /// The process that held the lease.
         holder: ProcessId,
-        /// The epoch under which it held it.
+        /// The epoch that the lease was held under.
         epoch: Epoch,
     },
-    /// A lease server that has just started asks what the others remember.
+    /// From a lease server that recovers after a start: requests the state of the other servers.
     RequestRecovery(ServerIncarnation),
-    /// The answer to [`LeaseRequest::RequestRecovery`].
+    /// The response to [`LeaseRequest::RequestRecovery`].
     Recovery(RecoveryResponse),
-    /// A client tells a lease server that a newer incarnation of it is known than the one that granted; that one's
-    /// grants do not count any more.
+    /// From a client: a newer incarnation of the lease server is known than the one that granted. Grants of the older
+    /// incarnation no longer count.
     Superseded(ServerIncarnation),
 }
 
-/// The answer of a lease server to [`LeaseRequest::Acquire`].
+/// The response of a lease server to [`LeaseRequest::Acquire`].
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum LeaseResponse {
-    /// The lease is granted from now on.
+    /// The lease is granted from the time of the response.
     Granted {
         /// The task's name.
         task: String,
-        /// The incarnation that asked: messages go by name, and two processes of one name count their rounds alike.
+        /// The requesting incarnation. Needed because messages are addressed by node name, and two processes of the
+        /// same name use the same round numbers.
         requester: Incarnation,
         /// The request's round.
         round: u64,
         /// The request's epoch.
         epoch: Epoch,
-        /// The incarnation of the server that grants.
+        /// The incarnation of the granting server.
         server_incarnation: Incarnation,
-        /// The newest incarnation that it knows of each other server.
+        /// The newest incarnation of each other server that the granting server knows.
         incarnations: Vec<ServerIncarnation>,
     },
     /// The lease is not granted.
     Refused {
         /// The task's name.
         task: String,
-        /// The incarnation that asked.
+        /// The requesting incarnation.
         requester: Incarnation,
         /// The request's round.
         round: u64,
-        /// The highest epoch that this server knows for the task.
+        /// The highest epoch of the task that this server knows.
         epoch: Epoch,
-        /// Who holds the lease by this server.
+        /// The holder of this server's grant, if any.
         holder: Option<ProcessId>,
-        /// How much longer the holder's grant lasts by this server's clock, in microseconds.
+        /// The remaining time of that grant by this server's clock, in microseconds.
         remaining: Micros,
     },
 }
 
 impl LeaseResponse {
-    /// The incarnation that the answer is for.
+    /// The incarnation that the response is for.
     pub fn requester(&self) -> Incarnation {
         match self {
             LeaseResponse::Granted { requester, .. } | LeaseResponse::Refused { requester, .. } => {
--- a/crates/coordination/src/lease/mod.rs
+++ b/crates/coordination/src/lease/mod.rs
@@ -1,32 +1,33 @@
-//! Leases that a majority of lease servers grants.
+//! Leases that are granted by a majority of lease servers.
 //!
-//! A lease is on a *task*, which is just a name. At every moment at most one process of the fleet holds it, and each
-//! holder acts under an [`Epoch`](crate::Epoch) that is higher than those of all holders before it.
+//! A lease is on a *task*, which is identified by name. At most one process of the fleet holds it at any time, and each
+//! holder acts under an [`Epoch`](crate::Epoch) higher than those of all previous holders.
 //!
 //! # Protocol
 //!
-//! 1. A [`LeaseClient`] sends [`LeaseRequest::Acquire`] to all lease servers, under an epoch higher than any that it has
-//!    heard of.
-//! 2. A [`LeaseServer`] grants it if no other process's grant has time left by the server's own clock, and if the epoch
-//!    is higher than all that it has granted for the task. The grant is durable before the answer goes out.
-//! 3. With grants of a majority the client holds the lease from the moment it *asked*, for the lease's duration less the
-//!    stated drift of clocks by its own clock ([`reduce_by_drift`]). It renews after a third of the duration.
-//! 4. Whoever acts under the lease asks [`LeaseClient::held_epoch`] before every act.
+//! 1. A [`LeaseClient`] sends [`LeaseRequest::Acquire`] to all lease servers, under an epoch higher than any that it
+//!    knows.
+//! 2. A [`LeaseServer`] grants it if no grant of another process is unexpired by the server's clock, and if the epoch
+//!    is higher than all that it has granted for the task. The grant is durable before the response is sent.
+//! 3. Once a majority has granted, the client holds the lease. Its holding time starts when the *request was sent* and
+//!    lasts for the lease duration less the clock drift ([`reduce_by_drift`]), by the client's clock. The client renews
+//!    after a third of the duration.
+//! 4. The holder checks [`LeaseClient::held_epoch`] before every action under the lease.
 //!
 //! # Invariants
 //!
-//! - A server's grants never overlap, and the epochs that it grants for a task never fall.
-//! - A client's holding time ends before the grants that it rests on end, whichever clock runs fast.
-//! - A server that may have forgotten grants (its disk was lost or put back to an older state) grants nothing until it
-//!   has asked enough of the other servers, and until all that it may have granted before has run out.
-//! - Two processes under one server's name are never both counted, one for each of two holders: each grant names the
-//!   newest incarnation known of the other servers, and the client does not count a superseded one.
+//! - The grants of a server never overlap, and the epochs that it grants for a task never decrease.
+//! - The holding time of a client ends before the underlying grants expire, whichever clock runs fast.
+//! - A server that may have lost grants (its disk was lost or restored to an older state) grants nothing until enough
+//!   other servers have sent their state and all grants that it may have given before have expired.
+//! - Two processes under the same server name never count for two different holders: each grant lists the newest known
+//!   incarnations of the other servers, and the client ignores grants of a superseded incarnation.
 //!
-//! # Who calls what
+//! # Callers
 //!
-//! [`CoordinationNode`](crate::node::CoordinationNode) owns the clients of one process and its server, if it is one. It
-//! passes messages and time to both, writes down [`LeaseLogRecord`]s before it sends what depends on them, and sends the
-//! rest.
+//! [`CoordinationNode`](crate::node::CoordinationNode) owns the lease clients of a process and its lease server, if
+//! any. It passes messages and time to both and writes [`LeaseLogRecord`]s before it sends the messages that depend on
+//! them.
 
 mod client;
 mod log_record;
@@ -43,14 +44,14 @@
     MAX_TASKS,
 };
 
-/// Parts in a million.
+/// Parts per million in one.
 const MILLION: u128 = 1_000_000;
-/// The largest drift that the arithmetic allows, in parts in a million.
+/// The largest drift that the arithmetic supports, in parts per million.
 const MAX_DRIFT_PPM: u32 = 999_999;
 
-/// What remains of an amount of time (or of whatever accrues with time) once two clocks may each run up to `drift_ppm`
-/// parts in a million wrong, in opposite directions. A holder may act for this long after it asked, by its own clock,
-/// since the server's clock may be the fast one.
+/// Reduces a duration, or an amount that accrues with time, by the worst-case drift between two clocks: each may
+/// deviate by up to `drift_ppm` parts per million, in opposite directions. A lease holder may act for this long after
+/// its request by its own clock, since the server's clock may run fast.
 pub fn reduce_by_drift(amount: u64, drift_ppm: u32) -> u64 {
     let amount = u128::from(amount);
     let drift = u128::from(drift_ppm.min(MAX_DRIFT_PPM));
--- a/crates/coordination/src/lease/server/grant_table.rs
+++ b/crates/coordination/src/lease/server/grant_table.rs
@@ -5,55 +5,56 @@
 use crate::{Epoch, Incarnation, Micros, ProcessId};
 use std::collections::BTreeMap;
 
-/// Tasks that a lease server remembers. Tasks are few and named by the program, so this bounds what a bug can do.
+/// The maximum number of tasks in the table of a lease server. The program uses a few fixed names; the limit bounds
+/// memory use in case of a bug.
 pub const MAX_TASKS: usize = 1024;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Grant {
     epoch: Epoch,
-    /// `None` after a release, or where the epoch is only known from other servers.
+    /// `None` after a release, or if the epoch is only known from other servers.
     holder: Option<ProcessId>,
     duration: Micros,
-    /// When the grant ends by this server's clock.
+    /// When the grant expires by this server's clock.
     until: Micros,
 }
 
-/// One row of a lease server's table, as operators see it.
+/// One row of a lease server's grant table, as shown to operators.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LeaseTableEntry {
     /// The task's name.
     pub task: String,
-    /// The highest epoch known.
+    /// The highest known epoch.
     pub epoch: Epoch,
-    /// Who holds the lease by this server.
+    /// The holder of this server's grant; `None` if it has expired or was released.
     pub holder: Option<ProcessId>,
-    /// How much longer, in microseconds.
+    /// The remaining time of the grant, in microseconds.
     pub remaining: Micros,
 }
 
-/// What a server says of itself in each grant.
+/// The identity of the granting server, sent with each grant.
 pub(super) struct Grantor {
     pub(super) incarnation: Incarnation,
-    /// The newest incarnation known of each other server.
+    /// The newest known incarnation of each other server.
     pub(super) known_incarnations: Vec<ServerIncarnation>,
 }
 
-/// The answer to a request for a lease.
+/// The response to an acquire request, with the record to write before it.
 pub(super) struct AcquireOutcome {
     pub(super) response: LeaseResponse,
-    /// Must be durable before the response goes out.
+    /// Must be durable before the response is sent.
     pub(super) record: Option<GrantRecord>,
 }
 
-/// All grants of one lease server. The epochs of a task never fall, and grants to two holders never overlap.
+/// All grants of one lease server. The epochs of a task never decrease, and grants to two holders never overlap.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(super) struct GrantTable {
     grants: BTreeMap<String, Grant>,
 }
 
 impl GrantTable {
-    /// The table as the server's log has it. How much of a grant has run out by `now` nobody knows, so all of its
-    /// duration may be ahead.
+    /// Restores the table from the server's log. How much of a grant's duration has elapsed by `now` is unknown, so the
+    /// full duration is assumed to remain.
     pub(super) fn from_log(records: &[LeaseLogRecord], now: Micros) -> GrantTable {
         let mut table = GrantTable::default();
         for record in records {
@@ -83,13 +84,13 @@
         self.grants.insert(record.task.clone(), grant);
     }
 
-    /// The longest duration of all grants, in microseconds; 0 without any.
+    /// The longest duration of all grants, in microseconds; 0 if there are none.
     pub(super) fn longest_duration(&self) -> Micros {
         let durations = self.grants.values().map(|grant| grant.duration);
         durations.max().unwrap_or(0)
     }
 
-    /// Each task with its highest epoch.
+    /// The highest known epoch of each task.
     pub(super) fn epochs(&self) -> Vec<TaskEpoch> {
         let epoch_of = |(task, grant): (&String, &Grant)| TaskEpoch {
             task: task.clone(),
@@ -98,9 +99,10 @@
         self.grants.iter().map(epoch_of).collect()
     }
 
-    /// Takes an epoch that another server knows of. What is returned must be durable before the epoch counts as known.
-    pub(super) fn learn_epoch(&mut self, told: TaskEpoch) -> Option<GrantRecord> {
-        let TaskEpoch { task, epoch } = told;
+    /// Records an epoch reported by another server. The returned record must be durable before the epoch counts as
+    /// known.
+    pub(super) fn learn_epoch(&mut self, reported: TaskEpoch) -> Option<GrantRecord> {
+        let TaskEpoch { task, epoch } = reported;
         let known_epoch = self.epoch_of(&task);
         let is_full = self.grants.len() >= MAX_TASKS;
         if epoch <= known_epoch || (known_epoch == Epoch::default() && is_full) {
@@ -121,8 +123,8 @@
         })
     }
 
-    /// Ends a grant early. A release that comes late must not free what was granted since. It need not be durable: a
-    /// server that forgets it takes the task as granted for a while longer.
+    /// Ends a grant early. A late release must not end a later grant. A release need not be durable: a server that
+    /// loses it only treats the task as granted for longer.
     pub(super) fn release(&mut self, task: &str, holder: &ProcessId, epoch: Epoch, now: Micros) {
         if let Some(grant) = self.grants.get_mut(task) {
             if grant.epoch == epoch && grant.holder.as_ref() == Some(holder) {
@@ -132,7 +134,7 @@
         }
     }
 
-    /// Grants or refuses a lease. `max_duration` is the longest that may be granted, in microseconds.
+    /// Grants or refuses a lease. `max_duration` is the longest permitted duration, in microseconds.
     pub(super) fn acquire(
         &mut self,
         request: AcquireRequest,
@@ -150,7 +152,7 @@
             .grants
             .get(&request.task)
             .filter(|grant| grant.is_renewed_by(&request));
-        // Going on with a grant changes nothing that a restart would need: it takes all of the duration as ahead.
+        // A renewal needs no new record: after a restart the full duration is assumed to remain in any case.
         let is_logged = renewed.is_some_and(|grant| grant.duration >= request.duration);
         let earlier_end = renewed.map_or(0, |grant| grant.until);
         let until = now.saturating_add(request.duration).max(earlier_end);
@@ -181,8 +183,8 @@
         }
     }
 
-    /// Whether a request may be granted: nobody else has time left, the epoch is a new one or that of the grant that
-    /// goes on, and the duration is within bounds.
+    /// Whether a request may be granted: no other process has an unexpired grant, the epoch is new or that of the grant
+    /// to be renewed, and the duration is within bounds.
     fn can_grant(&self, request: &AcquireRequest, max_duration: Micros, now: Micros) -> bool {
         let is_valid_duration = request.duration > 0 && request.duration <= max_duration;
         let is_new_epoch = request.epoch > self.epoch_of(&request.task);
@@ -205,14 +207,13 @@
         }
     }
 
-    /// The highest epoch known for a task; 0 where none is.
+    /// The highest known epoch of a task; 0 if none is known.
     fn epoch_of(&self, task: &str) -> Epoch {
         self.grants
             .get(task)
             .map_or(Epoch::default(), |grant| grant.epoch)
     }
 
-    /// The rows of the table at this moment.
     pub(super) fn entries(&self, now: Micros) -> impl Iterator<Item = LeaseTableEntry> + '_ {
         self.grants.iter().map(move |(task, grant)| {
             let remaining = grant.until.saturating_sub(now);
@@ -231,7 +232,7 @@
         self.holder.as_ref() == Some(process)
     }
 
-    /// Whether a request asks for this very grant to go on.
+    /// Whether a request renews this grant.
     fn is_renewed_by(&self, request: &AcquireRequest) -> bool {
         self.is_held_by(&request.requester) && self.epoch == request.epoch
     }
--- a/crates/coordination/src/lease/server/incarnation.rs
+++ b/crates/coordination/src/lease/server/incarnation.rs
@@ -1,12 +1,12 @@
-//! Incarnations of lease servers. They are ordered, unlike those of other processes: a generation stands above a random
-//! part, so that the newest incarnation is the highest.
+//! Incarnations of lease servers. Unlike those of other processes they are ordered: the high bits hold a generation and
+//! the low bits a random part, so the newest incarnation is the highest.
 
 use crate::Incarnation;
 
-/// How many of an incarnation's low bits are random.
+/// The number of random low bits.
 const RANDOM_BITS: u32 = 40;
 
-/// The incarnation that follows `known`, with the random part of `fresh`.
+/// The incarnation of the generation after `known`, with the random part of `fresh`.
 pub(super) fn next_incarnation(known: Incarnation, fresh: Incarnation) -> Incarnation {
     let generation = (known.0 >> RANDOM_BITS)
         .saturating_add(1)
--- a/crates/coordination/src/lease/server/mod.rs
+++ b/crates/coordination/src/lease/server/mod.rs
@@ -1,12 +1,12 @@
-//! One lease server: its part of the table of grants, and its recovery after a start.
+//! A lease server: its grant table, and its recovery after a start.
 //!
-//! | state | grants | leaves it when |
+//! | state | grants leases | next state |
 //! | --- | --- | --- |
-//! | `Recovering` | nothing | enough other servers told what they remember: `WaitingForOldGrants` |
-//! | `WaitingForOldGrants` | nothing | all that it may have granted before its start has run out: `Granting` |
-//! | `Granting` | yes | a newer process under its name is known: `Recovering` |
+//! | `Recovering` | no | `WaitingForOldGrants` once enough other servers have sent their state |
+//! | `WaitingForOldGrants` | no | `Granting` once all grants that it may have given before its start have expired |
+//! | `Granting` | yes | `Recovering` if a newer process under the same name is known |
 //!
-//! A server that trusts its own log, and finds it complete, begins in `Granting`.
+//! A server that trusts its log, and finds it complete, starts in `Granting`.
 
 mod grant_table;
 mod incarnation;
@@ -22,60 +22,62 @@
 pub use grant_table::{LeaseTableEntry, MAX_TASKS};
 pub use recovery::RecoveryState;
 
-/// What the lease servers of one fleet must agree on.
+/// The configuration of a lease server. `server_count` and `max_duration` must be equal on all lease servers of a
+/// fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseServerConfig {
-    /// How many lease servers there are.
+    /// The number of lease servers.
     pub server_count: usize,
-    /// This one's index among them.
+    /// The index of this server in the list of lease servers.
     pub server_index: usize,
-    /// The longest lease, in microseconds.
+    /// The longest lease duration, in microseconds.
     pub max_duration: Micros,
-    /// Whether the server's own log is believed to be as it left it. If not, what it granted before is asked of the
-    /// others, since a disk that was put back to an older state looks complete.
+    /// Whether the log is trusted after a restart. If not, the server recovers its grants from the other servers, since
+    /// a log on a disk that was restored to an older state also looks complete.
     pub trusts_log: bool,
 }
 
 /// A message from one lease server to another.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PeerMessage {
-    /// The index of the server that it goes to.
+    /// The index of the recipient.
     pub server: usize,
     /// The message.
     pub message: LeaseRequest,
 }
 
-/// What a lease server does about a message.
+/// The outputs of a lease server for one message.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct LeaseServerOutput {
-    /// Must be durable before anything else is carried out.
+    /// Must be durable before the other outputs are executed.
     pub log_records: Vec<LeaseLogRecord>,
-    /// Goes to the node that asked.
+    /// The response to the requesting node.
     pub response: Option<LeaseResponse>,
-    /// Goes to the lease server that asked.
+    /// The response to the requesting lease server.
     pub peer_message: Option<PeerMessage>,
 }
 
-/// A lease server.
+/// A lease server. It does no I/O: the caller passes in messages and time and executes the returned outputs.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseServer {
     config: LeaseServerConfig,
     incarnation: Incarnation,
-    /// Whether it has no memory of its own.
+    /// Whether the server started without a complete log and has not recovered yet.
     is_blank: bool,
-    /// Where all servers began without a memory: the others then.
+    /// The other servers, if all servers started blank; otherwise empty.
     founders: BTreeSet<ServerIncarnation>,
-    /// Whether another server found all servers blank, this incarnation among them.
+    /// Whether another server found all servers blank, including this incarnation.
     is_founder: bool,
-    /// The newest incarnation known of each other server, by index. A second process under a server's name is told by
-    /// it.
+    /// The newest known incarnation of each other server, by index. Used to detect a second process under a server's
+    /// name.
     incarnations: BTreeMap<usize, Incarnation>,
     grants: GrantTable,
     recovery: RecoveryState,
 }
 
 impl LeaseServer {
-    /// A server that starts now with what its log holds. `incarnation` must differ from those of earlier starts.
+    /// Creates a server that starts now with the records of its log. `incarnation` must differ from those of earlier
+    /// starts.
     pub fn new(
         config: LeaseServerConfig,
         incarnation: Incarnation,
@@ -110,8 +112,8 @@
         }
     }
 
-    /// Another list of lease servers is in force from now on; this one goes on with what it knows. Indexes have changed,
-    /// so which servers have answered must be found out again.
+    /// Replaces the list of lease servers. The grants of this server are retained. Since server indexes have changed, a
+    /// recovery in progress collects its responses again.
     pub fn set_servers(&mut self, server_index: usize, server_count: usize) {
         self.config.server_index = server_index;
         self.config.server_count = server_count;
@@ -124,12 +126,12 @@
         self.is_founder = false;
     }
 
-    /// How far the server has come since its start.
+    /// The progress of the recovery after the server's start.
     pub fn recovery_state(&self) -> &RecoveryState {
         &self.recovery
     }
 
-    /// When [`LeaseServer::advance`] has something to do.
+    /// When [`LeaseServer::advance`] must be called next; `None` if only messages can change the state.
     pub fn next_deadline(&self) -> Option<Micros> {
         match self.recovery {
             RecoveryState::WaitingForOldGrants(until) => Some(until),
@@ -137,7 +139,7 @@
         }
     }
 
-    /// Takes a message.
+    /// Handles a message from a client or another server.
     pub fn handle(&mut self, now: Micros, message: LeaseRequest) -> LeaseServerOutput {
         let recovery_record = self.advance(now);
         let mut output = self.dispatch(now, message);
@@ -165,7 +167,7 @@
         }
     }
 
-    /// Grants or refuses a lease; a server that does not grant yet says nothing.
+    /// Grants or refuses a lease. A server that does not grant yet does not respond.
     fn handle_acquire(&mut self, now: Micros, request: AcquireRequest) -> LeaseServerOutput {
         if self.recovery != RecoveryState::Granting {
             return LeaseServerOutput::default();
@@ -185,7 +187,7 @@
         }
     }
 
-    /// The newest incarnation known of each other server.
+    /// The newest known incarnation of each other server.
     fn known_incarnations(&self) -> Vec<ServerIncarnation> {
         let known = self.incarnations.iter();
         known
@@ -196,13 +198,13 @@
             .collect()
     }
 
-    /// The table of grants as operators see it.
+    /// The grant table, as shown to operators.
     pub fn table(&self, now: Micros) -> impl Iterator<Item = LeaseTableEntry> + '_ {
         self.grants.entries(now)
     }
 }
 
-/// The newest incarnation of each server that a log tells of, by index.
+/// The newest incarnation of each server in a log, by server index.
 fn newest_incarnations(log: &[LeaseLogRecord]) -> BTreeMap<usize, Incarnation> {
     let mut newest: BTreeMap<usize, Incarnation> = BTreeMap::new();
     for record in log {
--- a/crates/coordination/src/lease/server/recovery.rs
+++ b/crates/coordination/src/lease/server/recovery.rs
@@ -1,8 +1,8 @@
-//! The recovery of a lease server after a start: what it asks of the other servers, and what it answers them.
+//! Recovery of a lease server after a start, and its responses to other recovering servers.
 //!
-//! A server may come back with an empty log, or with one that was put back to an older state. It then asks the others for
-//! the epochs that they know. Every majority that it was part of has a member among any majority of the others, so with
-//! that many answers it knows every epoch that it may have granted.
+//! A server may restart with an empty log, or with one that was restored to an older state. It then requests the known
+//! epochs from the other servers. Every majority that it was part of intersects any majority of the other servers, so
+//! with that many responses it knows every epoch that it may have granted.
 
 use super::{LeaseServer, LeaseServerOutput, PeerMessage};
 use crate::lease::log_record::LeaseLogRecord;
@@ -11,24 +11,24 @@
 use crate::{Incarnation, Micros};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How far a lease server has come since its start.
+/// The recovery state of a lease server.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum RecoveryState {
-    /// It asks the other servers for what it may have forgotten, and grants nothing.
+    /// Requests the state of the other servers; grants nothing.
     Recovering {
-        /// The servers that answered from memory, by index.
+        /// The servers that responded with their state, by index.
         answered: BTreeSet<usize>,
-        /// The servers that answered that they have no memory, with their incarnations.
+        /// The servers that responded that they are blank, with their incarnations.
         blank: BTreeMap<usize, Incarnation>,
     },
-    /// What it granted before its start may still be held until this time of its clock.
+    /// Waits until this time of the local clock, since grants from before the start may still be held.
     WaitingForOldGrants(Micros),
-    /// It grants leases.
+    /// Grants leases.
     Granting,
 }
 
 impl RecoveryState {
-    /// The state in which nobody has answered yet.
+    /// The state before any server has responded.
     pub(super) fn unanswered() -> RecoveryState {
         RecoveryState::Recovering {
             answered: BTreeSet::new(),
@@ -42,7 +42,7 @@
 }
 
 impl LeaseServer {
-    /// What to ask the other lease servers, again and again until this is `None`.
+    /// The request to send to the other lease servers, repeatedly until this returns `None`.
     pub fn recovery_request(&self) -> Option<LeaseRequest> {
         let request = LeaseRequest::RequestRecovery(ServerIncarnation {
             server: self.config.server_index,
@@ -51,8 +51,8 @@
         self.recovery.is_recovering().then_some(request)
     }
 
-    /// Looks whether enough servers have answered, and whether the wait for old grants is over. What is returned must be
-    /// durable before anything else is carried out.
+    /// Checks whether enough servers have responded and whether the wait for old grants is over. The returned record
+    /// must be durable before any other output is executed.
     pub fn advance(&mut self, now: Micros) -> Option<LeaseLogRecord> {
         let mut record = None;
         if self.has_recovered() {
@@ -64,8 +64,8 @@
         record
     }
 
-    /// Whether enough other servers have answered. Where all servers are blank, which is a fleet's first start, the
-    /// others are kept in mind as founders.
+    /// Whether enough other servers have responded. If all servers are blank, which is the first start of a fleet, the
+    /// other servers are recorded as founders.
     fn has_recovered(&mut self) -> bool {
         let RecoveryState::Recovering { answered, blank } = &self.recovery else {
             return false;
@@ -80,18 +80,18 @@
             };
             self.founders = blank.iter().map(founder).collect();
         }
-        // All that answered know this incarnation by now, and no newer one.
+        // All servers that responded know this incarnation and no newer one.
         let is_known_founder =
             self.is_founder && self.is_blank && answered.len() + blank.len() >= quorum;
         answered.len() >= quorum || is_first_start || is_known_founder
     }
 
-    /// The memory counts from here on; what this server granted before its start may still be held.
+    /// Completes the recovery and starts the wait for old grants.
     ///
-    /// The wait runs from here and not from the start: where this server takes another one's place, that one may have
-    /// granted until those that answered went over to the new list.
+    /// The wait starts here and not at the start of the process: if this server replaces another one, that one may have
+    /// granted until the responding servers switched to the new server list.
     fn complete_recovery(&mut self, now: Micros) -> Option<LeaseLogRecord> {
-        // Leases may have been longer before operators changed them.
+        // The configured lease duration may have been longer before the restart.
         let longest = self.config.max_duration.max(self.grants.longest_duration());
         self.recovery = RecoveryState::WaitingForOldGrants(now.saturating_add(longest));
         let founders = self.founders.iter().copied().collect();
@@ -99,7 +99,7 @@
         was_blank.then_some(LeaseLogRecord::RecoveryComplete { founders })
     }
 
-    /// Answers another server that has just started.
+    /// Responds to a recovering server.
     pub(super) fn handle_recovery_request(
         &mut self,
         requester: ServerIncarnation,
@@ -133,7 +133,7 @@
         }
     }
 
-    /// A client knows of a newer process under this server's name: this one asks the others again before it counts.
+    /// Restarts the recovery if a client reports a newer process under this server's name.
     pub(super) fn handle_superseded(&mut self, newest: ServerIncarnation) {
         if newest.server == self.config.server_index
             && newest.incarnation > self.incarnation
@@ -143,7 +143,7 @@
         }
     }
 
-    /// Takes what another server remembers.
+    /// Records the state of another server.
     pub(super) fn handle_recovery_response(
         &mut self,
         response: RecoveryResponse,
@@ -155,17 +155,17 @@
             return LeaseServerOutput::default();
         }
         if response.newest_requester > self.incarnation {
-            // Another process had this name, or has it: this one is to be the newest before it counts.
+            // Another process has or had this name. This one must become the newest before it may grant.
             self.restart_recovery(response.newest_requester);
             return LeaseServerOutput::default();
         }
         let mut log_records = self.learn_incarnations(&response);
-        self.count_answer(&response);
-        for told in response.epochs {
-            let learned = self.grants.learn_epoch(told);
+        self.record_responder(&response);
+        for reported in response.epochs {
+            let learned = self.grants.learn_epoch(reported);
             log_records.extend(learned.map(LeaseLogRecord::Grant));
         }
-        // Another server found all servers blank, this very incarnation among them, before this one did.
+        // Another server found all servers blank, including this incarnation, before this server did.
         self.is_founder |= response.is_founder;
         log_records.extend(self.advance(now));
         if !self.recovery.is_recovering() {
@@ -180,7 +180,7 @@
         }
     }
 
-    fn count_answer(&mut self, response: &RecoveryResponse) {
+    fn record_responder(&mut self, response: &RecoveryResponse) {
         let RecoveryState::Recovering { answered, blank } = &mut self.recovery else {
             return;
         };
@@ -192,39 +192,40 @@
         }
     }
 
-    /// Goes on as an incarnation above `newest`, and counts again once enough of the others know it.
+    /// Continues under an incarnation newer than `newest`. The server grants again once enough other servers know it.
     fn restart_recovery(&mut self, newest: Incarnation) {
         self.incarnation = next_incarnation(newest, self.incarnation);
         self.is_founder = false;
         self.recovery = RecoveryState::unanswered();
     }
 
-    /// Takes in the incarnations that another server knows of, and its own.
+    /// Records the incarnations that another server knows, and its own.
     fn learn_incarnations(&mut self, response: &RecoveryResponse) -> Vec<LeaseLogRecord> {
         let responder = ServerIncarnation {
             server: response.server,
             incarnation: response.responder,
         };
         let mut records = Vec::new();
-        for told in response.incarnations.iter().chain([&responder]) {
-            if self.is_other_server(told.server) {
-                records.extend(self.learn_incarnation(*told));
+        for reported in response.incarnations.iter().chain([&responder]) {
+            if self.is_other_server(reported.server) {
+                records.extend(self.learn_incarnation(*reported));
             }
         }
         records
     }
 
-    /// Takes in an incarnation of another server, if it is the newest known of that one.
-    fn learn_incarnation(&mut self, told: ServerIncarnation) -> Option<LeaseLogRecord> {
-        let known = self.incarnations.get(&told.server);
-        if known.is_some_and(|known| *known >= told.incarnation) {
+    /// Records an incarnation of another server, if it is newer than the known one.
+    fn learn_incarnation(&mut self, reported: ServerIncarnation) -> Option<LeaseLogRecord> {
+        let known = self.incarnations.get(&reported.server);
+        if known.is_some_and(|known| *known >= reported.incarnation) {
             return None;
         }
-        self.incarnations.insert(told.server, told.incarnation);
-        Some(LeaseLogRecord::Incarnation(told))
+        self.incarnations
+            .insert(reported.server, reported.incarnation);
+        Some(LeaseLogRecord::Incarnation(reported))
     }
 
-    /// Whether this index is one of the list, and not this server's own.
+    /// Whether the index is valid and not that of this server.
     fn is_other_server(&self, server: usize) -> bool {
         server != self.config.server_index && server < self.config.server_count
     }
--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -1,20 +1,19 @@
-//! Coordination between the nodes of one fleet, as state machines without input or output.
+//! Coordination between the nodes of a fleet, as state machines without I/O.
 //!
-//! Nothing here reads a socket, a file or a clock. Drivers (`src/transport/coordination` in the node, the emulator in the
-//! testbed, and the tests) feed messages and time, and carry out what is returned.
+//! Nothing here reads a socket, a file or a clock. Drivers (`src/transport/coordination` in the node, the emulator in
+//! the testbed, and the tests) pass in messages and the current time and execute the returned outputs.
 //!
 //! | module | job |
 //! | --- | --- |
-//! | [`lease`] | the server and the client of leases that a majority of lease servers grants |
-//! | [`gossip`] | which nodes are there, by a SWIM membership protocol |
-//! | [`budget`] | limits of the whole fleet, allocated among its nodes by time |
-//! | [`rolling_restart`] | taking nodes out one after the other, under a lease |
-//! | [`outlier_probing`] | probing ejected replicas once for the whole fleet, under a lease |
-//! | [`node`] | one process's composition of membership, lease clients and lease server |
+//! | [`lease`] | client and server of leases that are granted by a majority of lease servers |
+//! | [`gossip`] | fleet membership by the SWIM protocol |
+//! | [`budget`] | fleet-wide rate limits, allocated to nodes by grants of limited duration |
+//! | [`rolling_restart`] | draining nodes for a restart, a few at a time, coordinated by a lease holder |
+//! | [`outlier_probing`] | probing ejected replicas once for the whole fleet, coordinated by a lease holder |
+//! | [`node`] | membership, lease clients and lease server of one process |
 //! | [`envelope`] | the wire format of messages between nodes |
 //!
-//! `docs/leases.md` and `docs/budgets.md` state the guarantees exactly, on which assumptions they rest, and how they
-//! are tested.
+//! `docs/leases.md` and `docs/budgets.md` state the exact guarantees, their assumptions and how they are tested.
 
 pub mod budget;
 pub mod envelope;
@@ -27,6 +26,6 @@
 
 pub use identity::{Epoch, Incarnation, ProcessId};
 
-/// A point in time or a span of it, in whole microseconds on the monotonic clock of whoever states it. That clock must
-/// go on while the machine sleeps.
+/// A point in time or a duration, in microseconds, on the local monotonic clock. The clock must keep counting while the
+/// machine is suspended.
 pub type Micros = u64;
