--- a/crates/coordination/src/budget/allocator/mod.rs
+++ b/crates/coordination/src/budget/allocator/mod.rs
@@ -1,4 +1,4 @@
-//! The allocator of the fleet's budgets, under one epoch of its lease.
+//! The allocator of the fleet's budgets, for one epoch of the budget lease.
 
 mod node_account;
 #[cfg(test)]
@@ -12,40 +12,39 @@
 use node_account::{Allocation, NodeAccount};
 use std::collections::BTreeMap;
 
-/// How many nodes are kept account of.
+/// The maximum number of nodes with an account.
 const MAX_NODES: usize = 4096;
-/// How many grants of one node may be open, that is, given and not yet shown; beyond these it gets none until one runs
-/// out.
-const MAX_OPEN_GRANTS: usize = 8;
-/// A grant's rate stays as it is where what it should be differs by less than one part in so many.
+/// The maximum number of outstanding grants of a node, which are neither expired nor superseded by a confirmed newer
+/// one. At the limit the node gets no further grant until one expires.
+const MAX_OUTSTANDING_GRANTS: usize = 8;
+/// A node keeps its rate if the target differs by less than the rate divided by this number.
 const DAMPING: u64 = 10;
 
-/// What may be in use of a budget at one node.
+/// The rate of a budget that may be in use at one node.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct NodeAllocation {
-    /// The process that it was granted to.
+    /// The process with the grants.
     pub process: ProcessId,
-    /// In thousandths of a unit a second, its guaranteed rate left out.
+    /// In thousandths of a unit per second, without the guaranteed rate.
     pub rate: u64,
 }
 
-/// A budget as it is allocated, in thousandths of a unit a second.
+/// The allocation of a budget. Rates are in thousandths of a unit per second.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct BudgetAllocation {
-    /// Its name.
+    /// The budget's name.
     pub budget: String,
-    /// What is allocated: the limit less guaranteed rates and drift.
+    /// The limit less guaranteed rates and drift.
     pub allocatable: u64,
-    /// What may be in use of it; the remainder is free.
+    /// The rate that may be in use; the remainder is free.
     pub allocated: u64,
-    /// Where that is more than is allocatable, since operators have lowered the limit: the lower limit is reached at the
-    /// latest after so many microseconds.
+    /// The time until `allocated` is within a lowered limit at the latest, in microseconds; 0 if it already is.
     pub excess_expires_in: Micros,
-    /// What may be in use at each node.
+    /// The rate that may be in use at each node.
     pub nodes: Vec<NodeAllocation>,
 }
 
-/// The allocator of budgets, under one epoch.
+/// The budget allocator for one epoch.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct BudgetAllocator {
     epoch: Epoch,
@@ -53,13 +52,13 @@
     last_grant: u64,
     grant_duration: Micros,
     drift_ppm: u32,
-    /// Until then grants of allocators before this one may be in force that it does not know of.
-    open_at: Micros,
+    /// Until then, unknown grants of earlier allocators may be in force.
+    predecessor_grants_end_at: Micros,
     limits: BTreeMap<String, BudgetLimit>,
     nodes: BTreeMap<ProcessId, NodeAccount>,
 }
 
-/// What a node says that it has, from an allocator before this one.
+/// The rates that a node reports from a grant of an earlier allocator.
 struct InheritedRates<'request> {
     rates: Option<&'request Rates>,
 }
@@ -72,8 +71,8 @@
 }
 
 impl BudgetAllocator {
-    /// Begins to allocate. Grants last `grant_duration` microseconds; clocks may run up to `drift_ppm` parts in a
-    /// million wrong.
+    /// Creates an allocator. `grant_duration` is in microseconds; `drift_ppm` is the largest rate error of any clock,
+    /// in parts per million.
     pub fn new(
         epoch: Epoch,
         limits: BTreeMap<String, BudgetLimit>,
@@ -86,41 +85,42 @@
             last_grant: 0,
             grant_duration,
             drift_ppm,
-            open_at: now.saturating_add(grant_duration),
+            predecessor_grants_end_at: now.saturating_add(grant_duration),
             limits,
             nodes: BTreeMap::new(),
         }
     }
 
-    /// The epoch under which it allocates.
+    /// The epoch of the allocator.
     pub fn epoch(&self) -> Epoch {
         self.epoch
     }
 
-    /// Other limits are in force from now on. What was granted stays granted until it runs out.
+    /// Replaces the limits. Existing grants stay in force until they expire.
     pub fn set_limits(&mut self, limits: BTreeMap<String, BudgetLimit>) {
         self.limits = limits;
     }
 
-    /// Answers a request, if there is something to answer.
+    /// Handles a request. Returns `None` if the request is of a newer epoch, the node table is full, or the node has
+    /// too many outstanding grants.
     pub fn handle_request(&mut self, request: BudgetRequest, now: Micros) -> Option<BudgetMessage> {
         if request.epoch != self.epoch {
-            // What a node says to have counts only if it says so to this epoch: then no allocator before this one can
-            // have given it to somebody else.
+            // Rates that a node reports count only under the current epoch: then no earlier allocator can have granted
+            // the same rates to another node.
             let is_earlier = request.epoch < self.epoch;
             return is_earlier.then_some(BudgetMessage::NewEpoch(self.epoch));
         }
-        self.forget_expired(now);
+        self.remove_expired(now);
         let process = request.requester;
         let is_new_node = !self.nodes.contains_key(&process);
         if self.nodes.len() >= MAX_NODES && is_new_node {
             return None;
         }
         let account = self.nodes.entry(process.clone()).or_default();
-        account.heard_at = now;
+        account.last_request_at = now;
         account.demands = request.demands.into_iter().take(MAX_BUDGETS).collect();
-        account.drop_replaced(shown_grant(request.current_grant, self.epoch), now);
-        if account.open_grants.len() >= MAX_OPEN_GRANTS {
+        account.drop_superseded(confirmed_grant(request.current_grant, self.epoch), now);
+        if account.outstanding_grants.len() >= MAX_OUTSTANDING_GRANTS {
             return None;
         }
         let has_earlier_grant = request
@@ -139,8 +139,8 @@
         Some(BudgetMessage::Grant(grant))
     }
 
-    /// The most that a node may be granted of a budget: what no other node may be spending. For one grant's duration
-    /// only what it has from an allocator before this one, or from this one already, may go on.
+    /// The highest rate of a budget that a node may be granted: what no other node may be spending. While grants of
+    /// earlier allocators may be in force, the ceiling is the node's current rate.
     fn ceiling(
         &self,
         process: &ProcessId,
@@ -155,7 +155,7 @@
             .map(|(_, account)| account.rate_in_use(budget, now))
             .sum();
         let free = self.allocatable_rate(limit).saturating_sub(used_by_others);
-        if now >= self.open_at {
+        if now >= self.predecessor_grants_end_at {
             free
         } else if is_new_node {
             inherited.of(budget).min(free)
@@ -164,7 +164,7 @@
         }
     }
 
-    /// What a node should have of a budget by the demands of all. It keeps what it has where that differs little.
+    /// A node's max-min fair rate of a budget. The node keeps its current rate if the difference is small.
     fn target_rate(
         &self,
         process: &ProcessId,
@@ -188,7 +188,7 @@
         }
     }
 
-    /// Keeps account of a grant, and returns it as it is sent.
+    /// Records a grant in the node's account and returns the message.
     fn record_grant(
         &mut self,
         process: &ProcessId,
@@ -203,7 +203,7 @@
             rates: rates.clone(),
         };
         if let Some(account) = self.nodes.get_mut(process) {
-            account.open_grants.push(allocation);
+            account.outstanding_grants.push(allocation);
         }
         BudgetGrant {
             requester: process.incarnation,
@@ -217,8 +217,8 @@
         }
     }
 
-    /// What is allocated of a limit. Where more nodes speak than were planned for, their guaranteed rates are taken out,
-    /// too.
+    /// The allocatable rate of a limit. If there are more nodes than planned, the guaranteed rates of the additional
+    /// nodes are deducted, too.
     fn allocatable_rate(&self, limit: &BudgetLimit) -> u64 {
         let unplanned_nodes = (self.nodes.len() as u64).saturating_sub(u64::from(limit.max_nodes));
         limit
@@ -226,17 +226,17 @@
             .saturating_sub(unplanned_nodes.saturating_mul(limit.guaranteed_rate))
     }
 
-    /// Drops grants that have run out, and nodes that have none and were not heard of for a grant's duration.
-    fn forget_expired(&mut self, now: Micros) {
+    /// Removes expired grants, and nodes that have no grant and sent no request for one grant duration.
+    fn remove_expired(&mut self, now: Micros) {
         let grant_duration = self.grant_duration;
         self.nodes.retain(|_, account| {
             account.drop_expired(now);
-            let is_recent = now < account.heard_at.saturating_add(grant_duration);
-            !account.open_grants.is_empty() || is_recent
+            let is_recent = now < account.last_request_at.saturating_add(grant_duration);
+            !account.outstanding_grants.is_empty() || is_recent
         });
     }
 
-    /// Each budget as it is allocated now.
+    /// The allocation of each budget at `now`.
     pub fn status(&self, now: Micros) -> Vec<BudgetAllocation> {
         let limits = self.limits.iter();
         limits
@@ -268,8 +268,8 @@
     }
 }
 
-/// The number of the newest grant of this epoch that a node has shown to have; 0 where it has shown none.
-fn shown_grant(current_grant: Option<GrantId>, epoch: Epoch) -> u64 {
+/// The number of the grant of this epoch that a node reports as its current one; 0 if it reports none.
+fn confirmed_grant(current_grant: Option<GrantId>, epoch: Epoch) -> u64 {
     match current_grant {
         Some(grant) if grant.epoch == epoch => grant.number,
         _ => 0,
--- a/crates/coordination/src/budget/allocator/tests.rs
+++ b/crates/coordination/src/budget/allocator/tests.rs
@@ -1,10 +1,13 @@
-//! An access for the tests of budgets.
+//! Test-only constructors.
 
 use super::BudgetAllocator;
 
 impl BudgetAllocator {
-    /// The same allocator as if it had waited for the grants of the one before it already.
-    pub(in crate::budget) fn without_wait(self) -> BudgetAllocator {
-        BudgetAllocator { open_at: 0, ..self }
+    /// The same allocator after its wait for grants of earlier allocators.
+    pub(in crate::budget) fn after_initial_wait(self) -> BudgetAllocator {
+        BudgetAllocator {
+            predecessor_grants_end_at: 0,
+            ..self
+        }
     }
 }
--- a/crates/coordination/src/budget/fair_allocation.rs
+++ b/crates/coordination/src/budget/fair_allocation.rs
@@ -1,38 +1,38 @@
-//! The arithmetic of an allocation: weighted max-min fairness.
+//! Allocation by weighted max-min fairness.
 
 use super::messages::Demand;
 use std::collections::BTreeMap;
 
-/// Allocates `total` by weighted max-min fairness: nobody gets more than it demands while another lacks, what is scarce
-/// goes by weight, and what remains goes to all alike, so that whoever demands more tomorrow has some of it. Of that
-/// remainder one part more is left free: whoever comes next finds it.
+/// Allocates `total` by weighted max-min fairness: no demand is exceeded while another is unmet, and unmet demands
+/// share by weight. What remains is split equally, so that each key has headroom if its demand grows; one equal share
+/// is left unallocated for a key that is added next.
 pub fn allocate_max_min<Key: Ord + Clone>(
     total: u64,
     demands: &BTreeMap<Key, Demand>,
 ) -> BTreeMap<Key, u64> {
     let mut allocations: BTreeMap<Key, u64> = demands.keys().map(|key| (key.clone(), 0)).collect();
-    let mut open: Vec<(&Key, &Demand)> = demands
+    let mut unmet: Vec<(&Key, &Demand)> = demands
         .iter()
         .filter(|(_, demand)| demand.rate > 0)
         .collect();
-    // By what each demands for each unit of its weight: once the smallest fits, it is out of the way.
-    open.sort_by_key(|(_, demand)| {
+    // In ascending order of demand per weight: once the smallest demand is met, the remainder is shared by the others.
+    unmet.sort_by_key(|(_, demand)| {
         (u128::from(demand.rate) << 32) / u128::from(demand.weight.max(1))
     });
     let mut remaining = total;
-    let weights = open.iter().map(|(_, demand)| weight_of(demand));
+    let weights = unmet.iter().map(|(_, demand)| weight_of(demand));
     let mut remaining_weight: u128 = weights.sum();
-    for (key, demand) in open {
+    for (key, demand) in unmet {
         let weight = weight_of(demand);
-        let fair = (u128::from(remaining) * weight / remaining_weight.max(1)) as u64;
-        let allocation = demand.rate.min(fair);
+        let fair_share = (u128::from(remaining) * weight / remaining_weight.max(1)) as u64;
+        let allocation = demand.rate.min(fair_share);
         remaining -= allocation;
         remaining_weight -= weight;
         allocations.insert(key.clone(), allocation);
     }
-    let equal_part = remaining / (allocations.len() as u64 + 1);
+    let equal_share = remaining / (allocations.len() as u64 + 1);
     for allocation in allocations.values_mut() {
-        *allocation += equal_part;
+        *allocation += equal_share;
     }
     allocations
 }
--- a/crates/coordination/src/budget/granted_quotas.rs
+++ b/crates/coordination/src/budget/granted_quotas.rs
@@ -1,4 +1,4 @@
-//! What one process has been granted of the fleet's budgets.
+//! The budget grants of one process.
 
 use super::messages::{BudgetGrant, BudgetMessage, BudgetRequest, Demand, GrantId, Rates};
 use super::MAX_BUDGETS;
@@ -6,8 +6,8 @@
 use crate::{Epoch, Micros, ProcessId};
 use std::collections::{BTreeMap, VecDeque};
 
-/// How many requests an answer may still come to.
-const MAX_OPEN_REQUESTS: usize = 16;
+/// The maximum number of requests that may still be answered; the oldest is dropped.
+const MAX_PENDING_REQUESTS: usize = 16;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct CurrentGrant {
@@ -17,60 +17,60 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct OpenRequest {
+struct PendingRequest {
     number: u64,
     sent_at: Micros,
 }
 
-/// A rate that a grant allows.
+/// The rate of a budget that the current grant allows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct GrantedRate {
-    /// In thousandths of a unit a second, beyond the guaranteed rate.
+    /// In thousandths of a unit per second, in addition to the guaranteed rate.
     pub rate: u64,
-    /// When the grant runs out.
+    /// When the grant ends.
     pub until: Micros,
 }
 
-/// What one process has been granted. At most one grant is in force; a newer one takes its place.
+/// The grants of one process. At most one grant is in force; a newer one replaces it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct GrantedQuotas {
     process: ProcessId,
     drift_ppm: u32,
-    /// The highest epoch heard of.
+    /// The highest known epoch.
     epoch: Epoch,
     /// The number of the last request.
     last_request: u64,
     /// Requests that may still be answered.
-    open_requests: VecDeque<OpenRequest>,
+    pending_requests: VecDeque<PendingRequest>,
     current: Option<CurrentGrant>,
 }
 
 impl GrantedQuotas {
-    /// Nothing is granted yet. `drift_ppm` is how wrong any clock may run, in parts in a million.
+    /// Starts without a grant. `drift_ppm` is the largest rate error of any clock, in parts per million.
     pub fn new(process: ProcessId, drift_ppm: u32) -> GrantedQuotas {
         GrantedQuotas {
             process,
             drift_ppm,
             epoch: Epoch::default(),
             last_request: 0,
-            open_requests: VecDeque::new(),
+            pending_requests: VecDeque::new(),
             current: None,
         }
     }
 
-    /// The next request to the allocator.
+    /// Creates the next request to the allocator.
     pub fn next_request(
         &mut self,
         demands: BTreeMap<String, Demand>,
         now: Micros,
     ) -> BudgetMessage {
         self.last_request += 1;
-        self.open_requests.push_back(OpenRequest {
+        self.pending_requests.push_back(PendingRequest {
             number: self.last_request,
             sent_at: now,
         });
-        if self.open_requests.len() > MAX_OPEN_REQUESTS {
-            self.open_requests.pop_front();
+        if self.pending_requests.len() > MAX_PENDING_REQUESTS {
+            self.pending_requests.pop_front();
         }
         self.current.take_if(|current| now >= current.until);
         let rates = self.current.as_ref().map(|current| current.rates.clone());
@@ -84,25 +84,25 @@
         })
     }
 
-    /// Takes an answer of the allocator; true where another request is due at once.
-    pub fn handle_answer(&mut self, answer: &BudgetMessage, now: Micros) -> bool {
-        match answer {
+    /// Handles a response of the allocator. Returns whether another request must be sent at once.
+    pub fn handle_response(&mut self, response: &BudgetMessage, now: Micros) -> bool {
+        match response {
             BudgetMessage::NewEpoch(epoch) => {
                 let is_newer = *epoch > self.epoch;
                 self.epoch = self.epoch.max(*epoch);
                 is_newer
             }
             BudgetMessage::Grant(grant) => {
-                self.take_grant(grant, now);
+                self.apply_grant(grant, now);
                 false
             }
             BudgetMessage::Request(_) => false,
         }
     }
 
-    /// Puts a grant in force, if it is for this process, newer than the current one, and not over yet. It counts from
-    /// the request, as a lease does.
-    fn take_grant(&mut self, grant: &BudgetGrant, now: Micros) {
+    /// Puts a grant in force if it is for this process, newer than the current one, and has not ended. Like a lease, it
+    /// starts when the request was sent.
+    fn apply_grant(&mut self, grant: &BudgetGrant, now: Micros) {
         let current = self.current.as_ref();
         let is_newer = current.is_none_or(|current| current.id < grant.id);
         let is_for_this_process = grant.requester == self.process.incarnation;
@@ -110,7 +110,7 @@
             return;
         }
         let request = self
-            .open_requests
+            .pending_requests
             .iter()
             .find(|request| request.number == grant.request_number);
         let Some(request) = request else {
@@ -132,7 +132,7 @@
         }
     }
 
-    /// What may be spent of a budget beyond the guaranteed rate: nothing, as of now, where no grant is in force.
+    /// The rate of a budget in addition to the guaranteed rate; 0 until `now` if no grant is in force.
     pub fn rate(&self, budget: &str, now: Micros) -> GrantedRate {
         match &self.current {
             Some(current) if now < current.until => GrantedRate {
--- a/crates/coordination/src/budget/limit.rs
+++ b/crates/coordination/src/budget/limit.rs
@@ -1,41 +1,41 @@
-//! One budget as operators set it.
+//! The configured limit of a budget.
 
 use crate::lease::reduce_by_drift;
 
-/// One budget as operators set it. Rates are in thousandths of a unit a second, bursts in thousandths of a unit.
+/// The configured limit of a budget. Rates are in thousandths of a unit per second, bursts in thousandths of a unit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct BudgetLimit {
-    /// What the fleet may spend.
+    /// The rate of the whole fleet.
     pub rate: u64,
-    /// What the fleet may spend at once.
+    /// The burst of the whole fleet.
     pub burst: u64,
-    /// What a node may spend without a grant.
+    /// The rate of each node without a grant.
     pub guaranteed_rate: u64,
-    /// What a node may spend at once without a grant.
+    /// The burst of each node without a grant.
     pub guaranteed_burst: u64,
-    /// How many nodes are planned for: their guaranteed rates are kept out of what is allocated.
+    /// The planned number of nodes. Their guaranteed rates are deducted from the allocatable rate.
     pub max_nodes: u32,
 }
 
-/// Why a budget's figures do not add up. The text says what would be right, in the words of the settings.
+/// An inconsistent budget limit. The message states the expected value in terms of the settings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum BudgetLimitError {
-    /// The guaranteed rates of all planned nodes are more than the limit.
-    #[error("expected floors of {max_nodes} nodes to come to at most the whole")]
+    /// The guaranteed rates of all planned nodes exceed the rate of the limit less the clock drift.
+    #[error("expected the floors of {max_nodes} nodes to sum to at most the rate")]
     GuaranteedRatesExceedLimit {
-        /// How many nodes are planned for.
+        /// The planned number of nodes.
         max_nodes: u32,
     },
-    /// The guaranteed bursts of all planned nodes are more than the limit's burst.
-    #[error("expected floors of {max_nodes} nodes to come to at most the burst")]
+    /// The guaranteed bursts of all planned nodes exceed the burst of the limit.
+    #[error("expected the burst floors of {max_nodes} nodes to sum to at most the burst")]
     GuaranteedBurstsExceedLimit {
-        /// How many nodes are planned for.
+        /// The planned number of nodes.
         max_nodes: u32,
     },
 }
 
 impl BudgetLimitError {
-    /// The settings' key at fault.
+    /// The settings key with the invalid value.
     pub fn key(&self) -> &'static str {
         match self {
             BudgetLimitError::GuaranteedRatesExceedLimit { .. } => "floor",
@@ -45,8 +45,8 @@
 }
 
 impl BudgetLimit {
-    /// What is allocated, in thousandths of a unit a second: the limit less all guaranteed rates. Clocks that run up to
-    /// `drift_ppm` parts in a million wrong fill buckets faster, so that is taken off, too.
+    /// The rate that can be allocated by grants: the limit less all guaranteed rates. Clocks that run up to `drift_ppm`
+    /// parts per million fast refill token buckets faster, so the drift is also deducted.
     pub fn allocatable_rate(&self, drift_ppm: u32) -> u64 {
         let guaranteed = self
             .guaranteed_rate
@@ -54,7 +54,7 @@
         reduce_by_drift(self.rate, drift_ppm).saturating_sub(guaranteed)
     }
 
-    /// The burst that goes with a part of the allocatable rate, in thousandths of a unit.
+    /// The burst for a part of the allocatable rate, in the same proportion.
     pub fn burst_for_rate(&self, rate: u64, drift_ppm: u32) -> u64 {
         let guaranteed = self
             .guaranteed_burst
@@ -68,10 +68,10 @@
         (u128::from(burst) * u128::from(rate) / u128::from(allocatable)) as u64
     }
 
-    /// Checks that the figures add up.
+    /// Checks that the guaranteed rates and bursts fit into the limit.
     ///
     /// # Errors
-    /// Where the guaranteed rates or bursts of all planned nodes are more than the limit.
+    /// If the guaranteed rates or bursts of all planned nodes exceed the limit.
     pub fn validate(&self, drift_ppm: u32) -> Result<(), BudgetLimitError> {
         let max_nodes = self.max_nodes;
         let nodes = u64::from(max_nodes);
--- a/crates/coordination/src/budget/messages.rs
+++ b/crates/coordination/src/budget/messages.rs
@@ -1,62 +1,63 @@
-//! The messages between nodes and the allocator of budgets. The serialised form is positional: no field or variant may
-//! change its place.
+//! Messages between nodes and the budget allocator. The serialised form is positional: fields and variants must keep
+//! their order.
 
 use crate::{Epoch, Incarnation, Micros, ProcessId};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// How much a node wants of a budget, and how much that matters.
+/// A node's demand for a budget.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Demand {
-    /// The rate, in thousandths of a unit a second.
+    /// The demanded rate, in thousandths of a unit per second.
     pub rate: u64,
-    /// The weight of a unit here against a unit elsewhere, above 0.
+    /// The weight of a unit at this node relative to units at other nodes, above 0.
     pub weight: u32,
 }
 
-/// Rates by budget, in thousandths of a unit a second.
+/// Rates by budget name, in thousandths of a unit per second.
 pub type Rates = BTreeMap<String, u64>;
 
-/// Names a grant. The newest is the highest.
+/// Identifies a grant. Ids are ordered: the newest grant has the highest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct GrantId {
     /// The allocator's epoch.
     pub epoch: Epoch,
-    /// One higher with each grant that the allocator gives, to whichever node.
+    /// Incremented with each grant of the allocator, across all nodes.
     pub number: u64,
 }
 
-/// A node's question to the allocator.
+/// A node's request to the allocator.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct BudgetRequest {
-    /// The process that asks.
+    /// The requesting process.
     pub requester: ProcessId,
-    /// The allocator's epoch, as last heard; 0 where none was.
+    /// The highest allocator epoch known to the node; 0 if none.
     pub epoch: Epoch,
-    /// Comes back with the answer.
+    /// Returned in the response.
     pub request_number: u64,
-    /// The grant that the node has now; none after a start or once it has run out.
+    /// The grant in force at the node; `None` after a start or once the grant has ended.
     pub current_grant: Option<GrantId>,
-    /// What that grant allows.
+    /// The rates of that grant.
     pub rates: Rates,
-    /// What the node wants, by budget.
+    /// The node's demands, by budget name.
     pub demands: BTreeMap<String, Demand>,
 }
 
-/// What the allocator gives a node, in place of what it gave before.
+/// A grant to a node, which replaces the previous one.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct BudgetGrant {
-    /// The incarnation that asked: messages go by name, and two processes of one name count their requests alike.
+    /// The requesting incarnation. Needed because messages are addressed by node name, and two processes of the same
+    /// name use the same request numbers.
     pub requester: Incarnation,
-    /// Which grant this is.
+    /// The id of this grant.
     pub id: GrantId,
-    /// The number of the request that it answers.
+    /// The number of the request that this grant answers.
     pub request_number: u64,
-    /// How long it lasts by the allocator's clock, in microseconds.
+    /// The duration by the allocator's clock, in microseconds.
     pub duration: Micros,
-    /// What may be spent.
+    /// The granted rates, in addition to the guaranteed rates.
     pub rates: Rates,
 }
 
@@ -65,7 +66,8 @@
 pub enum BudgetMessage {
     /// To the allocator.
     Request(BudgetRequest),
-    /// From the allocator, to a node that asked under an earlier epoch: ask again, under this one.
+    /// From the allocator, to a node that sent a request under an earlier epoch: the node must repeat it under this
+    /// one.
     NewEpoch(Epoch),
     /// From the allocator.
     Grant(BudgetGrant),
--- a/crates/coordination/src/budget/mod.rs
+++ b/crates/coordination/src/budget/mod.rs
@@ -1,27 +1,27 @@
-//! Budgets of the whole fleet, allocated among its nodes by time: what all nodes may spend together never sums to more
-//! than the fleet's limit.
+//! Fleet-wide budgets: rate limits that are allocated to nodes by grants of limited duration. The rates that all nodes
+//! may spend together never exceed the fleet's limit.
 //!
-//! Whoever holds the lease runs the [`BudgetAllocator`]. Each node asks it several times in a grant's duration and tells
-//! its demand; the answer is a grant of rates that replaces the one before.
+//! The holder of the budget lease runs the [`BudgetAllocator`]. Each node sends it several requests per grant duration,
+//! with its demand; the response is a grant of rates that replaces the previous one.
 //!
 //! # Invariants
 //!
-//! - The grants that may be in force never sum to more than what is allocated. A grant counts until its node has shown
-//!   that it has a newer one, or until the grant has run out by the allocator's clock.
-//! - A node counts a grant from the moment it *asked*, for the grant's duration less the drift of clocks. So its grant ends
-//!   before the allocator takes it as ended.
-//! - A new allocator does not know what the one before it has granted. For one grant's duration it lets go on only what
-//!   nodes say to have, and only if they say so to its own epoch.
-//! - Each node may always spend a guaranteed rate, whoever allocates; those of the planned number of nodes are kept out
-//!   of what is allocated.
-//! - A grant is for one process: another one under the same name does not take it.
+//! - The grants that may be in force never sum to more than the allocatable rate. A grant counts until its node has
+//!   confirmed a newer one, or until it has expired by the allocator's clock.
+//! - For the node, a grant starts when the *request was sent* and lasts for its duration less the clock drift. It
+//!   therefore ends before it expires at the allocator.
+//! - A new allocator does not know the grants of its predecessor. For one grant duration it only renews rates that
+//!   nodes report, and only if they report them under its own epoch.
+//! - Each node may always spend a guaranteed rate, with or without an allocator. The guaranteed rates of the planned
+//!   number of nodes are deducted from the allocatable rate.
+//! - A grant is for one process; another process under the same name does not accept it.
 //!
-//! # Who calls what
+//! # Callers
 //!
-//! The driver of each node owns one [`BudgetParticipant`]. It counts what the scheduler wanted, sends
-//! [`BudgetParticipant::next_request`] to the holder of the lease, passes messages in, and tells the scheduler the
-//! [`Quota`]s. The participant runs the allocator for as long as the node holds the lease. `docs/budgets.md` states the
-//! guarantee exactly.
+//! The driver of each node owns one [`BudgetParticipant`]. It passes in the demand of the scheduler, sends
+//! [`BudgetParticipant::next_request`] to the lease holder, passes received messages in, and passes the [`Quota`]s to
+//! the scheduler. The participant runs the allocator while the node holds the lease. `docs/budgets.md` states the exact
+//! guarantee.
 
 mod allocator;
 mod fair_allocation;
@@ -41,5 +41,5 @@
     AllocatorStatus, BudgetParticipant, BudgetSettings, CumulativeDemand, Quota,
 };
 
-/// How many budgets there may be.
+/// The maximum number of budgets.
 pub const MAX_BUDGETS: usize = 64;
--- a/crates/coordination/src/budget/participant.rs
+++ b/crates/coordination/src/budget/participant.rs
@@ -1,5 +1,4 @@
-//! One process's side of the fleet's budgets: what it demands, what it has been granted, and the allocator for as long as
-//! it holds the lease.
+//! The budgets at one process: its demands and grants, and the allocator while the process holds the lease.
 
 use super::allocator::BudgetAllocation;
 use super::messages::{BudgetMessage, Demand};
@@ -7,79 +6,82 @@
 use crate::{Epoch, Micros, ProcessId};
 use std::collections::BTreeMap;
 
-/// How many requests are sent in a grant's duration.
+/// The number of requests per grant duration.
 const REQUESTS_PER_GRANT: u64 = 4;
-/// How much of an earlier demand is still asked for, in percent. Room beyond what is wanted comes from what remains:
-/// asked for, it would be taken from those who lack.
-const REMEMBERED_DEMAND_PERCENT: u64 = 50;
-/// A demand's weight is told in so many parts of one.
+/// The part of the previous demand that the next request retains at least, in percent. Demands include no headroom:
+/// headroom is given from the unallocated remainder, whereas demanded headroom would be taken from nodes with unmet
+/// demand.
+const RETAINED_DEMAND_PERCENT: u64 = 50;
+/// The value of [`Demand::weight`] for a weight of one.
 const WEIGHT_SCALE: f64 = 100.0;
 /// Thousandths in one unit.
 const MILLI_PER_UNIT: f64 = 1e3;
 /// Microseconds in one second.
 const MICROS_PER_SECOND: u128 = 1_000_000;
 
-/// Budgets as operators set them.
+/// The configured budgets.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct BudgetSettings {
-    /// How long grants last, in microseconds.
+    /// The duration of grants, in microseconds.
     pub grant_duration: Micros,
-    /// How wrong any clock may run, in parts in a million.
+    /// The largest rate error of any clock, in parts per million.
     pub drift_ppm: u32,
-    /// The limits by the budgets' names.
+    /// The limits by budget name.
     pub limits: BTreeMap<String, BudgetLimit>,
 }
 
-/// What has been wanted of a budget since the process began, got or not.
+/// The demand for a budget since the process started, whether met or not.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct CumulativeDemand {
-    /// Thousandths of a unit.
+    /// In thousandths of a unit.
     pub units: u64,
-    /// The sum of the units' weights.
+    /// The sum of the weights of all demanded units.
     pub weight_sum: f64,
 }
 
-/// What may be spent of a budget beyond what is guaranteed.
+/// The part of a budget that this process may spend in addition to the guaranteed rate and burst.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Quota {
-    /// In thousandths of a unit a second.
+    /// In thousandths of a unit per second.
     pub rate: u64,
-    /// At once, in thousandths of a unit.
+    /// In thousandths of a unit.
     pub burst: u64,
-    /// When it runs out.
+    /// When the quota ends.
     pub until: Micros,
 }
 
-/// What the allocator of this process does, for operators.
+/// The status of this process's allocator, for operators.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AllocatorStatus {
-    /// The epoch under which it allocates.
+    /// The epoch of the allocator.
     pub epoch: Epoch,
-    /// Each budget as it is allocated.
+    /// The allocation of each budget.
     pub budgets: Vec<BudgetAllocation>,
 }
 
-/// One process's side of the fleet's budgets.
+/// The demands and grants of one process, and its allocator while it holds the lease.
 #[derive(Clone, Debug)]
 pub struct BudgetParticipant {
     settings: BudgetSettings,
     quotas: GrantedQuotas,
     allocator: Option<BudgetAllocator>,
-    counted: BTreeMap<String, CumulativeDemand>,
-    counted_at: Option<Micros>,
+    /// The cumulative demands at the last request.
+    totals: BTreeMap<String, CumulativeDemand>,
+    /// When the last request was made; `None` before the first.
+    totals_at: Option<Micros>,
     demands: BTreeMap<String, Demand>,
 }
 
 impl BudgetParticipant {
-    /// A participant that begins without a grant.
+    /// Creates a participant without a grant.
     pub fn new(process: ProcessId, settings: BudgetSettings) -> BudgetParticipant {
         let quotas = GrantedQuotas::new(process, settings.drift_ppm);
         BudgetParticipant {
             settings,
             quotas,
             allocator: None,
-            counted: BTreeMap::new(),
-            counted_at: None,
+            totals: BTreeMap::new(),
+            totals_at: None,
             demands: BTreeMap::new(),
         }
     }
@@ -89,12 +91,12 @@
         self.settings.grant_duration / REQUESTS_PER_GRANT
     }
 
-    /// The budgets in force.
+    /// The budget settings in force.
     pub fn settings(&self) -> &BudgetSettings {
         &self.settings
     }
 
-    /// Other limits are in force from now on. What was granted stays granted until it runs out.
+    /// Replaces the limits. Existing grants stay in force until they end.
     pub fn set_limits(&mut self, limits: BTreeMap<String, BudgetLimit>) {
         if let Some(allocator) = &mut self.allocator {
             allocator.set_limits(limits.clone());
@@ -102,21 +104,21 @@
         self.settings.limits = limits;
     }
 
-    /// The next request, to be sent each [`BudgetParticipant::request_interval`]. `counted` is what has been wanted so
-    /// far; `held_epoch` is the epoch under which this process holds the lease, if it does.
+    /// Creates the next request, to be sent every [`BudgetParticipant::request_interval`]. `totals` is the cumulative
+    /// demand by budget name; `held_epoch` is the epoch under which this process holds the budget lease, if it does.
     pub fn next_request(
         &mut self,
-        counted: BTreeMap<String, CumulativeDemand>,
+        totals: BTreeMap<String, CumulativeDemand>,
         held_epoch: Option<Epoch>,
         now: Micros,
     ) -> BudgetMessage {
-        self.follow_lease(held_epoch, now);
-        self.update_demands(counted, now);
+        self.sync_allocator(held_epoch, now);
+        self.update_demands(totals, now);
         self.quotas.next_request(self.demands.clone(), now)
     }
 
-    /// Takes a message and returns what goes back to its sender. Grants are given under the epoch at which the lease is
-    /// held at this moment, or not at all.
+    /// Handles a message and returns the response to its sender. `held_epoch` must be the epoch of the lease at `now`:
+    /// grants are given under that epoch, and none without it.
     pub fn handle_message(
         &mut self,
         message: BudgetMessage,
@@ -125,18 +127,18 @@
     ) -> Option<BudgetMessage> {
         match message {
             BudgetMessage::Request(request) => {
-                self.follow_lease(held_epoch, now);
+                self.sync_allocator(held_epoch, now);
                 let allocator = self.allocator.as_mut()?;
                 allocator.handle_request(request, now)
             }
             BudgetMessage::NewEpoch(_) | BudgetMessage::Grant(_) => {
-                let asks_again = self.quotas.handle_answer(&message, now);
-                asks_again.then(|| self.quotas.next_request(self.demands.clone(), now))
+                let must_repeat = self.quotas.handle_response(&message, now);
+                must_repeat.then(|| self.quotas.next_request(self.demands.clone(), now))
             }
         }
     }
 
-    /// What may be spent of a budget beyond what is guaranteed.
+    /// The quota of a budget at `now`.
     pub fn quota(&self, budget: &str, now: Micros) -> Quota {
         let granted = self.quotas.rate(budget, now);
         let limit = self.settings.limits.get(budget);
@@ -150,12 +152,12 @@
         }
     }
 
-    /// What is wanted of a budget, as last asked for.
+    /// The demand for a budget in the last request.
     pub fn demand(&self, budget: &str) -> Demand {
         self.demands.get(budget).copied().unwrap_or_default()
     }
 
-    /// What this process allocates, if it does.
+    /// The allocator's status; `None` if this process does not run the allocator.
     pub fn allocator_status(&self, now: Micros) -> Option<AllocatorStatus> {
         let allocator = self.allocator.as_ref()?;
         Some(AllocatorStatus {
@@ -164,8 +166,8 @@
         })
     }
 
-    /// Runs an allocator under the epoch of the lease, or none without it.
-    fn follow_lease(&mut self, held_epoch: Option<Epoch>, now: Micros) {
+    /// Starts an allocator for a new epoch of the lease, and drops it when the lease is lost.
+    fn sync_allocator(&mut self, held_epoch: Option<Epoch>, now: Micros) {
         let allocating_epoch = self.allocator.as_ref().map(BudgetAllocator::epoch);
         if allocating_epoch == held_epoch {
             return;
@@ -182,27 +184,27 @@
         });
     }
 
-    /// Derives the demand from what was wanted since the last request.
-    fn update_demands(&mut self, counted: BTreeMap<String, CumulativeDemand>, now: Micros) {
-        let span = match self.counted_at {
+    /// Derives the demands from the increase of the cumulative demands since the last request.
+    fn update_demands(&mut self, totals: BTreeMap<String, CumulativeDemand>, now: Micros) {
+        let span = match self.totals_at {
             Some(at) => now.saturating_sub(at),
             None => self.request_interval(),
         };
         let mut demands = BTreeMap::new();
         for name in self.settings.limits.keys() {
-            let total = counted.get(name).copied().unwrap_or_default();
-            let before = self.counted.get(name).copied().unwrap_or_default();
+            let total = totals.get(name).copied().unwrap_or_default();
+            let before = self.totals.get(name).copied().unwrap_or_default();
             let last = self.demands.get(name).copied();
             demands.insert(name.clone(), demand_since(total, before, last, span.max(1)));
         }
         self.demands = demands;
-        self.counted = counted;
-        self.counted_at = Some(now);
+        self.totals = totals;
+        self.totals_at = Some(now);
     }
 }
 
-/// The demand that follows from two counts and the demand before them: what was wanted in `span` microseconds, or half of
-/// what was asked for before, whichever is more.
+/// Derives a demand from two cumulative demands that are `span` microseconds apart. The rate falls by at most half of
+/// the previous demand.
 fn demand_since(
     total: CumulativeDemand,
     before: CumulativeDemand,
@@ -215,7 +217,7 @@
     });
     let units = total.units.saturating_sub(before.units);
     let rate = u128::from(units) * MICROS_PER_SECOND / u128::from(span);
-    let remembered = last.rate.saturating_mul(REMEMBERED_DEMAND_PERCENT) / 100;
+    let retained_rate = last.rate.saturating_mul(RETAINED_DEMAND_PERCENT) / 100;
     let weight_per_unit =
         (total.weight_sum - before.weight_sum) / units.max(1) as f64 * MILLI_PER_UNIT;
     let weight = if units > 0 {
@@ -224,7 +226,7 @@
         last.weight
     };
     Demand {
-        rate: u64::try_from(rate).unwrap_or(u64::MAX).max(remembered),
+        rate: u64::try_from(rate).unwrap_or(u64::MAX).max(retained_rate),
         weight,
     }
 }
--- a/crates/coordination/src/budget/tests/mod.rs
+++ b/crates/coordination/src/budget/tests/mod.rs
@@ -1,6 +1,6 @@
-//! Explores the allocator and the nodes' granted quotas, as they run in the node, in every order of events within bounds:
-//! messages lost, late, repeated, out of order and astray, nodes that start again, an allocator that follows another one,
-//! clocks at both ends of the drift.
+//! Model checking of the budget allocator and the granted quotas that run in the node. Explores every order of events
+//! within bounds: lost, late, duplicated, reordered and misdelivered messages, restarted nodes, a replaced allocator,
+//! and clocks at both ends of the drift.
 
 mod model;
 
@@ -9,22 +9,22 @@
 use stateright::{Checker, HasDiscoveries, Model};
 use std::time::Instant;
 
-/// How many states a run of the tests looks at, with those met again.
+/// The maximum number of states per model in a normal test run, including revisited states.
 const MAX_STATES: usize = 1_500_000;
-/// How many states the longer exploration looks at.
-const MAX_STATES_FURTHER: usize = 20_000_000;
+/// The maximum number of states per model in the extended run.
+const MAX_STATES_EXTENDED: usize = 20_000_000;
 
-/// A model with its name.
+/// A named model.
 type Case = (&'static str, BudgetModel);
 
-fn unchanged() -> BudgetModel {
+fn model_with_all_safeguards() -> BudgetModel {
     BudgetModel::new(None)
 }
 
-/// Looks through all states; whether the limit was exceeded.
+/// Explores up to `max_states` states. Returns whether the limit was exceeded.
 fn exceeds_limit(name: &str, model: BudgetModel, max_states: usize) -> bool {
     let started_at = Instant::now();
-    let property = "never more than the limit";
+    let property = "grants are within the limit";
     let violation = HasDiscoveries::AnyOf([property].into_iter().collect());
     let checker = model
         .checker()
@@ -41,22 +41,20 @@
         checker.max_depth(),
         started_at.elapsed().as_secs_f64(),
         if is_exhaustive {
-            "all within bounds"
+            "all states within bounds"
         } else {
-            "the first of more"
+            "state limit reached"
         },
         if violating_path.is_some() {
-            "exceeded"
+            "limit exceeded"
         } else {
-            "no fault"
+            "no violation"
         },
     );
     if is_exhaustive && violating_path.is_none() {
-        assert!(checker.discovery("all of it is in use").is_some(), "{name}");
+        assert!(checker.discovery("limit is fully used").is_some(), "{name}");
         assert!(
-            checker
-                .discovery("an allocator that follows grants")
-                .is_some(),
+            checker.discovery("a new allocator grants").is_some(),
             "{name}"
         );
     }
@@ -70,12 +68,12 @@
     is_exceeded
 }
 
-/// Models that are explored in full within seconds.
+/// Models that can be explored exhaustively within seconds.
 fn short_cases() -> [Case; 5] {
     let two_requests = BudgetModel {
         requests: 2,
         ticks: 2,
-        ..unchanged()
+        ..model_with_all_safeguards()
     };
     let fast_nodes = BudgetModel {
         clock_rates: ClockRates {
@@ -84,44 +82,44 @@
         },
         ..two_requests.clone()
     };
-    let one_repeat = BudgetModel {
+    let one_duplicate = BudgetModel {
         requests: 1,
         ticks: 2,
-        repeats: 1,
-        ..unchanged()
+        duplicates: 1,
+        ..model_with_all_safeguards()
     };
     let one_restart = BudgetModel {
         requests: 1,
         ticks: 3,
         restarts: 1,
-        ..unchanged()
+        ..model_with_all_safeguards()
     };
-    let one_successor = BudgetModel {
+    let one_replacement = BudgetModel {
         requests: 1,
         ticks: 3,
-        successors: 1,
-        ..unchanged()
+        allocator_replacements: 1,
+        ..model_with_all_safeguards()
     };
     [
         ("two requests each", two_requests),
         ("nodes fast", fast_nodes),
-        ("one message repeated", one_repeat),
-        ("a node starts again", one_restart),
-        ("an allocator follows", one_successor),
+        ("one message duplicated", one_duplicate),
+        ("one node restarted", one_restart),
+        ("one allocator replaced", one_replacement),
     ]
 }
 
-/// Models in which one safeguard is taken out.
+/// Models with one safeguard disabled.
 fn cases_without_safeguard() -> [Case; 5] {
     let without = |safeguard| BudgetModel {
         requests: 2,
         ..BudgetModel::new(Some(safeguard))
     };
     let no_wait = BudgetModel {
-        successors: 1,
+        allocator_replacements: 1,
         ..without(Safeguard::WaitForOldGrants)
     };
-    let grants_astray = BudgetModel {
+    let grants_misdelivered = BudgetModel {
         requests: 1,
         restarts: 1,
         ..without(Safeguard::RequesterCheck)
@@ -129,17 +127,20 @@
     let grants_forgotten = BudgetModel {
         requests: 1,
         restarts: 1,
-        ..without(Safeguard::AccountOfEarlierProcess)
+        ..without(Safeguard::AccountOfPreviousProcess)
     };
     [
-        ("no wait after another allocator", no_wait),
+        ("no wait after an earlier allocator", no_wait),
         (
-            "not counted until shown",
-            without(Safeguard::CountUntilShown),
+            "replaced grants not counted",
+            without(Safeguard::CountUntilConfirmed),
         ),
-        ("expiry without drift", without(Safeguard::DriftMargin)),
-        ("grants of the process before", grants_astray),
-        ("old grant forgotten at a restart", grants_forgotten),
+        ("no drift margin", without(Safeguard::DriftMargin)),
+        (
+            "grants of the previous process accepted",
+            grants_misdelivered,
+        ),
+        ("grants forgotten at a restart", grants_forgotten),
     ]
 }
 
@@ -147,38 +148,38 @@
 fn long_cases() -> [Case; 5] {
     let three_requests = BudgetModel {
         ticks: 5,
-        ..unchanged()
+        ..model_with_all_safeguards()
     };
     let two_requests = BudgetModel {
         requests: 2,
-        ..unchanged()
+        ..model_with_all_safeguards()
     };
-    let one_repeat = BudgetModel {
-        repeats: 1,
+    let one_duplicate = BudgetModel {
+        duplicates: 1,
         ..two_requests.clone()
     };
     let two_restarts = BudgetModel {
         restarts: 2,
         ..two_requests.clone()
     };
-    let two_successors = BudgetModel {
+    let two_replacements = BudgetModel {
         ticks: 6,
-        successors: 2,
+        allocator_replacements: 2,
         ..two_requests.clone()
     };
-    let restart_and_successor = BudgetModel {
+    let restart_and_replacement = BudgetModel {
         restarts: 1,
-        successors: 1,
+        allocator_replacements: 1,
         ..two_requests
     };
     [
         ("three requests each", three_requests),
-        ("one message repeated", one_repeat),
+        ("one message duplicated", one_duplicate),
         ("two restarts", two_restarts),
-        ("two allocators follow", two_successors),
+        ("two allocators replaced", two_replacements),
         (
-            "a restart and an allocator that follows",
-            restart_and_successor,
+            "one restart and one allocator replaced",
+            restart_and_replacement,
         ),
     ]
 }
@@ -202,13 +203,14 @@
     }
 }
 
-/// Minutes on four cores: `cargo test --release -p poppykeel-coordination explores_grants_further -- --ignored --nocapture`.
+/// Takes minutes on four cores:
+/// `cargo test --release -p poppykeel-coordination extended_budget_models -- --ignored --nocapture`.
 #[test]
 #[ignore = "takes minutes"]
-fn explores_grants_further() {
-    let exceeded: Vec<bool> = long_cases()
+fn extended_budget_models_have_no_violation() {
+    let results: Vec<bool> = long_cases()
         .into_iter()
-        .map(|(name, model)| exceeds_limit(name, model, MAX_STATES_FURTHER))
+        .map(|(name, model)| exceeds_limit(name, model, MAX_STATES_EXTENDED))
         .collect();
-    assert!(exceeded.iter().all(|is_exceeded| !is_exceeded));
+    assert!(results.iter().all(|is_exceeded| !is_exceeded));
 }
--- a/crates/coordination/src/budget/tests/model.rs
+++ b/crates/coordination/src/budget/tests/model.rs
@@ -1,4 +1,4 @@
-//! The model that is explored: an allocator, nodes with their granted quotas, and the messages between them.
+//! The budget model: an allocator, nodes with their granted quotas, and the messages between them.
 
 use crate::budget::{BudgetAllocator, BudgetLimit, BudgetMessage, Demand, GrantId, GrantedQuotas};
 use crate::{Epoch, Incarnation, ProcessId};
@@ -6,13 +6,13 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 const NODES: usize = 2;
-/// A slow and a fast clock, in units by tick: as far apart as the drift allows, to the unit.
+/// The rates of a slow and a fast clock, in units per tick. They differ by exactly the maximum that `DRIFT_PPM` allows.
 pub(super) const SLOW: u64 = 1;
 pub(super) const FAST: u64 = 2;
 pub(super) const DRIFT_PPM: u32 = 333_333;
 const GRANT_DURATION: u64 = 4;
 const BUDGET: &str = "b";
-/// Of 24 with the drift's margin 12 are left, and 10 without the guaranteed rates of both nodes.
+/// The drift reduces the rate from 24 to 12; without the guaranteed rates of both nodes, 10 are allocatable.
 pub(super) const LIMIT: BudgetLimit = BudgetLimit {
     rate: 24,
     burst: 0,
@@ -21,50 +21,50 @@
     max_nodes: NODES as u32,
 };
 
-/// What keeps the grants within the limit. A model may have one of these taken out.
+/// The mechanisms that keep the grants within the limit. A model can disable one of them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Safeguard {
-    /// A new allocator's wait for the grants of the one before.
+    /// A new allocator waits until the grants of its predecessor have expired.
     WaitForOldGrants,
-    /// The count of a grant until its node has shown a newer one.
-    CountUntilShown,
-    /// The margin for drift in a grant's duration.
+    /// A grant counts until its node has confirmed a newer one.
+    CountUntilConfirmed,
+    /// A node reduces the duration of a grant by the drift.
     DriftMargin,
-    /// The look at whom a grant is for.
+    /// A process accepts only grants for its own incarnation.
     RequesterCheck,
-    /// The account of grants given to a node that has started again.
-    AccountOfEarlierProcess,
+    /// Grants to a node's previous process count after the node has restarted.
+    AccountOfPreviousProcess,
 }
 
-/// How fast each clock runs, in units by tick.
+/// The rate of each clock, in units per tick.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ClockRates {
     pub(super) allocator: u64,
     pub(super) nodes: u64,
 }
 
-/// How far to look.
+/// The bounds and faults of an exploration.
 #[derive(Clone, Debug)]
 pub(super) struct BudgetModel {
-    pub(super) without: Option<Safeguard>,
+    pub(super) disabled_safeguard: Option<Safeguard>,
     pub(super) ticks: u64,
-    /// How many requests each node makes.
+    /// The number of requests of each node.
     pub(super) requests: u8,
-    /// How many messages are delivered twice.
-    pub(super) repeats: u8,
-    /// How many restarts of nodes there are.
+    /// The number of messages that are delivered twice.
+    pub(super) duplicates: u8,
+    /// The number of node restarts.
     pub(super) restarts: u8,
-    /// How many allocators follow the first one.
-    pub(super) successors: u8,
+    /// The number of times that the allocator is replaced.
+    pub(super) allocator_replacements: u8,
     pub(super) clock_rates: ClockRates,
 }
 
-/// A message on its way. The variants' order is that in which messages are tried.
+/// A message in flight. Messages are explored in the order of the variants.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(super) enum Packet {
     /// From the node of this index.
     ToAllocator(usize, BudgetMessage),
-    /// To whatever process has the node's name when it comes.
+    /// To the process that has the node's name on arrival.
     ToNode(usize, BudgetMessage),
 }
 
@@ -80,14 +80,14 @@
     allocator: BudgetAllocator,
     epoch: Epoch,
     nodes: Vec<NodeProcess>,
-    /// Messages on their way. One that is never delivered is lost.
+    /// Messages in flight. A message that is never delivered is lost.
     network: BTreeSet<Packet>,
     requests: Vec<u8>,
-    repeats: u8,
+    duplicates: u8,
     restarts: u8,
-    successors: u8,
-    /// Whether all that is allocatable has been in use.
-    was_used_up: bool,
+    allocator_replacements: u8,
+    /// Whether the whole allocatable rate has been in use.
+    was_fully_used: bool,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -95,7 +95,7 @@
     Tick,
     Request(usize),
     Deliver(Packet),
-    Repeat(Packet),
+    Duplicate(Packet),
     Restart(usize),
     ReplaceAllocator,
 }
@@ -120,14 +120,14 @@
 }
 
 impl BudgetModel {
-    pub(super) fn new(without: Option<Safeguard>) -> BudgetModel {
+    pub(super) fn new(disabled_safeguard: Option<Safeguard>) -> BudgetModel {
         BudgetModel {
-            without,
+            disabled_safeguard,
             ticks: 4,
             requests: 3,
-            repeats: 0,
+            duplicates: 0,
             restarts: 0,
-            successors: 0,
+            allocator_replacements: 0,
             clock_rates: ClockRates {
                 allocator: FAST,
                 nodes: SLOW,
@@ -136,7 +136,7 @@
     }
 
     fn lacks(&self, safeguard: Safeguard) -> bool {
-        self.without == Some(safeguard)
+        self.disabled_safeguard == Some(safeguard)
     }
 
     fn node_drift_ppm(&self) -> u32 {
@@ -155,8 +155,8 @@
         state.tick * self.clock_rates.nodes
     }
 
-    /// An allocator that follows another one.
-    fn successor(&self, epoch: Epoch, now: u64) -> BudgetAllocator {
+    /// An allocator that replaces another one.
+    fn next_allocator(&self, epoch: Epoch, now: u64) -> BudgetAllocator {
         let started_at = if self.lacks(Safeguard::WaitForOldGrants) {
             now.saturating_sub(GRANT_DURATION)
         } else {
@@ -165,18 +165,18 @@
         BudgetAllocator::new(epoch, limits(), GRANT_DURATION, DRIFT_PPM, started_at)
     }
 
-    /// A process of a node that has heard of an epoch.
+    /// A process of a node that knows the epoch of the allocator.
     fn node_process(&self, node: usize, incarnation: Incarnation, epoch: Epoch) -> NodeProcess {
         let process = process(node, incarnation);
         let mut quotas = GrantedQuotas::new(process, self.node_drift_ppm());
-        quotas.handle_answer(&BudgetMessage::NewEpoch(epoch), 0);
+        quotas.handle_response(&BudgetMessage::NewEpoch(epoch), 0);
         NodeProcess {
             incarnation,
             quotas,
         }
     }
 
-    /// What all nodes may spend together beyond the guaranteed rates.
+    /// The sum of the rates that all nodes may spend in addition to the guaranteed rates.
     fn granted_sum(&self, state: &ModelState) -> u64 {
         let now = self.node_now(state);
         let nodes = state.nodes.iter();
@@ -189,30 +189,30 @@
                 let BudgetMessage::Request(mut request) = message else {
                     return;
                 };
-                if self.lacks(Safeguard::CountUntilShown) {
+                if self.lacks(Safeguard::CountUntilConfirmed) {
                     request.current_grant = Some(newest_grant(request.epoch));
                 }
-                if self.lacks(Safeguard::AccountOfEarlierProcess) {
-                    // One name is one node, whatever process speaks.
+                if self.lacks(Safeguard::AccountOfPreviousProcess) {
+                    // All processes of a name are treated as one node.
                     request.requester.incarnation = Incarnation(0);
                     request.current_grant = Some(newest_grant(request.epoch));
                 }
                 let now = self.allocator_now(state);
-                if let Some(answer) = state.allocator.handle_request(request, now) {
-                    state.network.insert(Packet::ToNode(node, answer));
+                if let Some(response) = state.allocator.handle_request(request, now) {
+                    state.network.insert(Packet::ToNode(node, response));
                 }
             }
             Packet::ToNode(index, mut message) => {
                 let now = self.node_now(state);
                 let node = &mut state.nodes[index];
-                let takes_any = self.lacks(Safeguard::RequesterCheck)
-                    || self.lacks(Safeguard::AccountOfEarlierProcess);
+                let accepts_any = self.lacks(Safeguard::RequesterCheck)
+                    || self.lacks(Safeguard::AccountOfPreviousProcess);
                 if let BudgetMessage::Grant(grant) = &mut message {
-                    if takes_any {
+                    if accepts_any {
                         grant.requester = node.incarnation;
                     }
                 }
-                if node.quotas.handle_answer(&message, now) {
+                if node.quotas.handle_response(&message, now) {
                     let request = node.quotas.next_request(demands(), now);
                     state.network.insert(Packet::ToAllocator(index, request));
                 }
@@ -233,8 +233,8 @@
                 state.network.remove(&packet);
                 self.deliver(state, packet);
             }
-            Action::Repeat(packet) => {
-                state.repeats -= 1;
+            Action::Duplicate(packet) => {
+                state.duplicates -= 1;
                 self.deliver(state, packet);
             }
             Action::Restart(node) => {
@@ -244,15 +244,15 @@
                 state.nodes[node] = self.node_process(node, incarnation, state.epoch);
             }
             Action::ReplaceAllocator => {
-                state.successors -= 1;
+                state.allocator_replacements -= 1;
                 state.epoch = state.epoch.next();
-                state.allocator = self.successor(state.epoch, self.allocator_now(state));
+                state.allocator = self.next_allocator(state.epoch, self.allocator_now(state));
             }
         }
     }
 }
 
-/// As if whatever was granted last had been shown.
+/// A grant id that confirms every grant of the epoch.
 fn newest_grant(epoch: Epoch) -> GrantId {
     GrantId {
         epoch,
@@ -265,21 +265,21 @@
     type Action = Action;
 
     fn init_states(&self) -> Vec<ModelState> {
-        // The fleet is in service: this allocator has waited.
+        // The initial allocator has already waited for old grants.
         let epoch = Epoch(1);
         let allocator = BudgetAllocator::new(epoch, limits(), GRANT_DURATION, DRIFT_PPM, 0);
         let node = |index| self.node_process(index, Incarnation(0), epoch);
         vec![ModelState {
             tick: 0,
-            allocator: allocator.without_wait(),
+            allocator: allocator.after_initial_wait(),
             epoch,
             nodes: (0..NODES).map(node).collect(),
             network: BTreeSet::new(),
             requests: vec![self.requests; NODES],
-            repeats: self.repeats,
+            duplicates: self.duplicates,
             restarts: self.restarts,
-            successors: self.successors,
-            was_used_up: false,
+            allocator_replacements: self.allocator_replacements,
+            was_fully_used: false,
         }]
     }
 
@@ -287,7 +287,7 @@
         if state.tick < self.ticks {
             actions.push(Action::Tick);
         }
-        // Whoever asks first has it all, and is lowered once the other one asks.
+        // The first node to request gets the whole rate, which is lowered once the other node requests.
         for node in 0..NODES {
             if state.requests[node] > 0 {
                 actions.push(Action::Request(node));
@@ -295,14 +295,14 @@
         }
         for packet in &state.network {
             actions.push(Action::Deliver(packet.clone()));
-            if state.repeats > 0 {
-                actions.push(Action::Repeat(packet.clone()));
+            if state.duplicates > 0 {
+                actions.push(Action::Duplicate(packet.clone()));
             }
         }
         if state.restarts > 0 {
             actions.extend((0..NODES).map(Action::Restart));
         }
-        if state.successors > 0 {
+        if state.allocator_replacements > 0 {
             actions.push(Action::ReplaceAllocator);
         }
     }
@@ -310,26 +310,27 @@
     fn next_state(&self, last: &ModelState, action: Action) -> Option<ModelState> {
         let mut state = last.clone();
         self.apply(last, &mut state, action);
-        state.was_used_up |= self.granted_sum(&state) == LIMIT.allocatable_rate(DRIFT_PPM);
+        state.was_fully_used |= self.granted_sum(&state) == LIMIT.allocatable_rate(DRIFT_PPM);
         (state != *last).then_some(state)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
             Property::always(
-                "never more than the limit",
+                "grants are within the limit",
                 |model: &BudgetModel, state: &ModelState| {
                     model.granted_sum(state) <= LIMIT.allocatable_rate(DRIFT_PPM)
                 },
             ),
-            Property::sometimes("all of it is in use", |_, state: &ModelState| {
-                state.was_used_up
+            Property::sometimes("limit is fully used", |_, state: &ModelState| {
+                state.was_fully_used
             }),
             Property::sometimes(
-                "an allocator that follows grants",
+                "a new allocator grants",
                 |model: &BudgetModel, state: &ModelState| {
-                    let has_followed = state.successors == 0 && state.epoch > Epoch(1);
-                    model.successors == 0 || (has_followed && model.granted_sum(state) > 0)
+                    let was_replaced = state.allocator_replacements == 0 && state.epoch > Epoch(1);
+                    model.allocator_replacements == 0
+                        || (was_replaced && model.granted_sum(state) > 0)
                 },
             ),
         ]
--- a/crates/coordination/tests/budget.rs
+++ b/crates/coordination/tests/budget.rs
@@ -1,6 +1,6 @@
-//! Granted quotas by fed time: messages lost, late, twice and out of order, nodes that die, stop and come back, allocators
-//! that follow each other, clocks at the ends of the drift. At every moment what all may spend is within the limit; when
-//! all is quiet none of it is lost.
+//! Budget allocator and granted quotas on a simulated clock, with lost, late, duplicated and reordered messages,
+//! restarted nodes, replaced allocators, and clocks at the ends of the drift. The rate that all nodes may spend must
+//! never exceed the limit, and without faults the whole limit must become usable.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -17,7 +17,7 @@
 use proptest_state_machine::{prop_state_machine, ReferenceStateMachine, StateMachineTest};
 use std::collections::BTreeMap;
 
-/// What must hold needs no memory of its own: any sequence of steps is allowed.
+/// A reference model without state: any sequence of steps is allowed.
 #[derive(Clone, Debug)]
 pub struct AnySteps;
 
@@ -55,7 +55,7 @@
         fleet.assert_within_limit();
     }
 
-    /// Quiet: all ask, and within one grant's duration nothing of the limit is lost.
+    /// Without faults, requests of all nodes must make the whole limit usable again.
     fn teardown(mut fleet: Fleet, _: AnySteps) {
         for _ in 0..12 {
             fleet.now += GRANT_DURATION / 4;
@@ -69,10 +69,10 @@
         }
         let allocatable = LIMIT.allocatable_rate(DRIFT_PPM);
         let guaranteed = LIMIT.guaranteed_rate * u64::from(LIMIT.max_nodes);
-        let spendable = fleet.spendable();
+        let spendable_rate = fleet.spendable_rate();
         assert!(
-            spendable - guaranteed >= allocatable * 9 / 10,
-            "{spendable} of {allocatable}"
+            spendable_rate - guaranteed >= allocatable * 9 / 10,
+            "{spendable_rate} of {allocatable}"
         );
     }
 }
@@ -80,12 +80,12 @@
 prop_state_machine! {
     #![proptest_config(ProptestConfig { cases: 500, ..ProptestConfig::default() })]
     #[test]
-    fn all_nodes_together_never_may_spend_more_than_the_limit(sequential 1..160 => Fleet);
+    fn spendable_rate_of_all_nodes_never_exceeds_the_limit(sequential 1..160 => Fleet);
 }
 
 proptest! {
     #[test]
-    fn allocation_is_within_the_total_and_fair(
+    fn allocation_is_fair_and_within_the_total(
         total in 0u64..1_000_000,
         demands in proptest::collection::btree_map(0u8..30, (0u64..300_000, 1u32..6), 1..30),
     ) {
@@ -97,14 +97,14 @@
         let sum: u64 = allocations.values().sum();
         prop_assert!(sum <= total);
         let demanded: u64 = demands.values().map(|demand| demand.rate).sum();
-        // What is demanded is not left lying: rounding alone may leave a unit each.
+        // Demand is met as far as the total allows; rounding may leave one unit per key.
         prop_assert!(
             sum + demands.len() as u64 >= total.min(demanded),
             "{sum} of {total}, {demanded} demanded"
         );
         for (first, first_demand) in &demands {
             for (second, second_demand) in &demands {
-                // Whoever lacks has as much for its weight as anybody, but for rounding.
+                // A key with unmet demand gets at least as much per weight as any other key, except for rounding.
                 if allocations[first] < first_demand.rate && second_demand.rate > 0 {
                     let own = allocations[first] / u64::from(first_demand.weight);
                     let other = allocations[second] / u64::from(second_demand.weight);
@@ -115,7 +115,7 @@
     }
 }
 
-/// Each safeguard, taken out, is found by the same steps within some thousands of sequences.
+/// Shows that the steps are sufficient to find the lack of each safeguard.
 #[test]
 fn finds_an_exceeded_limit_without_each_safeguard() {
     for safeguard in SAFEGUARDS {
@@ -129,17 +129,17 @@
             let steps = sequences.new_tree(&mut runner).unwrap().current();
             steps.iter().any(|step| {
                 fleet.apply(step);
-                fleet.spendable() > LIMIT.rate
+                fleet.spendable_rate() > LIMIT.rate
             })
         };
         let found = (0..20_000).find(exceeds_limit);
-        println!("{safeguard:?}: found by sequence {found:?}");
+        println!("without {safeguard:?}: limit exceeded by sequence {found:?}");
         assert!(found.is_some(), "{safeguard:?}");
     }
 }
 
 #[test]
-fn new_node_gets_what_is_free_at_its_first_request_and_a_dead_nodes_grant_comes_back() {
+fn new_node_gets_the_free_rate_at_its_first_request_and_grants_of_dead_nodes_are_reused() {
     let mut fleet = Fleet::new(None);
     let request_all = |fleet: &mut Fleet, nodes: &[usize], rate: u64| {
         for node in nodes {
@@ -147,13 +147,13 @@
         }
         fleet.deliver_all();
     };
-    // A grant that is lowered counts until its node has shown the lower one.
+    // A higher grant counts until its node has confirmed the lower one.
     for _ in 0..3 {
         request_all(&mut fleet, &[0, 1], 20_000);
     }
     request_all(&mut fleet, &[2], 20_000);
     assert!(fleet.granted_rate(2) > 0);
-    // Nodes 1 and 2 die; node 0 has it all one grant's duration later.
+    // After nodes 1 and 2 have died, node 0 gets the whole allocatable rate within one grant duration.
     for _ in 0..10 {
         fleet.now += GRANT_DURATION / 8;
         request_all(&mut fleet, &[0], 300_000);
@@ -162,7 +162,7 @@
 }
 
 #[test]
-fn grants_follow_demand_that_moves_and_stay_with_demand_that_does_not() {
+fn grants_follow_changed_demand_and_stay_at_steady_demand() {
     let mut fleet = Fleet::new(None);
     let mut grants_after = |rates: [u64; 3]| -> Vec<u64> {
         for _ in 0..8 {
@@ -179,7 +179,7 @@
     assert_eq!(
         grants_after([101_000, 10_100, 9_900]),
         first,
-        "by less than a tenth"
+        "changes of less than a tenth are ignored"
     );
     let moved = grants_after([10_000, 100_000, 10_000]);
     assert!(
@@ -189,19 +189,19 @@
 }
 
 #[test]
-fn refuses_guarantees_that_exceed_the_limit_by_key() {
+fn rejects_guarantees_above_the_limit_with_their_settings_key() {
     LIMIT.validate(DRIFT_PPM).unwrap();
-    let key_at_fault = |limit: BudgetLimit| limit.validate(DRIFT_PPM).unwrap_err().key();
+    let invalid_key = |limit: BudgetLimit| limit.validate(DRIFT_PPM).unwrap_err().key();
     let high_rate = BudgetLimit {
         guaranteed_rate: 20_000,
         ..LIMIT
     };
-    assert_eq!(key_at_fault(high_rate), "floor");
+    assert_eq!(invalid_key(high_rate), "floor");
     let high_burst = BudgetLimit {
         guaranteed_burst: 20_000,
         ..LIMIT
     };
-    assert_eq!(key_at_fault(high_burst), "floor_burst");
+    assert_eq!(invalid_key(high_burst), "floor_burst");
     let nothing = BudgetLimit {
         rate: 0,
         guaranteed_rate: 0,
@@ -210,12 +210,12 @@
     assert_eq!(nothing.allocatable_rate(DRIFT_PPM), 0);
 }
 
-/// A limit that operators lower holds one grant's duration later, and one set to zero leaves the guaranteed rates alone.
+/// A lowered limit must be in force after one grant duration. With a limit of zero, nothing is allocated.
 #[test]
 fn lowered_limit_is_reached_within_one_grant() {
     let mut fleet = Fleet::new(None);
-    let granted_after = |fleet: &mut Fleet, turns: usize| -> u64 {
-        for _ in 0..turns {
+    let granted_after = |fleet: &mut Fleet, rounds: usize| -> u64 {
+        for _ in 0..rounds {
             fleet.now += GRANT_DURATION / 4;
             for node in 0..NODES {
                 fleet.request(node, 50_000);
@@ -234,12 +234,12 @@
         fleet
             .allocator
             .set_limits([(BUDGET.to_string(), limit)].into());
-        // Operators are told by when it is reached.
+        // The status reports when the lower limit is reached.
         let now = fleet.allocator_now();
         let status = fleet.allocator.status(now).remove(0);
         let is_above = status.allocated > status.allocatable;
-        let is_told = (1..=GRANT_DURATION).contains(&status.excess_expires_in);
-        assert_eq!(is_above, is_told, "{rate}: {status:?}");
+        let is_reported = (1..=GRANT_DURATION).contains(&status.excess_expires_in);
+        assert_eq!(is_above, is_reported, "{rate}: {status:?}");
         assert!(is_above || rate < 30_000, "{status:?}");
         let granted = granted_after(&mut fleet, 5);
         assert!(granted <= limit.allocatable_rate(DRIFT_PPM), "{rate}");
--- a/crates/coordination/tests/budget_scenarios.rs
+++ b/crates/coordination/tests/budget_scenarios.rs
@@ -1,5 +1,6 @@
-//! Hard cases of budgets by fed time, with whole participants: who asks when, who is gone, how much of the limit is in
-//! use, and how soon a dead node's part is.
+//! Budget scenarios with complete participants on a simulated clock: simultaneous requests, node failures, a lost
+//! quorum and changing demand. They check how much of the limit is used and how soon a dead node's quota is available
+//! to others.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -41,27 +42,27 @@
     participant: BudgetParticipant,
     incarnation: u64,
     is_up: bool,
-    /// What is wanted a second, in thousandths of a unit.
-    wanted_rate: u64,
-    /// What has been wanted so far, in thousandths of a unit.
-    wanted_units: f64,
-    /// The weight of a unit here.
+    /// The demand, in thousandths of a unit per second.
+    demanded_rate: u64,
+    /// The cumulative demand, in thousandths of a unit.
+    demanded_units: f64,
+    /// The weight of a unit at this node.
     weight: f64,
-    /// What is left in a bucket as the scheduler has it, in thousandths of a unit.
+    /// The level of a token bucket like that of the scheduler, in thousandths of a unit.
     bucket: f64,
-    /// What has been spent so far, in thousandths of a unit.
+    /// The units spent so far, in thousandths of a unit.
     spent: f64,
     next_request_at: u64,
 }
 
 impl SimulatedNode {
-    fn new(index: usize, limit: BudgetLimit, wanted_rate: u64) -> SimulatedNode {
+    fn new(index: usize, limit: BudgetLimit, demanded_rate: u64) -> SimulatedNode {
         SimulatedNode {
             participant: participant(index, 1, limit),
             incarnation: 1,
             is_up: true,
-            wanted_rate,
-            wanted_units: 0.0,
+            demanded_rate,
+            demanded_units: 0.0,
             weight: 1.0,
             bucket: 0.0,
             spent: 0.0,
@@ -73,35 +74,35 @@
         self.participant.quota(BUDGET, now).rate
     }
 
-    /// One millisecond of work.
+    /// Spends units for one millisecond.
     fn spend(&mut self, limit: &BudgetLimit, now: u64) {
-        let wanted = self.wanted_rate as f64 / 1e3;
-        self.wanted_units += wanted;
+        let demanded = self.demanded_rate as f64 / 1e3;
+        self.demanded_units += demanded;
         let quota = self.participant.quota(BUDGET, now);
         let bucket_size = (limit.guaranteed_burst + quota.burst) as f64;
         let refill = (quota.rate + limit.guaranteed_rate) as f64 / 1e3;
         self.bucket = (self.bucket + refill).min(bucket_size);
-        let spent = wanted.min(self.bucket);
+        let spent = demanded.min(self.bucket);
         self.bucket -= spent;
         self.spent += spent;
     }
 
-    /// The next request, if it is time for one.
+    /// The next request, if one is due.
     fn due_request(&mut self, held_epoch: Option<Epoch>, now: u64) -> Option<BudgetMessage> {
         if now < self.next_request_at {
             return None;
         }
         self.next_request_at = now + self.participant.request_interval();
         let demand = CumulativeDemand {
-            units: self.wanted_units as u64,
-            weight_sum: self.wanted_units / 1e3 * self.weight,
+            units: self.demanded_units as u64,
+            weight_sum: self.demanded_units / 1e3 * self.weight,
         };
         let counted = [(BUDGET.to_string(), demand)].into();
         Some(self.participant.next_request(counted, held_epoch, now))
     }
 }
 
-/// Who allocates, and under which epoch.
+/// The node that runs the allocator.
 #[derive(Clone, Copy)]
 struct Leader {
     node: usize,
@@ -114,24 +115,24 @@
     message: BudgetMessage,
 }
 
-/// Nodes and the one that allocates, with messages that take some milliseconds.
+/// Nodes, one of which runs the allocator, with message latencies of a few milliseconds.
 struct Fleet {
     now: u64,
     limit: BudgetLimit,
     nodes: Vec<SimulatedNode>,
     leader: Option<Leader>,
-    /// Messages by the time of their arrival, and by the order in which they were sent.
+    /// Messages by arrival time and sending order.
     in_flight: BTreeMap<(u64, u64), Packet>,
     sent_count: u64,
 }
 
 impl Fleet {
-    fn new(nodes: usize, limit: BudgetLimit, wanted_rate: u64) -> Fleet {
+    fn new(nodes: usize, limit: BudgetLimit, demanded_rate: u64) -> Fleet {
         Fleet {
             now: 0,
             limit,
             nodes: (0..nodes)
-                .map(|index| SimulatedNode::new(index, limit, wanted_rate))
+                .map(|index| SimulatedNode::new(index, limit, demanded_rate))
                 .collect(),
             leader: Some(Leader {
                 node: 0,
@@ -159,8 +160,8 @@
         self.nodes[node].granted_rate(self.now)
     }
 
-    /// What all may spend a second together, guaranteed rates of all planned nodes and of any beyond included.
-    fn spendable(&self) -> u64 {
+    /// The rate that all nodes may spend together, including the guaranteed rates of all planned and additional nodes.
+    fn spendable_rate(&self) -> u64 {
         let up: Vec<&SimulatedNode> = self.nodes.iter().filter(|node| node.is_up).collect();
         let granted: u64 = up.iter().map(|node| node.granted_rate(self.now)).sum();
         let guaranteed_nodes = (up.len() as u64).max(u64::from(self.limit.max_nodes));
@@ -172,7 +173,7 @@
         (first.key().0 <= self.now).then(|| first.remove())
     }
 
-    /// One millisecond.
+    /// Advances the simulation by one millisecond.
     fn step(&mut self) {
         self.now += MS;
         while let Some(Packet { from, to, message }) = self.next_arrived() {
@@ -202,10 +203,10 @@
     fn run_ms(&mut self, ms: u64) {
         for _ in 0..ms {
             self.step();
-            let spendable = self.spendable();
+            let spendable_rate = self.spendable_rate();
             assert!(
-                spendable <= self.limit.rate,
-                "{spendable} of {} at {}",
+                spendable_rate <= self.limit.rate,
+                "{spendable_rate} of {} at {}",
                 self.limit.rate,
                 self.now
             );
@@ -216,7 +217,7 @@
         self.nodes.iter().map(|node| node.spent).sum()
     }
 
-    /// What is spent in so many milliseconds from now on, as a part of the limit.
+    /// Runs for `ms` milliseconds and returns the fraction of the limit that is spent in that time.
     fn utilisation(&mut self, ms: u64) -> f64 {
         let before = self.spent();
         self.run_ms(ms);
@@ -233,13 +234,13 @@
         node.participant = participant(index, node.incarnation, self.limit);
         node.is_up = true;
         node.bucket = 0.0;
-        node.wanted_units = 0.0;
+        node.demanded_units = 0.0;
         node.next_request_at = self.now;
     }
 }
 
 #[test]
-fn three_hundred_nodes_that_ask_at_one_instant_have_their_parts_after_two_requests() {
+fn three_hundred_simultaneous_requesters_get_their_rates_after_two_requests() {
     let mut fleet = Fleet::new(300, limit(3_000_000, 900_000, 100, 300), 9_000);
     fleet.run_ms(GRANT_DURATION / MS + 600);
     let lowest = (0..300).map(|node| fleet.granted_rate(node)).min().unwrap();
@@ -247,7 +248,7 @@
 }
 
 #[test]
-fn remaining_nodes_use_the_whole_limit_after_half_of_them_leave_in_one_second() {
+fn remaining_nodes_use_the_limit_after_half_of_the_nodes_died() {
     let mut fleet = Fleet::new(20, limit(200_000, 100_000, 200, 20), 30_000);
     fleet.run_ms(3_000);
     for node in 10..20 {
@@ -256,7 +257,7 @@
     fleet.run_ms(GRANT_DURATION / MS + 500);
     let utilisation = fleet.utilisation(1_000);
     assert!(utilisation > 0.9, "{utilisation}");
-    // Back all at once, as other processes: what they had has run out, and they get their parts.
+    // All nodes restart at once as new processes. The grants of the previous processes have expired.
     for node in 10..20 {
         fleet.start(node);
     }
@@ -265,10 +266,10 @@
     assert!(granted.iter().all(|rate| *rate > 8_000), "{granted:?}");
 }
 
-/// Without a quorum nobody allocates: within one grant only guaranteed rates are spent; under the next epoch it all comes
-/// back.
+/// Without a quorum of lease servers there is no allocator: after one grant duration only guaranteed rates may be
+/// spent. The whole limit must be usable again under the next epoch.
 #[test]
-fn without_a_quorum_only_guaranteed_rates_are_spent_until_one_is_back() {
+fn only_guaranteed_rates_are_spent_without_a_quorum() {
     let mut fleet = Fleet::new(9, limit(90_000, 50_000, 1_000, 9), 20_000);
     fleet.run_ms(3_000);
     assert!(fleet.utilisation(1_000) > 0.9);
@@ -288,26 +289,27 @@
     assert!(fleet.utilisation(1_000) > 0.9);
 }
 
-/// A node that dies: its part is used by others once its grant is over, and a newcomer has some within a second.
+/// The quota of a dead node must be available to others once its grant has expired, and a new node must get a quota
+/// within a second.
 #[test]
-fn a_dead_nodes_part_is_used_within_a_grant_and_a_new_node_has_its_own_within_a_second() {
+fn quota_of_a_dead_node_is_reused_within_a_grant_and_a_new_node_gets_one_within_a_second() {
     let mut fleet = Fleet::new(9, limit(90_000, 50_000, 200, 10), 8_000);
-    fleet.nodes[5].wanted_rate = 200_000;
+    fleet.nodes[5].demanded_rate = 200_000;
     fleet.run_ms(5_000);
     let granted = fleet.granted_rate(5);
     assert!(granted > 20_000, "{granted}");
     for node in &mut fleet.nodes {
-        node.wanted_rate = 30_000;
+        node.demanded_rate = 30_000;
     }
     fleet.kill(5);
     let mut after_ms = 0;
-    while fleet.spendable() < 85_000 {
+    while fleet.spendable_rate() < 85_000 {
         fleet.run_ms(10);
         after_ms += 10;
         assert!(after_ms < 5_000, "{after_ms}");
     }
     println!(
-        "a dead node's part is used by others after {after_ms} ms, grants of {} ms",
+        "the quota of a dead node is reused after {after_ms} ms; grants last {} ms",
         GRANT_DURATION / MS
     );
     assert!(after_ms <= GRANT_DURATION / MS + 500, "{after_ms}");
@@ -316,11 +318,12 @@
     assert!(fleet.granted_rate(5) > 0);
 }
 
-/// More nodes speak than were planned for: their guaranteed rates come out of what is allocated, from one grant later on.
+/// If more nodes send requests than planned, their guaranteed rates must be deducted from the allocatable rate after
+/// one grant duration.
 #[test]
-fn guaranteed_rates_of_unplanned_nodes_are_taken_out_of_what_is_allocated() {
+fn guaranteed_rates_of_unplanned_nodes_are_deducted_from_the_allocatable_rate() {
     let mut fleet = Fleet::new(12, limit(100_000, 50_000, 2_000, 8), 50_000);
-    // Until the allocator has heard of them all, the unplanned guaranteed rates come on top: that is stated.
+    // Until the allocator knows all nodes, the additional guaranteed rates may exceed the limit, as documented.
     for _ in 0..2 * GRANT_DURATION / MS {
         fleet.step();
     }
@@ -328,7 +331,7 @@
     assert!(fleet.utilisation(1_000) > 0.9);
 }
 
-/// A bucket that is filled each millisecond.
+/// A token bucket that is refilled each millisecond.
 struct Bucket {
     level: f64,
     size: f64,
@@ -344,23 +347,24 @@
         }
     }
 
-    fn spend(&mut self, wanted: f64) -> f64 {
+    fn spend(&mut self, demanded: f64) -> f64 {
         self.level = (self.level + self.refill).min(self.size);
-        let spent = self.level.min(wanted);
+        let spent = self.level.min(demanded);
         self.level -= spent;
         spent
     }
 }
 
-/// Ten to one, the hot node another one each ten seconds, the limit four fifths of what is wanted: how much of it is used,
-/// against one bucket for all without any delay, and against equal parts.
+/// One hot node demands ten times as much as each other node, and another node becomes hot every ten seconds. The limit
+/// is four fifths of the demand. Compares the spent units with those of one central bucket without delay, and with
+/// those of equal static shares.
 #[test]
-fn demand_of_ten_to_one_that_moves_uses_nine_tenths_of_what_a_central_limiter_does() {
+fn moving_hot_node_uses_nine_tenths_of_what_a_central_limiter_allows() {
     let nodes = 9usize;
     let rate = 144_000;
     let burst = 36_000;
-    let counts_from_ms = 5_000;
-    let wanted_rate = |node: usize, now: u64| {
+    let warm_up_ms = 5_000;
+    let demanded_rate = |node: usize, now: u64| {
         let hot_node = (now / (10_000 * MS)) as usize % nodes;
         if node == hot_node {
             100_000
@@ -375,18 +379,18 @@
     let mut central_spent = 0.0;
     let mut equal_spent = 0.0;
     for ms in 0..120_000 {
-        let is_counted = ms >= counts_from_ms;
-        let mut wanted_of_all = 0.0;
+        let is_warmed_up = ms >= warm_up_ms;
+        let mut total_demand = 0.0;
         for (node, bucket) in equal_buckets.iter_mut().enumerate() {
-            let wanted = wanted_rate(node, fleet.now);
-            fleet.nodes[node].wanted_rate = wanted;
-            wanted_of_all += wanted as f64;
-            let spent = bucket.spend(wanted as f64 / 1e3);
-            equal_spent += if is_counted { spent } else { 0.0 };
+            let demanded = demanded_rate(node, fleet.now);
+            fleet.nodes[node].demanded_rate = demanded;
+            total_demand += demanded as f64;
+            let spent = bucket.spend(demanded as f64 / 1e3);
+            equal_spent += if is_warmed_up { spent } else { 0.0 };
         }
-        let spent = central_bucket.spend(wanted_of_all / 1e3);
-        central_spent += if is_counted { spent } else { 0.0 };
-        if ms == counts_from_ms {
+        let spent = central_bucket.spend(total_demand / 1e3);
+        central_spent += if is_warmed_up { spent } else { 0.0 };
+        if ms == warm_up_ms {
             for node in &mut fleet.nodes {
                 node.spent = 0.0;
             }
@@ -395,13 +399,12 @@
     }
     let granted = fleet.spent() / central_spent;
     let equal = equal_spent / central_spent;
-    println!("of what a central limiter uses: grants {granted:.3}, equal parts {equal:.3}");
+    println!("relative to a central limiter: grants {granted:.3}, equal shares {equal:.3}");
     assert!(granted >= 0.9 && granted > equal + 0.1, "{granted} {equal}");
 }
 
-/// What is scarce goes by the weight of the waiting work.
 #[test]
-fn scarce_units_go_where_the_waiting_work_has_more_weight() {
+fn scarce_units_are_allocated_by_weight() {
     let mut fleet = Fleet::new(2, limit(50_000, 20_000, 100, 2), 100_000);
     fleet.nodes[1].weight = 4.0;
     fleet.run_ms(4_000);
--- a/crates/coordination/tests/support/budget_fleet.rs
+++ b/crates/coordination/tests/support/budget_fleet.rs
@@ -1,4 +1,4 @@
-//! An allocator and nodes with their granted quotas on a network of the tests' own, by fed time.
+//! An allocator and nodes with their granted quotas on a simulated network and clock.
 
 use poppykeel_coordination::budget::{
     BudgetAllocator, BudgetGrant, BudgetLimit, BudgetMessage, Demand, GrantId, GrantedQuotas,
@@ -28,18 +28,18 @@
         node: usize,
         rate: u64,
     },
-    /// Delivers one of the messages on their way; it may stay to come again.
+    /// Delivers a message in flight, index may be kept to be delivered again.
     Deliver {
-        which: usize,
-        stays: bool,
+        index: usize,
+        is_kept: bool,
     },
     Lose {
-        which: usize,
+        index: usize,
     },
     Restart {
         node: usize,
     },
-    /// The next allocator takes over; the old one is heard of no more.
+    /// A new allocator replaces the old one under the next epoch.
     ReplaceAllocator,
 }
 
@@ -49,46 +49,46 @@
         6 => (0..NODES, prop_oneof![Just(0u64), 0u64..200_000])
             .prop_map(|(node, rate)| Step::Request { node, rate }),
         12 => (0usize..64, prop::bool::weighted(0.15))
-            .prop_map(|(which, stays)| Step::Deliver { which, stays }),
-        1 => (0usize..64).prop_map(|which| Step::Lose { which }),
+            .prop_map(|(index, is_kept)| Step::Deliver { index, is_kept }),
+        1 => (0usize..64).prop_map(|index| Step::Lose { index }),
         1 => (0..NODES).prop_map(|node| Step::Restart { node }),
         1 => Just(Step::ReplaceAllocator),
     ]
 }
 
-/// A message on its way.
+/// A message in flight.
 #[derive(Clone, Debug)]
 pub enum Packet {
     /// From the node of this index.
     ToAllocator(usize, BudgetMessage),
-    /// To whatever process has the node's name when it comes.
+    /// To the process that has the node's name on arrival.
     ToNode(usize, BudgetMessage),
 }
 
-/// What keeps the grants within the limit. A fleet may have one of these taken out.
+/// The mechanisms that keep the grants within the limit. A fleet can have one of them disabled.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Safeguard {
-    /// A new allocator's wait for the grants of the one before.
+    /// A new allocator waits until the grants of its predecessor have expired.
     WaitForOldGrants,
-    /// The regard to drift in a grant's expiry.
+    /// Durations and rates are reduced by the drift.
     DriftMargin,
-    /// The count of a grant until its node has shown a newer one.
-    CountUntilShown,
-    /// A grant that comes again is not another one on top.
-    IgnoreRepeatedGrants,
-    /// A process does not take a grant that was given to the process of its name before.
+    /// A grant counts until its node has confirmed a newer one.
+    CountUntilConfirmed,
+    /// A grant that is delivered again is ignored.
+    IgnoreDuplicateGrants,
+    /// A process ignores grants to the previous process of its name.
     RequesterCheck,
-    /// The guaranteed rates of nodes are kept out of what is allocated.
-    GuaranteedRatesKeptOut,
+    /// The guaranteed rates of nodes are deducted from the allocatable rate.
+    GuaranteedRatesDeducted,
 }
 
 pub const SAFEGUARDS: [Safeguard; 6] = [
     Safeguard::WaitForOldGrants,
     Safeguard::DriftMargin,
-    Safeguard::CountUntilShown,
-    Safeguard::IgnoreRepeatedGrants,
+    Safeguard::CountUntilConfirmed,
+    Safeguard::IgnoreDuplicateGrants,
     Safeguard::RequesterCheck,
-    Safeguard::GuaranteedRatesKeptOut,
+    Safeguard::GuaranteedRatesDeducted,
 ];
 
 struct NodeProcess {
@@ -109,14 +109,14 @@
     }
 }
 
-/// A rate that a node took on top of its grant, for lack of a safeguard.
+/// A rate that a node has added to its grant because a safeguard is disabled.
 struct ExtraRate {
     rate: u64,
     until: u64,
 }
 
 pub struct Fleet {
-    without: Option<Safeguard>,
+    disabled_safeguard: Option<Safeguard>,
     pub now: u64,
     epoch: u64,
     pub allocator: BudgetAllocator,
@@ -126,13 +126,13 @@
 }
 
 impl Fleet {
-    pub fn new(without: Option<Safeguard>) -> Fleet {
-        let drift_ppm = drift_ppm(without);
+    pub fn new(disabled_safeguard: Option<Safeguard>) -> Fleet {
+        let drift_ppm = drift_ppm(disabled_safeguard);
         Fleet {
-            without,
+            disabled_safeguard,
             now: 3 * GRANT_DURATION,
             epoch: 1,
-            allocator: new_allocator(without, 1, 0),
+            allocator: new_allocator(disabled_safeguard, 1, 0),
             nodes: (0..NODES)
                 .map(|node| NodeProcess::new(node, 0, drift_ppm))
                 .collect(),
@@ -142,10 +142,10 @@
     }
 
     fn lacks(&self, safeguard: Safeguard) -> bool {
-        self.without == Some(safeguard)
+        self.disabled_safeguard == Some(safeguard)
     }
 
-    /// The allocator's clock is fast and those of nodes are slow: the worst there may be.
+    /// The time by the allocator's clock. It runs fast and the clocks of nodes run slow, which is the worst case.
     pub fn allocator_now(&self) -> u64 {
         self.now * (MILLION + u64::from(DRIFT_PPM)) / MILLION
     }
@@ -158,8 +158,8 @@
         self.nodes[node].quotas.rate(BUDGET, self.node_now()).rate
     }
 
-    /// What all nodes may spend a second. Buckets may be filled by fast clocks.
-    pub fn spendable(&self) -> u64 {
+    /// The rate that all nodes may spend together, if fast clocks refill their buckets.
+    pub fn spendable_rate(&self) -> u64 {
         let now = self.node_now();
         let granted: u64 = (0..NODES).map(|node| self.granted_rate(node)).sum();
         let in_force = self.extra_rates.iter().filter(|extra| now < extra.until);
@@ -179,42 +179,42 @@
         let BudgetMessage::Request(mut request) = message else {
             return;
         };
-        if self.lacks(Safeguard::CountUntilShown) {
-            // As if whatever was granted last had been shown.
+        if self.lacks(Safeguard::CountUntilConfirmed) {
+            // Confirms every grant of the epoch.
             request.current_grant = Some(GrantId {
                 epoch: request.epoch,
                 number: u64::MAX,
             });
         }
         let now = self.allocator_now();
-        if let Some(answer) = self.allocator.handle_request(request, now) {
-            self.in_flight.push(Packet::ToNode(node, answer));
+        if let Some(response) = self.allocator.handle_request(request, now) {
+            self.in_flight.push(Packet::ToNode(node, response));
         }
     }
 
     fn deliver_to_node(&mut self, index: usize, mut message: BudgetMessage) {
         let now = self.node_now();
-        let takes_any = self.lacks(Safeguard::RequesterCheck);
+        let accepts_any = self.lacks(Safeguard::RequesterCheck);
         let node = &mut self.nodes[index];
         if let BudgetMessage::Grant(grant) = &mut message {
-            if takes_any {
+            if accepts_any {
                 grant.requester = Incarnation(node.incarnation);
             }
         }
         let before = node.quotas.clone();
-        let asks_again = node.quotas.handle_answer(&message, now);
+        let must_repeat = node.quotas.handle_response(&message, now);
         let is_ignored = before == node.quotas;
         if let BudgetMessage::Grant(grant) = &message {
-            if is_ignored && self.lacks(Safeguard::IgnoreRepeatedGrants) {
-                self.add_on_top(grant, now);
+            if is_ignored && self.lacks(Safeguard::IgnoreDuplicateGrants) {
+                self.add_extra_rate(grant, now);
             }
         }
-        if asks_again {
+        if must_repeat {
             self.request(index, 50_000);
         }
     }
 
-    fn add_on_top(&mut self, grant: &BudgetGrant, now: u64) {
+    fn add_extra_rate(&mut self, grant: &BudgetGrant, now: u64) {
         self.extra_rates.push(ExtraRate {
             rate: grant.rates[BUDGET],
             until: now + GRANT_DURATION / 2,
@@ -238,47 +238,53 @@
         match *step {
             Step::Advance { ms } => self.now += ms * 1000,
             Step::Request { node, rate } => self.request(node, rate),
-            Step::Deliver { which, stays } if !self.in_flight.is_empty() => {
-                let which = which % self.in_flight.len();
-                let packet = if stays {
-                    self.in_flight[which].clone()
+            Step::Deliver { index, is_kept } if !self.in_flight.is_empty() => {
+                let index = index % self.in_flight.len();
+                let packet = if is_kept {
+                    self.in_flight[index].clone()
                 } else {
-                    self.in_flight.remove(which)
+                    self.in_flight.remove(index)
                 };
                 self.deliver(packet);
             }
-            Step::Lose { which } if !self.in_flight.is_empty() => {
-                let which = which % self.in_flight.len();
-                self.in_flight.remove(which);
+            Step::Lose { index } if !self.in_flight.is_empty() => {
+                let index = index % self.in_flight.len();
+                self.in_flight.remove(index);
             }
             Step::Restart { node } => {
                 let incarnation = self.nodes[node].incarnation + 1;
-                self.nodes[node] = NodeProcess::new(node, incarnation, drift_ppm(self.without));
+                self.nodes[node] =
+                    NodeProcess::new(node, incarnation, drift_ppm(self.disabled_safeguard));
             }
             Step::ReplaceAllocator => {
                 self.epoch += 1;
-                self.allocator = new_allocator(self.without, self.epoch, self.allocator_now());
+                self.allocator =
+                    new_allocator(self.disabled_safeguard, self.epoch, self.allocator_now());
             }
             Step::Deliver { .. } | Step::Lose { .. } => {}
         }
     }
 
     pub fn assert_within_limit(&self) {
-        let spendable = self.spendable();
-        assert!(spendable <= LIMIT.rate, "{spendable} at {}", self.now);
+        let spendable_rate = self.spendable_rate();
+        assert!(
+            spendable_rate <= LIMIT.rate,
+            "{spendable_rate} at {}",
+            self.now
+        );
     }
 }
 
-fn drift_ppm(without: Option<Safeguard>) -> u32 {
-    if without == Some(Safeguard::DriftMargin) {
+fn drift_ppm(disabled_safeguard: Option<Safeguard>) -> u32 {
+    if disabled_safeguard == Some(Safeguard::DriftMargin) {
         0
     } else {
         DRIFT_PPM
     }
 }
 
-fn limit(without: Option<Safeguard>) -> BudgetLimit {
-    if without == Some(Safeguard::GuaranteedRatesKeptOut) {
+fn limit(disabled_safeguard: Option<Safeguard>) -> BudgetLimit {
+    if disabled_safeguard == Some(Safeguard::GuaranteedRatesDeducted) {
         BudgetLimit {
             guaranteed_rate: 0,
             ..LIMIT
@@ -288,9 +294,9 @@
     }
 }
 
-fn new_allocator(without: Option<Safeguard>, epoch: u64, now: u64) -> BudgetAllocator {
-    let limits = [(BUDGET.to_string(), limit(without))].into();
-    let started_at = if without == Some(Safeguard::WaitForOldGrants) {
+fn new_allocator(disabled_safeguard: Option<Safeguard>, epoch: u64, now: u64) -> BudgetAllocator {
+    let limits = [(BUDGET.to_string(), limit(disabled_safeguard))].into();
+    let started_at = if disabled_safeguard == Some(Safeguard::WaitForOldGrants) {
         now.saturating_sub(2 * GRANT_DURATION)
     } else {
         now
@@ -299,7 +305,7 @@
         Epoch(epoch),
         limits,
         GRANT_DURATION,
-        drift_ppm(without),
+        drift_ppm(disabled_safeguard),
         started_at,
     )
 }
