--- a/crates/coordination/src/envelope.rs
+++ b/crates/coordination/src/envelope.rs
@@ -1,11 +1,11 @@
-//! The wire format of messages between nodes: who speaks, in which fleet, and a checksum over all of it.
+//! The wire format of messages between nodes.
 //!
-//! A message is the magic number, the CRC-32 of the rest (little-endian), and an [`Envelope`] as `postcard` writes it.
-//! `postcard` is positional: no field and no variant of a type in here may change its place. The golden files under
-//! `tests/golden` keep one datagram of each message.
+//! A message consists of a magic number, a little-endian CRC-32 of the remaining bytes, and an [`Envelope`] encoded by
+//! `postcard`. `postcard` is positional: fields and variants of the types in it must keep their order. The golden files
+//! under `tests/golden` hold one datagram of each message.
 //!
-//! Drivers call [`encode`] for what [`CoordinationNode`](crate::node::CoordinationNode) wants sent, and [`decode`] for
-//! what comes in.
+//! Drivers call [`encode`] for messages that [`CoordinationNode`](crate::node::CoordinationNode) outputs, and
+//! [`decode`] for received messages.
 
 use crate::budget::BudgetMessage;
 use crate::lease::{LeaseRequest, LeaseResponse};
@@ -19,41 +19,42 @@
 const MAGIC: [u8; 4] = *b"ppk1";
 /// The length of the checksum, in bytes.
 const CHECKSUM_BYTES: usize = 4;
-/// The longest message, in bytes. One that is too long for a datagram goes over a connection.
+/// The maximum size of a message without the magic number, in bytes. A message that is too large for a datagram is sent
+/// over a connection.
 pub const MAX_MESSAGE_BYTES: usize = 256 * 1024;
-/// The longest message in one datagram, in bytes.
+/// The maximum size of a message that is sent as a datagram, in bytes.
 pub const MAX_DATAGRAM_BYTES: usize = 1200;
 
-/// What a message is about.
+/// The content of a message, by subsystem.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum MessageBody {
     /// To a lease server.
     LeaseRequest(LeaseRequest),
     /// From a lease server to a client.
     LeaseResponse(LeaseResponse),
-    /// Of the membership protocol, as its library writes it.
+    /// A message of the membership protocol, as encoded by its library.
     Gossip(Vec<u8>),
-    /// Asks for a node's figures, for the report of this number.
+    /// Requests a node's figures for a report.
     RequestFigures {
-        /// Comes back with the answer.
+        /// The number of the report; returned in the response.
         report_number: u64,
     },
-    /// The answer to [`MessageBody::RequestFigures`].
+    /// The response to [`MessageBody::RequestFigures`].
     Figures {
-        /// The number of the report that asked.
+        /// The report number of the request.
         report_number: u64,
-        /// The figures.
+        /// The node's figures.
         figures: NodeFigures,
     },
-    /// Of a rolling restart.
+    /// A message of a rolling restart.
     RollingRestart(RestartMessage),
-    /// Of probing ejected replicas.
+    /// A message of outlier probing.
     OutlierProbing(ProbingMessage),
-    /// Of the fleet's budgets.
+    /// A message about budgets.
     Budget(BudgetMessage),
 }
 
-/// How many requests of one class were served, refused and failed.
+/// The number of requests of one class by outcome.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ClassReplies {
     /// The class's name.
@@ -66,29 +67,29 @@
     pub failed: u64,
 }
 
-/// How many attempts of one class and tenant went to another zone.
+/// The number of attempts of one class and tenant that were sent to another zone.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct CrossZoneAttempts {
     /// The class's name.
     pub class: String,
     /// The tenant's name; empty at sites without tenants.
     pub tenant: String,
-    /// How many attempts.
+    /// The number of attempts.
     pub count: u64,
 }
 
-/// A node's figures since its start.
+/// A node's counters since its start, for the fleet report.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct NodeFigures {
-    /// Replies by class.
+    /// Requests by class and outcome.
     pub replies: Vec<ClassReplies>,
-    /// Attempts that went to another zone, by class and tenant.
+    /// Attempts sent to another zone, by class and tenant.
     pub cross_zone_attempts: Vec<CrossZoneAttempts>,
-    /// Attempts written whole to replicas.
+    /// Attempts that were completely written to a replica.
     pub dispatches: u64,
-    /// Requests taken and not ended.
+    /// Requests accepted and not completed.
     pub requests_in_flight: u64,
-    /// The node's wall clock, in microseconds of Unix time.
+    /// The node's wall clock, in microseconds since the Unix epoch.
     pub wall_clock: u64,
 }
 
@@ -97,32 +98,32 @@
 pub struct Envelope {
     /// The fleet's name.
     pub fleet: String,
-    /// The number of the list of lease servers that the sender goes by.
+    /// The version of the lease server list that the sender uses.
     pub lease_servers_number: u32,
-    /// The process that sends.
+    /// The sending process.
     pub sender: ProcessId,
-    /// Where the sender is reached, as it says.
+    /// The sender's address, as stated by the sender.
     pub sender_address: SocketAddr,
-    /// The name of the node that it goes to.
+    /// The name of the receiving node.
     pub recipient: String,
-    /// What it is about.
+    /// The content of the message.
     pub body: MessageBody,
 }
 
-/// Why bytes are not a message for this node.
+/// The reason why received bytes are rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DecodeError {
-    /// They are no message, or a damaged one.
-    #[error("not a message, or a damaged one")]
+    /// The magic number, size, checksum or encoding is invalid.
+    #[error("malformed message: invalid magic number, size, checksum or encoding")]
     Malformed,
-    /// The message is of another fleet, or for another node.
-    #[error("a message of another fleet or for another node")]
+    /// The message is from another fleet or for another node.
+    #[error("message is from another fleet or for another node")]
     Misaddressed,
 }
 
-/// The bytes of a message.
+/// Encodes a message with its magic number and checksum.
 pub fn encode(envelope: &Envelope) -> Vec<u8> {
-    // Writing to a vector fails for lack of memory alone.
+    // Serialising to a vector can only fail if memory is exhausted.
     let payload = postcard::to_stdvec(envelope).unwrap_or_default();
     let mut bytes = MAGIC.to_vec();
     bytes.extend_from_slice(&crc32fast::hash(&payload).to_le_bytes());
@@ -130,11 +131,11 @@
     bytes
 }
 
-/// Reads a message for this node of this fleet.
+/// Decodes a message for this node of this fleet.
 ///
 /// # Errors
-/// [`DecodeError::Malformed`] where the bytes are no whole and sound message, [`DecodeError::Misaddressed`] where the
-/// message is of another fleet or for another node.
+/// [`DecodeError::Malformed`] if the bytes are not a complete, valid message; [`DecodeError::Misaddressed`] if the
+/// message is from another fleet or for another node.
 pub fn decode(bytes: &[u8], fleet: &str, node: &str) -> Result<Envelope, DecodeError> {
     let checked = bytes
         .strip_prefix(&MAGIC)
--- a/crates/coordination/src/gossip/member.rs
+++ b/crates/coordination/src/gossip/member.rs
@@ -1,26 +1,26 @@
-//! A member of the fleet, and how two members of one name are ordered.
+//! A member of the fleet, and the precedence of members with the same name.
 
 use crate::Incarnation;
 use foca::Identity;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// A node of the fleet. The serialised form is positional and travels between nodes.
+/// A node of the fleet. Sent between nodes; the serialised form is positional.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Member {
     /// The node's name.
     pub name: String,
-    /// Where other nodes reach it.
+    /// The address that other nodes send to.
     pub address: SocketAddr,
-    /// Drawn at random at each start of the process.
+    /// Chosen at random when the process starts.
     pub incarnation: Incarnation,
-    /// One higher each time the others took it for down while it was there.
+    /// Incremented each time the node rejoins after other nodes have declared it down while it was running.
     pub generation: u64,
 }
 
 impl Member {
-    /// A member that is known by name and address alone, so that it can be asked whether it is there.
-    pub(crate) fn unseen(name: String, address: SocketAddr) -> Member {
+    /// A member of which only the configured name and address are known, as the recipient of an announcement.
+    pub(crate) fn from_address(name: String, address: SocketAddr) -> Member {
         Member {
             name,
             address,
--- a/crates/coordination/src/gossip/membership.rs
+++ b/crates/coordination/src/gossip/membership.rs
@@ -12,40 +12,40 @@
 use std::num::{NonZeroU8, NonZeroUsize};
 use std::time::Duration;
 
-/// How many nodes of a fleet are kept account of.
+/// The maximum number of nodes for which a node stores addresses and timers.
 pub const MAX_MEMBERS: usize = 4096;
-/// How many timers may wait; the library has a few for each member.
+/// The maximum number of pending timers; the library uses a few per member.
 const MAX_TIMERS: usize = 4 * MAX_MEMBERS;
 /// The shortest probe interval, in microseconds.
 const MIN_PROBE_INTERVAL: Micros = 10;
-/// A node that does not answer is asked for through so many others, beside the first.
+/// The number of indirect probes of an unresponsive node, in addition to the first.
 const ADDITIONAL_INDIRECT_PROBES: usize = 2;
-/// How often an update is passed on, beside the first time.
+/// The number of times that an update is forwarded, in addition to the first.
 const ADDITIONAL_TRANSMISSIONS: u8 = 9;
-/// The longest message, in bytes, less one.
+/// The maximum message size minus one, in bytes.
 const MAX_MESSAGE_BYTES_LESS_ONE: usize = 1023;
 
-/// A message of the membership protocol on its way out.
+/// An outgoing message of the membership protocol.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct GossipMessage {
-    /// The member that it goes to.
+    /// The member to send to.
     pub recipient: Member,
-    /// The message as the library writes it.
+    /// The message as encoded by the library.
     pub payload: Bytes,
 }
 
-/// One node's view of who is there.
+/// One node's view of the fleet membership.
 pub struct Membership {
     foca: Foca<Member, PostcardCodec, StdRng, NoCustomBroadcast>,
     runtime: AccumulatingRuntime<Member>,
-    /// Timers by the time at which they are due; the number keeps their order.
+    /// Timers by due time; the number preserves the order of timers due at the same time.
     timers: BTreeMap<(Micros, u64), Timer<Member>>,
     last_timer_number: u64,
     malformed_count: u64,
 }
 
 impl Membership {
-    /// A view that begins now with the local node alone. `probe_interval` is the time between two probes, in
+    /// Creates a view that contains the local node only. `probe_interval` is the time between two probes, in
     /// microseconds.
     pub fn new(local: Member, probe_interval: Micros, seed: u64) -> Membership {
         let config = configuration(Duration::from_micros(
@@ -61,36 +61,36 @@
         }
     }
 
-    /// The local node as the others know it.
+    /// The local node as announced to other nodes.
     pub fn local_member(&self) -> &Member {
         self.foca.identity()
     }
 
-    /// The other nodes that are there, as far as is known.
+    /// The other nodes that are not known to be down.
     pub fn peers(&self) -> impl Iterator<Item = &Member> {
         self.foca.iter_members().map(foca::Member::id)
     }
 
-    /// How many messages could not be read since the start.
+    /// The number of messages since the start that could not be decoded.
     pub fn malformed_count(&self) -> u64 {
         self.malformed_count
     }
 
-    /// Tells a node that the local one is here.
+    /// Announces the local node to another node.
     pub fn announce(&mut self, recipient: Member, now: Micros) -> Vec<GossipMessage> {
-        // An error says that the local node has left, or that the message was too long: nothing is sent then.
+        // An error means that the local node has left or that the message is too long; nothing is sent then.
         let _ = self.foca.announce(recipient, &mut self.runtime);
         self.drain_runtime(now)
     }
 
-    /// Leaves in order, so that the others need not find out.
+    /// Leaves the fleet gracefully, so that other nodes need not detect the absence.
     pub fn leave(&mut self, now: Micros) -> Vec<GossipMessage> {
-        // An error says that the local node has left already.
+        // An error means that the local node has already left.
         let _ = self.foca.leave_cluster(&mut self.runtime);
         self.drain_runtime(now)
     }
 
-    /// Takes a message.
+    /// Handles a message from another node and returns the messages to send.
     pub fn handle_message(&mut self, payload: &[u8], now: Micros) -> Vec<GossipMessage> {
         if self.foca.handle_data(payload, &mut self.runtime).is_err() {
             self.malformed_count += 1;
@@ -98,12 +98,12 @@
         self.drain_runtime(now)
     }
 
-    /// When [`Membership::on_timer`] has something to do.
+    /// When [`Membership::on_timer`] must be called next; `None` if no timer is pending.
     pub fn next_deadline(&self) -> Option<Micros> {
         self.timers.keys().next().map(|(due_at, _)| *due_at)
     }
 
-    /// Does what is due.
+    /// Runs the timers that are due and returns the messages to send.
     pub fn on_timer(&mut self, now: Micros) -> Vec<GossipMessage> {
         let mut messages = Vec::new();
         while let Some(entry) = self
@@ -112,14 +112,14 @@
             .filter(|entry| entry.key().0 <= now)
         {
             let timer = entry.remove();
-            // An error says that the timer came too late to matter.
+            // An error means that the timer is obsolete.
             let _ = self.foca.handle_timer(timer, &mut self.runtime);
             messages.extend(self.drain_runtime(now));
         }
         messages
     }
 
-    /// Takes over what the library wants done: timers are kept, notifications dropped, messages returned.
+    /// Collects the outputs of the library: stores timers, drops notifications and returns messages.
     fn drain_runtime(&mut self, now: Micros) -> Vec<GossipMessage> {
         while let Some((after, timer)) = self.runtime.to_schedule() {
             if self.timers.len() < MAX_TIMERS {
@@ -137,7 +137,7 @@
     }
 }
 
-/// The library's configuration at this probe interval.
+/// The configuration of the library; all times are derived from the probe interval.
 fn configuration(probe_interval: Duration) -> Config {
     let to_two_members = |frequency| {
         Some(PeriodicParams {
--- a/crates/coordination/src/gossip/mod.rs
+++ b/crates/coordination/src/gossip/mod.rs
@@ -1,19 +1,18 @@
-//! Which nodes of the fleet are there: the SWIM membership protocol with suspicion and incarnations, by the library
-//! `foca`.
+//! Fleet membership: the SWIM protocol with suspicion and incarnations, implemented by the library `foca`.
 //!
-//! # What holds
+//! # Properties
 //!
-//! - A node that one other node cannot reach is asked for through third ones before it is suspected, and has time to
-//!   object before it counts as down. A loss in one direction, or of one node's path, throws nobody out.
-//! - A node that is back under the same name has another incarnation and takes the place of the one before it.
-//! - A node that leaves in order is removed at once; one that dies is removed after the suspicion has run out.
-//! - Membership is an observation, not an agreement: nodes may differ on it for a while. No lease and no budget rests on
-//!   it; it says whom to ask, show and notify.
+//! - A node that does not answer a direct probe is probed through other nodes before it is suspected, and can refute
+//!   the suspicion before it counts as down. Message loss in one direction, or on one node's path, removes no member.
+//! - A restarted node has the same name and a new incarnation, and replaces its previous member.
+//! - A node that leaves gracefully is removed at once; a dead node is removed after the suspicion timeout.
+//! - Membership is eventually consistent: views of nodes may differ for a while. Leases and budgets do not depend on
+//!   it. It is used to choose recipients of messages and for the status shown to operators.
 //!
-//! # Who calls what
+//! # Callers
 //!
-//! [`CoordinationNode`](crate::node::CoordinationNode) owns one [`Membership`], hands it messages and time, and sends what
-//! it returns.
+//! [`CoordinationNode`](crate::node::CoordinationNode) owns one [`Membership`], passes messages and time to it, and
+//! sends the messages that it returns.
 
 mod member;
 mod membership;
--- a/crates/coordination/src/node/address_book.rs
+++ b/crates/coordination/src/node/address_book.rs
@@ -1,26 +1,26 @@
-//! Where other nodes are reached.
+//! The addresses of other nodes.
 
 use super::NodeSettings;
 use crate::gossip::{Membership, MAX_MEMBERS};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// The addresses that nodes named in their messages. A lease server that has just started answers nodes that it knows
-/// from nowhere else.
+/// The sender addresses of received messages. A lease server that has just started needs them to respond to nodes that
+/// are neither configured nor known as members.
 #[derive(Debug, Default)]
 pub(super) struct AddressBook {
     by_sender: BTreeMap<String, SocketAddr>,
 }
 
 impl AddressBook {
-    /// Remembers where the sender of a message is reached, as it says.
-    pub(super) fn remember(&mut self, sender: &str, address: SocketAddr) {
+    /// Records the address that the sender of a message has stated.
+    pub(super) fn record(&mut self, sender: &str, address: SocketAddr) {
         if self.by_sender.len() < MAX_MEMBERS || self.by_sender.contains_key(sender) {
             self.by_sender.insert(sender.into(), address);
         }
     }
 
-    /// Where a node is reached: as the settings say, else as it says itself, as a member or in its last message.
+    /// The address of a node: from the settings, otherwise from the membership, otherwise from its last message.
     pub(super) fn resolve(
         &self,
         name: &str,
--- a/crates/coordination/src/node/hosted_server.rs
+++ b/crates/coordination/src/node/hosted_server.rs
@@ -1,5 +1,5 @@
-//! The lease server that this process hosts, with its log: what it answers goes out only once the records that it wrote
-//! before are durable.
+//! The lease server that this process hosts, with its log. Responses are sent only once all records written before them
+//! are durable.
 
 use super::status::LeaseServerStatus;
 use super::{NodeOutput, NodeSettings};
@@ -10,11 +10,11 @@
 use crate::{Incarnation, Micros};
 use std::collections::VecDeque;
 
-/// How many answers may wait for a write. Whoever asks beyond this asks again.
-const MAX_WAITING_ANSWERS: usize = 16_384;
+/// The maximum number of responses that wait for a write. Responses beyond it are dropped; the requester retries.
+const MAX_PENDING_RESPONSES: usize = 16_384;
 
-struct WaitingAnswer {
-    /// The answer goes out once the write of this number is durable.
+struct PendingResponse {
+    /// The response is sent once the write with this number is durable.
     after_write: u64,
     envelope: Envelope,
 }
@@ -26,15 +26,16 @@
     last_write: u64,
     /// The number of the last write that is durable.
     last_durable_write: u64,
-    /// Answers in the order in which they go out.
-    waiting: VecDeque<WaitingAnswer>,
+    /// Pending responses in sending order.
+    pending: VecDeque<PendingResponse>,
     has_log_failed: bool,
-    /// When the other servers are asked again what they remember.
-    ask_recovery_at: Micros,
+    /// When the next recovery request is sent to the other servers.
+    next_recovery_request_at: Micros,
 }
 
 impl HostedLeaseServer {
-    /// A server that starts now with what its log holds; `None` where this node is not on the list of lease servers.
+    /// Creates a server that starts now with the records of its log; `None` if this node is not on the list of lease
+    /// servers.
     pub(super) fn new(
         settings: &NodeSettings,
         incarnation: Incarnation,
@@ -51,18 +52,18 @@
             server: LeaseServer::new(config, incarnation, log, now),
             last_write: 0,
             last_durable_write: 0,
-            waiting: VecDeque::new(),
+            pending: VecDeque::new(),
             has_log_failed: false,
-            ask_recovery_at: now,
+            next_recovery_request_at: now,
         })
     }
 
-    /// Another list of lease servers is in force.
+    /// Replaces the list of lease servers.
     pub(super) fn set_servers(&mut self, server_index: usize, server_count: usize) {
         self.server.set_servers(server_index, server_count);
     }
 
-    /// Takes a message; a server whose log has failed says nothing more.
+    /// Handles a message. A server whose log has failed no longer responds.
     pub(super) fn handle(
         &mut self,
         now: Micros,
@@ -74,26 +75,27 @@
         Some(self.server.handle(now, message))
     }
 
-    /// Moves the recovery on; a record that must be durable before anything else.
+    /// Advances the recovery. The returned record must be durable before any other output is executed.
     pub(super) fn advance(&mut self, now: Micros) -> Option<LeaseLogRecord> {
         self.server.advance(now)
     }
 
-    /// What to ask the other lease servers now, if it is time to; the next time is `interval` microseconds later.
+    /// The recovery request to send to the other lease servers, if one is due. The next one is due `interval`
+    /// microseconds later.
     pub(super) fn due_recovery_request(
         &mut self,
         now: Micros,
         interval: Micros,
     ) -> Option<LeaseRequest> {
         let request = self.server.recovery_request()?;
-        if now < self.ask_recovery_at {
+        if now < self.next_recovery_request_at {
             return None;
         }
-        self.ask_recovery_at = now + interval;
+        self.next_recovery_request_at = now + interval;
         Some(request)
     }
 
-    /// Numbers a write and hands it to the driver.
+    /// Creates the output for a numbered write to the log.
     pub(super) fn write(&mut self, records: Vec<LeaseLogRecord>) -> NodeOutput {
         self.last_write += 1;
         NodeOutput::WriteLog {
@@ -102,13 +104,13 @@
         }
     }
 
-    /// Returns an answer that may go out now, or keeps it until all writes so far are durable.
+    /// Returns a response that may be sent now, or queues it until all writes so far are durable.
     pub(super) fn hold_until_durable(&mut self, envelope: Envelope) -> Option<Envelope> {
         if self.last_durable_write >= self.last_write {
             return Some(envelope);
         }
-        if self.waiting.len() < MAX_WAITING_ANSWERS {
-            self.waiting.push_back(WaitingAnswer {
+        if self.pending.len() < MAX_PENDING_RESPONSES {
+            self.pending.push_back(PendingResponse {
                 after_write: self.last_write,
                 envelope,
             });
@@ -116,39 +118,42 @@
         None
     }
 
-    /// The write of this number, and all before it, are durable: the answers that may go out now.
+    /// Records that the write with this number, and all before it, are durable. Returns the responses to send.
     pub(super) fn on_log_written(&mut self, write: u64) -> Vec<Envelope> {
         self.last_durable_write = self.last_durable_write.max(write);
         let mut ready = Vec::new();
-        while let Some(answer) = self.waiting.pop_front() {
-            if answer.after_write > self.last_durable_write {
-                self.waiting.push_front(answer);
+        while let Some(response) = self.pending.pop_front() {
+            if response.after_write > self.last_durable_write {
+                self.pending.push_front(response);
                 break;
             }
-            ready.push(answer.envelope);
+            ready.push(response.envelope);
         }
         ready
     }
 
-    /// A write has failed: the server says nothing more.
+    /// Records a failed write. The server no longer responds.
     pub(super) fn on_log_failed(&mut self) {
         self.has_log_failed = true;
-        self.waiting.clear();
+        self.pending.clear();
     }
 
-    /// Whether a write has failed.
     pub(super) fn has_log_failed(&self) -> bool {
         self.has_log_failed
     }
 
-    /// When the server has something to do.
+    /// When the recovery must be advanced or requested next.
     pub(super) fn next_deadline(&self) -> Option<Micros> {
         let recovery_request = self.server.recovery_request();
-        let ask_at = recovery_request.map(|_| self.ask_recovery_at);
-        self.server.next_deadline().into_iter().chain(ask_at).min()
+        let recovery_request_at = recovery_request.map(|_| self.next_recovery_request_at);
+        self.server
+            .next_deadline()
+            .into_iter()
+            .chain(recovery_request_at)
+            .min()
     }
 
-    /// What operators are shown.
+    /// The status shown to operators.
     pub(super) fn status(&self, now: Micros) -> LeaseServerStatus {
         LeaseServerStatus {
             recovery: self.server.recovery_state().clone(),
--- a/crates/coordination/src/node/lease_messages.rs
+++ b/crates/coordination/src/node/lease_messages.rs
@@ -1,4 +1,4 @@
-//! The messages between the lease clients of this process, the lease server that it hosts, and those of other nodes.
+//! Message handling between the lease clients and the lease server of this process and those of other nodes.
 
 use super::{CoordinationNode, NodeOutput};
 use crate::envelope::MessageBody;
@@ -7,7 +7,7 @@
 use rand::RngExt;
 
 impl CoordinationNode {
-    /// Lets the clients of leases do what is due.
+    /// Runs the timers of the lease clients.
     pub(super) fn run_clients(&mut self, now: Micros) -> Vec<NodeOutput> {
         let random = self.rng.random::<u32>().into();
         let mut messages = Vec::new();
@@ -21,7 +21,7 @@
         outputs
     }
 
-    /// Moves the lease server's recovery on.
+    /// Advances the recovery of the lease server.
     pub(super) fn run_server(&mut self, now: Micros) -> Vec<NodeOutput> {
         let Some(server) = &mut self.server else {
             return Vec::new();
@@ -38,8 +38,8 @@
         outputs
     }
 
-    /// Takes a message to the lease server of this process. What it writes is handed out first, and its answers wait for
-    /// that.
+    /// Handles a message to the lease server of this process. Its log records are output first; its responses wait
+    /// until they are durable.
     pub(super) fn handle_lease_request(
         &mut self,
         sender: String,
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Takes a lease server's answer to a client of this process.
+    /// Handles the response of a lease server to a lease client of this process.
     pub(super) fn handle_lease_response(
         &mut self,
         sender: &str,
@@ -103,14 +103,14 @@
         outputs
     }
 
-    /// Sends an answer of the lease server, now or once what it wrote is durable.
+    /// Sends a response of the lease server, now or once its records are durable.
     fn send_once_durable(&mut self, recipient: String, body: MessageBody) -> Option<NodeOutput> {
         let envelope = self.envelope_to(recipient, body);
         let ready = self.server.as_mut()?.hold_until_durable(envelope)?;
         Some(self.send(ready, None))
     }
 
-    /// Sends a message to every lease server; a question for recovery goes to the others only.
+    /// Sends a message to every lease server. A recovery request is sent to the other servers only.
     pub(super) fn send_to_lease_servers(&mut self, message: &LeaseRequest) -> Vec<NodeOutput> {
         let skips_local = matches!(message, LeaseRequest::RequestRecovery(_));
         let names: Vec<String> = self.settings.lease_servers.keys().cloned().collect();
--- a/crates/coordination/src/node/mod.rs
+++ b/crates/coordination/src/node/mod.rs
@@ -1,19 +1,19 @@
-//! One process's coordination: the view of who is there, the clients of the leases that it asks for, and the lease server
-//! that it hosts, if it is one.
+//! The coordination of one process: its view of the membership, its lease clients, and its lease server, if any.
 //!
-//! A driver owns one [`CoordinationNode`]. It calls [`CoordinationNode::on_timer`] when
-//! [`CoordinationNode::next_deadline`] says so, hands in what it receives with [`CoordinationNode::handle_envelope`], and
-//! carries out each [`NodeOutput`] in the order returned: it sends messages, and it writes log records and reports with
+//! A driver owns one [`CoordinationNode`]. It calls [`CoordinationNode::on_timer`] at
+//! [`CoordinationNode::next_deadline`], passes received messages to [`CoordinationNode::handle_envelope`], and executes
+//! each [`NodeOutput`] in the order returned: it sends messages, writes log records, and calls
 //! [`CoordinationNode::on_log_written`] once they are durable.
 //!
 //! # Invariants
 //!
-//! - No answer of the lease server goes out before the records that it wrote until then are durable.
-//! - Once a write has failed, the lease server says nothing more until a restart.
-//! - Messages that go by another list of lease servers are dropped, but for those of the membership protocol.
+//! - A response of the lease server is sent only after all records written before it are durable.
+//! - Once a write has failed, the lease server does not respond until the process is restarted.
+//! - Messages from senders with another version of the lease server list are dropped, except those of the membership
+//!   protocol.
 //!
-//! Messages about budgets, rolling restarts, outlier probing and figures are not handled here: the driver hands them to
-//! the state machines of those, and sends theirs with [`CoordinationNode::message_to`].
+//! Messages about budgets, rolling restarts, outlier probing and node figures are not handled here. The driver passes
+//! them to the respective state machines and sends their messages with [`CoordinationNode::message_to`].
 
 mod address_book;
 mod hosted_server;
@@ -35,49 +35,49 @@
 pub use settings::NodeSettings;
 pub use status::{HeldLease, LeaseServerStatus, LeaseStatus, NodeCounters, NodeStatus};
 
-/// A node that sees others announces itself to a seed once in so many probe intervals, so that two parts of a fleet find
-/// each other; alone it does so in each.
+/// The interval of announcements to a seed while peers are known, in probe intervals. A node with peers keeps
+/// announcing itself so that two separated parts of a fleet find each other.
 const ANNOUNCE_INTERVAL_WITH_PEERS: u64 = 20;
+/// The interval of announcements while no peer is known, in probe intervals.
 const ANNOUNCE_INTERVAL_ALONE: u64 = 1;
 
-/// What the driver has to do.
+/// An output for the driver to execute.
 #[derive(Clone, Debug, PartialEq)]
 pub enum NodeOutput {
     /// Send a message.
     Send {
         /// The message with its sender and recipient.
         envelope: Box<Envelope>,
-        /// Where the recipient is reached, unless another address is known for its name.
+        /// The recipient's address, to be used if [`CoordinationNode::address_of`] knows none.
         address_hint: Option<SocketAddr>,
     },
-    /// Write records to the lease server's log, and say so with [`CoordinationNode::on_log_written`] once they are
-    /// durable.
+    /// Write records to the lease server's log, and call [`CoordinationNode::on_log_written`] once they are durable.
     WriteLog {
         /// The number of this write.
         write: u64,
-        /// The records in their order.
+        /// The records, in order.
         records: Vec<LeaseLogRecord>,
     },
 }
 
-/// One process's coordination.
+/// The coordination state of one process.
 pub struct CoordinationNode {
     settings: NodeSettings,
     membership: Membership,
-    /// The clients of leases by task.
+    /// The lease clients, by task.
     clients: BTreeMap<String, LeaseClient>,
     server: Option<HostedLeaseServer>,
     addresses: AddressBook,
     rng: StdRng,
-    /// When the node announces itself to a seed again.
+    /// When the node next announces itself to a seed.
     announce_at: Micros,
     counters: NodeCounters,
     has_left: bool,
 }
 
 impl CoordinationNode {
-    /// A node that begins now. `incarnation` is a fresh random number; `log` is what a lease server's log holds, and
-    /// `None` where this process has no log.
+    /// Creates a node that starts now. `incarnation` is a fresh random number; `log` holds the records of the lease
+    /// server's log, or is `None` if this process has no log.
     pub fn new(
         settings: NodeSettings,
         incarnation: Incarnation,
@@ -105,23 +105,23 @@
         }
     }
 
-    /// The number of the list of lease servers in force.
+    /// The version of the list of lease servers in force.
     pub fn lease_servers_number(&self) -> u32 {
         self.settings.lease_servers_number
     }
 
-    /// The list of lease servers in force.
+    /// The lease servers in force, with their addresses by name.
     pub fn lease_servers(&self) -> &BTreeMap<String, SocketAddr> {
         &self.settings.lease_servers
     }
 
-    /// Whether this process is a lease server now.
+    /// Whether this process currently hosts a lease server.
     pub fn is_lease_server(&self) -> bool {
         self.server.is_some()
     }
 
-    /// Another list of lease servers is in force from now on, under a higher number. `log` is what this process's log
-    /// holds if it becomes a lease server by it.
+    /// Replaces the list of lease servers by one with a higher `number`. `log` holds the records of this process's log,
+    /// for the case that the new list makes it a lease server.
     pub fn set_lease_servers(
         &mut self,
         lease_servers: BTreeMap<String, SocketAddr>,
@@ -147,7 +147,7 @@
         }
     }
 
-    /// This process.
+    /// The name and incarnation of this process.
     pub fn process_id(&self) -> ProcessId {
         let local = self.membership.local_member();
         ProcessId {
@@ -156,12 +156,12 @@
         }
     }
 
-    /// The other nodes that are there, as far as is known.
+    /// The other nodes that are not known to be down.
     pub fn peers(&self) -> Vec<Member> {
         self.membership.peers().cloned().collect()
     }
 
-    /// Asks for a lease from now on.
+    /// Requests a lease from now on, until [`CoordinationNode::release_lease`].
     pub fn request_lease(&mut self, task: &str, now: Micros) {
         if let Some(client) = self.clients.get_mut(task) {
             client.request(now);
@@ -172,7 +172,7 @@
         self.clients.insert(task.into(), client);
     }
 
-    /// Gives a lease back, or no longer asks for it.
+    /// Releases a lease, if held, and stops requesting it.
     pub fn release_lease(&mut self, task: &str, now: Micros) -> Vec<NodeOutput> {
         let client = self.clients.get_mut(task);
         match client.and_then(|client| client.release(now)) {
@@ -181,12 +181,13 @@
         }
     }
 
-    /// The epoch under which this process may act at this moment. To be asked before every act.
+    /// The epoch under which this process may act at `now`; `None` if it does not hold the lease. To be checked before
+    /// every action under the lease.
     pub fn held_epoch(&self, task: &str, now: Micros) -> Option<Epoch> {
         self.clients.get(task)?.held_epoch(now)
     }
 
-    /// The leases held at this moment.
+    /// The leases that this process holds at `now`.
     pub fn held_leases(&self, now: Micros) -> Vec<HeldLease> {
         let held = |client: &LeaseClient| {
             Some(HeldLease {
@@ -197,13 +198,13 @@
         self.clients.values().filter_map(held).collect()
     }
 
-    /// The name of the other node that holds a lease, as last heard.
+    /// The name of the other node that holds a lease, as last reported by a lease server.
     pub fn other_holder(&self, task: &str) -> Option<String> {
         let holder = self.clients.get(task)?.other_holder()?;
         Some(holder.node.clone())
     }
 
-    /// Gives all leases back and leaves the fleet in order.
+    /// Releases all leases and leaves the fleet gracefully.
     pub fn leave(&mut self, now: Micros) -> Vec<NodeOutput> {
         let tasks: Vec<String> = self.clients.keys().cloned().collect();
         let mut outputs = Vec::new();
@@ -216,7 +217,7 @@
         outputs
     }
 
-    /// When [`CoordinationNode::on_timer`] has something to do.
+    /// When [`CoordinationNode::on_timer`] must be called next.
     pub fn next_deadline(&self) -> Option<Micros> {
         let clients = self.clients.values().filter_map(LeaseClient::next_deadline);
         let server = self
@@ -231,7 +232,7 @@
             .min()
     }
 
-    /// Does what is due.
+    /// Runs all timers that are due.
     pub fn on_timer(&mut self, now: Micros) -> Vec<NodeOutput> {
         let gossip = self.membership.on_timer(now);
         let mut outputs = self.send_gossip(gossip);
@@ -243,19 +244,19 @@
         outputs
     }
 
-    /// Remembers where the sender of a message is reached.
+    /// Records the address of the sender of a message.
     pub fn remember_sender(&mut self, envelope: &Envelope) {
         self.addresses
-            .remember(&envelope.sender.node, envelope.sender_address);
+            .record(&envelope.sender.node, envelope.sender_address);
     }
 
-    /// Takes a message for this node.
+    /// Handles a message for this node.
     pub fn handle_envelope(&mut self, envelope: Envelope, now: Micros) -> Vec<NodeOutput> {
         self.remember_sender(&envelope);
         self.counters.messages_received += 1;
-        let goes_by_other_list =
+        let has_other_server_list =
             envelope.lease_servers_number != self.settings.lease_servers_number;
-        if goes_by_other_list && !matches!(envelope.body, MessageBody::Gossip(_)) {
+        if has_other_server_list && !matches!(envelope.body, MessageBody::Gossip(_)) {
             self.counters.mismatched_server_list += 1;
             return Vec::new();
         }
@@ -270,7 +271,7 @@
             MessageBody::LeaseResponse(response) => {
                 self.handle_lease_response(&envelope.sender.node, &response, now)
             }
-            // These are handled by the driver.
+            // Handled by the driver.
             MessageBody::RequestFigures { .. }
             | MessageBody::Figures { .. }
             | MessageBody::RollingRestart(_)
@@ -279,7 +280,7 @@
         }
     }
 
-    /// The write of this number, and all before it, are durable.
+    /// Records that the write with this number, and all before it, are durable.
     pub fn on_log_written(&mut self, write: u64) -> Vec<NodeOutput> {
         let Some(server) = &mut self.server else {
             return Vec::new();
@@ -291,25 +292,25 @@
             .collect()
     }
 
-    /// A write has failed: the lease server of this process says nothing more.
+    /// Records a failed write. The lease server of this process no longer responds.
     pub fn on_log_failed(&mut self) {
         if let Some(server) = &mut self.server {
             server.on_log_failed();
         }
     }
 
-    /// What has been counted.
+    /// Counters since the start of the process.
     pub fn counters(&self) -> NodeCounters {
         self.counters
     }
 
-    /// Whether a write of this process's lease server has failed.
+    /// Whether a write to the lease server's log has failed.
     pub fn has_log_failed(&self) -> bool {
         let server = self.server.as_ref();
         server.is_some_and(HostedLeaseServer::has_log_failed)
     }
 
-    /// What operators are shown.
+    /// The status shown to operators.
     pub fn status(&self, now: Micros) -> NodeStatus {
         let lease = |client: &LeaseClient| LeaseStatus {
             task: client.task().into(),
@@ -326,7 +327,7 @@
         }
     }
 
-    /// A message of the driver's own to a node.
+    /// Creates the output that sends a message of the driver to a node.
     pub fn message_to(
         &mut self,
         recipient: String,
@@ -337,13 +338,13 @@
         self.send(envelope, address_hint)
     }
 
-    /// Where a node is reached: as the settings say, else as it says itself, as a member or in its last message.
+    /// The address of a node: from the settings, otherwise from the membership, otherwise from its last message.
     pub fn address_of(&self, name: &str) -> Option<SocketAddr> {
         self.addresses
             .resolve(name, &self.settings, &self.membership)
     }
 
-    /// Announces this node to one seed or lease server, drawn at random.
+    /// Announces this node to a random seed or lease server.
     fn announce(&mut self, now: Micros) -> Vec<NodeOutput> {
         let has_peers = self.membership.peers().next().is_some();
         let probe_intervals = if has_peers {
@@ -358,7 +359,7 @@
         let configured = configured.chain(&self.settings.lease_servers);
         let others: Vec<Member> = configured
             .filter(|(name, _)| **name != self.settings.name)
-            .map(|(name, address)| Member::unseen(name.clone(), *address))
+            .map(|(name, address)| Member::from_address(name.clone(), *address))
             .collect();
         if others.is_empty() {
             return Vec::new();
--- a/crates/coordination/src/node/settings.rs
+++ b/crates/coordination/src/node/settings.rs
@@ -1,47 +1,46 @@
-//! What a process is told of its fleet.
+//! The settings of a node's coordination.
 
 use crate::lease::LeaseParameters;
 use crate::Micros;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// The pause between two rounds for a lease is this part of the response timeout.
+/// The base of the pause between two lease rounds is the response timeout divided by this number.
 const PAUSES_PER_RESPONSE_TIMEOUT: Micros = 4;
 
-/// What a process is told of its fleet.
+/// The settings of a node's coordination.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NodeSettings {
     /// The fleet's name.
     pub fleet: String,
     /// This node's name.
     pub name: String,
-    /// Where other nodes reach this one.
+    /// The address that other nodes send to.
     pub address: SocketAddr,
-    /// The addresses of nodes to ask first who is there, by name.
+    /// The addresses of seed nodes for joining the membership, by name.
     pub seeds: BTreeMap<String, SocketAddr>,
-    /// The addresses of the lease servers, by name. A server's index is its place in the order of the names.
+    /// The addresses of the lease servers, by name. The index of a server is its position in the order of the names.
     pub lease_servers: BTreeMap<String, SocketAddr>,
-    /// The number of this list of lease servers; a later list has a higher one.
+    /// The version of the list of lease servers; a later list has a higher number.
     pub lease_servers_number: u32,
     /// The duration of leases, in microseconds.
     pub lease_duration: Micros,
-    /// How wrong any clock of the fleet may run, in parts in a million.
+    /// The largest rate error of any clock in the fleet, in parts per million.
     pub drift_ppm: u32,
-    /// Whether a lease server believes that its log is as it left it.
+    /// Whether a lease server trusts its log after a restart. If not, it recovers its grants from the other servers.
     pub trusts_log: bool,
     /// The time between two probes of other nodes, in microseconds.
     pub probe_interval: Micros,
-    /// Answers of lease servers are awaited for so long, in microseconds.
+    /// How long to wait for responses of lease servers, in microseconds.
     pub response_timeout: Micros,
 }
 
 impl NodeSettings {
-    /// The index of the lease server of this name, if it is one.
+    /// The index of the lease server with this name; `None` if the node is not a lease server.
     pub(super) fn lease_server_index(&self, name: &str) -> Option<usize> {
         self.lease_servers.keys().position(|server| server == name)
     }
 
-    /// How leases are asked for.
     pub(super) fn lease_parameters(&self) -> LeaseParameters {
         LeaseParameters {
             server_count: self.lease_servers.len(),
--- a/crates/coordination/src/node/status.rs
+++ b/crates/coordination/src/node/status.rs
@@ -1,19 +1,19 @@
-//! What operators are shown of a node's coordination.
+//! The coordination status of a node, as shown to operators.
 
 use crate::gossip::Member;
 use crate::lease::{LeaseTableEntry, RecoveryState};
 use crate::{Epoch, Micros, ProcessId};
 
-/// What has been counted since the start.
+/// Counters since the start of the process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct NodeCounters {
     /// Messages sent.
     pub messages_sent: u64,
     /// Messages received.
     pub messages_received: u64,
-    /// Messages dropped, since they go by another list of lease servers.
+    /// Messages dropped because the sender uses another version of the lease server list.
     pub mismatched_server_list: u64,
-    /// Leases granted by this lease server, renewals included.
+    /// Leases granted by this lease server, including renewals.
     pub granted: u64,
     /// Leases refused by this lease server.
     pub refused: u64,
@@ -24,43 +24,43 @@
 pub struct HeldLease {
     /// The task's name.
     pub task: String,
-    /// The epoch under which it is held.
+    /// The epoch that it is held under.
     pub epoch: Epoch,
 }
 
-/// A lease that this process asks for.
+/// The status of a lease that this process requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LeaseStatus {
     /// The task's name.
     pub task: String,
-    /// The epoch, if it is held here.
+    /// The epoch; `None` if this process does not hold the lease.
     pub held_epoch: Option<Epoch>,
-    /// How much longer it is held here, in microseconds.
+    /// The remaining holding time, in microseconds; 0 if this process does not hold the lease.
     pub remaining: Micros,
-    /// Which other process holds it, as last heard.
+    /// The other process that holds the lease, as last reported by a lease server.
     pub other_holder: Option<ProcessId>,
 }
 
-/// This process as a lease server.
+/// The status of the lease server that this process hosts.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LeaseServerStatus {
-    /// How far it has come since its start.
+    /// The state of the recovery after the server's start.
     pub recovery: RecoveryState,
-    /// Its table of grants.
+    /// The grant table.
     pub table: Vec<LeaseTableEntry>,
 }
 
-/// What operators are shown.
+/// The coordination status of a node.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NodeStatus {
-    /// This node.
+    /// This node as a member of the fleet.
     pub local: Member,
-    /// The other nodes that are there.
+    /// The other nodes that are not known to be down.
     pub peers: Vec<Member>,
-    /// The leases that this process asks for.
+    /// The leases that this process has a client for, including released ones.
     pub leases: Vec<LeaseStatus>,
-    /// This process as a lease server, if it is one.
+    /// The lease server; `None` if this process hosts none.
     pub lease_server: Option<LeaseServerStatus>,
-    /// Whether the lease server's log has failed.
+    /// Whether a write to the lease server's log has failed.
     pub has_log_failed: bool,
 }
--- a/crates/coordination/src/outlier_probing/coordinator.rs
+++ b/crates/coordination/src/outlier_probing/coordinator.rs
@@ -1,16 +1,16 @@
-//! The coordinator of outlier probing, under one epoch of its lease.
+//! The coordinator of outlier probing, for one epoch of the probing lease.
 
 use super::messages::{ProbingMessage, Verdict, MAX_REPLICAS_PER_MESSAGE};
 use super::MAX_REPLICAS;
 use crate::{Epoch, Micros};
 use std::collections::BTreeMap;
 
-/// The health of a replica as one node sees it.
+/// The health of a replica as observed at the local node.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ReplicaHealth {
-    /// It is ejected here and gets probes only.
+    /// Whether the replica is ejected at this node and receives only probes.
     pub is_ejected: bool,
-    /// When the last answer came from it, if nothing has failed there since; in microseconds.
+    /// When the replica last answered, in microseconds; `None` if an attempt has failed since.
     pub last_success_at: Option<Micros>,
 }
 
@@ -20,16 +20,16 @@
     last_at: Micros,
 }
 
-/// The coordinator, under one epoch.
+/// The coordinator of outlier probing, for one epoch.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ProbingCoordinator {
     epoch: Epoch,
-    /// Replicas that some node has ejected, by name.
+    /// Reports on replicas that any node has ejected, by replica name.
     reports: BTreeMap<String, EjectionReport>,
 }
 
 impl ProbingCoordinator {
-    /// Begins to coordinate.
+    /// Creates a coordinator without reports.
     pub fn new(epoch: Epoch) -> ProbingCoordinator {
         ProbingCoordinator {
             epoch,
@@ -37,12 +37,12 @@
         }
     }
 
-    /// The epoch under which it coordinates.
+    /// The epoch of the coordinator.
     pub fn epoch(&self) -> Epoch {
         self.epoch
     }
 
-    /// Takes a node's report that these replicas are ejected there.
+    /// Records a node's report of its ejected replicas.
     pub fn handle_report(&mut self, replicas: Vec<String>, now: Micros) {
         for replica in replicas.into_iter().take(MAX_REPLICAS_PER_MESSAGE) {
             if self.reports.len() < MAX_REPLICAS || self.reports.contains_key(&replica) {
@@ -55,17 +55,17 @@
         }
     }
 
-    /// The message to the other nodes. `health_of` says how a replica stands here; what nobody has reported for
-    /// `forget_after` microseconds is forgotten. A replica that is neither ejected here nor has answered since the first
-    /// report gets no verdict: the others go on by themselves.
+    /// The message to the other nodes. `health_of` returns the health of a replica at this node; reports that have not
+    /// been repeated for `report_ttl` microseconds are removed. A replica that is neither ejected here nor has answered
+    /// since the first report gets no verdict, and the other nodes rely on their own probes.
     pub fn verdicts(
         &mut self,
         health_of: impl Fn(&str) -> Option<ReplicaHealth>,
         now: Micros,
-        forget_after: Micros,
+        report_ttl: Micros,
     ) -> ProbingMessage {
         self.reports
-            .retain(|_, report| now < report.last_at.saturating_add(forget_after));
+            .retain(|_, report| now < report.last_at.saturating_add(report_ttl));
         let mut verdicts = Vec::new();
         for (replica, report) in &self.reports {
             if verdicts.len() == MAX_REPLICAS_PER_MESSAGE {
--- a/crates/coordination/src/outlier_probing/messages.rs
+++ b/crates/coordination/src/outlier_probing/messages.rs
@@ -1,33 +1,33 @@
-//! The messages of outlier probing. The serialised form is positional: no field or variant may change its place.
+//! Messages of outlier probing. The serialised form is positional: fields and variants must keep their order.
 
 use crate::Epoch;
 use serde::{Deserialize, Serialize};
 
-/// How many replicas are named in one message; more of them wait for the next.
+/// The maximum number of replicas in one message; the remaining ones wait for a later message.
 pub const MAX_REPLICAS_PER_MESSAGE: usize = 64;
 
-/// What the coordinator found out about a replica.
+/// The coordinator's result for a replica.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Verdict {
     /// The replica's name.
     pub replica: String,
-    /// True where it was found healthy; false where it is still being probed.
+    /// True if the replica was found healthy; false if it is still being probed.
     pub is_healthy: bool,
 }
 
 /// A message of outlier probing.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ProbingMessage {
-    /// To the coordinator: these replicas are ejected at the sender.
+    /// To the coordinator: the replicas that are ejected at the sender.
     Ejected {
         /// The replicas' names.
         replicas: Vec<String>,
     },
     /// From the coordinator: the replicas that it probes, and those found healthy.
     Verdicts {
-        /// The epoch under which it coordinates.
+        /// The coordinator's epoch.
         epoch: Epoch,
-        /// One for each replica.
+        /// At most one verdict per replica.
         verdicts: Vec<Verdict>,
     },
 }
--- a/crates/coordination/src/outlier_probing/mod.rs
+++ b/crates/coordination/src/outlier_probing/mod.rs
@@ -1,19 +1,21 @@
-//! Probing ejected replicas once for the whole fleet.
+//! Probing of ejected replicas once for the whole fleet.
 //!
-//! The holder of the lease, the coordinator, probes an ejected replica on behalf of all. The other nodes hold their own
-//! probes back while it says that it is at it, and use the replica again at once when it says that it found it healthy.
+//! The coordinator, which is the holder of the probing lease, probes ejected replicas on behalf of all nodes. Other
+//! nodes suspend their own probes of a replica while the coordinator reports that it is probing it, and use the replica
+//! again as soon as the coordinator reports it healthy.
 //!
 //! # Invariants
 //!
-//! - It is advice. A node follows it only for replicas that it has ejected itself, and advice never adds a replica.
-//! - A node that finds a replica bad again after such advice goes by its own probes for a while.
-//! - Advice under an earlier epoch than the highest heard is dropped.
-//! - Without a coordinator, and for replicas that it says nothing of, each node goes on by itself.
+//! - Verdicts are advisory. A node follows them only for replicas that it has ejected itself; a verdict never adds a
+//!   replica.
+//! - A node that ejects a replica again after following a verdict relies on its own probes for a while.
+//! - Verdicts of an epoch lower than the highest known are dropped.
+//! - Without a coordinator, and for replicas without a verdict, each node relies on its own probes.
 //!
-//! # Who calls what
+//! # Callers
 //!
-//! The driver of each node owns one [`ProbingParticipant`], and one [`ProbingCoordinator`] for as long as it holds the
-//! lease. It reports what is ejected to the coordinator, and passes the advice on to the scheduler.
+//! The driver of each node owns one [`ProbingParticipant`], and one [`ProbingCoordinator`] while it holds the lease. It
+//! reports ejected replicas to the coordinator, and passes verdicts to the scheduler.
 
 mod coordinator;
 mod messages;
@@ -23,5 +25,5 @@
 pub use messages::{ProbingMessage, Verdict, MAX_REPLICAS_PER_MESSAGE};
 pub use participant::ProbingParticipant;
 
-/// How many replicas are kept in mind.
+/// The maximum number of replicas in each table.
 const MAX_REPLICAS: usize = 4096;
--- a/crates/coordination/src/outlier_probing/participant.rs
+++ b/crates/coordination/src/outlier_probing/participant.rs
@@ -1,25 +1,25 @@
-//! A node's own side of outlier probing: which advice it follows.
+//! A node as a participant in outlier probing: decides which verdicts to follow.
 
 use super::messages::{Verdict, MAX_REPLICAS_PER_MESSAGE};
 use super::MAX_REPLICAS;
 use crate::{Epoch, Micros};
 use std::collections::BTreeMap;
 
-/// A node's own side of outlier probing.
+/// A node as a participant in outlier probing.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ProbingParticipant {
-    /// The highest epoch heard of.
+    /// The highest known epoch.
     epoch: Epoch,
-    /// When a replica was last said to be healthy, and that was followed.
+    /// When a healthy verdict was last followed, by replica.
     followed_at: BTreeMap<String, Micros>,
-    /// Replicas that were found bad after that: until then advice on them is not followed.
+    /// Replicas that failed again after a followed verdict, with the time until which verdicts on them are ignored.
     distrusted_until: BTreeMap<String, Micros>,
 }
 
 impl ProbingParticipant {
-    /// Takes verdicts and returns those to follow. `is_ejected` says whether a replica is ejected here; one that is
-    /// unknown here is not, so advice never adds a replica. Wrong advice is remembered for `distrust_duration`
-    /// microseconds.
+    /// Handles verdicts and returns those to follow. `is_ejected` returns whether a replica is ejected here; it is
+    /// false for an unknown replica, so that a verdict never adds a replica. After a wrong verdict, verdicts on the
+    /// same replica are ignored for `distrust_duration` microseconds.
     pub fn handle_verdicts(
         &mut self,
         epoch: Epoch,
@@ -40,19 +40,24 @@
             if !is_ejected(&verdict.replica) {
                 continue;
             }
-            if self.follows(&verdict, now, distrust_duration) {
+            if self.accept_verdict(&verdict, now, distrust_duration) {
                 followed.push(verdict);
             }
         }
         followed
     }
 
-    /// Whether to follow a verdict on a replica that is ejected here.
-    fn follows(&mut self, verdict: &Verdict, now: Micros, distrust_duration: Micros) -> bool {
+    /// Updates the trust in verdicts on a replica that is ejected here, and returns whether to follow this one.
+    fn accept_verdict(
+        &mut self,
+        verdict: &Verdict,
+        now: Micros,
+        distrust_duration: Micros,
+    ) -> bool {
         let replica = &verdict.replica;
         let was_followed = self.followed_at.contains_key(replica);
         if was_followed && self.distrusted_until.len() < MAX_REPLICAS {
-            // It was said to be healthy, and failed here again.
+            // The replica was reported healthy and has failed here again.
             self.followed_at.remove(replica);
             self.distrusted_until
                 .insert(replica.clone(), now.saturating_add(distrust_duration));
--- a/crates/coordination/src/rolling_restart/messages.rs
+++ b/crates/coordination/src/rolling_restart/messages.rs
@@ -1,46 +1,46 @@
-//! The messages of a rolling restart. The serialised form is positional: no field or variant may change its place.
+//! Messages of a rolling restart. The serialised form is positional: fields and variants must keep their order.
 
 use crate::{Epoch, Micros};
 use serde::{Deserialize, Serialize};
 
-/// Names an order. Orders are ordered by it: the newest is the highest.
+/// Identifies an order. Ids are ordered: the newest order has the highest.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct OrderId {
-    /// One higher than that of any order known where this one was given.
+    /// One higher than the number of any order that was known at the node that received the operator's call.
     pub number: u64,
-    /// The name of the node at which it was given.
+    /// The name of the node that received the operator's call.
     pub ordered_at: String,
 }
 
-/// What operators have ordered.
+/// A rolling restart as ordered by an operator.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RestartOrder {
-    /// Which order this is.
+    /// The id of this order.
     pub id: OrderId,
-    /// The names of the nodes that take their turns.
+    /// The names of the nodes to be taken out.
     pub nodes: Vec<String>,
-    /// How many may be out at once.
+    /// The maximum number of nodes out at once.
     pub max_out: u32,
-    /// How long a node stays out once it has let its clients go, in microseconds.
+    /// How long a node stays out after it has drained its clients, in microseconds.
     pub stay_out: Micros,
-    /// A node that is out and hears from no coordinator for so long comes back by itself, in microseconds.
+    /// The time after which a node without contact to a coordinator returns on its own, in microseconds.
     pub return_after: Micros,
 }
 
-/// How far a node is in an order.
+/// The progress of a node in an order.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum NodeProgress {
-    /// Its turn has not come.
+    /// Has not been commanded to leave yet.
     #[default]
     Waiting,
-    /// It has been told to leave, and not to return.
+    /// Has been commanded to leave, but not to return.
     Out,
-    /// It has been out and is back.
+    /// Has been out and is back in service.
     Done,
 }
 
 impl NodeProgress {
-    /// The word for it in the status that operators are shown.
+    /// The label in the status shown to operators.
     pub fn label(self) -> &'static str {
         match self {
             NodeProgress::Waiting => "waiting",
@@ -50,61 +50,61 @@
     }
 }
 
-/// Names a query of a coordinator to one node: its epoch, and how many answers of the node it has waited for under it. The
-/// newest is the highest; a query that was not answered is repeated under the same name.
+/// Identifies a query of a coordinator to one node. Ids are ordered: the newest query has the highest. A query that was
+/// not answered is repeated under the same id.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct QueryId {
     /// The coordinator's epoch.
     pub epoch: Epoch,
-    /// The number of the query to that node under that epoch, from 1. A higher one tells the node that its answer to the one
-    /// before was heard.
+    /// The number of the query to the node in this epoch, from 1. A higher number confirms to the node that its
+    /// previous answer was received.
     pub round: u64,
 }
 
 /// A node's answer to a query.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NodeReport {
-    /// The query that it answers.
+    /// The query that this report answers.
     pub query: QueryId,
-    /// How far the node is.
+    /// The node's progress in the order.
     pub progress: NodeProgress,
-    /// Whether it is out and has let its clients go.
+    /// Whether the node is out and has drained its clients.
     pub is_idle: bool,
 }
 
-/// What a coordinator tells a node to do. The order of the variants is that of `false` and `true`, which earlier versions
-/// send in their place.
+/// A command of the coordinator to a node. Earlier versions send a boolean in its place, so the variants must stay in
+/// the order of `false` and `true`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RestartCommand {
-    /// Take clients again.
+    /// Return to service and accept clients again.
     Return,
-    /// Let the clients go and take no new ones.
+    /// Drain the clients and accept no new ones.
     Leave,
 }
 
 /// A message of a rolling restart.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RestartMessage {
-    /// This is ordered.
+    /// Distributes an order to a node that does not know it.
     Order(RestartOrder),
-    /// From the coordinator: how far is the node?
+    /// From the coordinator: requests the node's progress.
     Query {
-        /// Which query this is.
+        /// The id of this query.
         query: QueryId,
-        /// The order that it is about.
+        /// The order in question.
         order: OrderId,
     },
-    /// The answer of a node that does not know the order.
+    /// The answer to a query if the node does not know the order.
     RequestOrder,
-    /// The answer of a node that does.
+    /// The answer to a query if the node knows the order.
     Report(NodeReport),
-    /// From the coordinator, after the query named.
+    /// From the coordinator, after the node has answered a query.
     Command {
         /// The last query that the node has answered.
         query: QueryId,
-        /// What to do.
+        /// The command to execute.
         command: RestartCommand,
     },
-    /// The order is carried out.
+    /// From the coordinator: the order is completed.
     Completed(OrderId),
 }
--- a/crates/coordination/src/rolling_restart/mod.rs
+++ b/crates/coordination/src/rolling_restart/mod.rs
@@ -1,24 +1,25 @@
-//! Taking the nodes of a fleet out one after the other, so that each can be restarted without a loss of service.
+//! Rolling restarts: nodes of a fleet are taken out of service a few at a time, so that each can be restarted without a
+//! loss of service.
 //!
-//! An operator gives a [`RestartOrder`] at any node. Whoever holds the lease coordinates: it asks every node of the order
-//! how far it is, and tells one to leave only while fewer than the allowed number are out. A node that has let its
-//! clients go stays out for a while and is told to return.
+//! An operator gives a [`RestartOrder`] at any node. The holder of the restart lease is the coordinator: it queries the
+//! progress of every node of the order, and commands a node to leave only while fewer than the allowed number are out.
+//! A node that has drained its clients stays out for the ordered time and is then commanded to return.
 //!
 //! # Invariants
 //!
-//! - Never more nodes are out than the order allows. A node of which nothing is heard counts as out until it must have
-//!   come back by itself, by whichever clock.
-//! - A command is carried out only if it belongs to the last query that the node has answered: one that comes late, or
-//!   from a coordinator of an earlier epoch, is dropped.
-//! - A majority of the lease servers stays in service while the nodes among them take their turns; they go last.
-//! - A node that is out comes back by itself once no coordinator can have heard of it for the time that the order states.
-//!   Queries that it gets do not put that off: they may be late, and its answers lost.
+//! - The number of nodes out never exceeds the limit of the order. A node that does not answer counts as out until it
+//!   must have returned on its own, whichever clock runs fast.
+//! - A command is executed only if it belongs to the last query that the node has answered. Late commands, and those of
+//!   a coordinator of an earlier epoch, are dropped.
+//! - A majority of the lease servers stays in service. Nodes that are lease servers leave last.
+//! - A node that is out returns on its own once its answers cannot have reached a coordinator for the time stated in
+//!   the order. Received queries do not extend that time, since a query may be late and the answer to it may be lost.
 //!
-//! # Who calls what
+//! # Callers
 //!
-//! The driver of each node owns one [`RestartParticipant`], and one [`RestartCoordinator`] for as long as it holds the
-//! lease and an order is open. It sends the queries of [`RestartCoordinator::next_queries`], waits for answers, checks that
-//! it still holds the lease, and sends what [`RestartCoordinator::next_commands`] returns.
+//! The driver of each node owns one [`RestartParticipant`], and one [`RestartCoordinator`] while it holds the lease and
+//! an order is open. It sends the queries of [`RestartCoordinator::next_queries`], waits for answers, checks that it
+//! still holds the lease, and sends the commands of [`RestartCoordinator::next_commands`].
 
 mod coordinator;
 mod messages;
@@ -30,5 +31,5 @@
 };
 pub use participant::RestartParticipant;
 
-/// How many nodes one order may have.
+/// The maximum number of nodes in an order.
 pub const MAX_NODES: usize = 4096;
--- a/crates/coordination/src/rolling_restart/participant.rs
+++ b/crates/coordination/src/rolling_restart/participant.rs
@@ -1,4 +1,4 @@
-//! A node's own side of a rolling restart.
+//! A node as a participant in rolling restarts.
 
 use super::messages::{
     NodeProgress, NodeReport, OrderId, QueryId, RestartCommand, RestartMessage, RestartOrder,
@@ -6,38 +6,38 @@
 use super::MAX_NODES;
 use crate::Micros;
 
-/// A node's own side of a rolling restart.
+/// A node as a participant in rolling restarts: the newest order, and the node's progress in it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RestartParticipant {
-    /// The newest order known here.
+    /// The newest known order.
     order: Option<RestartOrder>,
     progress: NodeProgress,
     is_completed: bool,
     /// The newest query that was answered.
     last_query: QueryId,
-    /// When it was answered first.
+    /// When that query was first answered.
     last_query_at: Micros,
-    /// When the newest answer was given of which the coordinator is known to have heard.
-    heard_at: Micros,
+    /// When the newest answer that the coordinator is known to have received was given.
+    last_confirmed_answer_at: Micros,
 }
 
 impl RestartParticipant {
-    /// The newest order known here.
+    /// The newest known order; `None` if there was none since the start.
     pub fn order(&self) -> Option<&RestartOrder> {
         self.order.as_ref()
     }
 
-    /// The newest order known here, unless it is carried out.
+    /// The newest known order, unless it is completed.
     pub fn open_order(&self) -> Option<&RestartOrder> {
         self.order.as_ref().filter(|_| !self.is_completed)
     }
 
-    /// How far this node is in the order.
+    /// The node's progress in the newest known order.
     pub fn progress(&self) -> NodeProgress {
         self.progress
     }
 
-    /// Learns of an order. A newer one takes the older one's place; a node that is out stays out.
+    /// Records an order if it is newer than the known one. A node that is out stays out.
     pub fn learn_order(&mut self, order: RestartOrder) {
         let known = self.order.as_ref();
         let is_newer = known.is_none_or(|known| known.id < order.id);
@@ -50,13 +50,13 @@
         }
     }
 
-    /// The order of this id is carried out, as the coordinator says.
+    /// Marks the order with this id as completed.
     pub fn complete_order(&mut self, id: &OrderId) {
         self.is_completed |= self.order.as_ref().is_some_and(|order| order.id == *id);
     }
 
-    /// Answers a coordinator's query; nothing that it sent before the query is carried out any more. `is_idle` says
-    /// whether this node has no clients' requests. An older query than the last one is not answered.
+    /// Answers a coordinator's query; commands that belong to earlier queries are dropped from then on. `is_idle`
+    /// states whether this node has no client requests in progress. Returns `None` for a query older than the last one.
     pub fn handle_query(
         &mut self,
         query: QueryId,
@@ -70,8 +70,8 @@
         if query > self.last_query {
             let is_same_coordinator = query.epoch == self.last_query.epoch;
             if is_same_coordinator {
-                // It asks anew since it has heard the last answer. How late this query is does not matter.
-                self.heard_at = self.last_query_at;
+                // A new query number confirms the previous answer, however late this query is.
+                self.last_confirmed_answer_at = self.last_query_at;
             }
             self.last_query = query;
             self.last_query_at = now;
@@ -88,17 +88,18 @@
         Some(answer)
     }
 
-    /// Takes a command; whether to carry it out. The time to come back by itself runs from the answer before it, since a
-    /// command may be late; one that comes when that time is over is not carried out.
+    /// Handles a command and returns whether to execute it. Since a command may be late, the time until the node
+    /// returns on its own counts from the answer before the command. A command to leave is dropped if that time is
+    /// over.
     pub fn handle_command(&mut self, query: QueryId, command: RestartCommand, now: Micros) -> bool {
         let is_out = self.progress == NodeProgress::Out;
         let leaves = command == RestartCommand::Leave;
         if query != self.last_query || is_out == leaves {
             return false;
         }
-        // The command follows the answer, so the coordinator has heard it.
-        self.heard_at = self.last_query_at;
-        if leaves && self.is_forgotten(now) {
+        // The command follows the answer, so the coordinator has received the answer.
+        self.last_confirmed_answer_at = self.last_query_at;
+        if leaves && self.is_contact_timed_out(now) {
             return false;
         }
         self.progress = match command {
@@ -108,18 +109,18 @@
         true
     }
 
-    /// Whether to come back by itself now, since no coordinator was heard of for too long.
+    /// Returns to service if the coordinator has been out of contact for too long, and reports whether it did.
     pub fn return_if_timed_out(&mut self, now: Micros) -> bool {
-        let returns = self.progress == NodeProgress::Out && self.is_forgotten(now);
+        let returns = self.progress == NodeProgress::Out && self.is_contact_timed_out(now);
         if returns {
             self.progress = NodeProgress::Done;
         }
         returns
     }
 
-    /// Whether the coordinator has heard of this node for the last time so long ago that it counts it as back.
-    fn is_forgotten(&self, now: Micros) -> bool {
+    /// Whether the last confirmed answer is so old that the coordinator assumes that the node has returned.
+    fn is_contact_timed_out(&self, now: Micros) -> bool {
         let return_after = self.order.as_ref().map_or(0, |order| order.return_after);
-        now >= self.heard_at.saturating_add(return_after)
+        now >= self.last_confirmed_answer_at.saturating_add(return_after)
     }
 }
