--- a/crates/coordination/tests/duplicate_lease_servers.rs
+++ b/crates/coordination/tests/duplicate_lease_servers.rs
@@ -1,5 +1,5 @@
-//! A second process under a lease server's name, beside the first and with an empty log: the two are never both counted,
-//! one for each of two holders. By fed time.
+//! Two running processes under the same lease server name, the second with an empty log, on a simulated clock. Guards
+//! against both being counted in a majority, each for a different holder.
 
 use poppykeel_coordination::lease::{
     LeaseClient, LeaseParameters, LeaseRequest, LeaseServer, LeaseServerConfig, PeerMessage,
@@ -9,10 +9,11 @@
 use proptest::prelude::*;
 
 const LEASE_DURATION: u64 = 1_000_000;
-/// The number that clients are given in place of a random one.
+/// The fixed value that clients get as a random number.
 const RANDOM: u64 = 7;
-/// The client that reaches the first process of the duplicated name, and the one that reaches the second.
+/// The client that reaches the first process of the duplicated name.
 const FIRST_CLIENT: usize = 0;
+/// The client that reaches the second process of the duplicated name.
 const SECOND_CLIENT: usize = 1;
 
 fn parameters(server_count: usize) -> LeaseParameters {
@@ -34,11 +35,11 @@
     }
 }
 
-/// Lease servers in service, and a second process of one of them.
+/// Granting lease servers, and a second process under the name of one of them.
 struct Fleet {
     servers: Vec<LeaseServer>,
     duplicate: LeaseServer,
-    /// The index of the server whose name the duplicate has.
+    /// The index of the server with two processes.
     duplicated: usize,
     now: u64,
     clients: [LeaseClient; 2],
@@ -62,7 +63,7 @@
             )
         };
         let mut servers: Vec<LeaseServer> = (0..server_count).map(server).collect();
-        bring_into_service(&mut servers);
+        complete_first_start(&mut servers);
         let client = |node: &str, incarnation| {
             let process = ProcessId {
                 node: node.into(),
@@ -85,7 +86,7 @@
         }
     }
 
-    /// The process that a client reaches under a server's name.
+    /// The process that receives a client's messages to a server.
     fn process(&mut self, client: usize, server: usize) -> &mut LeaseServer {
         if client == SECOND_CLIENT && server == self.duplicated {
             &mut self.duplicate
@@ -94,7 +95,7 @@
         }
     }
 
-    /// A process of the duplicated name asks another server what it remembers, as long as it has to.
+    /// Exchanges a recovery request of one process of the duplicated name with another server, if it is recovering.
     fn recover(&mut self, is_duplicate: bool, other: usize) {
         if other == self.duplicated {
             return;
@@ -107,13 +108,13 @@
         let Some(request) = self.duplicate.recovery_request() else {
             return;
         };
-        let answer = self.servers[other].handle(now, request).peer_message;
-        if let Some(PeerMessage { message, .. }) = answer {
+        let response = self.servers[other].handle(now, request).peer_message;
+        if let Some(PeerMessage { message, .. }) = response {
             self.duplicate.handle(now, message);
         }
     }
 
-    /// The last request of a client reaches a server, and the answer comes back.
+    /// Delivers the last request of a client to a server, and the response to the client.
     fn deliver(&mut self, client: usize, server: usize) {
         let Some(request) = self.requests[client].clone() else {
             return;
@@ -162,14 +163,14 @@
     }
 }
 
-/// Lets servers that start for the first time find each other, and wait for old grants.
-fn bring_into_service(servers: &mut [LeaseServer]) {
+/// Completes the recovery of servers that start for the first time, including the wait for old grants.
+fn complete_first_start(servers: &mut [LeaseServer]) {
     let count = servers.len();
     for now in [0, LEASE_DURATION] {
         for _ in 0..3 {
-            for asking in 0..count {
-                for other in (0..count).filter(|other| *other != asking) {
-                    recover(servers, asking, other, now);
+            for requester in 0..count {
+                for other in (0..count).filter(|other| *other != requester) {
+                    recover(servers, requester, other, now);
                 }
             }
         }
@@ -182,18 +183,17 @@
     }
 }
 
-/// A server asks another one what it remembers, if it still has to.
-fn recover(servers: &mut [LeaseServer], asking: usize, other: usize, now: u64) {
-    let Some(request) = servers[asking].recovery_request() else {
+/// Exchanges a recovery request of one server with another, if the first is recovering.
+fn recover(servers: &mut [LeaseServer], requester: usize, other: usize, now: u64) {
+    let Some(request) = servers[requester].recovery_request() else {
         return;
     };
-    let answer = servers[other].handle(now, request).peer_message;
-    if let Some(PeerMessage { server, message }) = answer {
+    let response = servers[other].handle(now, request).peer_message;
+    if let Some(PeerMessage { server, message }) = response {
         servers[server].handle(now, message);
     }
 }
 
-/// What happens next.
 #[derive(Clone, Copy, Debug)]
 enum Step {
     AdvanceBy(u64),
@@ -240,7 +240,7 @@
     #![proptest_config(ProptestConfig { cases: 3_000, ..ProptestConfig::default() })]
 
     #[test]
-    fn two_processes_of_a_server_name_make_no_two_holders_among_three_servers(
+    fn duplicate_among_three_servers_never_allows_two_holders(
         duplicated in 0usize..3,
         incarnations in any::<[u64; 2]>(),
         steps in proptest::collection::vec(step(3), 0..160),
@@ -249,7 +249,7 @@
     }
 
     #[test]
-    fn two_processes_of_a_server_name_make_no_two_holders_among_five_servers(
+    fn duplicate_among_five_servers_never_allows_two_holders(
         duplicated in 0usize..5,
         incarnations in any::<[u64; 2]>(),
         steps in proptest::collection::vec(step(5), 0..200),
@@ -258,10 +258,11 @@
     }
 }
 
-/// The way in which it once went wrong: one holder renews by the old process and another server, a second one asks the new
-/// process and the third server. Once the second process has ended the first counts again, and with it any majority.
+/// Guards against two holders: one client renews at the first process and server 1, while another acquires at the
+/// second process and server 2. After the second process has ended, the first must grant again, or there is no
+/// majority.
 #[test]
-fn first_process_counts_again_once_the_second_has_ended() {
+fn first_process_grants_again_after_the_second_has_ended() {
     let mut fleet = Fleet::new(3, 0, [5, 3]);
     fleet.advance_by(0);
     let mut was_held_by_second = false;
@@ -276,8 +277,11 @@
         was_held_by_second |= fleet.holds(SECOND_CLIENT);
         fleet.advance_by(LEASE_DURATION / 4);
     }
-    assert!(was_held_by_second, "the newest process counts");
-    // From here on nobody answers as the second process, and server 2 is gone, too.
+    assert!(
+        was_held_by_second,
+        "the newest process must count in a majority"
+    );
+    // The second process and server 2 have ended.
     let mut was_held_by_first = false;
     for _ in 0..40 {
         fleet.recover(false, 1);
--- a/crates/coordination/tests/lease_servers.rs
+++ b/crates/coordination/tests/lease_servers.rs
@@ -1,4 +1,5 @@
-//! Lease servers among themselves and with clients, by fed time: starts, lost logs, and what each hard case must not do.
+//! Lease servers with each other and with clients, on a simulated clock: starts, lost logs, late messages, contention
+//! and duplicate process names.
 
 #[path = "support/lease_network.rs"]
 mod lease_network;
@@ -13,7 +14,6 @@
 use std::collections::BTreeSet;
 
 const LEASE_DURATION: u64 = 1_000_000;
-/// Three servers, and leases with a drift of a thousandth.
 const PARAMETERS: LeaseParameters = LeaseParameters {
     server_count: 3,
     duration: LEASE_DURATION,
@@ -85,11 +85,11 @@
         }
     }
 
-    /// Servers that have come to grant at the time `LEASE_DURATION`.
-    fn in_service(count: usize, trusts_log: bool) -> Servers {
+    /// Servers that grant from the time `LEASE_DURATION` on.
+    fn granting(count: usize, trusts_log: bool) -> Servers {
         let mut servers = Servers::first_start(count, trusts_log);
-        servers.settle(0);
-        servers.settle(LEASE_DURATION);
+        servers.run_recovery(0);
+        servers.run_recovery(LEASE_DURATION);
         assert_eq!(servers.granting_count(), count);
         servers
     }
@@ -107,22 +107,22 @@
         is_granted(self.deliver(server, now, message).as_ref())
     }
 
-    /// One server asks another one what it remembers, if it still has to.
-    fn recover(&mut self, asking: usize, other: usize, now: u64) {
-        if let Some(request) = self.servers[asking].recovery_request() {
+    /// Exchanges a recovery request of one server with another, if the first is recovering.
+    fn recover(&mut self, requester: usize, other: usize, now: u64) {
+        if let Some(request) = self.servers[requester].recovery_request() {
             self.deliver(other, now, request);
         }
-        let record = self.servers[asking].advance(now);
-        self.logs[asking].extend(record);
+        let record = self.servers[requester].advance(now);
+        self.logs[requester].extend(record);
     }
 
-    /// All servers ask each other, twice.
-    fn settle(&mut self, now: u64) {
+    /// Exchanges recovery requests between all servers, twice.
+    fn run_recovery(&mut self, now: u64) {
         let count = self.servers.len();
         for _ in 0..2 {
-            for asking in 0..count {
-                for other in (0..count).filter(|other| *other != asking) {
-                    self.recover(asking, other, now);
+            for requester in 0..count {
+                for other in (0..count).filter(|other| *other != requester) {
+                    self.recover(requester, other, now);
                 }
             }
         }
@@ -146,30 +146,30 @@
 }
 
 proptest! {
-    /// Whatever the order in which questions pass and are lost, all servers of a first start come to grant.
+    /// All servers of a first start finally grant, in whatever order recovery requests are delivered or lost.
     #[test]
-    fn first_start_completes_whatever_is_lost(
+    fn first_start_completes_despite_lost_messages(
         order in proptest::collection::vec((0usize..5, 0usize..5), 0..40),
     ) {
         let mut servers = Servers::first_start(5, false);
-        for (asking, other) in order {
-            if asking != other {
-                servers.recover(asking, other, 10);
+        for (requester, other) in order {
+            if requester != other {
+                servers.recover(requester, other, 10);
             }
         }
-        servers.settle(20);
-        servers.settle(LEASE_DURATION + 20);
+        servers.run_recovery(20);
+        servers.run_recovery(LEASE_DURATION + 20);
         prop_assert_eq!(servers.granting_count(), 5);
     }
 
-    /// A server that lost its log never grants an epoch that a majority with it has granted before.
+    /// A server that lost its log must not grant an epoch again that it granted as part of a majority.
     #[test]
-    fn lost_log_never_lets_an_epoch_fall(
+    fn epochs_never_decrease_after_a_lost_log(
         lost in 0usize..3,
         others in proptest::collection::vec((0usize..3, 0usize..3), 0..12),
         epoch in 1u64..9,
     ) {
-        let mut servers = Servers::in_service(3, false);
+        let mut servers = Servers::granting(3, false);
         let first = process("a", 1);
         let second = process("b", 2);
         for voter in [lost, (lost + 1) % 3] {
@@ -178,62 +178,62 @@
         servers.logs[lost].clear();
         let now = LEASE_DURATION + 5;
         servers.restart(lost, 77, now);
-        for (asking, other) in others {
-            if asking != other {
-                servers.recover(asking, other, now);
+        for (requester, other) in others {
+            if requester != other {
+                servers.recover(requester, other, now);
             }
         }
         for server in [lost, (lost + 2) % 3] {
             let is_granted = servers.grants(server, now + 1, acquire(&second, epoch, 1));
             prop_assert!(!is_granted || server != lost);
         }
-        servers.settle(now + 1);
+        servers.run_recovery(now + 1);
         let later = now + 1 + LEASE_DURATION;
-        servers.settle(later);
+        servers.run_recovery(later);
         prop_assert!(!servers.grants(lost, later, acquire(&second, epoch, 2)));
         prop_assert!(servers.grants(lost, later, acquire(&second, epoch + 1, 3)));
     }
 }
 
 #[test]
-fn servers_that_restart_at_once_wait_for_what_they_had_granted() {
+fn servers_restarted_together_wait_for_their_old_grants() {
     for trusts_log in [false, true] {
-        let mut servers = Servers::in_service(3, trusts_log);
+        let mut servers = Servers::granting(3, trusts_log);
         let first = process("a", 1);
         let second = process("b", 2);
         for server in 0..3 {
             assert!(servers.grants(server, LEASE_DURATION, acquire(&first, 1, 1)));
         }
-        let back = 2 * LEASE_DURATION - 1;
+        let restarted_at = 2 * LEASE_DURATION - 1;
         for server in 0..3 {
-            servers.restart(server, 50 + server as u64, back);
+            servers.restart(server, 50 + server as u64, restarted_at);
         }
-        servers.settle(back);
-        // The holder may have been told at the last moment before the loss.
-        assert!(!servers.grants(0, back + LEASE_DURATION - 1, acquire(&second, 2, 1)));
-        servers.settle(back + LEASE_DURATION);
+        servers.run_recovery(restarted_at);
+        // The servers may have renewed the lease just before the restart.
+        assert!(!servers.grants(0, restarted_at + LEASE_DURATION - 1, acquire(&second, 2, 1)));
+        servers.run_recovery(restarted_at + LEASE_DURATION);
         assert!(
-            servers.grants(0, back + LEASE_DURATION, acquire(&second, 2, 2)),
+            servers.grants(0, restarted_at + LEASE_DURATION, acquire(&second, 2, 2)),
             "{trusts_log}"
         );
     }
 }
 
 #[test]
-fn blank_servers_of_another_start_do_not_recover_from_each_other() {
-    let mut servers = Servers::in_service(3, false);
-    // Two of three lose their logs: what the fleet knew may be gone, and nobody acts as if it were not.
+fn servers_that_lost_their_logs_do_not_recover_from_each_other() {
+    let mut servers = Servers::granting(3, false);
+    // After two of three servers have lost their logs, epochs may be lost, so those two must not grant.
     for server in [0, 1] {
         servers.logs[server].clear();
         servers.restart(server, 90 + server as u64, LEASE_DURATION);
     }
-    servers.settle(9 * LEASE_DURATION);
+    servers.run_recovery(9 * LEASE_DURATION);
     assert_eq!(servers.granting_count(), 1);
 }
 
 #[test]
-fn two_processes_of_one_name_are_two_holders() {
-    let mut servers = Servers::in_service(1, false);
+fn two_processes_of_one_name_are_different_holders() {
+    let mut servers = Servers::granting(1, false);
     let first = process("n", 1);
     let second = process("n", 2);
     assert!(servers.grants(0, LEASE_DURATION, acquire(&first, 1, 1)));
@@ -243,8 +243,8 @@
 }
 
 #[test]
-fn late_release_frees_nothing_of_the_next_holder() {
-    let mut servers = Servers::in_service(1, false);
+fn late_release_does_not_end_the_grant_of_the_next_holder() {
+    let mut servers = Servers::granting(1, false);
     let first = process("a", 1);
     let second = process("b", 2);
     assert!(servers.grants(0, LEASE_DURATION, acquire(&first, 1, 1)));
@@ -256,8 +256,8 @@
 }
 
 #[test]
-fn refuses_durations_of_zero_and_above_the_longest() {
-    let mut servers = Servers::in_service(1, false);
+fn refuses_durations_of_zero_and_above_the_maximum() {
+    let mut servers = Servers::granting(1, false);
     for duration in [0, LEASE_DURATION + 1] {
         let request = acquire_for(&process("a", 1), 1, 1, duration);
         assert!(matches!(
@@ -268,7 +268,7 @@
 }
 
 proptest! {
-    /// Two clocks at the ends of the drift: the holder's time is over before the server's.
+    /// With two clocks at opposite ends of the drift, the holding time ends before the grant expires.
     #[test]
     fn holding_time_ends_before_its_grant(duration in 1u64..600_000_000, drift_ppm in 0u32..400_000) {
         let drift = f64::from(drift_ppm) / 1e6;
@@ -280,7 +280,7 @@
 fn run_due_clients(clients: &mut [LeaseClient], network: &mut Network, now: u64) {
     for (index, client) in clients.iter_mut().enumerate() {
         if client.next_deadline().is_some_and(|at| at <= now) {
-            for message in client.on_timer(now, network.draw()) {
+            for message in client.on_timer(now, network.next_random()) {
                 network.send_to_all(now, index, &message);
             }
         }
@@ -314,7 +314,7 @@
                 }
             }
             Packet::Response(response) => {
-                let random = network.draw();
+                let random = network.next_random();
                 let messages = clients[client].handle_response(now, server, &response, random);
                 for message in messages {
                     network.send_to_all(now, client, &message);
@@ -324,10 +324,10 @@
     }
 }
 
-/// Three hundred nodes ask at one instant: one holds within a few rounds, and never two.
+/// 300 nodes request the lease at the same time. One of them must hold it within a few rounds, and never two.
 #[test]
-fn three_hundred_contenders_at_one_instant_end_with_one_holder() {
-    let mut servers = Servers::in_service(3, false);
+fn three_hundred_simultaneous_contenders_end_with_one_holder() {
+    let mut servers = Servers::granting(3, false);
     let mut clients: Vec<LeaseClient> = (0..300)
         .map(|index| {
             let process = process(&format!("n{index}"), index);
@@ -348,19 +348,20 @@
         held_at = (holder_count == 1).then_some(now);
         now += 100;
     }
-    let took = held_at.expect("somebody holds") - LEASE_DURATION;
+    let elapsed = held_at.expect("a client holds the lease") - LEASE_DURATION;
     println!(
-        "held after {} ms, {} messages",
-        took / 1000,
+        "lease held after {} ms and {} messages",
+        elapsed / 1000,
         network.sent_count
     );
-    assert!(took < 3 * LEASE_DURATION, "{took}");
+    assert!(elapsed < 3 * LEASE_DURATION, "{elapsed}");
 }
 
-/// A server that comes back with shorter leases in its settings still waits for the longer ones that it had granted.
+/// A server that restarts with a shorter configured lease duration must still wait for the longer leases granted
+/// before.
 #[test]
-fn shorter_leases_do_not_shorten_the_wait_for_those_granted_before() {
-    let mut servers = Servers::in_service(3, false);
+fn shorter_lease_duration_does_not_shorten_the_wait_for_old_grants() {
+    let mut servers = Servers::granting(3, false);
     assert!(servers.grants(0, LEASE_DURATION, acquire(&process("a", 1), 1, 1)));
     let shorter = LeaseServerConfig {
         max_duration: LEASE_DURATION / 10,
@@ -368,7 +369,7 @@
     };
     let restarted_at = LEASE_DURATION + 1;
     servers.servers[0] = LeaseServer::new(shorter, Incarnation(9), &servers.logs[0], restarted_at);
-    servers.settle(restarted_at);
+    servers.run_recovery(restarted_at);
     assert_eq!(
         *servers.servers[0].recovery_state(),
         RecoveryState::WaitingForOldGrants(2 * LEASE_DURATION + 1)
@@ -376,28 +377,28 @@
 }
 
 proptest! {
-    /// Two processes of one name: whatever a server answers to one of them may come to the other, since messages go by
-    /// name, and both count their rounds and epochs alike. Never do both find that they may act, and never does one by
-    /// grants that were the other's.
+    /// Two processes of the same name use the same rounds and epochs, and a response to one of them may be delivered to
+    /// the other, since messages are addressed by name. They must never both hold the lease, and never by grants to the
+    /// other.
     #[test]
-    fn ignores_answers_to_another_process_of_the_same_name(
+    fn ignores_responses_to_another_process_of_the_same_name(
         order in proptest::collection::vec((any::<bool>(), 0usize..3, any::<bool>()), 1..40),
     ) {
-        let mut servers = Servers::in_service(3, false);
+        let mut servers = Servers::granting(3, false);
         let mut clients = [1, 2]
             .map(|incarnation| LeaseClient::new("t", process("n", incarnation), PARAMETERS, LEASE_DURATION));
         let requests = [0, 1].map(|client| clients[client].on_timer(LEASE_DURATION, 0).remove(0));
         let mut granted_to: [BTreeSet<usize>; 2] = Default::default();
-        for (is_second, server, goes_astray) in order {
-            let asking = usize::from(is_second);
-            let Some(answer) = servers.deliver(server, LEASE_DURATION, requests[asking].clone()) else {
+        for (is_second, server, is_misdelivered) in order {
+            let requester = usize::from(is_second);
+            let Some(response) = servers.deliver(server, LEASE_DURATION, requests[requester].clone()) else {
                 continue;
             };
-            if is_granted(Some(&answer)) {
-                granted_to[asking].insert(server);
+            if is_granted(Some(&response)) {
+                granted_to[requester].insert(server);
             }
-            let receiving = asking ^ usize::from(goes_astray);
-            clients[receiving].handle_response(LEASE_DURATION, server, &answer, 0);
+            let recipient = requester ^ usize::from(is_misdelivered);
+            clients[recipient].handle_response(LEASE_DURATION, server, &response, 0);
             let held = [0, 1].map(|client| clients[client].held_epoch(LEASE_DURATION).is_some());
             prop_assert!(!(held[0] && held[1]));
             for client in 0..2 {
--- a/crates/coordination/tests/nodes.rs
+++ b/crates/coordination/tests/nodes.rs
@@ -1,4 +1,4 @@
-//! Whole nodes on a network of the test's own, by fed time: who is there, and the hard cases between lease servers.
+//! Complete nodes on a simulated network and clock: membership, and failures of lease servers and lease holders.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -12,42 +12,42 @@
 use poppykeel_coordination::{Epoch, Incarnation, ProcessId};
 
 #[test]
-fn loss_in_one_direction_removes_nobody() {
-    let mut cluster = Cluster::of_nine();
-    cluster.cut = vec![(4, 5), (6, 7), (7, 8)];
+fn loss_in_one_direction_removes_no_member() {
+    let mut cluster = Cluster::with_nine_nodes();
+    cluster.blocked_links = vec![(4, 5), (6, 7), (7, 8)];
     cluster.run_seconds(20);
-    cluster.assert_all_see(9, 8);
+    cluster.assert_peer_counts(9, 8);
 }
 
 #[test]
-fn dead_node_is_removed_and_seen_again_after_its_return() {
-    let mut cluster = Cluster::of_nine();
+fn dead_node_is_removed_and_rejoins_after_restart() {
+    let mut cluster = Cluster::with_nine_nodes();
     cluster.kill(7);
     cluster.run_seconds(8);
-    cluster.assert_all_see(7, 7);
+    cluster.assert_peer_counts(7, 7);
     cluster.start(7);
     cluster.run_seconds(8);
-    cluster.assert_all_see(9, 8);
+    cluster.assert_peer_counts(9, 8);
 }
 
 #[test]
-fn node_that_leaves_in_order_gives_its_lease_back_at_once() {
-    let mut cluster = Cluster::of_nine();
+fn node_that_leaves_gracefully_releases_its_lease_at_once() {
+    let mut cluster = Cluster::with_nine_nodes();
     let holder = cluster.holders()[0];
     let now = cluster.now;
     let outputs = cluster.node(holder).leave(now);
-    cluster.carry_out(holder, outputs);
+    cluster.execute(holder, outputs);
     cluster.run_for(LEASE_DURATION / 2);
     let holders = cluster.holders();
     assert!(
-        holders.first().is_some_and(|next| *next != holder),
+        holders.first().is_some_and(|new| *new != holder),
         "{holders:?}"
     );
 }
 
 #[test]
-fn dead_holder_is_followed_within_a_lease_and_a_second() {
-    let mut cluster = Cluster::of_nine();
+fn dead_holder_is_replaced_within_one_lease_duration_and_a_second() {
+    let mut cluster = Cluster::with_nine_nodes();
     for _ in 0..5 {
         let holder = cluster.holders()[0];
         cluster.kill(holder);
@@ -59,10 +59,10 @@
 }
 
 #[test]
-fn partition_leaves_one_holder_or_none() {
-    let mut cluster = Cluster::of_nine();
+fn partition_leaves_exactly_one_holder() {
+    let mut cluster = Cluster::with_nine_nodes();
     for side in [vec![0], vec![0, 1, 3, 5], vec![1, 2, 4, 6, 8]] {
-        cluster.cut = (0..9)
+        cluster.blocked_links = (0..9)
             .flat_map(|from| (0..9).map(move |to| (from, to)))
             .filter(|(from, to)| side.contains(from) != side.contains(to))
             .collect();
@@ -72,14 +72,14 @@
             1,
             "a majority of lease servers is on one side"
         );
-        cluster.cut.clear();
+        cluster.blocked_links.clear();
         cluster.run_seconds(4);
     }
 }
 
 #[test]
-fn lease_servers_killed_at_once_come_back_with_their_logs() {
-    let mut cluster = Cluster::of_nine();
+fn lease_servers_killed_together_recover_from_their_logs() {
+    let mut cluster = Cluster::with_nine_nodes();
     for server in 0..3 {
         cluster.kill(server);
     }
@@ -93,18 +93,18 @@
 }
 
 #[test]
-fn lease_server_whose_log_fails_is_silent_and_the_others_go_on() {
-    let mut cluster = Cluster::of_nine();
+fn lease_server_with_failed_log_is_silent_and_others_continue() {
+    let mut cluster = Cluster::with_nine_nodes();
     cluster.machines[0].write_latency = None;
     let now = cluster.now;
     cluster.node(0).on_log_failed();
     assert!(cluster.node(0).status(now).has_log_failed);
     let holder = cluster.holders()[0];
     let outputs = cluster.node(holder).release_lease("t", now);
-    cluster.carry_out(holder, outputs);
+    cluster.execute(holder, outputs);
     cluster.run_seconds(3);
     assert_eq!(cluster.holders().len(), 1);
-    // With a second one nothing is granted any more: a write that never ends is never answered for.
+    // If a second server cannot write either, nothing is granted: a grant is not sent until its write is durable.
     cluster.machines[1].write_latency = None;
     let holder = cluster.holders()[0];
     cluster.kill(holder);
@@ -113,37 +113,37 @@
 }
 
 #[test]
-fn fleets_mixed_by_a_wrong_address_stay_apart() {
-    let of_other_fleet = |node: usize| NodeSettings {
+fn fleets_connected_by_a_wrong_address_stay_separate() {
+    let other_fleet_settings = |node: usize| NodeSettings {
         fleet: "g".into(),
         lease_servers: addresses(&[3, 4, 5]),
         seeds: addresses(&[0, 1]),
         ..settings(node)
     };
-    let all_settings = (0..3).map(settings).chain((3..6).map(of_other_fleet));
+    let all_settings = (0..3).map(settings).chain((3..6).map(other_fleet_settings));
     let mut cluster = Cluster::stopped(all_settings);
     for index in 0..6 {
         let machine = &mut cluster.machines[index];
         let incarnation = Incarnation(index as u64);
         let mut node = CoordinationNode::new(machine.settings.clone(), incarnation, Some(&[]), 0);
-        // Only the first fleet asks for the lease: the other one has none of that name.
+        // Only the first fleet requests the lease, so that the cluster has at most one holder.
         if index < 3 {
             node.request_lease("t", 0);
         }
         machine.node = Some(node);
     }
     cluster.run_seconds(8);
-    cluster.assert_all_see(6, 2);
+    cluster.assert_peer_counts(6, 2);
     assert!(cluster.misaddressed_count > 5);
     assert_eq!(cluster.holders().len(), 1);
 }
 
 #[test]
 fn lease_server_is_replaced_while_the_lease_is_held() {
-    let mut cluster = Cluster::of_nine();
+    let mut cluster = Cluster::with_nine_nodes();
     let new_servers = addresses(&[0, 1, 3]);
     cluster.kill(2);
-    // In any order, with pauses between: two lists are in force at one time.
+    // Nodes switch one by one in an arbitrary order, so both lists are in use for a while.
     for index in [3, 5, 0, 7, 4, 1, 6, 8] {
         let now = cluster.now;
         let log: Option<&[LeaseLogRecord]> = if index == 3 { Some(&[]) } else { None };
@@ -155,17 +155,17 @@
     }
     cluster.run_seconds(6);
     assert_eq!(cluster.holders().len(), 1);
-    // The new one counts: with another of the old ones gone there is still a majority.
+    // The new server grants: without it, there is no majority after another of the old servers is killed.
     cluster.kill(0);
     cluster.run_seconds(5);
     assert_eq!(cluster.holders().len(), 1);
 }
 
-/// Messages and bytes that a fleet of three hundred sends while nothing happens:
+/// Measures the messages and bytes that an idle fleet of 300 nodes sends:
 /// `cargo test --release -p poppykeel-coordination three_hundred -- --ignored --nocapture`.
 #[test]
-#[ignore = "a measurement; docs/leases.md has its figures"]
-fn three_hundred_nodes_at_rest() {
+#[ignore = "a measurement; results are in docs/leases.md"]
+fn three_hundred_idle_nodes() {
     let all_settings = (0..300).map(|node| NodeSettings {
         lease_duration: 5_000 * MS,
         probe_interval: 1000 * MS,
@@ -190,8 +190,8 @@
     }
     let (server_messages, server_bytes) = rates[..3].iter().max().unwrap();
     println!(
-        "300 nodes, 3 lease servers: a node sends {:.1} messages and {} bytes a second, the busiest lease server \
-         {server_messages} and {server_bytes}; after 30 s a node knew {} to {} others",
+        "300 nodes, 3 lease servers: a node sends {:.1} messages and {} bytes per second, the busiest lease server \
+         {server_messages} and {server_bytes}; after 30 s a node knows {} to {} peers",
         sum.messages as f64 / 300.0,
         sum.bytes / 300,
         peer_counts.iter().min().unwrap(),
@@ -200,7 +200,7 @@
 }
 
 #[test]
-fn rejects_messages_with_any_wrong_byte() {
+fn rejects_corrupted_truncated_and_misaddressed_messages() {
     let process = ProcessId {
         node: "n1".into(),
         incarnation: Incarnation(7),
@@ -227,10 +227,10 @@
     assert_eq!(envelope::decode(&bytes, "g", "n0"), misaddressed);
     assert_eq!(envelope::decode(&bytes, "f", "n2"), misaddressed);
     for at in 0..bytes.len() {
-        let mut damaged = bytes.clone();
-        damaged[at] ^= 0x20;
+        let mut corrupted = bytes.clone();
+        corrupted[at] ^= 0x20;
         let malformed = Err(DecodeError::Malformed);
-        assert_eq!(decode(&damaged), malformed, "{at}");
+        assert_eq!(decode(&corrupted), malformed, "{at}");
         assert_eq!(decode(&bytes[..at]), malformed, "{at}");
     }
 }
--- a/crates/coordination/tests/outlier_probing.rs
+++ b/crates/coordination/tests/outlier_probing.rs
@@ -1,4 +1,4 @@
-//! Outlier probing by one node for all: what the coordinator advises, and when a participant does not follow.
+//! Outlier probing: the verdicts of the coordinator, and when a participant ignores them.
 
 use poppykeel_coordination::outlier_probing::{
     ProbingCoordinator, ProbingMessage, ProbingParticipant, ReplicaHealth, Verdict,
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn coordinator_tells_what_it_probes_and_what_it_found_healthy() {
+fn coordinator_reports_replicas_that_it_probes_or_found_healthy() {
     let mut coordinator = ProbingCoordinator::new(EPOCH);
     coordinator.handle_report(vec!["a".into()], SECOND);
     let ejected = ReplicaHealth {
@@ -45,7 +45,7 @@
         verdicts(&mut coordinator, Some(ejected), SECOND),
         verdict(false)
     );
-    // An answer from before the report proves nothing, one after it does.
+    // Only an answer after the report shows that the replica is healthy.
     let healthy_before = ReplicaHealth {
         is_ejected: false,
         last_success_at: Some(SECOND / 2),
@@ -59,7 +59,7 @@
         verdicts(&mut coordinator, Some(healthy_after), SECOND + 2),
         verdict(true)
     );
-    // A replica that is not listed here gets no verdict, and one that nobody reports is forgotten.
+    // A replica that is unknown here gets no verdict, and reports that are not repeated expire.
     assert_eq!(verdicts(&mut coordinator, None, SECOND + 2), []);
     assert_eq!(
         verdicts(&mut coordinator, Some(healthy_after), 3 * SECOND),
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn participant_distrusts_advice_that_proved_wrong_for_a_while() {
+fn participant_ignores_verdicts_for_a_while_after_a_wrong_one() {
     let mut participant = ProbingParticipant::default();
     let mut follow = |is_healthy, now| {
         let distrust_duration = 10 * SECOND;
@@ -81,14 +81,14 @@
         )
     };
     assert_eq!(follow(true, SECOND), verdict(true));
-    // It is ejected here again: the path from here may be what is bad.
+    // The replica is ejected here again; the cause may be the network path from this node.
     assert_eq!(follow(true, 2 * SECOND), []);
     assert_eq!(follow(false, 3 * SECOND), []);
     assert_eq!(follow(true, 13 * SECOND), verdict(true));
 }
 
 #[test]
-fn participant_drops_advice_of_an_earlier_epoch_and_on_replicas_not_ejected_here() {
+fn participant_drops_verdicts_of_an_earlier_epoch_and_on_replicas_not_ejected_here() {
     let mut participant = ProbingParticipant::default();
     let mut follow = |epoch, is_ejected: bool| {
         participant.handle_verdicts(epoch, verdict(true), |_| is_ejected, SECOND, SECOND)
--- a/crates/coordination/tests/rolling_restart.rs
+++ b/crates/coordination/tests/rolling_restart.rs
@@ -1,5 +1,5 @@
-//! Rolling restarts by fed time, with messages lost, late and twice, and coordinators lost: never more nodes out than
-//! allowed, and in the end all have been.
+//! Rolling restarts on a simulated clock, with lost, late and duplicated messages and replaced coordinators. The number
+//! of nodes out must never exceed the limit, and all nodes must have been out in the end.
 
 use poppykeel_coordination::rolling_restart::{
     NodeProgress, NodeReport, OrderId, QueryId, RestartCommand, RestartCoordinator, RestartMessage,
@@ -9,14 +9,14 @@
 use proptest::prelude::*;
 
 const NODES: usize = 7;
-/// The first so many nodes are lease servers.
+/// The number of nodes, from the first, that are lease servers.
 const LEASE_SERVERS: usize = 3;
 const RETURN_AFTER: u64 = 1_000;
-/// Time passes in steps of so much.
+/// The time between two rounds.
 const STEP: u64 = 10;
-/// Rounds of a run, and the round from which on no message is lost or late.
 const ROUNDS: usize = 3_000;
-const QUIET_AFTER: usize = 2_000;
+/// The last round with lost or late messages.
+const LAST_FAULTY_ROUND: usize = 2_000;
 
 fn node_name(index: usize) -> String {
     format!("n{index}")
@@ -64,12 +64,13 @@
     participant
 }
 
-/// What the network does to one message: nothing, loses it, delays it, or delivers it now and again later.
+/// How the network delivers a message.
 #[derive(Clone, Copy, Debug)]
 enum Delivery {
     Now,
     Lost,
     Late(u64),
+    /// Delivered now, and again after a delay.
     Twice(u64),
 }
 
@@ -91,9 +92,9 @@
 struct Fleet {
     participants: Vec<RestartParticipant>,
     delayed: Vec<DelayedMessage>,
-    /// How many were out at most.
+    /// The highest observed number of nodes out.
     max_out: usize,
-    /// How many lease servers were in at least.
+    /// The lowest observed number of lease servers in service.
     min_lease_servers_in: usize,
     /// Which nodes have been out.
     has_been_out: Vec<bool>,
@@ -179,7 +180,7 @@
         });
     }
 
-    /// Delivers what is due, and lets nodes return by themselves.
+    /// Delivers the delayed messages that are due, and lets nodes return on their own.
     fn advance_to(&mut self, now: u64) {
         let (due, delayed): (Vec<_>, Vec<_>) = std::mem::take(&mut self.delayed)
             .into_iter()
@@ -195,7 +196,7 @@
     }
 }
 
-/// A fleet under an order, with coordinators that follow each other.
+/// A fleet with an open order and a coordinator that may be replaced.
 struct Run {
     fleet: Fleet,
     coordinator: RestartCoordinator,
@@ -215,7 +216,7 @@
         }
     }
 
-    /// A coordinator that knows nothing but the order.
+    /// A new coordinator, which knows only the order.
     fn coordinator(epoch: u64, max_out: u32, now: u64) -> RestartCoordinator {
         let drift_ppm = 0;
         RestartCoordinator::new(
@@ -227,27 +228,27 @@
         )
     }
 
-    fn lose_coordinator(&mut self) {
+    fn replace_coordinator(&mut self) {
         self.epoch += 1;
         self.coordinator = Run::coordinator(self.epoch, self.max_out, self.now);
     }
 
-    /// Plays all rounds. The deliveries repeat from the beginning when they are used up; a coordinator is lost after each of
-    /// the numbers of rounds.
-    fn play(&mut self, deliveries: Vec<Delivery>, rounds_until_lost: Vec<usize>) {
+    /// Runs all rounds. The deliveries are used cyclically. `rounds_until_replaced` holds the number of rounds after
+    /// which each coordinator is replaced.
+    fn run_rounds(&mut self, deliveries: Vec<Delivery>, rounds_until_replaced: Vec<usize>) {
         let mut deliveries = deliveries.into_iter().cycle();
-        let mut rounds_until_lost = rounds_until_lost.into_iter();
-        let mut next_loss = rounds_until_lost.next();
+        let mut rounds_until_replaced = rounds_until_replaced.into_iter();
+        let mut rounds_left = rounds_until_replaced.next();
         for round in 1..=ROUNDS {
             self.now += STEP;
             self.fleet.advance_to(self.now);
-            next_loss = next_loss.map(|rounds| rounds - 1);
-            if next_loss == Some(0) {
-                self.lose_coordinator();
-                next_loss = rounds_until_lost.next();
+            rounds_left = rounds_left.map(|rounds| rounds - 1);
+            if rounds_left == Some(0) {
+                self.replace_coordinator();
+                rounds_left = rounds_until_replaced.next();
             }
             self.round(|| {
-                if round > QUIET_AFTER {
+                if round > LAST_FAULTY_ROUND {
                     Delivery::Now
                 } else {
                     deliveries.next().expect("an endless cycle")
@@ -256,7 +257,7 @@
         }
     }
 
-    /// One query with its answers, and the commands that follow.
+    /// Runs one round of queries, answers and commands.
     fn round(&mut self, mut next_delivery: impl FnMut() -> Delivery) {
         let now = self.now;
         for query in self.coordinator.next_queries() {
@@ -277,13 +278,13 @@
 
 proptest! {
     #[test]
-    fn never_has_more_nodes_out_than_allowed_and_finishes(
+    fn nodes_out_never_exceed_the_limit_and_the_order_finishes(
         max_out in 1u32..4,
         deliveries in proptest::collection::vec(delivery(), 1..400),
-        rounds_until_lost in proptest::collection::vec(1usize..60, 0..4),
+        rounds_until_replaced in proptest::collection::vec(1usize..60, 0..4),
     ) {
         let mut run = Run::new(max_out);
-        run.play(deliveries, rounds_until_lost);
+        run.run_rounds(deliveries, rounds_until_replaced);
         let Run { fleet, coordinator, now, .. } = run;
         prop_assert!(fleet.max_out <= max_out as usize, "{} out", fleet.max_out);
         prop_assert!(
@@ -296,24 +297,25 @@
     }
 }
 
-/// The queries of one node arrive late, so that its time to return by itself starts anew, and none of its answers arrive.
+/// Late queries reach a node but its answers are lost. The queries must not extend the node's return timer, or it would
+/// stay out for longer than the coordinator counts it as out.
 #[test]
-fn counts_a_node_as_out_while_none_of_its_answers_arrive() {
+fn counts_a_node_as_out_while_its_answers_are_lost() {
     use Delivery::{Late, Lost, Now};
     let mut run = Run::new(1);
-    run.play(vec![Now, Now, Now, Lost, Now, Late(1), Now], Vec::new());
+    run.run_rounds(vec![Now, Now, Now, Lost, Now, Late(1), Now], Vec::new());
     assert!(run.fleet.max_out <= 1, "{} out", run.fleet.max_out);
 }
 
 #[test]
-fn drops_commands_from_before_the_last_query() {
+fn drops_commands_older_than_the_last_query() {
     let mut participant = participant_with_order();
     participant.handle_query(query(1, 1), &order_id(), true, 0);
     participant.handle_query(query(1, 2), &order_id(), true, 1);
     assert!(!participant.handle_command(query(1, 1), RestartCommand::Leave, 2));
     assert!(participant.handle_command(query(1, 2), RestartCommand::Leave, 2));
     assert!(participant.progress() == NodeProgress::Out);
-    // A coordinator of an earlier epoch wakes up.
+    // Messages of a coordinator with an earlier epoch are ignored.
     participant.handle_query(query(2, 1), &order_id(), true, 3);
     let answer = participant.handle_query(query(1, 3), &order_id(), true, 4);
     assert!(answer.is_none());
@@ -321,7 +323,7 @@
 }
 
 #[test]
-fn node_that_is_out_and_forgotten_returns_by_itself() {
+fn node_without_contact_to_a_coordinator_returns_on_its_own() {
     let mut participant = participant_with_order();
     participant.handle_query(query(1, 1), &order_id(), true, 0);
     assert!(participant.handle_command(query(1, 1), RestartCommand::Leave, 2));
@@ -331,7 +333,7 @@
 }
 
 #[test]
-fn node_asks_for_an_unknown_order_and_tells_of_a_newer_one() {
+fn node_requests_an_unknown_order_and_reports_a_newer_one() {
     let mut participant = RestartParticipant::default();
     let answer = participant.handle_query(query(1, 1), &order_id(), true, 0);
     assert_eq!(answer, Some(RestartMessage::RequestOrder));
--- a/crates/coordination/tests/support/cluster.rs
+++ b/crates/coordination/tests/support/cluster.rs
@@ -1,4 +1,4 @@
-//! Whole nodes on a network of the tests' own, by fed time.
+//! Complete nodes on a simulated network and clock.
 
 use poppykeel_coordination::envelope::{self, DecodeError, Envelope};
 use poppykeel_coordination::lease::LeaseLogRecord;
@@ -11,7 +11,7 @@
 pub const MS: u64 = 1_000;
 pub const LEASE_DURATION: u64 = 1_000 * MS;
 const FIRST_PORT: u16 = 9000;
-/// A write is durable after this time.
+/// The time until a write is durable.
 const WRITE_LATENCY: u64 = 500;
 
 pub fn address(node: usize) -> SocketAddr {
@@ -42,11 +42,11 @@
 }
 
 pub struct Machine {
-    /// The process that runs on it, if one does.
+    /// The running process, if any.
     pub node: Option<CoordinationNode>,
     pub settings: NodeSettings,
     log: Vec<LeaseLogRecord>,
-    /// Writes come back after so long; none where the disk is broken.
+    /// The time until a write is durable; `None` if writes never complete.
     pub write_latency: Option<u64>,
 }
 
@@ -61,7 +61,7 @@
     }
 }
 
-/// What happens at a later time.
+/// A scheduled event.
 enum Event {
     Message {
         machine: usize,
@@ -74,7 +74,7 @@
     },
 }
 
-/// What a machine has sent.
+/// The traffic that a machine has sent.
 #[derive(Clone, Copy, Default)]
 pub struct Traffic {
     pub messages: u64,
@@ -86,17 +86,17 @@
     pub now: u64,
     start_count: u64,
     pub machines: Vec<Machine>,
-    /// Events by their time, and by the order in which they were scheduled.
+    /// Events by due time and by the order of scheduling.
     events: BTreeMap<(u64, u64), Event>,
     scheduled_count: u64,
-    /// Pairs of machines of which the first does not reach the second.
-    pub cut: Vec<(usize, usize)>,
+    /// Pairs of machines; messages from the first to the second are lost.
+    pub blocked_links: Vec<(usize, usize)>,
     pub misaddressed_count: usize,
     pub sent: Vec<Traffic>,
 }
 
 impl Cluster {
-    /// Machines whose processes do not run yet.
+    /// Machines without running processes.
     pub fn stopped(all_settings: impl IntoIterator<Item = NodeSettings>) -> Cluster {
         let machines: Vec<Machine> = all_settings.into_iter().map(Machine::new).collect();
         Cluster {
@@ -106,7 +106,7 @@
             machines,
             events: BTreeMap::new(),
             scheduled_count: 0,
-            cut: Vec::new(),
+            blocked_links: Vec::new(),
             misaddressed_count: 0,
         }
     }
@@ -119,12 +119,12 @@
         cluster
     }
 
-    /// Nine machines that have come to know each other and to agree on a holder.
-    pub fn of_nine() -> Cluster {
+    /// Nine nodes that know each other and have one lease holder.
+    pub fn with_nine_nodes() -> Cluster {
         let mut cluster = Cluster::started((0..9).map(settings));
         cluster.run_seconds(6);
         assert_eq!(cluster.holders().len(), 1);
-        cluster.assert_all_see(9, 8);
+        cluster.assert_peer_counts(9, 8);
         cluster
     }
 
@@ -155,7 +155,7 @@
         self.events.insert(key, event);
     }
 
-    pub fn carry_out(&mut self, machine: usize, outputs: Vec<NodeOutput>) {
+    pub fn execute(&mut self, machine: usize, outputs: Vec<NodeOutput>) {
         for output in outputs {
             match output {
                 NodeOutput::WriteLog { write, records } => {
@@ -185,7 +185,7 @@
             return;
         };
         let to = usize::from(address.port() - FIRST_PORT);
-        if to >= self.machines.len() || self.cut.contains(&(from, to)) {
+        if to >= self.machines.len() || self.blocked_links.contains(&(from, to)) {
             return;
         }
         let delay = 300 + self.scheduled_count % 7 * 200;
@@ -205,7 +205,7 @@
                     Ok(envelope) => {
                         let node = receiver.node.as_mut();
                         let outputs = node.map(|node| node.handle_envelope(envelope, now));
-                        self.carry_out(machine, outputs.unwrap_or_default());
+                        self.execute(machine, outputs.unwrap_or_default());
                     }
                     Err(error) => {
                         assert_eq!(error, DecodeError::Misaddressed);
@@ -222,7 +222,7 @@
                 writer.log.extend(records);
                 let node = writer.node.as_mut();
                 let outputs = node.map(|node| node.on_log_written(write));
-                self.carry_out(machine, outputs.unwrap_or_default());
+                self.execute(machine, outputs.unwrap_or_default());
             }
         }
     }
@@ -240,7 +240,7 @@
             };
             if node.next_deadline().is_some_and(|at| at <= now) {
                 let outputs = node.on_timer(now);
-                self.carry_out(machine, outputs);
+                self.execute(machine, outputs);
             }
         }
     }
@@ -278,8 +278,8 @@
             .collect()
     }
 
-    /// Asserts that each of the first `nodes` machines sees so many others.
-    pub fn assert_all_see(&self, nodes: usize, others: usize) {
-        assert_eq!(self.peer_counts(nodes), vec![others; nodes]);
+    /// Asserts that each of the first `nodes` machines knows `peer_count` peers.
+    pub fn assert_peer_counts(&self, nodes: usize, peer_count: usize) {
+        assert_eq!(self.peer_counts(nodes), vec![peer_count; nodes]);
     }
 }
--- a/crates/coordination/tests/support/golden_messages.rs
+++ b/crates/coordination/tests/support/golden_messages.rs
@@ -1,4 +1,4 @@
-//! The messages of which the golden files hold one datagram each.
+//! The messages that are stored as golden files, one datagram each.
 
 use poppykeel_coordination::budget::{BudgetGrant, BudgetMessage, BudgetRequest, Demand, GrantId};
 use poppykeel_coordination::envelope::{ClassReplies, CrossZoneAttempts, MessageBody, NodeFigures};
@@ -12,12 +12,12 @@
 use poppykeel_coordination::{Epoch, Incarnation, ProcessId};
 use std::collections::BTreeMap;
 
-/// All of them: the name of each sample, and its message.
+/// All samples, except those of the membership protocol: the name of the golden file and the message.
 pub fn message_samples() -> Vec<(&'static str, MessageBody)> {
     [
         lease_client_messages(),
         lease_server_messages(),
-        lease_answers(),
+        lease_responses(),
         figures_messages(),
         restart_messages(),
         probing_messages(),
@@ -26,7 +26,6 @@
     .concat()
 }
 
-/// A holder of a lease.
 fn holder() -> ProcessId {
     ProcessId {
         node: "node-c".into(),
@@ -34,7 +33,6 @@
     }
 }
 
-/// An incarnation of the lease server of this index.
 fn server_incarnation(server: usize, incarnation: u64) -> ServerIncarnation {
     ServerIncarnation {
         server,
@@ -42,7 +40,6 @@
     }
 }
 
-/// A task with its epoch.
 fn task_epoch(task: &str, epoch: u64) -> TaskEpoch {
     TaskEpoch {
         task: task.into(),
@@ -50,7 +47,7 @@
     }
 }
 
-/// Messages of clients to a lease server.
+/// Messages from clients to a lease server.
 fn lease_client_messages() -> Vec<(&'static str, MessageBody)> {
     let acquire = LeaseRequest::Acquire(AcquireRequest {
         task: "budgets".into(),
@@ -105,8 +102,8 @@
     ]
 }
 
-/// Answers of a lease server.
-fn lease_answers() -> Vec<(&'static str, MessageBody)> {
+/// Responses of a lease server.
+fn lease_responses() -> Vec<(&'static str, MessageBody)> {
     let granted = LeaseResponse::Granted {
         task: "budgets".into(),
         requester: Incarnation(21),
@@ -141,7 +138,6 @@
     ]
 }
 
-/// The replies of one class.
 fn class_replies(class: &str, served: u64, refused: u64, failed: u64) -> ClassReplies {
     ClassReplies {
         class: class.into(),
@@ -151,7 +147,7 @@
     }
 }
 
-/// Messages of the figures for a report.
+/// Messages about node figures.
 fn figures_messages() -> Vec<(&'static str, MessageBody)> {
     let figures = NodeFigures {
         replies: vec![
@@ -182,7 +178,6 @@
     ]
 }
 
-/// Names an order.
 fn order_id(number: u64, ordered_at: &str) -> OrderId {
     OrderId {
         number,
@@ -190,7 +185,6 @@
     }
 }
 
-/// Names a query of a coordinator.
 fn query(epoch: u64, round: u64) -> QueryId {
     QueryId {
         epoch: Epoch(epoch),
@@ -198,7 +192,6 @@
     }
 }
 
-/// A node's answer to a query.
 fn report(query: QueryId, progress: NodeProgress, is_idle: bool) -> RestartMessage {
     RestartMessage::Report(NodeReport {
         query,
@@ -207,12 +200,10 @@
     })
 }
 
-/// A command after a query.
 fn command(query: QueryId, command: RestartCommand) -> RestartMessage {
     RestartMessage::Command { query, command }
 }
 
-/// Messages of a rolling restart.
 fn restart_messages() -> Vec<(&'static str, MessageBody)> {
     let order = RestartMessage::Order(RestartOrder {
         id: order_id(51, "node-d"),
@@ -221,7 +212,7 @@
         stay_out: 5_300_000,
         return_after: 54_000_000,
     });
-    let ask = RestartMessage::Query {
+    let query_message = RestartMessage::Query {
         query: query(55, 56),
         order: order_id(57, "node-d"),
     };
@@ -229,25 +220,24 @@
     let out = report(query(60, 61), NodeProgress::Out, true);
     let done = report(query(62, 63), NodeProgress::Done, false);
     let leave = command(query(64, 65), RestartCommand::Leave);
-    let come_back = command(query(66, 67), RestartCommand::Return);
-    let over = RestartMessage::Completed(order_id(68, "node-e"));
+    let return_to_service = command(query(66, 67), RestartCommand::Return);
+    let completed = RestartMessage::Completed(order_id(68, "node-e"));
     let messages = [
         ("roll-order", order),
-        ("roll-ask", ask),
+        ("roll-ask", query_message),
         ("roll-want", RestartMessage::RequestOrder),
         ("roll-tell-waiting", waiting),
         ("roll-tell-out", out),
         ("roll-tell-done", done),
         ("roll-act-leave", leave),
-        ("roll-act-return", come_back),
-        ("roll-over", over),
+        ("roll-act-return", return_to_service),
+        ("roll-over", completed),
     ];
     messages
         .map(|(name, message)| (name, MessageBody::RollingRestart(message)))
         .into()
 }
 
-/// A verdict on a replica.
 fn verdict(replica: &str, is_healthy: bool) -> Verdict {
     Verdict {
         replica: replica.into(),
@@ -255,7 +245,7 @@
     }
 }
 
-/// Messages of probing ejected replicas.
+/// Messages of outlier probing.
 fn probing_messages() -> Vec<(&'static str, MessageBody)> {
     let ejected = ProbingMessage::Ejected {
         replicas: vec!["s-1".into(), "s-22".into()],
@@ -270,12 +260,10 @@
     ]
 }
 
-/// Rates of two budgets.
 fn rates() -> BTreeMap<String, u64> {
     BTreeMap::from([("crossings".into(), 81), ("retries".into(), 8_200)])
 }
 
-/// Demands for two budgets.
 fn demands() -> BTreeMap<String, Demand> {
     let crossings = Demand {
         rate: 83,
@@ -288,7 +276,6 @@
     BTreeMap::from([("crossings".into(), crossings), ("retries".into(), retries)])
 }
 
-/// Names a grant.
 fn grant_id(epoch: u64, number: u64) -> GrantId {
     GrantId {
         epoch: Epoch(epoch),
@@ -296,7 +283,7 @@
     }
 }
 
-/// Messages of the budgets of the whole fleet.
+/// Messages about budgets.
 fn budget_messages() -> Vec<(&'static str, MessageBody)> {
     let request = BudgetMessage::Request(BudgetRequest {
         requester: holder(),
--- a/crates/coordination/tests/support/lease_network.rs
+++ b/crates/coordination/tests/support/lease_network.rs
@@ -1,9 +1,9 @@
-//! A network between lease clients and lease servers, by fed time.
+//! A simulated network between lease clients and lease servers.
 
 use poppykeel_coordination::lease::{LeaseRequest, LeaseResponse};
 use std::collections::BTreeMap;
 
-/// What is on its way between a client and a server.
+/// A message in flight between a client and a server.
 pub enum Packet {
     Request(LeaseRequest),
     Response(LeaseResponse),
@@ -15,9 +15,10 @@
     pub packet: Packet,
 }
 
-/// A network on which each message takes its own time, so that contenders meet the servers in different orders.
+/// A network with a pseudo-random latency per message, so that requests of contenders reach the servers in different
+/// orders.
 pub struct Network {
-    /// Messages by the time of their arrival, and by the order in which they were sent.
+    /// Messages by arrival time and sending order.
     in_flight: BTreeMap<(u64, u64), Delivery>,
     pub sent_count: u64,
     random: u64,
@@ -34,7 +35,7 @@
         }
     }
 
-    pub fn draw(&mut self) -> u64 {
+    pub fn next_random(&mut self) -> u64 {
         self.random = self
             .random
             .wrapping_mul(6_364_136_223_846_793_005)
@@ -44,7 +45,7 @@
 
     pub fn send(&mut self, now: u64, delivery: Delivery) {
         self.sent_count += 1;
-        let arrival = now + 100 + self.draw() % 2000;
+        let arrival = now + 100 + self.next_random() % 2000;
         self.in_flight.insert((arrival, self.sent_count), delivery);
     }
 
