--- a/crates/coordination/src/lease/mod.rs
+++ b/crates/coordination/src/lease/mod.rs
@@ -7,7 +7,7 @@
 //!
 //! 1. A [`LeaseClient`] sends [`LeaseRequest::Acquire`] to all lease servers, under an epoch higher than any that it
 //!    knows.
-//! 2. A [`LeaseServer`] grants it if no grant of another process is unexpired by the server's clock, and if the epoch
+//! 2. A [`LeaseServer`] grants it if all its grants to other processes have expired by its own clock, and if the epoch
 //!    is higher than all that it has granted for the task. The grant is durable before the response is sent.
 //! 3. Once a majority has granted, the client holds the lease. Its holding time starts when the *request was sent* and
 //!    lasts for the lease duration less the clock drift ([`reduce_by_drift`]), by the client's clock. The client renews
@@ -44,7 +44,7 @@
     MAX_TASKS,
 };
 
-/// Parts per million in one.
+/// The denominator of values in parts per million.
 const MILLION: u128 = 1_000_000;
 /// The largest drift that the arithmetic supports, in parts per million.
 const MAX_DRIFT_PPM: u32 = 999_999;
--- a/crates/coordination/src/lease/server/recovery.rs
+++ b/crates/coordination/src/lease/server/recovery.rs
@@ -1,8 +1,8 @@
 //! Recovery of a lease server after a start, and its responses to other recovering servers.
 //!
 //! A server may restart with an empty log, or with one that was restored to an older state. It then requests the known
-//! epochs from the other servers. Every majority that it was part of intersects any majority of the other servers, so
-//! with that many responses it knows every epoch that it may have granted.
+//! epochs from the other servers. Every majority that it was part of has a member in any majority formed by the other
+//! servers, so with that many responses it knows every epoch that it may have granted.
 
 use super::{LeaseServer, LeaseServerOutput, PeerMessage};
 use crate::lease::log_record::LeaseLogRecord;
--- a/crates/coordination/src/rolling_restart/coordinator.rs
+++ b/crates/coordination/src/rolling_restart/coordinator.rs
@@ -6,7 +6,7 @@
 use crate::{Epoch, Micros};
 use std::collections::BTreeMap;
 
-/// Parts per million in one.
+/// The denominator of values in parts per million.
 const MILLION: Micros = 1_000_000;
 /// The wait for a node to return on its own is extended by this multiple of the clock drift.
 const DRIFT_MARGIN_FACTOR: Micros = 3;
@@ -247,8 +247,9 @@
         let mut next: Option<(bool, &String)> = None;
         for (name, node) in &self.nodes {
             let is_lease_server = self.lease_servers.contains(name);
-            let waits = node.has_answered_last_query() && node.progress == NodeProgress::Waiting;
-            if !waits || (is_lease_server && !may_take_lease_server) {
+            let is_waiting =
+                node.has_answered_last_query() && node.progress == NodeProgress::Waiting;
+            if !is_waiting || (is_lease_server && !may_take_lease_server) {
                 continue;
             }
             let candidate = (is_lease_server, name);
--- a/crates/coordination/src/rolling_restart/participant.rs
+++ b/crates/coordination/src/rolling_restart/participant.rs
@@ -93,13 +93,13 @@
     /// over.
     pub fn handle_command(&mut self, query: QueryId, command: RestartCommand, now: Micros) -> bool {
         let is_out = self.progress == NodeProgress::Out;
-        let leaves = command == RestartCommand::Leave;
-        if query != self.last_query || is_out == leaves {
+        let is_leave = command == RestartCommand::Leave;
+        if query != self.last_query || is_out == is_leave {
             return false;
         }
         // The command follows the answer, so the coordinator has received the answer.
         self.last_confirmed_answer_at = self.last_query_at;
-        if leaves && self.is_contact_timed_out(now) {
+        if is_leave && self.is_contact_timed_out(now) {
             return false;
         }
         self.progress = match command {
@@ -109,13 +109,14 @@
         true
     }
 
-    /// Returns to service if the coordinator has been out of contact for too long, and reports whether it did.
+    /// Marks the node as returned if it is out and the coordinator has been out of contact for too long. The caller
+    /// must then accept clients again if this returns true.
     pub fn return_if_timed_out(&mut self, now: Micros) -> bool {
-        let returns = self.progress == NodeProgress::Out && self.is_contact_timed_out(now);
-        if returns {
+        let must_return = self.progress == NodeProgress::Out && self.is_contact_timed_out(now);
+        if must_return {
             self.progress = NodeProgress::Done;
         }
-        returns
+        must_return
     }
 
     /// Whether the last confirmed answer is so old that the coordinator assumes that the node has returned.
--- a/crates/coordination/tests/rolling_restart.rs
+++ b/crates/coordination/tests/rolling_restart.rs
@@ -23,7 +23,7 @@
 }
 
 fn node_index(name: &str) -> usize {
-    name[1..].parse().expect("a name of this test")
+    name[1..].parse().expect("node names are n<index>")
 }
 
 fn node_names() -> Vec<String> {
@@ -251,7 +251,9 @@
                 if round > LAST_FAULTY_ROUND {
                     Delivery::Now
                 } else {
-                    deliveries.next().expect("an endless cycle")
+                    deliveries
+                        .next()
+                        .expect("the cycle of deliveries is not empty")
                 }
             });
         }
