--- a/src/transport/dispatcher/mod.rs
+++ b/src/transport/dispatcher/mod.rs
@@ -184,9 +184,7 @@
             DispatcherMessage::UpdateSettings { settings, applied } => {
                 self.update_settings(settings, applied);
             }
-            DispatcherMessage::SetResponseDeadline(within) => {
-                self.set_response_deadline(now, within)
-            }
+            DispatcherMessage::SetResponseDeadline(limit) => self.set_response_deadline(now, limit),
             DispatcherMessage::LogSummary(done) => {
                 self.log_summary();
                 send_reply(done, ());
@@ -217,8 +215,8 @@
         send_reply(applied, ());
     }
 
-    fn set_response_deadline(&mut self, now: MonotonicMicros, within: Duration) {
-        let deadline = now.saturating_add(within.as_micros() as DurationMicros);
+    fn set_response_deadline(&mut self, now: MonotonicMicros, limit: Duration) {
+        let deadline = now.saturating_add(limit.as_micros() as DurationMicros);
         self.router.set_response_deadline(deadline);
     }
 }
