--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,8 @@
-//! The node of poppykeel on real sockets: a router for fleets of language-model servers.
+//! A poppykeel node on real sockets: a router for fleets of language-model replicas.
 //!
-//! The decisions are in `poppykeel-scheduler`. This library has what is round them, in layers that each use only those
-//! before them: [`protocol`] (bytes to messages), [`routing`] (requests, attempts and timers), [`transport`] (sockets) and
-//! [`program`] (command line, configuration, start and end).
+//! `poppykeel-scheduler` makes the scheduling decisions. This library is built around it in layers, each of which uses only
+//! the layers before it: [`protocol`] (parsing and writing of messages), [`routing`] (requests, attempts and timers),
+//! [`transport`] (sockets) and [`program`] (command line, configuration, start-up and shutdown).
 
 pub mod program;
 pub mod protocol;
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The node: see `poppykeel --help`.
+//! The node's executable. `poppykeel --help` prints its usage.
 
 fn main() -> std::process::ExitCode {
     poppykeel::program::main()
--- a/src/routing/command.rs
+++ b/src/routing/command.rs
@@ -1,53 +1,53 @@
-//! What the router has its driver do.
+//! Commands from the router to its driver.
 
 use super::time::{DurationMicros, MonotonicMicros};
 use poppykeel_scheduler::{ReplicaId, RequestId};
 
-/// Something that the router's driver must do now. Commands are carried out in the order in which they come.
+/// A command that the router's driver must carry out at once. Commands are carried out in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RouterCommand {
     /// Send a request to a replica.
     StartAttempt {
-        /// The request.
+        /// The request to send.
         request: RequestId,
-        /// The attempt's number within the request.
+        /// The attempt's number within the request, from 0.
         attempt: usize,
-        /// The replica.
+        /// The replica that gets the request.
         replica: ReplicaId,
-        /// The first token must have come by this time; then the router abandons the attempt.
+        /// The router abandons the attempt if its first token has not arrived by this time.
         deadline: MonotonicMicros,
     },
-    /// Close the connection of an attempt. The router ignores what the attempt still reports.
+    /// Close the connection of an attempt. The router ignores later events of the attempt.
     AbandonAttempt {
-        /// The request.
+        /// The request that the attempt belongs to.
         request: RequestId,
-        /// The attempt's number within the request.
+        /// The attempt's number within the request, from 0.
         attempt: usize,
     },
-    /// Pass the stream of this attempt to the client as the response.
+    /// Forward the stream of this attempt to the client as the response.
     BindStream {
-        /// The request.
+        /// The request that the attempt belongs to.
         request: RequestId,
-        /// The attempt's number within the request.
+        /// The attempt's number within the request, from 0.
         attempt: usize,
     },
     /// Reject the request.
     Reject {
-        /// The request.
+        /// The request to reject.
         request: RequestId,
-        /// After this time the client may retry.
+        /// Time after which the client may retry.
         retry_after: DurationMicros,
     },
-    /// Tell the client that its request has failed.
+    /// Send the client an error response.
     Fail {
-        /// The request.
+        /// The request that has failed.
         request: RequestId,
     },
-    /// Ask a replica for its load report or its health.
+    /// Request the load report or the health of a replica.
     Probe {
-        /// The replica.
+        /// The replica to probe.
         replica: ReplicaId,
     },
-    /// Watch the endpoint list from now on.
+    /// Start watching the endpoint list.
     WatchEndpoints,
 }
--- a/src/routing/cross_zone.rs
+++ b/src/routing/cross_zone.rs
@@ -1,38 +1,38 @@
-//! Counts of traffic between zones: attempts that were written completely to a replica of another zone, by minute, class and
-//! tenant. The driver of an attempt counts it when its last byte has been written, so that the replicas' own count is the same.
+//! Counts attempts that were sent completely to a replica in another zone, by minute, class and tenant. The driver counts an
+//! attempt once its last byte has been written, so that the counts equal those of the replicas.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How many minutes are kept; older ones are in the totals only.
+/// Number of minutes with counts of their own. Older minutes are included in the totals only.
 const MAX_MINUTES: usize = 60;
 const MICROS_PER_MINUTE: i64 = 60_000_000;
 
-/// Requests of one class and one tenant.
+/// The requests of one tenant in one class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RequestGroup {
-    /// The class's index in the site's settings.
+    /// Index of the class in the site settings.
     pub class: usize,
-    /// The tenant's index in the site's settings; 0 at sites without tenants.
+    /// Index of the tenant in the site settings; 0 if the site has no tenants.
     pub tenant: usize,
 }
 
-/// Attempts of one group that went to another zone in one minute.
+/// Number of attempts of one group that were sent to another zone within one minute.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MinuteCount {
-    /// The minute of Unix time.
+    /// Minutes since the Unix epoch.
     pub minute: u64,
-    /// The requests' group.
+    /// Class and tenant of the requests.
     pub group: RequestGroup,
-    /// How many attempts.
+    /// Number of attempts.
     pub count: u64,
 }
 
-/// Attempts of one group that went to another zone since the start.
+/// Number of attempts of one group that were sent to another zone since the process started.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TotalCount {
-    /// The requests' group.
+    /// Class and tenant of the requests.
     pub group: RequestGroup,
-    /// How many attempts.
+    /// Number of attempts.
     pub count: u64,
 }
 
@@ -42,7 +42,7 @@
     group: RequestGroup,
 }
 
-/// The traffic of one node to other zones.
+/// Attempts of one node that were sent to other zones.
 #[derive(Clone, Debug, Default)]
 pub struct CrossZoneTraffic {
     by_minute: BTreeMap<MinuteKey, u64>,
@@ -50,7 +50,7 @@
 }
 
 impl CrossZoneTraffic {
-    /// Counts one attempt, written at `unix_us` microseconds of Unix time.
+    /// Counts one attempt. `unix_us` is the time at which it was written, in microseconds of Unix time.
     pub fn record(&mut self, unix_us: i64, group: RequestGroup) {
         let minute = u64::try_from(unix_us / MICROS_PER_MINUTE).unwrap_or(0);
         *self.totals.entry(group).or_default() += 1;
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Limits how many minutes there are and not how old they are: a clock that was set back must not empty the table.
+    /// Limits the number of minutes, not their age, so that setting the wall clock does not empty the table.
     fn drop_oldest_minute_over_limit(&mut self) {
         let minutes: BTreeSet<u64> = self.by_minute.keys().map(|key| key.minute).collect();
         if minutes.len() <= MAX_MINUTES {
@@ -73,7 +73,7 @@
         }
     }
 
-    /// The minutes that are kept, oldest first, within a minute by class and tenant.
+    /// Returns the retained counts, ordered by minute, class and tenant.
     pub fn by_minute(&self) -> impl Iterator<Item = MinuteCount> + '_ {
         self.by_minute.iter().map(|(key, count)| MinuteCount {
             minute: key.minute,
@@ -82,7 +82,7 @@
         })
     }
 
-    /// The totals since the start, by class and tenant.
+    /// Returns the totals since the process started, ordered by class and tenant.
     pub fn totals(&self) -> impl Iterator<Item = TotalCount> + '_ {
         self.totals.iter().map(|(group, count)| TotalCount {
             group: *group,
--- a/src/routing/event.rs
+++ b/src/routing/event.rs
@@ -1,32 +1,32 @@
-//! What the router is told.
+//! Events that the driver passes to the router.
 
 use poppykeel_scheduler::{
     AttemptOutcome, Endpoint, EndpointListStatus, IncomingRequest, LoadReport, ReplicaId, RequestId,
 };
 
-/// Something that has happened and that the router must know.
+/// An event that the router has to process.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RouterEvent {
     /// A client's request has been read completely.
     RequestArrived(IncomingRequest),
-    /// The client of a request has disconnected and takes no response any more.
+    /// The client of a request has disconnected and can no longer receive a response.
     ClientDisconnected(RequestId),
-    /// The first token of an attempt's stream has come.
+    /// The first token of an attempt's stream has arrived.
     FirstToken {
-        /// The request.
+        /// The request that the attempt belongs to.
         request: RequestId,
-        /// The attempt's number within the request.
+        /// The attempt's number within the request, from 0.
         attempt: usize,
     },
-    /// An attempt has ended without being abandoned by the router.
+    /// An attempt has ended, other than by the router's abandoning it.
     AttemptEnded {
-        /// The request.
+        /// The request that the attempt belongs to.
         request: RequestId,
-        /// The attempt's number within the request.
+        /// The attempt's number within the request, from 0.
         attempt: usize,
         /// How the attempt ended.
         outcome: AttemptOutcome,
-        /// The load report that came with the response.
+        /// The load report in the response, if any.
         report: Option<LoadReport>,
     },
     /// A probe has ended.
@@ -35,22 +35,22 @@
         replica: ReplicaId,
         /// How the probe ended.
         outcome: AttemptOutcome,
-        /// The load report that came with the response.
+        /// The load report in the response, if any.
         report: Option<LoadReport>,
     },
-    /// The whole endpoint list; a replica that it lacks has been removed.
+    /// A complete endpoint list. Replicas that are not on it are removed.
     EndpointsReplaced(Vec<Endpoint>),
-    /// Endpoints whose entries have changed; all others stay as they are.
+    /// Changed entries of the endpoint list. All other entries remain.
     EndpointsChanged(Vec<Endpoint>),
-    /// The watch of the endpoint list has failed.
+    /// Watching the endpoint list has failed.
     EndpointListFailed,
-    /// The age of the endpoint list has become known or doubtful.
+    /// The age of the endpoint list has become known or uncertain.
     EndpointListStatusChanged(EndpointListStatus),
-    /// The node that probes ejected replicas for all nodes has a verdict on one of them.
+    /// A verdict on one ejected replica, from the node that probes ejected replicas for the whole fleet.
     OutlierAdvice {
-        /// The replica.
+        /// The ejected replica.
         replica: ReplicaId,
-        /// Whether the replica was found healthy; otherwise it is still being probed.
+        /// Whether the replica was found healthy. If false, it is still being probed.
         is_healthy: bool,
     },
 }
--- a/src/routing/learned_state.rs
+++ b/src/routing/learned_state.rs
@@ -1,51 +1,51 @@
-//! The record in which one process of a node leaves what its scheduler has learned to the next, and the checks that decide
-//! whether the next one uses it. Bytes in and out: the file is `transport::handover`'s, and the time is given.
+//! Encodes and validates the record with which one process of a node hands the learned state of its scheduler to the next
+//! process. This module handles bytes only: `transport::handover` reads and writes the file, and callers pass the time.
 //!
-//! A record is four bytes of CRC-32 (little-endian) over the rest, and the rest is `postcard`: positional, so that no field
-//! of [`LearnedState`] or of the record changes its place within a format.
+//! A record consists of a CRC-32 (four bytes, little-endian) and a `postcard` body that the CRC-32 covers. `postcard` is
+//! positional, so the order of the fields of [`LearnedState`] and of the record must not change within a format.
 
 use poppykeel_scheduler::LearnedState;
 use poppykeel_site_settings::SiteNames;
 use serde::{Deserialize, Serialize};
 
-/// The oldest record that is used, in milliseconds: after that the turns of its sessions have gone elsewhere.
+/// Maximum age of a record, in milliseconds. Beyond it, the next turns of its sessions have been routed elsewhere.
 const MAX_AGE_MS: i64 = 10_000;
-/// How far a record may lie in the future, in milliseconds: the wall clock may have been set back between two readings.
+/// How far in the future a record may be dated, in milliseconds: the wall clock may be set back between two readings.
 const MAX_CLOCK_SKEW_MS: i64 = 1_000;
-/// The longest record in bytes: sixteen thousand sessions take less than half of it.
+/// Maximum length of a record in bytes. Sixteen thousand sessions take less than half of it.
 pub const MAX_RECORD_BYTES: u64 = 2 << 20;
-/// The format that this version writes and reads.
+/// Format number that this version writes and reads.
 const FORMAT: u8 = 1;
 const CHECKSUM_BYTES: usize = 4;
 
-/// A random number that tells one process of a node from the others.
+/// A random number that distinguishes a node's processes from each other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ProcessToken(pub u64);
 
-/// Why a record is not used.
+/// Why a record is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum LearnedStateError {
-    /// The bytes are not a record, or a part of one.
-    #[error("not a record of learned state, or one cut short")]
+    /// The bytes are not a record, or only a part of one.
+    #[error("not a learned-state record, or a truncated one")]
     Malformed,
-    /// The record is of another format.
-    #[error("format {0}, expected {FORMAT}")]
+    /// The record has this format number.
+    #[error("record format {0}, expected {FORMAT}")]
     UnsupportedFormat(u8),
     /// This process wrote the record itself.
-    #[error("written by this process itself")]
+    #[error("record written by this process itself")]
     WrittenByThisProcess,
-    /// The record was written this many milliseconds ago; negative where it lies in the future.
-    #[error("written {0} ms ago, expected at most {MAX_AGE_MS} ms")]
+    /// The record was written this many milliseconds ago; negative if it is dated in the future.
+    #[error("record written {0} ms ago, expected at most {MAX_AGE_MS} ms")]
     AgeOutOfRange(i64),
-    /// The host types, classes or zones of the record are not those of this site.
-    #[error("host types, classes or zones of another site")]
+    /// The record's host types, classes or zones differ from those of this site.
+    #[error("host types, classes or zones differ from this site's")]
     DifferentSite,
-    /// The record holds a value that no traffic can have taught.
-    #[error("a value that cannot have been learned")]
+    /// The record contains a value that cannot result from traffic.
+    #[error("learned state contains an implausible value")]
     Implausible,
 }
 
-/// What must be the same for learned indices to mean the same.
+/// The names behind the indices in the learned state. The indices are valid only on a site with the same names.
 #[derive(PartialEq, Serialize, Deserialize)]
 struct SiteIdentity {
     host_types: Vec<String>,
@@ -63,7 +63,7 @@
     }
 }
 
-/// The record as it is serialised: the order of the fields is part of the format.
+/// The serialized record. The order of its fields is part of the format.
 #[derive(Serialize, Deserialize)]
 struct LearnedStateRecord {
     format: u8,
@@ -73,7 +73,7 @@
     learned: LearnedState,
 }
 
-/// Writes a record at `unix_ms` milliseconds of Unix time, as the process `writer`.
+/// Encodes a record of the process `writer`. `unix_ms` is the current time in milliseconds of Unix time.
 pub fn encode(
     writer: ProcessToken,
     unix_ms: i64,
@@ -92,10 +92,10 @@
     [&checksum[..], &bytes].concat()
 }
 
-/// Reads a record at `unix_ms` milliseconds of Unix time, as the process `reader`.
+/// Decodes and checks a record for the process `reader`. `unix_ms` is the current time in milliseconds of Unix time.
 ///
 /// # Errors
-/// Returns why the record must not be used.
+/// Returns why the record is rejected.
 pub fn decode(
     bytes: &[u8],
     reader: ProcessToken,
--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -1,14 +1,14 @@
-//! Requests, their attempts and their timers around the scheduler. Events with a time come in, commands go out; nothing
-//! here knows a socket, a clock, a file or HTTP.
+//! Tracks requests, attempts and timers for the scheduler. The driver passes in timestamped events and carries out the
+//! commands that are returned. Nothing here depends on sockets, clocks, files or HTTP.
 //!
-//! The scheduler decides; [`RequestRouter`] keeps the states that follow from its decisions. The dispatcher
-//! ([`crate::transport::dispatcher`]) drives the router of a node, and the testbed's emulator drives it with simulated time.
+//! The scheduler makes the decisions; [`RequestRouter`] holds the resulting states. The dispatcher
+//! ([`crate::transport::dispatcher`]) drives the router of a node, and the testbed's emulator drives it in simulated time.
 //!
-//! - `router` takes events and returns commands, `request` holds the states of a request and its attempts, `timers` what is
-//!   due when, and `statistics` what has happened so far.
-//! - [`directory`] turns the merged endpoint list into the scheduler's terms.
+//! - `router` turns events into commands. `request` holds the states of a request and its attempts, `timers` the pending
+//!   timers and `statistics` the counters.
+//! - [`directory`] translates the merged endpoint list for the scheduler.
 //! - [`cross_zone`] counts attempts that were sent to another zone.
-//! - [`learned_state`] is the record that one process of a node leaves to the next.
+//! - [`learned_state`] encodes the state that one process of a node hands to the next.
 
 pub mod cross_zone;
 pub mod directory;
--- a/src/routing/request.rs
+++ b/src/routing/request.rs
@@ -1,89 +1,84 @@
-//! One request and its attempts as explicit state machines. The router moves them; they decide nothing.
+//! State machines of a request and its attempts. The router triggers all transitions.
 
 use super::time::MonotonicMicros;
 use poppykeel_scheduler::{AttemptOutcome, RequestId};
 
-/// Names one attempt among all attempts of a node.
+/// Identifies an attempt among all attempts of a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptId {
-    /// The request.
+    /// The request that the attempt belongs to.
     pub request: RequestId,
     /// The attempt's number within the request, from 0.
     pub attempt: usize,
 }
 
-/// How far a request has come. It has its one response once it has left `AwaitingResponse`.
+/// The state of a request. A request that has left `AwaitingResponse` gets no other response.
 ///
 /// | from | when | to |
 /// | --- | --- | --- |
-/// | `AwaitingResponse` | the first token of one of its attempts comes | `Streaming` |
+/// | `AwaitingResponse` | the first token of one of its attempts arrives | `Streaming` |
 /// | `AwaitingResponse` | the scheduler rejects or fails it | `Finished` |
 /// | `AwaitingResponse`, `Streaming` | its client disconnects | `Finished` |
-/// | `Streaming` | the attempt that streams ends, complete or broken | `Finished` |
+/// | `Streaming` | the streaming attempt ends, complete or broken | `Finished` |
 ///
 /// A finished request is removed once all of its attempts have ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum RequestState {
-    /// Nothing has been sent to the client.
+    /// Nothing of a final response has been sent to the client.
     AwaitingResponse,
-    /// The client gets the stream of one attempt.
+    /// The stream of one attempt is being forwarded to the client.
     Streaming,
-    /// The response has been given, or nobody waits for it.
+    /// The response has ended, or the client has disconnected.
     Finished,
 }
 
-/// How far an attempt has come.
+/// The state of an attempt.
 ///
 /// | from | when | to |
 /// | --- | --- | --- |
 /// | (none) | the scheduler starts it for a request that has a response already | `Ended(NotSent)` |
 /// | (none) | the scheduler starts it otherwise | `AwaitingFirstToken` |
-/// | `AwaitingFirstToken` | its first token comes and the request has no response | `Streaming` |
-/// | `AwaitingFirstToken` | its first token comes and the request has a response | `Ended(Cancelled)` |
+/// | `AwaitingFirstToken` | its first token arrives and the request has no response | `Streaming` |
+/// | `AwaitingFirstToken` | its first token arrives and the request has a response | `Ended(Cancelled)` |
 /// | `AwaitingFirstToken` | its deadline passes | `Ended(TimedOut)` |
 /// | `AwaitingFirstToken` | the scheduler cancels it | `Ended(Cancelled)` |
 /// | `AwaitingFirstToken`, `Streaming` | the client disconnects | `Ended(Cancelled)` |
 /// | `AwaitingFirstToken`, `Streaming` | its driver reports its end | `Ended` with the reported outcome |
 ///
-/// Nothing leaves `Ended`: what an abandoned attempt still reports is ignored.
+/// `Ended` is final: later events of an abandoned attempt are ignored.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum AttemptState {
-    /// It has been sent, or is about to be.
+    /// The request has been sent to the replica or is about to be.
     AwaitingFirstToken,
-    /// Its stream is the client's response.
+    /// The attempt's stream is the response to the client.
     Streaming,
-    /// It is over.
     Ended(AttemptOutcome),
 }
 
-/// One attempt of a request.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Attempt {
-    /// When it was started.
     pub(super) started_at: MonotonicMicros,
-    /// Its first token must have come by then.
+    /// The attempt times out if its first token has not arrived by this time.
     pub(super) deadline: MonotonicMicros,
-    /// How far it has come.
     pub(super) state: AttemptState,
 }
 
 impl Attempt {
-    /// Whether the attempt is over.
     pub(super) fn has_ended(&self) -> bool {
         matches!(self.state, AttemptState::Ended(_))
     }
 }
 
-/// What the end of an attempt has meant for its request.
+/// The effect of the end of an attempt on its request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct AttemptEnd {
-    /// The deadline that the attempt had.
+    /// The first-token deadline of the attempt.
     pub(super) deadline: MonotonicMicros,
-    /// Whether the end of this attempt's stream has finished the request.
+    /// Whether the attempt was streaming and its end has finished the request.
     pub(super) has_finished_request: bool,
 }
 
-/// A request that the router has taken and that is not over, or that still has attempts under way.
+/// A request that has not finished, or that still has attempts in progress.
 #[derive(Debug)]
 pub(super) struct ActiveRequest {
     class: usize,
@@ -92,7 +87,7 @@
 }
 
 impl ActiveRequest {
-    /// A request of this class that has no attempt yet.
+    /// Creates a request without attempts. `class` is an index in the site settings.
     pub(super) fn new(class: usize) -> Self {
         ActiveRequest {
             class,
@@ -101,37 +96,35 @@
         }
     }
 
-    /// The index of its class in the site's settings.
+    /// Index of the class in the site settings.
     pub(super) fn class(&self) -> usize {
         self.class
     }
 
-    /// Whether the final response has been given or has begun, or nobody waits for it.
+    /// Whether a final response has been started, or is no longer needed because the client has disconnected.
     pub(super) fn has_response(&self) -> bool {
         self.state != RequestState::AwaitingResponse
     }
 
-    /// Whether nothing more goes to the client.
+    /// Whether nothing more will be sent to the client.
     pub(super) fn is_finished(&self) -> bool {
         self.state == RequestState::Finished
     }
 
-    /// Whether the request is finished and all of its attempts have ended.
     pub(super) fn can_be_removed(&self) -> bool {
         self.is_finished() && self.attempts.iter().all(Attempt::has_ended)
     }
 
-    /// How many attempts have been started so far.
+    /// Number of attempts started so far, including ended ones.
     pub(super) fn attempt_count(&self) -> usize {
         self.attempts.len()
     }
 
-    /// The attempt of this number.
     pub(super) fn attempt(&self, number: usize) -> Option<&Attempt> {
         self.attempts.get(number)
     }
 
-    /// The outcome of the last attempt, in the order of their starts, that has ended.
+    /// Returns the outcome of the most recently started attempt among those that have ended.
     pub(super) fn last_attempt_outcome(&self) -> Option<AttemptOutcome> {
         self.attempts
             .iter()
@@ -156,7 +149,7 @@
         self.attempts.len() - 1
     }
 
-    /// Makes the stream of this attempt the response.
+    /// Makes the stream of this attempt the response to the client.
     pub(super) fn begin_streaming(&mut self, number: usize) {
         if let Some(attempt) = self.attempts.get_mut(number) {
             attempt.state = AttemptState::Streaming;
@@ -164,7 +157,7 @@
         }
     }
 
-    /// Ends an attempt; `None` where there is no such attempt or it has ended before.
+    /// Ends an attempt. Returns `None` if the attempt does not exist or has already ended.
     pub(super) fn end_attempt(
         &mut self,
         number: usize,
@@ -177,7 +170,7 @@
         let was_streaming = attempt.state == AttemptState::Streaming;
         attempt.state = AttemptState::Ended(outcome);
         let deadline = attempt.deadline;
-        // The end of a stream is the end of its request, also where the stream broke.
+        // The end of the stream finishes the request, even if the stream broke.
         let has_finished_request = was_streaming && !self.is_finished();
         if has_finished_request {
             self.state = RequestState::Finished;
@@ -188,7 +181,7 @@
         })
     }
 
-    /// The response has been given, or nobody waits for it any more.
+    /// Marks the request as finished: its response has ended or the client has disconnected.
     pub(super) fn finish(&mut self) {
         self.state = RequestState::Finished;
     }
--- a/src/routing/request/tests.rs
+++ b/src/routing/request/tests.rs
@@ -1,4 +1,4 @@
-//! The transitions of a request and its attempts, as their tables say.
+//! Transitions of requests and attempts as listed in the tables of `RequestState` and `AttemptState`.
 
 use super::{ActiveRequest, AttemptEnd, AttemptState};
 use poppykeel_scheduler::AttemptOutcome;
--- a/src/routing/router.rs
+++ b/src/routing/router.rs
@@ -1,10 +1,12 @@
-//! The router of one node: it owns the scheduler, the requests, their attempts and all timers.
+//! The router of one node. It owns the scheduler, the requests with their attempts, and all timers.
 //!
-//! Invariants: the scheduler hears of the end of each attempt exactly once; a client gets at most one response; a request
-//! stays known until its last attempt has ended, so that an id names one request at a time. All events that one call causes
-//! have reached the scheduler when the call returns.
+//! Invariants:
+//! - The scheduler is notified of the end of each attempt exactly once.
+//! - A client gets at most one response.
+//! - A request stays active until its last attempt has ended, so that an id identifies one request at a time.
+//! - When a call returns, the scheduler has processed all events that the call caused.
 //!
-//! This file turns what the driver tells into events of the scheduler; `actions` carries out what the scheduler decides.
+//! This file translates the driver's events for the scheduler; `actions` carries out the scheduler's actions.
 
 mod actions;
 
@@ -21,29 +23,29 @@
 use poppykeel_scheduler::{Scheduler, SchedulerGauges};
 use std::collections::{BTreeMap, VecDeque};
 
-/// How a listed replica stands with this node's scheduler.
+/// The state of a listed replica in this node's scheduler.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ReplicaStatus {
-    /// The replica.
+    /// The scheduler's id of the replica.
     pub replica: ReplicaId,
-    /// Whether the replica is ejected as an outlier and gets probes only.
+    /// Whether the replica is ejected as an outlier and receives only probes.
     pub is_ejected: bool,
-    /// When the last response came; `None` where none has come or an attempt has failed since.
+    /// When the last response arrived; `None` if there was none or an attempt has failed since.
     pub last_success_at: Option<MonotonicMicros>,
 }
 
-/// The router of one node.
+/// Routes the requests of one node. See the module documentation for its invariants.
 pub struct RequestRouter {
     scheduler: Scheduler,
     requests: BTreeMap<RequestId, ActiveRequest>,
     timers: TimerQueue,
-    /// Events that the scheduler has not heard of yet; empty between two calls.
+    /// Events that the scheduler has not processed yet; empty between calls.
     pending_events: VecDeque<Event>,
     statistics: Statistics,
 }
 
 impl RequestRouter {
-    /// A router around a scheduler that has been told nothing yet.
+    /// Creates a router. The scheduler must not have processed any event yet.
     pub fn new(scheduler: Scheduler) -> Self {
         RequestRouter {
             scheduler,
@@ -54,47 +56,47 @@
         }
     }
 
-    /// Whether this id is in use: an id names one request at a time.
+    /// Whether this id is in use: an id identifies one request at a time.
     pub fn is_active(&self, id: RequestId) -> bool {
         self.requests.contains_key(&id)
     }
 
-    /// Requests that are not over, or still have attempts under way.
+    /// Number of requests that have not finished or still have attempts in progress.
     pub fn active_count(&self) -> usize {
         self.requests.len()
     }
 
-    /// What the scheduler shows of its state.
+    /// Current state of the scheduler, for metrics.
     pub fn gauges(&self) -> SchedulerGauges {
         self.scheduler.gauges()
     }
 
-    /// Counts since the start.
+    /// Counters since the process started, over all classes.
     pub fn counters(&self) -> RequestCounters {
         self.statistics.counters()
     }
 
-    /// Responses to the requests of a class since the start.
+    /// Responses to requests of a class since the process started. `class` is an index in the site settings.
     pub fn response_counts(&self, class: usize) -> ResponseCounts {
         self.statistics.responses(class)
     }
 
-    /// Attempts that ended with one of [`super::COUNTED_OUTCOMES`] since the start.
+    /// Number of attempts per outcome since the process started, in the order of [`super::COUNTED_OUTCOMES`].
     pub fn failed_attempt_counts(&self) -> Vec<OutcomeCount> {
         self.statistics.failed_attempts()
     }
 
-    /// The outcome of the last attempt of a request that has ended, if any has: the reason for the next one.
+    /// The outcome of the most recently started attempt of a request that has ended. It is the reason for the next attempt.
     pub fn last_attempt_outcome(&self, request: RequestId) -> Option<AttemptOutcome> {
         self.requests.get(&request)?.last_attempt_outcome()
     }
 
-    /// Listed replicas that get no requests at present.
+    /// Number of listed replicas that currently get no requests, or only probes.
     pub fn unavailable_replica_count(&self) -> usize {
         self.scheduler.unavailable_replica_count()
     }
 
-    /// The status of each listed replica.
+    /// The status of all listed replicas.
     pub fn replica_statuses(&self) -> Vec<ReplicaStatus> {
         let mut statuses = Vec::new();
         for health in self.scheduler.replica_health() {
@@ -107,45 +109,45 @@
         statuses
     }
 
-    /// Gives the scheduler new settings.
+    /// Applies new settings to the scheduler.
     ///
     /// # Errors
-    /// Returns what is wrong with the settings; those before it stay in force.
+    /// Returns why the settings are invalid. The previous settings then remain in force.
     pub fn update_settings(&mut self, settings: SchedulerSettings) -> Result<(), SettingsError> {
         self.scheduler.update_settings(settings)
     }
 
-    /// The node shuts down: whoever waits for a first token has a final response by this time.
+    /// Called at shutdown: each request that waits for a first token gets a final response by this time.
     pub fn set_response_deadline(&mut self, deadline: MonotonicMicros) {
         self.scheduler.set_response_deadline(seconds(deadline));
     }
 
-    /// What this node may spend of budgets that are shared with other nodes, from now on.
+    /// Sets the share of this node in the budgets of the fleet, with effect from now on.
     pub fn set_budget_grants(&mut self, grants: &BudgetGrants) {
         self.scheduler.set_budget_grants(grants);
     }
 
-    /// What this node would have spent of each budget since the start.
+    /// This node's demand on each budget since the process started, granted or not.
     pub fn budget_demand(&self) -> BTreeMap<BudgetKind, BudgetDemand> {
         self.scheduler.budget_demand()
     }
 
-    /// What the scheduler has learned, for the process that takes this one's place.
+    /// Returns the state that the scheduler has learned, for the process that replaces this one.
     pub fn export_learned_state(&self) -> LearnedState {
         self.scheduler.export_learned_state()
     }
 
-    /// Takes over what another process of this node has learned.
+    /// Imports the state that another process of this node has learned.
     pub fn import_learned_state(&mut self, learned: &LearnedState) {
         self.scheduler.import_learned_state(learned);
     }
 
-    /// When [`RequestRouter::on_timer`] must be called next, if no event comes before.
+    /// When to call [`RequestRouter::on_timer`] next, unless an event arrives first.
     pub fn next_timer(&self) -> Option<MonotonicMicros> {
         self.timers.next_due()
     }
 
-    /// Runs the timers that are due at `now`; what is to be done is added to `commands`.
+    /// Runs the timers that are due at `now` and appends the resulting commands.
     pub fn on_timer(&mut self, now: MonotonicMicros, commands: &mut Vec<RouterCommand>) {
         while let Some(timer) = self.timers.pop_due(now) {
             match timer {
@@ -158,11 +160,11 @@
                     self.end_attempt(id, AttemptOutcome::TimedOut, None);
                 }
             }
-            self.run_scheduler(now, commands);
+            self.process_pending_events(now, commands);
         }
     }
 
-    /// Takes one event that came at `now`; what is to be done is added to `commands`.
+    /// Processes an event that occurred at `now` and appends the resulting commands.
     pub fn handle_event(
         &mut self,
         now: MonotonicMicros,
@@ -170,12 +172,12 @@
         commands: &mut Vec<RouterCommand>,
     ) {
         match event {
-            RouterEvent::RequestArrived(request) => self.take_request(request),
+            RouterEvent::RequestArrived(request) => self.accept_request(request),
             RouterEvent::ClientDisconnected(request) => {
-                self.drop_client(request, commands);
+                self.handle_client_disconnect(request, commands);
             }
             RouterEvent::FirstToken { request, attempt } => {
-                self.take_first_token(now, AttemptId { request, attempt }, commands);
+                self.handle_first_token(now, AttemptId { request, attempt }, commands);
             }
             RouterEvent::AttemptEnded {
                 request,
@@ -212,11 +214,11 @@
                 is_healthy,
             }),
         }
-        self.run_scheduler(now, commands);
+        self.process_pending_events(now, commands);
     }
 
-    /// Takes a request, unless its id is in use.
-    fn take_request(&mut self, request: IncomingRequest) {
+    /// Registers a request, unless its id is in use.
+    fn accept_request(&mut self, request: IncomingRequest) {
         if self.is_active(request.id) {
             return;
         }
@@ -227,8 +229,8 @@
             .push_back(Event::RequestArrived(request));
     }
 
-    /// Finishes the request of a client that has disconnected, and abandons all of its attempts.
-    fn drop_client(&mut self, id: RequestId, commands: &mut Vec<RouterCommand>) {
+    /// Finishes the request of a client that has disconnected and abandons all attempts of the request.
+    fn handle_client_disconnect(&mut self, id: RequestId, commands: &mut Vec<RouterCommand>) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
@@ -239,7 +241,7 @@
         let attempt_count = request.attempt_count();
         self.statistics.count_disconnect();
         self.pending_events.push_back(Event::ClientDisconnected(id));
-        // Nobody is left to read a stream; the replica learns it by the closed connection.
+        // A streaming attempt is abandoned too: closing its connection notifies the replica.
         for attempt in 0..attempt_count {
             let id = AttemptId {
                 request: id,
@@ -249,8 +251,8 @@
         }
     }
 
-    /// Binds an attempt's stream to the client, or abandons the attempt where another one has the client.
-    fn take_first_token(
+    /// Binds an attempt's stream to the client, or abandons the attempt if the request already has a response.
+    fn handle_first_token(
         &mut self,
         now: MonotonicMicros,
         id: AttemptId,
@@ -270,7 +272,7 @@
             return;
         }
         request.begin_streaming(id.attempt);
-        // The deadline holds for the first token only.
+        // The deadline applies to the first token only.
         self.timers
             .cancel(attempt.deadline, Timer::AttemptDeadline(id));
         commands.push(RouterCommand::BindStream {
@@ -284,7 +286,7 @@
         });
     }
 
-    /// Has the driver close an attempt that is under way, and ends it as cancelled.
+    /// Ends an attempt in progress as cancelled and commands the driver to close its connection.
     fn abandon_attempt(&mut self, id: AttemptId, commands: &mut Vec<RouterCommand>) {
         let attempt = self
             .requests
@@ -299,7 +301,7 @@
         }
     }
 
-    /// Ends an attempt. This is the only place where one ends, so that the scheduler hears of each end once.
+    /// Ends an attempt. No other code ends attempts, so the scheduler is notified of each end once.
     fn end_attempt(&mut self, id: AttemptId, outcome: AttemptOutcome, report: Option<LoadReport>) {
         let Some(request) = self.requests.get_mut(&id.request) else {
             return;
@@ -324,11 +326,11 @@
         });
     }
 
-    /// Tells the scheduler what has happened and carries out its actions, until no event follows from them any more.
-    fn run_scheduler(&mut self, now: MonotonicMicros, commands: &mut Vec<RouterCommand>) {
+    /// Passes the pending events to the scheduler and carries out its actions, until these cause no further events.
+    fn process_pending_events(&mut self, now: MonotonicMicros, commands: &mut Vec<RouterCommand>) {
         let mut actions = Vec::new();
         while let Some(event) = self.pending_events.pop_front() {
-            let request_that_may_be_over = match &event {
+            let possibly_finished_request = match &event {
                 Event::AttemptEnded { request, .. } | Event::ClientDisconnected(request) => {
                     Some(*request)
                 }
@@ -339,14 +341,14 @@
             for action in actions.drain(..) {
                 self.perform_action(now, &action, commands);
             }
-            if let Some(id) = request_that_may_be_over {
-                self.remove_if_over(id);
+            if let Some(id) = possibly_finished_request {
+                self.remove_if_finished(id);
             }
         }
     }
 
-    /// Removes a finished request whose last attempt has ended; its timers were cancelled with its attempts.
-    fn remove_if_over(&mut self, id: RequestId) {
+    /// Removes a finished request whose last attempt has ended. Its timers were cancelled when the attempts ended.
+    fn remove_if_finished(&mut self, id: RequestId) {
         if self
             .requests
             .get(&id)
--- a/src/routing/router/actions.rs
+++ b/src/routing/router/actions.rs
@@ -1,4 +1,4 @@
-//! Carries out the scheduler's actions: the transitions of requests and attempts that the scheduler decides on.
+//! Carries out the scheduler's actions on requests and attempts.
 
 use super::RequestRouter;
 use crate::routing::command::RouterCommand;
@@ -8,7 +8,7 @@
 use poppykeel_scheduler::{Action, AttemptOutcome, ReplicaId, RequestId, Seconds};
 
 impl RequestRouter {
-    /// Carries out one action of the scheduler; what its driver must do is added to `commands`.
+    /// Carries out one action of the scheduler and appends the resulting commands for the driver.
     pub(super) fn perform_action(
         &mut self,
         now: MonotonicMicros,
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Starts an attempt; for a request that has a response already, the attempt ends at once as not sent.
+    /// Starts an attempt. If the request already has a response, the attempt ends at once as not sent.
     fn start_attempt(
         &mut self,
         now: MonotonicMicros,
@@ -79,7 +79,7 @@
                 retry_after: duration_micros(retry_after),
             });
         }
-        self.remove_if_over(id);
+        self.remove_if_finished(id);
     }
 
     fn fail(&mut self, id: RequestId, commands: &mut Vec<RouterCommand>) {
@@ -87,10 +87,10 @@
             self.statistics.count_failure(class);
             commands.push(RouterCommand::Fail { request: id });
         }
-        self.remove_if_over(id);
+        self.remove_if_finished(id);
     }
 
-    /// Abandons an attempt that awaits its first token. A stream that has begun belongs to its client and is not cancelled.
+    /// Abandons an attempt that awaits its first token. A streaming attempt is not cancelled: its stream is the response.
     fn cancel_attempt(&mut self, id: AttemptId, commands: &mut Vec<RouterCommand>) {
         let attempt = self
             .requests
@@ -101,7 +101,8 @@
         }
     }
 
-    /// Finishes a request that the node itself answers, and returns its class; `None` where it has a response already.
+    /// Finishes a request that gets its response from the node itself, and returns its class. Returns `None` if the request
+    /// already has a response.
     fn finish_without_response(&mut self, id: RequestId) -> Option<usize> {
         let request = self.requests.get_mut(&id)?;
         if request.has_response() {
--- a/src/routing/time.rs
+++ b/src/routing/time.rs
@@ -1,35 +1,35 @@
-//! Clock readings as the router takes them, and their conversion from and to the scheduler's seconds.
+//! Time types of the router and their conversion to and from the scheduler's seconds.
 
 use poppykeel_scheduler::Seconds;
 
 const MICROS_PER_SECOND: f64 = 1e6;
 
-/// A point in time: microseconds on the node's monotonic clock since it was started.
+/// A point in time: microseconds since the start of the node's monotonic clock.
 pub type MonotonicMicros = u64;
 
-/// A span of time in whole microseconds.
+/// A duration in whole microseconds.
 pub type DurationMicros = u64;
 
-/// Both clocks read at one moment, to map a time of the one to a time of the other.
+/// Readings of both clocks at the same moment, to map the time of one clock to the other.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ClockReading {
-    /// The monotonic clock.
+    /// Reading of the monotonic clock.
     pub monotonic: MonotonicMicros,
-    /// Microseconds of Unix time.
+    /// Reading of the wall clock, in microseconds of Unix time.
     pub unix_us: i64,
 }
 
-/// A point in time as the scheduler takes it.
+/// Converts a point in time to the scheduler's seconds.
 pub fn seconds(time: MonotonicMicros) -> Seconds {
     time as f64 / MICROS_PER_SECOND
 }
 
-/// A span of the scheduler's, rounded to whole microseconds. A negative span and one that is not a number count as none.
-pub fn duration_micros(span: Seconds) -> DurationMicros {
-    (span.max(0.0) * MICROS_PER_SECOND).round() as DurationMicros
+/// Rounds a duration in seconds to whole microseconds. A negative duration and NaN become 0.
+pub fn duration_micros(duration: Seconds) -> DurationMicros {
+    (duration.max(0.0) * MICROS_PER_SECOND).round() as DurationMicros
 }
 
-/// A time of the scheduler's clock, cut to whole microseconds.
+/// Converts a point in time of the scheduler to whole microseconds, rounding down.
 pub(super) fn monotonic_micros(time: Seconds) -> MonotonicMicros {
     (time * MICROS_PER_SECOND) as MonotonicMicros
 }
--- a/src/routing/timers.rs
+++ b/src/routing/timers.rs
@@ -1,41 +1,40 @@
-//! The router's timers, ordered by the time at which they are due.
+//! The router's timers, ordered by due time.
 
 use super::request::AttemptId;
 use super::time::MonotonicMicros;
 use std::collections::BTreeSet;
 
-/// What happens when a timer is due. Of two that are due at one time, the lesser one comes first.
+/// The purpose of a timer. Timers with the same due time run in the order of this type.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Timer {
-    /// The scheduler has asked to be called.
+    /// The scheduler is called with a timer event.
     SchedulerWakeup,
-    /// The first token of this attempt must have come.
+    /// The attempt times out unless its first token has arrived.
     AttemptDeadline(AttemptId),
 }
 
-/// All timers that have not run yet.
+/// The pending timers.
 #[derive(Debug, Default)]
 pub(super) struct TimerQueue {
     timers: BTreeSet<(MonotonicMicros, Timer)>,
 }
 
 impl TimerQueue {
-    /// When the next timer is due, if there is any.
     pub(super) fn next_due(&self) -> Option<MonotonicMicros> {
         self.timers.first().map(|(due_at, _)| *due_at)
     }
 
-    /// Sets a timer. The same timer set twice for one time runs once.
+    /// Sets a timer. A timer that is set twice for the same time runs once.
     pub(super) fn set(&mut self, due_at: MonotonicMicros, timer: Timer) {
         self.timers.insert((due_at, timer));
     }
 
-    /// Takes a timer back that was set for this time; one that has run already is no error.
+    /// Cancels a timer that was set for this time. Does nothing if it has already run.
     pub(super) fn cancel(&mut self, due_at: MonotonicMicros, timer: Timer) {
         self.timers.remove(&(due_at, timer));
     }
 
-    /// Takes out the first timer that is due at `now`.
+    /// Removes and returns the first timer that is due at `now`.
     pub(super) fn pop_due(&mut self, now: MonotonicMicros) -> Option<Timer> {
         if self.next_due()? > now {
             return None;
--- a/src/routing/timers/tests.rs
+++ b/src/routing/timers/tests.rs
@@ -1,4 +1,4 @@
-//! Timers come out in the order in which they are due.
+//! Order and cancellation of timers.
 
 use super::{Timer, TimerQueue};
 use crate::routing::AttemptId;
