--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -1,25 +1,20 @@
-//! The instances that the simulator has started, and the batch that is being read.
+//! Holds the scheduler instances and processes batches line by line.
 
 use crate::protocol::{self, Catalog, CatalogRow, InstanceMessage, Line, ProtocolError, Values};
 use poppykeel_scheduler::{Event, Scheduler, Seconds, SettingsError};
 use poppykeel_site_settings::SiteSettings;
 use std::collections::BTreeMap;
 
-/// Why a line is not taken.
+/// Why a line is rejected.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum HostError {
-    /// The line itself cannot be read.
+    /// The line cannot be parsed.
     #[error(transparent)]
     Protocol(#[from] ProtocolError),
-    /// The line makes no sense where it stands.
+    /// The message is not allowed at this point of the input.
     #[error("{message}: expected {expected}")]
-    Unexpected {
-        /// The name of the message.
-        message: String,
-        /// What should have stood there.
-        expected: String,
-    },
-    /// The settings of an instance are not accepted.
+    Unexpected { message: String, expected: String },
+    /// The scheduler rejects the settings of an instance.
     #[error("spawn: {0}")]
     Spawn(#[from] SettingsError),
 }
@@ -33,36 +28,35 @@
     }
 }
 
-/// Where a batch stands after a line.
+/// The state of the current batch after a line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Progress {
+pub(crate) enum BatchStatus {
     /// More lines of the batch follow.
-    BatchContinues,
+    Incomplete,
     /// The batch is complete and its reply is due.
-    BatchComplete,
+    Complete,
 }
 
-/// One scheduler with its settings.
 struct Instance {
     scheduler: Scheduler,
     settings: SiteSettings,
 }
 
-/// The catalog whose rows are being read.
+/// The latest catalog and the number of its rows that have not been read yet.
 #[derive(Default)]
-struct OpenCatalog {
+struct CurrentCatalog {
     number: u64,
-    missing_rows: usize,
+    remaining_rows: usize,
 }
 
-/// All instances, and the batch that is being read.
+/// All instances and the state of the current batch.
 #[derive(Default)]
 pub(crate) struct Host {
-    /// The time of the batch that is being read.
+    /// The time of the current batch; `None` between batches.
     batch_time: Option<Seconds>,
-    /// Catalogs by number; a number that is used again means the newer catalog.
+    /// Catalogs by number. A catalog replaces an earlier one with the same number.
     catalogs: BTreeMap<u64, Vec<CatalogRow>>,
-    open_catalog: OpenCatalog,
+    current_catalog: CurrentCatalog,
     instances: BTreeMap<u64, Instance>,
     reply: String,
 }
@@ -72,68 +66,68 @@
         self.batch_time.is_some()
     }
 
-    /// The reply to the batch that is complete.
+    /// Returns the reply to the complete batch and clears it for the next batch.
     pub(crate) fn take_reply(&mut self) -> String {
         std::mem::take(&mut self.reply)
     }
 
-    pub(crate) fn take_line(&mut self, text: &str) -> Result<Progress, HostError> {
+    pub(crate) fn process_line(&mut self, text: &str) -> Result<BatchStatus, HostError> {
         let line = protocol::parse_line(text)?;
         let Some(now) = self.batch_time else {
             return self.begin_batch(text, &line);
         };
-        if self.open_catalog.missing_rows > 0 {
-            return self.take_catalog_row(text, line);
+        if self.current_catalog.remaining_rows > 0 {
+            return self.add_catalog_row(text, line);
         }
         match line {
             Line::Frame(_) => Err(HostError::unexpected("frame", "eob before the next batch")),
             Line::CatalogRow(_) => Err(HostError::unexpected("worker", "a catalog before it")),
             Line::EndOfBatch => {
                 self.batch_time = None;
-                Ok(Progress::BatchComplete)
+                Ok(BatchStatus::Complete)
             }
             Line::Catalog(catalog) => {
-                self.open(catalog);
-                Ok(Progress::BatchContinues)
+                self.begin_catalog(catalog);
+                Ok(BatchStatus::Incomplete)
             }
             Line::Instance { number, values } => {
-                self.take_instance_message(now, number, values)?;
-                Ok(Progress::BatchContinues)
+                self.process_instance_message(now, number, values)?;
+                Ok(BatchStatus::Incomplete)
             }
         }
     }
 
-    fn begin_batch(&mut self, text: &str, line: &Line<'_>) -> Result<Progress, HostError> {
+    fn begin_batch(&mut self, text: &str, line: &Line<'_>) -> Result<BatchStatus, HostError> {
         let Line::Frame(time) = line else {
             return Err(HostError::unexpected(message_name(text), "frame"));
         };
         self.batch_time = Some(*time);
-        Ok(Progress::BatchContinues)
+        Ok(BatchStatus::Incomplete)
     }
 
-    fn open(&mut self, catalog: Catalog) {
+    fn begin_catalog(&mut self, catalog: Catalog) {
         self.catalogs.insert(catalog.number, Vec::new());
-        self.open_catalog = OpenCatalog {
+        self.current_catalog = CurrentCatalog {
             number: catalog.number,
-            missing_rows: catalog.row_count,
+            remaining_rows: catalog.row_count,
         };
     }
 
-    fn take_catalog_row(&mut self, text: &str, line: Line<'_>) -> Result<Progress, HostError> {
+    fn add_catalog_row(&mut self, text: &str, line: Line<'_>) -> Result<BatchStatus, HostError> {
         let Line::CatalogRow(row) = line else {
-            let missing = self.open_catalog.missing_rows;
-            let expected = format!("{missing} more worker lines");
+            let remaining = self.current_catalog.remaining_rows;
+            let expected = format!("{remaining} more worker lines");
             return Err(HostError::unexpected(message_name(text), expected));
         };
-        self.open_catalog.missing_rows -= 1;
+        self.current_catalog.remaining_rows -= 1;
         self.catalogs
-            .entry(self.open_catalog.number)
+            .entry(self.current_catalog.number)
             .or_default()
             .push(row);
-        Ok(Progress::BatchContinues)
+        Ok(BatchStatus::Incomplete)
     }
 
-    fn take_instance_message(
+    fn process_instance_message(
         &mut self,
         now: Seconds,
         number: u64,
@@ -182,7 +176,7 @@
     }
 }
 
-/// The name of the message in a line, for errors.
+/// Returns the name of the message in a line, for error messages.
 fn message_name(text: &str) -> &str {
     text.split(' ').next().unwrap_or(text)
 }
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,41 +1,38 @@
-//! Hosts instances of the scheduler on the simulator's line protocol: standard input to standard output.
+//! Runs scheduler instances for the simulator, over a line protocol on standard input and output.
 //!
-//! The simulator sends batches of lines and gets one reply a batch. Input that cannot be read ends the program with one
-//! line on standard error, and a failure as its exit code.
+//! The simulator sends batches of lines and gets one reply for each batch. On invalid input the program writes one line to
+//! standard error and exits with a failure code.
 
 #![forbid(unsafe_code)]
 
 mod host;
 mod protocol;
 
-use host::{Host, HostError, Progress};
+use host::{BatchStatus, Host, HostError};
 use std::io::{BufRead, Write};
 use std::process::ExitCode;
 
-/// Ends each reply.
+/// Last line of each reply.
 const END_OF_REPLY: &str = "done\n";
 
-/// Why the program ends before its input does.
+/// Errors that end the program.
 #[derive(Debug, thiserror::Error)]
 enum AdapterError {
-    /// A line cannot be read from standard input.
     #[error("line {number}: {source}")]
     Read { number: u64, source: std::io::Error },
-    /// A line is not text.
     #[error("line {number}: expected UTF-8 text")]
-    NotText { number: u64 },
-    /// A line makes no sense where it stands.
+    InvalidUtf8 { number: u64 },
+    /// A line is invalid, or not allowed at its position in the input.
     #[error("line {number}: {source}")]
     Line { number: u64, source: HostError },
-    /// The input has ended within a batch.
+    /// The input ends within a batch.
     #[error("line {number}: end of input: expected eob")]
     EndOfInput { number: u64 },
-    /// A reply cannot be written.
     #[error("standard output: {0}")]
     Write(#[source] std::io::Error),
 }
 
-/// Reads batches and writes replies until the input ends.
+/// Processes batches until the input ends.
 fn run(mut input: impl BufRead, mut output: impl Write) -> Result<(), AdapterError> {
     let mut host = Host::default();
     let mut line = Vec::new();
@@ -53,11 +50,11 @@
                 Ok(())
             };
         }
-        let text = std::str::from_utf8(&line).map_err(|_| AdapterError::NotText { number })?;
-        let progress = host
-            .take_line(text.trim_end_matches(['\n', '\r']))
+        let text = std::str::from_utf8(&line).map_err(|_| AdapterError::InvalidUtf8 { number })?;
+        let status = host
+            .process_line(text.trim_end_matches(['\n', '\r']))
             .map_err(|source| AdapterError::Line { number, source })?;
-        if progress == Progress::BatchComplete {
+        if status == BatchStatus::Complete {
             let reply = host.take_reply() + END_OF_REPLY;
             output
                 .write_all(reply.as_bytes())
--- a/crates/simulator-adapter/src/protocol.rs
+++ b/crates/simulator-adapter/src/protocol.rs
@@ -1,6 +1,6 @@
-//! The simulator's line protocol: one message a line, values separated by single spaces, `-` for a missing value.
+//! The simulator's line protocol: one message per line, values separated by single spaces, `-` for a missing value.
 //!
-//! Nothing is decided here. Errors say what was expected; the caller adds the number of the line.
+//! Errors state what was expected; the caller adds the line number.
 
 mod actions;
 mod catalog;
@@ -14,43 +14,38 @@
 
 use poppykeel_scheduler::Seconds;
 
-/// The message that starts an instance.
+/// Name of the message that starts an instance.
 pub(crate) const SPAWN: &str = "spawn";
 
-/// A message that cannot be read.
+/// A message that cannot be parsed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{message}: expected {expected}")]
 pub(crate) struct ProtocolError {
-    /// The name of the message, or the text found in its place.
+    /// Name of the message, or the text in its place.
     pub(crate) message: String,
-    /// What was expected.
     pub(crate) expected: String,
 }
 
-/// A list of endpoints of which the rows follow.
+/// The header of an endpoint list, whose rows follow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Catalog {
-    /// Its number, until the next catalog of that number.
+    /// Identifies the catalog until another one has the same number.
     pub(crate) number: u64,
-    /// How many rows follow.
     pub(crate) row_count: usize,
 }
 
-/// One line, as far as it can be read without knowing the instance.
+/// One line, parsed as far as is possible without the settings of the instance.
 pub(crate) enum Line<'a> {
-    /// A batch of this time begins.
+    /// A batch with this time begins.
     Frame(Seconds),
-    /// The batch is complete.
     EndOfBatch,
-    /// A catalog begins.
+    /// A catalog begins; its rows follow.
     Catalog(Catalog),
-    /// A row of the catalog.
     CatalogRow(CatalogRow),
     /// A message for one instance.
     Instance {
-        /// The number of the instance.
         number: u64,
-        /// The rest of the message.
+        /// The values after the number.
         values: Values<'a>,
     },
 }
--- a/crates/simulator-adapter/src/protocol/actions.rs
+++ b/crates/simulator-adapter/src/protocol/actions.rs
@@ -1,8 +1,8 @@
-//! Actions of an instance as lines of the reply.
+//! Writes the actions of an instance as lines of the reply.
 
 use poppykeel_scheduler::Action;
 
-/// Appends the line of one action of the instance with this number. Times have six decimals.
+/// Appends one action of the instance with this number to the reply. Times are in seconds with six decimals.
 pub(crate) fn write_action(reply: &mut String, instance: u64, action: &Action) {
     let line = match action {
         Action::StartAttempt {
--- a/crates/simulator-adapter/src/protocol/catalog.rs
+++ b/crates/simulator-adapter/src/protocol/catalog.rs
@@ -1,13 +1,13 @@
-//! The rows of a catalog: one endpoint each.
+//! Parses the rows of a catalog. Each row describes one endpoint.
 
 use super::{ProtocolError, Values};
 use poppykeel_scheduler::{Endpoint, EndpointState};
 use poppykeel_site_settings::SiteSettings;
 
-/// A row before the instance that it goes to is known.
+/// A row that has not been checked against the settings of an instance.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct CatalogRow {
-    /// Its weight is a capacity only if the instance's settings say so.
+    /// The weight counts as a capacity only if the settings of the instance say so.
     endpoint: Endpoint,
 }
 
@@ -37,13 +37,13 @@
     })
 }
 
-/// The rows as an instance may see them: its settings must know their zones and host types.
+/// Converts rows for an instance. Fails if its settings lack the zone or the host type of a row.
 pub(crate) fn endpoints(
     rows: &[CatalogRow],
     settings: &SiteSettings,
 ) -> Result<Vec<Endpoint>, ProtocolError> {
     for row in rows {
-        check_positions(&row.endpoint, settings)?;
+        check_indices(&row.endpoint, settings)?;
     }
     let endpoints = rows.iter().map(|row| Endpoint {
         capacity_weight: settings.capacity_weight(row.endpoint.capacity_weight),
@@ -52,25 +52,25 @@
     Ok(endpoints.collect())
 }
 
-fn check_positions(endpoint: &Endpoint, settings: &SiteSettings) -> Result<(), ProtocolError> {
+fn check_indices(endpoint: &Endpoint, settings: &SiteSettings) -> Result<(), ProtocolError> {
     let zones = settings.names.zones.len().max(1);
     let host_types = settings.names.host_types.len().max(1);
     if endpoint.zone >= zones {
-        return Err(roster_error(format!(
+        return Err(endpoint_list_error(format!(
             "a zone below {zones}, not {}",
             endpoint.zone
         )));
     }
     if endpoint.host_type >= host_types {
         let host_type = endpoint.host_type;
-        return Err(roster_error(format!(
-            "a kind below {host_types}, not {host_type}"
+        return Err(endpoint_list_error(format!(
+            "a host type below {host_types}, not {host_type}"
         )));
     }
     Ok(())
 }
 
-fn roster_error(expected: String) -> ProtocolError {
+fn endpoint_list_error(expected: String) -> ProtocolError {
     ProtocolError {
         message: "roster_change".into(),
         expected,
--- a/crates/simulator-adapter/src/protocol/events.rs
+++ b/crates/simulator-adapter/src/protocol/events.rs
@@ -1,31 +1,31 @@
-//! Messages for one instance, as events of its scheduler.
+//! Converts messages for one instance to events of its scheduler.
 
 use super::{ProtocolError, Values};
 use poppykeel_scheduler::{AttemptOutcome, Event, IncomingRequest, Seconds};
 use poppykeel_site_settings::SiteSettings;
 
-/// The flag that marks a request as a client's retry.
+/// Bit of `flags` that marks a request as a client's retry.
 const CLIENT_RETRY_FLAG: u64 = 2;
 
-/// What an instance is to do with a message.
+/// The effect of a message on an instance.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum InstanceMessage {
-    /// Hand this to the scheduler.
+    /// Pass this event to the scheduler.
     Event(Event),
-    /// The endpoint list of a catalog.
+    /// Pass the endpoints of a catalog to the scheduler.
     EndpointList {
-        /// The number of the catalog.
+        /// Number of the catalog.
         catalog: u64,
-        /// The list is whole: endpoints that it lacks are removed.
+        /// The list is complete: endpoints that it lacks are removed.
         is_full: bool,
     },
-    /// The instance was killed.
+    /// Remove the instance: it was killed.
     PowerOff,
-    /// Understood, of no use to the scheduler.
+    /// The message is valid but the scheduler does not use it.
     Ignored,
 }
 
-/// Reads what starts an instance: its seed and its settings.
+/// Parses the seed and the settings of a new instance.
 pub(crate) fn parse_spawn(mut values: Values<'_>) -> Result<(u64, SiteSettings), ProtocolError> {
     let seed = match values.next() {
         None => return Err(values.expected("a value for nonce64")),
@@ -33,35 +33,35 @@
             parse_seed(text).ok_or_else(|| values.expected("a whole number for nonce64"))?
         }
     };
-    let text = values.take_rest();
+    let text = values.take_remaining();
     let text = text.ok_or_else(|| values.expected("a JSON object in bootInfo"))?;
     let settings = SiteSettings::parse(text);
     let settings = settings.map_err(|error| values.expected(error.to_string()))?;
     Ok((seed, settings))
 }
 
-/// Seeds are 64 bits, written with or without a sign.
+/// Parses a 64-bit seed. Negative numbers stand for their two's complement.
 fn parse_seed(text: &str) -> Option<u64> {
     let unsigned = text.parse::<u64>().ok();
     unsigned.or_else(|| text.parse::<i64>().ok().map(|seed| seed as u64))
 }
 
-/// Reads a message for an instance with these settings.
+/// Parses a message for an instance with these settings.
 pub(crate) fn parse_instance_message(
     mut values: Values<'_>,
     settings: &SiteSettings,
 ) -> Result<InstanceMessage, ProtocolError> {
     let event = match values.message() {
-        "incoming" => arrival(&mut values, settings)?,
-        "closed_attempt" => attempt_end(&mut values, settings)?,
-        "opened" => first_token(&mut values)?,
+        "incoming" => parse_request_arrival(&mut values, settings)?,
+        "closed_attempt" => parse_attempt_end(&mut values, settings)?,
+        "opened" => parse_first_token(&mut values)?,
         "client_gone" => Event::ClientDisconnected(values.request()?),
-        "pong" => probe_end(&mut values, settings)?,
+        "pong" => parse_probe_end(&mut values, settings)?,
         "reminder" => {
             values.required::<u64>("ref")?;
             Event::TimerFired
         }
-        "roster_change" => return roster_change(&mut values),
+        "roster_change" => return parse_endpoint_list(&mut values),
         "memo" => {
             values.required::<u64>("sender")?;
             return Ok(InstanceMessage::Ignored);
@@ -72,11 +72,14 @@
     Ok(InstanceMessage::Event(event))
 }
 
-fn arrival(values: &mut Values<'_>, settings: &SiteSettings) -> Result<Event, ProtocolError> {
+fn parse_request_arrival(
+    values: &mut Values<'_>,
+    settings: &SiteSettings,
+) -> Result<Event, ProtocolError> {
     let scheduler = &settings.scheduler;
     let id = values.request()?;
-    let class = values.position("class", scheduler.classes.len(), None)?;
-    let tenant = values.position("tenant", scheduler.tenants.len().max(1), Some(0))?;
+    let class = values.index("class", scheduler.classes.len(), None)?;
+    let tenant = values.index("tenant", scheduler.tenants.len().max(1), Some(0))?;
     let session = values.hex("nameKey")?;
     let time_left: Seconds = values.seconds("ttl")?;
     let expected_work = values.optional("expected")?;
@@ -100,7 +103,10 @@
     }))
 }
 
-fn attempt_end(values: &mut Values<'_>, settings: &SiteSettings) -> Result<Event, ProtocolError> {
+fn parse_attempt_end(
+    values: &mut Values<'_>,
+    settings: &SiteSettings,
+) -> Result<Event, ProtocolError> {
     let request = values.request()?;
     values.seconds("timeTaken")?;
     let outcome = values.outcome()?;
@@ -110,7 +116,7 @@
     let cached_tokens = values.optional::<f64>("detail")?;
     let mut report = values.load_report(settings)?;
     if outcome == AttemptOutcome::Completed {
-        // The simulator writes no figure where nothing was found in the cache.
+        // The simulator omits the value if no prompt tokens were found in the cache.
         let report = report.get_or_insert_default();
         report.cached_prompt_tokens = Some(cached_tokens.unwrap_or(0.0));
     }
@@ -123,7 +129,7 @@
     })
 }
 
-fn first_token(values: &mut Values<'_>) -> Result<Event, ProtocolError> {
+fn parse_first_token(values: &mut Values<'_>) -> Result<Event, ProtocolError> {
     let request = values.request()?;
     let attempt = values.required("leg")?;
     values.replica()?;
@@ -135,7 +141,10 @@
     })
 }
 
-fn probe_end(values: &mut Values<'_>, settings: &SiteSettings) -> Result<Event, ProtocolError> {
+fn parse_probe_end(
+    values: &mut Values<'_>,
+    settings: &SiteSettings,
+) -> Result<Event, ProtocolError> {
     let replica = values.replica()?;
     values.seconds("timeTaken")?;
     let outcome = values.outcome()?;
@@ -147,7 +156,7 @@
     })
 }
 
-fn roster_change(values: &mut Values<'_>) -> Result<InstanceMessage, ProtocolError> {
+fn parse_endpoint_list(values: &mut Values<'_>) -> Result<InstanceMessage, ProtocolError> {
     let kind = values.next();
     values.required::<u64>("version")?;
     let is_full = match kind {
--- a/crates/simulator-adapter/src/protocol/values.rs
+++ b/crates/simulator-adapter/src/protocol/values.rs
@@ -1,42 +1,41 @@
-//! The values of one message, taken in order.
+//! Parses the values of one message in order.
 
 use super::ProtocolError;
 use poppykeel_scheduler::{AttemptOutcome, LoadReport, ReplicaId, RequestId, Seconds};
 use poppykeel_site_settings::SiteSettings;
 use std::str::FromStr;
 
-/// Stands for a missing value.
+/// Placeholder for a missing value.
 const MISSING: &str = "-";
-/// Hexadecimal values have this many digits.
+/// Number of digits of a hexadecimal value.
 const HEX_DIGITS: usize = 16;
 
-/// The values of one message that have not been taken yet.
+/// A message whose values are consumed one by one.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Values<'a> {
     message: &'a str,
-    rest: Option<&'a str>,
+    remaining: Option<&'a str>,
 }
 
 impl<'a> Values<'a> {
     pub(crate) fn new(line: &'a str) -> Self {
         match line.split_once(' ') {
-            Some((message, rest)) => Values {
+            Some((message, remaining)) => Values {
                 message,
-                rest: Some(rest),
+                remaining: Some(remaining),
             },
             None => Values {
                 message: line,
-                rest: None,
+                remaining: None,
             },
         }
     }
 
-    /// The name of the message.
     pub(crate) fn message(&self) -> &'a str {
         self.message
     }
 
-    /// An error about this message.
+    /// Creates an error about this message.
     pub(crate) fn expected(&self, expected: impl Into<String>) -> ProtocolError {
         ProtocolError {
             message: self.message.to_string(),
@@ -44,20 +43,20 @@
         }
     }
 
-    /// The next value; `None` where it is missing or the line has ended.
+    /// Returns the next value, or `None` if it is missing or the line has ended.
     pub(crate) fn next(&mut self) -> Option<&'a str> {
-        let rest = self.rest?;
-        let (value, rest) = match rest.split_once(' ') {
-            Some((value, rest)) => (value, Some(rest)),
-            None => (rest, None),
+        let text = self.remaining?;
+        let (value, remaining) = match text.split_once(' ') {
+            Some((value, remaining)) => (value, Some(remaining)),
+            None => (text, None),
         };
-        self.rest = rest;
+        self.remaining = remaining;
         Some(value).filter(|value| *value != MISSING && !value.is_empty())
     }
 
-    /// All that is left of the line.
-    pub(crate) fn take_rest(&mut self) -> Option<&'a str> {
-        self.rest.take()
+    /// Returns the remaining text of the line.
+    pub(crate) fn take_remaining(&mut self) -> Option<&'a str> {
+        self.remaining.take()
     }
 
     pub(crate) fn optional<T: FromStr>(&mut self, name: &str) -> Result<Option<T>, ProtocolError> {
@@ -66,7 +65,7 @@
         };
         match text.parse() {
             Ok(value) => Ok(Some(value)),
-            Err(_) => Err(self.expected(format!("a readable value for {name}, not '{text}'"))),
+            Err(_) => Err(self.expected(format!("a valid value for {name}, not '{text}'"))),
         }
     }
 
@@ -125,8 +124,8 @@
         }
     }
 
-    /// A position below `count`; a missing one is `default`, where there is a default.
-    pub(crate) fn position(
+    /// Parses an index below `count`. A missing index is `default`, or an error if there is no default.
+    pub(crate) fn index(
         &mut self,
         name: &str,
         count: usize,
@@ -143,7 +142,7 @@
         }
     }
 
-    /// A load report: values in the order of the settings' fields, separated by commas.
+    /// Parses a load report: values separated by commas, in the order of the report fields in the settings.
     pub(crate) fn load_report(
         &mut self,
         settings: &SiteSettings,
@@ -151,16 +150,16 @@
         let Some(text) = self.next() else {
             return Ok(None);
         };
-        let mut figures = Vec::new();
-        for value in text.split(',').take(settings.load_report_length()) {
-            let figure = if value == MISSING || value.is_empty() {
+        let mut values = Vec::new();
+        for text in text.split(',').take(settings.load_report_length()) {
+            let value = if text == MISSING || text.is_empty() {
                 None
             } else {
-                let figure = value.parse();
-                Some(figure.map_err(|_| self.expected("numbers in the load report"))?)
+                let value = text.parse();
+                Some(value.map_err(|_| self.expected("numbers in the load report"))?)
             };
-            figures.push(figure);
+            values.push(value);
         }
-        Ok(Some(settings.load_report_in_order(figures.into_iter())))
+        Ok(Some(settings.load_report_in_order(values.into_iter())))
     }
 }
