--- a/crates/site-settings/src/error.rs
+++ b/crates/site-settings/src/error.rs
@@ -1,39 +1,39 @@
-//! Why settings are not taken.
+//! Errors in site settings.
 
 use poppykeel_scheduler::SettingsError;
 
-/// Why settings cannot be read. The text says what was expected.
+/// Why settings cannot be parsed. The message states what was expected; callers put "expected" before it.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsParseError {
     /// The text is not JSON.
     #[error("settings in JSON ({0})")]
     Json(#[from] serde_json::Error),
-    /// A key is missing or has a value of another kind.
+    /// A key is missing or has an invalid value.
     #[error("{expected} for {key}")]
     Value {
-        /// What the key must have.
+        /// The expected type or range.
         expected: &'static str,
-        /// The key.
+        /// Name of the key, without its path.
         key: &'static str,
     },
-    /// The figures do not go together.
-    #[error("workable {0}")]
-    Unworkable(#[from] SettingsError),
+    /// A value is out of range, or values contradict each other.
+    #[error("valid {0}")]
+    Invalid(#[from] SettingsError),
 }
 
-/// Why newer settings cannot follow those in force.
+/// Why new settings cannot replace those in force.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SettingsUpdateError {
-    /// A key has changed that cannot change while a process runs.
-    #[error("settings: {key}: another one counts from the next start only")]
+    /// A key has changed that can only change with a restart.
+    #[error("settings: {key}: cannot change while the process runs; restart the process to apply the change")]
     FixedKey {
-        /// The key.
+        /// Name of the key, without its path.
         key: &'static str,
     },
-    /// Each change of a class takes a position of its own, and all are taken.
-    #[error("settings: classes: {limit} have been in use since the start")]
+    /// Each new or changed class occupies an index until the process ends, and all indices are in use.
+    #[error("settings: classes: more than {limit} different classes since the start; restart the process to apply this change")]
     TooManyClasses {
-        /// How many positions there are.
+        /// Number of class indices.
         limit: usize,
     },
 }
--- a/crates/site-settings/src/json.rs
+++ b/crates/site-settings/src/json.rs
@@ -1,9 +1,9 @@
-//! Values of a JSON object by key, with errors that say what was expected.
+//! Reads values of a JSON object by key. Errors state what was expected.
 
 use crate::error::SettingsParseError;
 use serde_json::Value;
 
-/// One object of the settings; a value that is no object has no keys.
+/// An object within the settings. A value that is not an object counts as an empty object.
 #[derive(Clone, Copy)]
 pub(crate) struct Section<'a>(pub(crate) &'a Value);
 
@@ -45,7 +45,7 @@
         number.ok_or(expected("a number above 0", key))
     }
 
-    /// A missing flag is not set.
+    /// A missing flag is false.
     pub(crate) fn flag(self, key: &'static str) -> Result<bool, SettingsParseError> {
         match &self.0[key] {
             Value::Null => Ok(false),
@@ -62,21 +62,23 @@
         }
     }
 
-    /// A list of words; what is no text counts as an empty one.
-    pub(crate) fn words(self, key: &'static str) -> Result<Vec<String>, SettingsParseError> {
+    /// A list of strings. Values of other types become empty strings.
+    pub(crate) fn strings(self, key: &'static str) -> Result<Vec<String>, SettingsParseError> {
         let values = self.list(key)?.iter();
-        Ok(values.map(|value| word(value).to_string()).collect())
+        Ok(values
+            .map(|value| string_or_empty(value).to_string())
+            .collect())
     }
 
-    /// The names of the objects of a list.
+    /// The value of `name` in each object of a list. A missing name becomes an empty string.
     pub(crate) fn names(self, key: &'static str) -> Result<Vec<String>, SettingsParseError> {
         let values = self.list(key)?.iter();
         Ok(values
-            .map(|value| word(&value["name"]).to_string())
+            .map(|value| string_or_empty(&value["name"]).to_string())
             .collect())
     }
 }
 
-fn word(value: &Value) -> &str {
+fn string_or_empty(value: &Value) -> &str {
     value.as_str().unwrap_or_default()
 }
--- a/crates/site-settings/src/lib.rs
+++ b/crates/site-settings/src/lib.rs
@@ -1,8 +1,8 @@
-//! The settings of a site: everything in which one deployment differs from another.
+//! The settings of a site: everything that differs between deployments.
 //!
-//! The simulator gives an instance this object, and the configuration of a node holds it under `settings`; both programs
-//! read it with [`SiteSettings::parse`]. Nothing is decided here. What the keys mean is listed in README.md; an unknown key
-//! is ignored, and a missing one has a default unless an error says otherwise.
+//! The simulator passes the settings to each instance, and the configuration of a node contains them under `settings`. Both
+//! programs parse them with [`SiteSettings::parse`]. README.md describes the keys. Unknown keys are ignored; missing keys
+//! have defaults, except those for which parsing returns an error.
 
 mod error;
 mod json;
@@ -20,36 +20,36 @@
 /// The settings of a site.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SiteSettings {
-    /// What the scheduler is told.
+    /// Settings of the scheduler.
     pub scheduler: SchedulerSettings,
-    /// Names and limits that only a node on real sockets needs.
+    /// Names and connection limits, which the scheduler does not need.
     pub names: SiteNames,
-    /// What the values of a load report mean, in order.
+    /// The meaning of each value of a load report, in order.
     report_fields: Vec<ReportField>,
-    /// Weights in the endpoint list tell capacity, not load.
+    /// Weights in the endpoint list state capacity, not load.
     weights_are_capacities: bool,
 }
 
 impl SiteSettings {
-    /// Reads the settings from their JSON text.
+    /// Parses settings from JSON.
     ///
     /// # Errors
-    /// Says what was expected, and for which key.
+    /// Returns what was expected, and for which key.
     pub fn parse(text: &str) -> Result<SiteSettings, SettingsParseError> {
         parse::parse(text)
     }
 
-    /// Newer settings in the place of these. A class that has not changed keeps its position; one that changes or is new
-    /// gets a new position, and requests in flight keep theirs.
+    /// Returns the new settings with the class indices of the running process. An unchanged class keeps its index, and a new
+    /// or changed class gets a new index, so that the indices of requests in flight remain valid.
     ///
     /// # Errors
-    /// What replicas and tenants are numbered by cannot change while a process runs, and the number of classes since its
-    /// start is bounded.
+    /// Fails if a key has changed that determines the indices of replicas and tenants, or if the process has used too many
+    /// different classes since its start.
     pub fn updated_to(&self, new: SiteSettings) -> Result<SiteSettings, SettingsUpdateError> {
         update::update(self, new)
     }
 
-    /// A load report from its values in the order of the settings' fields; `None` where a value is missing.
+    /// Creates a load report from values in the order of the report fields. `None` is a missing value.
     pub fn load_report_in_order(&self, values: impl Iterator<Item = Option<f64>>) -> LoadReport {
         let mut report = LoadReport::default();
         for (value, field) in values.zip(&self.report_fields) {
@@ -60,24 +60,24 @@
         report
     }
 
-    /// How many values a load report has.
+    /// Number of values in a load report.
     pub fn load_report_length(&self) -> usize {
         self.report_fields.len()
     }
 
-    /// A load report from its values by name. Replicas may use either of the protocol's two names for a field.
+    /// Creates a load report from values by name. Replicas may use either of the protocol's two names for a field.
     pub fn load_report(&self, value: impl Fn(&str) -> Option<f64>) -> LoadReport {
         let mut report = LoadReport::default();
         for (name, field) in self.names.report_fields.iter().zip(&self.report_fields) {
-            let other_name = || report_fields::other_name(name).and_then(&value);
-            if let Some(value) = value(name).or_else(other_name) {
+            let value_by_equivalent_name = || report_fields::equivalent_name(name).and_then(&value);
+            if let Some(value) = value(name).or_else(value_by_equivalent_name) {
                 field.set(&mut report, value);
             }
         }
         report
     }
 
-    /// A weight of the endpoint list as a capacity, where it tells one.
+    /// Returns a weight of the endpoint list as a capacity, or `None` if the weight does not state a valid capacity.
     pub fn capacity_weight(&self, weight: Option<f64>) -> Option<f64> {
         weight.filter(|weight| self.weights_are_capacities && weight.is_finite() && *weight > 0.0)
     }
--- a/crates/site-settings/src/names.rs
+++ b/crates/site-settings/src/names.rs
@@ -1,24 +1,24 @@
-//! What the settings name by words, and the limits of connections.
+//! Names in the settings, and time limits of connections to replicas.
 
 use poppykeel_scheduler::Seconds;
 
-/// Names by the scheduler's positions, and limits of connections.
+/// Names by scheduler index, and time limits of connections to replicas.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct SiteNames {
-    /// Classes of requests.
+    /// Request classes, including retired ones.
     pub classes: Vec<String>,
-    /// Positions of classes that newer settings have withdrawn: requests in flight keep them, new requests don't get them.
+    /// Indices of classes that a reload has removed. Requests in flight still use them; new requests do not.
     pub retired_classes: Vec<usize>,
-    /// Tenants; empty at sites without.
+    /// Tenants; empty if the site has none.
     pub tenants: Vec<String>,
-    /// Zones.
+    /// Zones, by the index used in the scheduler.
     pub zones: Vec<String>,
-    /// Host types.
+    /// Host types, by the index used in the scheduler.
     pub host_types: Vec<String>,
-    /// The fields of a load report, in order.
+    /// Names of the load report fields, in order.
     pub report_fields: Vec<String>,
-    /// A connection that is not established within this time has failed.
+    /// Timeout for establishing a connection, in seconds.
     pub connect_timeout: Seconds,
-    /// A replica closes a connection that has been idle for this long.
+    /// Idle time after which a replica closes a connection, in seconds.
     pub keep_alive: Seconds,
 }
--- a/crates/site-settings/src/parse.rs
+++ b/crates/site-settings/src/parse.rs
@@ -1,4 +1,4 @@
-//! Reads the settings object.
+//! Parses the settings object.
 
 use crate::error::SettingsParseError;
 use crate::json::Section;
@@ -11,8 +11,8 @@
 };
 use serde_json::Value;
 
-/// Objectives for prompt tokens are given in microseconds for each thousand tokens.
-const PROMPT_OBJECTIVES_PER_SECOND: f64 = 1e9;
+/// Prompt-token objectives are in microseconds per thousand tokens. Divided by this they are in seconds per token.
+const PROMPT_OBJECTIVE_UNITS_PER_SECOND: f64 = 1e9;
 const DEFAULT_CONNECT_TIMEOUT: f64 = 1.0;
 const DEFAULT_KEEP_ALIVE: f64 = 10.0;
 
@@ -49,8 +49,8 @@
 
 fn classes(site: Section<'_>) -> Result<Vec<RequestClass>, SettingsParseError> {
     let specifics = site.section("specifics");
-    let per_prompt_token = &specifics.0["aimUsPer1000PromptTokens"];
-    let inter_token = &specifics.0["tokenAim"];
+    let prompt_token_objectives = &specifics.0["aimUsPer1000PromptTokens"];
+    let inter_token_objectives = &specifics.0["tokenAim"];
     let mut classes = Vec::new();
     for (i, value) in site.list("classes")?.iter().enumerate() {
         let class = Section(value);
@@ -58,13 +58,13 @@
         if class.has("giveUp") {
             class.positive_number("giveUp")?;
         }
-        let per_prompt_token = per_prompt_token[i].as_f64().unwrap_or(0.0);
+        let per_prompt_token = prompt_token_objectives[i].as_f64().unwrap_or(0.0);
         classes.push(RequestClass {
             priority_weight: class.number_or("gain", 1.0)?,
             late_weight: class.number_or("lateValue", 0.0)?,
             ttft_objective: class.positive_number("goalTime")?,
-            ttft_objective_per_prompt_token: per_prompt_token / PROMPT_OBJECTIVES_PER_SECOND,
-            inter_token_objective: inter_token[i].as_f64().unwrap_or(f64::INFINITY),
+            ttft_objective_per_prompt_token: per_prompt_token / PROMPT_OBJECTIVE_UNITS_PER_SECOND,
+            inter_token_objective: inter_token_objectives[i].as_f64().unwrap_or(f64::INFINITY),
             ttft_objective_per_work_second: class.number_or("aimStretch", 0.0)?,
             idempotency,
             streaming: class.flag("streaming")?,
@@ -174,9 +174,9 @@
         classes: site.names("classes")?,
         retired_classes: Vec::new(),
         tenants: site.names("tenants")?,
-        zones: site.words("zones")?,
-        host_types: site.words("hostTypes")?,
-        report_fields: site.section("report").words("fields")?,
+        zones: site.strings("zones")?,
+        host_types: site.strings("hostTypes")?,
+        report_fields: site.section("report").strings("fields")?,
         connect_timeout: limits.number_or("dialTimeout", DEFAULT_CONNECT_TIMEOUT)?,
         keep_alive: limits.number_or("keepalive", DEFAULT_KEEP_ALIVE)?,
     })
@@ -187,16 +187,17 @@
     Ok(names.map(|name| report_field(site, name)).collect())
 }
 
-/// Sites may say in words what the fields `x0` and `x1` mean; without such words they mean what the protocol says.
+/// Sites may describe the meaning of the fields `x0` and `x1` in free text. Without a description, the meaning that the
+/// protocol defines applies.
 fn report_field(site: Section<'_>, name: &Value) -> ReportField {
     let specifics = site.section("specifics");
-    let means = |key: &str, word: &str| {
-        let meaning = specifics.text(key);
-        meaning.is_none_or(|meaning| meaning.contains(word))
+    let has_meaning = |key: &str, phrase: &str| {
+        let description = specifics.text(key);
+        description.is_none_or(|description| description.contains(phrase))
     };
     match name.as_str() {
-        Some("x1") if means("reportX1", "prompt tokens") => ReportField::QueuedPromptTokens,
-        Some("x0") if means("reportX0", "memory") => ReportField::MemoryUtilization,
+        Some("x1") if has_meaning("reportX1", "prompt tokens") => ReportField::QueuedPromptTokens,
+        Some("x0") if has_meaning("reportX0", "memory") => ReportField::MemoryUtilization,
         Some("busy_reqs" | "inflight") => ReportField::RequestsHeld,
         Some("pending" | "queue") => ReportField::RequestsQueued,
         _ => ReportField::Ignored,
--- a/crates/site-settings/src/report_fields.rs
+++ b/crates/site-settings/src/report_fields.rs
@@ -1,22 +1,21 @@
-//! What the fields of a load report mean.
+//! The meanings of load report fields.
 
 use poppykeel_scheduler::LoadReport;
 
-/// The unit of the field of queued prompt tokens.
+/// Replicas report queued prompt tokens in thousands.
 const TOKENS_PER_UNIT: f64 = 1000.0;
 
-/// The protocol has two names for some fields: the simulator's and that on sockets.
+/// Some fields have two names in the protocol: one in the simulator and one on sockets.
 const EQUIVALENT_NAMES: [(&str, &str); 2] = [("inflight", "busy_reqs"), ("queue", "pending")];
 
-/// The meaning of one field.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum ReportField {
-    /// In thousands.
+    /// Reported in thousands.
     QueuedPromptTokens,
     MemoryUtilization,
     RequestsHeld,
     RequestsQueued,
-    /// Of no use to the scheduler.
+    /// Not used by the scheduler.
     Ignored,
 }
 
@@ -34,8 +33,8 @@
     }
 }
 
-/// The other name of the same field, where there is one.
-pub(crate) fn other_name(name: &str) -> Option<&'static str> {
+/// Returns the other name of the same field, if it has two.
+pub(crate) fn equivalent_name(name: &str) -> Option<&'static str> {
     EQUIVALENT_NAMES.iter().find_map(|(first, second)| {
         if name == *first {
             Some(*second)
--- a/crates/site-settings/src/update.rs
+++ b/crates/site-settings/src/update.rs
@@ -1,11 +1,11 @@
-//! Newer settings in the place of those in force.
+//! Replaces the settings in force with new ones.
 
 use crate::error::SettingsUpdateError;
 use crate::SiteSettings;
 use poppykeel_scheduler::RequestClass;
 
-/// Classes in use since the start: each change of one takes a position.
-const MAX_CLASSES_SINCE_START: usize = 1024;
+/// Maximum number of class indices in a process. Each new or changed class occupies one.
+const MAX_CLASS_INDICES: usize = 1024;
 
 pub(crate) fn update(
     old: &SiteSettings,
@@ -21,7 +21,7 @@
     Ok(new)
 }
 
-/// Replicas and tenants are numbered by their positions in the settings, which hold until the process ends.
+/// Checks the keys that determine the indices of replicas and tenants. These indices stay valid until the process ends.
 fn check_fixed_keys(old: &SiteSettings, new: &SiteSettings) -> Result<(), SettingsUpdateError> {
     let is_same_router = old.scheduler.router_index == new.scheduler.router_index
         && old.scheduler.zone == new.scheduler.zone;
@@ -37,7 +37,7 @@
     }
 }
 
-/// Brings a class back to the position that it has had, or adds a position for it.
+/// Reactivates the index that the same class has already had, or adds a new index for the class.
 fn add_class(
     settings: &mut SiteSettings,
     name: String,
@@ -46,15 +46,15 @@
     let names = &mut settings.names;
     let classes = &mut settings.scheduler.classes;
     let is_known = |i: &usize| names.classes[*i] == name && classes[*i] == class;
-    let position = (0..names.classes.len()).find(is_known);
-    if let Some(position) = position {
-        names.retired_classes.retain(|retired| *retired != position);
-    } else if names.classes.len() < MAX_CLASSES_SINCE_START {
+    let index = (0..names.classes.len()).find(is_known);
+    if let Some(index) = index {
+        names.retired_classes.retain(|retired| *retired != index);
+    } else if names.classes.len() < MAX_CLASS_INDICES {
         names.classes.push(name);
         classes.push(class);
     } else {
         return Err(SettingsUpdateError::TooManyClasses {
-            limit: MAX_CLASSES_SINCE_START,
+            limit: MAX_CLASS_INDICES,
         });
     }
     Ok(())
--- a/crates/site-settings/tests/settings.rs
+++ b/crates/site-settings/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings from JSON: defaults, errors, and newer settings in the place of those in force.
+//! Parsing of settings: defaults and errors; replacement of the settings in force.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn errors_say_what_was_expected_for_which_key() {
+fn parse_errors_state_the_expected_value_and_the_key() {
     let cases = [
         ("/me", json!("zero"), "a number for me"),
         ("/classes", json!(7), "a list for classes"),
@@ -59,7 +59,7 @@
             json!(null),
             "pushed or on_request for membershipMode",
         ),
-        ("/balancers", json!(0), "workable settings: router 0 of 0"),
+        ("/balancers", json!(0), "valid settings: router 0 of 0"),
     ];
     for (path, value, expected) in cases {
         let mut settings = settings();
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn changed_class_gets_a_new_position_and_returns_to_it() {
+fn changed_class_gets_a_new_index_and_a_restored_class_its_old_one() {
     let first = parse(&settings());
     let mut changed = settings();
     changed["classes"] = json!([class("chat", 2.0), class("batch", 9.0)]);
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn keys_that_number_replicas_and_tenants_are_fixed() {
+fn keys_that_determine_indices_of_replicas_and_tenants_cannot_change() {
     let first = parse(&settings());
     for (path, value, key) in [
         ("/zones", json!(["north"]), "zones"),
