--- a/src/routing/learned_state.rs
+++ b/src/routing/learned_state.rs
@@ -35,7 +35,7 @@
     #[error("record written by this process itself")]
     WrittenByThisProcess,
     /// The record was written this many milliseconds ago; negative if it is dated in the future.
-    #[error("record written {0} ms ago, expected at most {MAX_AGE_MS} ms")]
+    #[error("record is {0} ms old, expected from -{MAX_CLOCK_SKEW_MS} to {MAX_AGE_MS} ms")]
     AgeOutOfRange(i64),
     /// The record's host types, classes or zones differ from those of this site.
     #[error("host types, classes or zones differ from this site's")]
