--- a/src/transport/client/connection/streams.rs
+++ b/src/transport/client/connection/streams.rs
@@ -1,4 +1,4 @@
-//! Passes streams on to a client.
+//! Forwards streams to a client.
 
 use super::{ClientConnection, ConnectionClosed};
 use crate::protocol::http::EncodedMessage;
@@ -10,14 +10,14 @@
 /// How a stream to a client ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum StreamEnd {
-    /// The client has the whole stream and its last chunk.
+    /// The client has received the complete stream and its last chunk.
     Complete,
     /// The stream is incomplete, and the client gets no last chunk.
     Broken,
 }
 
-/// What came of the recovery of a stream.
-enum Recovery {
+/// The result of recovering a stream.
+enum RecoveryOutcome {
     /// Another replica continues the stream with these chunks.
     Continued(mpsc::Receiver<StreamChunk>),
     /// The stream has ended.
@@ -25,14 +25,14 @@
 }
 
 impl ClientConnection {
-    /// Passes a stream on as it comes.
+    /// Forwards a stream unchanged.
     pub(super) async fn forward_stream(
         &mut self,
         mut chunks: mpsc::Receiver<StreamChunk>,
     ) -> Result<StreamEnd, ConnectionClosed> {
         loop {
             let mut next = self.until_disconnected(chunks.recv()).await?;
-            // What has come together goes out together.
+            // Chunks that arrived together are sent with one flush.
             loop {
                 match next {
                     Some(StreamChunk::Bytes(bytes)) => {
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Passes a stream on and continues it on another replica where its own does not end it.
+    /// Forwards a stream, and continues it on another replica if it is interrupted.
     pub(super) async fn forward_recoverable_stream(
         &mut self,
         recovery: &mut StreamRecovery,
@@ -82,8 +82,8 @@
                 return Ok(StreamEnd::Complete);
             }
             match self.recover(recovery).await? {
-                Recovery::Continued(continuation) => chunks = continuation,
-                Recovery::Ended(end) => return Ok(end),
+                RecoveryOutcome::Continued(continuation) => chunks = continuation,
+                RecoveryOutcome::Ended(end) => return Ok(end),
             }
         }
     }
@@ -92,7 +92,7 @@
     async fn recover(
         &mut self,
         recovery: &mut StreamRecovery,
-    ) -> Result<Recovery, ConnectionClosed> {
+    ) -> Result<RecoveryOutcome, ConnectionClosed> {
         match recovery.recover(self.is_last_response()) {
             RecoveryStep::Continue(continuation) => {
                 let response = self
@@ -102,26 +102,26 @@
                     replica, chunks, ..
                 } = response
                 {
-                    recovery.continued_by(replica);
-                    return Ok(Recovery::Continued(chunks));
+                    recovery.set_replica(replica);
+                    return Ok(RecoveryOutcome::Continued(chunks));
                 }
                 let error_event = recovery.continuation_refused();
                 self.send_chunk(error_event).await?;
-                Ok(Recovery::Ended(StreamEnd::Broken))
+                Ok(RecoveryOutcome::Ended(StreamEnd::Broken))
             }
             RecoveryStep::Complete(closing_events) => {
                 self.send_chunk(closing_events).await?;
                 self.send(EncodedMessage::EndOfChunks).await?;
-                Ok(Recovery::Ended(StreamEnd::Complete))
+                Ok(RecoveryOutcome::Ended(StreamEnd::Complete))
             }
             RecoveryStep::Fail(error_event) => {
                 self.send_chunk(error_event).await?;
-                Ok(Recovery::Ended(StreamEnd::Broken))
+                Ok(RecoveryOutcome::Ended(StreamEnd::Broken))
             }
         }
     }
 
-    /// Sends bytes as one chunk. No bytes are no chunk: an empty one would end the stream.
+    /// Sends bytes as one chunk. Sends nothing if there are no bytes, since an empty chunk would end the stream.
     async fn send_chunk(&mut self, bytes: Bytes) -> Result<(), ConnectionClosed> {
         if bytes.is_empty() {
             return Ok(());
--- a/src/transport/dispatcher/commands.rs
+++ b/src/transport/dispatcher/commands.rs
@@ -1,4 +1,4 @@
-//! Carries out the router's commands: starts and aborts the tasks of attempts, and answers clients.
+//! Executes the router's commands: starts and aborts attempt tasks, and responds to clients.
 
 use super::in_flight::InFlightAttempt;
 use super::{logging, Dispatcher};
@@ -11,7 +11,7 @@
 use std::rc::Rc;
 
 impl Dispatcher {
-    /// Carries out all commands of the router in their order, and those that follow from them.
+    /// Executes all pending commands in order, including those that result from them.
     pub(super) fn execute_commands(&mut self, now: MonotonicMicros) {
         while !self.commands.is_empty() {
             for command in std::mem::take(&mut self.commands) {
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Starts the task of an attempt, unless its client has disconnected or its replica has been removed meanwhile.
+    /// Starts the task of an attempt, unless its client has disconnected or its replica has been removed in the meantime.
     fn start_attempt(
         &mut self,
         now: MonotonicMicros,
@@ -87,7 +87,7 @@
         self.in_flight.add(id, in_flight);
     }
 
-    /// What the task of an attempt needs; `None` where the endpoint list has lost the replica, or nobody waits.
+    /// Collects what the attempt's task needs. `None` if the replica is no longer listed or no client waits.
     fn attempt_request(
         &self,
         now: MonotonicMicros,
@@ -115,7 +115,7 @@
         })
     }
 
-    /// Gives the client the stream whose first token has just come.
+    /// Sends the client the stream whose first token has just arrived.
     fn bind_offered_stream(&mut self, request: RequestId) {
         let Some(stream) = self.offered_stream.take() else {
             self.waiting_clients.remove(request);
--- a/src/transport/dispatcher/endpoint_updates.rs
+++ b/src/transport/dispatcher/endpoint_updates.rs
@@ -1,4 +1,4 @@
-//! Changes of the endpoint list, and what they mean for attempts that are under way.
+//! Applies changes of the endpoint list, also to attempts in flight.
 
 use super::{logging, Dispatcher};
 use crate::routing::directory::{EndpointChange, EndpointSourceSettings};
@@ -9,7 +9,7 @@
 use std::collections::BTreeSet;
 
 impl Dispatcher {
-    /// Takes an endpoint source's answer, or the word that it gave none.
+    /// Applies the answer or failure of an endpoint source.
     pub(super) fn handle_endpoint_update(
         &mut self,
         now: MonotonicMicros,
@@ -27,15 +27,15 @@
         }
         if has_failed {
             self.set_endpoint_list_status(now, EndpointListStatus::Unconfirmed);
-            // The scheduler decides when discovery is asked again; other sources ask again by themselves.
+            // The scheduler decides when to poll discovery again; other sources retry on their own.
             self.process_event(now, RouterEvent::EndpointListFailed);
         } else if is_current {
             self.set_endpoint_list_status(now, EndpointListStatus::Confirmed);
         }
     }
 
-    /// Takes the endpoint list of an earlier process. It may be of any age: it says where replicas may be, not that they
-    /// take requests.
+    /// Restores the endpoint list saved by an earlier process. It may be of any age, so it shows where replicas may be, but
+    /// not whether they accept requests.
     pub(super) fn restore_endpoints(&mut self, now: MonotonicMicros, update: SourceUpdate) {
         let changes =
             self.directory
@@ -44,7 +44,7 @@
         self.set_endpoint_list_status(now, EndpointListStatus::Restored);
     }
 
-    /// Tells the router what is known of the list's age.
+    /// Notifies the router whether the endpoint list is known to be current.
     pub(super) fn set_endpoint_list_status(
         &mut self,
         now: MonotonicMicros,
@@ -55,7 +55,7 @@
         self.process_event(now, RouterEvent::EndpointListStatusChanged(status));
     }
 
-    /// Takes new settings of the endpoint sources.
+    /// Applies new settings of the endpoint sources.
     pub(super) fn set_endpoint_sources(
         &mut self,
         now: MonotonicMicros,
@@ -71,12 +71,12 @@
             .update_settings(sources, self.clock.reading());
         self.apply_endpoint_changes(now, "settings", changes);
         if !uses_endpoint_list {
-            // Nobody will confirm it any more, and nothing rests on it.
+            // The list is no longer a source: nothing will confirm it, and nothing depends on it.
             self.set_endpoint_list_status(now, EndpointListStatus::Confirmed);
         }
     }
 
-    /// Tells the router what has changed in the endpoint list, and the log on whose word.
+    /// Notifies the router of endpoint changes and logs them with the source that caused them.
     pub(super) fn apply_endpoint_changes(
         &mut self,
         now: MonotonicMicros,
@@ -88,28 +88,33 @@
         }
         logging::log_endpoint_changes(source, &changes);
         let endpoints: Vec<Endpoint> = changes.into_iter().map(|change| change.endpoint).collect();
-        let leaving: BTreeSet<ReplicaId> = endpoints
+        let unavailable: BTreeSet<ReplicaId> = endpoints
             .iter()
             .filter(|endpoint| endpoint.state != EndpointState::Available)
             .map(|endpoint| endpoint.id)
             .collect();
         let event = RouterEvent::EndpointsChanged(endpoints);
         self.router.handle_event(now, event, &mut self.commands);
-        self.withdraw_unsent_attempts(now, &leaving);
+        self.withdraw_unsent_attempts(now, &unavailable);
         self.execute_commands(now);
     }
 
-    /// Withdraws attempts at replicas that leave and that have written nothing yet: a connection that comes up late would
-    /// carry them there long after the replica was to get nothing new. Such an attempt has never run, and the scheduler finds
-    /// it another replica. Probes are left alone: with their connection they take a quarter of a second at most.
-    fn withdraw_unsent_attempts(&mut self, now: MonotonicMicros, leaving: &BTreeSet<ReplicaId>) {
-        if leaving.is_empty() {
+    /// Withdraws attempts to draining or removed replicas that have not written anything yet: a connection established late
+    /// would send them long after the replica was to get no new requests. Such an attempt has never run, and the scheduler
+    /// finds it another replica. Probes are not withdrawn: including their connection they take at most a quarter of a
+    /// second.
+    fn withdraw_unsent_attempts(
+        &mut self,
+        now: MonotonicMicros,
+        unavailable: &BTreeSet<ReplicaId>,
+    ) {
+        if unavailable.is_empty() {
             return;
         }
-        for id in self.in_flight.unsent_to(leaving) {
+        for id in self.in_flight.unsent_to(unavailable) {
             self.in_flight.abort(id);
             let AttemptId { request, attempt } = id;
-            tracing::info!(%request, attempt, "unsent attempt withdrawn from a replica that leaves");
+            tracing::info!(%request, attempt, "withdrew unsent attempt: replica is no longer available");
             let event = RouterEvent::AttemptEnded {
                 request,
                 attempt,
@@ -120,7 +125,7 @@
         }
     }
 
-    /// Tells the router what the node that probes ejected replicas has found of those that this node lists.
+    /// Passes the verdicts of the node that probes ejected replicas to the router, for the replicas this node lists.
     pub(super) fn handle_outlier_advice(&mut self, now: MonotonicMicros, advice: &[ReplicaAdvice]) {
         for status in self.router.replica_statuses() {
             let name = self.directory.name(status.replica);
--- a/src/transport/dispatcher/in_flight.rs
+++ b/src/transport/dispatcher/in_flight.rs
@@ -1,4 +1,4 @@
-//! The attempts whose tasks have not reported their end.
+//! Attempts whose tasks have not reported an outcome.
 
 use crate::routing::AttemptId;
 use poppykeel_scheduler::ReplicaId;
@@ -7,41 +7,38 @@
 use std::rc::Rc;
 use tokio::task::AbortHandle;
 
-/// An attempt whose task has not reported its end.
 pub(super) struct InFlightAttempt {
-    /// The replica that gets it.
     pub(super) replica: ReplicaId,
-    /// Set by the task when its first byte is about to be written.
+    /// Set by the task immediately before it writes the first byte.
     pub(super) has_begun: Rc<Cell<bool>>,
     /// Aborting the task closes the connection.
     pub(super) task: AbortHandle,
 }
 
-/// All attempts whose tasks have not reported their end.
 #[derive(Default)]
 pub(super) struct InFlightAttempts {
     attempts: HashMap<AttemptId, InFlightAttempt>,
 }
 
 impl InFlightAttempts {
-    /// Adds an attempt whose task has just been started.
     pub(super) fn add(&mut self, id: AttemptId, attempt: InFlightAttempt) {
         self.attempts.insert(id, attempt);
     }
 
-    /// Forgets an attempt whose task has reported its end. The task goes on for a moment to use its connection again.
+    /// Removes an attempt whose task has reported its outcome. The task runs on for a moment to release its connection for
+    /// reuse.
     pub(super) fn remove(&mut self, id: AttemptId) {
         self.attempts.remove(&id);
     }
 
-    /// Ends the task of an attempt, and with it its connection; one that has reported its end is left alone.
+    /// Aborts the task of an attempt, which closes its connection. Does nothing if the attempt has reported its outcome.
     pub(super) fn abort(&mut self, id: AttemptId) {
         if let Some(attempt) = self.attempts.remove(&id) {
             attempt.task.abort();
         }
     }
 
-    /// The attempts at these replicas that have written nothing yet, in the order of their ids.
+    /// Attempts to these replicas that have not written anything yet, ordered by id.
     pub(super) fn unsent_to(&self, replicas: &BTreeSet<ReplicaId>) -> Vec<AttemptId> {
         let mut unsent = Vec::new();
         for (id, attempt) in &self.attempts {
--- a/src/transport/dispatcher/logging.rs
+++ b/src/transport/dispatcher/logging.rs
@@ -1,5 +1,5 @@
-//! What the dispatcher writes to the log: events and commands at level `debug`, changes of the endpoint list and summaries at
-//! level `info`. `poppykeel streams` and the testbed's view read the summaries and the changes of the list.
+//! The dispatcher's log output: events and commands at level `debug`, endpoint list changes and summaries at level `info`.
+//! `poppykeel streams` and the testbed's view parse the summaries and the list changes.
 
 use super::Dispatcher;
 use crate::routing::directory::EndpointChange;
@@ -9,7 +9,7 @@
 const MICROS_PER_SECOND: u64 = 1_000_000;
 
 impl Dispatcher {
-    /// Writes what has happened so far and what is under way, then the same of streams.
+    /// Logs counters since the start and current gauges, then the same for streams.
     pub(super) fn log_summary(&self) {
         let counters = self.router.counters();
         let gauges = self.router.gauges();
@@ -38,14 +38,13 @@
     }
 }
 
-/// Writes each change of the endpoint list and the source that caused it.
+/// Logs each change of the endpoint list with the source that caused it.
 pub(super) fn log_endpoint_changes(source: &str, changes: &[EndpointChange]) {
     for EndpointChange { endpoint, name } in changes {
         tracing::info!(source, replica = %endpoint.id.0, name, state = %state_label(endpoint.state), "list changed");
     }
 }
 
-/// Writes what the router is told.
 pub(super) fn log_event(event: &RouterEvent) {
     match event {
         RouterEvent::RequestArrived(request) => tracing::debug!(
@@ -98,7 +97,6 @@
     }
 }
 
-/// Writes what the router wants done.
 pub(super) fn log_command(command: &RouterCommand) {
     match command {
         RouterCommand::StartAttempt {
@@ -129,7 +127,7 @@
     }
 }
 
-/// The word for an endpoint's state in the log, which readers of logs and the recorded exchanges know.
+/// The endpoint state's name in the log. Log readers and the recorded exchanges depend on it.
 fn state_label(state: EndpointState) -> &'static str {
     match state {
         EndpointState::Available => "Up",
--- a/src/transport/dispatcher/mod.rs
+++ b/src/transport/dispatcher/mod.rs
@@ -1,18 +1,18 @@
-//! The dispatcher of one node: the one task that owns the request router and stands between it and all other tasks. It reads
-//! the clock once a turn, tells the router what has come, and carries out the router's commands.
+//! The dispatcher of one node: the single task that owns the request router. It passes events from all other tasks to the
+//! router, with one clock reading per batch, and executes the router's commands.
 //!
-//! Who calls it: client connections send requests and disconnects, attempts and probes their ends, endpoint sources their
-//! lists, operators and the coordination with other nodes their questions and settings. All of it comes over one bounded
-//! channel as [`DispatcherMessage`]; answers go back over channels that the messages carry.
+//! Client connections send requests and disconnects, attempts and probes their outcomes, endpoint sources their lists, and
+//! admin calls and the coordination with other nodes their queries and settings. All of it arrives over one bounded channel
+//! as [`DispatcherMessage`]; replies go back over channels carried by the messages.
 //!
 //! Invariants:
-//! - No message is handled before all commands that follow from the one before it have been carried out.
-//! - No attempt is started for a client that has disconnected, also where the word of it still waits in the channel.
-//! - A replica that is draining or removed gets nothing new: an attempt that has written nothing yet is withdrawn.
+//! - All commands that follow from a message are executed before the next message is handled.
+//! - No attempt is started for a client that has disconnected, even if its disconnect message is still queued.
+//! - A draining or removed replica gets no new work: an attempt that has not written anything yet is withdrawn.
 //!
-//! [`DispatcherMessage`] is taken apart here; `requests` handles clients and attempts, `endpoint_updates` the endpoint list,
-//! `queries` the questions, `commands` what the router wants done, and `logging` writes the log. `clients` and `in_flight`
-//! own the tables of clients and attempts.
+//! This module dispatches each [`DispatcherMessage`]. `requests` handles clients and attempts, `endpoint_updates` the
+//! endpoint list, `queries` the queries, `commands` the router's commands, `suspension` a suspended process, and `logging`
+//! writes the log. `clients` and `in_flight` own the tables of clients and attempts.
 
 mod clients;
 mod commands;
@@ -41,10 +41,10 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
-/// Messages that are taken in one turn, with one reading of the clock.
-const MAX_MESSAGES_PER_TURN: usize = 256;
+/// Maximum number of messages handled with one clock reading.
+const MAX_BATCH_MESSAGES: usize = 256;
 
-/// How often the log gets a summary.
+/// How often a summary is logged, in microseconds.
 const SUMMARY_INTERVAL: DurationMicros = 10_000_000;
 
 /// The dispatcher of one node.
@@ -53,32 +53,32 @@
     router: RequestRouter,
     directory: EndpointDirectory,
     replica_client: ReplicaClient,
-    watch: EndpointWatcher,
+    endpoint_watcher: EndpointWatcher,
     waiting_clients: WaitingClients,
     owners: RequestOwners,
     in_flight: InFlightAttempts,
-    /// The stream whose first token the router is being told of; the router may bind it to its client.
+    /// The stream whose first token the router is processing. The router may bind it to its client.
     offered_stream: Option<StartedStream>,
-    /// Commands of the router that have not been carried out.
+    /// Commands of the router that have not been executed.
     commands: Vec<RouterCommand>,
 }
 
 impl Dispatcher {
-    /// A dispatcher around a router that has been told nothing yet. `known` is the endpoint list as the node last had it.
+    /// Creates a dispatcher for a new router. `restored_list` is the endpoint list saved by an earlier process of the node.
     pub fn new(
         clock: Clock,
         router: RequestRouter,
         directory: EndpointDirectory,
         replica_client: ReplicaClient,
-        watch: EndpointWatcher,
-        known: Option<SourceUpdate>,
+        endpoint_watcher: EndpointWatcher,
+        restored_list: Option<SourceUpdate>,
     ) -> Self {
         let mut dispatcher = Dispatcher {
             clock,
             router,
             directory,
             replica_client,
-            watch,
+            endpoint_watcher,
             waiting_clients: WaitingClients::default(),
             owners: RequestOwners::default(),
             in_flight: InFlightAttempts::default(),
@@ -86,35 +86,40 @@
             commands: Vec::new(),
         };
         let now = dispatcher.clock.now();
-        dispatcher.replica_client.turn_clock().record_turn(now);
-        // The scheduler begins with the first event that it gets. Without this one a node that knows no replica would ask for
-        // the endpoint list with its first request only, and that request would wait for it.
+        dispatcher
+            .replica_client
+            .suspension_detector()
+            .record_iteration(now);
+        // The scheduler starts with its first event. Without this event, a node without replicas would poll for the endpoint
+        // list only when its first request arrives, and that request would wait for the answer.
         let no_change = RouterEvent::EndpointsChanged(Vec::new());
         dispatcher
             .router
             .handle_event(now, no_change, &mut dispatcher.commands);
-        if let Some(update) = known {
+        if let Some(update) = restored_list {
             dispatcher.restore_endpoints(now, update);
         }
         dispatcher
     }
 
-    /// Runs until every sender of messages is gone.
+    /// Runs until every sender of messages is dropped.
     pub async fn run(mut self, mut messages: mpsc::Receiver<DispatcherMessage>) {
-        let mut batch = Vec::with_capacity(MAX_MESSAGES_PER_TURN);
+        let mut batch = Vec::with_capacity(MAX_BATCH_MESSAGES);
         let mut next_summary = SUMMARY_INTERVAL;
         loop {
             let wake_at = self.next_timer().map(|at| self.clock.instant(at));
-            // Both branches are cancel-safe: `recv_many` has taken nothing when it is dropped, and the sleep holds only a time.
+            // Both branches are cancel-safe: a dropped `recv_many` has taken no messages, and the sleep holds no data.
             tokio::select! {
-                count = messages.recv_many(&mut batch, MAX_MESSAGES_PER_TURN) => if count == 0 { return },
+                count = messages.recv_many(&mut batch, MAX_BATCH_MESSAGES) => if count == 0 { return },
                 () = sleep_until(wake_at) => {}
             }
             let now = self.clock.now();
-            if self.replica_client.turn_clock().was_suspended(now) {
+            if self.replica_client.suspension_detector().was_suspended(now) {
                 self.recover_from_suspension(now, &mut batch);
             }
-            self.replica_client.turn_clock().record_turn(now);
+            self.replica_client
+                .suspension_detector()
+                .record_iteration(now);
             for message in batch.drain(..) {
                 self.handle_message(now, message);
             }
@@ -193,24 +198,26 @@
         }
     }
 
-    /// Tells the router of an event and carries out what follows.
+    /// Passes an event to the router and executes the resulting commands.
     fn process_event(&mut self, now: MonotonicMicros, event: RouterEvent) {
         logging::log_event(&event);
         self.router.handle_event(now, event, &mut self.commands);
         self.execute_commands(now);
-        // A stream that the router has not bound by now is not wanted; dropping it closes its channel.
+        // The router has not bound this stream, so it is not needed. Dropping it closes its channel.
         self.offered_stream = None;
     }
 
     fn set_budget_grants(&mut self, grants: &BudgetGrants) {
-        self.watch.set_budget_grants(grants);
+        self.endpoint_watcher.set_budget_grants(grants);
         self.router.set_budget_grants(grants);
     }
 
     fn update_settings(&mut self, settings: Rc<SiteSettings>, applied: Reply<()>) {
         match self.router.update_settings(settings.scheduler.clone()) {
             Ok(()) => self.replica_client.set_site(settings),
-            Err(e) => tracing::error!(why = %e, "settings kept as they were"),
+            Err(e) => {
+                tracing::error!(why = %e, "new site settings rejected; keeping the previous ones");
+            }
         }
         send_reply(applied, ());
     }
@@ -221,7 +228,7 @@
     }
 }
 
-/// Sleeps until this time, or for ever without one.
+/// Sleeps until this time, or forever if there is none.
 async fn sleep_until(at: Option<Instant>) {
     match at {
         Some(at) => tokio::time::sleep_until(at).await,
@@ -229,8 +236,7 @@
     }
 }
 
-/// Answers whoever waits for this reply.
 fn send_reply<T>(reply: Reply<T>, answer: T) {
-    // Whoever asked may have gone, and then nobody needs the answer.
+    // The receiver may have been dropped; the answer is then not needed.
     let _ = reply.send(answer);
 }
--- a/src/transport/dispatcher/queries.rs
+++ b/src/transport/dispatcher/queries.rs
@@ -1,4 +1,4 @@
-//! Answers to questions about the dispatcher's state. They change nothing.
+//! Answers queries about the dispatcher's state. Queries change nothing.
 
 use super::{send_reply, Dispatcher};
 use crate::protocol::admin::{
@@ -10,7 +10,7 @@
 use poppykeel_scheduler::{BudgetDemand, BudgetKind};
 use std::collections::BTreeMap;
 
-/// The class and tenant of some requests by name, as operators know them.
+/// Names of a request group's class and tenant, as shown to operators.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct GroupName {
     class: String,
@@ -18,10 +18,9 @@
 }
 
 impl Dispatcher {
-    /// Answers one question.
     pub(super) fn answer_query(&self, query: DispatcherQuery) {
         match query {
-            DispatcherQuery::Telemetry(reply) => send_reply(reply, self.telemetry()),
+            DispatcherQuery::Metrics(reply) => send_reply(reply, self.metrics()),
             DispatcherQuery::CrossZoneTraffic(reply) => {
                 send_reply(reply, self.cross_zone_minutes());
             }
@@ -35,7 +34,7 @@
         }
     }
 
-    fn telemetry(&self) -> NodeMetrics {
+    fn metrics(&self) -> NodeMetrics {
         let attempt_ends = self.router.failed_attempt_counts();
         NodeMetrics {
             responses: self.responses_by_class(),
@@ -51,15 +50,15 @@
                     count: counted.count,
                 })
                 .collect(),
-            // The caller knows these and fills them in.
+            // The caller fills these in.
             reloads: ReloadCounts::default(),
             fleet: Vec::new(),
             client_closes: Vec::new(),
         }
     }
 
-    /// For each class name the responses that were complete, rejected and failed. A class whose settings have changed has had
-    /// several indices, and their counts are added up.
+    /// Counts of completed, rejected and failed responses per class name. A class whose settings have changed has had
+    /// several indices; their counts are added up.
     fn responses_by_class(&self) -> Vec<ClassResponses> {
         let mut rows: Vec<ClassResponses> = Vec::new();
         for (class, name) in self.replica_client.site().names.classes.iter().enumerate() {
@@ -98,7 +97,7 @@
         rows
     }
 
-    /// The totals since the start. A class whose settings have changed has had several indices, and their counts are added up.
+    /// Totals since the start. A class whose settings have changed has had several indices; their counts are added up.
     fn cross_zone_totals(&self) -> Vec<CrossZoneAttempts> {
         let mut sums: BTreeMap<GroupName, u64> = BTreeMap::new();
         for counted in self.replica_client.cross_zone_traffic().totals() {
@@ -121,10 +120,10 @@
         }
     }
 
-    /// What this node would have spent of each budget. Calls for the endpoint list are counted by the watch.
+    /// Demand of this node for each budget. The endpoint watcher counts the demand for polls of the endpoint list.
     fn budget_demand(&self) -> BTreeMap<BudgetKind, BudgetDemand> {
         let mut demand = self.router.budget_demand();
-        demand.extend(self.watch.budget_demand());
+        demand.extend(self.endpoint_watcher.budget_demand());
         demand
     }
 
@@ -139,7 +138,7 @@
     }
 }
 
-/// The name of this index; empty where the settings name none.
+/// The name at this index; empty if the settings have none.
 fn name_at(names: &[String], index: usize) -> String {
     names.get(index).cloned().unwrap_or_default()
 }
--- a/src/transport/dispatcher/requests.rs
+++ b/src/transport/dispatcher/requests.rs
@@ -1,4 +1,4 @@
-//! Clients' requests and the ends of attempts: who waits for what, and what the router is told of it.
+//! Handles clients' requests and disconnects, and the streams and outcomes of attempts.
 
 use super::clients::WaitingClient;
 use super::{send_reply, Dispatcher};
@@ -11,7 +11,7 @@
 const MICROS_PER_SECOND: f64 = 1e6;
 
 impl Dispatcher {
-    /// Takes a request, unless its id is in use or its client has disconnected by now.
+    /// Admits a request, unless its id is in use or its client has already disconnected.
     pub(super) fn handle_client_request(
         &mut self,
         now: MonotonicMicros,
@@ -23,15 +23,15 @@
             response,
             owner,
         } = client_request;
-        // The client's time has run since it sent the request, also while the process stood still.
-        let backlog_age = self.replica_client.turn_clock().backlog_age(now);
+        // The client's deadline has been running since it sent the request, also while the process was suspended.
+        let backlog_age = self.replica_client.suspension_detector().backlog_age(now);
         request.time_left -= seconds(backlog_age);
         if self.router.is_active(request.id) {
             send_reply(response, ClientResponse::Duplicate);
             return;
         }
         if response.is_closed() {
-            tracing::debug!(request = %request.id, "client disconnected before its request was taken");
+            tracing::debug!(request = %request.id, "client disconnected before its request was admitted");
             return;
         }
         let router = &self.router;
@@ -52,7 +52,7 @@
         self.process_event(now, RouterEvent::RequestArrived(request));
     }
 
-    /// Ends a request whose client has disconnected, if that client is the one that waits for it.
+    /// Ends a request whose client has disconnected, if that client owns the request.
     pub(super) fn handle_client_disconnected(
         &mut self,
         now: MonotonicMicros,
@@ -60,21 +60,20 @@
         owner: RequestOwner,
     ) {
         if !self.owners.is_owner(request, owner) {
-            tracing::debug!(%request, "a client has disconnected that does not own this request");
+            tracing::debug!(%request, "disconnect ignored: the client does not own this request");
             return;
         }
         self.waiting_clients.remove(request);
         self.process_event(now, RouterEvent::ClientDisconnected(request));
     }
 
-    /// Offers a stream that has begun; the router binds it to the client or abandons its attempt.
+    /// Offers a started stream to the router, which binds it to the client or abandons its attempt.
     pub(super) fn handle_stream_started(&mut self, now: MonotonicMicros, stream: StartedStream) {
         let (request, attempt) = (stream.request, stream.attempt);
         self.offered_stream = Some(stream);
         self.process_event(now, RouterEvent::FirstToken { request, attempt });
     }
 
-    /// Takes note that the task of an attempt has ended.
     pub(super) fn handle_attempt_ended(
         &mut self,
         now: MonotonicMicros,
--- a/src/transport/dispatcher/suspension.rs
+++ b/src/transport/dispatcher/suspension.rs
@@ -1,4 +1,4 @@
-//! What the dispatcher does once it notices that the process stood still.
+//! Recovery after the process has been suspended.
 
 use super::Dispatcher;
 use crate::routing::MonotonicMicros;
@@ -8,18 +8,18 @@
 const MICROS_PER_MILLI: u64 = 1_000;
 
 impl Dispatcher {
-    /// Applies the updates of endpoints that have come, and has the list confirmed anew before anything is placed by it:
-    /// the updates may be as old as the suspension was long. Leaves the other messages in `batch`.
+    /// Applies the endpoint updates in `batch` and polls the endpoint list again before any request is placed by it: the
+    /// updates may be as old as the suspension was long. Leaves the other messages in `batch`.
     pub(super) fn recover_from_suspension(
         &mut self,
         now: MonotonicMicros,
         batch: &mut Vec<DispatcherMessage>,
     ) {
-        let turn_clock = self.replica_client.turn_clock();
-        let suspended_ms = turn_clock.time_since_turn(now) / MICROS_PER_MILLI;
+        let detector = self.replica_client.suspension_detector();
+        let suspended_ms = detector.time_since_iteration(now) / MICROS_PER_MILLI;
         tracing::warn!(
             suspended_ms,
-            "the process stood still; what it knew is of before"
+            "the process stood still; queued endpoint updates may be out of date"
         );
         for message in std::mem::take(batch) {
             match message {
@@ -29,9 +29,9 @@
                 other => batch.push(other),
             }
         }
-        if self.watch.is_enabled() {
+        if self.endpoint_watcher.is_enabled() {
             self.set_endpoint_list_status(now, EndpointListStatus::Restored);
-            self.watch.poll_anew();
+            self.endpoint_watcher.restart_poll();
         }
     }
 }
--- a/src/transport/endpoints/discovery.rs
+++ b/src/transport/endpoints/discovery.rs
@@ -1,13 +1,13 @@
-//! The watcher of discovery's endpoint list: one poll after the other on one connection, each with a time limit.
+//! The watcher of discovery's endpoint list. It polls the service continuously on one connection, each poll with a time
+//! limit.
 //!
-//! [`EndpointWatcher`] is a handle that the dispatcher, `program::serve` and `program::resolve` share. While the watcher
-//! is started, one task polls the service and sends every answer to the dispatcher, and every failure that ends the
-//! polling. The module `watcher_state` has the states and their transitions.
+//! [`EndpointWatcher`] is a handle shared by the dispatcher, `program::serve` and `program::resolve`. While the watcher is
+//! started, one task polls the service and sends the dispatcher every list and every failure that ends the polling. The
+//! module `watcher_state` has the states and their transitions.
 //!
-//! A poll first waits until the coordination's budget has a poll for this node. From then on its time is limited: by
-//! how long it waits at the service, and by the slack for the answer beyond that. Silence shows only when both are
-//! over. So after a poll without an answer the next one does not wait at the service, and after a refusal it waits
-//! for a short time.
+//! A poll first waits for the fleet's discovery budget. From then on its time is limited by how long it waits at the service
+//! plus the slack for the response. An unavailable service is detected only after both. So the poll after a time-out does
+//! not wait at the service, and the poll after a refusal waits only for a short time.
 
 mod reports;
 
@@ -31,42 +31,42 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, Notify};
 
-/// A pushed list is polled again this long after a failed poll: long enough not to spin on a refused connection,
-/// short against the time within which a drain must be heeded.
+/// Pause after a failed poll of a pushed list: long enough not to spin on a refused connection, short compared with the time
+/// within which a drain must be heeded.
 const PUSHED_RETRY_PAUSE: Duration = Duration::from_millis(100);
 
-/// An answer that has begun is complete within this time, unless something is wrong with its way.
-const ANSWER_TRANSFER_TIME: Duration = Duration::from_millis(150);
+/// A response that has begun is normally complete within this time; otherwise its transfer is disturbed.
+const RESPONSE_TRANSFER_TIME: Duration = Duration::from_millis(150);
 
-/// How often the coordination's budget is looked at while it has no poll left for this node.
+/// How often the discovery budget is checked while it is exhausted.
 const BUDGET_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Discovery takes a poll that comes within this time of its last answer as the same watch.
+/// Discovery treats a poll within this time of its last answer as the same watch.
 const MAX_WATCH_GAP: Duration = Duration::from_millis(200);
 
-/// An answer that has come before its poll is dropped has been read within this time.
+/// A response that has arrived before its poll is dropped is read within this time.
 const BACKLOG_READ_TIME: Duration = Duration::from_millis(10);
 
-/// What one poll takes out of the budget.
+/// Units of the budget that one poll costs.
 const UNITS_PER_POLL: f64 = 1.0;
 
-/// The weight of a poll against other demand for the budget.
+/// The priority weight of a poll's demand for the budget.
 const POLL_WEIGHT: f64 = 1.0;
 
-/// A handle to the watcher of one node. Clones share one watcher.
+/// A handle to a node's watcher. Clones share the watcher.
 #[derive(Clone)]
 pub struct EndpointWatcher {
     shared: Rc<SharedState>,
     list_mode: EndpointListMode,
 }
 
-/// What all handles of one watcher and its task share. Everything runs on one thread.
+/// The state shared by all handles of a watcher and its task. Everything runs on one thread.
 struct SharedState {
     service_addr: Cell<SocketAddr>,
-    /// Has the task drop its poll and begin another.
+    /// Notifies the task to drop its poll and begin another.
     poll_dropped: Notify,
     limits: Rc<TransportLimits>,
-    /// To the dispatcher. The task waits while the channel is full.
+    /// The dispatcher's channel. The task waits while it is full.
     dispatcher: mpsc::Sender<DispatcherMessage>,
     state: Cell<WatcherState>,
     /// Whether the list is a source of this node.
@@ -80,20 +80,20 @@
 
 /// How a poll ended.
 enum PollOutcome {
-    /// The poll was dropped, and another one is to be made; with the list of an answer that had come by then.
+    /// The poll was dropped and must be repeated. Holds the list of a response that had arrived by then.
     Dropped(Option<EndpointListResponse>),
-    /// The service has answered with a list.
-    Answered(EndpointListResponse),
-    /// The connection was refused or reset, or the answer is no list.
+    /// The service has responded with a list.
+    ListReceived(EndpointListResponse),
+    /// The connection was refused or reset, or the response has no list.
     Refused(PollError),
-    /// An answer began, and the connection failed or closed before its end. What it held counts as delivered.
+    /// A response began, and the connection failed or closed before its end. The response counts as delivered.
     Incomplete(PollError),
-    /// No complete answer came in time.
+    /// No complete response arrived in time.
     TimedOut,
 }
 
 impl EndpointWatcher {
-    /// A watcher that has not been started, of a list that is polled on request.
+    /// Creates a watcher of a list that is polled on request. It is not started.
     pub fn new(
         service_addr: SocketAddr,
         limits: Rc<TransportLimits>,
@@ -118,7 +118,7 @@
         }
     }
 
-    /// The same watcher for a pushed list. It is started now and does not wait for a request after a failed poll.
+    /// Converts the watcher to one of a pushed list and starts it. It does not wait for a request after a failed poll.
     pub fn into_pushed(self) -> Self {
         let watcher = EndpointWatcher {
             list_mode: EndpointListMode::Pushed,
@@ -133,19 +133,19 @@
         self.shared.known_version.set(version);
     }
 
-    /// Sets the version of a list that was restored from an earlier process. The first poll does not wait at the service:
-    /// where nothing has changed, a long poll would leave that unsaid for the whole of its wait.
+    /// Sets the version of a list that was restored from an earlier process. The first poll does not wait at the service: a
+    /// long poll of an unchanged list would confirm the list only after its full wait.
     pub fn set_restored_version(&self, version: u64) {
         self.set_known_version(version);
         self.apply(WatcherEvent::Restored);
     }
 
-    /// Sets whether the list is a source of this node. A list that becomes one is watched at once; one that no longer
-    /// is one is not polled again, while a poll that is under way goes on.
+    /// Sets whether the list is a source of this node. A list that becomes a source is polled at once. A list that is no
+    /// longer a source is not polled again, but a poll in progress is completed.
     pub fn set_enabled(&self, is_enabled: bool) {
         let was_enabled = self.shared.is_enabled.replace(is_enabled);
         if is_enabled && !was_enabled {
-            // The registry has forgotten the source's earlier answers, so the full list is needed.
+            // The registry has dropped the source's earlier answers, so the full list is needed.
             self.shared.known_version.set(0);
             self.start();
         }
@@ -156,7 +156,7 @@
         self.shared.is_enabled.get()
     }
 
-    /// Sets what the coordination grants of polls from now on.
+    /// Sets the grant of the discovery budget from now on.
     pub fn set_budget_grants(&self, grants: &BudgetGrants) {
         let poll_grants = grants
             .iter()
@@ -169,12 +169,12 @@
             .set_grants(seconds(self.shared.clock.now()), &poll_grants);
     }
 
-    /// The demand for polls since the start.
+    /// The demand for the discovery budget since the start.
     pub fn budget_demand(&self) -> BTreeMap<BudgetKind, BudgetDemand> {
         self.shared.poll_budget.borrow().demand()
     }
 
-    /// Starts to watch the list, unless that has happened or the list is no source of this node.
+    /// Starts the watcher, unless it has been started or the list is not a source of this node.
     pub fn start(&self) {
         let can_start = self.shared.is_enabled.get() && !self.shared.state.get().is_started();
         if can_start {
@@ -183,8 +183,8 @@
         }
     }
 
-    /// Watches at another address from now on. A poll that waits at the previous one is dropped, and so is the pause
-    /// after a failed poll: the previous service may never answer.
+    /// Polls at another address from now on. A poll at the previous address is dropped, and so is the pause after a failed
+    /// poll: the previous service may never respond.
     pub fn set_service_addr(&self, service_addr: SocketAddr) {
         if self.shared.service_addr.replace(service_addr) == service_addr {
             return;
@@ -196,9 +196,9 @@
         }
     }
 
-    /// Drops a poll that is under way and polls anew. The process was suspended: the answer that the poll gets may be as old
-    /// as the suspension is long, and its connection may have ended meanwhile.
-    pub fn poll_anew(&self) {
+    /// Drops a poll in progress and polls again. Used after a suspension of the process: the response of the poll may be as
+    /// old as the suspension was long, and its connection may have ended.
+    pub fn restart_poll(&self) {
         if self.shared.state.get().is_started() {
             self.shared.poll_dropped.notify_one();
         }
@@ -210,13 +210,14 @@
         state
     }
 
-    /// The task: polls until the watcher is idle or stopped. It must not look at the state after it has become idle,
+    /// The watcher's task: polls until the watcher is idle or stopped. It must not read the state after it has become idle,
     /// since another task may have been started by then.
     async fn run(self) {
         while let Some(error) = self.poll_until_failure().await {
             self.log_failure(&error);
             if error.is_unreachable() {
-                self.report_doubt(EndpointListStatus::Unreachable).await;
+                self.report_unconfirmed(EndpointListStatus::Unreachable)
+                    .await;
             }
             let is_paused = matches!(self.shared.state.get(), WatcherState::Paused(_));
             let report = self.send_update(SourceUpdate::Failed, true).await;
@@ -233,8 +234,7 @@
 
     /// Waits after a failed poll of a pushed list.
     async fn pause(&self) {
-        // Both branches are safe to cancel: `notified` keeps a notification that comes later for the next call, and
-        // a timer holds nothing.
+        // Both branches are cancel-safe: `notified` keeps a later notification for the next call, and a timer holds nothing.
         let event = tokio::select! {
             () = self.shared.poll_dropped.notified() => WatcherEvent::PollDropped,
             () = tokio::time::sleep(PUSHED_RETRY_PAUSE) => WatcherEvent::PauseEnded,
@@ -242,8 +242,8 @@
         self.apply(event);
     }
 
-    /// Polls until a poll fails for good, and returns why it did. `None` if the list is no source of this node any
-    /// more, or the dispatcher has gone.
+    /// Polls until a poll fails without an immediate retry, and returns the reason. `None` if the list is no longer a source
+    /// of this node, or the dispatcher has ended.
     async fn poll_until_failure(&self) -> Option<PollError> {
         let mut connection = None;
         // Only this task leaves the state `Polling`.
@@ -258,8 +258,8 @@
                     connection = None;
                     self.report_dropped_poll(last_list).await;
                 }
-                PollOutcome::Answered(response) => {
-                    self.apply(WatcherEvent::Answered);
+                PollOutcome::ListReceived(response) => {
+                    self.apply(WatcherEvent::ListReceived);
                     if self.report_list(response).await.is_err() {
                         self.apply(WatcherEvent::DispatcherGone);
                     }
@@ -269,8 +269,9 @@
                     return Some(error);
                 }
                 PollOutcome::Incomplete(error) => {
-                    let state = self.apply(WatcherEvent::AnswerIncomplete);
-                    self.report_doubt(EndpointListStatus::Incomplete).await;
+                    let state = self.apply(WatcherEvent::ResponseIncomplete);
+                    self.report_unconfirmed(EndpointListStatus::Incomplete)
+                        .await;
                     if !matches!(state, WatcherState::Polling(_)) {
                         return Some(error);
                     }
@@ -282,10 +283,11 @@
                     if !matches!(state, WatcherState::Polling(_)) {
                         return Some(PollError::Timeout);
                     }
-                    self.report_doubt(EndpointListStatus::Unconfirmed).await;
+                    self.report_unconfirmed(EndpointListStatus::Unconfirmed)
+                        .await;
                     tracing::info!(
                         source = ENDPOINT_LIST_SOURCE,
-                        "no answer from discovery in time; polling on a new connection"
+                        "no response from discovery in time; polling on a new connection"
                     );
                     connection = None;
                 }
@@ -297,21 +299,21 @@
     /// One poll, on the connection of the previous one or on a new one.
     async fn poll(&self, connection: &mut Option<HttpConnection>, mode: PollMode) -> PollOutcome {
         let mut poll = std::pin::pin!(self.poll_in_time(connection, mode));
-        // `notified` is safe to cancel: a notification that comes later is kept for the next call.
+        // `notified` is cancel-safe: a later notification is kept for the next call.
         tokio::select! {
             biased;
             () = self.shared.poll_dropped.notified() => {}
             outcome = &mut poll => return outcome,
         }
-        // What has come already counts as delivered, so it is read. The poll that is dropped then closes its connection,
-        // and loses nothing: the next one asks for everything after the same version.
+        // A response that has already arrived counts as delivered, so it is read. The dropped poll then closes its
+        // connection and loses nothing: the next poll requests everything after the same version.
         match tokio::time::timeout(BACKLOG_READ_TIME, poll).await {
-            Ok(PollOutcome::Answered(list)) => PollOutcome::Dropped(Some(list)),
+            Ok(PollOutcome::ListReceived(list)) => PollOutcome::Dropped(Some(list)),
             _ => PollOutcome::Dropped(None),
         }
     }
 
-    /// Waits for the budget, and then polls within the time that the mode allows.
+    /// Waits for the budget, then polls within the time that the mode allows.
     async fn poll_in_time(
         &self,
         connection: &mut Option<HttpConnection>,
@@ -326,45 +328,45 @@
         self.wait_for_budget().await;
         let exchange = self.exchange(connection, wait);
         match tokio::time::timeout(wait + slack, exchange).await {
-            Ok(Ok(response)) => PollOutcome::Answered(response),
-            Ok(Err(error)) if error.is_incomplete_answer() => PollOutcome::Incomplete(error),
+            Ok(Ok(response)) => PollOutcome::ListReceived(response),
+            Ok(Err(error)) if error.is_incomplete_response() => PollOutcome::Incomplete(error),
             Ok(Err(error)) => PollOutcome::Refused(error),
             Err(_) => PollOutcome::TimedOut,
         }
     }
 
-    /// Waits until the coordination's budget has a poll for this node, and takes it. Nobody watches the list meanwhile.
+    /// Waits until the discovery budget allows a poll, and spends its unit. The list is not watched in the meantime.
     async fn wait_for_budget(&self) {
         let budget = &self.shared.poll_budget;
         budget
             .borrow_mut()
             .record_demand(BudgetKind::Discovery, UNITS_PER_POLL, POLL_WEIGHT);
-        let began_at = self.shared.clock.now();
-        let mut is_doubtful = false;
+        let wait_started_at = self.shared.clock.now();
+        let mut is_reported = false;
         loop {
             let now = seconds(self.shared.clock.now());
             if budget.borrow_mut().spend_unit(now, BudgetKind::Discovery) {
                 return;
             }
-            let unwatched = Duration::from_micros(self.shared.clock.now() - began_at);
-            if unwatched >= MAX_WATCH_GAP && !is_doubtful {
-                is_doubtful = true;
-                self.report_doubt(EndpointListStatus::Unconfirmed).await;
+            let unwatched = Duration::from_micros(self.shared.clock.now() - wait_started_at);
+            if unwatched >= MAX_WATCH_GAP && !is_reported {
+                is_reported = true;
+                self.report_unconfirmed(EndpointListStatus::Unconfirmed)
+                    .await;
             }
             tokio::time::sleep(BUDGET_CHECK_INTERVAL).await;
         }
     }
 
-    /// Asks the service for what is newer than the known list. A connection that may carry another request is put
-    /// back into `connection`.
+    /// Requests the changes since the known version. A connection that may be reused is put back into `connection`.
     async fn exchange(
         &self,
         connection: &mut Option<HttpConnection>,
         wait: Duration,
     ) -> Result<EndpointListResponse, PollError> {
         let shared = &self.shared;
-        let mut wire = if let Some(wire) = connection.take() {
-            wire
+        let mut http = if let Some(http) = connection.take() {
+            http
         } else {
             poll::connect(shared.service_addr.get(), shared.limits.long_poll_slack).await?
         };
@@ -373,17 +375,17 @@
             known_version: shared.known_version.get(),
             wait,
         };
-        poll::send(&mut wire, request).await?;
-        poll::answer_begins(&wire).await?;
-        let response = self.read_answer(&mut wire).await?;
+        poll::send(&mut http, request).await?;
+        poll::wait_for_response(&http).await?;
+        let response = self.read_response(&mut http).await?;
         response.check_status()?;
         if response.keeps_connection {
-            *connection = Some(wire);
+            *connection = Some(http);
         }
         let list = response.parse()?;
         let known_version = shared.known_version.get();
         if list.is_older_change(known_version) {
-            // The service counts anew, so nothing can be built on what the node has.
+            // The service has restarted its version count, so changes can't be applied to the node's list.
             shared.known_version.set(0);
             return Err(PollError::OlderChanges {
                 version: list.version(),
@@ -393,18 +395,19 @@
         Ok(list)
     }
 
-    /// Reads an answer that has begun. Its list counts as delivered from its first byte on, so the node's own list is
-    /// doubtful if the rest does not follow.
-    async fn read_answer(
+    /// Reads a response that has begun. Its list counts as delivered from its first byte on, so the node's own list is
+    /// unconfirmed if the remainder is delayed.
+    async fn read_response(
         &self,
         connection: &mut HttpConnection,
     ) -> Result<poll::PollResponse, PollError> {
-        let mut answer = std::pin::pin!(poll::read_answer(connection));
-        // The answer keeps what it has read: it is awaited again after the time-out, not dropped.
-        if let Ok(response) = tokio::time::timeout(ANSWER_TRANSFER_TIME, &mut answer).await {
+        let mut read = std::pin::pin!(poll::read_response(connection));
+        // The future keeps the bytes it has read: after the time-out it is awaited again, not dropped.
+        if let Ok(response) = tokio::time::timeout(RESPONSE_TRANSFER_TIME, &mut read).await {
             return response;
         }
-        self.report_doubt(EndpointListStatus::Incomplete).await;
-        answer.await
+        self.report_unconfirmed(EndpointListStatus::Incomplete)
+            .await;
+        read.await
     }
 }
--- a/src/transport/endpoints/discovery/reports.rs
+++ b/src/transport/endpoints/discovery/reports.rs
@@ -1,4 +1,4 @@
-//! What the watcher tells the dispatcher, and the log, of its polls.
+//! The watcher's reports to the dispatcher and to the log.
 
 use super::EndpointWatcher;
 use crate::protocol::discovery::EndpointListResponse;
@@ -9,20 +9,21 @@
 use tokio::sync::mpsc;
 
 impl EndpointWatcher {
-    /// A poll was dropped. What came before that is reported, but says nothing of the present.
+    /// Reports a dropped poll. A list received before the drop is reported, but may be out of date.
     pub(super) async fn report_dropped_poll(&self, last_list: Option<EndpointListResponse>) {
-        self.report_doubt(EndpointListStatus::Unconfirmed).await;
+        self.report_unconfirmed(EndpointListStatus::Unconfirmed)
+            .await;
         if let Some(list) = last_list {
             self.set_known_version(list.version());
-            // The channel is closed only once the node has ended.
+            // The channel is closed only after the node has ended.
             let _ = self.send_update(list.into_source_update(), false).await;
         }
     }
 
-    /// Tells the dispatcher that the list may be out of date.
-    pub(super) async fn report_doubt(&self, status: EndpointListStatus) {
-        self.shared.log.record_doubt(self.shared.clock.now());
-        // The channel is closed only once the node has ended.
+    /// Notifies the dispatcher that the list may be out of date.
+    pub(super) async fn report_unconfirmed(&self, status: EndpointListStatus) {
+        self.shared.log.record_unconfirmed(self.shared.clock.now());
+        // The channel is closed only after the node has ended.
         let _ = self
             .shared
             .dispatcher
@@ -37,13 +38,13 @@
     ) -> Result<(), mpsc::error::SendError<DispatcherMessage>> {
         self.shared
             .log
-            .record_answer(self.shared.clock.now(), response.version());
-        // The version is set before the next poll goes out, however late the dispatcher takes the list.
+            .record_response(self.shared.clock.now(), response.version());
+        // The version must be set before the next poll is sent, even if the dispatcher receives the list late.
         self.set_known_version(response.version());
         self.send_update(response.into_source_update(), true).await
     }
 
-    /// Sends an update to the dispatcher, and waits while its channel is full. Fails if the dispatcher has gone.
+    /// Sends an update to the dispatcher. Waits while its channel is full, and fails if the dispatcher has ended.
     pub(super) async fn send_update(
         &self,
         update: SourceUpdate,
--- a/src/transport/endpoints/mod.rs
+++ b/src/transport/endpoints/mod.rs
@@ -1,8 +1,8 @@
-//! The watchers of the endpoint sources.
+//! Watchers of the endpoint sources.
 //!
-//! [`discovery`] polls the endpoint list over HTTP: its states are in `watcher_state`, one exchange with the service in
-//! `poll`, what the log says of them in `poll_log`. [`srv`] looks up DNS SRV records. Each watcher sends what its source reports to the dispatcher, which owns
-//! the combined list; `program::serve` and `program::resolve` create them.
+//! [`discovery`] polls the endpoint list over HTTP: `watcher_state` has its states, `poll` one exchange with the service,
+//! and `poll_log` the log output. [`srv`] looks up DNS SRV records. Each watcher sends the reports of its source to the
+//! dispatcher, which owns the combined list; `program::serve` and `program::resolve` create the watchers.
 
 pub mod discovery;
 mod poll;
--- a/src/transport/endpoints/poll.rs
+++ b/src/transport/endpoints/poll.rs
@@ -1,8 +1,8 @@
-//! One poll of the service that keeps the endpoint list: an HTTP request and its answer on one connection.
+//! One poll of the discovery service: an HTTP request for the endpoint list and its response on one connection.
 //!
-//! Nothing here waits beyond the connect timeout: the watcher bounds the time of an exchange, and drops it if the
-//! service moves. A dropped exchange leaves the connection in the middle of a message, so the connection must be
-//! dropped with it.
+//! This module has timeouts only for connecting and for gaps in a response: the watcher limits the total time of an
+//! exchange, and drops the exchange if the service moves. A dropped exchange leaves the connection in the middle of a
+//! message, so the connection must be dropped with it.
 
 use crate::protocol::discovery::{parse_endpoint_list, EndpointListError, EndpointListResponse};
 use crate::protocol::http::{
@@ -17,76 +17,76 @@
 use tokio::net::TcpStream;
 use tokio_util::codec::Framed;
 
-/// The longest answer that is read.
+/// Maximum length of a response body.
 const MAX_RESPONSE_BYTES: usize = 4 * 1024 * 1024;
 
-/// An answer of which nothing more comes for this time has stalled. A drain in it counts as delivered from its first byte
-/// on: the time leaves room for another poll within the grace for draining.
-const MAX_ANSWER_GAP: Duration = Duration::from_millis(300);
+/// A response without further bytes for this time has stalled. A drain in it counts as delivered from the response's first
+/// byte on, so the limit leaves time for another poll within the drain grace.
+const MAX_RESPONSE_GAP: Duration = Duration::from_millis(300);
 
-/// The status of an answer with a list.
+/// Status of a response with a list.
 const STATUS_OK: u16 = 200;
 
-/// Why a poll brought no list.
+/// Why a poll did not return a list.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum PollError {
-    /// The connection was not up in time.
-    #[error("no connection in time")]
+    /// The connection was not established in time.
+    #[error("connect timeout")]
     ConnectTimeout,
     /// The connection could not be opened.
     #[error("{0}")]
     Connect(#[source] std::io::Error),
-    /// The connection failed before an answer.
+    /// The connection failed before a response.
     #[error("{0}")]
     Http(HttpParseError),
-    /// The service closed the connection without an answer.
-    #[error("connection closed")]
+    /// The service closed the connection without a response.
+    #[error("connection closed without a response")]
     Closed,
-    /// The service closed the connection within its answer.
-    #[error("connection closed within the answer")]
-    Cut,
-    /// The rest of an answer did not come.
-    #[error("answer stalled")]
+    /// The service closed the connection before the response was complete.
+    #[error("connection closed before the response was complete")]
+    ClosedMidResponse,
+    /// The response stopped for [`MAX_RESPONSE_GAP`].
+    #[error("response stalled for {} ms", MAX_RESPONSE_GAP.as_millis())]
     Stalled,
-    /// The connection failed within the answer, or what came is not HTTP.
+    /// The connection failed before the response was complete, or the response is not valid HTTP.
     #[error("{0}")]
     Incomplete(HttpParseError),
-    /// The answer is longer than [`MAX_RESPONSE_BYTES`].
-    #[error("answer too long")]
+    /// The response body is longer than [`MAX_RESPONSE_BYTES`].
+    #[error("response body longer than {MAX_RESPONSE_BYTES} bytes")]
     TooLong,
-    /// The answer has another status than 200.
-    #[error("status {0}")]
+    /// The status of the response is not 200.
+    #[error("status {0}, expected 200")]
     Status(u16),
-    /// The answer is not JSON.
-    #[error("answer not in JSON ({0})")]
+    /// The response body is not JSON.
+    #[error("response is not JSON: {0}")]
     Json(#[source] serde_json::Error),
-    /// The answer is not an endpoint list.
+    /// The response is not an endpoint list.
     #[error("{0}")]
     List(#[source] EndpointListError),
-    /// The answer holds changes of an earlier version than that of the list that the node has.
-    #[error("changes of version {version}, expected {known_version} or later")]
+    /// The response has changes of an earlier version than the list that the node has.
+    #[error("response has changes of version {version}, expected {known_version} or later")]
     OlderChanges {
-        /// The version of the answer.
+        /// The version of the response.
         version: u64,
         /// The version of the list that the node has.
         known_version: u64,
     },
-    /// No complete answer came in time.
-    #[error("no answer in time")]
+    /// No complete response arrived in time.
+    #[error("no complete response in time")]
     Timeout,
 }
 
 impl PollError {
-    /// Whether nothing listens at the service's address.
+    /// Whether the service refused the connection.
     pub(super) fn is_unreachable(&self) -> bool {
         matches!(self, PollError::Connect(e) if e.kind() == ErrorKind::ConnectionRefused)
     }
 
-    /// Whether a part of an answer came that may have been a list.
-    pub(super) fn is_incomplete_answer(&self) -> bool {
+    /// Whether a part of a response arrived that may have been a list.
+    pub(super) fn is_incomplete_response(&self) -> bool {
         matches!(
             self,
-            PollError::Cut
+            PollError::ClosedMidResponse
                 | PollError::Stalled
                 | PollError::Incomplete(_)
                 | PollError::Json(_)
@@ -96,29 +96,29 @@
     }
 }
 
-/// What the service is asked.
+/// The parameters of a poll.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct PollRequest {
     /// The address of the service, for the request's `Host`.
     pub(super) service_addr: SocketAddr,
-    /// The version of the list that the node has; only what is newer is asked for.
+    /// The version of the list that the node has. Only newer changes are requested.
     pub(super) known_version: u64,
-    /// How long the service waits for a newer list.
+    /// How long the service may wait for a newer list.
     pub(super) wait: Duration,
 }
 
-/// A complete answer.
+/// A complete response.
 pub(super) struct PollResponse {
     status: u16,
     body: Vec<u8>,
-    /// Whether the connection may carry another request.
+    /// Whether the connection may be reused for another request.
     pub(super) keeps_connection: bool,
 }
 
 /// Opens a connection to the service.
 ///
 /// # Errors
-/// The connection is refused, or not up within `timeout`.
+/// Fails if the connection is refused, or not established within `timeout`.
 pub(super) async fn connect(
     service_addr: SocketAddr,
     timeout: Duration,
@@ -130,10 +130,10 @@
     Ok(Framed::new(socket.into(), HttpCodec::new(Role::Client)))
 }
 
-/// Sends a request.
+/// Sends the request of a poll.
 ///
 /// # Errors
-/// The connection fails.
+/// Fails if the connection fails.
 pub(super) async fn send(
     connection: &mut HttpConnection,
     poll: PollRequest,
@@ -150,11 +150,11 @@
         .map_err(PollError::Http)
 }
 
-/// Waits for the first byte of an answer.
+/// Waits for the first byte of a response.
 ///
 /// # Errors
-/// The connection fails or closes before.
-pub(super) async fn answer_begins(connection: &HttpConnection) -> Result<(), PollError> {
+/// Fails if the connection fails or closes first.
+pub(super) async fn wait_for_response(connection: &HttpConnection) -> Result<(), PollError> {
     match connection.get_ref().peek().await {
         Ok(0) => Err(PollError::Closed),
         Ok(_) => Ok(()),
@@ -162,11 +162,11 @@
     }
 }
 
-/// Reads an answer that has begun, whatever its status.
+/// Reads a response that has begun, whatever its status.
 ///
 /// # Errors
-/// The connection fails, stalls or closes before the answer is complete, or the answer is too long.
-pub(super) async fn read_answer(
+/// Fails if the connection fails, stalls or closes before the response is complete, or if the response is too long.
+pub(super) async fn read_response(
     connection: &mut HttpConnection,
 ) -> Result<PollResponse, PollError> {
     let mut response = PollResponse {
@@ -175,7 +175,7 @@
         keeps_connection: false,
     };
     loop {
-        let part = tokio::time::timeout(MAX_ANSWER_GAP, connection.next())
+        let part = tokio::time::timeout(MAX_RESPONSE_GAP, connection.next())
             .await
             .map_err(|_| PollError::Stalled)?;
         match part {
@@ -194,16 +194,16 @@
             }
             Some(Ok(MessagePart::End)) => return Ok(response),
             Some(Err(fault)) => return Err(PollError::Incomplete(fault)),
-            None => return Err(PollError::Cut),
+            None => return Err(PollError::ClosedMidResponse),
         }
     }
 }
 
 impl PollResponse {
-    /// Fails unless the answer's status is 200.
+    /// Checks that the response's status is 200.
     ///
     /// # Errors
-    /// The status of the answer.
+    /// Returns any other status.
     pub(super) fn check_status(&self) -> Result<(), PollError> {
         if self.status == STATUS_OK {
             Ok(())
@@ -212,12 +212,12 @@
         }
     }
 
-    /// Reads the list.
+    /// Parses the list.
     ///
     /// # Errors
-    /// The body is not JSON, or not an endpoint list.
+    /// Fails if the body is not JSON, or not an endpoint list.
     pub(super) fn parse(&self) -> Result<EndpointListResponse, PollError> {
-        let answer = serde_json::from_slice(&self.body).map_err(PollError::Json)?;
-        parse_endpoint_list(&answer).map_err(PollError::List)
+        let list = serde_json::from_slice(&self.body).map_err(PollError::Json)?;
+        parse_endpoint_list(&list).map_err(PollError::List)
     }
 }
--- a/src/transport/endpoints/poll_log.rs
+++ b/src/transport/endpoints/poll_log.rs
@@ -1,4 +1,4 @@
-//! What the log says of the polls of discovery's endpoint list: why they fail, and since when the list is not confirmed.
+//! Log output about polls of the endpoint list: why they fail, and for how long the list was unconfirmed.
 
 use super::poll::PollError;
 use crate::routing::MonotonicMicros;
@@ -7,16 +7,17 @@
 
 const MICROS_PER_MILLI: u64 = 1_000;
 
-/// Logs changes only: a service that stays away is polled many times.
+/// Logs only changes, since an unavailable service is polled many times.
 pub(super) struct PollLog {
     /// Why the last poll failed, if it did.
     last_error: RefCell<Option<String>>,
-    /// Since when no poll has been answered: the start, or the first doubt after an answer.
+    /// Time since which the list is unconfirmed: the start, or the first event after a response that made it uncertain.
+    /// `None` while the list is confirmed.
     unconfirmed_since: Cell<Option<MonotonicMicros>>,
 }
 
 impl PollLog {
-    /// The log of a list that is not confirmed yet.
+    /// Creates a log for a list that is not confirmed yet.
     pub(super) fn new(now: MonotonicMicros) -> Self {
         PollLog {
             last_error: RefCell::default(),
@@ -24,21 +25,21 @@
         }
     }
 
-    /// Notes that the list may be out of date from now on.
-    pub(super) fn record_doubt(&self, now: MonotonicMicros) {
+    /// Records that the list is unconfirmed from now on.
+    pub(super) fn record_unconfirmed(&self, now: MonotonicMicros) {
         if self.unconfirmed_since.get().is_none() {
             self.unconfirmed_since.set(Some(now));
         }
     }
 
-    /// Logs why the list cannot be had, unless the previous poll failed for the same reason.
+    /// Logs why a poll failed, unless the previous poll failed for the same reason.
     pub(super) fn record_failure(
         &self,
         now: MonotonicMicros,
         error: &PollError,
         known_version: u64,
     ) {
-        self.record_doubt(now);
+        self.record_unconfirmed(now);
         let reason = error.to_string();
         let is_new = self.last_error.borrow().as_ref() != Some(&reason);
         if is_new {
@@ -52,8 +53,8 @@
         self.last_error.replace(Some(reason));
     }
 
-    /// Logs an answer; at the usual level where it is the first one after a failure or a doubt.
-    pub(super) fn record_answer(&self, now: MonotonicMicros, version: u64) {
+    /// Logs a response, at level `info` if it is the first one after a failure or confirms the list again.
+    pub(super) fn record_response(&self, now: MonotonicMicros, version: u64) {
         if self.last_error.replace(None).is_some() {
             tracing::info!(
                 source = ENDPOINT_LIST_SOURCE,
@@ -63,7 +64,7 @@
         tracing::debug!(
             source = ENDPOINT_LIST_SOURCE,
             version,
-            "endpoint list answered"
+            "endpoint list received"
         );
         if let Some(since) = self.unconfirmed_since.take() {
             let unconfirmed_ms = now.saturating_sub(since) / MICROS_PER_MILLI;
--- a/src/transport/endpoints/srv.rs
+++ b/src/transport/endpoints/srv.rs
@@ -1,8 +1,8 @@
-//! The watcher of DNS: keeps a service's SRV records looked up and reports the endpoints found.
+//! The watcher of DNS: repeatedly looks up a service's SRV records and reports the endpoints found.
 //!
-//! [`SrvWatcher`] owns the task that runs the resolver. The task sends every answer and every failure to the dispatcher
-//! and keeps the latest one for whoever shows records and lifetimes. `program::serve` and `program::resolve` own a
-//! watcher and set what it looks up.
+//! [`SrvWatcher`] owns the task that runs the resolver. The task sends every answer and every failure to the dispatcher and
+//! stores the latest one for commands that show records and lifetimes. `program::serve` and `program::resolve` own a watcher
+//! and configure its look-ups.
 
 use crate::protocol::srv::SrvEndpointMapping;
 use crate::transport::clock::Clock;
@@ -16,11 +16,11 @@
 use tokio::sync::mpsc;
 use tokio::task::AbortHandle;
 
-/// The events of the resolver that wait to be reported. The resolver waits while the channel is full, which is while
-/// the dispatcher is busy.
+/// Number of resolver events that may wait to be reported. The resolver waits while the channel is full, that is, while the
+/// dispatcher is busy.
 const EVENT_CHANNEL_CAPACITY: usize = 16;
 
-/// What is looked up, and how the answers are understood.
+/// Settings of the look-ups.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SrvLookupSettings {
     /// The resolver's settings.
@@ -29,22 +29,22 @@
     pub endpoint_mapping: SrvEndpointMapping,
 }
 
-/// How the latest look-up ended.
+/// The result of the latest look-up.
 #[derive(Clone, Debug, Default)]
 pub enum SrvLookupResult {
-    /// None has ended yet.
+    /// No look-up has ended yet.
     #[default]
     Pending,
-    /// The service was looked up.
+    /// The look-up succeeded.
     Found(ServiceLookup),
-    /// The service could not be looked up, for this reason.
+    /// The look-up failed.
     Failed(LookupError),
 }
 
-/// The latest look-up, shared with the watcher's task, which replaces it.
+/// The result of the latest look-up, shared with the watcher's task, which replaces it.
 pub type LatestSrvLookup = Rc<RefCell<SrvLookupResult>>;
 
-/// The look-ups of one node. Nothing is looked up until [`SrvWatcher::watch`] says what.
+/// The DNS look-ups of one node. [`SrvWatcher::watch`] starts them.
 pub struct SrvWatcher {
     clock: Clock,
     dispatcher: mpsc::Sender<DispatcherMessage>,
@@ -52,7 +52,7 @@
     latest: LatestSrvLookup,
 }
 
-/// The task that looks one service up. Dropping this ends it.
+/// The task that looks up one service. Dropping this aborts it.
 struct RunningLookup {
     settings: SrvLookupSettings,
     task: AbortHandle,
@@ -65,7 +65,7 @@
 }
 
 impl SrvWatcher {
-    /// A watcher that looks nothing up yet.
+    /// Creates a watcher without look-ups.
     pub fn new(clock: Clock, dispatcher: mpsc::Sender<DispatcherMessage>) -> Self {
         SrvWatcher {
             clock,
@@ -75,12 +75,13 @@
         }
     }
 
-    /// The latest look-up, also of services that are set later.
+    /// The result of the latest look-up, also of services that are configured later.
     pub fn latest_lookup(&self) -> LatestSrvLookup {
         self.latest.clone()
     }
 
-    /// Looks this service up from now on, or none. Look-ups with the same settings go on undisturbed.
+    /// Replaces the look-ups by those of this service; `None` ends them. Look-ups with unchanged settings continue
+    /// undisturbed.
     pub fn watch(&mut self, settings: Option<SrvLookupSettings>) {
         let current = self.running.as_ref().map(|running| &running.settings);
         if current == settings.as_ref() {
@@ -104,21 +105,21 @@
     }
 }
 
-/// Runs the resolver and reports its events, until the dispatcher has gone or the settings turn out to be invalid.
+/// Runs the resolver and reports its events, until the dispatcher has ended or the settings turn out to be invalid.
 async fn run(resolver: ResolverConfig, clock: Clock, reporter: LookupReporter) {
     let (event_sender, events) = mpsc::channel(EVENT_CHANNEL_CAPACITY);
     let driver = driver::run(resolver, move || clock.now(), event_sender);
-    // Neither branch is polled again after the other has ended, so nothing depends on their cancellation: the driver
-    // owns its sockets and closes them when it is dropped, and events that were not reported are lost with it.
+    // Neither branch is polled after the other has ended, so cancel safety is not needed: the driver owns its sockets and
+    // closes them when it is dropped, and unreported events are lost with it.
     tokio::select! {
         result = driver => if let Err(reason) = result {
-            tracing::error!(source = SRV_SOURCE, %reason, "look-ups stopped");
+            tracing::error!(source = SRV_SOURCE, %reason, "DNS look-ups stopped: invalid resolver settings");
         },
         () = reporter.report_all(events) => {}
     }
 }
 
-/// Turns the resolver's events into updates of the source.
+/// Converts the resolver's events to updates of the source.
 struct LookupReporter {
     mapping: SrvEndpointMapping,
     dispatcher: mpsc::Sender<DispatcherMessage>,
@@ -128,7 +129,7 @@
 }
 
 impl LookupReporter {
-    /// Reports events until there are no more, or until the dispatcher has gone.
+    /// Reports events until the channel closes or the dispatcher has ended.
     async fn report_all(mut self, mut events: mpsc::Receiver<ResolverEvent>) {
         while let Some(event) = events.recv().await {
             let update = self.update_for(&event);
@@ -162,7 +163,7 @@
         }
     }
 
-    /// A list that equals the previous one is an empty change list, which confirms it.
+    /// Returns an empty change list, which confirms the previous list, if the list is unchanged.
     fn list_update(&mut self, listed: Vec<ListedEndpoint>) -> SourceUpdate {
         if self.last_listed.as_ref() == Some(&listed) {
             return SourceUpdate::Changes(Vec::new());
@@ -174,16 +175,16 @@
 
 fn log_incomplete_answer(lookup: &ServiceLookup) {
     if let Some(reason) = &lookup.empty_reason {
-        tracing::warn!(source = SRV_SOURCE, %reason, "nothing listed");
+        tracing::warn!(source = SRV_SOURCE, %reason, "nothing listed: the SRV answer has no usable endpoint");
     }
     for UnresolvedTarget { target, reason } in &lookup.unresolved {
-        tracing::warn!(source = SRV_SOURCE, target_name = %target, %reason, "target not resolved");
+        tracing::warn!(source = SRV_SOURCE, target_name = %target, %reason, "SRV target not resolved");
     }
     if lookup.ignored_target_count > 0 {
         tracing::warn!(
             source = SRV_SOURCE,
             omitted_count = lookup.ignored_target_count,
-            "too many targets"
+            "too many SRV targets; ignoring those beyond the limit"
         );
     }
 }
--- a/src/transport/endpoints/watcher_state.rs
+++ b/src/transport/endpoints/watcher_state.rs
@@ -1,76 +1,75 @@
-//! The states of the watcher of discovery's endpoint list, apart from its sockets and timers.
+//! The state machine of the endpoint list watcher, without sockets and timers.
 //!
 //! | state | event | next state |
 //! | --- | --- | --- |
 //! | `Idle(mode)` | `Started` | `Polling(mode)` |
-//! | `Polling(_)` | `Answered` | `Polling(Long)` |
+//! | `Polling(_)` | `ListReceived` | `Polling(Long)` |
 //! | `Idle(_)` | `Restored` | `Idle(Immediate)` |
 //! | `Polling(_)` | `PollDropped` | `Polling(Immediate)` |
 //! | `Polling(mode)` | `Disabled` | `Idle(mode)` |
 //! | `Polling(_)` | `Refused` | on request `Idle(Short)`, pushed `Paused(Short)` |
-//! | `Polling(Long)`, `Polling(Short)` | `TimedOut`, `AnswerIncomplete` | `Polling(Immediate)` |
-//! | `Polling(Immediate)` | `TimedOut`, `AnswerIncomplete` | on request `Idle(Immediate)`, pushed `Paused(Immediate)` |
+//! | `Polling(Long)`, `Polling(Short)` | `TimedOut`, `ResponseIncomplete` | `Polling(Immediate)` |
+//! | `Polling(Immediate)` | `TimedOut`, `ResponseIncomplete` | on request `Idle(Immediate)`, pushed `Paused(Immediate)` |
 //! | `Paused(mode)` | `PauseEnded`, `PollDropped` | `Polling(mode)` |
 //! | any | `DispatcherGone` | `Stopped` |
 //!
-//! Every other event leaves the state as it is. Two rules stand behind the table:
+//! All other events leave the state unchanged. Two rules are behind the table:
 //!
-//! * A refusal ends the polling, and the scheduler says when to start again: nodes whose polls a failed service has
-//!   reset together must not come back together. Where lists are pushed, the service is an agent on the node's own
-//!   machine, which answers at no cost: the watcher polls again by itself after a short pause.
-//! * A poll without an answer in time is repeated at once, but only once: the service may well be there, and the
-//!   connection alone be broken. The new poll does not wait at the service, so a second silence shows soon.
+//! * A refusal ends the polling, and the scheduler decides when to start again: nodes whose polls were reset together by
+//!   a failed service must not reconnect together. A pushed list comes from an agent on the node's own machine, which
+//!   answers at no cost, so the watcher polls it again on its own after a short pause.
+//! * A poll without a response in time is repeated at once, but only once: the service may be available and only the
+//!   connection broken. The new poll does not wait at the service, so that a second time-out is detected soon.
 
 use poppykeel_scheduler::EndpointListMode;
 
-/// How long the next poll waits at the service. It follows from how the previous poll ended.
+/// How long the next poll waits at the service, depending on how the previous poll ended.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) enum PollMode {
-    /// After an answer: the poll waits until there is a newer list.
+    /// After a list: the poll waits until there is a newer one.
     #[default]
     Long,
-    /// After a refusal: the poll waits for a short time. A service that has just come back has every node to answer.
+    /// After a refusal: the poll waits for a short time, since a service that has just recovered must answer every node.
     Short,
-    /// After a poll without a complete answer, for a restored list and at another service: the poll does not wait, so it
-    /// shows at once whether anybody answers, and the list is confirmed soon.
+    /// After a poll without a complete response, for a restored list and after a change of the service address: the poll
+    /// does not wait, so that an unavailable service is detected at once and the list is confirmed soon.
     Immediate,
 }
 
-/// The state of a watcher.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum WatcherState {
-    /// Nothing runs until the watcher is started; its first poll will be of this mode.
+    /// No task runs. Once started, the watcher begins with a poll of this mode.
     Idle(PollMode),
-    /// A poll of this mode is under way.
+    /// A poll of this mode is in progress.
     Polling(PollMode),
-    /// A pushed list could not be had; a poll of this mode follows after a pause.
+    /// A poll of a pushed list has failed; a poll of this mode follows after a pause.
     Paused(PollMode),
-    /// Nobody takes updates any more. The watcher does not start again.
+    /// The dispatcher has ended. The watcher does not start again.
     Stopped,
 }
 
-/// What happens to a watcher.
+/// An event of a watcher.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum WatcherEvent {
     /// The list was restored from an earlier process.
     Restored,
-    /// The list is to be watched.
+    /// The watcher is started.
     Started,
-    /// The list is no source of this node any more.
+    /// The list is no longer a source of this node.
     Disabled,
-    /// The poll that is under way is dropped: the service has another address, or its answer may be out of date.
+    /// The current poll is dropped: the service has another address, or its response may be out of date.
     PollDropped,
-    /// The service has answered with a list.
-    Answered,
-    /// The connection was refused or reset, or the service has answered that it has no list.
+    /// The service has responded with a list.
+    ListReceived,
+    /// The connection was refused or reset, or the service has responded that it has no list.
     Refused,
-    /// An answer began and did not come to its end, or is no list.
-    AnswerIncomplete,
-    /// No complete answer came in time.
+    /// A response has begun but is incomplete or not a list.
+    ResponseIncomplete,
+    /// No complete response arrived in time.
     TimedOut,
     /// The pause after a failed poll is over.
     PauseEnded,
-    /// The dispatcher takes no updates any more.
+    /// The dispatcher has ended.
     DispatcherGone,
 }
 
@@ -81,12 +80,12 @@
 }
 
 impl WatcherState {
-    /// Whether a task watches the list, or has stopped for good: the watcher must not be started.
+    /// Whether a task is running, or the watcher has stopped for good: it must not be started again.
     pub(super) fn is_started(self) -> bool {
         !matches!(self, WatcherState::Idle(_))
     }
 
-    /// The state after an event, by the table of this module.
+    /// The state after an event, according to the table in the module documentation.
     pub(super) fn after(self, event: WatcherEvent, list_mode: EndpointListMode) -> WatcherState {
         use WatcherState::{Idle, Paused, Polling, Stopped};
         let failed = |mode: PollMode| match list_mode {
@@ -95,16 +94,18 @@
         };
         match (self, event) {
             (_, WatcherEvent::DispatcherGone) => Stopped,
-            (Polling(_), WatcherEvent::Answered) => Polling(PollMode::Long),
+            (Polling(_), WatcherEvent::ListReceived) => Polling(PollMode::Long),
             (Polling(mode), WatcherEvent::Disabled) => Idle(mode),
             (Polling(_), WatcherEvent::Refused) => failed(PollMode::Short),
             (
                 Polling(PollMode::Immediate),
-                WatcherEvent::TimedOut | WatcherEvent::AnswerIncomplete,
+                WatcherEvent::TimedOut | WatcherEvent::ResponseIncomplete,
             ) => failed(PollMode::Immediate),
             (
                 Polling(_),
-                WatcherEvent::TimedOut | WatcherEvent::AnswerIncomplete | WatcherEvent::PollDropped,
+                WatcherEvent::TimedOut
+                | WatcherEvent::ResponseIncomplete
+                | WatcherEvent::PollDropped,
             ) => Polling(PollMode::Immediate),
             (Idle(_), WatcherEvent::Restored) => Idle(PollMode::Immediate),
             (Idle(mode), WatcherEvent::Started)
--- a/src/transport/endpoints/watcher_state/tests.rs
+++ b/src/transport/endpoints/watcher_state/tests.rs
@@ -1,8 +1,8 @@
-//! The transitions of the watcher of discovery's endpoint list.
+//! Tests of the state transitions of the endpoint list watcher.
 
 use super::PollMode::{Immediate, Long, Short};
 use super::WatcherEvent::{
-    AnswerIncomplete, Answered, Disabled, DispatcherGone, PauseEnded, PollDropped, Refused,
+    Disabled, DispatcherGone, ListReceived, PauseEnded, PollDropped, Refused, ResponseIncomplete,
     Restored, Started, TimedOut,
 };
 use super::WatcherState::{Idle, Paused, Polling, Stopped};
@@ -11,11 +11,11 @@
 
 const EVENTS: [WatcherEvent; 10] = [
     Restored,
-    AnswerIncomplete,
+    ResponseIncomplete,
     Started,
     Disabled,
     PollDropped,
-    Answered,
+    ListReceived,
     Refused,
     TimedOut,
     PauseEnded,
@@ -30,7 +30,7 @@
     states
 }
 
-/// The table of the module's documentation; `None` if an event leaves the state as it is.
+/// The table of the module documentation; `None` if the event leaves the state unchanged.
 fn listed_transition(
     state: WatcherState,
     event: WatcherEvent,
@@ -39,15 +39,15 @@
     let is_pushed = list_mode == EndpointListMode::Pushed;
     match (state, event) {
         (Idle(mode), Started) => Some(Polling(mode)),
-        (Polling(_), Answered) => Some(Polling(Long)),
+        (Polling(_), ListReceived) => Some(Polling(Long)),
         (Polling(mode), Disabled) => Some(Idle(mode)),
         (Polling(_), Refused) if is_pushed => Some(Paused(Short)),
         (Polling(_), Refused) => Some(Idle(Short)),
         (Idle(_), Restored) => Some(Idle(Immediate)),
         (Polling(_), PollDropped) => Some(Polling(Immediate)),
-        (Polling(Long | Short), TimedOut | AnswerIncomplete) => Some(Polling(Immediate)),
-        (Polling(Immediate), TimedOut | AnswerIncomplete) if is_pushed => Some(Paused(Immediate)),
-        (Polling(Immediate), TimedOut | AnswerIncomplete) => Some(Idle(Immediate)),
+        (Polling(Long | Short), TimedOut | ResponseIncomplete) => Some(Polling(Immediate)),
+        (Polling(Immediate), TimedOut | ResponseIncomplete) if is_pushed => Some(Paused(Immediate)),
+        (Polling(Immediate), TimedOut | ResponseIncomplete) => Some(Idle(Immediate)),
         (Paused(mode), PauseEnded | PollDropped) => Some(Polling(mode)),
         (_, DispatcherGone) => Some(Stopped),
         _ => None,
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn polling_again_by_itself_is_for_pushed_lists_only() {
+fn only_pushed_lists_are_polled_again_without_a_request() {
     for mode in [Long, Short, Immediate] {
         let polled = Polling(mode).after(Refused, EndpointListMode::Polled);
         assert!(!polled.is_started(), "{polled:?}");
--- a/src/transport/messages.rs
+++ b/src/transport/messages.rs
@@ -1,7 +1,7 @@
-//! What tasks send to the dispatcher and get from it. Everything here is plain data, but for the channels that carry the
+//! Messages between the dispatcher and other tasks. All of them are plain data, except for the channels that carry
 //! responses.
 //!
-//! The channel to the dispatcher is bounded (`program::serve` names its capacity). A task that finds it full waits until the
+//! The channel to the dispatcher is bounded (`program::serve` sets its capacity). A task that finds it full waits until the
 //! dispatcher has taken a batch of messages; nothing is dropped.
 
 use crate::protocol::admin::NodeMetrics;
@@ -19,17 +19,17 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot};
 
-/// The name of discovery's endpoint list as a source.
+/// Source name of discovery's endpoint list.
 pub const ENDPOINT_LIST_SOURCE: &str = "list";
-/// The name of DNS SRV records as a source.
+/// Source name of the DNS SRV records.
 pub const SRV_SOURCE: &str = "srv";
 
-/// Where an answer of type `T` goes. Dropping it tells the receiver that there will be none.
+/// Sender of a reply of type `T`. Dropping it signals the receiver that there will be none.
 pub type Reply<T> = oneshot::Sender<T>;
 
-/// A client's request as it is sent to replicas.
+/// A client's request in the form sent to replicas.
 pub struct RequestPayload {
-    /// The head, without the header that tells the deadline.
+    /// The head, without the deadline header.
     pub head: Vec<u8>,
     /// The body, unchanged.
     pub body: Bytes,
@@ -37,50 +37,50 @@
 
 /// The final response to a request, for the client's connection.
 pub enum ClientResponse {
-    /// The request is rejected; the client may retry after this time.
+    /// The request is rejected; the client may retry after this time, in microseconds.
     Rejected(DurationMicros),
     /// The request has failed.
     Failed,
-    /// Another request of this id is active.
+    /// Another request with the same id is active.
     Duplicate,
-    /// The stream of a replica begins.
+    /// A replica's stream has started.
     Stream {
         /// The stream's content type.
         content_type: String,
-        /// The replica that writes it.
+        /// The replica that sends the stream.
         replica: ReplicaId,
         /// The stream's bytes.
         chunks: mpsc::Receiver<StreamChunk>,
     },
 }
 
-/// A part of a stream on its way to the client. A channel that closes without [`StreamChunk::End`] means a broken stream.
+/// A part of a stream sent to the client. A channel that closes without [`StreamChunk::End`] means a broken stream.
 #[derive(Clone, Debug, PartialEq)]
 pub enum StreamChunk {
-    /// Bytes of the replica, unchanged.
+    /// Bytes from the replica, unchanged.
     Bytes(Bytes),
-    /// The whole stream has passed.
+    /// The stream is complete.
     End,
 }
 
-/// Identifies the client connection's wait for one request. No two waits of a process have the same number, whereas two
-/// clients may send the same request id.
+/// Identifies a client connection's wait for one response. Unique within the process, unlike request ids: two clients may
+/// send the same id.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RequestOwner(pub u64);
 
-/// A request that a client's connection has read completely.
+/// A request that a client connection has read completely.
 pub struct ClientRequest {
-    /// The request as the scheduler takes it.
+    /// The request in the scheduler's form.
     pub request: IncomingRequest,
-    /// The request as replicas get it.
+    /// The request in the form sent to replicas.
     pub payload: RequestPayload,
-    /// Where the response goes. A closed channel means that the client has disconnected.
+    /// Receives the response. A closed channel means that the client has disconnected.
     pub response: Reply<ClientResponse>,
-    /// Who waits for the response.
+    /// The connection's wait for this response.
     pub owner: RequestOwner,
 }
 
-/// The stream of an attempt whose first token has come.
+/// The stream of an attempt whose first token has arrived.
 pub struct StartedStream {
     /// The request.
     pub request: RequestId,
@@ -88,18 +88,18 @@
     pub attempt: usize,
     /// The stream's content type.
     pub content_type: String,
-    /// The replica that writes it.
+    /// The replica that sends the stream.
     pub replica: ReplicaId,
     /// The stream's bytes. Dropping the receiver ends the attempt at its next chunk.
     pub chunks: mpsc::Receiver<StreamChunk>,
 }
 
-/// The verdict of the node that probes ejected replicas for all nodes.
+/// A verdict of the node that probes ejected replicas on behalf of all nodes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReplicaAdvice {
     /// The replica's name on the endpoint list.
     pub replica: String,
-    /// Whether the replica was found healthy; otherwise it is still being probed.
+    /// Whether the replica is healthy; otherwise it is still being probed.
     pub is_healthy: bool,
 }
 
@@ -112,33 +112,33 @@
     }
 }
 
-/// Attempts of one class and tenant that went to another zone in one minute. The names of the fields are the keys of the
-/// JSON that operators get.
+/// Number of attempts of one class and tenant sent to another zone in one minute. The field names are the keys of the JSON
+/// shown to operators.
 #[derive(Clone, Debug, PartialEq, Eq, serde::Serialize)]
 pub struct CrossZoneMinute {
-    /// The minute of Unix time by this node's clock.
+    /// Minutes since the Unix epoch by this node's clock.
     pub minute: u64,
     /// The requests' class.
     pub class: String,
     /// The requests' tenant; empty at sites without tenants.
     pub tenant: String,
-    /// How many attempts.
+    /// Number of attempts.
     pub count: u64,
 }
 
-/// What a task tells the dispatcher.
+/// A message to the dispatcher.
 pub enum DispatcherMessage {
-    /// A request, and where its response goes.
+    /// A client's request has been read.
     ClientRequest(ClientRequest),
-    /// The client that waited for this request has disconnected. A request of the same id that another client waits for is
-    /// left alone.
+    /// The client that waited for this request has disconnected. A request with the same id from another client is not
+    /// affected.
     ClientDisconnected {
         /// The request.
         request: RequestId,
-        /// Who waited for it.
+        /// The wait that has ended.
         owner: RequestOwner,
     },
-    /// The first token of an attempt has come.
+    /// The first token of an attempt has arrived.
     StreamStarted(StartedStream),
     /// An attempt has ended.
     AttemptEnded {
@@ -151,7 +151,7 @@
         /// The load report that came with the response.
         report: Option<LoadReport>,
     },
-    /// The age of discovery's endpoint list is doubtful.
+    /// It has changed whether discovery's endpoint list is known to be current.
     EndpointListStatusChanged(EndpointListStatus),
     /// A probe has ended.
     ProbeEnded {
@@ -162,60 +162,60 @@
         /// The load report that came with the response.
         report: Option<LoadReport>,
     },
-    /// An endpoint source has an answer, or has failed to give one.
+    /// An endpoint source has answered or failed.
     EndpointUpdate {
         /// The source's name.
         source: &'static str,
-        /// Its answer.
+        /// The answer, or the failure.
         update: SourceUpdate,
-        /// Whether the answer was read as it came; else it says nothing of the present.
+        /// Whether the answer was read as soon as it arrived. Otherwise it may be out of date.
         is_current: bool,
     },
     /// New settings of the endpoint sources.
     SetEndpointSources(EndpointSourceSettings),
-    /// Verdicts on ejected replicas from the node that probes them for all nodes.
+    /// Verdicts on ejected replicas from the node that probes them on behalf of all nodes.
     OutlierAdvice(Vec<ReplicaAdvice>),
-    /// What this node may spend of budgets that are shared with other nodes, from now on.
+    /// Grants of the budgets shared with other nodes, valid from now on.
     SetBudgetGrants(BudgetGrants),
-    /// Another process of this node has left what it had learned.
+    /// Learned state of another process of this node, to be imported.
     ImportLearnedState(Box<LearnedState>),
-    /// New settings of the site.
+    /// Apply new site settings.
     UpdateSettings {
         /// The settings.
         settings: Rc<SiteSettings>,
-        /// Answered once the settings are in force, or are found faulty and those before them stay.
+        /// Replied to once the settings are in force, or rejected as invalid.
         applied: Reply<()>,
     },
-    /// The node shuts down: whoever waits for a first token gets a final response within this time.
+    /// The node shuts down: requests that wait for a first token get a final response within this time.
     SetAnswerDeadline(Duration),
-    /// Write the summary to the log; answered once that is done.
+    /// Log a summary; replied to once that is done.
     LogSummary(Reply<()>),
-    /// A question about the dispatcher's state.
+    /// A query about the dispatcher's state.
     Query(DispatcherQuery),
 }
 
-/// A question about the dispatcher's state, with the place where the answer goes. [`query`] asks one.
+/// A query about the dispatcher's state, with the sender of its reply. [`query`] sends one.
 pub enum DispatcherQuery {
-    /// The figures that operators get.
-    Telemetry(Reply<NodeMetrics>),
+    /// The node's metrics.
+    Metrics(Reply<NodeMetrics>),
     /// Traffic to other zones by minute, class and tenant.
     CrossZoneTraffic(Reply<Vec<CrossZoneMinute>>),
-    /// What this node would have spent of each budget since the start.
+    /// Demand for each budget since the start, in units and priority weight.
     BudgetDemand(Reply<BTreeMap<BudgetKind, BudgetDemand>>),
-    /// The status of each listed replica, by its name on the endpoint list.
+    /// The status of each listed replica by its name on the endpoint list.
     ReplicaStatuses(Reply<BTreeMap<String, ReplicaStatus>>),
-    /// What the scheduler has learned.
+    /// The scheduler's learned state.
     LearnedState(Reply<LearnedState>),
 }
 
-/// Asks the dispatcher and waits for the answer; `None` once the dispatcher has ended. The variant of the question is given
-/// as a function: `query(&dispatcher, DispatcherQuery::Telemetry)`.
+/// Sends the dispatcher a query and waits for the reply; `None` once the dispatcher has ended. The query is given by its
+/// variant: `query(&dispatcher, DispatcherQuery::Metrics)`.
 pub async fn query<T>(
     dispatcher: &mpsc::Sender<DispatcherMessage>,
-    question: impl FnOnce(Reply<T>) -> DispatcherQuery,
+    new_query: impl FnOnce(Reply<T>) -> DispatcherQuery,
 ) -> Option<T> {
     let (reply, answer) = oneshot::channel();
-    let message = DispatcherMessage::Query(question(reply));
+    let message = DispatcherMessage::Query(new_query(reply));
     dispatcher.send(message).await.ok()?;
     answer.await.ok()
 }
--- a/src/transport/replica/attempts.rs
+++ b/src/transport/replica/attempts.rs
@@ -1,13 +1,13 @@
-//! One attempt: a request sent to one replica, and its response passed on to the client.
+//! Attempts: one request sent to one replica, and its response forwarded to the client.
 //!
-//! The dispatcher starts a task with [`ReplicaClient::run_attempt`] for each attempt. The task owns the connection. Aborting
-//! it is how an attempt is abandoned: that closes the connection, wherever the attempt stands, so that no late byte of it can
-//! reach another request.
+//! The dispatcher starts a task with [`ReplicaClient::run_attempt`] for each attempt. The task owns the connection. An
+//! attempt is abandoned by aborting its task: that closes the connection at any stage of the attempt, so that no late byte
+//! of it can reach another request.
 //!
 //! Invariants:
-//! - Nothing is awaited between [`AttemptRequest::has_begun`] being set and the first write.
-//! - An attempt whose last byte was not written can't have run, and is reported as a failure to connect.
-//! - The dispatcher is told of the end before the connection is released.
+//! - Nothing is awaited between setting [`AttemptRequest::has_begun`] and the first write.
+//! - An attempt whose last byte was not written can't have run, and is reported as a connect failure.
+//! - The outcome is reported to the dispatcher before the connection is released.
 
 use super::pool::{ConnectError, ConnectionPool, ReplicaAddress, ReplicaConnection};
 use super::stream_monitor::{MonitoredStream, StreamMonitor};
@@ -18,7 +18,7 @@
 use crate::routing::{DurationMicros, MonotonicMicros};
 use crate::transport::clock::Clock;
 use crate::transport::messages::{DispatcherMessage, RequestPayload, StartedStream, StreamChunk};
-use crate::transport::turn_clock::TurnClock;
+use crate::transport::suspension_detector::SuspensionDetector;
 use crate::transport::TransportLimits;
 use bytes::{Buf, Bytes};
 use futures_util::{SinkExt, StreamExt};
@@ -29,16 +29,17 @@
 use std::time::Duration;
 use tokio::sync::mpsc::{self, error::TrySendError};
 
-/// A request is written in pieces of at most this size, so that no buffer grows with the body.
+/// A request is written in pieces of at most this size, so that buffers do not grow with the body.
 const WRITE_SIZE_BYTES: usize = 16 * 1024;
-/// Chunks of a stream that wait for the client. An attempt that finds the channel full waits, and the replica is not read
-/// meanwhile.
+/// Number of chunks of a stream buffered for the client. If the channel is full, the attempt waits and does not read from
+/// the replica.
 const STREAM_CHANNEL_CAPACITY: usize = 4;
-/// A response whose attempt has ended is still read to its end for this time, so that its connection can be used again.
+/// After an attempt has ended, the remainder of its response is read for up to this time, so that the connection can be
+/// reused.
 const DRAIN_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Sends attempts and probes to replicas. Clones share everything but the settings of the site: an attempt keeps those with
-/// which it has begun.
+/// Sends attempts and probes to replicas. Clones share everything except the site settings: an attempt keeps those it began
+/// with.
 #[derive(Clone)]
 pub struct ReplicaClient {
     pub(super) pool: ConnectionPool,
@@ -46,51 +47,52 @@
     pub(super) site: Rc<SiteSettings>,
     pub(super) limits: Rc<TransportLimits>,
     stream_monitor: Rc<StreamMonitor>,
-    /// Attempts that have been written completely since the start.
+    /// Number of attempts that have been written completely since the start.
     sent_count: Rc<Cell<u64>>,
-    /// Attempts that were written completely and went to another zone.
+    /// Completely written attempts to replicas in another zone.
     cross_zone_traffic: Rc<RefCell<CrossZoneTraffic>>,
-    /// Whether the endpoint list by which attempts were placed is still known to be current.
+    /// Whether the endpoint list is known to be current.
     is_list_confirmed: Rc<Cell<bool>>,
-    /// Tells whether the dispatcher knows how much time has passed.
-    turn_clock: TurnClock,
+    /// Detects a suspension that the dispatcher has not handled yet.
+    suspension_detector: SuspensionDetector,
     clock: Clock,
 }
 
-/// An attempt that is to be made.
+/// An attempt to be made.
 pub struct AttemptRequest {
     /// The request.
     pub request: RequestId,
     /// The attempt's number within the request.
     pub attempt: usize,
-    /// The replica and where it listens.
+    /// The replica and the address where it listens.
     pub address: ReplicaAddress,
-    /// The node waits for the first token until then, and the replica is told how long that is when the request is written.
+    /// The node waits for the first token until this time. The remaining time is sent to the replica with the request.
     pub deadline: MonotonicMicros,
-    /// If the endpoint list is not confirmed when the connection is up, the request is written until then only.
+    /// Unless the endpoint list is confirmed, the request must not be written after this time.
     pub begin_by: Option<MonotonicMicros>,
     /// The class's objective for the time between two tokens.
     pub inter_token_objective: Option<DurationMicros>,
-    /// The request's class and tenant, where the replica is in another zone.
+    /// The request's class and tenant if the replica is in another zone.
     pub cross_zone_group: Option<RequestGroup>,
-    /// What is sent.
+    /// The request to send.
     pub payload: Rc<RequestPayload>,
-    /// Set when the first byte is about to be written. Until then the attempt can be withdrawn as if it had never been sent.
+    /// Set immediately before the first byte is written. Until then the attempt can be withdrawn as if it had never been
+    /// sent.
     pub has_begun: Rc<Cell<bool>>,
 }
 
-/// How an attempt ended.
-struct AttemptEnd {
+/// The result of an attempt.
+struct AttemptResult {
     outcome: AttemptOutcome,
     report: Option<LoadReport>,
-    /// The connection, where it can be used again once the response has been read to its end.
+    /// The connection if it can be reused once the remainder of the response has been read.
     connection: Option<ReplicaConnection>,
 }
 
-impl AttemptEnd {
-    /// An end after which the connection is of no use, or has never been there.
-    fn without_connection(outcome: AttemptOutcome) -> AttemptEnd {
-        AttemptEnd {
+impl AttemptResult {
+    /// The result of an attempt without a reusable connection.
+    fn without_connection(outcome: AttemptOutcome) -> AttemptResult {
+        AttemptResult {
             outcome,
             report: None,
             connection: None,
@@ -99,7 +101,7 @@
 }
 
 impl ReplicaClient {
-    /// A client that has sent nothing yet. It tells `dispatcher` how attempts and probes end.
+    /// Creates a client that reports the outcomes of attempts and probes to `dispatcher`.
     pub fn new(
         pool: ConnectionPool,
         dispatcher: mpsc::Sender<DispatcherMessage>,
@@ -117,52 +119,52 @@
             sent_count: Rc::default(),
             cross_zone_traffic: Rc::default(),
             is_list_confirmed: Rc::new(Cell::new(true)),
-            turn_clock: TurnClock::default(),
+            suspension_detector: SuspensionDetector::default(),
             clock,
         }
     }
 
-    /// The settings of the site.
+    /// The site settings for new attempts and probes.
     pub fn site(&self) -> &SiteSettings {
         &self.site
     }
 
-    /// Takes other settings of the site, for attempts and probes from now on.
+    /// Replaces the site settings for attempts and probes that start from now on.
     pub fn set_site(&mut self, site: Rc<SiteSettings>) {
         self.site = site;
     }
 
-    /// Sets whether the endpoint list is known to be current, for attempts that wait for their connections, too.
+    /// Sets whether the endpoint list is known to be current. This also applies to attempts that wait for their connections.
     pub fn set_list_confirmed(&self, is_confirmed: bool) {
         self.is_list_confirmed.set(is_confirmed);
     }
 
-    /// The clock of the dispatcher's turns.
-    pub fn turn_clock(&self) -> &TurnClock {
-        &self.turn_clock
+    /// The detector that records the iterations of the dispatcher's event loop.
+    pub fn suspension_detector(&self) -> &SuspensionDetector {
+        &self.suspension_detector
     }
 
-    /// What follows all streams.
+    /// The monitor of all streams.
     pub fn stream_monitor(&self) -> &StreamMonitor {
         &self.stream_monitor
     }
 
-    /// How many connections to replicas are open now.
+    /// Number of open connections to replicas, in use or idle.
     pub fn open_connection_count(&self) -> usize {
         self.pool.open_count()
     }
 
-    /// How many attempts have been written completely since the start.
+    /// Number of attempts that have been written completely since the start.
     pub fn sent_count(&self) -> u64 {
         self.sent_count.get()
     }
 
-    /// Attempts that were written completely and went to another zone.
+    /// Completely written attempts to replicas in another zone.
     pub fn cross_zone_traffic(&self) -> Ref<'_, CrossZoneTraffic> {
         self.cross_zone_traffic.borrow()
     }
 
-    /// Makes one attempt, tells the dispatcher how it ended, and releases the connection where it can be used again.
+    /// Makes one attempt, reports its outcome to the dispatcher, and releases the connection if it can be reused.
     pub async fn run_attempt(self, attempt_request: AttemptRequest) {
         let AttemptRequest {
             request,
@@ -177,14 +179,14 @@
             outcome: end.outcome,
             report: end.report,
         };
-        // The channel is closed only once the node has ended, and then nobody counts attempts.
+        // The channel is closed only after the node has ended; the outcome is then not needed.
         let _ = self.dispatcher.send(message).await;
         if let Some(connection) = end.connection {
             self.drain_and_release(address, connection).await;
         }
     }
 
-    /// Reads a response to its end, whatever it holds, and releases its connection.
+    /// Reads and discards the remainder of a response and releases its connection.
     async fn drain_and_release(&self, address: ReplicaAddress, mut connection: ReplicaConnection) {
         let drained = tokio::time::timeout(DRAIN_TIMEOUT, read_to_end(&mut connection)).await;
         if drained == Ok(true) {
@@ -193,43 +195,43 @@
         }
     }
 
-    /// Sends the request and passes the response on until it ends.
-    async fn send_and_forward(&self, attempt: AttemptRequest) -> AttemptEnd {
+    /// Sends the request and forwards the response until it ends.
+    async fn send_and_forward(&self, attempt: AttemptRequest) -> AttemptResult {
         let mut connection = match self.pool.acquire(attempt.address).await {
             Ok(connection) => connection,
             Err(ConnectError::Unreachable) => {
-                return AttemptEnd::without_connection(AttemptOutcome::ConnectFailed);
+                return AttemptResult::without_connection(AttemptOutcome::ConnectFailed);
             }
-            // It is not the replica's fault: nothing may be held against it.
+            // A local failure must not count against the replica.
             Err(ConnectError::Exhausted) => {
-                return AttemptEnd::without_connection(AttemptOutcome::NotSent);
+                return AttemptResult::without_connection(AttemptOutcome::NotSent);
             }
         };
-        // The connection may have come up late: what the attempt was placed by is looked at again now.
+        // Establishing the connection may have taken long, so the conditions for the attempt are checked again.
         let now = self.clock.now();
         let time_left = attempt.deadline.saturating_sub(now);
         if time_left == 0 || self.is_outdated(&attempt, now) {
             self.pool
                 .release(attempt.address, connection, Duration::ZERO);
-            return AttemptEnd::without_connection(AttemptOutcome::NotSent);
+            return AttemptResult::without_connection(AttemptOutcome::NotSent);
         }
-        // Nothing is awaited between this and the first write.
+        // Nothing may be awaited between this and the first write.
         attempt.has_begun.set(true);
         let head = request::attempt_head(&attempt.payload.head, time_left);
         let body = attempt.payload.body.clone();
         if write_request(&mut connection, head, body).await.is_err() {
-            // Before its last byte is written a request can't have run.
-            return AttemptEnd::without_connection(AttemptOutcome::ConnectFailed);
+            // A request can't have run before its last byte is written.
+            return AttemptResult::without_connection(AttemptOutcome::ConnectFailed);
         }
         self.count_sent(attempt.cross_zone_group);
         self.forward_response(&attempt, connection).await
     }
 
-    /// Whether an attempt may no longer begin: its replica may drain by now, and the node has not been told.
+    /// Whether an attempt may no longer begin: its replica may be draining without the node having been notified.
     fn is_outdated(&self, attempt: &AttemptRequest, now: MonotonicMicros) -> bool {
         let is_late = attempt.begin_by.is_some_and(|begin_by| now > begin_by);
-        let is_doubtful = is_late && !self.is_list_confirmed.get();
-        is_doubtful || self.turn_clock.was_suspended(now)
+        let is_list_stale = is_late && !self.is_list_confirmed.get();
+        is_list_stale || self.suspension_detector.was_suspended(now)
     }
 
     fn count_sent(&self, cross_zone_group: Option<RequestGroup>) {
@@ -240,24 +242,24 @@
         }
     }
 
-    /// Reads the response part by part and passes it on.
+    /// Reads the response part by part and forwards it.
     async fn forward_response(
         &self,
         attempt: &AttemptRequest,
         mut connection: ReplicaConnection,
-    ) -> AttemptEnd {
+    ) -> AttemptResult {
         let mut forwarder = ResponseForwarder::new(self, attempt);
         let mut steps = Vec::new();
         loop {
             match forwarder.read(&mut connection).await {
-                ReplicaInput::Part(part) => forwarder.take_part(part, &mut steps),
-                ReplicaInput::Broken => forwarder.answer.connection_lost(&mut steps),
-                // A replica that has vanished leaves its connections open and quiet: its client must not be left waiting.
+                ReplicaInput::Part(part) => forwarder.handle_part(part, &mut steps),
+                ReplicaInput::Broken => forwarder.reader.connection_lost(&mut steps),
+                // An unreachable replica leaves its connections open but silent; the client must not be left waiting.
                 ReplicaInput::Stalled { silence_us } => {
                     if let Some(stream) = &forwarder.stream {
                         stream.abandon(silence_us);
                     }
-                    return AttemptEnd::without_connection(AttemptOutcome::TimedOut);
+                    return AttemptResult::without_connection(AttemptOutcome::TimedOut);
                 }
             }
             for step in steps.drain(..) {
@@ -265,10 +267,10 @@
                     ResponseStep::Started(content_type) => {
                         forwarder.start_stream(content_type).await;
                     }
-                    ResponseStep::Forward(bytes) => forwarder.pass_on(bytes).await,
+                    ResponseStep::Forward(bytes) => forwarder.forward(bytes).await,
                     ResponseStep::Ended(outcome, report) => {
                         let can_reuse = forwarder.finish(outcome).await;
-                        return AttemptEnd {
+                        return AttemptResult {
                             outcome,
                             report,
                             connection: Some(connection).filter(|_| can_reuse),
@@ -280,26 +282,26 @@
     }
 }
 
-/// What a replica's connection gives next.
+/// The next input from a replica's connection.
 enum ReplicaInput {
     /// A part of the response.
     Part(MessagePart),
-    /// The connection has ended or failed, or its bytes can't be read.
+    /// The connection has ended or failed, or its bytes are not valid HTTP.
     Broken,
-    /// Nothing has come for longer than a stream of this replica may be silent.
+    /// No bytes have arrived for longer than a stream of this replica may be silent.
     Stalled { silence_us: DurationMicros },
 }
 
-/// Passes the response of one attempt on to the client.
+/// Forwards the response of one attempt to the client.
 struct ResponseForwarder<'a> {
     client: &'a ReplicaClient,
     attempt: &'a AttemptRequest,
-    answer: ResponseReader,
+    reader: ResponseReader,
     /// Whether the replica keeps the connection open after the response.
     keeps_connection: bool,
-    /// Where chunks go, once the first token has come.
+    /// Sender of the stream's chunks; `None` before the first token.
     chunks: Option<mpsc::Sender<StreamChunk>>,
-    /// The stream as the monitor follows it, once the first token has come.
+    /// The stream in the monitor; `None` before the first token.
     stream: Option<MonitoredStream>,
 }
 
@@ -308,14 +310,14 @@
         ResponseForwarder {
             client,
             attempt,
-            answer: ResponseReader::new(client.site.clone()),
+            reader: ResponseReader::new(client.site.clone()),
             keeps_connection: false,
             chunks: None,
             stream: None,
         }
     }
 
-    /// Reads what comes next, for as long as the stream may be silent. Cancel-safe: the codec keeps what it has read.
+    /// Reads the next input, for as long as the stream may be silent. Cancel-safe: the codec keeps what it has read.
     async fn read(&self, connection: &mut ReplicaConnection) -> ReplicaInput {
         let next = connection.http_mut().next();
         let silence_limit = self
@@ -338,8 +340,8 @@
         }
     }
 
-    /// Notes a part of the response and appends what follows from it.
-    fn take_part(&mut self, part: MessagePart, steps: &mut Vec<ResponseStep>) {
+    /// Processes a part of the response and appends the resulting steps.
+    fn handle_part(&mut self, part: MessagePart, steps: &mut Vec<ResponseStep>) {
         if let Some(stream) = &self.stream {
             stream.record_event();
         }
@@ -349,12 +351,12 @@
                 request, attempt, ..
             } = self.attempt;
             let from = self.attempt.address.addr;
-            tracing::debug!(%request, attempt, %from, start = ?head.start_line, "answer begins");
+            tracing::debug!(%request, attempt, %from, start = ?head.start_line, "response begins");
         }
-        self.answer.feed(part, steps);
+        self.reader.feed(part, steps);
     }
 
-    /// Offers the stream to the dispatcher: its first token has come.
+    /// Offers the stream to the dispatcher once its first token has arrived.
     async fn start_stream(&mut self, content_type: String) {
         let (chunk_sender, chunks) = mpsc::channel(STREAM_CHANNEL_CAPACITY);
         self.chunks = Some(chunk_sender);
@@ -368,12 +370,12 @@
             replica,
             chunks,
         });
-        // The channel is closed only once the node has ended, and then nobody waits for the stream.
+        // The channel is closed only after the node has ended; the stream is then not needed.
         let _ = self.client.dispatcher.send(started).await;
     }
 
-    /// Passes bytes on. Where the client does not keep up, the silence that follows is not the replica's.
-    async fn pass_on(&self, bytes: Bytes) {
+    /// Forwards bytes to the client. While the client does not keep up, the silence is not counted against the replica.
+    async fn forward(&self, bytes: Bytes) {
         let Some(chunks) = &self.chunks else {
             return;
         };
@@ -381,7 +383,7 @@
             if let Some(stream) = &self.stream {
                 stream.client_blocked();
             }
-            // A client that has disconnected takes nothing more; the dispatcher aborts this attempt.
+            // Sending fails if the client has disconnected; the dispatcher aborts this attempt.
             let _ = chunks.send(chunk).await;
             if let Some(stream) = &self.stream {
                 stream.client_resumed();
@@ -389,12 +391,12 @@
         }
     }
 
-    /// Ends the stream as the attempt has ended, and tells whether the connection can be used again.
+    /// Ends the stream according to the attempt's outcome. Returns whether the connection can be reused.
     async fn finish(&self, outcome: AttemptOutcome) -> bool {
         let is_complete = outcome == AttemptOutcome::Completed;
         let is_broken = outcome == AttemptOutcome::ConnectionReset;
         if let (Some(chunks), true) = (&self.chunks, is_complete) {
-            // A client that has disconnected does not need the end.
+            // Sending fails if the client has disconnected; it does not need the end.
             let _ = chunks.send(StreamChunk::End).await;
         }
         if let Some(stream) = &self.stream {
@@ -406,7 +408,7 @@
     }
 }
 
-/// Reads a response to its end; false where the connection ends before.
+/// Reads a response to its end. Returns false if the connection ends first.
 async fn read_to_end(connection: &mut ReplicaConnection) -> bool {
     while !connection.http().codec().is_between_messages() {
         let Some(Ok(_)) = connection.http_mut().next().await else {
--- a/src/transport/replica/pool.rs
+++ b/src/transport/replica/pool.rs
@@ -1,8 +1,8 @@
-//! The pool of connections to replicas: bounded in number, and used again with the newest first.
+//! The pool of connections to replicas. Their number is bounded, and the most recently used idle connection is reused first.
 //!
-//! [`attempts`](super::attempts) and [`probes`](super::probes) acquire connections here and release them once the response
-//! is complete. A connection that is in use belongs to whoever has acquired it; dropping it closes the socket and frees its
-//! place. `program::serve` closes expired idle connections from time to time.
+//! [`attempts`](super::attempts) and [`probes`](super::probes) acquire connections here and release them after a complete
+//! response. A connection in use belongs to the task that acquired it; dropping it closes the socket and frees its permit.
+//! `program::serve` periodically closes expired idle connections.
 
 use crate::protocol::http::{HttpCodec, Role};
 use crate::transport::HttpConnection;
@@ -18,17 +18,17 @@
 use tokio::time::Instant;
 use tokio_util::codec::Framed;
 
-/// A replica and where it listens. Both identify a connection: a new replica may listen at the address of a removed one, and
-/// a replica may move; neither may inherit connections.
+/// A replica and the address where it listens. Together they identify the pool entry: a new replica may listen at the
+/// address of a removed one, and a replica may move to another address; neither may reuse the earlier connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ReplicaAddress {
     /// The replica.
     pub replica: ReplicaId,
-    /// Where it listens.
+    /// The address where it listens.
     pub addr: SocketAddr,
 }
 
-/// A connection to a replica, with its place among the bounded number of them.
+/// A connection to a replica, with its permit.
 pub struct ReplicaConnection {
     http: HttpConnection,
     _permit: ConnectionPermit,
@@ -40,14 +40,14 @@
         &self.http
     }
 
-    /// The socket with its codec, to read and write.
+    /// The socket with its codec, for reading and writing.
     pub fn http_mut(&mut self) -> &mut HttpConnection {
         &mut self.http
     }
 
-    /// Whether nothing has come since the last response. A connection that has anything to say between two responses has
-    /// ended or is out of step. The kernel is asked: the runtime may not have seen yet that there are bytes, and a second
-    /// response must not be taken for that of the next request.
+    /// Whether no bytes have arrived since the last response. A connection with bytes between two responses has ended or is
+    /// out of sync. This queries the kernel, since the runtime may not have seen the bytes yet, and a second response must
+    /// not be taken for that of the next request.
     fn is_quiet(&self) -> bool {
         let unread = self.http.get_ref().unread();
         self.http.read_buffer().is_empty()
@@ -55,7 +55,7 @@
     }
 }
 
-/// One of the bounded number of connections; frees its place when it is dropped.
+/// A permit for one open connection; dropping it frees the place.
 struct ConnectionPermit(Rc<RefCell<usize>>);
 
 impl Drop for ConnectionPermit {
@@ -64,27 +64,27 @@
     }
 }
 
-/// Why no connection to a replica could be had.
+/// Why no connection to a replica could be acquired.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ConnectError {
-    /// The replica could not be reached in time.
+    /// The replica refused the connection or did not accept it in time.
     #[error("the replica could not be reached in time")]
     Unreachable,
-    /// This node holds as many connections as it may, or its machine lacks something. Nothing of it is the replica's fault.
+    /// The node has reached its connection limit, or its machine lacks a resource. The replica is not at fault.
     #[error("this node cannot open another connection")]
     Exhausted,
 }
 
-/// A connection that nobody uses.
+/// An idle connection.
 struct PooledConnection {
     idle_since: Instant,
-    /// The connection is not used again before this time.
+    /// The connection is not reused before this time.
     reusable_at: Instant,
     connection: ReplicaConnection,
 }
 
-/// A wait for the time at which a connection may be used again. Dropping it gives the connection back to the pool: on some
-/// days many clients disconnect during the wait, and each connection that is closed costs a new one.
+/// A wait until a connection may be reused. Dropping it returns the connection to the pool: many clients may disconnect
+/// during the wait, and each closed connection would have to be replaced by a new one.
 struct ReuseWait<'a> {
     pool: &'a ConnectionPool,
     address: ReplicaAddress,
@@ -97,16 +97,17 @@
             return;
         };
         let mut connections = self.pool.idle.borrow_mut();
-        let of_replica = connections.entry(self.address).or_default();
-        let position = of_replica.partition_point(|other| other.idle_since <= idle.idle_since);
-        of_replica.insert(position, idle);
+        let replica_connections = connections.entry(self.address).or_default();
+        let position =
+            replica_connections.partition_point(|other| other.idle_since <= idle.idle_since);
+        replica_connections.insert(position, idle);
     }
 }
 
-/// The idle connections to one replica, the newest last.
+/// Idle connections to one replica, the most recently used last.
 type PooledConnections = Vec<PooledConnection>;
 
-/// The pool of connections to replicas; clones are the same pool.
+/// The pool of connections to replicas. Clones share one pool.
 #[derive(Clone)]
 pub struct ConnectionPool {
     idle: Rc<RefCell<BTreeMap<ReplicaAddress, PooledConnections>>>,
@@ -117,7 +118,7 @@
 }
 
 impl ConnectionPool {
-    /// An empty pool.
+    /// Creates an empty pool. `max_open` limits the open connections, in use or idle.
     pub fn new(max_open: usize, connect_timeout: Duration, idle_timeout: Duration) -> Self {
         ConnectionPool {
             idle: Rc::default(),
@@ -128,14 +129,15 @@
         }
     }
 
-    /// Gives the newest idle connection to a replica that may be used, or a new one. Where the only idle ones may not be
-    /// used yet, one of them is waited for: the wait is short, and a new connection costs the replica work.
+    /// Returns the most recently used idle connection to a replica that may be reused, or a new one. If all idle connections
+    /// are still in their reuse delay, waits for one of them: the wait is short, and a new connection costs the replica
+    /// work.
     ///
-    /// Dropping the future closes a connection that is being established and keeps one that was waited for.
+    /// Dropping the future closes a connection that is being established, and returns to the pool one that was waited for.
     ///
     /// # Errors
     ///
-    /// Fails where the replica can't be reached in time, or where this node can't open another connection.
+    /// Fails if the replica can't be reached in time, or if this node can't open another connection.
     pub async fn acquire(
         &self,
         address: ReplicaAddress,
@@ -160,7 +162,7 @@
         self.connect(address.addr).await
     }
 
-    /// Opens a connection, at the cost of the oldest idle one where there are as many as there may be.
+    /// Opens a connection. At the limit, closes the connection that has been idle longest to make room.
     async fn connect(&self, addr: SocketAddr) -> Result<ReplicaConnection, ConnectError> {
         if *self.open_count.borrow() >= self.max_open && !self.close_oldest_idle() {
             return Err(ConnectError::Exhausted);
@@ -173,33 +175,36 @@
                 _permit: permit,
             }),
             Ok(Err(e)) if is_local_failure(&e) => {
-                tracing::debug!(why = %e, to = %addr, "no connection for a reason of this machine");
+                tracing::debug!(why = %e, to = %addr, "connecting to a replica failed for a local reason");
                 Err(ConnectError::Exhausted)
             }
             Ok(Err(_)) | Err(_) => Err(ConnectError::Unreachable),
         }
     }
 
-    /// Takes the newest idle connection that may be used now or, failing that, the one that may be used first. Connections
-    /// that have expired or are not quiet are closed on the way.
+    /// Removes from the pool the most recently used idle connection that may be reused now or, failing that, the one that
+    /// may be reused first. Connections that have expired or have unread bytes are closed on the way.
     fn take_idle(&self, address: ReplicaAddress) -> Option<PooledConnection> {
         let now = Instant::now();
         loop {
             let mut connections = self.idle.borrow_mut();
-            let of_replica = connections.get_mut(&address)?;
-            let newest_reusable = of_replica.iter().rposition(|idle| idle.reusable_at <= now);
+            let replica_connections = connections.get_mut(&address)?;
+            let newest_reusable = replica_connections
+                .iter()
+                .rposition(|idle| idle.reusable_at <= now);
             let position = newest_reusable.or_else(|| {
-                (0..of_replica.len()).min_by_key(|position| of_replica[*position].reusable_at)
+                (0..replica_connections.len())
+                    .min_by_key(|position| replica_connections[*position].reusable_at)
             })?;
-            let idle = of_replica.remove(position);
+            let idle = replica_connections.remove(position);
             if now - idle.idle_since < self.idle_timeout && idle.connection.is_quiet() {
                 return Some(idle);
             }
         }
     }
 
-    /// Takes back a connection whose response is complete. It is used again after `reuse_delay`. A connection that is in the
-    /// middle of a response or has unread bytes is closed instead.
+    /// Returns a connection to the pool after its response. It is not reused within `reuse_delay`. A connection that is in
+    /// the middle of a response or has unread bytes is closed instead.
     pub fn release(
         &self,
         address: ReplicaAddress,
@@ -219,7 +224,7 @@
         connections.entry(address).or_default().push(idle);
     }
 
-    /// Closes the connection that has been idle longest; false where none is idle.
+    /// Closes the connection that has been idle longest. Returns false if no connection is idle.
     fn close_oldest_idle(&self) -> bool {
         let mut connections = self.idle.borrow_mut();
         let oldest = connections
@@ -229,28 +234,29 @@
         let Some((_, address)) = oldest else {
             return false;
         };
-        let Some(of_replica) = connections.get_mut(&address) else {
+        let Some(replica_connections) = connections.get_mut(&address) else {
             return false;
         };
-        of_replica.remove(0);
+        replica_connections.remove(0);
         true
     }
 
-    /// Closes connections that have been idle for too long.
+    /// Closes connections that have been idle for longer than the idle timeout.
     pub fn close_expired(&self) {
-        self.idle.borrow_mut().retain(|_, of_replica| {
-            of_replica.retain(|idle| idle.idle_since.elapsed() < self.idle_timeout);
-            !of_replica.is_empty()
+        self.idle.borrow_mut().retain(|_, replica_connections| {
+            replica_connections.retain(|idle| idle.idle_since.elapsed() < self.idle_timeout);
+            !replica_connections.is_empty()
         });
     }
 
-    /// How many connections are open now, in use or idle.
+    /// Number of open connections, in use or idle.
     pub fn open_count(&self) -> usize {
         *self.open_count.borrow()
     }
 }
 
-/// Whether connecting failed since this machine lacks something, or by a signal: it may not be held against the replica.
+/// Whether connecting failed because of a signal or a resource that this machine lacks. Such a failure must not count
+/// against the replica.
 fn is_local_failure(error: &std::io::Error) -> bool {
     let code = error.raw_os_error().map(Errno::from_raw_os_error);
     matches!(
--- a/src/transport/replica/probes.rs
+++ b/src/transport/replica/probes.rs
@@ -1,7 +1,7 @@
-//! Probes: a replica is asked for its load, or for its health at sites without load reports.
+//! Probes: requests for a replica's load report, or for its health at sites without load reports.
 //!
-//! The dispatcher starts a task with [`ReplicaClient::run_probe`] for each probe that the router wants. The task owns its
-//! connection; dropping it closes the connection.
+//! The dispatcher starts a task with [`ReplicaClient::run_probe`] for each probe that the router requests. The task owns its
+//! connection; dropping the task closes it.
 
 use super::attempts::{write_request, ReplicaClient};
 use super::pool::{ReplicaAddress, ReplicaConnection};
@@ -15,22 +15,23 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A response whose body goes on once it has this many bytes is an error of the replica.
+/// A longer response body counts as an error of the replica. The limit is checked before each part, so the body may exceed
+/// it by one part.
 const MAX_RESPONSE_BYTES: usize = 16 * 1024;
-/// Where a replica tells its load.
+/// Path of a replica's load report.
 const LOAD_PATH: &str = "/load";
-/// Where a replica tells its health, at sites without load reports.
+/// Path of a replica's health check, used at sites without load reports.
 const HEALTH_PATH: &str = "/healthz";
 
-/// How a probe ended.
-struct ProbeEnd {
+/// The result of a probe.
+struct ProbeResult {
     outcome: AttemptOutcome,
     report: Option<LoadReport>,
 }
 
-impl ProbeEnd {
-    fn without_report(outcome: AttemptOutcome) -> ProbeEnd {
-        ProbeEnd {
+impl ProbeResult {
+    fn without_report(outcome: AttemptOutcome) -> ProbeResult {
+        ProbeResult {
             outcome,
             report: None,
         }
@@ -45,15 +46,15 @@
 }
 
 impl ReplicaClient {
-    /// Probes a replica and tells the dispatcher how that ended. A replica without an address can't be reached.
+    /// Probes a replica and reports the result to the dispatcher. A replica without an address counts as unreachable.
     pub async fn run_probe(self, replica: ReplicaId, addr: Option<SocketAddr>) {
         let end = match addr {
-            None => ProbeEnd::without_report(AttemptOutcome::ConnectFailed),
+            None => ProbeResult::without_report(AttemptOutcome::ConnectFailed),
             Some(addr) => {
                 let probe = self.probe(ReplicaAddress { replica, addr });
                 tokio::time::timeout(self.limits.probe_timeout, probe)
                     .await
-                    .unwrap_or_else(|_| ProbeEnd::without_report(AttemptOutcome::TimedOut))
+                    .unwrap_or_else(|_| ProbeResult::without_report(AttemptOutcome::TimedOut))
             }
         };
         let message = DispatcherMessage::ProbeEnded {
@@ -61,13 +62,13 @@
             outcome: end.outcome,
             report: end.report,
         };
-        // The channel is closed only once the node has ended, and then nobody needs the probe.
+        // The channel is closed only after the node has ended; the result is then not needed.
         let _ = self.dispatcher.send(message).await;
     }
 
-    async fn probe(&self, address: ReplicaAddress) -> ProbeEnd {
+    async fn probe(&self, address: ReplicaAddress) -> ProbeResult {
         let Ok(mut connection) = self.pool.acquire(address).await else {
-            return ProbeEnd::without_report(AttemptOutcome::ConnectFailed);
+            return ProbeResult::without_report(AttemptOutcome::ConnectFailed);
         };
         let path = if self.site.names.report_fields.is_empty() {
             HEALTH_PATH
@@ -79,24 +80,24 @@
             .await
             .is_err()
         {
-            return ProbeEnd::without_report(AttemptOutcome::ConnectFailed);
+            return ProbeResult::without_report(AttemptOutcome::ConnectFailed);
         }
         let response = match read_response(&mut connection).await {
             Ok(response) => response,
-            Err(outcome) => return ProbeEnd::without_report(outcome),
+            Err(outcome) => return ProbeResult::without_report(outcome),
         };
         if response.keeps_connection {
             self.pool.release(address, connection, Duration::ZERO);
         }
         let text = std::str::from_utf8(&response.body).ok();
-        ProbeEnd {
+        ProbeResult {
             outcome: probe_outcome(response.status),
             report: text.and_then(|text| parse_load_report(text, &self.site)),
         }
     }
 }
 
-/// Reads the response to a probe; an error is the outcome of a probe without a complete response.
+/// Reads the response to a probe. The error is the outcome of a probe without a complete response.
 async fn read_response(
     connection: &mut ReplicaConnection,
 ) -> Result<ProbeResponse, AttemptOutcome> {
--- a/src/transport/replica/stream_monitor.rs
+++ b/src/transport/replica/stream_monitor.rs
@@ -1,8 +1,9 @@
-//! Follows all streams of a node: how long a silence may last at each replica, the budgets of continuing streams, and the
-//! counters that the log shows. What follows from a silence or a break is decided by `poppykeel_stream_recovery`.
+//! Monitors all streams of a node: the silence limit of each replica, the continuation budgets, and the counters shown in
+//! the log. `poppykeel_stream_recovery` decides how to react to a silence or a break.
 //!
-//! [`attempts`](super::attempts) begins a stream here and reports its events; [`stream_recovery`](super::stream_recovery)
-//! takes continuations from the budgets; the dispatcher writes the summary to the log; `program::serve` sets the settings.
+//! [`attempts`](super::attempts) registers streams here and reports their events;
+//! [`stream_recovery`](super::stream_recovery) takes continuations from the budgets; the dispatcher logs the summary;
+//! `program::serve` applies the settings.
 
 use crate::routing::{DurationMicros, MonotonicMicros};
 use crate::transport::clock::Clock;
@@ -16,9 +17,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Replicas whose gaps between events are remembered.
+/// Maximum number of replicas whose gaps between events are recorded.
 const MAX_REPLICAS: usize = 4096;
-/// Replicas that the log shows one by one, those with the longest gaps first.
+/// Maximum number of replicas logged one by one, those with the longest gaps first.
 const MAX_LOGGED_REPLICAS: usize = 32;
 /// The quantile of gaps by which replicas are ordered in the log.
 const LOG_ORDER_QUANTILE: f64 = 0.98;
@@ -28,65 +29,65 @@
 /// The operators' settings of streams.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct StreamSettings {
-    /// How long a silence may last.
+    /// Limits of a stream's silence.
     pub stall_limits: StallLimits,
-    /// How streams are continued; without it responses pass unchanged from one replica.
+    /// How streams are continued. If `None`, responses are forwarded unchanged from one replica.
     pub continuation: Option<ContinuationSettings>,
 }
 
 /// How streams are continued on another replica.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ContinuationSettings {
-    /// The budget of all streams together.
+    /// The continuation budget of all streams together.
     pub limits: ContinuationLimits,
-    /// At most this share of one replica's streams is continued elsewhere.
+    /// Maximum share of one replica's streams that is continued elsewhere.
     pub max_replica_share: f64,
-    /// A continuation must have begun within this time.
+    /// A continuation must begin within this time.
     pub max_wait: Duration,
 }
 
-/// How streams have ended since the start, for the log.
+/// Counts of streams by their outcome since the start, for the log.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct StreamCounters {
-    /// Streams that a replica ended completely; a stream and its continuation count as two.
-    pub whole: u64,
-    /// Streams that were abandoned in the middle of a silence.
+    /// Streams completed by their replica. A stream and its continuation count as two.
+    pub finished: u64,
+    /// Streams that were abandoned because of a silence.
     pub stalled: u64,
-    /// Streams that their replica broke.
+    /// Streams interrupted by their replica.
     pub broken: u64,
     /// Streams that were continued on another replica.
     pub continued: u64,
-    /// Streams that were complete after that.
-    pub saved: u64,
-    /// Streams that were complete but for their closing events, which the node wrote.
-    pub completed: u64,
-    /// Streams that ended with an error event to the client.
+    /// Streams that were completed after a continuation.
+    pub recovered: u64,
+    /// Streams of which only the closing events were missing; the node wrote these.
+    pub closed_by_node: u64,
+    /// Streams that ended with an error event.
     pub failed: u64,
-    /// Bytes that were dropped, since their replica may no longer write to the stream.
-    pub dropped: u64,
+    /// Bytes discarded because they came from a replica that no longer writes the stream.
+    pub discarded_bytes: u64,
 }
 
-/// The streams of one replica.
+/// Statistics of one replica's streams.
 #[derive(Default)]
 struct ReplicaStreams {
     gaps: GapHistogram,
     budget: ContinuationBudget,
     begun_count: u64,
-    whole_count: u64,
+    finished_count: u64,
     stalled_count: u64,
     broken_count: u64,
 }
 
-/// The stall detector of a stream, which its own task and the log share.
+/// The stall detector of a stream, shared by the stream's task and the log.
 type SharedStallDetector = Rc<RefCell<StallDetector>>;
 
-/// A stream that has begun and not ended.
+/// A stream that has not ended.
 struct ActiveStream {
     replica: ReplicaId,
     detector: SharedStallDetector,
 }
 
-/// How the active streams of one replica stand, for the log.
+/// Number of one replica's active streams in each state, for the log.
 #[derive(Clone, Copy, Default)]
 struct ActiveStreamStates {
     flowing: usize,
@@ -108,7 +109,7 @@
     }
 }
 
-/// A stream from its first event on. Dropping it removes it from the active streams.
+/// A monitored stream, from its first event on. Dropping it removes it from the active streams.
 pub struct MonitoredStream {
     monitor: Rc<StreamMonitor>,
     number: u64,
@@ -117,7 +118,7 @@
 }
 
 impl MonitoredStream {
-    /// Notes that bytes of the stream have come.
+    /// Records that bytes of the stream have arrived.
     pub fn record_event(&self) {
         let gap = self.detector.borrow_mut().record_event(self.monitor.now());
         if let Some(gap) = gap {
@@ -126,25 +127,25 @@
         }
     }
 
-    /// The time after which the stream is stalled if nothing comes; `None` while silence does not count.
+    /// Time until the stream counts as stalled if no bytes arrive; `None` while silence is not counted.
     pub fn time_to_stall(&self) -> Option<DurationMicros> {
         let deadline = self.detector.borrow().stall_deadline();
         deadline.map(|deadline| deadline.saturating_sub(self.monitor.now()))
     }
 
-    /// Notes that the client takes nothing: from here on silence is not the replica's.
+    /// Records that the client accepts no bytes. From now on silence is not counted against the replica.
     pub fn client_blocked(&self) {
         let now = self.monitor.now();
         self.detector.borrow_mut().client_blocked(now);
     }
 
-    /// Notes that the client has taken what there was.
+    /// Records that the client has accepted the pending bytes.
     pub fn client_resumed(&self) {
         let now = self.monitor.now();
         self.detector.borrow_mut().client_resumed(now);
     }
 
-    /// Notes that the stream is abandoned after this silence.
+    /// Records that the stream is abandoned after a silence of this length.
     pub fn abandon(&self, silence_us: DurationMicros) {
         self.monitor.with_replica(self.replica, |streams| {
             streams.gaps.record_abandoned(silence_us);
@@ -154,19 +155,19 @@
             .update_counters(|counters| counters.stalled += 1);
     }
 
-    /// Notes that the replica has ended the stream, complete or not.
+    /// Records that the replica has ended the stream, complete or not.
     pub fn end(&self, is_complete: bool) {
         self.detector.borrow_mut().record_end(is_complete);
         self.monitor.with_replica(self.replica, |streams| {
             if is_complete {
-                streams.whole_count += 1;
+                streams.finished_count += 1;
             } else {
                 streams.broken_count += 1;
             }
         });
         self.monitor.update_counters(|counters| {
             if is_complete {
-                counters.whole += 1;
+                counters.finished += 1;
             } else {
                 counters.broken += 1;
             }
@@ -180,20 +181,20 @@
     }
 }
 
-/// Follows the streams of one node.
+/// Monitors the streams of one node.
 pub struct StreamMonitor {
     clock: Clock,
     settings: Cell<StreamSettings>,
     replicas: RefCell<BTreeMap<ReplicaId, ReplicaStreams>>,
     budget: RefCell<ContinuationBudget>,
     counters: Cell<StreamCounters>,
-    /// The active streams by number; no more than there are attempts.
+    /// Active streams by number; at most one per attempt.
     active: RefCell<BTreeMap<u64, ActiveStream>>,
     next_number: Cell<u64>,
 }
 
 impl StreamMonitor {
-    /// A monitor that has seen no stream yet.
+    /// Creates a monitor without streams.
     pub fn new(clock: Clock, settings: StreamSettings) -> Self {
         StreamMonitor {
             clock,
@@ -206,7 +207,7 @@
         }
     }
 
-    /// Takes other settings, for streams that begin from now on.
+    /// Replaces the settings for streams that begin from now on.
     pub fn set_settings(&self, settings: StreamSettings) {
         self.settings.set(settings);
     }
@@ -216,7 +217,7 @@
         self.settings.get()
     }
 
-    /// How streams have ended so far.
+    /// The counters since the start.
     pub fn counters(&self) -> StreamCounters {
         self.counters.get()
     }
@@ -232,8 +233,8 @@
         self.clock.now()
     }
 
-    /// Reads or changes what is remembered of a replica. Where there is no room for one more, the replica of the lowest id
-    /// is forgotten.
+    /// Reads or changes the statistics of a replica. At the limit, the statistics of the replica with the lowest id are
+    /// removed for a new one.
     fn with_replica<T>(
         &self,
         replica: ReplicaId,
@@ -246,7 +247,8 @@
         action(replicas.entry(replica).or_default())
     }
 
-    /// Begins a stream of a replica; the objective is that of its class for the time between two tokens.
+    /// Begins to monitor a stream of a replica. `inter_token_objective` is its class's objective for the time between two
+    /// tokens.
     pub fn begin_stream(
         self: &Rc<Self>,
         replica: ReplicaId,
@@ -285,8 +287,7 @@
         }
     }
 
-    /// Takes one continuation of a stream of this replica from the replica's budget and from that of all streams; false
-    /// where either has none left.
+    /// Takes one continuation from the replica's budget and from that of all streams. Returns false if either is exhausted.
     pub fn try_take_continuation(
         &self,
         replica: ReplicaId,
@@ -302,8 +303,8 @@
         }) && self.budget.borrow_mut().try_take(now, &settings.limits)
     }
 
-    /// Writes the counters to the log and then, for each replica, how its streams stand and the quantiles of their gaps.
-    /// `name` gives a replica's name on the endpoint list.
+    /// Logs the counters, then for each replica the states of its streams and the quantiles of their gaps. `name` returns a
+    /// replica's name on the endpoint list.
     pub fn log_summary(&self, name: impl Fn(ReplicaId) -> Option<String>) {
         let states = self.active_states();
         self.log_counters();
@@ -320,7 +321,7 @@
         }
     }
 
-    /// How the active streams of each replica stand.
+    /// The states of each replica's active streams.
     fn active_states(&self) -> BTreeMap<ReplicaId, ActiveStreamStates> {
         let now = self.now();
         let mut states: BTreeMap<ReplicaId, ActiveStreamStates> = BTreeMap::new();
@@ -335,14 +336,14 @@
         let counters = self.counters();
         tracing::info!(
             live = self.active.borrow().len(),
-            whole = counters.whole,
+            whole = counters.finished,
             stalled = counters.stalled,
             broken = counters.broken,
             continued = counters.continued,
-            saved = counters.saved,
-            completed = counters.completed,
+            saved = counters.recovered,
+            completed = counters.closed_by_node,
             failed = counters.failed,
-            dropped = counters.dropped,
+            dropped = counters.discarded_bytes,
             "streams"
         );
     }
@@ -361,7 +362,7 @@
             stalled_now = states.stalled,
             outrun = states.client_slow,
             begun = streams.begun_count,
-            whole = streams.whole_count,
+            whole = streams.finished_count,
             stalled = streams.stalled_count,
             broken = streams.broken_count,
             gap_p50_ms = gap_ms(0.5),
--- a/src/transport/replica/stream_recovery.rs
+++ b/src/transport/replica/stream_recovery.rs
@@ -1,8 +1,8 @@
-//! Recovers streams that their replica did not end, at sites where the operators allow it. What has been passed on is kept
-//! as a transcript; the remainder is requested as a request of its own, and both become one response.
+//! Recovery of interrupted streams, at sites where the operators allow it. The forwarded part of a stream is kept as a
+//! transcript; the remainder is requested separately, and the client gets both as one response.
 //!
-//! The scheduler treats that request like any other. Whether there is one at all is decided by `poppykeel_stream_recovery`.
-//! The task of the client's connection owns the [`StreamRecovery`] of its stream and carries out each [`RecoveryStep`].
+//! The scheduler treats the continuation like any other request. `poppykeel_stream_recovery` decides whether there is one.
+//! The task of the client's connection owns the [`StreamRecovery`] of its stream and executes each [`RecoveryStep`].
 
 use super::stream_monitor::{ContinuationSettings, StreamMonitor};
 use crate::protocol::http::Head;
@@ -21,51 +21,51 @@
 
 /// A client's request whose stream has begun.
 pub struct StreamedRequest {
-    /// The request as the scheduler takes it.
+    /// The request in the scheduler's form.
     pub request: IncomingRequest,
     /// The head of the request as the client sent it.
     pub head: Head,
     /// The body, unchanged.
     pub body: Bytes,
-    /// The replica that writes the stream.
+    /// The replica that sends the stream.
     pub replica: ReplicaId,
 }
 
-/// The stream of one client, which can be recovered.
+/// A client's stream that can be recovered.
 pub struct StreamRecovery {
     monitor: Rc<StreamMonitor>,
     settings: ContinuationSettings,
     transcript: StreamTranscript,
-    /// The request that is being answered now: the client's, or the last continuation.
+    /// The request whose response is being forwarded: the client's, or the last continuation.
     request: IncomingRequest,
     head: Head,
     body: Bytes,
     is_idempotent: bool,
     continuation_count: u32,
-    /// The replica that writes now.
+    /// The replica that sends the stream now.
     replica: ReplicaId,
 }
 
 /// A request for the remainder of a stream.
 pub struct ContinuationRequest {
-    /// The request as the scheduler takes it.
+    /// The request in the scheduler's form.
     pub request: IncomingRequest,
-    /// The request as replicas get it.
+    /// The request in the form sent to replicas.
     pub payload: RequestPayload,
 }
 
-/// What the client's connection has to do once a stream has ended before its end.
+/// What the client's connection must do after a stream was interrupted.
 pub enum RecoveryStep {
-    /// Send these bytes; the stream is complete then.
+    /// Send these bytes, which complete the stream.
     Complete(Bytes),
     /// Request the remainder.
     Continue(Box<ContinuationRequest>),
-    /// Send these bytes, which tell the client that the stream has failed.
+    /// Send these bytes, an error event, and end the stream.
     Fail(Bytes),
 }
 
 impl StreamRecovery {
-    /// Follows a stream; `None` where it can't be recovered.
+    /// Starts the transcript of a stream; `None` if the stream can't be recovered.
     pub fn new(
         monitor: &Rc<StreamMonitor>,
         site: &SiteSettings,
@@ -89,41 +89,43 @@
         })
     }
 
-    /// The id of the request that is being answered now.
+    /// The id of the request whose response is being forwarded.
     pub fn request_id(&self) -> RequestId {
         self.request.id
     }
 
-    /// Takes bytes of the replica and returns those that go to the client now.
+    /// Adds bytes from the replica to the transcript and returns those to send to the client now.
     pub fn forward(&mut self, bytes: &Bytes) -> Bytes {
         let epoch = self.transcript.epoch();
         let forwarded = self.transcript.forward(epoch, bytes);
         if forwarded.dropped_bytes > 0 {
-            self.monitor
-                .update_counters(|counters| counters.dropped += forwarded.dropped_bytes as u64);
+            self.monitor.update_counters(|counters| {
+                counters.discarded_bytes += forwarded.dropped_bytes as u64
+            });
         }
         forwarded.bytes.into()
     }
 
-    /// Takes what has come of an event that was never completed. It goes to the client once the stream is complete.
+    /// Removes and returns the bytes of an incomplete last event. They are sent to the client once the stream is complete.
     pub fn take_partial_event(&mut self) -> Bytes {
         self.transcript.take_partial_event().into()
     }
 
-    /// The replica has ended the stream. Returns whether the stream is complete by its own events; a stream whose events
-    /// can't be judged is taken to be.
+    /// Handles the end of the replica's response. Returns whether the events show a complete stream; a stream whose events
+    /// can't be interpreted counts as complete.
     pub fn replica_ended(&mut self) -> bool {
         let transcript = &self.transcript;
         let is_complete = transcript.progress() == StreamProgress::Done
             || transcript.obstacle().is_some()
             || !transcript.has_chunks();
         if is_complete && self.continuation_count > 0 {
-            self.monitor.update_counters(|counters| counters.saved += 1);
+            self.monitor
+                .update_counters(|counters| counters.recovered += 1);
         }
         is_complete
     }
 
-    /// The stream has stalled or broken, or its end is missing. Returns what has to be done.
+    /// Handles a stream that has stalled or broken, or lacks its end. Returns the next step.
     pub fn recover(&mut self, is_shutting_down: bool) -> RecoveryStep {
         let interrupted = InterruptedStream {
             max_continuations: Some(self.settings.limits.max_per_stream),
@@ -139,7 +141,7 @@
         match decide(&interrupted, &self.transcript, &self.body, try_take) {
             RecoveryDecision::Complete => {
                 self.monitor
-                    .update_counters(|counters| counters.completed += 1);
+                    .update_counters(|counters| counters.closed_by_node += 1);
                 RecoveryStep::Complete(self.transcript.closing_events().into())
             }
             RecoveryDecision::Fail(refusal) => RecoveryStep::Fail(self.fail(&refusal)),
@@ -149,7 +151,7 @@
         }
     }
 
-    /// The request for the remainder, whose body is `body`.
+    /// Builds the request for the remainder, with this body.
     fn continuation(&mut self, body: Bytes) -> ContinuationRequest {
         self.continuation_count += 1;
         let epoch = self.transcript.begin_epoch();
@@ -157,7 +159,7 @@
             .update_counters(|counters| counters.continued += 1);
         let tokens = self.transcript.token_count();
         let mut request = self.request.clone();
-        // A request of its own: a replica that remembers ids must not take it for a repeat.
+        // The continuation has its own id: a replica that deduplicates by id must not take it for a repeat.
         request.id = RequestId(continuation_id(self.request.id.0, epoch));
         request.prompt_tokens += tokens;
         request.max_output_tokens = request.max_output_tokens.saturating_sub(tokens).max(1);
@@ -170,17 +172,17 @@
         ContinuationRequest { request, payload }
     }
 
-    /// Another replica writes the remainder.
-    pub fn continued_by(&mut self, replica: ReplicaId) {
+    /// Sets the replica that sends the remainder.
+    pub fn set_replica(&mut self, replica: ReplicaId) {
         self.replica = replica;
     }
 
-    /// The request for the remainder was rejected or has failed. Returns the bytes that tell the client so.
+    /// Handles a continuation that was rejected or has failed. Returns an error event for the client.
     pub fn continuation_refused(&mut self) -> Bytes {
         self.fail(&RecoveryRefusal::NoReplica)
     }
 
-    /// Counts and logs the failure, and returns the event that tells the client of it.
+    /// Counts and logs the failure, and returns an error event for the client.
     fn fail(&mut self, refusal: &RecoveryRefusal) -> Bytes {
         self.monitor
             .update_counters(|counters| counters.failed += 1);
@@ -193,7 +195,7 @@
     }
 }
 
-/// The id of a continuation: the id of the request before it, mixed with the number of the stream's writer.
+/// The id of a continuation: a hash of the previous request's id and the transcript's epoch.
 fn continuation_id(id: u64, epoch: u64) -> u64 {
     (id ^ epoch.wrapping_mul(0x9e37_79b9_7f4a_7c15))
         .wrapping_mul(0xbf58_476d_1ce4_e5b9)
