--- a/src/transport/client/close_reason.rs
+++ b/src/transport/client/close_reason.rs
@@ -1,26 +1,26 @@
-//! Why connections of clients end, and how often each reason has come up. [`connection`](super::connection) counts; the
-//! operators' address shows the counts as `app_client_closes`.
+//! Reasons for which client connections close, and their counts. [`connection`](super::connection) counts; the admin address
+//! exports the counts as `app_client_closes`.
 
 use std::cell::Cell;
 
-/// Why a client's connection ends.
+/// Why a client connection closes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseReason {
     /// The client closed or broke the connection.
     ClientDisconnected,
-    /// The client took no bytes for longer than it may.
+    /// The client accepted no bytes within the write timeout.
     ClientStalled,
-    /// The response said that it is the last on its connection.
+    /// The last response announced the close.
     LastResponse,
-    /// A request was rejected before the dispatcher saw it.
+    /// A request was rejected without being passed to the dispatcher.
     RequestRejected,
-    /// A stream ended incomplete: the missing last chunk says so.
+    /// A stream ended incomplete. The client sees this by the missing last chunk.
     StreamBroken,
-    /// No further request came for longer than a connection is kept.
+    /// No further request arrived within the idle timeout.
     IdleTimeout,
-    /// No request came at all.
+    /// No request arrived within the read timeout.
     NoRequest,
-    /// Another connection needed its place.
+    /// The connection was closed to make room for another.
     Evicted,
     /// The node has been evacuated.
     Evacuated,
@@ -31,7 +31,7 @@
 }
 
 impl CloseReason {
-    /// All reasons, in the order of their declaration.
+    /// All reasons in the order of their declaration.
     pub const ALL: [CloseReason; 11] = [
         CloseReason::ClientDisconnected,
         CloseReason::ClientStalled,
@@ -46,7 +46,7 @@
         CloseReason::DispatcherEnded,
     ];
 
-    /// The reason as a label of metrics and in the log.
+    /// The reason's label in metrics and in the log.
     pub fn label(self) -> &'static str {
         match self {
             CloseReason::ClientDisconnected => "client_left",
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Whether the connection ends between two requests, so that nothing is owed to the client.
+    /// Whether the connection closes between two requests, so that no response is outstanding.
     pub fn is_between_requests(self) -> bool {
         matches!(
             self,
@@ -74,7 +74,7 @@
         )
     }
 
-    /// Whether nobody waits for the end of what was written, so that the socket can be dropped at once.
+    /// Whether the socket can be dropped at once, since the client need not receive all that was written.
     pub fn is_abrupt(self) -> bool {
         matches!(
             self,
@@ -83,12 +83,12 @@
     }
 }
 
-/// Connections closed since the start, by reason.
+/// Number of connections closed since the start, by reason.
 #[derive(Debug, Default)]
 pub struct CloseCounters([Cell<u64>; CloseReason::ALL.len()]);
 
 impl CloseCounters {
-    /// Counts one more connection.
+    /// Counts a closed connection.
     pub fn add(&self, reason: CloseReason) {
         let count = &self.0[reason as usize];
         count.set(count.get() + 1);
--- a/src/transport/client/connection/disconnect.rs
+++ b/src/transport/client/connection/disconnect.rs
@@ -1,4 +1,4 @@
-//! Notices that a client disconnects while its request is being served.
+//! Detects that a client disconnects while its request is being served.
 
 use super::{ClientConnection, CloseReason, ConnectionClosed};
 use crate::protocol::http::HttpParseError;
@@ -9,11 +9,11 @@
 use std::time::Duration;
 use tokio::io::Interest;
 
-/// Bytes of further requests that are read while a response is awaited.
+/// Maximum number of bytes of further requests buffered while a response is awaited.
 const MAX_READ_AHEAD_BYTES: usize = 16 * 1024;
-/// Bytes of further requests that are read at once.
+/// Maximum number of bytes read at once.
 const READ_BUFFER_BYTES: usize = 4096;
-/// Behind more bytes than these a close is looked for this often.
+/// How often a close is checked for once [`MAX_READ_AHEAD_BYTES`] are buffered.
 const CLOSE_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
 /// The client has closed or broken its connection.
@@ -28,7 +28,7 @@
 }
 
 impl ClientConnection {
-    /// Waits for `operation` while the client stays connected. An operation that is done in the same instant counts as done.
+    /// Waits for `operation` while the client stays connected. If both happen at once, the operation counts as completed.
     pub(super) async fn until_disconnected<T>(
         &mut self,
         operation: impl Future<Output = T>,
@@ -36,23 +36,23 @@
         tokio::pin!(operation);
         loop {
             if self.read_ahead.is_some() {
-                // The next request has come and waits for its turn; that its client disconnects is noticed all the same.
-                // Whoever calls owns the operation: it is dropped unfinished where the client disconnects first. Waiting
-                // for the close is cancel-safe, since bytes that are read meanwhile go to the codec's buffer at once.
+                // The next request has been read and is pending; a disconnect must be detected nevertheless. The caller owns
+                // the operation, which is dropped unfinished if the client disconnects first. Waiting for the close is
+                // cancel-safe, since bytes read meanwhile are put into the codec's buffer at once.
                 return tokio::select! {
                     biased;
                     output = &mut operation => Ok(output),
                     () = wait_for_close(&mut self.http) => Err(ClientDisconnected),
                 };
             }
-            // Reading is cancel-safe: the codec keeps what it has read. The operation is only borrowed, and goes on in the
-            // next turn of the loop where a part has come.
+            // Reading is cancel-safe: the codec keeps what it has read. The operation is only borrowed, and continues in the
+            // next iteration if a part has been read.
             tokio::select! {
                 biased;
                 output = &mut operation => return Ok(output),
                 read = self.http.next() => match read {
                     None | Some(Err(HttpParseError::UnexpectedEof | HttpParseError::Io(_))) => return Err(ClientDisconnected),
-                    // What can't be read is answered after the present request.
+                    // An invalid request is rejected after the current request.
                     Some(part) => self.read_ahead = Some(part),
                 },
             }
@@ -60,7 +60,7 @@
     }
 }
 
-/// Waits until a client has closed its connection behind bytes that it had sent ahead. These bytes are kept, up to a limit.
+/// Waits until a client has closed its connection, possibly after bytes sent ahead. These bytes are buffered, up to a limit.
 /// Cancel-safe.
 async fn wait_for_close(http: &mut HttpConnection) {
     let mut buffer = [0; READ_BUFFER_BYTES];
--- a/src/transport/client/connection/exchange.rs
+++ b/src/transport/client/connection/exchange.rs
@@ -1,4 +1,4 @@
-//! Serves one request: reads its body, gives it to the dispatcher, and sends the client what comes of it.
+//! Serves one request: reads its body, passes it to the dispatcher, and sends the client the response.
 
 use super::disconnect::ClientDisconnected;
 use super::requests::BodyError;
@@ -17,7 +17,7 @@
 use poppykeel_site_settings::SiteSettings;
 use tokio::sync::{mpsc, oneshot};
 
-/// Why a request has no response of the dispatcher's.
+/// Why the dispatcher sent no response to a request.
 #[derive(Debug, PartialEq, thiserror::Error)]
 pub(super) enum DispatchError {
     /// The client has disconnected.
@@ -37,7 +37,7 @@
     }
 }
 
-/// A request for a completion that the dispatcher has taken.
+/// A completion request that the dispatcher has accepted.
 struct DispatchedRequest {
     request: IncomingRequest,
     head: Head,
@@ -47,15 +47,15 @@
     is_last: bool,
 }
 
-/// A replica's stream whose first token has come.
-struct BeginningStream {
+/// A replica's stream whose first token has arrived.
+struct ReplicaStream {
     content_type: String,
     replica: ReplicaId,
     chunks: mpsc::Receiver<StreamChunk>,
 }
 
 impl ClientConnection {
-    /// Serves the request with this head. An error ends the connection.
+    /// Serves the request with this head. An error closes the connection.
     pub(super) async fn serve(&mut self, head: Head) -> Result<(), ConnectionClosed> {
         let route = match request::route(&head) {
             Ok(route) => route,
@@ -92,7 +92,7 @@
         .await
     }
 
-    /// Serves a request for a completion that has been read completely.
+    /// Serves a completion request whose body has been read.
     async fn serve_completion(
         &mut self,
         head: Head,
@@ -106,9 +106,9 @@
         };
         let id = request.id;
         if !self.registry.shutdown().admits_requests() {
-            return Err(self.reject_late().await);
+            return Err(self.reject_during_shutdown().await);
         }
-        self.log_taken(&request);
+        self.log_admitted(&request);
         let payload = RequestPayload {
             head: request::replica_request_head(&head, body.len(), None),
             body: body.clone(),
@@ -133,17 +133,17 @@
         self.send_response(&site, dispatched, response).await
     }
 
-    fn log_taken(&self, request: &IncomingRequest) {
+    fn log_admitted(&self, request: &IncomingRequest) {
         log_lifecycle!(
             self,
             request = %request.id,
             nth = self.request_count,
             deadline_s = request.time_left,
-            "request taken"
+            "request admitted"
         );
     }
 
-    /// Sends the client what has come of its request.
+    /// Sends the client the response to its request.
     async fn send_response(
         &mut self,
         site: &SiteSettings,
@@ -158,7 +158,7 @@
                 replica,
                 chunks,
             } => {
-                let stream = BeginningStream {
+                let stream = ReplicaStream {
                     content_type,
                     replica,
                     chunks,
@@ -173,7 +173,7 @@
                 Err(self.reject(&reject, None).await)
             }
             ClientResponse::Rejected(retry_after) => {
-                log_lifecycle!(self, request = %id, status = 503, "request refused");
+                log_lifecycle!(self, request = %id, status = 503, "request rejected by the dispatcher");
                 self.respond(OwnResponse {
                     status: 503,
                     text: "no replica has room for this request now",
@@ -195,12 +195,12 @@
         }
     }
 
-    /// Sends a stream to the client, and recovers it where that is possible.
+    /// Sends a stream to the client, and recovers it if it is interrupted and can be recovered.
     async fn send_stream(
         &mut self,
         site: &SiteSettings,
         dispatched: DispatchedRequest,
-        stream: BeginningStream,
+        stream: ReplicaStream,
     ) -> Result<(), ConnectionClosed> {
         let DispatchedRequest {
             request,
@@ -209,13 +209,13 @@
             body_memory,
             is_last,
         } = dispatched;
-        let BeginningStream {
+        let ReplicaStream {
             content_type,
             replica,
             chunks,
         } = stream;
         let id = request.id;
-        log_lifecycle!(self, request = %id, replica = %replica.0, "stream begins");
+        log_lifecycle!(self, request = %id, replica = %replica.0, "stream started");
         let streamed = StreamedRequest {
             request,
             head,
@@ -224,7 +224,7 @@
         };
         let monitor = self.registry.stream_monitor();
         let mut recovery = StreamRecovery::new(monitor, site, streamed, &content_type);
-        // Only a stream that can be recovered keeps the body of its request, and its memory with it, until it ends.
+        // Only a stream that can be recovered keeps its request body, and thus the body's memory, until it ends.
         let _body_memory = recovery.is_some().then_some(body_memory);
         let response_head = request::stream_response_head(&content_type, is_last);
         self.feed(EncodedMessage::Raw(response_head)).await?;
@@ -236,7 +236,7 @@
         match end {
             Ok(StreamEnd::Complete) if !is_last => Ok(()),
             Ok(StreamEnd::Complete) => Err(ConnectionClosed(CloseReason::LastResponse)),
-            // The last chunk is missing, so the client sees that the stream is not complete.
+            // The missing last chunk shows the client that the stream is incomplete.
             Ok(StreamEnd::Broken) => Err(ConnectionClosed(CloseReason::StreamBroken)),
             Err(closed) => {
                 let last_id = recovery.map_or(id, |recovery| recovery.request_id());
@@ -247,10 +247,10 @@
 
     fn log_stream_end(&self, id: RequestId, end: &Result<StreamEnd, ConnectionClosed>) {
         let is_complete = *end == Ok(StreamEnd::Complete);
-        log_lifecycle!(self, request = %id, whole = is_complete, "stream ends");
+        log_lifecycle!(self, request = %id, whole = is_complete, "stream ended");
     }
 
-    /// Gives a request to the dispatcher and waits for the response while the client stays connected.
+    /// Sends a request to the dispatcher and waits for the response while the client stays connected.
     pub(super) async fn dispatch(
         &mut self,
         request: IncomingRequest,
@@ -259,7 +259,7 @@
         let (response, responded) = oneshot::channel();
         let owner = self.registry.new_request_owner();
         self.owner = owner;
-        // The dispatcher may be behind: a request whose client disconnects while there is no room for it is not sent.
+        // The dispatcher's channel may be full. If the client disconnects in the meantime, the request is not sent.
         let dispatcher = self.registry.dispatcher().clone();
         let Ok(permit) = self.until_disconnected(dispatcher.reserve()).await? else {
             return Err(DispatchError::DispatcherEnded);
@@ -274,18 +274,18 @@
         response.map_err(|_| DispatchError::DispatcherEnded)
     }
 
-    /// Tells the dispatcher that nobody waits for this request any more.
+    /// Notifies the dispatcher that the client of this request has disconnected.
     async fn report_disconnect(
         &mut self,
         id: RequestId,
         closed: ConnectionClosed,
     ) -> ConnectionClosed {
-        log_lifecycle!(self, request = %id, why = closed.0.label(), "client gone");
+        log_lifecycle!(self, request = %id, why = closed.0.label(), "client connection lost during the request");
         let message = DispatcherMessage::ClientDisconnected {
             request: id,
             owner: self.owner,
         };
-        // A dispatcher that has ended serves no request any more.
+        // Sending fails only if the dispatcher has ended; it then serves no requests.
         let _ = self.registry.dispatcher().send(message).await;
         closed
     }
--- a/src/transport/client/connection/mod.rs
+++ b/src/transport/client/connection/mod.rs
@@ -1,21 +1,21 @@
-//! One connection of a client: requests one after the other, each with one response.
+//! One client connection: it serves requests in sequence, each with one response.
 //!
 //! [`ClientConnection::run`] is the connection's task and owns its socket. Dropping the task closes the socket at once; the
-//! dispatcher then finds the channel for the response closed.
+//! dispatcher then finds the response channel closed.
 //!
-//! | state | what is awaited | module |
+//! | state | awaited | module |
 //! | --- | --- | --- |
-//! | idle | the next request's first byte, the end of the connection's time, an eviction | `requests` |
-//! | reading | the remainder of head and body, until the read deadline | `requests` |
+//! | idle | the next request's first byte, the idle timeout, an order to close, an eviction | `requests` |
+//! | reading | the remaining head and body, until the read deadline | `requests` |
 //! | waiting | the dispatcher's response, while the client stays connected | `exchange`, `disconnect` |
 //! | streaming | chunks of the stream, while the client stays connected | `streams`, `disconnect` |
-//! | writing | the client takes the bytes, within the write timeout | `responses` |
-//! | closing | the client's end of the connection, for a short time | here |
+//! | writing | the client accepts the bytes, within the write timeout | `responses` |
+//! | closing | the client closes its end, for a short time | here |
 //!
 //! Invariants:
-//! - A request that has been read completely is answered, or the dispatcher is told that its client has disconnected.
-//! - Bytes that come in the instant of a close between two requests are a request, and are read.
-//! - Bytes of a further request that come meanwhile are kept until the present one has its response.
+//! - Each completely read request is answered, or the dispatcher is notified that its client has disconnected.
+//! - Bytes that arrive at the moment of a close between two requests are read as a request.
+//! - Bytes of a further request that arrive early are buffered until the current request has its response.
 
 mod disconnect;
 mod exchange;
@@ -35,10 +35,10 @@
 use tokio::time::Instant;
 use tokio_util::codec::Framed;
 
-/// After the last response the client's end of the connection is awaited for this time.
+/// How long the client's close is awaited after the last response.
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Logs what becomes of a request or a connection: at level `info` during a shutdown, where few lines tell everything, and at
+/// Logs the progress of a request or connection: at level `info` during a shutdown, when there are few such lines, and at
 /// level `debug` otherwise.
 macro_rules! log_lifecycle {
     ($connection:expr, $($field:tt)*) => {{
@@ -57,21 +57,21 @@
 pub struct ClientConnection {
     http: HttpConnection,
     registry: Rc<ConnectionRegistry>,
-    /// The connection's number among all connections of this process.
+    /// The connection's number, unique within the process.
     number: u64,
-    /// What came of the next request while a response was awaited: its head, or why it can't be read.
+    /// The result of reading the next request while a response was awaited: its head, or a read error.
     read_ahead: Option<Result<MessagePart, HttpParseError>>,
-    /// Heads of requests that have been read on this connection.
+    /// Number of request heads read on this connection.
     request_count: u64,
-    /// The request that is being read must be complete by then, however slowly its bytes come.
+    /// The current request must be complete by this time.
     read_deadline: Instant,
-    /// Who waits for the response to the last request.
+    /// The wait for the response to the last request.
     owner: RequestOwner,
 }
 
-/// The connection ends, for this reason.
+/// The connection must close, for this reason.
 #[derive(Debug, PartialEq, thiserror::Error)]
-#[error("the connection ends: {}", .0.label())]
+#[error("connection closes: {}", .0.label())]
 struct ConnectionClosed(CloseReason);
 
 impl Drop for ClientConnection {
@@ -81,7 +81,7 @@
 }
 
 impl ClientConnection {
-    /// A connection that has just been accepted.
+    /// Creates the connection for an accepted socket.
     pub fn new(socket: TcpStream, registry: Rc<ConnectionRegistry>) -> Self {
         let number = registry.connection_opened();
         let read_deadline = Instant::now() + registry.limits().request_read_timeout;
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Serves requests until the client or the node ends the connection.
+    /// Serves requests until the client or the node closes the connection.
     pub async fn run(mut self) {
         log_lifecycle!(self, "connection accepted");
         let ConnectionClosed(reason) = self.serve_requests().await;
@@ -128,26 +128,26 @@
         }
     }
 
-    /// Closes the connection so that the client can tell what has become of its last request.
+    /// Closes the connection in such a way that the client can tell what happened to its last request.
     async fn close(&mut self, reason: CloseReason) {
         if reason.is_abrupt() {
             return;
         }
         let socket = self.http.get_mut();
-        // Where the client has closed the connection already, there is nothing left to shut down.
+        // If the client has already closed the connection, there is nothing to shut down.
         let _ = socket.shutdown().await;
         if reason.is_between_requests() {
-            // A request that crosses the close is left unread: the reset that follows tells its client so. Whether the
-            // client answers the close in time makes no difference.
+            // A request that crosses the close is not read: the subsequent reset shows that to the client. It does not
+            // matter whether the client responds to the close in time.
             let _ = tokio::time::timeout(CLOSE_TIMEOUT, socket.ready(Interest::READABLE)).await;
         } else {
-            // A close over unread bytes resets the connection, and the end of the last response goes with it. So what still
-            // comes is read and discarded, and not served. A client that does not close in time is cut off.
+            // Closing a socket with unread bytes resets the connection, and the client may lose the end of the last
+            // response. So input is read and discarded until the client closes or the time is up.
             let _ = tokio::time::timeout(CLOSE_TIMEOUT, socket.discard_input()).await;
         }
     }
 
-    /// Whether each response is the last on its connection now.
+    /// Whether responses are the last on their connections now.
     fn is_last_response(&self) -> bool {
         !self.registry.is_serving()
     }
--- a/src/transport/client/connection/requests.rs
+++ b/src/transport/client/connection/requests.rs
@@ -1,4 +1,4 @@
-//! Reads requests from a client's connection, heads and bodies, and decides when none is waited for any more.
+//! Reads the heads and bodies of requests from a client connection, and decides when to stop waiting for a request.
 
 use super::{ClientConnection, CloseReason, ConnectionClosed};
 use crate::protocol::http::{EncodedMessage, Head, HttpParseError, MessagePart};
@@ -13,43 +13,43 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// The response that lets a client send the body it has announced.
+/// The interim response that allows a client to send its announced body.
 const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
 
-/// How the wait for a request ended.
+/// The result of waiting for a request.
 enum RequestStart {
-    /// The first part of the request has come.
+    /// The first part of the request.
     Part(MessagePart),
-    /// The request can't be read, or its head is not complete in time.
-    Unreadable(HttpParseError),
-    /// No request came, and the connection ends.
+    /// The request is invalid, or its head is not complete in time.
+    Invalid(HttpParseError),
+    /// No request arrived, and the connection closes.
     Closed(CloseReason),
 }
 
-/// How reading the next part of a request ended.
+/// The result of reading the next part of a request.
 enum PartRead {
-    /// The part has come.
+    /// The part was read.
     Part(MessagePart),
-    /// What has come can't be read.
-    Unreadable(HttpParseError),
+    /// The bytes received are not valid.
+    Invalid(HttpParseError),
     /// The client has disconnected.
     Disconnected,
-    /// The part has not come in time, and is no longer waited for.
-    Overdue(HttpParseError),
+    /// The part did not arrive in time; reading has stopped.
+    TimedOut(HttpParseError),
 }
 
-/// Why a request has no body to serve.
+/// Why a request's body was not read.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum BodyError {
-    /// The request is to be rejected.
+    /// The request must be rejected.
     #[error("the request is rejected with status {}", .reject.status)]
     Rejected {
         /// The status and reason of the rejection.
         reject: RequestError,
-        /// When the client may try again.
+        /// Delay after which the client may retry.
         retry_after: Option<DurationMicros>,
     },
-    /// The connection ends.
+    /// The connection must close.
     #[error(transparent)]
     Closed(#[from] ConnectionClosed),
 }
@@ -62,7 +62,7 @@
                 self.restart_read_deadline();
                 match read {
                     Ok(part) => RequestStart::Part(part),
-                    Err(fault) => RequestStart::Unreadable(fault),
+                    Err(fault) => RequestStart::Invalid(fault),
                 }
             }
             None => self.wait_for_request().await,
@@ -72,7 +72,7 @@
             RequestStart::Part(MessagePart::Body(_) | MessagePart::End) => {
                 Err(ConnectionClosed(CloseReason::RequestRejected))
             }
-            RequestStart::Unreadable(fault) => Err(self.reject_unreadable(&fault).await),
+            RequestStart::Invalid(fault) => Err(self.reject_invalid(&fault).await),
             RequestStart::Closed(reason) => Err(ConnectionClosed(reason)),
         }
     }
@@ -81,23 +81,23 @@
         self.read_deadline = Instant::now() + self.registry.limits().request_read_timeout;
     }
 
-    /// Waits for a request for as long as the connection may stay, registered as idle.
+    /// Waits for a request for as long as the connection may stay open, registered as idle.
     async fn wait_for_request(&mut self) -> RequestStart {
         let IdleRegistration { number, eviction } = self.registry.register_idle();
         let has_sent_requests = self.request_count > 0;
-        let closing = wait_for_close_order(self.registry.phase(), has_sent_requests);
-        // Reading comes first: a request that has come is served, whatever else has happened. It is cancel-safe, since the
-        // codec keeps what it has read. The other branches hold no data.
+        let closing = wait_for_idle_close(self.registry.phase(), has_sent_requests);
+        // Reading has priority: a request that has arrived is served whatever other events there are. It is cancel-safe,
+        // since the codec keeps what it has read. The other branches hold no data.
         let start = tokio::select! {
             biased;
             start = self.read_request_start() => start,
             reason = closing => RequestStart::Closed(reason),
-            // Another connection needs the place: it is not kept for a client that does not see the end.
+            // The connection is dropped at once to make room: it is not kept open until the client closes its end.
             () = eviction.notified() => RequestStart::Closed(CloseReason::Evicted),
         };
         self.registry.unregister_idle(number);
         match start {
-            // Bytes that have come in the very instant of the close are a request, to be read and answered.
+            // Bytes that arrived at the moment of the close are a request, which must be read and answered.
             RequestStart::Closed(reason)
                 if reason != CloseReason::ClientDisconnected && self.has_request_bytes() =>
             {
@@ -107,8 +107,8 @@
         }
     }
 
-    /// Reads the first part of the next request. A connection that has carried a request may be idle before the next one;
-    /// from its first byte on the read deadline holds.
+    /// Reads the first part of the next request. After its first request, a connection may be idle; the read deadline then
+    /// starts with the next request's first byte.
     async fn read_request_start(&mut self) -> RequestStart {
         if self.request_count > 0 {
             if self.http.read_buffer().is_empty() {
@@ -125,41 +125,41 @@
         }
         match self.read_part().await {
             PartRead::Part(part) => RequestStart::Part(part),
-            PartRead::Unreadable(fault) => RequestStart::Unreadable(fault),
+            PartRead::Invalid(fault) => RequestStart::Invalid(fault),
             PartRead::Disconnected => RequestStart::Closed(CloseReason::ClientDisconnected),
-            PartRead::Overdue(_) if !self.has_request_bytes() => {
+            PartRead::TimedOut(_) if !self.has_request_bytes() => {
                 RequestStart::Closed(CloseReason::NoRequest)
             }
-            PartRead::Overdue(fault) => RequestStart::Unreadable(fault),
+            PartRead::TimedOut(fault) => RequestStart::Invalid(fault),
         }
     }
 
-    /// Reads the next part of a request, until the read deadline or until a node that shuts down reads no more.
+    /// Reads the next part of a request, until the read deadline or until a shutdown ends reading.
     async fn read_part(&mut self) -> PartRead {
         let registry = self.registry.clone();
-        // All branches are cancel-safe: the codec keeps what it has read, and the others hold no data. A part that has come
-        // counts even where the time is over.
+        // All branches are cancel-safe: the codec keeps what it has read, and the others hold no data. A part that has
+        // arrived is used even if the deadline has passed.
         let read = tokio::select! {
             biased;
             read = self.http.next() => read,
             () = tokio::time::sleep_until(self.read_deadline) => {
-                return PartRead::Overdue(HttpParseError::ReadTimeout);
+                return PartRead::TimedOut(HttpParseError::ReadTimeout);
             }
-            () = registry.reading_ended() => return PartRead::Overdue(HttpParseError::ShuttingDown),
+            () = registry.reading_ended() => return PartRead::TimedOut(HttpParseError::ShuttingDown),
         };
         match read {
             Some(Ok(part)) => PartRead::Part(part),
-            Some(Err(fault)) => PartRead::Unreadable(fault),
+            Some(Err(fault)) => PartRead::Invalid(fault),
             None => PartRead::Disconnected,
         }
     }
 
-    /// Whether bytes of a request have come. The kernel is asked, too: the runtime may not have seen them yet.
+    /// Whether bytes of a request have arrived. This also queries the kernel, since the runtime may not have seen them yet.
     fn has_request_bytes(&self) -> bool {
         !self.http.read_buffer().is_empty() || matches!(self.http.get_ref().unread(), Ok(1..))
     }
 
-    /// Reads a body, within its own limit and that of all bodies together.
+    /// Reads a body, within the limits of one body and of all bodies together.
     pub(super) async fn read_body(
         &mut self,
         head: &Head,
@@ -180,8 +180,8 @@
                 PartRead::Disconnected => {
                     return Err(ConnectionClosed(CloseReason::ClientDisconnected).into());
                 }
-                PartRead::Unreadable(fault) | PartRead::Overdue(fault) => {
-                    return Err(self.reject_unreadable(&fault).await.into());
+                PartRead::Invalid(fault) | PartRead::TimedOut(fault) => {
+                    return Err(self.reject_invalid(&fault).await.into());
                 }
             };
             match part {
@@ -201,8 +201,8 @@
     }
 }
 
-/// Waits until idle connections are to be closed, and returns the reason. Cancel-safe.
-async fn wait_for_close_order(
+/// Waits until idle connections must close, and returns the reason. Cancel-safe.
+async fn wait_for_idle_close(
     mut phase: watch::Receiver<NodePhase>,
     has_sent_requests: bool,
 ) -> CloseReason {
@@ -213,7 +213,8 @@
         Ok(_) | Err(_) => CloseReason::Shutdown,
     };
     if !has_sent_requests {
-        // The connection has only just come. Were it closed now, its client would have to send its request again.
+        // The connection may be new, with its first request on the way. Closing it now would force the client to send that
+        // request again.
         tokio::time::sleep(LAST_READ_DURATION).await;
     }
     reason
--- a/src/transport/client/listener.rs
+++ b/src/transport/client/listener.rs
@@ -1,8 +1,8 @@
-//! Accepts connections of clients within the limits, until the node closes. `program::serve` starts it.
+//! Accepts client connections within the limits, until the node closes. `program::serve` starts it.
 //!
 //! Invariants:
-//! - A connection beyond the limit is refused with a response and not reset, as long as few are being refused.
-//! - What the kernel had accepted before the node closed is served or refused, too.
+//! - A connection beyond the limit is refused with a response rather than reset, up to [`MAX_PENDING_REFUSALS`] at once.
+//! - Connections that the kernel accepted before the node closed are also served or refused.
 
 use super::connection::ClientConnection;
 use super::registry::ConnectionRegistry;
@@ -19,15 +19,15 @@
 use tokio::sync::watch;
 use tokio::task::spawn_local;
 
-/// Connections beyond the limit that are being refused at once; further ones are closed unanswered.
+/// Maximum number of connections that are being refused at once; further ones are closed without a response.
 pub const MAX_PENDING_REFUSALS: usize = 32;
-/// A client beyond the limit is given this long to send its request and take its response.
+/// Time limit for refusing a connection, in which the client must send its request and read the response.
 const REFUSAL_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// After a failure that outlives its connection the next call waits this long.
+/// Delay before the next accept call after a failure not limited to one connection.
 const RETRY_INTERVAL: Duration = Duration::from_millis(10);
-/// After this many failures in a row a single connection is not the cause. At the end, what is left in the kernel is given
-/// up after this many failures.
+/// After this many consecutive failures, the cause is not a single connection, and the next call is delayed. When the node
+/// closes, this many failures end the attempt to accept the pending connections.
 const MAX_FAILURES: usize = 64;
 
 /// Accepts connections until the node closes, and starts a task for each of them.
@@ -44,46 +44,47 @@
     acceptor.accept_pending(listener).await;
 }
 
-/// Takes in or refuses connections.
+/// Admits or refuses connections.
 struct Acceptor {
     registry: Rc<ConnectionRegistry>,
-    /// Each task that refuses a connection holds a clone, so that they can be counted.
+    /// Each refusal task holds a clone, so that the strong count shows their number.
     refusals: Rc<()>,
 }
 
 impl Acceptor {
-    /// Accepts connections until the node's phase says that it closes.
+    /// Accepts connections until the node's phase is `Closing`.
     async fn accept_until_closing(
         &self,
         listener: &TcpListener,
         phase: &mut watch::Receiver<NodePhase>,
     ) {
-        let mut failures_in_a_row = 0;
+        let mut consecutive_failures = 0;
         loop {
             // Both branches are cancel-safe: a connection that `accept` has not returned stays in the kernel, and waiting
-            // for a phase takes nothing. The listener owns the socket; dropping the future closes what is not accepted.
+            // for a phase consumes nothing. The listener owns the socket; dropping the future closes connections not yet
+            // accepted.
             let accepted = tokio::select! {
                 accepted = listener.accept() => accepted,
                 _ = phase.wait_for(|phase| *phase == NodePhase::Closing) => return,
             };
             match accepted {
                 Ok((socket, _)) => {
-                    failures_in_a_row = 0;
+                    consecutive_failures = 0;
                     self.admit(socket);
                 }
                 Err(e) => {
-                    failures_in_a_row += 1;
-                    tracing::warn!(why = %e, in_a_row = failures_in_a_row, "accept failed");
-                    self.recover(&e, failures_in_a_row).await;
+                    consecutive_failures += 1;
+                    tracing::warn!(why = %e, in_a_row = consecutive_failures, "accepting a client connection failed");
+                    self.recover(&e, consecutive_failures).await;
                 }
             }
         }
     }
 
-    /// Does what helps after a failed call to accept.
-    async fn recover(&self, error: &io::Error, failures_in_a_row: usize) {
-        match AcceptErrorPolicy::of(error) {
-            AcceptErrorPolicy::Retry if failures_in_a_row < MAX_FAILURES => {
+    /// Recovers from a failed accept call.
+    async fn recover(&self, error: &io::Error, consecutive_failures: usize) {
+        match AcceptErrorPolicy::for_error(error) {
+            AcceptErrorPolicy::Retry if consecutive_failures < MAX_FAILURES => {
                 tokio::task::yield_now().await;
             }
             AcceptErrorPolicy::Retry | AcceptErrorPolicy::Wait => {
@@ -96,8 +97,8 @@
         }
     }
 
-    /// Takes in the connections that the kernel accepted before the end: they are the node's to answer. The kernel itself
-    /// is asked, since the runtime knows of a connection only after its next turn.
+    /// Admits the connections that the kernel accepted before the node closed, since the node must respond to them. This
+    /// calls the kernel directly: the runtime learns of a connection only in its next event loop iteration.
     async fn accept_pending(&self, listener: TcpListener) {
         let Ok(listener) = listener.into_std() else {
             return;
@@ -112,9 +113,9 @@
                 }
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return,
                 Err(e) => {
-                    tracing::warn!(why = %e, "accept failed at the end");
+                    tracing::warn!(why = %e, "accepting a pending client connection failed during shutdown");
                     failure_count += 1;
-                    if AcceptErrorPolicy::of(&e) != AcceptErrorPolicy::Retry {
+                    if AcceptErrorPolicy::for_error(&e) != AcceptErrorPolicy::Retry {
                         tokio::time::sleep(RETRY_INTERVAL).await;
                     }
                 }
@@ -122,7 +123,8 @@
         }
     }
 
-    /// Starts the task of a connection, or one that refuses it.
+    /// Starts a task that serves the connection, or one that refuses it. Closes the connection if too many are being
+    /// refused.
     fn admit(&self, socket: TcpStream) {
         if !self.registry.is_full() || self.registry.try_make_room() {
             spawn_local(ClientConnection::new(socket, self.registry.clone()).run());
@@ -137,21 +139,21 @@
     TcpStream::from_std(socket)
 }
 
-/// What helps after a failed call to accept.
+/// How to recover from a failed accept call.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum AcceptErrorPolicy {
-    /// One connection failed, or a signal came: the next call may succeed at once.
+    /// A single connection failed, or a signal interrupted the call: the next call may succeed at once.
     Retry,
-    /// The system lacks something that no connection of this process can give back.
+    /// The system lacks a resource that closing connections of this process can't free.
     Wait,
-    /// Descriptors have run out: an idle connection can be closed.
+    /// File descriptors are exhausted: an idle connection can be closed.
     EvictIdle,
 }
 
 impl AcceptErrorPolicy {
-    /// The policy for an error of accept. Linux reports errors of the new connection itself in this way; these are over with
+    /// The policy for an error of accept. Linux also reports errors of the new connection itself this way; they end with
     /// that connection.
-    fn of(error: &io::Error) -> AcceptErrorPolicy {
+    fn for_error(error: &io::Error) -> AcceptErrorPolicy {
         match error.raw_os_error().map(Errno::from_raw_os_error) {
             Some(Errno::MFILE | Errno::NFILE) => AcceptErrorPolicy::EvictIdle,
             Some(Errno::NOBUFS | Errno::NOMEM) | None => AcceptErrorPolicy::Wait,
@@ -160,7 +162,7 @@
     }
 }
 
-/// Refuses a connection without reading its request: the client gets its response at once and the connection ends.
+/// Refuses a connection without reading its request: sends a response at once and closes.
 async fn refuse(socket: TcpStream, _refusal: Rc<()>) {
     let mut socket = Socket::from(socket);
     let response = request::local_response(
@@ -174,6 +176,6 @@
             socket.discard_input().await;
         }
     };
-    // A client that does not take its response in time is cut off.
+    // A client that does not read its response in time is disconnected.
     let _ = tokio::time::timeout(REFUSAL_TIMEOUT, respond).await;
 }
--- a/src/transport/client/mod.rs
+++ b/src/transport/client/mod.rs
@@ -1,10 +1,10 @@
 //! Connections of clients.
 //!
 //! - [`listener`] accepts connections within the limits and refuses those beyond them.
-//! - [`connection`] serves the requests of one connection, one after the other.
-//! - [`registry`] is what all connections share: their number, idle ones, the memory of request bodies.
-//! - [`close_reason`] tells and counts why connections end.
-//! - [`shutdown`] says what a node may still begin once it has been told to stop.
+//! - [`connection`] serves the requests of one connection in sequence.
+//! - [`registry`] holds the state shared by all connections: their number, the idle ones, the memory of request bodies.
+//! - [`close_reason`] has the reasons for which connections close, and counts them.
+//! - [`shutdown`] limits the work that a node may still begin after the shutdown signal.
 //!
 //! The listener starts a task for each connection; the task owns the socket.
 
@@ -16,5 +16,5 @@
 
 use crate::routing::DurationMicros;
 
-/// When a client that finds no room on this node may try again.
+/// Retry delay for clients refused because the node is at a limit, in microseconds.
 const RETRY_AFTER_FULL: DurationMicros = 500_000;
--- a/src/transport/client/registry.rs
+++ b/src/transport/client/registry.rs
@@ -1,9 +1,10 @@
-//! What all connections of clients share: settings and channels, the limits on their number and on the memory of request
-//! bodies, and which of them are idle.
+//! State shared by all client connections: settings and channels, the limits on their number and on the memory of request
+//! bodies, and the set of idle connections.
 //!
-//! The listener asks whether one more connection may come in; each connection registers when it opens, becomes idle and
-//! closes. Invariants:
-//! - No more than [`MAX_PENDING_EVICTIONS`] connections are open beyond the limit, each for one that is on its way out.
+//! The listener checks here whether it may admit another connection; each connection registers when it opens, becomes idle
+//! and closes. Invariants:
+//! - No more than [`MAX_PENDING_EVICTIONS`] connections are open beyond the limit, each in place of one that is being
+//!   evicted.
 //! - A connection that has been idle for less than [`MIN_IDLE_BEFORE_EVICTION`] is not evicted.
 
 use super::close_reason::CloseCounters;
@@ -20,13 +21,13 @@
 use tokio::sync::{mpsc, watch, Notify};
 use tokio::time::Instant;
 
-/// A request may be on its way to a connection that has been idle for less than this: it is not closed to make room.
+/// A connection that has been idle for less than this is not evicted, since a request may be on its way to it.
 pub const MIN_IDLE_BEFORE_EVICTION: Duration = Duration::from_millis(250);
 
-/// Connections that have been told to close and have not closed yet.
+/// Maximum number of evicted connections that have not closed yet.
 pub const MAX_PENDING_EVICTIONS: usize = 16;
 
-/// What all connections of clients share.
+/// State shared by all client connections.
 pub struct ConnectionRegistry {
     site: RefCell<Rc<SiteSettings>>,
     limits: Rc<TransportLimits>,
@@ -38,18 +39,18 @@
     body_memory_bytes: Cell<usize>,
     open_count: Cell<usize>,
     accepted_count: Cell<u64>,
-    /// Idle connections in the order in which they became idle. That order alone decides who is evicted. With those first
-    /// that had sent nothing yet, a flood of silent connections pushed out ordinary clients whose first request was about to
-    /// come; and there is no end of old connections that stay unused.
+    /// Idle connections in the order in which they became idle, which is also the order of eviction. Evicting connections
+    /// without any request first would let a flood of silent connections displace ordinary clients that are about to send
+    /// their first request, while old unused connections remain.
     idle: RefCell<BTreeMap<u64, IdleConnection>>,
     last_idle_number: Cell<u64>,
     last_request_owner: Cell<RequestOwner>,
 }
 
-/// A connection without a request.
+/// A connection without a request in progress.
 struct IdleConnection {
     since: Instant,
-    /// Tells the connection's task to close it.
+    /// Notifies the connection's task to close it.
     eviction: Rc<Notify>,
 }
 
@@ -57,12 +58,12 @@
 pub(super) struct IdleRegistration {
     /// Identifies the registration.
     pub(super) number: u64,
-    /// Notified when the connection has to close, since another one needs its place.
+    /// Notified when the connection must close to make room for another.
     pub(super) eviction: Rc<Notify>,
 }
 
 impl ConnectionRegistry {
-    /// A registry without connections.
+    /// Creates a registry without connections.
     pub fn new(
         site: Rc<SiteSettings>,
         limits: Rc<TransportLimits>,
@@ -87,12 +88,12 @@
         }
     }
 
-    /// The settings of the site as they are now.
+    /// The current site settings.
     pub fn site(&self) -> Rc<SiteSettings> {
         self.site.borrow().clone()
     }
 
-    /// Takes other settings of the site, for requests that are read from now on.
+    /// Replaces the site settings for requests that are read from now on.
     pub fn set_site(&self, site: Rc<SiteSettings>) {
         self.site.replace(site);
     }
@@ -102,55 +103,54 @@
         &self.limits
     }
 
-    /// Where the dispatcher takes messages.
+    /// The channel to the dispatcher.
     pub fn dispatcher(&self) -> &mpsc::Sender<DispatcherMessage> {
         &self.dispatcher
     }
 
-    /// The order to stop.
+    /// The node's shutdown, with the time limits that it sets.
     pub fn shutdown(&self) -> &Shutdown {
         &self.shutdown
     }
 
-    /// Why connections have ended.
+    /// Counts of closed connections by reason.
     pub fn close_counters(&self) -> &CloseCounters {
         &self.close_counters
     }
 
-    /// How many connections are open now.
+    /// Number of open connections.
     pub fn open_count(&self) -> usize {
         self.open_count.get()
     }
 
-    /// A receiver of the node's phase.
     pub(super) fn phase(&self) -> watch::Receiver<NodePhase> {
         self.phase.clone()
     }
 
-    /// Whether the node takes clients and lets them stay. Otherwise each response is the last on its connection.
+    /// Whether clients may stay connected. Otherwise each response is the last on its connection.
     pub(super) fn is_serving(&self) -> bool {
         *self.phase.borrow() == NodePhase::Serving
     }
 
-    /// What follows all streams.
+    /// The monitor of all streams.
     pub(super) fn stream_monitor(&self) -> &Rc<StreamMonitor> {
         &self.stream_monitor
     }
 
-    /// Whether as many connections are open as may be.
+    /// Whether the connection limit is reached.
     pub(super) fn is_full(&self) -> bool {
         self.open_count.get() >= self.limits.max_client_connections
     }
 
-    /// Evicts an idle connection for a new one beyond the limit. False where none can be evicted, or where too many that
-    /// have been evicted are still open.
+    /// Evicts an idle connection for a new one beyond the limit. Returns false if none can be evicted, or if too many
+    /// evicted ones are still open.
     pub(super) fn try_make_room(&self) -> bool {
         let max_open = self.limits.max_client_connections + MAX_PENDING_EVICTIONS;
         self.open_count.get() < max_open && self.evict_idle()
     }
 
-    /// Tells the connection that has been idle longest to close. False where no connection is idle, or where each may have a
-    /// request on its way.
+    /// Evicts the connection that has been idle longest. Returns false if no connection is idle, or if all became idle so
+    /// recently that a request may be on its way.
     pub fn evict_idle(&self) -> bool {
         let mut idle = self.idle.borrow_mut();
         let Some(oldest) = idle.first_entry() else {
@@ -163,7 +163,7 @@
         true
     }
 
-    /// Waits until requests are no longer read, since the node shuts down. Cancel-safe.
+    /// Waits until requests are no longer read because the node shuts down. Cancel-safe.
     pub(super) async fn reading_ended(&self) {
         let mut phase = self.phase.clone();
         let is_closing = phase
@@ -177,19 +177,17 @@
         }
     }
 
-    /// Counts a connection that has opened and returns its number among all connections of this process.
+    /// Counts an opened connection and returns its number, unique within the process.
     pub(super) fn connection_opened(&self) -> u64 {
         self.open_count.set(self.open_count.get() + 1);
         self.accepted_count.set(self.accepted_count.get() + 1);
         self.accepted_count.get()
     }
 
-    /// Counts a connection that has closed.
     pub(super) fn connection_closed(&self) {
         self.open_count.set(self.open_count.get() - 1);
     }
 
-    /// Registers a connection as idle.
     pub(super) fn register_idle(&self) -> IdleRegistration {
         let number = self.last_idle_number.get() + 1;
         self.last_idle_number.set(number);
@@ -202,12 +200,11 @@
         IdleRegistration { number, eviction }
     }
 
-    /// Ends the registration of a connection as idle.
     pub(super) fn unregister_idle(&self, number: u64) {
         self.idle.borrow_mut().remove(&number);
     }
 
-    /// A number for one wait for a response, which no other wait of this process has.
+    /// Returns a new identifier for one wait for a response, unique within the process.
     pub(super) fn new_request_owner(&self) -> RequestOwner {
         let owner = RequestOwner(self.last_request_owner.get().0 + 1);
         self.last_request_owner.set(owner);
@@ -215,14 +212,14 @@
     }
 }
 
-/// The memory of one request body, counted against the limit of all bodies until it is dropped.
+/// Memory of one request body, counted against the limit of all bodies until the permit is dropped.
 pub(super) struct BodyMemoryPermit {
     registry: Rc<ConnectionRegistry>,
     held_bytes: usize,
 }
 
 impl BodyMemoryPermit {
-    /// A permit for no bytes yet.
+    /// Creates a permit for 0 bytes.
     pub(super) fn new(registry: Rc<ConnectionRegistry>) -> BodyMemoryPermit {
         BodyMemoryPermit {
             registry,
@@ -230,7 +227,7 @@
         }
     }
 
-    /// Takes this many more bytes, if there is room for them.
+    /// Adds this many bytes to the permit. Returns false if that would exceed the limit.
     pub(super) fn try_grow(&mut self, bytes: usize) -> bool {
         let total = self.registry.body_memory_bytes.get() + bytes;
         if total > self.registry.limits.max_body_memory_bytes {
--- a/src/transport/client/shutdown/tests.rs
+++ b/src/transport/client/shutdown/tests.rs
@@ -1,15 +1,15 @@
-//! The times of a shutdown, with the runtime's clock fed.
+//! Tests of the shutdown's time limits, on a paused clock.
 
 use super::*;
 use tokio::time::advance;
 
-/// The platform kills no earlier than this after the order, for each deadline.
+/// The platform kills the process no earlier than this after the shutdown signal, if this is the longest deadline.
 fn earliest_kill(deadline: Duration) -> Duration {
     deadline.min(MAX_COUNTED_DEADLINE) + KILL_ALLOWANCE
 }
 
 #[tokio::test(start_paused = true)]
-async fn admits_requests_until_admission_ends_and_ignores_a_second_order() {
+async fn admits_requests_until_admission_ends_and_ignores_a_second_signal() {
     let shutdown = Shutdown::default();
     assert!(
         shutdown.admits_requests()
@@ -25,7 +25,7 @@
     assert_eq!(shutdown.elapsed(), Some(ADMISSION_DURATION));
 }
 
-/// Whatever is admitted last has its response before the earliest kill, also by a process that was suspended.
+/// The last admitted request must have its response before the earliest kill, even if the process is suspended.
 #[test]
 fn last_admitted_request_ends_before_the_earliest_kill() {
     let suspension = Duration::from_millis(150);
