--- a/src/transport/admin.rs
+++ b/src/transport/admin.rs
@@ -1,8 +1,8 @@
-//! The operators' address: one call a connection, answered whatever the clients' load.
+//! The admin address: HTTP calls by operators, one per connection, served independently of the clients' load.
 //!
-//! [`AdminServer::serve`] starts a task for each caller. The task owns the socket; aborting it closes the connection. Callers that send
-//! nothing or do not read their response are disconnected after a time limit, so none of them keeps others out.
-//! `program::serve` starts it; `docs/oncall.md` has the calls.
+//! [`AdminServer::serve`] starts a task for each caller. The task owns the socket; aborting it closes the connection. Callers that
+//! send nothing or do not read their response are disconnected after a time limit, so that they can't block others.
+//! `program::serve` starts the server; `docs/oncall.md` documents the calls.
 
 use super::client::registry::ConnectionRegistry;
 use super::coordination::CoordinationDriver;
@@ -27,40 +27,41 @@
 use tokio::task::{spawn_local, AbortHandle};
 use tokio_util::codec::Framed;
 
-/// Callers at once. For one more the oldest is disconnected: whoever gets a response does not stay.
+/// Maximum number of concurrent callers. For one more, the oldest is disconnected, since a caller that gets a response
+/// leaves at once.
 pub const MAX_ADMIN_CONNECTIONS: usize = 32;
-/// A call must be complete within this time.
+/// A call must be read completely within this time.
 const READ_TIMEOUT: Duration = Duration::from_secs(2);
-/// A response must have been taken within this time.
+/// A response must be sent within this time.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(1);
-/// The pause after a failed accept.
+/// Pause after a failed accept call.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
-const NODE_IS_ENDING: &str = "the node is ending";
+const NODE_STOPPING: &str = "the node is ending";
 const NO_FLEET: &str = "this node is in no fleet";
 
-/// What the operators' calls act on.
+/// The state that admin calls read and change.
 pub struct AdminServer {
-    /// The way to the dispatcher.
+    /// The channel to the dispatcher.
     pub dispatcher: mpsc::Sender<DispatcherMessage>,
-    /// The phase of the node's life.
+    /// The node's phase.
     pub phase: Rc<watch::Sender<NodePhase>>,
-    /// How often settings were read again at SIGHUP.
+    /// Counts of settings reloads at SIGHUP.
     pub reloads: Cell<ReloadCounts>,
-    /// The node's part in its fleet, if it has one.
+    /// The node's coordination with its fleet; `None` without a fleet.
     pub coordination: Option<Rc<CoordinationDriver>>,
-    /// What clients' connections share.
+    /// The state shared by all client connections.
     pub clients: Rc<ConnectionRegistry>,
 }
 
-/// Why a call cannot be carried out.
+/// Why a call can't be executed.
 #[derive(Debug, thiserror::Error)]
 enum CallError {
-    /// The call is not one of the known ones.
+    /// The call is unknown or malformed.
     #[error("the call is rejected with status {}", .0.status)]
     Rejected(RequestError),
-    /// The caller's bytes are not a request, or the caller has disconnected.
+    /// The bytes are not a valid request, or the caller has disconnected.
     #[error(transparent)]
-    Unreadable(#[from] HttpParseError),
+    Invalid(#[from] HttpParseError),
 }
 
 impl AdminServer {
@@ -69,7 +70,7 @@
         let mut callers: VecDeque<AbortHandle> = VecDeque::new();
         loop {
             let Ok((socket, _)) = listener.accept().await else {
-                // The process has no descriptors left: the oldest caller makes room.
+                // File descriptors are exhausted: the oldest caller is disconnected to make room.
                 disconnect_oldest(&mut callers);
                 tokio::time::sleep(ACCEPT_PAUSE).await;
                 continue;
@@ -86,20 +87,20 @@
     async fn serve_caller(self: Rc<Self>, socket: TcpStream) {
         let mut http = Framed::new(socket.into(), HttpCodec::new(Role::Server));
         let response = match tokio::time::timeout(READ_TIMEOUT, read_call(&mut http)).await {
-            Ok(Ok(call)) => self.carry_out(call).await,
+            Ok(Ok(call)) => self.execute(call).await,
             Ok(Err(CallError::Rejected(error))) => respond(error.status, &error.reason),
-            Ok(Err(CallError::Unreadable(
-                HttpParseError::UnexpectedEof | HttpParseError::Io(_),
-            ))) => return,
-            Ok(Err(CallError::Unreadable(error))) => respond(400, &error.to_string()),
+            Ok(Err(CallError::Invalid(HttpParseError::UnexpectedEof | HttpParseError::Io(_)))) => {
+                return
+            }
+            Ok(Err(CallError::Invalid(error))) => respond(400, &error.to_string()),
             Err(_) => respond(408, "the call did not come whole in time"),
         };
-        // A caller that does not take its response in time is disconnected.
+        // A caller that does not read its response in time is disconnected.
         let _ = tokio::time::timeout(WRITE_TIMEOUT, send_and_close(&mut http, response)).await;
     }
 
-    /// Carries out a call and returns the response.
-    async fn carry_out(&self, call: AdminCall) -> Bytes {
+    /// Executes a call and returns the response.
+    async fn execute(&self, call: AdminCall) -> Bytes {
         match call {
             AdminCall::Ready if *self.phase.borrow() == NodePhase::Serving => respond(200, "ready"),
             AdminCall::Ready => respond(503, "this node takes no clients now"),
@@ -130,11 +131,11 @@
         }
     }
 
-    /// The response with the metrics: those of the dispatcher, and those that are known here.
+    /// The response with the metrics of the dispatcher and those collected here.
     async fn metrics_response(&self) -> Bytes {
-        let Some(dispatcher_metrics) = query(&self.dispatcher, DispatcherQuery::Telemetry).await
+        let Some(dispatcher_metrics) = query(&self.dispatcher, DispatcherQuery::Metrics).await
         else {
-            return respond(503, NODE_IS_ENDING);
+            return respond(503, NODE_STOPPING);
         };
         let fleet = self
             .coordination
@@ -163,7 +164,7 @@
         let rows = query(&self.dispatcher, DispatcherQuery::CrossZoneTraffic).await;
         match rows.and_then(|rows| serde_json::to_string(&rows).ok()) {
             Some(json) => admin::json_response(&json),
-            None => respond(503, NODE_IS_ENDING),
+            None => respond(503, NODE_STOPPING),
         }
     }
 }
@@ -174,12 +175,12 @@
     }
 }
 
-/// A response of this node with a text; it is the last on its connection.
+/// Builds a text response, the last on its connection.
 fn respond(status: u16, text: &str) -> Bytes {
     request::local_response(status, text, None, true)
 }
 
-/// Reads one call, its body too.
+/// Reads one call including its body, which is ignored.
 async fn read_call(http: &mut HttpConnection) -> Result<AdminCall, CallError> {
     let mut call = None;
     loop {
@@ -199,7 +200,7 @@
 
 async fn send_and_close(http: &mut HttpConnection, response: Bytes) {
     if http.send(EncodedMessage::Raw(response)).await.is_ok() {
-        // Where the caller has closed the connection already, there is nothing left to shut down.
+        // If the caller has already closed the connection, there is nothing to shut down.
         let _ = http.get_mut().shutdown().await;
         http.get_mut().discard_input().await;
     }
--- a/src/transport/clock.rs
+++ b/src/transport/clock.rs
@@ -1,33 +1,33 @@
-//! The monotonic clock in whole microseconds, and Unix time beside it.
+//! A monotonic clock in whole microseconds, and Unix time.
 
 use crate::routing::{ClockReading, MonotonicMicros};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Counts microseconds from the moment at which it was started.
+/// Counts microseconds since its start.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     started_at: Instant,
 }
 
 impl Clock {
-    /// Starts now.
+    /// Starts a clock at 0.
     pub fn start() -> Self {
         Clock {
             started_at: Instant::now(),
         }
     }
 
-    /// The time now.
+    /// The microseconds since the start.
     pub fn now(self) -> MonotonicMicros {
         u64::try_from(self.started_at.elapsed().as_micros()).unwrap_or(u64::MAX)
     }
 
-    /// A time of this clock as the runtime's timers take it.
+    /// Converts a time of this clock to an instant for the runtime's timers.
     pub fn instant(self, at: MonotonicMicros) -> tokio::time::Instant {
         (self.started_at + Duration::from_micros(at)).into()
     }
 
-    /// Both clocks now. Unix time before 1970 counts as 0.
+    /// Reads both clocks. Unix time before 1970 counts as 0.
     pub fn reading(self) -> ClockReading {
         let unix_us = SystemTime::now()
             .duration_since(UNIX_EPOCH)
--- a/src/transport/evacuation.rs
+++ b/src/transport/evacuation.rs
@@ -1,8 +1,7 @@
-//! Evacuating a node and taking it back: the changes of [`NodePhase`] that operators' calls and rolling restarts order.
+//! Evacuation of a node and its return to service: the changes of [`NodePhase`] caused by admin calls and rolling restarts.
 //!
-//! An evacuated node takes no new clients and lets those that are there go; it goes on running, and can serve again. The
-//! operators' address and the driver of rolling restarts call this. An order to stop is never undone: each change names
-//! the phase that it starts from.
+//! An evacuated node sends its clients away but keeps running, and can serve again. The admin address and the driver of
+//! rolling restarts call this module. A shutdown is never undone: each change applies only in the phase that it starts from.
 
 use super::node_phase::NodePhase;
 use std::rc::Rc;
@@ -10,15 +9,16 @@
 use tokio::sync::watch;
 use tokio::task::spawn_local;
 
-/// From the order to evacuate clients may go on for so long on the connections that they have; then idle ones close.
+/// How long clients may continue on their connections after an evacuation begins; then idle connections close.
 const GRACE_PERIOD: Duration = Duration::from_millis(1000);
 
-/// Takes no new clients and lets those that are there go.
+/// Starts an evacuation: the node reports that it is not ready, each response is the last on its connection, and idle
+/// connections close after the grace period.
 ///
-/// The second change of phase comes from a task of its own, which ends with the process; a node that rejoins before makes
-/// it change nothing.
+/// A separate task makes the second change of phase and ends with the process. The change has no effect if the node has
+/// rejoined before.
 pub(super) fn evacuate(phase: &Rc<watch::Sender<NodePhase>>) {
-    tracing::info!("evacuating");
+    tracing::info!("evacuating the node");
     change_phase(phase, NodePhase::Serving, NodePhase::Evacuating);
     let phase = phase.clone();
     spawn_local(async move {
@@ -27,14 +27,14 @@
     });
 }
 
-/// Takes clients again.
+/// Ends an evacuation; the node serves clients again.
 pub(super) fn rejoin(phase: &watch::Sender<NodePhase>) {
-    tracing::info!("serving again after an evacuation");
+    tracing::info!("evacuation ended; serving again");
     change_phase(phase, NodePhase::Evacuating, NodePhase::Serving);
     change_phase(phase, NodePhase::Evacuated, NodePhase::Serving);
 }
 
-/// Changes the phase if it is the one that the change starts from.
+/// Changes the phase if it is `from`.
 fn change_phase(phase: &watch::Sender<NodePhase>, from: NodePhase, to: NodePhase) {
     phase.send_if_modified(|current| *current == from && std::mem::replace(current, to) != to);
 }
--- a/src/transport/handover.rs
+++ b/src/transport/handover.rs
@@ -1,11 +1,13 @@
-//! Hands what the scheduler has learned from one process of a node to the next, where both run side by side on one machine.
+//! Handover of the scheduler's learned state from one process of a node to the next, when both run side by side on one
+//! machine.
 //!
-//! The processes share a folder. The new one writes a question there, `poppykeel-NAME.ask`, which holds its random token. The
-//! old one sees the question, removes it and leaves a record, `poppykeel-NAME.learned`; it leaves another one when it is told
-//! to end. The new one takes each record and removes it. `routing::learned_state` decides whether a record is used.
+//! The processes share a folder. The new process writes a request file there, `poppykeel-NAME.ask`, which holds its random
+//! token. The old process finds the request, removes it and writes a record, `poppykeel-NAME.learned`; it writes another
+//! record when it shuts down. The new process reads each record and removes it. `routing::learned_state` decides whether a
+//! record is used.
 //!
-//! `program::serve` starts the task and calls [`LearnedStateHandover::publish`] at shutdown. The files are small and on a local
-//! disk: they are read and written without leaving the runtime's thread.
+//! `program::serve` starts the task and calls [`LearnedStateHandover::publish`] at shutdown. The files are small and on a
+//! local disk, so file access blocks the runtime's thread only briefly.
 
 use super::clock::Clock;
 use super::messages::{query, DispatcherMessage, DispatcherQuery};
@@ -21,34 +23,34 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
-/// How often a process looks for the other one's question or record.
+/// How often a process checks for the other one's request or record.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// A question that nobody has answered for so long is removed: there is no other process.
-const QUESTION_TIMEOUT: Duration = Duration::from_secs(2);
-/// A record that nobody has taken for so long is removed.
+/// A request without an answer is removed after this time: there is no other process.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
+/// A record that has not been read is removed after this time.
 const RECORD_TIMEOUT: Duration = Duration::from_secs(10);
-/// Of a longer node name only the beginning is part of the files' names.
+/// Longer node names are truncated to this length in file names.
 const MAX_NAME_CHARS: usize = 64;
 
-const QUESTION: &str = "ask";
-const RECORD: &str = "learned";
+const REQUEST_EXTENSION: &str = "ask";
+const RECORD_EXTENSION: &str = "learned";
 
-/// The handover between the processes of one node.
+/// The handover of learned state between the processes of one node.
 pub struct LearnedStateHandover {
     folder: PathBuf,
-    /// The node's name as it stands in the files' names.
+    /// The node's name in the form used in file names.
     name: String,
-    /// Tells this process from the other one.
+    /// Distinguishes this process from the other one.
     token: ProcessToken,
     clock: Clock,
     dispatcher: mpsc::Sender<DispatcherMessage>,
     site: Rc<SiteSettings>,
-    /// When this process left a record last. Until that is taken or removed, no other record is looked for.
-    left_at: Cell<Option<Instant>>,
+    /// When this process last wrote a record. While it is set, no other record is read.
+    written_at: Cell<Option<Instant>>,
 }
 
 impl LearnedStateHandover {
-    /// For the node of this name; the folder must exist.
+    /// Creates the handover for the node of this name. The folder must exist.
     pub fn new(
         folder: &Path,
         node_name: &str,
@@ -63,33 +65,33 @@
             clock,
             dispatcher,
             site,
-            left_at: Cell::default(),
+            written_at: Cell::default(),
         }
     }
 
-    /// Asks the other process, and from then on answers questions and takes records. Ends only where the folder cannot be
-    /// written to; the log says so.
+    /// Requests the other process's learned state, then answers requests and reads records. Returns only if the request
+    /// can't be written to the folder, which is logged.
     pub async fn run(self: Rc<Self>) {
-        let own_question = self.token.0.to_string();
-        if let Err(e) = fs::write(self.path(QUESTION), &own_question) {
-            tracing::warn!(folder = %self.folder.display(), why = %e, "learned state cannot be handed over");
+        let own_request = self.token.0.to_string();
+        if let Err(e) = fs::write(self.path(REQUEST_EXTENSION), &own_request) {
+            tracing::warn!(folder = %self.folder.display(), why = %e, "request for learned state cannot be written; starting without it");
             return;
         }
-        let asked_at = Instant::now();
+        let requested_at = Instant::now();
         let mut is_waiting_for_record = true;
         loop {
             if let Some(bytes) = self.take_record() {
                 is_waiting_for_record = false;
                 self.import(&bytes).await;
             }
-            match fs::read_to_string(self.path(QUESTION)) {
-                Ok(question) if question == own_question => {
-                    if is_waiting_for_record && asked_at.elapsed() > QUESTION_TIMEOUT {
-                        self.remove(QUESTION);
+            match fs::read_to_string(self.path(REQUEST_EXTENSION)) {
+                Ok(request) if request == own_request => {
+                    if is_waiting_for_record && requested_at.elapsed() > REQUEST_TIMEOUT {
+                        self.remove(REQUEST_EXTENSION);
                     }
                 }
                 Ok(_) => {
-                    self.remove(QUESTION);
+                    self.remove(REQUEST_EXTENSION);
                     self.publish().await;
                 }
                 Err(_) => {}
@@ -98,7 +100,7 @@
         }
     }
 
-    /// Leaves a record of what this process has learned, if it has learned anything.
+    /// Writes a record of this process's learned state, unless it has seen no requests.
     pub async fn publish(&self) {
         let learned = query(&self.dispatcher, DispatcherQuery::LearnedState).await;
         let Some(learned) = learned.filter(|learned| learned.requests_seen > 0) else {
@@ -106,32 +108,35 @@
         };
         match self.write_record(learned) {
             Ok(()) => {
-                self.left_at.set(Some(Instant::now()));
-                tracing::info!("learned state left for the next process");
+                self.written_at.set(Some(Instant::now()));
+                tracing::info!("learned state written for the next process");
+            }
+            Err(e) => {
+                tracing::warn!(why = %e, "learned state cannot be written for the next process")
             }
-            Err(e) => tracing::warn!(why = %e, "learned state cannot be handed over"),
         }
     }
 
-    /// Writes a record under another name first, so that the other process finds it complete or not at all.
+    /// Writes a record under a temporary name first, so that the other process sees it complete or not at all.
     fn write_record(&self, learned: LearnedState) -> io::Result<()> {
         let names = &self.site.names;
         let bytes = learned_state::encode(self.token, self.unix_ms(), names, learned);
-        let draft = self.path(&format!("{:016x}", self.token.0));
-        fs::write(&draft, bytes)?;
-        fs::rename(&draft, self.path(RECORD))
+        let temporary_path = self.path(&format!("{:016x}", self.token.0));
+        fs::write(&temporary_path, bytes)?;
+        fs::rename(&temporary_path, self.path(RECORD_EXTENSION))
     }
 
-    /// Takes the record that the other process has left. One that is too long comes as no bytes, which are no record.
+    /// Reads and removes the record written by the other process. A record that is too long is returned as empty bytes,
+    /// which are not a valid record.
     fn take_record(&self) -> Option<Vec<u8>> {
-        if let Some(left_at) = self.left_at.get() {
-            if left_at.elapsed() > RECORD_TIMEOUT {
-                self.remove(RECORD);
-                self.left_at.set(None);
+        if let Some(written_at) = self.written_at.get() {
+            if written_at.elapsed() > RECORD_TIMEOUT {
+                self.remove(RECORD_EXTENSION);
+                self.written_at.set(None);
             }
             return None;
         }
-        let path = self.path(RECORD);
+        let path = self.path(RECORD_EXTENSION);
         let length = fs::metadata(&path).ok()?.len();
         let bytes = if length <= MAX_RECORD_BYTES {
             fs::read(&path).ok()?
@@ -154,22 +159,23 @@
                     "learned state imported from the previous process"
                 );
                 let message = DispatcherMessage::ImportLearnedState(Box::new(learned));
-                // Without a dispatcher the node has ended, and nobody needs what was learned.
+                // Sending fails only if the dispatcher has ended; the state is then not needed.
                 let _ = self.dispatcher.send(message).await;
             }
             Err(e) => {
-                tracing::warn!(why = %e, "learned state of the previous process is not used");
+                tracing::warn!(why = %e, "learned state of the previous process rejected; starting without it");
             }
         }
     }
 
-    fn remove(&self, kind: &str) {
-        // The other process may have removed it first. A file that cannot be removed is seen again at the next poll.
-        let _ = fs::remove_file(self.path(kind));
+    fn remove(&self, extension: &str) {
+        // The other process may have removed the file first. A file that cannot be removed is seen again at the next poll.
+        let _ = fs::remove_file(self.path(extension));
     }
 
-    fn path(&self, kind: &str) -> PathBuf {
-        self.folder.join(format!("poppykeel-{}.{kind}", self.name))
+    fn path(&self, extension: &str) -> PathBuf {
+        self.folder
+            .join(format!("poppykeel-{}.{extension}", self.name))
     }
 
     fn unix_ms(&self) -> i64 {
@@ -177,7 +183,7 @@
     }
 }
 
-/// A node's name with only letters, digits and hyphens, all others as underscores.
+/// Replaces all characters of a node's name except ASCII letters, digits and hyphens by underscores.
 fn file_name_part(node_name: &str) -> String {
     let mut part = String::new();
     for char in node_name.chars().take(MAX_NAME_CHARS) {
--- a/src/transport/socket.rs
+++ b/src/transport/socket.rs
@@ -1,7 +1,7 @@
-//! A TCP socket that repeats system calls as Linux documents it: a call that a signal interrupts is made again, and a read or
-//! write that moves less than it could does not mean that the kernel has nothing more.
+//! A TCP socket that handles interrupted and short system calls as Linux documents them: a call interrupted by a signal is
+//! repeated, and a short read or write does not mean that the kernel has no more data or space.
 //!
-//! All connections of clients and replicas use it. It owns the descriptor: dropping it closes the connection.
+//! All connections of clients and replicas use it. It owns the descriptor; dropping it closes the connection.
 
 use crate::protocol::request::MAX_BODY_BYTES;
 use std::io::{self, ErrorKind};
@@ -11,11 +11,11 @@
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, Interest, ReadBuf, Ready};
 use tokio::net::TcpStream;
 
-/// Bytes read at once where the reader has room for more.
+/// Maximum number of bytes read at once, even if the reader has room for more.
 const MAX_READ_BYTES: usize = 16 * 1024;
-/// Bytes that are read and discarded behind the last response at most.
+/// Maximum number of bytes discarded after the last response.
 const MAX_DISCARDED_BYTES: usize = 2 * MAX_BODY_BYTES;
-/// Bytes that are discarded at once.
+/// Maximum number of bytes discarded at once.
 const DISCARD_BUFFER_BYTES: usize = 4096;
 
 /// A connected socket.
@@ -23,15 +23,15 @@
 pub struct Socket(TcpStream);
 
 impl From<TcpStream> for Socket {
-    /// Takes over a connection. Small writes go out at once: an event must not wait for the next one.
+    /// Wraps a connection and turns Nagle's algorithm off, so that an event does not wait for the next one.
     fn from(stream: TcpStream) -> Socket {
-        // A connection that has ended already can fail here; its first read or write tells so.
+        // This can fail if the connection has ended, which the first read or write reports.
         let _ = stream.set_nodelay(true);
         Socket(stream)
     }
 }
 
-/// Makes a system call again for as long as signals interrupt it.
+/// Repeats a system call while signals interrupt it.
 ///
 /// # Errors
 ///
@@ -46,17 +46,17 @@
 }
 
 impl Socket {
-    /// Asks the kernel what it has for a reader, without waiting: 1 means that there are bytes, 0 that the other side has
-    /// closed its end. The runtime may not have heard of either yet.
+    /// Checks without waiting whether the kernel has input: 1 means that there are bytes, 0 that the peer has closed its
+    /// end. The runtime may not have learned of either yet.
     ///
     /// # Errors
     ///
-    /// Fails with `WouldBlock` where there is nothing to read, or with the connection's own error.
+    /// Fails with `WouldBlock` if there is nothing to read, or with the connection's own error.
     pub fn unread(&self) -> io::Result<usize> {
         uninterrupted(|| socket2::SockRef::from(&self.0).peek(&mut [MaybeUninit::uninit()]))
     }
 
-    /// Waits until there are bytes to read, and takes none. 0 means that the other side has closed its end. Cancel-safe.
+    /// Waits until there are bytes to read, without consuming them. 0 means that the peer has closed its end. Cancel-safe.
     ///
     /// # Errors
     ///
@@ -71,20 +71,20 @@
         }
     }
 
-    /// Reads what the kernel has, without waiting; 0 means that the other side has closed its end.
+    /// Reads available bytes without waiting; 0 means that the peer has closed its end.
     ///
     /// # Errors
     ///
-    /// Fails with `WouldBlock` where there is nothing to read, or with the connection's own error.
+    /// Fails with `WouldBlock` if there is nothing to read, or with the connection's own error.
     pub fn try_read(&self, buffer: &mut [u8]) -> io::Result<usize> {
         uninterrupted(|| self.0.try_read(buffer))
     }
 
-    /// Waits until the socket is ready for this. Cancel-safe.
+    /// Waits until the socket is ready for the given operations. Cancel-safe.
     ///
     /// # Errors
     ///
-    /// Fails where the runtime is shutting down.
+    /// Fails if the runtime is shutting down.
     pub async fn ready(&self, interest: Interest) -> io::Result<Ready> {
         self.0.ready(interest).await
     }
@@ -93,7 +93,7 @@
     ///
     /// # Errors
     ///
-    /// Fails where the runtime is shutting down.
+    /// Fails if the runtime is shutting down.
     pub async fn readable(&self) -> io::Result<()> {
         self.0.readable().await
     }
@@ -102,13 +102,13 @@
     ///
     /// # Errors
     ///
-    /// Fails with the system's error, which a connected socket does not have.
+    /// Fails with the system's error, which a connected socket does not return.
     pub fn local_addr(&self) -> io::Result<std::net::SocketAddr> {
         self.0.local_addr()
     }
 
-    /// Reads and discards, up to a limit, until the other side has closed its end. A close over unread bytes would reset the
-    /// connection, and the other side would lose the end of the last response.
+    /// Reads and discards input, up to a limit, until the peer has closed its end. Closing with unread bytes would reset the
+    /// connection, and the peer would lose the end of the last response.
     pub async fn discard_input(&mut self) {
         let mut buffer = [0; DISCARD_BUFFER_BYTES];
         let mut remaining = MAX_DISCARDED_BYTES;
@@ -129,8 +129,8 @@
     ) -> Poll<io::Result<()>> {
         let stream = &self.0;
         loop {
-            // Waits only where the kernel itself says that there is nothing: the runtime's own read takes a short read for
-            // the last one, and no further event may ever follow it.
+            // Waits only if the kernel itself has no bytes: the runtime's own read treats a short read as the last one, and
+            // no further readiness event may follow it.
             ready!(stream.poll_read_ready(context))?;
             let length = buffer.remaining().min(MAX_READ_BYTES);
             match uninterrupted(|| stream.try_read(buffer.initialize_unfilled_to(length))) {
