--- a/src/transport/coordination/budgets.rs
+++ b/src/transport/coordination/budgets.rs
@@ -1,8 +1,8 @@
-//! The fleet's budgets at this node: what the scheduler has wanted goes to the allocator, and what this node may spend goes
-//! to the scheduler.
+//! The fleet's budgets at this node: sends the scheduler's demand to the allocating node, and passes the grants to the
+//! scheduler.
 //!
-//! The decisions are [`poppykeel_coordination::budget`]'s, and spending is the scheduler's. Guaranteed rates hold from the
-//! first moment, whoever allocates.
+//! [`poppykeel_coordination::budget`] makes the decisions, and the scheduler spends the budgets. Guaranteed rates apply from
+//! the start, even without an allocating node.
 
 use super::CoordinationDriver;
 use crate::routing::seconds;
@@ -19,11 +19,11 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The name of the lease under which budgets are allocated.
+/// Task name of the lease under which budgets are allocated.
 pub const LEASE_TASK: &str = "budgets";
-/// A tenant's budget is named so, with the tenant's name behind it.
+/// Prefix of a tenant's budget name; the tenant's name follows.
 pub const TENANT_BUDGET_PREFIX: &str = "tenant:";
-/// The names of all other budgets, as they travel between nodes.
+/// Names of all other budgets in messages between nodes.
 const BUDGET_NAMES: [(&str, BudgetKind); 6] = [
     ("retries", BudgetKind::Retries),
     ("copies", BudgetKind::HedgedAttempts),
@@ -32,15 +32,15 @@
     ("cold", BudgetKind::SlowStart),
     ("discovery", BudgetKind::Discovery),
 ];
-/// Thousandths in one unit: coordination counts in thousandths, the scheduler in units.
+/// Coordination counts in thousandths of a unit, the scheduler in units.
 const MILLI_PER_UNIT: f64 = 1e3;
-/// A demand's weight is told in so many parts of one.
+/// Coordination expresses a demand's weight in hundredths.
 const WEIGHT_SCALE: f64 = 100.0;
 
 /// The budgets of a fleet.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FleetBudgets {
-    /// What is allocated.
+    /// The limits of the budgets.
     pub settings: BudgetSettings,
     /// The site's tenants, in the scheduler's order.
     pub tenants: Vec<String>,
@@ -51,7 +51,7 @@
 }
 
 impl FleetBudgets {
-    /// What a budget is spent on, by its name.
+    /// The kind of budget with this name; `None` if the name or its tenant is unknown.
     fn kind_of(&self, name: &str) -> Option<BudgetKind> {
         let known = BUDGET_NAMES.iter().find(|(known, _)| *known == name);
         if let Some((_, kind)) = known {
@@ -62,8 +62,7 @@
         Some(BudgetKind::Tenant(index))
     }
 
-    /// What the scheduler may spend. `now` is the time by the participant's clock, `scheduler_now` that by the
-    /// scheduler's.
+    /// The scheduler's grants. `now` is the time of the participant's clock, `scheduler_now` that of the scheduler's.
     pub fn grants(
         &self,
         participant: &BudgetParticipant,
@@ -89,27 +88,27 @@
         grants
     }
 
-    /// What the scheduler has wanted, by the budgets' names.
+    /// Converts the scheduler's demand, by budget name.
     pub fn cumulative_demand(
         &self,
-        wanted: &BTreeMap<BudgetKind, BudgetDemand>,
+        demand_by_kind: &BTreeMap<BudgetKind, BudgetDemand>,
     ) -> BTreeMap<String, CumulativeDemand> {
         let mut demands = BTreeMap::new();
         for name in self.settings.limits.keys() {
             let kind = self.kind_of(name);
-            if let Some(wanted) = kind.and_then(|kind| wanted.get(&kind)) {
-                let demand = CumulativeDemand {
-                    units: (wanted.units * MILLI_PER_UNIT) as u64,
-                    weight_sum: wanted.priority_weight,
+            if let Some(demand) = kind.and_then(|kind| demand_by_kind.get(&kind)) {
+                let cumulative = CumulativeDemand {
+                    units: (demand.units * MILLI_PER_UNIT) as u64,
+                    weight_sum: demand.priority_weight,
                 };
-                demands.insert(name.clone(), demand);
+                demands.insert(name.clone(), cumulative);
             }
         }
         demands
     }
 }
 
-/// What this node knows of budgets; nothing where the fleet has none.
+/// This node's state of the fleet's budgets; `None` before the start and if the fleet has none.
 #[derive(Default)]
 pub(super) struct BudgetDriver {
     budgets: RefCell<Option<FleetBudgets>>,
@@ -117,8 +116,8 @@
 }
 
 impl CoordinationDriver {
-    /// Asks for this node's grants again and again, and allocates while this node holds the lease. Runs until the process
-    /// ends.
+    /// Periodically requests this node's grants, and allocates the budgets while this node holds the lease. Runs until the
+    /// process ends.
     pub(super) async fn run_budgets(self: Rc<Self>, budgets: FleetBudgets) {
         let process = self.node.borrow().process_id();
         let participant = BudgetParticipant::new(process, budgets.settings.clone());
@@ -127,7 +126,7 @@
         self.budgets.budgets.replace(Some(budgets));
         self.request_lease(LEASE_TASK);
         loop {
-            // An error says that the dispatcher has ended, and the process with it.
+            // Sending fails only if the dispatcher has ended, and the process with it.
             let grants = DispatcherMessage::SetBudgetGrants(self.budget_grants());
             let _ = self.dispatcher.send(grants).await;
             let demand = self.cumulative_demand().await;
@@ -153,8 +152,8 @@
         }
     }
 
-    /// Other limits are in force from now on, where there are budgets at all. What was granted stays granted until it
-    /// runs out, so a lower limit holds one grant's duration after the allocating node has read it.
+    /// Replaces the limits, if the fleet has budgets. Grants stay valid until they expire, so a lower limit takes effect one
+    /// grant duration after the allocating node has applied it.
     pub(super) fn set_budget_limits(&self, budgets: &FleetBudgets) {
         if let Some(participant) = &mut *self.budgets.participant.borrow_mut() {
             participant.set_limits(budgets.settings.limits.clone());
@@ -162,7 +161,7 @@
         }
     }
 
-    /// Takes a message about budgets.
+    /// Handles a message about budgets.
     pub(super) fn handle_budget_message(self: &Rc<Self>, sender: String, message: BudgetMessage) {
         let now = self.clock.now();
         let held_epoch = self.held_epoch(LEASE_TASK);
@@ -175,13 +174,13 @@
             self.send_to(sender, MessageBody::Budget(reply));
         }
         if is_answer {
-            // Where the dispatcher's queue is full, the next turn of `run_budgets` tells it.
+            // If the dispatcher's channel is full, the next iteration of `run_budgets` sends the grants.
             let grants = DispatcherMessage::SetBudgetGrants(self.budget_grants());
             let _ = self.dispatcher.try_send(grants);
         }
     }
 
-    /// What the scheduler may spend at this moment.
+    /// The scheduler's grants at this time.
     fn budget_grants(&self) -> BudgetGrants {
         let now = self.clock.now();
         let scheduler_now = self.scheduler_now();
@@ -192,7 +191,7 @@
         }
     }
 
-    /// What the scheduler has wanted of each budget since it began.
+    /// The scheduler's demand for each budget since it started.
     async fn cumulative_demand(&self) -> BTreeMap<String, CumulativeDemand> {
         let demand = query(&self.dispatcher, DispatcherQuery::BudgetDemand).await;
         let demand = demand.unwrap_or_default();
@@ -202,7 +201,7 @@
         }
     }
 
-    /// The budgets as operators are shown them; `null` where the fleet has none.
+    /// The budgets as shown to operators; `null` if the fleet has none.
     pub(super) fn budget_status(&self) -> Value {
         let participant = self.budgets.participant.borrow();
         let Some(participant) = &*participant else {
@@ -222,7 +221,7 @@
         json!({"own": own, "divided": allocator})
     }
 
-    /// Metrics of the budgets: by budget, what this node may spend a second, in thousandths.
+    /// Metrics of the budgets: this node's rate of each budget, in thousandths of a unit per second.
     pub(super) fn budget_metrics(&self) -> Vec<(String, u64)> {
         let participant = self.budgets.participant.borrow();
         let Some(participant) = &*participant else {
@@ -239,7 +238,7 @@
     }
 }
 
-/// One budget as this node has it.
+/// One budget as this node uses it.
 fn own_budget_status(participant: &BudgetParticipant, name: &str, now: Micros) -> Value {
     let limit = participant.settings().limits[name];
     let quota = participant.quota(name, now);
--- a/src/transport/coordination/event_loop.rs
+++ b/src/transport/coordination/event_loop.rs
@@ -1,5 +1,5 @@
-//! The event loop: drives [`CoordinationNode`](poppykeel_coordination::node::CoordinationNode) by datagrams, reports of
-//! the log, and timers.
+//! The event loop: drives [`CoordinationNode`](poppykeel_coordination::node::CoordinationNode) with datagrams, log events
+//! and timers.
 
 use super::log_writer::{LogWriteError, LogWriterEvent};
 use super::CoordinationDriver;
@@ -9,24 +9,24 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// How many datagrams are taken in one turn, beside the first.
-const MAX_DATAGRAMS_PER_TURN: usize = 64;
-/// Where nothing is due, the loop looks again after this time.
+/// Maximum number of datagrams handled in one iteration, besides the first.
+const MAX_EXTRA_DATAGRAMS: usize = 64;
+/// Maximum time between two iterations.
 const IDLE_INTERVAL: Duration = Duration::from_secs(1);
-/// The buffer is this much longer than the longest message.
+/// The buffer exceeds the longest valid message by this much.
 const BUFFER_SLACK_BYTES: usize = 1024;
 
 impl CoordinationDriver {
     /// Runs until the process ends.
     pub(super) async fn run_event_loop(
         self: Rc<Self>,
-        mut log_reports: mpsc::Receiver<LogWriterEvent>,
+        mut log_events: mpsc::Receiver<LogWriterEvent>,
     ) {
         let mut buffer = vec![0; envelope::MAX_MESSAGE_BYTES + BUFFER_SLACK_BYTES];
         let mut held_before: Vec<HeldLease> = Vec::new();
         loop {
-            // Each branch is cancel-safe: a datagram, a report or a wake-up that is not taken in this turn stays for the
-            // next one, and the timer is set anew. The driver owns the socket; the receiver is this task's own.
+            // Each branch is cancel-safe: a datagram, event or notification not consumed in this iteration remains for the
+            // next one, and the timer is set again. The driver owns the socket; the receiver belongs to this task.
             tokio::select! {
                 received = self.socket.recv_from(&mut buffer) => {
                     if let Ok((length, _)) = received {
@@ -34,15 +34,15 @@
                         self.handle_waiting_datagrams(&mut buffer);
                     }
                 }
-                report = log_reports.recv() => match report {
-                    Some(report) => self.handle_log_report(report),
+                event = log_events.recv() => match event {
+                    Some(event) => self.handle_log_event(event),
                     None => return,
                 },
                 () = self.wake.notified() => {}
                 () = tokio::time::sleep(self.time_to_deadline()) => {}
             }
             let outputs = self.node.borrow_mut().on_timer(self.clock.now());
-            self.carry_out(outputs);
+            self.execute_outputs(outputs);
             let held = self.node.borrow().held_leases(self.clock.now());
             log_lease_changes(&held_before, &held);
             held_before = held;
@@ -58,7 +58,7 @@
     }
 
     fn handle_waiting_datagrams(self: &Rc<Self>, buffer: &mut [u8]) {
-        for _ in 0..MAX_DATAGRAMS_PER_TURN {
+        for _ in 0..MAX_EXTRA_DATAGRAMS {
             let Ok((length, _)) = self.socket.try_recv_from(buffer) else {
                 break;
             };
@@ -66,26 +66,26 @@
         }
     }
 
-    fn handle_log_report(self: &Rc<Self>, report: LogWriterEvent) {
-        match report {
+    fn handle_log_event(self: &Rc<Self>, event: LogWriterEvent) {
+        match event {
             LogWriterEvent::Durable { write } => {
                 let outputs = self.node.borrow_mut().on_log_written(write);
-                self.carry_out(outputs);
+                self.execute_outputs(outputs);
             }
             LogWriterEvent::Failed(error) => self.handle_log_failure(&error),
         }
     }
 
-    /// The lease server of this process says nothing more; the first failure is logged.
+    /// Stops this process's lease server from answering. Only the first failure is logged.
     fn handle_log_failure(&self, error: &LogWriteError) {
         if !self.node.borrow().has_log_failed() {
-            tracing::error!(%error, "the lease server's log failed: it answers nothing until a restart");
+            tracing::error!(%error, "the lease server's log failed: the lease server answers no requests until a restart");
         }
         self.node.borrow_mut().on_log_failed();
     }
 
-    /// Carries out what the state machine wants, in its order.
-    pub(super) fn carry_out(self: &Rc<Self>, outputs: Vec<NodeOutput>) {
+    /// Executes the outputs of the state machine in order.
+    pub(super) fn execute_outputs(self: &Rc<Self>, outputs: Vec<NodeOutput>) {
         for output in outputs {
             match output {
                 NodeOutput::WriteLog { write, records } => {
--- a/src/transport/coordination/log_writer/error.rs
+++ b/src/transport/coordination/log_writer/error.rs
@@ -1,5 +1,6 @@
-//! Why a lease server's log can't be opened or written.
+//! Errors of opening and writing a lease server's log.
 
+use super::QUEUE_CAPACITY;
 use poppykeel_durable_log::LogError;
 use std::io;
 use std::path::{Path, PathBuf};
@@ -12,22 +13,22 @@
     failure: OpenLogFailure,
 }
 
-/// What failed in the folder.
+/// The cause of an [`OpenLogError`].
 #[derive(Debug, thiserror::Error)]
 pub(super) enum OpenLogFailure {
     #[error("{0}")]
     Io(#[from] io::Error),
-    /// The log's own failure.
+    /// The log failed.
     #[error("{0}")]
     Log(#[from] LogError),
-    /// A record that is whole and sound is none of a lease server.
+    /// An intact record is not a record of a lease server.
     #[error("{0}")]
     Decode(#[from] postcard::Error),
 }
 
-/// Names the folder in which something failed.
+/// Adds the folder to an error.
 pub(super) trait WithFolder<T> {
-    /// The result with the folder's name in its error.
+    /// Converts the error to an [`OpenLogError`] of this folder.
     fn in_folder(self, folder: &Path) -> Result<T, OpenLogError>;
 }
 
@@ -40,16 +41,16 @@
     }
 }
 
-/// Why a lease server's log can't be written any more.
+/// Why a lease server's log can no longer be written.
 #[derive(Debug, thiserror::Error)]
 pub enum LogWriteError {
     /// A record could not be encoded.
     #[error("{0}")]
     Encode(#[from] postcard::Error),
-    /// The log's own failure.
+    /// The log failed.
     #[error("{0}")]
     Log(#[from] LogError),
     /// The queue is full, or the thread that writes has ended.
-    #[error("more writes wait than there is room for")]
+    #[error("log queue full ({QUEUE_CAPACITY} writes) or log thread ended")]
     QueueFull,
 }
--- a/src/transport/coordination/log_writer/mod.rs
+++ b/src/transport/coordination/log_writer/mod.rs
@@ -1,9 +1,9 @@
-//! The log of the lease server that this process hosts, written by a thread of its own, so that no sync holds up the loop
-//! that routes.
+//! The log of the lease server hosted by this process. A separate thread writes it, so that syncs do not block the routing
+//! loop.
 //!
-//! The thread takes writes in their order, makes all that wait durable with one sync, and reports up to which write that
-//! is. Once a write or a sync has failed it reports that and ends: nothing after that counts as durable. It also ends when
-//! the [`LogWriter`] is dropped, and with it goes the lock on the folder.
+//! The thread processes writes in order, makes all queued writes durable with one sync, and reports the number of the last
+//! one. After a failed write or sync it reports the error and ends: no later write counts as durable. It also ends when the
+//! [`LogWriter`] is dropped, which releases the lock on the folder.
 
 mod error;
 #[cfg(test)]
@@ -19,20 +19,19 @@
 use error::WithFolder;
 pub use error::{LogWriteError, OpenLogError};
 
-/// How many writes may wait for the disk. Where one more comes the log counts as failed, since the sender must not wait.
-/// As many reports may wait for the event loop; the thread waits where there are more.
+/// Maximum number of queued writes. If the queue is full the log counts as failed, since the sender must not block. The same
+/// number of events may wait for the event loop; the thread blocks if there are more.
 pub const QUEUE_CAPACITY: usize = 4096;
-/// The log is compacted when it is this long, in bytes.
+/// The log is compacted when it exceeds this size.
 const COMPACTION_BYTES: u64 = 1 << 20;
-/// The extension of a damaged log that was put aside.
-const DAMAGED_EXTENSION: &str = "rotten";
-/// The thread's name.
+/// The extension given to a corrupt log file.
+const CORRUPT_EXTENSION: &str = "rotten";
 const THREAD_NAME: &str = "lease-log";
 
-/// For tests alone: the file with orders to this process's disk.
-const TEST_ORDERS_VARIABLE: &str = "POPPYKEEL_TEST_DISK";
+/// For tests only: the file with the faults to inject into this process's disk.
+const TEST_FAULTS_VARIABLE: &str = "POPPYKEEL_TEST_DISK";
 
-/// What the thread reports.
+/// An event reported by the thread.
 #[derive(Debug)]
 pub enum LogWriterEvent {
     /// All writes up to this number are durable.
@@ -40,7 +39,7 @@
         /// The write's number.
         write: u64,
     },
-    /// None will be durable any more.
+    /// The log has failed; no further write becomes durable.
     Failed(LogWriteError),
 }
 
@@ -49,25 +48,25 @@
     records: Vec<LeaseLogRecord>,
 }
 
-/// The way to the thread that writes the log.
+/// A handle to the thread that writes the log.
 pub struct LogWriter {
     writes: SyncSender<Write>,
 }
 
 /// A log that has been opened.
 pub struct OpenedLog {
-    /// The way to the log.
+    /// The handle for writing to the log.
     pub writer: LogWriter,
-    /// What it holds.
+    /// The newest records that the log holds.
     pub records: Vec<LeaseLogRecord>,
 }
 
 impl LogWriter {
-    /// Opens a lease server's folder; what comes of writes goes to `events`. A damaged log is put aside, and the server
-    /// begins without a memory: it then asks the others.
+    /// Opens a lease server's folder and starts the thread, which reports to `events`. A corrupt log is renamed, and the
+    /// server starts without records; it then recovers from the other lease servers.
     ///
     /// # Errors
-    /// Where the folder can't be used, for one because another process has it, or its log can't be read.
+    /// Fails if the folder can't be used, for example because another process has locked it, or if its log can't be read.
     pub fn open(
         folder: &Path,
         events: mpsc::Sender<LogWriterEvent>,
@@ -75,7 +74,7 @@
         let RecoveredLog {
             log,
             records: payloads,
-        } = open_or_put_aside(folder)?;
+        } = open_or_set_aside(folder)?;
         let mut newest = NewestRecords::default();
         for payload in &payloads {
             let record = postcard::from_bytes(payload).in_folder(folder)?;
@@ -85,7 +84,7 @@
         let (writes, queue) = sync_channel(QUEUE_CAPACITY);
         let run = move || {
             if let Err(error) = write_until_closed(log, newest, &queue, &events) {
-                // An error says that the event loop has ended, and then nobody needs the report.
+                // Sending fails only if the event loop has ended; the report is then not needed.
                 let _ = events.blocking_send(LogWriterEvent::Failed(error));
             }
         };
@@ -99,10 +98,10 @@
         })
     }
 
-    /// Hands a write to the thread.
+    /// Queues a write for the thread.
     ///
     /// # Errors
-    /// [`LogWriteError::QueueFull`] where the queue is full or the thread has ended.
+    /// [`LogWriteError::QueueFull`] if the queue is full or the thread has ended.
     pub fn write(&self, number: u64, records: Vec<LeaseLogRecord>) -> Result<(), LogWriteError> {
         let write = Write { number, records };
         self.writes
@@ -111,13 +110,13 @@
     }
 }
 
-/// Opens the log in a folder; a damaged one is put aside and an empty one opened.
-fn open_or_put_aside(folder: &Path) -> Result<RecoveredLog<FaultInjectingDisk>, OpenLogError> {
+/// Opens the log in a folder. A corrupt log is renamed and an empty one opened.
+fn open_or_set_aside(folder: &Path) -> Result<RecoveredLog<FaultInjectingDisk>, OpenLogError> {
     match DurableLog::open(open_folder(folder)?) {
         Err(LogError::Corrupt { file, offset }) => {
-            tracing::error!(%file, at = offset, "the lease server's log is damaged: put aside, the other lease servers are asked");
-            let damaged = folder.join(&file);
-            std::fs::rename(&damaged, damaged.with_extension(DAMAGED_EXTENSION))
+            tracing::error!(%file, at = offset, "the lease server's log is corrupt: file renamed, recovering from the other lease servers");
+            let corrupt = folder.join(&file);
+            std::fs::rename(&corrupt, corrupt.with_extension(CORRUPT_EXTENSION))
                 .in_folder(folder)?;
             DurableLog::open(open_folder(folder)?).in_folder(folder)
         }
@@ -126,13 +125,13 @@
 }
 
 fn open_folder(folder: &Path) -> Result<FaultInjectingDisk, OpenLogError> {
-    let orders = std::env::var_os(TEST_ORDERS_VARIABLE).map(PathBuf::from);
+    let faults = std::env::var_os(TEST_FAULTS_VARIABLE).map(PathBuf::from);
     let files = FolderDisk::open(folder).in_folder(folder)?;
-    Ok(FaultInjectingDisk::new(files, orders))
+    Ok(FaultInjectingDisk::new(files, faults))
 }
 
-/// The records that a compaction keeps: the newest grant of each task, the newest incarnation of each server, and whether
-/// the recovery is complete.
+/// The records kept by a compaction: the newest grant of each task, the newest incarnation of each server, and the
+/// completion of the recovery.
 #[derive(Default)]
 struct NewestRecords {
     grants: BTreeMap<String, LeaseLogRecord>,
@@ -161,7 +160,7 @@
     }
 }
 
-/// Writes until the way to the thread is closed.
+/// Writes until the queue is closed.
 fn write_until_closed(
     mut log: DurableLog<FaultInjectingDisk>,
     mut newest: NewestRecords,
@@ -170,7 +169,7 @@
 ) -> Result<(), LogWriteError> {
     while let Ok(first) = queue.recv() {
         let mut last_number = 0;
-        // All that waits goes with one sync.
+        // All queued writes share one sync.
         let waiting = queue.try_iter().take(QUEUE_CAPACITY);
         for write in std::iter::once(first).chain(waiting) {
             for record in write.records {
--- a/src/transport/coordination/log_writer/tests.rs
+++ b/src/transport/coordination/log_writer/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the lease server's log on a real folder.
+//! Tests of the lease server's log in a folder on disk.
 
 use super::{LogWriter, LogWriterEvent, OpenLogError, QUEUE_CAPACITY};
 use poppykeel_coordination::lease::{GrantRecord, LeaseLogRecord, ServerIncarnation};
@@ -27,7 +27,7 @@
         .collect()
 }
 
-/// An opened log with the reports of its thread.
+/// An opened log with the receiver of its thread's events.
 struct TestLog {
     writer: LogWriter,
     records: Vec<LeaseLogRecord>,
@@ -55,7 +55,7 @@
         }
     }
 
-    /// The thread ends, and with it the lock, once nobody can write any more.
+    /// Closes the queue and waits until the thread has ended, which releases the lock.
     fn close(self) {
         let TestLog {
             writer, mut events, ..
@@ -65,10 +65,10 @@
     }
 }
 
-/// What was reported durable is there again; two processes never share the folder; a log with a damaged middle is put
-/// aside, and the server begins without a memory.
+/// Writes reported durable must be recovered, two processes must never share a folder, and a corrupt log must be renamed so
+/// that the server starts without records.
 #[test]
-fn finds_durable_records_again_and_puts_a_damaged_log_aside() {
+fn recovers_durable_records_and_renames_a_corrupt_log() {
     let folder = std::env::temp_dir().join(format!("lease-log-{}", std::process::id()));
     let mut log = TestLog::open(&folder).unwrap();
     assert!(log.records.is_empty());
@@ -97,7 +97,7 @@
     std::fs::remove_dir_all(folder).unwrap();
 }
 
-/// The committed log of a lease server's folder, relative to the package.
+/// The golden log of a lease server, relative to the package.
 const GOLDEN_LOG: &str = "tests/golden/lease-server/0000000000000001.log";
 
 fn golden_log() -> PathBuf {
@@ -108,13 +108,13 @@
 fn golden_folder(name: &str) -> PathBuf {
     let name = format!("golden-lease-server-{name}-{}", std::process::id());
     let folder = std::env::temp_dir().join(name);
-    // A folder of an earlier process with this id may be left; usually there is none.
+    // Removes the folder of an earlier process with the same id; usually there is none.
     let _ = std::fs::remove_dir_all(&folder);
     std::fs::create_dir_all(&folder).unwrap();
     folder
 }
 
-/// A grant, or, without a holder, an epoch that another lease server told of.
+/// A grant or, without a holder, an epoch reported by another lease server.
 fn golden_grant(
     task: &str,
     epoch: u64,
@@ -156,7 +156,7 @@
     }
 }
 
-/// The records of the committed log in the order written; later ones of a task or of a server replace earlier ones.
+/// The records of the golden log in the order written; later ones of a task or server replace earlier ones.
 fn golden_records() -> Vec<LeaseLogRecord> {
     let first_holder = golden_holder("node-a", 0x0123_4567_89ab_cdef);
     let second_holder = golden_holder("node-b", 0xfedc_ba98_7654_3210);
@@ -176,8 +176,8 @@
     ]
 }
 
-/// What a lease server finds of these records: the newest of each task by name, of each server by index, and whether its
-/// recovery was complete.
+/// The records that a lease server recovers from the golden log: the newest of each task by name, of each server by index,
+/// and the completion of the recovery.
 fn golden_newest_records() -> Vec<LeaseLogRecord> {
     let records = golden_records();
     [6, 10, 4, 9, 5, 7, 11, 8]
@@ -185,7 +185,7 @@
         .into()
 }
 
-/// Ends the writing thread, and with it the lock on the folder.
+/// Ends the thread, which releases the lock, and discards its events.
 fn close_with_events(log: TestLog) {
     let TestLog {
         writer, mut events, ..
@@ -195,7 +195,7 @@
 }
 
 #[test]
-fn lease_server_folder_of_landed_version_stays_readable() {
+fn golden_log_of_released_version_stays_readable() {
     let folder = golden_folder("read");
     let copy = folder.join(golden_log().file_name().unwrap());
     std::fs::copy(golden_log(), &copy).unwrap();
@@ -208,7 +208,7 @@
 }
 
 #[test]
-fn same_lease_records_are_written_as_the_same_log() {
+fn golden_records_are_written_as_the_golden_log() {
     let folder = golden_folder("write");
     let log = TestLog::open(&folder).unwrap();
     assert!(log.records.is_empty());
--- a/src/transport/coordination/messaging.rs
+++ b/src/transport/coordination/messaging.rs
@@ -1,7 +1,7 @@
-//! Sending messages to other nodes, and handing those received to whom they concern.
+//! Sends messages to other nodes and dispatches received ones.
 //!
-//! A message goes in one datagram if it fits, else over a connection of its own. Neither is repeated here: what does not
-//! arrive is lost, and the state machines ask again.
+//! A message is sent as one datagram if it fits, otherwise over its own TCP connection. This module does not retry:
+//! undelivered messages are lost, and the state machines send their requests again.
 
 use super::CoordinationDriver;
 use super::TransportCounters;
@@ -13,17 +13,17 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::spawn_local;
 
-/// How many long messages may come or go at once, over connections.
+/// Maximum number of open connections for sending or receiving long messages.
 const MAX_CONNECTIONS: usize = 64;
 /// A long message must be sent or received within this time.
 const CONNECTION_TIMEOUT: Duration = Duration::from_secs(2);
-/// After a connection could not be accepted, the next is tried after this time.
+/// Pause after a failed accept call.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
-/// What is read of a connection is this much longer than the longest message, so that a longer one is seen to be so.
+/// The read limit exceeds the longest valid message by this much, so that longer messages are recognised.
 const READ_SLACK_BYTES: u64 = 16;
 
 impl CoordinationDriver {
-    /// Takes the bytes of a message; what is none for this node is counted and dropped.
+    /// Decodes and dispatches a message. Malformed and misaddressed messages are counted and dropped.
     pub(super) fn handle_datagram(self: &Rc<Self>, bytes: &[u8]) {
         let settings = &self.settings.node;
         match envelope::decode(bytes, &settings.fleet, &settings.name) {
@@ -52,7 +52,7 @@
             | MessageBody::Gossip(_) => {
                 let now = self.clock.now();
                 let outputs = self.node.borrow_mut().handle_envelope(envelope, now);
-                self.carry_out(outputs);
+                self.execute_outputs(outputs);
             }
         }
     }
@@ -63,12 +63,12 @@
         self.counters.set(counters);
     }
 
-    /// Sends a message of a task's own to a node.
+    /// Sends a message to a node.
     pub(super) fn send_to(self: &Rc<Self>, recipient: String, body: MessageBody) {
         self.send_to_address(recipient, None, body);
     }
 
-    /// Sends a message of a task's own to a node, at this address unless another is known for its name.
+    /// Sends a message to a node. `address_hint` is used if no other address is known for its name.
     pub(super) fn send_to_address(
         self: &Rc<Self>,
         recipient: String,
@@ -79,10 +79,10 @@
             .node
             .borrow_mut()
             .message_to(recipient, address_hint, body);
-        self.carry_out(vec![output]);
+        self.execute_outputs(vec![output]);
     }
 
-    /// Sends a message; one to this node itself is handed over without the network.
+    /// Sends a message. A message to this node itself is dispatched without the network.
     pub(super) fn send(self: &Rc<Self>, envelope: Envelope, address_hint: Option<SocketAddr>) {
         if envelope.recipient == self.settings.node.name {
             let driver = self.clone();
@@ -97,7 +97,7 @@
         if bytes.len() > envelope::MAX_DATAGRAM_BYTES {
             self.send_over_connection(bytes, address);
         } else if self.socket.try_send_to(&bytes, address).is_err() {
-            // What does not go out is lost, as any datagram may be.
+            // The datagram is lost, as any datagram may be.
             self.count(|counters| counters.unreachable += 1);
         }
     }
@@ -107,8 +107,7 @@
         configured.or_else(|| self.node.borrow().address_of(node))
     }
 
-    /// Sends a long message over a connection of its own. The task that does so owns the socket and ends within
-    /// [`CONNECTION_TIMEOUT`].
+    /// Sends a long message over its own connection. A separate task owns the socket and ends within [`CONNECTION_TIMEOUT`].
     fn send_over_connection(self: &Rc<Self>, bytes: Vec<u8>, address: SocketAddr) {
         if self.open_connections.get() >= MAX_CONNECTIONS {
             return self.count(|counters| counters.unreachable += 1);
@@ -124,7 +123,8 @@
         });
     }
 
-    /// Takes long messages, one a connection, until the process ends. Connections beyond the bound are closed unread.
+    /// Accepts connections with one long message each, until the process ends. Connections beyond the limit are closed
+    /// unread.
     pub(super) async fn accept_long_messages(self: Rc<Self>, listener: TcpListener) {
         loop {
             let Ok((stream, _)) = listener.accept().await else {
@@ -139,7 +139,8 @@
         }
     }
 
-    /// Reads one message to the connection's end. A connection that does not end in time is closed and its bytes dropped.
+    /// Reads one message until the end of the connection. If the connection does not end in time, it is closed and its bytes
+    /// are dropped.
     async fn receive_over_connection(self: Rc<Self>, stream: TcpStream) {
         let mut bytes = Vec::new();
         let mut stream = stream.take(envelope::MAX_MESSAGE_BYTES as u64 + READ_SLACK_BYTES);
--- a/src/transport/coordination/mod.rs
+++ b/src/transport/coordination/mod.rs
@@ -1,25 +1,25 @@
-//! The driver of a node's coordination with the other nodes of its fleet: sockets, timers and the log round
-//! [`CoordinationNode`], and the tasks that act under its leases.
+//! The driver of a node's coordination with the other nodes of its fleet: the sockets, timers and log that
+//! [`CoordinationNode`] needs, and the tasks that act under its leases.
 //!
-//! Without `[fleet]` in the settings none of this exists: no listener, no thread, no file.
+//! Without `[fleet]` in the settings there is no driver: no listener, no thread, no file.
 //!
 //! | file | job |
 //! | --- | --- |
-//! | `event_loop.rs` | drives [`CoordinationNode`]: datagrams, reports of the log, timers |
-//! | `messaging.rs` | sends messages and hands those received to whom they concern |
+//! | `event_loop.rs` | drives [`CoordinationNode`] with datagrams, log events and timers |
+//! | `messaging.rs` | sends messages and dispatches received ones |
 //! | `log_writer/` | the log of the lease server that this process hosts |
-//! | `budgets.rs` | the fleet's budgets: what the scheduler wanted goes out, what it may spend comes in |
-//! | `report.rs` | the fleet's report to a collector, by the holder of its lease |
-//! | `rolling_restart.rs` | taking nodes out one after the other |
-//! | `outlier_probing.rs` | probing ejected replicas once for all nodes |
-//! | `status.rs` | what operators are shown, and metrics |
+//! | `budgets.rs` | the fleet's budgets: sends the scheduler's demand, receives its grants |
+//! | `report.rs` | the fleet's report to a collector, sent by the lease holder |
+//! | `rolling_restart.rs` | taking nodes out of service in turn |
+//! | `outlier_probing.rs` | probing ejected replicas by one node on behalf of all |
+//! | `status.rs` | the status shown to operators, and metrics |
 //! | `boot_clock.rs` | the clock of leases |
 //!
-//! All tasks run on the thread of the node and share one [`CoordinationDriver`]. They live as long as the process: nothing
-//! stops them before, and nothing they hold needs an orderly end but the leases, which [`CoordinationDriver::leave`] gives
-//! back. No `RefCell` stays borrowed across an `await`.
+//! All tasks run on the node's thread and share one [`CoordinationDriver`]. They run until the process ends. Only the leases
+//! need an orderly end: [`CoordinationDriver::leave`] releases them. No `RefCell` stays borrowed across an `await`.
 //!
-//! Whoever acts under a lease looks at it right before each act, and acts under the epoch that it sees or not at all.
+//! Code that acts under a lease checks the lease immediately before each act, and acts only under the epoch that it then
+//! holds.
 
 mod boot_clock;
 pub mod budgets;
@@ -53,61 +53,61 @@
 use tokio::sync::{mpsc, watch, Notify};
 use tokio::task::spawn_local;
 
-/// What a node is told of its coordination with others.
+/// The settings of a node's coordination with other nodes.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CoordinationSettings {
-    /// What the state machine is told.
+    /// Settings of the state machine.
     pub node: NodeSettings,
-    /// Where this node listens, by UDP and TCP.
+    /// The address on which this node listens, for UDP and TCP.
     pub listen: SocketAddr,
-    /// Where nodes are reached from here, by name, where that differs from what they say.
+    /// Addresses of nodes by name, used instead of those that the nodes advertise.
     pub address_overrides: BTreeMap<String, SocketAddr>,
-    /// The folder of a lease server's log.
+    /// The folder of the lease server's log. Without one, a lease server on this node can't write its log.
     pub log_folder: Option<PathBuf>,
-    /// Budgets of the whole fleet.
+    /// The fleet's budgets; `None` if the fleet has none.
     pub budgets: Option<FleetBudgets>,
-    /// Where the fleet's report goes.
+    /// Settings of the fleet's report; `None` if it is not sent.
     pub report: Option<ReportSettings>,
 }
 
-/// Where the fleet's report goes, and how often.
+/// Settings of the fleet's report.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ReportSettings {
     /// The collector's address.
     pub collector: SocketAddr,
-    /// From one report to the next, in microseconds.
+    /// Interval between reports, in microseconds.
     pub interval: Micros,
 }
 
-/// Why a node can't coordinate with others as its settings say. The texts name the settings' key at fault.
+/// Why coordination can't run with the node's settings. The messages name the settings key at fault.
 #[derive(Debug, thiserror::Error)]
 pub enum CoordinationError {
-    /// The node can't listen where it should.
+    /// The node can't listen on its address.
     #[error("fleet.listen: {address}: {source}")]
     Listen {
         /// The address.
         address: SocketAddr,
-        /// Why not.
+        /// The system's error.
         source: std::io::Error,
     },
     /// The lease server's log can't be opened.
     #[error(transparent)]
     OpenLog(#[from] OpenLogError),
-    /// There is another list of lease servers under the number of the one in force.
-    #[error("fleet.keepers_number: expected more than {number} for another list of keepers")]
+    /// The settings have a different list of lease servers under the number of the list in force.
+    #[error("fleet.keepers_number: expected more than {number}, since fleet.keepers has changed")]
     SameServerListNumber {
         /// The number in force.
         number: u32,
     },
 }
 
-/// What the sockets have sent and dropped since the start.
+/// Counts of sent bytes and dropped messages since the start.
 #[derive(Clone, Copy, Debug, Default)]
 struct TransportCounters {
     sent_bytes: u64,
-    /// Messages dropped since they were none, or damaged.
+    /// Received messages dropped because they were malformed.
     malformed: u64,
-    /// Messages dropped since they were of another fleet or for another node.
+    /// Received messages dropped because they were for another fleet or node.
     misaddressed: u64,
     /// Messages that could not be sent.
     unreachable: u64,
@@ -121,10 +121,10 @@
     socket: UdpSocket,
     log_writer: RefCell<Option<LogWriter>>,
     log_events: mpsc::Sender<LogWriterEvent>,
-    /// Wakes the event loop, since something may be due earlier than it knows.
+    /// Wakes the event loop when its next deadline may have changed.
     wake: Notify,
     counters: Cell<TransportCounters>,
-    /// How many long messages come or go at this moment.
+    /// Number of open connections that carry long messages.
     open_connections: Cell<usize>,
     dispatcher: mpsc::Sender<DispatcherMessage>,
     report: ReportDriver,
@@ -132,7 +132,7 @@
     probing: ProbingDriver,
     budgets: BudgetDriver,
     phase: Rc<watch::Sender<NodePhase>>,
-    /// The clock that the scheduler goes by.
+    /// The scheduler's clock.
     scheduler_clock: Clock,
 }
 
@@ -140,7 +140,7 @@
     /// Starts a node's coordination: its sockets, its log if it is a lease server, and its tasks.
     ///
     /// # Errors
-    /// Where the node can't listen, or its log can't be opened.
+    /// Fails if the node can't listen, or its log can't be opened.
     pub async fn start(
         settings: CoordinationSettings,
         dispatcher: mpsc::Sender<DispatcherMessage>,
@@ -156,7 +156,7 @@
             .node
             .lease_servers
             .contains_key(&settings.node.name);
-        let (log_events, log_reports) = mpsc::channel(log_writer::QUEUE_CAPACITY);
+        let (log_events, log_event_receiver) = mpsc::channel(log_writer::QUEUE_CAPACITY);
         let folder = settings.log_folder.as_deref().filter(|_| is_lease_server);
         let (log_writer, log) = open_log(folder, &log_events)?;
         let incarnation = Incarnation(rand::random());
@@ -188,19 +188,19 @@
             fleet = %driver.settings.node.fleet,
             listen = %driver.settings.listen,
             lease_server = is_lease_server,
-            "joined the fleet"
+            "fleet coordination started"
         );
-        driver.spawn_tasks(listener, log_reports);
+        driver.spawn_tasks(listener, log_event_receiver);
         Ok(driver)
     }
 
     fn spawn_tasks(
         self: &Rc<Self>,
         listener: TcpListener,
-        log_reports: mpsc::Receiver<LogWriterEvent>,
+        log_event_receiver: mpsc::Receiver<LogWriterEvent>,
     ) {
         spawn_local(self.clone().accept_long_messages(listener));
-        spawn_local(self.clone().run_event_loop(log_reports));
+        spawn_local(self.clone().run_event_loop(log_event_receiver));
         spawn_local(self.clone().run_rolling_restarts());
         spawn_local(self.clone().run_outlier_probing());
         if let Some(budgets) = self.settings.budgets.clone() {
@@ -211,12 +211,12 @@
         }
     }
 
-    /// Takes other limits of budgets, and another list of lease servers if its number is higher. All else of `[fleet]`
-    /// holds from the start to the end.
+    /// Applies changed budget limits, and a changed list of lease servers if its number is higher. All other settings of
+    /// `[fleet]` apply only at the start.
     ///
     /// # Errors
-    /// Where there is another list of lease servers under the same number, or a log can't be opened. The limits of
-    /// budgets are in force even then; nothing else has changed.
+    /// Fails if there is a different list of lease servers under the same number, or if a log can't be opened. The budget
+    /// limits are in force even then; nothing else has changed.
     pub fn update(&self, settings: &CoordinationSettings) -> Result<(), CoordinationError> {
         if let Some(budgets) = &settings.budgets {
             self.set_budget_limits(budgets);
@@ -248,36 +248,36 @@
         tracing::info!(
             number = new.lease_servers_number,
             lease_servers = ?new.lease_servers.keys(),
-            "another list of lease servers is in force"
+            "new list of lease servers is in force"
         );
         self.wake.notify_one();
         Ok(())
     }
 
-    /// Gives all leases back and leaves the fleet in order.
+    /// Releases all leases and leaves the fleet in an orderly way.
     pub fn leave(self: &Rc<Self>) {
         let outputs = self.node.borrow_mut().leave(self.clock.now());
-        self.carry_out(outputs);
+        self.execute_outputs(outputs);
     }
 
-    /// The time by the clock that the scheduler goes by.
+    /// The time of the scheduler's clock.
     fn scheduler_now(&self) -> Micros {
         self.scheduler_clock.now()
     }
 
-    /// Asks for a lease from now on, and lets the event loop see that.
+    /// Requests a lease from now on, and wakes the event loop.
     fn request_lease(&self, task: &str) {
         self.node.borrow_mut().request_lease(task, self.clock.now());
         self.wake.notify_one();
     }
 
-    /// The epoch under which this process may act at this moment. To be asked right before every act.
+    /// The epoch of the lease if this process holds it now. Must be checked immediately before each act under the lease.
     fn held_epoch(&self, task: &str) -> Option<Epoch> {
         self.node.borrow().held_epoch(task, self.clock.now())
     }
 }
 
-/// The log of a lease server, where this process is one and has a folder.
+/// Opens the lease server's log, if a folder is given.
 fn open_log(
     folder: Option<&Path>,
     events: &mpsc::Sender<LogWriterEvent>,
--- a/src/transport/coordination/outlier_probing.rs
+++ b/src/transport/coordination/outlier_probing.rs
@@ -1,6 +1,6 @@
-//! Outlier probing at this node: it reports what is ejected here, follows the coordinator's advice, and coordinates while
-//! it holds the lease. The decisions are [`poppykeel_coordination::outlier_probing`]'s and, on what to do about advice, the
-//! scheduler's.
+//! Outlier probing at this node: it reports the replicas ejected here, follows the coordinator's advice, and coordinates
+//! while it holds the lease. [`poppykeel_coordination::outlier_probing`] makes the decisions; the scheduler decides how to
+//! react to advice.
 
 use super::CoordinationDriver;
 use crate::routing::ReplicaStatus;
@@ -18,35 +18,35 @@
 use std::time::Duration;
 use tokio::task::spawn_local;
 
-/// The name of the lease under which ejected replicas are probed for all.
+/// Task name of the lease under which ejected replicas are probed on behalf of all nodes.
 pub const LEASE_TASK: &str = "trials";
-/// From one report to the next, and from one verdict to the next.
-const STEP: Duration = Duration::from_millis(250);
-/// What nobody has reported for so long is forgotten, in microseconds.
-const FORGET_AFTER: Micros = 1_500_000;
-/// Wrong advice is remembered for so long, in microseconds.
+/// Interval between reports of ejected replicas, and between messages with verdicts.
+const REPORT_INTERVAL: Duration = Duration::from_millis(250);
+/// A replica that no node has reported as ejected for this time is no longer tracked, in microseconds.
+const REPORT_TTL: Micros = 1_500_000;
+/// How long wrong advice on a replica is remembered, in microseconds.
 const DISTRUST_DURATION: Micros = 10_000_000;
 
-/// How much advice was followed, in numbers of verdicts.
+/// Number of verdicts followed, by kind.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct AdviceCounters {
-    /// The replica is being probed by the coordinator: this node's own probes were held back.
+    /// The coordinator probes the replica, so this node's own probes were held back.
     pub(super) held_back: u64,
-    /// The replica was found healthy: this node used it again at once.
+    /// The replica was found healthy, so this node readmitted it at once.
     pub(super) readmitted: u64,
 }
 
-/// What this node knows of outlier probing.
+/// This node's state of outlier probing.
 #[derive(Default)]
 pub(super) struct ProbingDriver {
     participant: RefCell<ProbingParticipant>,
-    /// While this node holds the lease.
+    /// Present while this node holds the lease.
     coordinator: RefCell<Option<ProbingCoordinator>>,
     advice: Cell<AdviceCounters>,
 }
 
 impl ProbingDriver {
-    /// How much advice was followed.
+    /// Number of verdicts followed, by kind.
     pub(super) fn advice(&self) -> AdviceCounters {
         self.advice.get()
     }
@@ -72,7 +72,7 @@
 }
 
 impl CoordinationDriver {
-    /// The state of each replica by name; none where the dispatcher has ended.
+    /// The status of each replica by name; empty if the dispatcher has ended.
     async fn replicas(&self) -> BTreeMap<String, ReplicaStatus> {
         let statuses = query(&self.dispatcher, DispatcherQuery::ReplicaStatuses).await;
         statuses.unwrap_or_default()
@@ -82,7 +82,7 @@
         self.send_to(recipient, MessageBody::OutlierProbing(message));
     }
 
-    /// Takes a message about outlier probing.
+    /// Handles a message about outlier probing.
     pub(super) fn handle_probing_message(self: &Rc<Self>, message: ProbingMessage) {
         match message {
             ProbingMessage::Ejected { replicas } => {
@@ -91,7 +91,7 @@
                 }
             }
             ProbingMessage::Verdicts { epoch, verdicts } => {
-                // The task ends once the dispatcher has answered and taken the advice.
+                // The task ends once the dispatcher has received the advice.
                 spawn_local(self.clone().follow_verdicts(epoch, verdicts));
             }
         }
@@ -119,18 +119,18 @@
                 is_healthy: verdict.is_healthy,
             })
             .collect();
-        // An error says that the dispatcher has ended, and the process with it.
+        // Sending fails only if the dispatcher has ended, and the process with it.
         let _ = self
             .dispatcher
             .send(DispatcherMessage::OutlierAdvice(advice))
             .await;
     }
 
-    /// Reports what is ejected here to the coordinator, or is the coordinator. Runs until the process ends.
+    /// Reports the replicas ejected here to the coordinator, or acts as the coordinator. Runs until the process ends.
     pub(super) async fn run_outlier_probing(self: Rc<Self>) {
         self.request_lease(LEASE_TASK);
         loop {
-            tokio::time::sleep(STEP).await;
+            tokio::time::sleep(REPORT_INTERVAL).await;
             let replicas = self.replicas().await;
             match self.held_epoch(LEASE_TASK) {
                 Some(epoch) => self.send_verdicts(epoch, &replicas),
@@ -139,7 +139,7 @@
         }
     }
 
-    /// Tells the coordinator what is ejected here, if anything is.
+    /// Reports the replicas ejected here to the coordinator, if there are any.
     fn report_ejected(self: &Rc<Self>, replicas: &BTreeMap<String, ReplicaStatus>) {
         self.probing.coordinator.replace(None);
         let ejected: Vec<String> = replicas
@@ -158,7 +158,7 @@
         }
     }
 
-    /// Tells the other nodes what this one found out.
+    /// Sends this node's verdicts to the other nodes.
     fn send_verdicts(self: &Rc<Self>, epoch: Epoch, replicas: &BTreeMap<String, ReplicaStatus>) {
         let now = self.scheduler_now();
         let verdicts = {
@@ -167,13 +167,13 @@
                 Some(coordinator) if coordinator.epoch() == epoch => coordinator,
                 other => other.insert(ProbingCoordinator::new(epoch)),
             };
-            coordinator.verdicts(|name| replicas.get(name).map(health), now, FORGET_AFTER)
+            coordinator.verdicts(|name| replicas.get(name).map(health), now, REPORT_TTL)
         };
         let has_verdicts = matches!(
             &verdicts,
             ProbingMessage::Verdicts { verdicts, .. } if !verdicts.is_empty()
         );
-        // The look before the act.
+        // The lease must be checked immediately before acting.
         if has_verdicts && self.held_epoch(LEASE_TASK) == Some(epoch) {
             let peers = self.node.borrow().peers();
             for peer in peers {
--- a/src/transport/coordination/report.rs
+++ b/src/transport/coordination/report.rs
@@ -1,9 +1,8 @@
-//! The fleet's report: once each interval the holder of the lease sums up the figures of all nodes and posts them to a
-//! collector.
+//! The fleet's report: once per interval, the lease holder adds up the figures of all nodes and posts them to a collector.
 //!
-//! The collector takes a report only under an epoch that is not lower than the highest it has seen, and one for each
-//! interval. Intervals are numbered by the wall clock, which may be wrong at any one node: the holder goes by the middle
-//! one of all clocks.
+//! The collector accepts a report only under an epoch that is not lower than the highest it has seen, and one report per
+//! interval. Intervals are numbered by wall clock time. Since any node's wall clock may be wrong, the lease holder uses the
+//! median of all nodes' clocks.
 
 use super::{CoordinationDriver, ReportSettings};
 use crate::protocol::admin::NodeMetrics;
@@ -22,25 +21,25 @@
 use tokio::task::spawn_local;
 use tokio::time::Instant;
 
-/// The name of the lease under which reports are made.
+/// Task name of the lease under which reports are sent.
 pub const LEASE_TASK: &str = "report";
-/// For tests alone: seconds by which this process's wall clock is wrong.
+/// For tests only: error of this process's wall clock, in seconds.
 const TEST_WALL_CLOCK_VARIABLE: &str = "POPPYKEEL_TEST_WALL_S";
-/// The others' figures are awaited for so long, or for a quarter of the interval where that is less.
+/// How long the other nodes' figures are awaited, or a quarter of the interval if that is less.
 const FIGURES_TIMEOUT: Duration = Duration::from_millis(250);
-/// While figures are awaited, it is looked so many times whether all have come.
-const LOOKS_PER_TIMEOUT: u32 = 20;
+/// How many times per timeout it is checked whether all figures have arrived.
+const CHECKS_PER_TIMEOUT: u32 = 20;
 /// The collector must answer within this time.
 const COLLECTOR_TIMEOUT: Duration = Duration::from_secs(2);
-/// The length of the answer's beginning that has the status, as in `HTTP/1.1 200`.
-const STATUS_LINE_BYTES: usize = 12;
-/// Where the status begins in it.
+/// Length of the beginning of a response, up to and including the status, as in `HTTP/1.1 200`.
+const STATUS_END: usize = 12;
+/// Offset of the status in the response.
 const STATUS_OFFSET: usize = 9;
 
-/// Figures by the names of their nodes.
+/// Figures by node name.
 type FiguresByNode = BTreeMap<String, NodeFigures>;
 
-/// What has come of this node's reports, in numbers.
+/// Number of this node's reports by outcome.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct ReportOutcomes {
     pub(super) accepted: u64,
@@ -48,26 +47,26 @@
     pub(super) unanswered: u64,
 }
 
-/// What has come of reports, and the figures of the one that is being made.
+/// The outcomes of reports, and the state of the report in progress.
 #[derive(Default)]
 pub(super) struct ReportDriver {
     outcomes: Cell<ReportOutcomes>,
-    /// The number of the last report, by which answers of others are told apart.
+    /// The number of the last report, which distinguishes figures for different reports.
     report_number: Cell<u64>,
-    /// By how much this node's wall clock is behind the middle one of the fleet, in microseconds.
+    /// How far this node's wall clock is behind the median of the fleet, in microseconds.
     wall_clock_lag: Cell<i64>,
     figures: RefCell<FiguresByNode>,
 }
 
 impl ReportDriver {
-    /// Takes a node's figures, if they are for the report that is being made.
+    /// Adds a node's figures, if they are for the report in progress.
     pub(super) fn add_figures(&self, node: &str, report_number: u64, figures: NodeFigures) {
         if report_number == self.report_number.get() {
             self.figures.borrow_mut().insert(node.into(), figures);
         }
     }
 
-    /// What has come of this node's reports.
+    /// Number of this node's reports by outcome.
     pub(super) fn outcomes(&self) -> ReportOutcomes {
         self.outcomes.get()
     }
@@ -78,12 +77,12 @@
         self.outcomes.set(outcomes);
     }
 
-    /// The wall clock of the fleet, in microseconds of Unix time.
+    /// The fleet's wall clock, in microseconds of Unix time.
     fn fleet_wall_clock(&self) -> u64 {
         wall_clock().saturating_add_signed(self.wall_clock_lag.get())
     }
 
-    /// Begins a report; its number.
+    /// Begins a report and returns its number.
     fn start(&self) -> u64 {
         self.report_number.set(self.report_number.get() + 1);
         self.figures.borrow_mut().clear();
@@ -100,21 +99,21 @@
     let now = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .map_or(0, |since| since.as_micros() as i64);
-    let shown = now.saturating_add(error_seconds.saturating_mul(1_000_000));
-    u64::try_from(shown).unwrap_or(0)
+    let adjusted = now.saturating_add(error_seconds.saturating_mul(1_000_000));
+    u64::try_from(adjusted).unwrap_or(0)
 }
 
-/// By how much a clock is behind the middle one of all, in microseconds: a clock that is a year wrong must not name the
-/// interval.
-fn lag_behind_middle(own: u64, figures: &FiguresByNode) -> i64 {
+/// How far a clock is behind the median of all clocks, in microseconds. The median keeps a clock that is wrong by a year
+/// from determining the interval.
+fn lag_behind_median(own: u64, figures: &FiguresByNode) -> i64 {
     let mut clocks: Vec<u64> = figures.values().map(|node| node.wall_clock).collect();
     clocks.sort_unstable();
-    let middle = clocks.get(clocks.len() / 2);
-    middle.map_or(0, |middle| *middle as i64 - own as i64)
+    let median = clocks.get(clocks.len() / 2);
+    median.map_or(0, |median| *median as i64 - own as i64)
 }
 
 impl CoordinationDriver {
-    /// Asks for the lease, and makes a report once each interval while it is held. Runs until the process ends.
+    /// Requests the lease, and sends a report once per interval while holding it. Runs until the process ends.
     pub(super) async fn run_report(self: Rc<Self>, settings: ReportSettings) {
         self.request_lease(LEASE_TASK);
         let interval = Duration::from_micros(settings.interval);
@@ -126,16 +125,19 @@
             if self.held_epoch(LEASE_TASK).is_none() {
                 continue;
             }
-            let figures = self.gather_figures(FIGURES_TIMEOUT.min(interval / 4)).await;
-            let lag = lag_behind_middle(wall_clock(), &figures);
+            let figures = self
+                .collect_figures(FIGURES_TIMEOUT.min(interval / 4))
+                .await;
+            let lag = lag_behind_median(wall_clock(), &figures);
             self.report.wall_clock_lag.set(lag);
-            // Named by the fleet's clock, also the first time: this node's own may be a year ahead.
+            // The interval is numbered by the fleet's clock, even for the first report, since this node's own clock may be a
+            // year ahead.
             let slot = self.report.fleet_wall_clock() / settings.interval;
             if slot == last_slot {
                 continue;
             }
             last_slot = slot;
-            // The look before the act: under this epoch or not at all.
+            // The lease must be checked immediately before acting: the report is sent under this epoch or not at all.
             if let Some(epoch) = self.held_epoch(LEASE_TASK) {
                 let body = self
                     .report_body(&settings, epoch, slot, &figures)
@@ -146,7 +148,7 @@
         }
     }
 
-    /// Sends a report and counts what has come of it.
+    /// Sends a report and counts its outcome.
     async fn send_report(&self, collector: SocketAddr, epoch: Epoch, slot: u64, body: &str) {
         let posted =
             tokio::time::timeout(COLLECTOR_TIMEOUT, post_report(collector, epoch, body)).await;
@@ -157,7 +159,7 @@
                     status,
                     epoch = epoch.0,
                     slot,
-                    "the collector refused the fleet's report"
+                    "collector refused the fleet's report"
                 );
                 self.report.count(|outcomes| outcomes.refused += 1);
             }
@@ -165,7 +167,7 @@
         }
     }
 
-    /// The report as the collector gets it.
+    /// The body of a report.
     fn report_body(
         &self,
         settings: &ReportSettings,
@@ -192,8 +194,8 @@
         })
     }
 
-    /// The figures of all nodes that answer in time.
-    async fn gather_figures(self: &Rc<Self>, timeout: Duration) -> FiguresByNode {
+    /// Collects the figures of all nodes that answer in time.
+    async fn collect_figures(self: &Rc<Self>, timeout: Duration) -> FiguresByNode {
         let report_number = self.report.start();
         let own_name = self.settings.node.name.clone();
         let peers = self.node.borrow().peers();
@@ -205,17 +207,17 @@
         }
         let deadline = Instant::now() + timeout;
         while self.report.figures.borrow().len() < node_count && Instant::now() < deadline {
-            tokio::time::sleep(timeout / LOOKS_PER_TIMEOUT).await;
+            tokio::time::sleep(timeout / CHECKS_PER_TIMEOUT).await;
         }
         self.report.figures.take()
     }
 
-    /// Sends this node's figures to whoever makes the report. The task that does so ends once the dispatcher has
-    /// answered, or has ended.
+    /// Sends this node's figures to the node that makes the report. A separate task does so and ends once the dispatcher has
+    /// answered or ended.
     pub(super) fn send_figures(self: &Rc<Self>, recipient: String, report_number: u64) {
         let driver = self.clone();
         spawn_local(async move {
-            let Some(own) = driver.own_figures().await else {
+            let Some(own) = driver.own_metrics().await else {
                 return;
             };
             let figures = node_figures(own, wall_clock());
@@ -227,13 +229,13 @@
         });
     }
 
-    /// This node's figures; `None` where the dispatcher has ended.
-    pub(super) async fn own_figures(&self) -> Option<NodeMetrics> {
-        query(&self.dispatcher, DispatcherQuery::Telemetry).await
+    /// This node's metrics; `None` if the dispatcher has ended.
+    pub(super) async fn own_metrics(&self) -> Option<NodeMetrics> {
+        query(&self.dispatcher, DispatcherQuery::Metrics).await
     }
 }
 
-/// A node's figures as they travel between nodes.
+/// Converts a node's metrics to the message format.
 fn node_figures(own: NodeMetrics, wall_clock: Micros) -> NodeFigures {
     let mut replies = Vec::new();
     for responses in own.responses {
@@ -261,7 +263,7 @@
     }
 }
 
-/// The sums of replies by class.
+/// Sums of replies by class.
 fn reply_sums(figures: &FiguresByNode) -> Vec<Value> {
     let mut sums: BTreeMap<&str, ClassReplies> = BTreeMap::new();
     for replies in figures.values().flat_map(|node| &node.replies) {
@@ -281,7 +283,7 @@
     sums.iter().map(row).collect()
 }
 
-/// The sums of attempts that went to another zone, by class and tenant.
+/// Sums of cross-zone attempts by class and tenant.
 fn cross_zone_sums(figures: &FiguresByNode) -> Vec<Value> {
     let mut sums: BTreeMap<(&str, &str), u64> = BTreeMap::new();
     for attempts in figures.values().flat_map(|node| &node.cross_zone_attempts) {
@@ -291,7 +293,7 @@
     sums.iter().map(row).collect()
 }
 
-/// Posts a report; the status of the collector's answer.
+/// Posts a report and returns the status of the collector's response.
 async fn post_report(collector: SocketAddr, epoch: Epoch, body: &str) -> std::io::Result<u16> {
     let mut stream = TcpStream::connect(collector).await?;
     let head = format!(
@@ -301,9 +303,9 @@
     );
     let request = [head.as_bytes(), body.as_bytes()].concat();
     stream.write_all(&request).await?;
-    let mut answer = [0; STATUS_LINE_BYTES];
-    stream.read_exact(&mut answer).await?;
-    let status = std::str::from_utf8(&answer[STATUS_OFFSET..])
+    let mut response = [0; STATUS_END];
+    stream.read_exact(&mut response).await?;
+    let status = std::str::from_utf8(&response[STATUS_OFFSET..])
         .ok()
         .and_then(|status| status.parse().ok());
     status.ok_or(std::io::ErrorKind::InvalidData.into())
--- a/src/transport/coordination/rolling_restart.rs
+++ b/src/transport/coordination/rolling_restart.rs
@@ -1,5 +1,5 @@
-//! Rolling restarts at this node: it learns of orders and takes its turn, and coordinates while it holds the lease. The
-//! decisions are [`poppykeel_coordination::rolling_restart`]'s.
+//! Rolling restarts at this node: it receives orders, leaves and returns on command, and coordinates the restart while it
+//! holds the lease. [`poppykeel_coordination::rolling_restart`] makes the decisions.
 
 use super::CoordinationDriver;
 use crate::transport::evacuation::{evacuate, rejoin};
@@ -16,26 +16,27 @@
 use std::time::Duration;
 use tokio::task::spawn_local;
 
-/// The name of the lease under which a rolling restart is coordinated.
+/// Task name of the lease under which a rolling restart is coordinated.
 pub const LEASE_TASK: &str = "roll";
-/// From one query to the next, and from a query to what follows from its answers.
-const STEP: Duration = Duration::from_millis(100);
-/// A node that is out returns by itself after so many leases without a word, and at least after [`MIN_RETURN_AFTER`].
+/// Interval between a round of queries and the commands that follow from the answers, and between those and the next round.
+const ROUND_INTERVAL: Duration = Duration::from_millis(100);
+/// A node that is out of service returns on its own after this many lease durations without contact to a coordinator, but no
+/// earlier than [`MIN_RETURN_AFTER`].
 const RETURN_AFTER_LEASES: u64 = 4;
-/// In microseconds.
+/// Lower limit of that time, in microseconds.
 const MIN_RETURN_AFTER: Micros = 2_000_000;
 
-/// What this node knows of rolling restarts.
+/// This node's state of rolling restarts.
 #[derive(Default)]
 pub(super) struct RestartDriver {
     participant: RefCell<RestartParticipant>,
-    /// While this node holds the lease and an order is open.
+    /// Present while this node holds the lease and an order is open.
     coordinator: RefCell<Option<RestartCoordinator>>,
 }
 
 impl CoordinationDriver {
-    /// Gives an order, at an operator's call; what to tell the operator. Each node stays out for `stay_out` microseconds
-    /// once it has let its clients go.
+    /// Orders a rolling restart for an admin call and returns the response text. Each node stays out of service for
+    /// `stay_out` microseconds after its clients have left.
     pub fn order_rolling_restart(self: &Rc<Self>, max_out: u32, stay_out: Micros) -> String {
         let order = self.new_order(max_out, stay_out);
         let number = order.id.number;
@@ -55,7 +56,7 @@
         text
     }
 
-    /// An order for all nodes that are there.
+    /// Creates an order for all known nodes.
     fn new_order(&self, max_out: u32, stay_out: Micros) -> RestartOrder {
         let participant = self.restart.participant.borrow();
         let last_number = participant.order().map_or(0, |order| order.id.number);
@@ -87,7 +88,7 @@
         self.send_to(recipient, MessageBody::RollingRestart(message));
     }
 
-    /// Takes a message about a rolling restart.
+    /// Handles a message about a rolling restart.
     pub(super) fn handle_restart_message(self: &Rc<Self>, sender: String, message: RestartMessage) {
         let participant = &self.restart.participant;
         match message {
@@ -124,19 +125,20 @@
         if !is_current {
             return;
         }
-        tracing::info!(epoch = query.epoch.0, ?command, by = %sender, "command of the rolling restart's coordinator");
+        tracing::info!(epoch = query.epoch.0, ?command, by = %sender, "rolling restart command received");
         match command {
             RestartCommand::Leave => evacuate(&self.phase),
             RestartCommand::Return => rejoin(&self.phase),
         }
     }
 
-    /// Answers a query once the dispatcher has said whether requests are in flight. The task that does so ends with that.
+    /// Answers a query once the dispatcher has reported whether requests are in flight. A separate task does so and then
+    /// ends.
     fn answer_query(self: &Rc<Self>, sender: String, query: QueryId, order: OrderId) {
         let driver = self.clone();
         spawn_local(async move {
-            let figures = driver.own_figures().await;
-            let is_idle = figures.is_some_and(|figures| figures.active_requests == 0);
+            let metrics = driver.own_metrics().await;
+            let is_idle = metrics.is_some_and(|metrics| metrics.active_requests == 0);
             let now = driver.clock.now();
             let answer = driver
                 .restart
@@ -149,17 +151,17 @@
         });
     }
 
-    /// Keeps to the newest order, and coordinates it while this node holds the lease. Runs until the process ends.
+    /// Follows the newest order, and coordinates it while this node holds the lease. Runs until the process ends.
     pub(super) async fn run_rolling_restarts(self: Rc<Self>) {
         loop {
-            tokio::time::sleep(STEP).await;
-            self.return_if_forgotten();
+            tokio::time::sleep(ROUND_INTERVAL).await;
+            self.return_without_coordinator();
             let order = self.restart.participant.borrow().open_order().cloned();
             let Some(order) = order else {
                 self.restart.coordinator.replace(None);
                 let now = self.clock.now();
                 let outputs = self.node.borrow_mut().release_lease(LEASE_TASK, now);
-                self.carry_out(outputs);
+                self.execute_outputs(outputs);
                 continue;
             };
             self.request_lease(LEASE_TASK);
@@ -171,22 +173,22 @@
         }
     }
 
-    fn return_if_forgotten(&self) {
+    fn return_without_coordinator(&self) {
         let now = self.clock.now();
-        let returns = self.restart.participant.borrow_mut().returns_by_itself(now);
-        if returns {
-            tracing::warn!("out of service and no word from a coordinator: returning");
+        let must_return = self.restart.participant.borrow_mut().returns_by_itself(now);
+        if must_return {
+            tracing::warn!("out of service without contact to a coordinator; returning to service");
             rejoin(&self.phase);
         }
     }
 
-    /// One query to all nodes of the order, and the commands that follow from the answers.
+    /// Queries all nodes of the order, then sends the commands that follow from the answers.
     async fn coordinate(self: &Rc<Self>, epoch: Epoch, order: &RestartOrder) {
         for query in self.next_queries(epoch, order) {
             self.send_restart_message(query.node, query.message);
         }
-        tokio::time::sleep(STEP).await;
-        // The look before the acts: under this epoch or not at all.
+        tokio::time::sleep(ROUND_INTERVAL).await;
+        // The lease must be checked immediately before acting: only under this epoch are commands sent.
         if self.held_epoch(LEASE_TASK) != Some(epoch) {
             return;
         }
@@ -198,7 +200,7 @@
             is_finished = coordinator.is_finished(now);
         }
         for command in commands {
-            tracing::info!(epoch = epoch.0, node = %command.node, command = ?command.command, "rolling restart");
+            tracing::info!(epoch = epoch.0, node = %command.node, command = ?command.command, "rolling restart command sent");
             let message = command.message();
             self.send_restart_message(command.node, message);
         }
@@ -217,7 +219,7 @@
         }
     }
 
-    /// The next queries of the coordinator; a new one begins where there is none for this epoch and order.
+    /// The coordinator's next queries. Creates a new coordinator if there is none for this epoch and order.
     fn next_queries(&self, epoch: Epoch, order: &RestartOrder) -> Vec<NodeQuery> {
         let now = self.clock.now();
         let mut current = self.restart.coordinator.borrow_mut();
@@ -242,7 +244,7 @@
         }
     }
 
-    /// The newest order as operators are shown it; `null` where there was none.
+    /// The newest order as shown to operators; `null` if there was none.
     pub(super) fn restart_status(&self) -> Value {
         let participant = self.restart.participant.borrow();
         let Some(order) = participant.order() else {
--- a/src/transport/coordination/status.rs
+++ b/src/transport/coordination/status.rs
@@ -1,5 +1,5 @@
-//! What operators are shown of a node's coordination: the answer of `/api/fleet`, and metrics. Keys and values of both are
-//! part of the interface, so they keep the words that they have.
+//! The coordination status shown to operators: the response of `/api/fleet`, and metrics. Keys and values of both are a
+//! public interface and must not be renamed.
 
 use super::CoordinationDriver;
 use poppykeel_coordination::gossip::Member;
@@ -11,11 +11,10 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Microseconds in a millisecond.
 const MICROS_PER_MS: Micros = 1000;
 
 impl CoordinationDriver {
-    /// The metrics of coordination, beside the node's own.
+    /// The metrics of coordination, in addition to the node's own.
     pub fn metrics(&self) -> Vec<(String, u64)> {
         let node = self.node.borrow();
         let status = node.status(self.clock.now());
@@ -50,7 +49,7 @@
         metrics
     }
 
-    /// Members, lease servers, leases and the tasks under them, as this node sees them.
+    /// Members, lease servers, leases and the tasks under them, from this node's view.
     pub fn status(&self) -> Value {
         let now = self.clock.now();
         let node = self.node.borrow();
@@ -101,7 +100,7 @@
     }
 }
 
-/// All members in the order of their names.
+/// All members, sorted by name.
 fn member_statuses(
     status: &NodeStatus,
     lease_servers: &BTreeMap<String, SocketAddr>,
