--- a/src/transport/replica/attempts.rs
+++ b/src/transport/replica/attempts.rs
@@ -68,7 +68,7 @@
     pub address: ReplicaAddress,
     /// The node waits for the first token until this time. The remaining time is sent to the replica with the request.
     pub deadline: MonotonicMicros,
-    /// Unless the endpoint list is confirmed, the request must not be written after this time.
+    /// Unless the endpoint list is confirmed, the request must not be written after this time; `None` for no limit.
     pub begin_by: Option<MonotonicMicros>,
     /// The class's objective for the time between two tokens.
     pub inter_token_objective: Option<DurationMicros>,
