--- a/src/transport/client/connection/exchange.rs
+++ b/src/transport/client/connection/exchange.rs
@@ -2,7 +2,7 @@
 
 use super::disconnect::ClientDisconnected;
 use super::requests::BodyError;
-use super::responses::OwnResponse;
+use super::responses::LocalResponse;
 use super::streams::StreamEnd;
 use super::{log_lifecycle, ClientConnection, CloseReason, ConnectionClosed};
 use crate::protocol::http::{EncodedMessage, Head};
@@ -83,7 +83,7 @@
         } else {
             (200, "ok")
         };
-        self.respond(OwnResponse {
+        self.respond(LocalResponse {
             status,
             text,
             retry_after: None,
@@ -174,7 +174,7 @@
             }
             ClientResponse::Rejected(retry_after) => {
                 log_lifecycle!(self, request = %id, status = 503, "request rejected by the dispatcher");
-                self.respond(OwnResponse {
+                self.respond(LocalResponse {
                     status: 503,
                     text: "no replica has room for this request now",
                     retry_after: Some(retry_after),
@@ -184,7 +184,7 @@
             }
             ClientResponse::Failed => {
                 log_lifecycle!(self, request = %id, status = 502, "request failed");
-                self.respond(OwnResponse {
+                self.respond(LocalResponse {
                     status: 502,
                     text: "the replicas failed this request",
                     retry_after: None,
--- a/src/transport/dispatcher/commands.rs
+++ b/src/transport/dispatcher/commands.rs
@@ -44,7 +44,7 @@
                     .respond(request, ClientResponse::Failed);
             }
             RouterCommand::Probe { replica } => self.start_probe(replica),
-            RouterCommand::WatchEndpoints => self.watch.start(),
+            RouterCommand::WatchEndpoints => self.endpoint_watcher.start(),
         }
     }
 
