--- a/src/transport/handover.rs
+++ b/src/transport/handover.rs
@@ -112,7 +112,7 @@
                 tracing::info!("learned state written for the next process");
             }
             Err(e) => {
-                tracing::warn!(why = %e, "learned state cannot be written for the next process")
+                tracing::warn!(why = %e, "learned state cannot be written for the next process");
             }
         }
     }
--- a/src/transport/replica/stream_recovery.rs
+++ b/src/transport/replica/stream_recovery.rs
@@ -100,7 +100,7 @@
         let forwarded = self.transcript.forward(epoch, bytes);
         if forwarded.dropped_bytes > 0 {
             self.monitor.update_counters(|counters| {
-                counters.discarded_bytes += forwarded.dropped_bytes as u64
+                counters.discarded_bytes += forwarded.dropped_bytes as u64;
             });
         }
         forwarded.bytes.into()
