--- a/src/transport/admin.rs
+++ b/src/transport/admin.rs
@@ -1,8 +1,8 @@
 //! The admin address: HTTP calls by operators, one per connection, served independently of the clients' load.
 //!
-//! [`AdminServer::serve`] starts a task for each caller. The task owns the socket; aborting it closes the connection. Callers that
-//! send nothing or do not read their response are disconnected after a time limit, so that they can't block others.
-//! `program::serve` starts the server; `docs/oncall.md` documents the calls.
+//! [`AdminServer::serve`] starts a task for each caller. The task owns the socket; aborting it closes the connection.
+//! Callers that send nothing or do not read their response are disconnected after a time limit, so that they can't block
+//! others. `program::serve` starts the server; `docs/oncall.md` documents the calls.
 
 use super::client::registry::ConnectionRegistry;
 use super::coordination::CoordinationDriver;
--- a/src/transport/endpoints/discovery.rs
+++ b/src/transport/endpoints/discovery.rs
@@ -225,7 +225,7 @@
                 return;
             }
             if report.is_err() {
-                self.apply(WatcherEvent::DispatcherGone);
+                self.apply(WatcherEvent::DispatcherEnded);
                 return;
             }
             self.pause().await;
@@ -261,7 +261,7 @@
                 PollOutcome::ListReceived(response) => {
                     self.apply(WatcherEvent::ListReceived);
                     if self.report_list(response).await.is_err() {
-                        self.apply(WatcherEvent::DispatcherGone);
+                        self.apply(WatcherEvent::DispatcherEnded);
                     }
                 }
                 PollOutcome::Refused(error) => {
--- a/src/transport/endpoints/watcher_state.rs
+++ b/src/transport/endpoints/watcher_state.rs
@@ -11,7 +11,7 @@
 //! | `Polling(Long)`, `Polling(Short)` | `TimedOut`, `ResponseIncomplete` | `Polling(Immediate)` |
 //! | `Polling(Immediate)` | `TimedOut`, `ResponseIncomplete` | on request `Idle(Immediate)`, pushed `Paused(Immediate)` |
 //! | `Paused(mode)` | `PauseEnded`, `PollDropped` | `Polling(mode)` |
-//! | any | `DispatcherGone` | `Stopped` |
+//! | any | `DispatcherEnded` | `Stopped` |
 //!
 //! All other events leave the state unchanged. Two rules are behind the table:
 //!
@@ -70,7 +70,7 @@
     /// The pause after a failed poll is over.
     PauseEnded,
     /// The dispatcher has ended.
-    DispatcherGone,
+    DispatcherEnded,
 }
 
 impl Default for WatcherState {
@@ -93,7 +93,7 @@
             EndpointListMode::Pushed => Paused(mode),
         };
         match (self, event) {
-            (_, WatcherEvent::DispatcherGone) => Stopped,
+            (_, WatcherEvent::DispatcherEnded) => Stopped,
             (Polling(_), WatcherEvent::ListReceived) => Polling(PollMode::Long),
             (Polling(mode), WatcherEvent::Disabled) => Idle(mode),
             (Polling(_), WatcherEvent::Refused) => failed(PollMode::Short),
--- a/src/transport/endpoints/watcher_state/tests.rs
+++ b/src/transport/endpoints/watcher_state/tests.rs
@@ -2,7 +2,7 @@
 
 use super::PollMode::{Immediate, Long, Short};
 use super::WatcherEvent::{
-    Disabled, DispatcherGone, ListReceived, PauseEnded, PollDropped, Refused, ResponseIncomplete,
+    Disabled, DispatcherEnded, ListReceived, PauseEnded, PollDropped, Refused, ResponseIncomplete,
     Restored, Started, TimedOut,
 };
 use super::WatcherState::{Idle, Paused, Polling, Stopped};
@@ -19,7 +19,7 @@
     Refused,
     TimedOut,
     PauseEnded,
-    DispatcherGone,
+    DispatcherEnded,
 ];
 
 fn states() -> Vec<WatcherState> {
@@ -49,7 +49,7 @@
         (Polling(Immediate), TimedOut | ResponseIncomplete) if is_pushed => Some(Paused(Immediate)),
         (Polling(Immediate), TimedOut | ResponseIncomplete) => Some(Idle(Immediate)),
         (Paused(mode), PauseEnded | PollDropped) => Some(Polling(mode)),
-        (_, DispatcherGone) => Some(Stopped),
+        (_, DispatcherEnded) => Some(Stopped),
         _ => None,
     }
 }
