--- a/crates/testbed/src/emulator/clients.rs
+++ b/crates/testbed/src/emulator/clients.rs
@@ -29,7 +29,7 @@
     /// When the client sent it for the first time.
     pub first_sent_at: Micros,
     /// Tries so far.
-    pub try_count: u32,
+    pub submission_count: u32,
 }
 
 /// A session whose next turn may come.
@@ -146,7 +146,7 @@
             prompt_tokens,
             answer_tokens,
             first_sent_at: now,
-            try_count: 0,
+            submission_count: 0,
         }
     }
 
--- a/crates/testbed/src/emulator/mod.rs
+++ b/crates/testbed/src/emulator/mod.rs
@@ -27,8 +27,8 @@
 pub(crate) use outcome_recorder::{OutcomeRecorder, ServerOccupancy};
 
 pub use outcome::{
-    CoordinationSummary, MessageRate, PromptTokenCounts, QuantileSummary, RequestEnd,
-    RuleViolations, RunOutcome, Tally, QUANTILES, TIME_SLICE_COUNT,
+    CoordinationSummary, InvariantViolations, MessageRate, PromptTokenCounts, QuantileSummary,
+    RequestEnd, RunOutcome, Tally, QUANTILES, TIME_SLICE_COUNT,
 };
 pub use request_trace::{TraceError, TraceWriter};
 pub use simulation::{ServerStatus, Simulation, SimulationError};
--- a/crates/testbed/src/emulator/outcome.rs
+++ b/crates/testbed/src/emulator/outcome.rs
@@ -86,7 +86,7 @@
 
 /// How often a run violated the rules that hold for every run; all zero where the nodes work as they should.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize, PartialEq)]
-pub struct RuleViolations {
+pub struct InvariantViolations {
     /// Final outcomes beyond one for a request.
     pub doubled: u64,
     /// Requests without a final outcome at the end of the run.
@@ -97,7 +97,7 @@
     pub drained: u64,
 }
 
-impl RuleViolations {
+impl InvariantViolations {
     /// All of them together.
     pub fn sum(&self) -> u64 {
         self.doubled + self.lost + self.repeated + self.drained
@@ -212,7 +212,7 @@
     /// The faults of the run, for the axis of time.
     pub faults: Vec<FaultDescription>,
     /// How often rules were violated.
-    pub broken: RuleViolations,
+    pub broken: InvariantViolations,
     /// The coordination of the nodes, where the description has it.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub talked: Option<CoordinationSummary>,
--- a/crates/testbed/src/emulator/simulation/clients.rs
+++ b/crates/testbed/src/emulator/simulation/clients.rs
@@ -36,7 +36,7 @@
             class: self.request.class,
             tenant: self.request.tenant,
             session: self.request.session,
-            tries: self.request.try_count,
+            tries: self.request.submission_count,
             prompt: self.request.prompt_tokens,
             node: self.node as u32,
             sent: self.sent_at,
@@ -69,7 +69,7 @@
 
     /// Sends a request to a random node that is up.
     pub(super) fn send_try(&mut self, now: Micros, mut request: ClientRequest) {
-        request.try_count += 1;
+        request.submission_count += 1;
         let Some(node) = self.draw_node() else {
             // Nobody listens: refused connections are a failure at once.
             return self.finish_request(now, &request, None, RequestEnd::Failed);
@@ -154,7 +154,7 @@
 
     fn is_retried(&self, request: &ClientRequest, end: RequestEnd, retry_after: Micros) -> bool {
         let load = &self.run.load;
-        let has_retries = request.try_count <= load.retries;
+        let has_retries = request.submission_count <= load.retries;
         match end {
             RequestEnd::Refused => has_retries && retry_after <= micros(load.heeds_s),
             RequestEnd::Failed => {
--- a/crates/testbed/src/emulator/simulation/mod.rs
+++ b/crates/testbed/src/emulator/simulation/mod.rs
@@ -169,7 +169,7 @@
     }
 
     /// Tries that clients or nodes still wait for.
-    pub fn open_try_count(&self) -> usize {
+    pub fn open_submission_count(&self) -> usize {
         self.tries.len()
     }
 
@@ -190,7 +190,7 @@
     }
 
     /// Plays so many events at most. Returns false once the run is over.
-    pub fn play_events(&mut self, max_events: u64) -> bool {
+    pub fn process_events(&mut self, max_events: u64) -> bool {
         let end = micros(self.run.load.seconds) + MAX_TIME_AFTER_LOAD;
         for _ in 0..max_events {
             match self.queue.pop() {
@@ -210,7 +210,7 @@
     ///
     /// [`SimulationError::Trace`] where the trace could not be written.
     pub fn finish(mut self) -> Result<RunOutcome, SimulationError> {
-        while self.play_events(EVENTS_PER_BATCH) {}
+        while self.process_events(EVENTS_PER_BATCH) {}
         let unended_tries = self.tries.iter().filter(|client_try| !client_try.has_ended);
         let lost = unended_tries.count() as u64;
         let preempted = self
--- a/crates/testbed/src/emulator/simulation/nodes.rs
+++ b/crates/testbed/src/emulator/simulation/nodes.rs
@@ -113,7 +113,7 @@
             prompt_tokens: u64::from(request.prompt_tokens),
             shared_prefix_tokens: u64::from(request.prefix.tokens),
             max_output_tokens: u64::from(class.answer_limit),
-            is_client_retry: request.try_count > 1,
+            is_client_retry: request.submission_count > 1,
         };
         self.hand_to_node(now, node, epoch, RouterEvent::RequestArrived(incoming));
     }
--- a/crates/testbed/src/experiment/results_folder.rs
+++ b/crates/testbed/src/experiment/results_folder.rs
@@ -67,7 +67,7 @@
     /// # Errors
     ///
     /// [`ExperimentError::ResultsFile`] where the file cannot be written.
-    pub fn keep(&self, path: &Path, result: &RunResult) -> Result<(), ExperimentError> {
+    pub fn write(&self, path: &Path, result: &RunResult) -> Result<(), ExperimentError> {
         let json = serde_json::to_vec(result).map_err(ExperimentError::ResultsJson)?;
         let compressed = zstd::encode_all(&json[..], COMPRESSION_LEVEL)
             .map_err(ExperimentError::results_file(path))?;
--- a/crates/testbed/src/experiment/runner.rs
+++ b/crates/testbed/src/experiment/runner.rs
@@ -95,8 +95,8 @@
             .is_some();
     if !is_known {
         let trace_beside = options.writes_traces.then_some(path.as_path());
-        let result = play_run(run.point, run.policy, run.seed, trace_beside)?;
-        results.keep(&path, &result)?;
+        let result = execute_run(run.point, run.policy, run.seed, trace_beside)?;
+        results.write(&path, &result)?;
     }
     options.progress.inc(1);
     Ok(!is_known)
@@ -108,7 +108,7 @@
 ///
 /// [`ExperimentError::Simulation`] where the run cannot be played, [`ExperimentError::Trace`] where the trace cannot be
 /// made.
-pub fn play_run(
+pub fn execute_run(
     point: &ExperimentPoint,
     policy: Policy,
     seed: u64,
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -433,7 +433,7 @@
                 })?;
                 let (label, policy, seed) = (point.label.clone(), Policy::Poppykeel, *seed);
                 results
-                    .keep(
+                    .write(
                         &path,
                         &RunResult {
                             label,
--- a/crates/testbed/src/sockets/load/exchange.rs
+++ b/crates/testbed/src/sockets/load/exchange.rs
@@ -124,7 +124,7 @@
         } else {
             format!("prefix={:016x},prefix_len={},", prefix.id, prefix.tokens)
         };
-        let retry_header = if request.try_count > 1 {
+        let retry_header = if request.submission_count > 1 {
             "Req-Retry: 1\r\n"
         } else {
             ""
--- a/crates/testbed/src/sockets/load/mod.rs
+++ b/crates/testbed/src/sockets/load/mod.rs
@@ -170,7 +170,7 @@
         // The first try counts from when it was to be sent.
         let mut sent_at = request.first_sent_at;
         loop {
-            request.try_count += 1;
+            request.submission_count += 1;
             self.recorder.borrow_mut().outcome_mut().tries += 1;
             let outcome = self.send_try(&request, sent_at).await;
             let Some(pause) = self.retry_pause(&request, &outcome) else {
@@ -186,7 +186,7 @@
 
     /// How long the client waits before it tries again; `None` where it does not.
     fn retry_pause(&self, request: &ClientRequest, outcome: &TryOutcome) -> Option<Duration> {
-        if request.try_count > self.run.load.retries {
+        if request.submission_count > self.run.load.retries {
             return None;
         }
         let is_safe = self.run.class[request.class].repeats == RepeatSafety::Safe;
--- a/crates/testbed/src/view/state/mod.rs
+++ b/crates/testbed/src/view/state/mod.rs
@@ -137,7 +137,7 @@
         self.queues = queues(self.tenants.iter().cloned(), queued);
         self.streams = format!(
             "{} tries held by nodes and servers",
-            simulation.open_try_count()
+            simulation.open_submission_count()
         );
         self.rows = simulation
             .servers()
--- a/crates/testbed/src/view/terminal.rs
+++ b/crates/testbed/src/view/terminal.rs
@@ -64,7 +64,7 @@
     show(|screen, frame_end| {
         let until = (started_at.elapsed().as_secs_f64() * speed * 1e6) as u64;
         while has_events && simulation.now() < until && Instant::now() < frame_end {
-            has_events = simulation.play_events(EVENTS_PER_BATCH);
+            has_events = simulation.process_events(EVENTS_PER_BATCH);
         }
         state.update_from_simulation(simulation, load_seconds);
         screen.draw_until(&state, frame_end)
--- a/crates/testbed/tests/emulator.rs
+++ b/crates/testbed/tests/emulator.rs
@@ -107,8 +107,8 @@
     let run = run(4, 40.0, 20.0, vec![]);
     let mut world = Simulation::new(&run, Policy::Poppykeel, 1).unwrap();
     let mut most = 0;
-    while world.play_events(10_000) {
-        most = most.max(world.open_try_count());
+    while world.process_events(10_000) {
+        most = most.max(world.open_submission_count());
     }
     assert!(most < 4000, "{most} tries held at once, of 160 a second");
     let out = play(&run, Policy::Poppykeel, 1);
--- a/crates/testbed/tests/experiment.rs
+++ b/crates/testbed/tests/experiment.rs
@@ -106,7 +106,7 @@
     std::fs::write(path(1), b"half").unwrap();
     let mut other = all[8].clone();
     other.run.load.seconds = 6.0;
-    results.keep(&path(2), &other).unwrap();
+    results.write(&path(2), &other).unwrap();
     let second = said(&run());
     assert!(second.contains("3 runs made"), "{second}");
     assert_eq!(
--- a/crates/testbed/tests/golden.rs
+++ b/crates/testbed/tests/golden.rs
@@ -3,7 +3,7 @@
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
-use poppykeel_testbed::experiment::runner::play_run;
+use poppykeel_testbed::experiment::runner::execute_run;
 use poppykeel_testbed::experiment::table::table;
 use poppykeel_testbed::experiment::{Experiment, Metric, ResultsFolder, RunResult};
 use poppykeel_testbed::view::{draw, ViewState};
@@ -87,7 +87,7 @@
     for (index, policy) in day.policies.iter().enumerate() {
         let point = index % day.points.len();
         let path = results.path(point, *policy, seed);
-        let found = play_run(&day.points[point], *policy, seed, Some(&path)).unwrap();
+        let found = execute_run(&day.points[point], *policy, seed, Some(&path)).unwrap();
         let paths = decompressed(&path.with_extension("trace.zst"));
         runs.push((path, found, paths));
     }
@@ -166,7 +166,7 @@
     let copy = ResultsFolder::open(&folder).unwrap();
     for result in golden.all().unwrap() {
         let path = copy.path(0, result.policy, result.seed);
-        copy.keep(&path, &result).unwrap();
+        copy.write(&path, &result).unwrap();
         assert_eq!(
             copy.find(&path, &result.label, &result.run),
             Some(result.clone())
--- a/crates/testbed/tests/view.rs
+++ b/crates/testbed/tests/view.rs
@@ -26,7 +26,7 @@
     let run = run.check().unwrap();
     let mut world = Simulation::new(&run, Policy::Poppykeel, 1).unwrap();
     let mut state = ViewState::new("a run", vec!["all".into()]);
-    while world.now() < 6_000_000 && world.play_events(500) {
+    while world.now() < 6_000_000 && world.process_events(500) {
         state.update_from_simulation(&mut world, 10.0);
     }
     let text = screen(&state, 110, 24, 0);
