--- a/crates/stream-recovery/src/lib.rs
+++ b/crates/stream-recovery/src/lib.rs
@@ -5,7 +5,7 @@
 //!
 //! - [`GapHistogram`] and [`StallDetector`]: how long a silence may last in a stream, and what state the stream is in.
 //! - [`StreamTranscript`]: what has been forwarded to a client, and how the streams of several replicas become one.
-//! - [`decide`]: how a stream that ended too early is to end, within a [`ContinuationBudget`].
+//! - [`decide_recovery`]: how a stream that ended too early is to end, within a [`ContinuationBudget`].
 
 mod budget;
 mod gaps;
@@ -16,7 +16,7 @@
 
 pub use budget::{ContinuationBudget, ContinuationLimits};
 pub use gaps::{GapHistogram, StallLimits};
-pub use recovery::{decide, InterruptedStream, RecoveryDecision, RecoveryRefusal};
+pub use recovery::{decide_recovery, InterruptedStream, RecoveryDecision, RecoveryRefusal};
 pub use stall_detection::{StallDetector, StreamState};
 pub use transcript::{ContinuationObstacle, ForwardedBytes, StreamProgress, StreamTranscript};
 
--- a/crates/stream-recovery/src/recovery.rs
+++ b/crates/stream-recovery/src/recovery.rs
@@ -12,7 +12,7 @@
     /// Continuations of this stream so far.
     pub continuations: u32,
     /// The client is still connected.
-    pub has_client: bool,
+    pub is_client_connected: bool,
     /// The node is shutting down.
     pub is_shutting_down: bool,
 }
@@ -59,7 +59,7 @@
 
 /// Decides how a stream that has ended before its end is to end. `request_body` is the client's; `take_from_budget` is
 /// called last, and only where all else allows a continuation.
-pub fn decide(
+pub fn decide_recovery(
     stream: &InterruptedStream,
     transcript: &StreamTranscript,
     request_body: &[u8],
@@ -68,7 +68,7 @@
     let Some(max_continuations) = stream.max_continuations else {
         return RecoveryDecision::Fail(RecoveryRefusal::SwitchedOff);
     };
-    if !stream.has_client {
+    if !stream.is_client_connected {
         return RecoveryDecision::Fail(RecoveryRefusal::ClientDisconnected);
     }
     // What is missing is framing, or a count that nobody may invent. Asking again for that would cost a replica the whole
--- a/crates/stream-recovery/tests/recovery.rs
+++ b/crates/stream-recovery/tests/recovery.rs
@@ -5,7 +5,7 @@
 mod support;
 
 use poppykeel_stream_recovery::{
-    decide, ContinuationBudget, ContinuationLimits, InterruptedStream, RecoveryDecision,
+    decide_recovery, ContinuationBudget, ContinuationLimits, InterruptedStream, RecoveryDecision,
     RecoveryRefusal, StreamTranscript,
 };
 use support::{finish_event, request_body, text_event, SECOND};
@@ -15,7 +15,7 @@
         max_continuations: Some(2),
         is_idempotent: true,
         continuations: 0,
-        has_client: true,
+        is_client_connected: true,
         is_shutting_down: false,
     }
 }
@@ -42,7 +42,7 @@
         ),
         (
             InterruptedStream {
-                has_client: false,
+                is_client_connected: false,
                 ..interrupted()
             },
             RecoveryRefusal::ClientDisconnected,
@@ -70,7 +70,7 @@
         ),
     ];
     for (stream, refusal) in cases {
-        let decision = decide(
+        let decision = decide_recovery(
             &stream,
             &begun_transcript(),
             &request_body(),
@@ -83,12 +83,12 @@
 #[test]
 fn continues_within_the_budget_only() {
     let transcript = begun_transcript();
-    let refused = decide(&interrupted(), &transcript, &request_body(), || false);
+    let refused = decide_recovery(&interrupted(), &transcript, &request_body(), || false);
     assert_eq!(
         refused,
         RecoveryDecision::Fail(RecoveryRefusal::BudgetSpent)
     );
-    let allowed = decide(&interrupted(), &transcript, &request_body(), || true);
+    let allowed = decide_recovery(&interrupted(), &transcript, &request_body(), || true);
     assert!(matches!(allowed, RecoveryDecision::Continue(_)));
 }
 
@@ -98,7 +98,7 @@
     for _ in 0..8 {
         transcript.forward(0, text_event("one", "ab ").as_bytes());
     }
-    let decision = decide(
+    let decision = decide_recovery(
         &interrupted(),
         &transcript,
         &request_body(),
@@ -118,7 +118,7 @@
         is_idempotent: false,
         ..interrupted()
     };
-    let decision = decide(&stream, &transcript, &request_body(), budget_is_not_asked);
+    let decision = decide_recovery(&stream, &transcript, &request_body(), budget_is_not_asked);
     assert_eq!(decision, RecoveryDecision::Complete);
 }
 
--- a/crates/stub-model-server/src/answer.rs
+++ b/crates/stub-model-server/src/answer.rs
@@ -203,7 +203,7 @@
             after_bytes: *after,
             reset: *reset,
         }),
-        ReplyFault::CutWhereTold { reset } => Some(Cut {
+        ReplyFault::CutAtPromptOffset { reset } => Some(Cut {
             after_bytes: cut_in_prompt(prompt)?,
             reset: *reset,
         }),
--- a/crates/stub-model-server/src/script.rs
+++ b/crates/stub-model-server/src/script.rs
@@ -82,7 +82,7 @@
     },
     /// The connection ends after as many bytes of the body as the prompt says after `cut=`.
     #[serde(rename = "cut-named")]
-    CutWhereTold {
+    CutAtPromptOffset {
         /// Whether it ends by a reset instead of an orderly close.
         #[serde(default)]
         reset: bool,
--- a/crates/stub-model-server/tests/script.rs
+++ b/crates/stub-model-server/tests/script.rs
@@ -46,7 +46,7 @@
         ),
         (
             "{ cut-named = {} }",
-            ReplyFault::CutWhereTold { reset: false },
+            ReplyFault::CutAtPromptOffset { reset: false },
         ),
         (
             "{ cut-before = { part = \"last-chunk\" } }",
--- a/src/transport/replica/stream_recovery.rs
+++ b/src/transport/replica/stream_recovery.rs
@@ -12,7 +12,8 @@
 use poppykeel_scheduler::{Idempotency, IncomingRequest, ReplicaId, RequestId};
 use poppykeel_site_settings::SiteSettings;
 use poppykeel_stream_recovery::{
-    decide, InterruptedStream, RecoveryDecision, RecoveryRefusal, StreamProgress, StreamTranscript,
+    decide_recovery, InterruptedStream, RecoveryDecision, RecoveryRefusal, StreamProgress,
+    StreamTranscript,
 };
 use std::rc::Rc;
 
@@ -129,14 +130,14 @@
             max_continuations: Some(self.settings.limits.max_per_stream),
             is_idempotent: self.is_idempotent,
             continuations: self.continuation_count,
-            has_client: true,
+            is_client_connected: true,
             is_shutting_down,
         };
         let try_take = || {
             self.monitor
                 .try_take_continuation(self.replica, &self.settings)
         };
-        match decide(&interrupted, &self.transcript, &self.body, try_take) {
+        match decide_recovery(&interrupted, &self.transcript, &self.body, try_take) {
             RecoveryDecision::Complete => {
                 self.monitor
                     .update_counters(|counters| counters.completed += 1);
--- a/tests/streams.rs
+++ b/tests/streams.rs
@@ -79,7 +79,7 @@
             4,
             vec![FaultRule {
                 first_of_prompt_only: true,
-                ..rule(ReplyFault::CutWhereTold { reset }, false)
+                ..rule(ReplyFault::CutAtPromptOffset { reset }, false)
             }],
         );
         let servers = StubServers::start(vec![cut; 3]).unwrap();
