--- a/src/program/config/node.rs
+++ b/src/program/config/node.rs
@@ -1,9 +1,10 @@
 //! The platform's configuration of a node, as JSON.
 
-use super::bounds::{
-    transport_bounds, MachineLimits, DEFAULT_MEMORY_MB, DEFAULT_SOCKETS, MIN_MEMORY_MB, MIN_SOCKETS,
-};
 use super::error::NodeConfigError;
+use super::transport_limits::{
+    derive_transport_limits, MachineLimits, DEFAULT_MEMORY_MB, DEFAULT_SOCKETS, MIN_MEMORY_MB,
+    MIN_SOCKETS,
+};
 use crate::protocol::discovery::{self, EndpointListResponse};
 use crate::transport::TransportLimits;
 use poppykeel_site_settings::SiteSettings;
@@ -43,8 +44,8 @@
     pub known_endpoints: Option<EndpointListResponse>,
     /// The site's settings.
     pub settings: SiteSettings,
-    /// The bounds of the transport.
-    pub bounds: TransportLimits,
+    /// The limits of the transport.
+    pub transport_limits: TransportLimits,
     /// The text as read.
     document: Value,
 }
@@ -62,7 +63,7 @@
         let settings = SiteSettings::parse(&document["settings"].to_string())
             .map_err(NodeConfigError::Settings)?;
         let known_endpoints = read_known_endpoints(&document)?;
-        let bounds = transport_bounds(read_machine_limits(&document)?, &settings)?;
+        let transport_limits = derive_transport_limits(read_machine_limits(&document)?, &settings)?;
         let values = TextValues {
             document: &document,
         };
@@ -74,7 +75,7 @@
             seed: read_seed(&document["seed"])?,
             known_endpoints,
             settings,
-            bounds,
+            transport_limits,
             document,
         })
     }
@@ -204,7 +205,7 @@
 impl fmt::Display for NodeConfig {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let scheduler = &self.settings.scheduler;
-        let bounds = &self.bounds;
+        let limits = &self.transport_limits;
         let known_version = self
             .known_endpoints
             .as_ref()
@@ -223,9 +224,9 @@
         write!(
             f,
             "at most {} client connections, {} replica connections, {} bytes of bodies",
-            bounds.max_client_connections,
-            bounds.max_replica_connections,
-            bounds.max_body_memory_bytes
+            limits.max_client_connections,
+            limits.max_replica_connections,
+            limits.max_body_memory_bytes
         )
     }
 }
--- a/src/program/config/bounds.rs
+++ b/src/program/config/transport_limits.rs
@@ -121,7 +121,7 @@
 ///
 /// # Errors
 /// Where a time of the site's settings is out of its range.
-pub(super) fn transport_bounds(
+pub(super) fn derive_transport_limits(
     machine: MachineLimits,
     settings: &SiteSettings,
 ) -> Result<TransportLimits, NodeConfigError> {
--- a/src/program/serve/node.rs
+++ b/src/program/serve/node.rs
@@ -139,7 +139,7 @@
             node: config,
             operator,
         } = settings;
-        let limits = Rc::new(config.bounds.clone());
+        let limits = Rc::new(config.transport_limits.clone());
         let pool = ConnectionPool::new(
             limits.max_replica_connections,
             limits.connect_timeout,
--- a/src/protocol/admin/call.rs
+++ b/src/protocol/admin/call.rs
@@ -21,7 +21,7 @@
     /// Attempts that went to another zone, by minute, class and tenant.
     Crossings,
     /// Restart the fleet's nodes one after the other.
-    Roll {
+    RollingRestart {
         /// How many nodes may be out at once.
         max_nodes_out: u32,
         /// How long each node stays out once its clients have gone, in microseconds.
@@ -66,7 +66,7 @@
             AdminCall::Ready | AdminCall::Telemetry | AdminCall::Fleet | AdminCall::Crossings => {
                 "GET"
             }
-            AdminCall::Roll { .. } | AdminCall::Evacuate | AdminCall::Rejoin => "POST",
+            AdminCall::RollingRestart { .. } | AdminCall::Evacuate | AdminCall::Rejoin => "POST",
         }
     }
 }
@@ -74,7 +74,7 @@
 fn parse_roll(query: &str) -> Result<AdminCall, RequestError> {
     let hold_ms = parse_parameter(query, "hold_ms", 0, MAX_HOLD_MS)?;
     let max_nodes_out = parse_parameter(query, "out", DEFAULT_NODES_OUT, u64::from(u32::MAX))?;
-    Ok(AdminCall::Roll {
+    Ok(AdminCall::RollingRestart {
         max_nodes_out: max_nodes_out as u32,
         hold_us: hold_ms * MICROS_PER_MS,
     })
--- a/src/protocol/events.rs
+++ b/src/protocol/event_stream.rs
@@ -1,9 +1,9 @@
 //! The event stream of a response, scanned while it passes: where its events end, the load report in a comment line, and
 //! how many prompt tokens the replica had cached. The bytes are not changed.
 //!
-//! `protocol::answer` feeds a scanner with the body of each response.
+//! `protocol::response` feeds a scanner with the body of each response.
 
-use crate::protocol::report::parse_load_report;
+use crate::protocol::load_report::parse_load_report;
 use poppykeel_scheduler::LoadReport;
 use poppykeel_site_settings::SiteSettings;
 use serde_json::Value;
--- a/src/protocol/answer.rs
+++ b/src/protocol/response.rs
@@ -2,9 +2,9 @@
 //!
 //! `transport::upstream` has one reader for each attempt.
 
-use crate::protocol::events::EventStreamScanner;
+use crate::protocol::event_stream::EventStreamScanner;
 use crate::protocol::http::{Head, MessagePart, StartLine};
-use crate::protocol::report::parse_load_report;
+use crate::protocol::load_report::parse_load_report;
 use bytes::{Bytes, BytesMut};
 use poppykeel_scheduler::{AttemptOutcome, LoadReport};
 use poppykeel_site_settings::SiteSettings;
@@ -90,7 +90,7 @@
     fn take_body(&mut self, bytes: Bytes, steps: &mut Vec<ResponseStep>) {
         self.scanner.feed(&bytes, &self.settings);
         if self.is_event_stream && self.scanner.unfinished_event_bytes() > MAX_EVENT_BYTES {
-            self.connection_lost(steps);
+            self.on_connection_lost(steps);
             return;
         }
         if self.has_started {
@@ -106,7 +106,7 @@
     fn take_end(&mut self, steps: &mut Vec<ResponseStep>) {
         // Bytes without an event and with a proper end are no response: none of them may reach the client as one.
         if self.is_event_stream && self.scanner.event_count() == 0 {
-            self.connection_lost(steps);
+            self.on_connection_lost(steps);
             return;
         }
         if !self.has_started {
@@ -120,7 +120,7 @@
     }
 
     /// The connection was lost, or ended before the response did.
-    pub fn connection_lost(&mut self, steps: &mut Vec<ResponseStep>) {
+    pub fn on_connection_lost(&mut self, steps: &mut Vec<ResponseStep>) {
         if self.has_ended {
             return;
         }
--- a/src/transport/admin.rs
+++ b/src/transport/admin.rs
@@ -109,7 +109,7 @@
                 None => respond(404, NO_FLEET),
             },
             AdminCall::Crossings => self.cross_zone_response().await,
-            AdminCall::Roll {
+            AdminCall::RollingRestart {
                 max_nodes_out,
                 hold_us,
             } => match &self.coordination {
--- a/src/transport/dispatcher/logging.rs
+++ b/src/transport/dispatcher/logging.rs
@@ -29,7 +29,7 @@
             disconnected = counters.disconnected,
             attempts_started = counters.attempts_started,
             failed_attempts = ?counters.failed_attempts,
-            reports_passed_over = crate::protocol::report::ignored_value_count(),
+            reports_passed_over = crate::protocol::load_report::ignored_value_count(),
             "summary"
         );
         self.replica_client
--- a/src/transport/replica/attempts.rs
+++ b/src/transport/replica/attempts.rs
@@ -11,9 +11,9 @@
 
 use super::pool::{ConnectError, ConnectionPool, ReplicaAddress, ReplicaConnection};
 use super::stream_monitor::{MonitoredStream, StreamMonitor};
-use crate::protocol::answer::{ResponseReader, ResponseStep};
 use crate::protocol::http::{EncodedMessage, HttpParseError, MessagePart};
 use crate::protocol::request;
+use crate::protocol::response::{ResponseReader, ResponseStep};
 use crate::routing::cross_zone::{CrossZoneTraffic, RequestGroup};
 use crate::routing::{DurationMicros, MonotonicMicros};
 use crate::transport::clock::Clock;
@@ -251,7 +251,7 @@
         loop {
             match forwarder.read(&mut connection).await {
                 ReplicaInput::Part(part) => forwarder.take_part(part, &mut steps),
-                ReplicaInput::Broken => forwarder.answer.connection_lost(&mut steps),
+                ReplicaInput::Broken => forwarder.answer.on_connection_lost(&mut steps),
                 // A replica that has vanished leaves its connections open and quiet: its client must not be left waiting.
                 ReplicaInput::Stalled { silence_us } => {
                     if let Some(stream) = &forwarder.stream {
--- a/src/transport/replica/probes.rs
+++ b/src/transport/replica/probes.rs
@@ -6,7 +6,7 @@
 use super::attempts::{write_request, ReplicaClient};
 use super::pool::{ReplicaAddress, ReplicaConnection};
 use crate::protocol::http::{MessagePart, StartLine};
-use crate::protocol::report::{parse_load_report, probe_outcome};
+use crate::protocol::load_report::{parse_load_report, probe_outcome};
 use crate::protocol::request;
 use crate::transport::messages::DispatcherMessage;
 use bytes::Bytes;
--- a/tests/dispatcher.rs
+++ b/tests/dispatcher.rs
@@ -41,7 +41,7 @@
     let config = NodeConfig::read(&config, Overrides::default()).unwrap();
     let (sender, messages) = mpsc::channel(CAPACITY);
     let clock = Clock::start();
-    let bounds = Rc::new(config.bounds);
+    let bounds = Rc::new(config.transport_limits);
     let site = Rc::new(config.settings);
     let scheduler = Scheduler::new(site.scheduler.clone(), config.seed).unwrap();
     let watch = EndpointWatcher::new(config.discovery, bounds.clone(), sender.clone(), clock);
--- a/tests/endpoint_watcher.rs
+++ b/tests/endpoint_watcher.rs
@@ -164,7 +164,7 @@
         Overrides::default(),
     )
     .unwrap()
-    .bounds;
+    .transport_limits;
     assert!(bounds.short_poll_wait + bounds.short_poll_slack < Duration::from_secs(6));
     assert!(
         bounds.short_poll_slack >= Duration::from_secs(2),
@@ -231,7 +231,7 @@
             .replace("\"drainGrace\":0.5", &format!("\"drainGrace\":{grace_s}"));
         let bounds = NodeConfig::read(&config, Overrides::default())
             .unwrap()
-            .bounds;
+            .transport_limits;
         let poll_time = bounds.long_poll_wait + bounds.long_poll_slack;
         assert!(
             poll_time.as_secs_f64() <= 0.76 * grace_s,
--- a/tests/protocol.rs
+++ b/tests/protocol.rs
@@ -6,9 +6,9 @@
 use bytes::BytesMut;
 use poppykeel::program::config::operator::OperatorConfig;
 use poppykeel::program::config::{NodeConfig, Overrides};
-use poppykeel::protocol::answer::{ResponseReader, ResponseStep};
 use poppykeel::protocol::discovery::parse_endpoint_list;
 use poppykeel::protocol::http::{HttpCodec, HttpParseError, MessagePart, Role};
+use poppykeel::protocol::response::{ResponseReader, ResponseStep};
 use poppykeel::routing::directory::{replica_id, EndpointDirectory};
 use poppykeel::routing::ClockReading;
 use poppykeel_scheduler::AttemptOutcome;
@@ -212,7 +212,8 @@
         serde_json::from_str::<serde_json::Value>(CONFIG).unwrap()["settings"].clone();
     settings["report"]["fields"] = json!(["x0", "x1", "busy_reqs", "pending", "svc_ms"]);
     let boot = SiteSettings::parse(&settings.to_string()).unwrap();
-    let read = |text: &str| poppykeel::protocol::report::parse_load_report(text, &boot).unwrap();
+    let read =
+        |text: &str| poppykeel::protocol::load_report::parse_load_report(text, &boot).unwrap();
     let report = read(r#"{"x0":0.5,"x1":2.0,"inflight":6,"queue":2,"extra":1}"#);
     let expected = (Some(0.5), Some(2000.0), Some(6.0), Some(2.0));
     assert_eq!(
@@ -225,7 +226,7 @@
         expected
     );
     assert_eq!(read(r#"{"pending":3}"#).requests_queued, Some(3.0));
-    let before = poppykeel::protocol::report::ignored_value_count();
+    let before = poppykeel::protocol::load_report::ignored_value_count();
     let bad = read(r#"{"x0":"much","x1":-2,"pending":null}"#);
     assert_eq!(
         (
@@ -236,11 +237,11 @@
         (None, None, None)
     );
     assert_eq!(
-        poppykeel::protocol::report::parse_load_report("[1,2]", &boot),
+        poppykeel::protocol::load_report::parse_load_report("[1,2]", &boot),
         None
     );
     assert!(
-        poppykeel::protocol::report::ignored_value_count() >= before + 3,
+        poppykeel::protocol::load_report::ignored_value_count() >= before + 3,
         "two values and a report are counted"
     );
 }
--- a/tests/support/drivers.rs
+++ b/tests/support/drivers.rs
@@ -31,7 +31,7 @@
     let stream_monitor = Rc::new(StreamMonitor::new(Clock::start(), settings));
     let registry = ConnectionRegistry::new(
         Rc::new(config.settings),
-        Rc::new(config.bounds),
+        Rc::new(config.transport_limits),
         dispatcher,
         phases,
         stream_monitor,
--- a/tests/support/watcher.rs
+++ b/tests/support/watcher.rs
@@ -37,7 +37,7 @@
         long_poll_slack: slack,
         short_poll_wait: retry_watch,
         short_poll_slack: slack,
-        ..config.bounds
+        ..config.transport_limits
     })
 }
 
--- a/tests/transport.rs
+++ b/tests/transport.rs
@@ -156,7 +156,7 @@
     let clock = Clock::start();
     let limits = TransportLimits {
         reuse_delay: MINUTE,
-        ..config.bounds
+        ..config.transport_limits
     };
     ReplicaClient::new(
         ConnectionPool::new(9, MINUTE, MINUTE),
@@ -276,7 +276,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn closes_connection_whose_request_is_never_complete() {
-    let read = config().bounds.request_read_timeout;
+    let read = config().transport_limits.request_read_timeout;
     assert!(read < Duration::from_secs(3));
     let (_phase, phases) = watch::channel(NodePhase::Serving);
     let (registry, _) = registry(phases);
