--- a/crates/scheduler/src/endpoint_confirmation.rs
+++ b/crates/scheduler/src/endpoint_confirmation.rs
@@ -10,7 +10,7 @@
 //! Invariant: while the list is not current, the first byte of each attempt follows evidence from the replica itself within
 //! the grace for draining. Whenever the replica has begun to drain since then, the attempt is within the grace. Half of the
 //! grace is for the age of the evidence when the attempt is placed; the other half, less the time for which a process may be
-//! held up, is for its connection ([`max_begin_delay`]).
+//! held up, is for its connection ([`max_write_start_delay`]).
 
 use crate::types::Seconds;
 
@@ -35,7 +35,7 @@
 
 /// An attempt must begin to be written within this many seconds of being placed if the endpoint list is not current then; by
 /// the grace for draining in seconds.
-pub fn max_begin_delay(drain_grace: Seconds) -> Seconds {
+pub fn max_write_start_delay(drain_grace: Seconds) -> Seconds {
     (drain_grace * (1.0 - EVIDENCE_PART) - MAX_WRITE_DELAY).max(MIN_LIFETIME)
 }
 
--- a/crates/scheduler/src/endpoint_confirmation/tests.rs
+++ b/crates/scheduler/src/endpoint_confirmation/tests.rs
@@ -1,7 +1,7 @@
 //! The states of the list, and how long a replica's answer counts.
 
 use super::{
-    evidence_lifetime, max_begin_delay, ListConfirmation, ReplicaEvidence, DECLINE_LIFETIME,
+    evidence_lifetime, max_write_start_delay, ListConfirmation, ReplicaEvidence, DECLINE_LIFETIME,
     MAX_POLL_WAIT, MAX_WRITE_DELAY, PROBE_PATIENCE,
 };
 use proptest::prelude::*;
@@ -78,7 +78,7 @@
         evidence.record_probe_ended(sent_at + drained_after, true);
         let now = sent_at + attempted_after;
         if evidence.is_valid(now, evidence_lifetime(grace)) {
-            let written_at = now + max_begin_delay(grace) + MAX_WRITE_DELAY;
+            let written_at = now + max_write_start_delay(grace) + MAX_WRITE_DELAY;
             prop_assert!(written_at <= sent_at + grace + 1e-9);
         }
     }
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -117,6 +117,6 @@
 mod tests;
 
 pub use budgets::BudgetLedger;
-pub use endpoint_confirmation::max_begin_delay;
+pub use endpoint_confirmation::max_write_start_delay;
 pub use scheduler::{ReplicaHealthStatus, Scheduler, SchedulerGauges};
 pub use types::*;
--- a/src/transport/dispatcher/commands.rs
+++ b/src/transport/dispatcher/commands.rs
@@ -6,7 +6,7 @@
 use crate::transport::messages::ClientResponse;
 use crate::transport::replica::attempts::AttemptRequest;
 use crate::transport::replica::pool::ReplicaAddress;
-use poppykeel_scheduler::{max_begin_delay, AttemptOutcome, ReplicaId, RequestId};
+use poppykeel_scheduler::{max_write_start_delay, AttemptOutcome, ReplicaId, RequestId};
 use std::cell::Cell;
 use std::rc::Rc;
 
@@ -98,7 +98,7 @@
         let addr = self.directory.addr(replica)?;
         let client = self.waiting_clients.get(id.request)?;
         let settings = &self.replica_client.site().scheduler;
-        let begin_delay = max_begin_delay(settings.lifecycle.drain_grace);
+        let begin_delay = max_write_start_delay(settings.lifecycle.drain_grace);
         let begin_by = now.saturating_add(duration_micros(begin_delay));
         let own_zone = self.replica_client.site().scheduler.zone;
         let is_cross_zone = self.directory.zone(replica) != Some(own_zone);
