--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -1,13 +1,12 @@
 //! Routing decisions for fleets of language-model servers.
 //!
 //! A [`Scheduler`] decides which queued request is dispatched next and to which replica, which requests are rejected early, and
-//! how failures are handled. It does no input or output and reads no clock: the embedding program passes it [`Event`]s with the
-//! time of a monotonic clock and carries out the [`Action`]s that it returns. The same events, times and seed give the same
-//! actions.
+//! how failures are handled. It does no input or output and reads no clock: the embedding program passes [`Event`]s with
+//! monotonic timestamps and carries out the returned [`Action`]s. Given the same events, times and seed, a scheduler returns
+//! the same actions.
 //!
-//! The module `scheduler` has the order in which the rules apply to an event; each rule has a module of its own.
-//! `docs/architecture.md`
-//! shows the scheduler's place in the node.
+//! The module `scheduler` defines the order in which the rules apply to an event; each rule has its own module.
+//! `docs/architecture.md` shows how the scheduler fits into the node.
 //!
 //! ```
 //! use poppykeel_scheduler::{
--- a/crates/scheduler/src/time.rs
+++ b/crates/scheduler/src/time.rs
@@ -1,10 +1,10 @@
-//! Times as keys that can be ordered.
+//! Conversion of times to integers, which have a total order and can be map keys.
 
 use crate::types::Seconds;
 
 const MICROS_PER_SECOND: f64 = 1e6;
 
-/// A time as a whole number of microseconds; what is below zero counts as zero.
+/// Converts to whole microseconds; negative times become 0.
 pub(crate) fn to_micros(time: Seconds) -> u64 {
     (time * MICROS_PER_SECOND) as u64
 }
--- a/crates/scheduler/src/types/action.rs
+++ b/crates/scheduler/src/types/action.rs
@@ -1,48 +1,48 @@
-//! What the scheduler asks the embedding program to do.
+//! Actions that the scheduler returns to the embedding program.
 
 use super::{ReplicaId, RequestId, Seconds};
 
-/// What a router is to do. Actions are carried out in the order in which they were appended.
+/// An action for the embedding program. Actions must be carried out in the order in which they were appended.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Start an attempt. Attempts of a request count from zero, in the order of these actions.
+    /// Start an attempt. The attempts of a request are numbered from zero in the order of these actions.
     StartAttempt {
         /// The request.
         request: RequestId,
-        /// Where the attempt goes.
+        /// The replica that gets the attempt.
         replica: ReplicaId,
-        /// The attempt has timed out if its first token has not come after this long.
+        /// The attempt times out if no first token arrives within this time.
         timeout: Seconds,
     },
-    /// Final answer: the request is rejected, and a retry by the client does no harm.
+    /// Final answer: reject the request. The client can retry it safely.
     Reject {
         /// The request.
         request: RequestId,
-        /// When the client should come again.
+        /// Seconds after which the client should retry.
         retry_after: Seconds,
     },
-    /// Final answer: the request has failed, with no promise about its effect.
+    /// Final answer: the request has failed and may have had an effect.
     Fail {
         /// The request.
         request: RequestId,
     },
-    /// Stop waiting for one attempt that has had no first token.
+    /// Cancel an attempt that has had no first token.
     CancelAttempt {
         /// The request.
         request: RequestId,
         /// The number of the attempt.
         attempt: usize,
     },
-    /// Ask a replica for its health and its load report.
+    /// Probe a replica for its health and load report.
     Probe {
         /// The replica.
         replica: ReplicaId,
     },
-    /// Ask for the endpoint list and for its changes from now on.
+    /// Poll the endpoint list and watch it for changes.
     WatchEndpoints,
-    /// Send [`Event::TimerFired`](super::Event::TimerFired) after this long.
+    /// Send [`Event::TimerFired`](super::Event::TimerFired) after a delay.
     SetTimer {
-        /// From now.
+        /// Delay from now.
         after: Seconds,
     },
 }
--- a/crates/scheduler/src/types/budget.rs
+++ b/crates/scheduler/src/types/budget.rs
@@ -1,20 +1,20 @@
-//! Budgets that all routers of a fleet share, as far as they reach one router.
+//! One router's view of the budgets that all routers of a fleet share.
 
 use super::Seconds;
 use std::collections::BTreeMap;
 
-/// What a budget of the whole fleet is spent on.
+/// The kinds of fleet-wide budgets, by what they are spent on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum BudgetKind {
     /// Attempts after a request's first.
     Retries,
-    /// Hedged attempts of requests that are overdue.
+    /// Hedged attempts of overdue requests.
     HedgedAttempts,
     /// Probes of replicas.
     Probes,
-    /// Attempts at replicas of other zones.
+    /// Attempts at replicas in other zones.
     CrossZone,
-    /// Attempts at each replica in slow start: the budget is that of one replica.
+    /// Attempts at a replica in slow start; the budget applies to each such replica.
     SlowStart,
     /// Polls of the endpoint list.
     Discovery,
@@ -22,29 +22,29 @@
     Tenant(usize),
 }
 
-/// One router's part of a budget of the whole fleet.
+/// One router's share of a fleet-wide budget.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BudgetGrant {
-    /// Units a second, beside the guaranteed rate, until the grant expires.
+    /// Units per second in addition to the guaranteed rate, until the grant expires.
     pub rate: f64,
-    /// Units that may be saved up, beside the guaranteed burst, until the grant expires.
+    /// Units that may accumulate in addition to the guaranteed burst, until the grant expires.
     pub burst: f64,
-    /// Units a second that hold with no grant.
+    /// Units per second that are available without a valid grant.
     pub guaranteed_rate: f64,
-    /// Units that may be saved up with no grant.
+    /// Units that may accumulate without a valid grant.
     pub guaranteed_burst: f64,
     /// When the grant expires.
     pub expires_at: Seconds,
 }
 
-/// What the fleet grants a router; where a kind has no budget the router's own limits alone hold.
+/// The grants of the fleet to a router. For a kind without a budget only the router's own limits apply.
 pub type BudgetGrants = BTreeMap<BudgetKind, BudgetGrant>;
 
-/// What has been asked of a budget since the start, granted or not.
+/// Units requested from a budget since the start, whether or not they were available.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct BudgetDemand {
-    /// Units.
+    /// Number of units; fractions are possible.
     pub units: f64,
-    /// The sum over these units of their requests' priority weights.
+    /// Sum of the units, each weighted by the priority weight of its request.
     pub priority_weight: f64,
 }
--- a/crates/scheduler/src/types/endpoint.rs
+++ b/crates/scheduler/src/types/endpoint.rs
@@ -1,9 +1,9 @@
-//! Replicas and what an endpoint list says of them.
+//! Replicas and endpoint list entries.
 
 use super::Seconds;
 use std::net::SocketAddr;
 
-/// A replica: one language-model server, identified by an address.
+/// Identifies a replica, which is one language-model server, by its address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ReplicaId(pub SocketAddr);
 
@@ -14,40 +14,40 @@
     pub id: ReplicaId,
     /// Its zone.
     pub zone: usize,
-    /// Its cell: replicas of a cell may share a memory of idempotency keys.
+    /// Its cell; replicas of a cell may share a store of idempotency keys.
     pub cell: usize,
-    /// What kind of machine it is; equal numbers are alike.
+    /// Its type of machine; replicas of equal numbers perform alike.
     pub host_type: usize,
     /// Whether it may be sent requests.
     pub state: EndpointState,
-    /// Its capacity compared with others', where the list gives one that does not change with load.
+    /// Its capacity relative to other replicas; `None` if the list has no weight that is independent of load.
     pub capacity_weight: Option<f64>,
-    /// When its process started, if that is known.
+    /// When its process started, if known.
     pub started_at: Option<Seconds>,
 }
 
-/// What is known of the age of the endpoint list that a router has.
+/// Whether a router's endpoint list is known to be current.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointListStatus {
-    /// It is current: a poll was answered completely, and the next one is under way or about to be.
+    /// The list is current: the last poll was answered completely, and the next one has started or is about to.
     Confirmed,
-    /// A poll has failed or is overdue: the list may lack changes that the router counts as notified of.
+    /// A poll has failed or is overdue: the list may lack changes that already count as notified.
     Unconfirmed,
-    /// Nothing listens at discovery's address.
+    /// Nothing listens on the discovery address.
     Unreachable,
-    /// A part of an answer has come, and may have told of a drain: it counts as delivered.
+    /// Part of a poll's answer has arrived. It may have announced a drain, which then counts as notified.
     Incomplete,
-    /// It is of an earlier process of this router, and of any age.
+    /// The list was restored from an earlier process of this router and may be of any age.
     Restored,
 }
 
 /// Whether a listed replica may be sent requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointState {
-    /// It takes requests.
+    /// It accepts requests.
     Available,
-    /// It finishes what it has and is to get nothing new.
+    /// It finishes its requests and must get no new ones.
     Draining,
-    /// It has left the list.
+    /// It is no longer listed.
     Removed,
 }
--- a/crates/scheduler/src/types/event.rs
+++ b/crates/scheduler/src/types/event.rs
@@ -1,23 +1,23 @@
-//! What the embedding program tells the scheduler.
+//! Events that the embedding program passes to the scheduler.
 
 use super::{
     Endpoint, EndpointListStatus, IncomingRequest, LoadReport, ReplicaId, RequestId, Seconds,
 };
 
-/// What happens to a router.
+/// An input of the scheduler.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// The whole endpoint list; replicas that it lacks are removed.
+    /// The complete endpoint list; replicas missing from it are removed.
     EndpointsReplaced(Vec<Endpoint>),
-    /// Changed entries of the endpoint list only.
+    /// Only the changed entries of the endpoint list.
     EndpointsChanged(Vec<Endpoint>),
-    /// Asking for the endpoint list failed, or its watch broke.
+    /// A poll of the endpoint list failed, or its watch broke.
     EndpointListFailed,
-    /// The age of the endpoint list has become known or doubtful. Without such an event the list counts as current.
+    /// Whether the endpoint list is known to be current has changed. Before the first such event it counts as current.
     EndpointListStatusChanged(EndpointListStatus),
-    /// A client's request has come.
+    /// A client's request has arrived.
     RequestArrived(IncomingRequest),
-    /// The first token of an attempt has come; the request has no deadline from here on.
+    /// The first token of an attempt has arrived; from now on the request has no deadline.
     FirstToken {
         /// The request.
         request: RequestId,
@@ -34,12 +34,12 @@
         attempt: usize,
         /// How it ended.
         outcome: AttemptOutcome,
-        /// The client has its final answer or has gone: nothing more is owed.
+        /// The client has its final answer or has disconnected.
         is_request_finished: bool,
-        /// The load report that came with the answer, if any did.
+        /// The load report in the answer, if there was one.
         report: Option<LoadReport>,
     },
-    /// The client has left; nothing more is owed.
+    /// The client has disconnected; the request needs no answer.
     ClientDisconnected(RequestId),
     /// A probe has ended.
     ProbeEnded {
@@ -47,39 +47,39 @@
         replica: ReplicaId,
         /// How it ended.
         outcome: AttemptOutcome,
-        /// The load report that came with it, if any did.
+        /// The load report in the answer, if there was one.
         report: Option<LoadReport>,
     },
-    /// Another router probes ejected replicas for the whole fleet and tells what it found.
+    /// Another router, which probes ejected replicas for the whole fleet, reports on one of them.
     OutlierAdvice {
         /// The replica.
         replica: ReplicaId,
-        /// True where it answered well; false while it is still being tried.
+        /// True if the replica answered its probe successfully; false while it is still being probed.
         is_healthy: bool,
     },
-    /// The timer of [`Action::SetTimer`](super::Action::SetTimer) has run out.
+    /// The timer of [`Action::SetTimer`](super::Action::SetTimer) has fired.
     TimerFired,
 }
 
 /// How an attempt or a probe ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// The answer came to its end.
+    /// The answer was complete.
     Completed,
-    /// The replica answered with an error of its own.
+    /// The replica answered with a server error.
     ServerError,
-    /// The replica turned the attempt away because it is full.
+    /// The replica declined the attempt because it is at capacity.
     AtCapacity,
-    /// No first token came in time.
+    /// No first token arrived in time.
     TimedOut,
-    /// No connection came up.
+    /// No connection could be established.
     ConnectFailed,
     /// The connection broke.
     ConnectionReset,
     /// The attempt was cancelled.
     Cancelled,
-    /// Nothing of the attempt was ever sent.
+    /// No byte of the attempt was sent.
     NotSent,
-    /// The replica finds the request itself at fault: any other replica would say the same.
+    /// The replica rejected the request as invalid; any other replica would do the same.
     InvalidRequest,
 }
--- a/crates/scheduler/src/types/mod.rs
+++ b/crates/scheduler/src/types/mod.rs
@@ -1,7 +1,7 @@
-//! The scheduler's interface: settings, events, actions and what goes with them, as plain data.
+//! The scheduler's interface as plain data: settings, events, actions and the types that they use.
 //!
-//! Nothing here decides anything and nothing here knows a wire format. Times are seconds on one clock that never runs
-//! backwards; classes, tenants, zones, cells and host types are positions counted from zero.
+//! These types contain no decisions and no wire formats. Times are seconds on one monotonic clock. Classes, tenants, zones,
+//! cells and host types are numbered from zero.
 
 mod action;
 mod budget;
@@ -27,5 +27,5 @@
     UNLIMITED_RATE,
 };
 
-/// A point in time or a span, in seconds. Estimates multiply, divide and exponentiate times, so they are plain numbers.
+/// A point in time or a duration in seconds. A plain number because estimates multiply, divide and exponentiate times.
 pub type Seconds = f64;
--- a/crates/scheduler/src/types/request.rs
+++ b/crates/scheduler/src/types/request.rs
@@ -1,8 +1,8 @@
-//! A client's request as the scheduler sees it.
+//! A client's request as passed to the scheduler.
 
 use super::Seconds;
 
-/// A request, as the embedding program numbers it. Never reused.
+/// Identifies a request. Assigned by the embedding program and never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u64);
 
@@ -21,19 +21,19 @@
     pub class: usize,
     /// The position of its tenant.
     pub tenant: usize,
-    /// The session; its next prompt begins with this one.
+    /// The session, if any. The prompt of its next request begins with this prompt.
     pub session: Option<u64>,
-    /// The beginning of the prompt that other sessions share.
+    /// Identifies the prompt prefix that other sessions share, if any.
     pub shared_prefix: Option<u64>,
-    /// Time until the client gives up.
+    /// Time until the client's timeout.
     pub time_left: Seconds,
-    /// Expected work in seconds, where the client tells it.
+    /// Expected work in seconds, if the client declares it.
     pub expected_work: Option<Seconds>,
-    /// Tokens of the prompt.
+    /// Prompt tokens, including the shared prefix.
     pub prompt_tokens: u64,
-    /// Tokens of the shared beginning.
+    /// Tokens of the shared prefix.
     pub shared_prefix_tokens: u64,
-    /// The most tokens the answer may have.
+    /// Maximum number of tokens of the answer.
     pub max_output_tokens: u64,
     /// The client marked it as a retry of an earlier request.
     pub is_client_retry: bool,
--- a/crates/scheduler/src/types/settings.rs
+++ b/crates/scheduler/src/types/settings.rs
@@ -1,29 +1,29 @@
-//! What a router is told of its site, at its start and when an operator changes it.
+//! Settings of a router, given at its start and when an operator changes them.
 
 use super::{IncomingRequest, Seconds};
 
 /// The settings of one router.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SchedulerSettings {
-    /// This router's number among its peers, from zero.
+    /// This router's number among all routers, from zero.
     pub router_index: usize,
-    /// How many routers share the fleet of replicas.
+    /// Number of routers that share the fleet of replicas.
     pub router_count: usize,
-    /// The zone that this router stands in.
+    /// The zone in which this router runs.
     pub zone: usize,
     /// The classes of requests; at least one.
     pub classes: Vec<RequestClass>,
     /// The tenants; may be empty.
     pub tenants: Vec<Tenant>,
-    /// The priority weight of a request beyond its tenant's quota, as a part of its class's weight.
+    /// The priority weight of a request beyond its tenant's quota, as a fraction of its class's weight.
     pub over_quota_weight: f64,
-    /// What the site allows.
+    /// What the routers may do.
     pub limits: SiteLimits,
-    /// What the site charges.
+    /// Costs that placement takes into account.
     pub costs: CostWeights,
-    /// Where load reports come from.
+    /// How load reports are obtained.
     pub load_report_source: LoadReportSource,
-    /// The figures behind draining and slow start.
+    /// Parameters of draining, slow start and polling.
     pub lifecycle: LifecycleRules,
     /// How the endpoint list reaches this router.
     pub endpoint_list_mode: EndpointListMode,
@@ -32,26 +32,26 @@
 /// One class of requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestClass {
-    /// What one answer within the latency objective is worth.
+    /// The value of an answer within the latency objective.
     pub priority_weight: f64,
-    /// The part of the weight that an answer after the objective still earns.
+    /// The fraction of the priority weight that an answer after the objective is still worth.
     pub late_weight: f64,
-    /// The first token is wanted within this time.
+    /// Target for the time to first token (TTFT) of an empty prompt.
     pub ttft_objective: Seconds,
-    /// The objective grows by this much for each prompt token.
+    /// Increase of the TTFT objective for each prompt token.
     pub ttft_objective_per_prompt_token: Seconds,
-    /// Time wanted from one token of the answer to the next; infinite where none is set.
+    /// Target for the time between tokens of the answer; infinite if there is none.
     pub inter_token_objective: Seconds,
-    /// The objective grows by this many seconds for each second of the request's expected work.
+    /// Increase of the TTFT objective, in seconds, for each second of expected work.
     pub ttft_objective_per_work_second: f64,
-    /// What repeating a request may do.
+    /// Whether a request may run more than once.
     pub idempotency: Idempotency,
-    /// Answers are streams: their first token is seen.
+    /// Answers are streamed, so their first token can be observed.
     pub streaming: bool,
 }
 
 impl RequestClass {
-    /// The time to first token wanted of one request: the class's, with what it grows by.
+    /// The TTFT objective of one request: the base value plus the increases for its prompt and its expected work.
     pub fn ttft_objective_for(&self, request: &IncomingRequest) -> Seconds {
         let work = request
             .expected_work
@@ -63,23 +63,23 @@
     }
 }
 
-/// What repeating a request of a class may do.
+/// Whether requests of a class may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Idempotency {
-    /// It may be repeated at will.
+    /// A request may run any number of times.
     Idempotent,
-    /// Repeats carry an idempotency key and are dropped by replicas that remember it.
+    /// Repeats carry an idempotency key and are dropped by replicas that have stored it.
     Keyed {
-        /// The replicas that share one memory of keys.
+        /// The replicas that share one store of keys.
         scope: DeduplicationScope,
-        /// How long a key is remembered.
+        /// How long a key is stored.
         retention: Seconds,
     },
-    /// It must never run twice.
+    /// A request must never run twice.
     NonIdempotent,
 }
 
-/// The replicas that drop each other's repeats.
+/// The set of replicas that deduplicate requests together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeduplicationScope {
     /// All replicas of the fleet.
@@ -90,45 +90,45 @@
     Cell,
 }
 
-/// The rate limit of tenants that have none, in requests a second.
+/// The rate limit, in requests per second, of tenants without a configured one.
 pub const UNLIMITED_RATE: f64 = 1e9;
 
 /// One tenant.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// Its part of the service; only the parts' ratios count.
+    /// Its share of the service; only the ratios between tenants matter.
     pub quota: f64,
-    /// Requests a second, over all routers, that count as within its quota; [`UNLIMITED_RATE`] where none is set.
+    /// Requests per second, over all routers, that count as within its quota; [`UNLIMITED_RATE`] if none is set.
     pub rate_limit: f64,
 }
 
-/// What the site allows.
+/// What the routers of a site may do.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SiteLimits {
     /// Replicas may be probed.
     pub allows_probes: bool,
     /// Attempts may be cancelled.
     pub allows_cancellation: bool,
-    /// Two attempts of one request may be in flight together.
+    /// Two attempts of one request may be in flight at the same time.
     pub allows_hedging: bool,
-    /// Attempts for one request, at least 1.
+    /// Maximum number of attempts for one request, at least 1.
     pub max_attempts: usize,
-    /// The longest `Retry-After` that clients heed; 0 where they heed none.
+    /// The longest `Retry-After` that clients respect; 0 if they ignore it.
     pub max_retry_after: Seconds,
 }
 
-/// What the site charges, in answers of priority weight 1.
+/// Costs relative to the value of one answer of priority weight 1.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct CostWeights {
-    /// For an attempt at a replica of another zone.
+    /// Cost of an attempt at a replica in another zone.
     pub cross_zone: f64,
-    /// For a probe.
+    /// Cost of a probe.
     pub probe: f64,
-    /// For work that no client gets.
+    /// Cost of work whose result reaches no client.
     pub waste: f64,
 }
 
-/// Where load reports come from.
+/// How load reports are obtained.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadReportSource {
     /// With answers and with probes.
@@ -139,66 +139,66 @@
     Off,
 }
 
-/// The figures behind draining and slow start.
+/// Parameters of draining, slow start and polling.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LifecycleRules {
-    /// Attempts must have stopped this long after a replica was announced as draining.
+    /// No attempt may be sent to a replica later than this after it was announced as draining.
     pub drain_grace: Seconds,
-    /// A replica starts with this part of its capacity, or more.
+    /// The fraction of its capacity that a replica has at least when it starts.
     pub slow_start_initial_fraction: f64,
-    /// It has its whole capacity after this long.
+    /// Time after which a started replica has its full capacity.
     pub slow_start_duration: Seconds,
-    /// A replica in slow start fails above this many times its present capacity,
+    /// A replica in slow start fails when it gets more than this multiple of its current capacity.
     pub overload_factor: f64,
-    /// counted over this long.
+    /// The time window over which [`LifecycleRules::overload_factor`] applies.
     pub overload_window: Seconds,
-    /// An endpoint list that is polled must be asked for at least this often.
+    /// The longest interval between polls of a polled endpoint list.
     pub poll_interval: Seconds,
 }
 
 /// How the endpoint list reaches a router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointListMode {
-    /// Changes arrive by themselves.
+    /// Changes are pushed without a request.
     Pushed,
-    /// Only after [`Action::WatchEndpoints`](super::Action::WatchEndpoints).
+    /// The list arrives only after [`Action::WatchEndpoints`](super::Action::WatchEndpoints).
     Polled,
 }
 
-/// Settings that cannot be worked with.
+/// The reason why settings are invalid.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum SettingsError {
     /// The router's number is not below the number of routers.
-    #[error("settings: router {index} of {count}")]
+    #[error("settings: router index {index} is not below the router count {count}")]
     RouterOutOfRange {
         /// The router's number.
         index: usize,
         /// The number of routers.
         count: usize,
     },
-    /// There is no class of requests.
-    #[error("settings: no classes")]
+    /// There is no request class.
+    #[error("settings: no request class")]
     NoClasses,
-    /// A figure is negative or not finite.
-    #[error("settings: {0} where a finite figure of 0 or more is needed")]
-    InvalidFigure(f64),
+    /// A number is negative or not finite.
+    #[error("settings: {0} is not a finite number of 0 or more")]
+    InvalidNumber(f64),
     /// The quotas of all tenants are 0.
-    #[error("settings: tenant shares sum to 0")]
+    #[error("settings: the shares of all tenants are 0")]
     NoQuotas,
-    /// Requests may have no attempt.
-    #[error("settings: max_attempts is 0")]
+    /// The limit of attempts for a request is 0.
+    #[error("settings: the maximum number of attempts is 0")]
     NoAttempts,
-    /// The endpoint list is polled, but no interval is set.
-    #[error("settings: ask_every is 0 where the list must be asked for")]
+    /// The endpoint list is polled, but the poll interval is 0.
+    #[error("settings: the poll interval is 0, but the endpoint list must be polled")]
     NoPollInterval,
 }
 
 impl SchedulerSettings {
-    /// Checks what the types leave open.
+    /// Checks the constraints that the types do not express.
     ///
     /// # Errors
-    /// There must be at least one class, all figures must be finite and 0 or more, and limits that divide or bound
-    /// something must be above 0.
+    /// There must be at least one class, all numbers must be finite and 0 or more, and limits that are divisors or bounds
+    /// must be above 0.
     pub fn check(&self) -> Result<(), SettingsError> {
         if self.router_count == 0 || self.router_index >= self.router_count {
             return Err(SettingsError::RouterOutOfRange {
@@ -209,8 +209,8 @@
         if self.classes.is_empty() {
             return Err(SettingsError::NoClasses);
         }
-        if let Some(figure) = self.figures().find(|x| !x.is_finite() || *x < 0.0) {
-            return Err(SettingsError::InvalidFigure(figure));
+        if let Some(number) = self.numbers().find(|x| !x.is_finite() || *x < 0.0) {
+            return Err(SettingsError::InvalidNumber(number));
         }
         let quotas: f64 = self.tenants.iter().map(|tenant| tenant.quota).sum();
         if !self.tenants.is_empty() && quotas <= 0.0 {
@@ -227,14 +227,14 @@
         Ok(())
     }
 
-    /// All figures that must be finite and 0 or more.
-    fn figures(&self) -> impl Iterator<Item = f64> + '_ {
-        let class_figures = self.classes.iter().flat_map(RequestClass::figures);
-        let tenant_figures = self
+    /// All numbers that must be finite and 0 or more.
+    fn numbers(&self) -> impl Iterator<Item = f64> + '_ {
+        let class_numbers = self.classes.iter().flat_map(RequestClass::numbers);
+        let tenant_numbers = self
             .tenants
             .iter()
             .flat_map(|tenant| [tenant.quota, tenant.rate_limit]);
-        let site_figures = [
+        let site_numbers = [
             self.lifecycle.drain_grace,
             self.lifecycle.slow_start_initial_fraction,
             self.lifecycle.slow_start_duration,
@@ -247,12 +247,12 @@
             self.over_quota_weight,
             self.limits.max_retry_after,
         ];
-        class_figures.chain(tenant_figures).chain(site_figures)
+        class_numbers.chain(tenant_numbers).chain(site_numbers)
     }
 }
 
 impl RequestClass {
-    fn figures(&self) -> [f64; 6] {
+    fn numbers(&self) -> [f64; 6] {
         let retention = match self.idempotency {
             Idempotency::Keyed { retention, .. } => retention,
             Idempotency::Idempotent | Idempotency::NonIdempotent => 0.0,
