--- a/crates/scheduler/src/admission.rs
+++ b/crates/scheduler/src/admission.rs
@@ -1,4 +1,4 @@
-//! Early rejection: a request that would wait too long in the queue is rejected at its arrival, not at its deadline.
+//! Early rejection: a request that would be queued too long is rejected at its arrival instead of at its deadline.
 
 use crate::concurrency::ConcurrencyLimit;
 use crate::fair_queue::FairQueue;
@@ -7,7 +7,7 @@
 use crate::statistics::TrafficStatistics;
 use crate::types::Seconds;
 
-/// What the wait in the queue is estimated from.
+/// Estimates how long a request will be queued.
 pub(crate) struct QueueWaitEstimator<'a> {
     pub(crate) now: Seconds,
     pub(crate) queue: &'a FairQueue,
@@ -17,8 +17,8 @@
 }
 
 impl QueueWaitEstimator<'_> {
-    /// How long round robin would take to come to this request: the cost that it dispatches before, over its rate. The
-    /// rate counts as what the concurrency limit can carry at the least.
+    /// The estimated time until round robin dispatches this request: the cost ahead of it divided by the dispatch rate. The
+    /// rate is at least the one that the concurrency limit can sustain.
     pub(crate) fn wait_for(&self, request: &Request) -> Seconds {
         let cost_ahead = self.queue.cost_ahead_of(&request.queue_entry());
         let sustainable_rate = self.concurrency.limit() * self.traffic.mean_request_cost()
@@ -28,8 +28,8 @@
     }
 }
 
-/// The longest wait in the queue with which a request is admitted: up to its latency objective, or up to its deadline if
-/// that comes first.
+/// The longest queue wait with which a request is admitted: its TTFT objective, or the time until its deadline if that is
+/// earlier.
 pub(crate) fn max_queue_wait(now: Seconds, time_left: Seconds, times: RequestDeadlines) -> Seconds {
     if now + times.ttft_objective < times.deadline {
         times.ttft_objective
--- a/crates/scheduler/src/affinity.rs
+++ b/crates/scheduler/src/affinity.rs
@@ -1,17 +1,17 @@
-//! Session affinity: which replicas a session's requests go to first.
+//! Session affinity: which replicas are preferred for the requests of a session.
 //!
-//! A session's next turn comes to any router, so each session has an order of replicas that all routers reckon alike (see
-//! [`crate::rendezvous`]), those of the own zone first where crossing zones has a cost. Its first replicas are asked for
-//! load reports before a request goes out, and the first one is expected to have the session's prompts in its cache.
+//! The turns of a session can arrive at any router, so each session has an order of replicas that all routers compute alike
+//! (see [`crate::rendezvous`]). Replicas in the router's own zone come first if crossing zones has a cost. The first replicas
+//! are probed for load reports before an attempt, and the first one is expected to have the session's prompts in its cache.
 
 use crate::fleet_view::FleetView;
 use crate::replica::Replica;
 use crate::types::{IncomingRequest, ReplicaId};
 
-/// Replicas of a session's order that are used.
+/// Number of replicas used from a session's order.
 const CANDIDATE_COUNT: usize = 2;
 
-/// A replica's place in a session's order. The derived order compares the fields from the first to the last.
+/// Sort key of a replica in a session's order. The derived order compares the fields from first to last.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct RankedReplica {
     is_remote: bool,
@@ -19,8 +19,8 @@
     replica: ReplicaId,
 }
 
-/// The first replicas in a session's order among those that qualify. Where crossing zones has a cost these are the first
-/// ones of the own zone and one beyond, since a zone may have more traffic than its replicas can carry.
+/// The first qualifying replicas in a session's order. If crossing zones has a cost, these are the first ones in the
+/// router's own zone and one remote replica, because a zone may have more traffic than its replicas can handle.
 pub(crate) fn rendezvous_order(
     view: &FleetView<'_>,
     request: &IncomingRequest,
@@ -31,7 +31,7 @@
     for (id, replica) in view.replicas.iter() {
         if qualifies(id, replica) {
             ranked.push(RankedReplica {
-                is_remote: !is_near(view, replica),
+                is_remote: !is_zone_preferred(view, replica),
                 score: replica.rendezvous_score(session, rendezvous_weight(view, replica)),
                 replica: id,
             });
@@ -49,7 +49,7 @@
     ranked.into_iter().map(|ranked| ranked.replica).collect()
 }
 
-/// The replicas that a session's requests go to first, as far as they are healthy.
+/// The first healthy replicas in a session's order.
 pub(crate) fn affinity_candidates(
     view: &FleetView<'_>,
     request: &IncomingRequest,
@@ -59,11 +59,11 @@
     })
 }
 
-fn is_near(view: &FleetView<'_>, replica: &Replica) -> bool {
+fn is_zone_preferred(view: &FleetView<'_>, replica: &Replica) -> bool {
     view.is_local_zone(replica) || view.settings.costs.cross_zone <= 0.0
 }
 
-/// Larger replicas come first more often: by the capacity that the list tells, else by how fast they read prompts.
+/// The hashing weight of a replica: its listed capacity weight, or its relative prefill speed if it has none.
 fn rendezvous_weight(view: &FleetView<'_>, replica: &Replica) -> f64 {
     let host_type = replica.host_type();
     replica
--- a/crates/scheduler/src/attempt.rs
+++ b/crates/scheduler/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt of a request at a replica, as an explicit state machine.
+//! The state machine of one attempt of a request at a replica.
 
 use crate::prompt_cache::CacheSource;
 use crate::types::{AttemptOutcome, ReplicaId, Seconds};
@@ -12,7 +12,7 @@
 /// | `AwaitingFirstToken` | first token | `Streaming` |
 /// | `AwaitingFirstToken`, `Streaming` | the attempt ends | `Ended` |
 ///
-/// A cancelled attempt may still have a first token that was on its way. All other events are ignored.
+/// A cancelled attempt may still get a first token that was already in transit. All other events are ignored.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum AttemptState {
     AwaitingFirstToken { is_cancelled: bool },
@@ -20,16 +20,14 @@
     Ended { may_have_run: bool },
 }
 
-/// One attempt.
 pub(crate) struct Attempt {
     pub(crate) replica: ReplicaId,
     pub(crate) sent_at: Seconds,
-    /// Its prompt tokens still to be read at the replica.
-    pub(crate) unread_tokens: f64,
-    /// What the replica was expected to have in its cache.
+    /// Prompt tokens that the replica is expected not to have in its cache.
+    pub(crate) prefill_tokens: f64,
+    /// Why the replica was expected to have part of the prompt in its cache.
     pub(crate) cache_source: CacheSource,
-    /// Estimated time to the first token.
-    pub(crate) estimate: Seconds,
+    pub(crate) estimated_ttft: Seconds,
     state: AttemptState,
 }
 
@@ -37,16 +35,16 @@
     pub(crate) fn new(
         replica: ReplicaId,
         sent_at: Seconds,
-        unread_tokens: f64,
+        prefill_tokens: f64,
         cache_source: CacheSource,
-        estimate: Seconds,
+        estimated_ttft: Seconds,
     ) -> Self {
         Attempt {
             replica,
             sent_at,
-            unread_tokens,
+            prefill_tokens,
             cache_source,
-            estimate,
+            estimated_ttft,
             state: AttemptState::AwaitingFirstToken {
                 is_cancelled: false,
             },
@@ -65,7 +63,7 @@
         !matches!(self.state, AttemptState::Ended { .. })
     }
 
-    /// The attempt is in flight, or it has ended so that the replica may have worked on it.
+    /// Whether the attempt is in flight, or ended in a way that leaves open whether the replica has run it.
     pub(crate) fn may_have_run(&self) -> bool {
         self.state
             != AttemptState::Ended {
@@ -73,7 +71,7 @@
             }
     }
 
-    /// Requests the cancellation; false where there is nothing to cancel.
+    /// Requests cancellation; returns false if the attempt is already cancelled, streaming or ended.
     pub(crate) fn cancel(&mut self) -> bool {
         let is_cancellable = self.state
             == AttemptState::AwaitingFirstToken {
@@ -85,7 +83,7 @@
         is_cancellable
     }
 
-    /// The first token has come; false where it was not awaited.
+    /// Records the first token; returns false if it was not awaited.
     pub(crate) fn start_streaming(&mut self) -> bool {
         let is_awaited = self.is_awaiting_first_token();
         if is_awaited {
@@ -94,21 +92,21 @@
         is_awaited
     }
 
-    /// The attempt ends; `None` where it had ended before. Returns the prompt tokens that were still to be read.
+    /// Ends the attempt and returns the prompt tokens not yet prefilled; `None` if it had already ended.
     pub(crate) fn end(&mut self, outcome: AttemptOutcome) -> Option<f64> {
-        let unread_tokens = match self.state {
+        let pending_prefill_tokens = match self.state {
             AttemptState::Ended { .. } => return None,
-            AttemptState::AwaitingFirstToken { .. } => self.unread_tokens,
+            AttemptState::AwaitingFirstToken { .. } => self.prefill_tokens,
             AttemptState::Streaming => 0.0,
         };
         self.state = AttemptState::Ended {
             may_have_run: may_have_run(outcome),
         };
-        Some(unread_tokens)
+        Some(pending_prefill_tokens)
     }
 }
 
-/// Whether a replica may have worked on an attempt that ended so.
+/// Whether a replica may have run an attempt with this outcome.
 fn may_have_run(outcome: AttemptOutcome) -> bool {
     match outcome {
         AttemptOutcome::AtCapacity
--- a/crates/scheduler/src/attempt/tests.rs
+++ b/crates/scheduler/src/attempt/tests.rs
@@ -1,4 +1,4 @@
-//! The table of transitions of an attempt.
+//! Unit tests of the state transitions of an attempt.
 
 use super::Attempt;
 use crate::prompt_cache::CacheSource;
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn first_token_is_taken_once() {
+fn first_token_is_recorded_once() {
     let mut attempt = attempt();
     assert!(attempt.start_streaming());
     assert!(!attempt.start_streaming());
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn end_is_taken_once_and_tells_what_was_still_to_be_read() {
+fn end_is_recorded_once_and_returns_pending_prefill_tokens() {
     let mut waiting = attempt();
     assert_eq!(waiting.end(AttemptOutcome::TimedOut), Some(500.0));
     assert_eq!(waiting.end(AttemptOutcome::TimedOut), None);
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn only_attempts_that_never_reached_a_replica_or_were_turned_away_cannot_have_run() {
+fn only_unsent_declined_or_invalid_attempts_cannot_have_run() {
     let cannot_have_run = [
         AttemptOutcome::AtCapacity,
         AttemptOutcome::ConnectFailed,
--- a/crates/scheduler/src/budgets.rs
+++ b/crates/scheduler/src/budgets.rs
@@ -1,25 +1,26 @@
-//! Token buckets: the quotas of tenants, and the budgets that the routers of a fleet share.
+//! Token buckets for the quotas of tenants and for the fleet-wide budgets.
 
 use crate::types::{
     BudgetDemand, BudgetGrant, BudgetGrants, BudgetKind, SchedulerSettings, Seconds, Tenant,
 };
 use std::collections::BTreeMap;
 
-/// A tenant's requests may be saved up to this many, or one second's: its part at one router may be below one.
+/// Minimum burst of a tenant's quota, which is otherwise one second's worth of requests and may be below one at one router.
 const MIN_QUOTA_BURST: f64 = 8.0;
-/// A tenant's even part at one router is widened by this, since clients are not spread evenly over routers and zones.
+/// A tenant's rate at one router is its even share times this factor, because clients are not spread evenly over routers
+/// and zones.
 const QUOTA_SLACK: f64 = 1.3;
 
-/// A token bucket that starts full. Rate and depth are given with each use, since they may change.
+/// A token bucket that starts full. Rate and depth are parameters of each call because they may change.
 #[derive(Clone, Default)]
 pub(crate) struct TokenBucket {
-    /// `None` before the first use.
+    /// `None` until the first call.
     level: Option<f64>,
     updated_at: Seconds,
 }
 
 impl TokenBucket {
-    /// Takes a token if there is one; `rate` is in tokens a second.
+    /// Takes a token if one is available; `rate` is in tokens per second.
     pub(crate) fn try_take(&mut self, now: Seconds, rate: f64, depth: f64) -> bool {
         let level = match self.level {
             None => depth,
@@ -34,13 +35,13 @@
     }
 }
 
-/// The quotas of the tenants at this router, where the fleet has no budget for them.
+/// This router's local quotas of the tenants, for tenants without a fleet-wide budget.
 pub(crate) struct TenantQuotas {
     buckets: Vec<TokenBucket>,
 }
 
 impl TenantQuotas {
-    /// At least one bucket: at a site without tenants all requests are of the tenant 0.
+    /// Creates at least one bucket, because without configured tenants all requests belong to tenant 0.
     pub(crate) fn new(settings: &SchedulerSettings) -> Self {
         let count = settings.tenants.len().max(1);
         TenantQuotas {
@@ -48,13 +49,13 @@
         }
     }
 
-    /// The position of a tenant; a position that the settings lack counts as the last one.
+    /// Maps a tenant that is not in the settings to the last tenant.
     pub(crate) fn position(&self, tenant: usize) -> usize {
         tenant.min(self.buckets.len() - 1)
     }
 
-    /// Whether a request of this tenant is within its quota, which it then uses. A budget of the fleet, where there is
-    /// one, takes the place of the router's own part.
+    /// Takes a request from this tenant's quota; returns false if the quota is used up. A fleet-wide budget, if there is one,
+    /// replaces the router's local quota.
     pub(crate) fn try_take(
         &mut self,
         now: Seconds,
@@ -63,20 +64,20 @@
         budgets: &mut BudgetLedger,
     ) -> bool {
         let kind = BudgetKind::Tenant(tenant);
-        let local_part =
+        let local_rate =
             |tenant: &Tenant| tenant.rate_limit * QUOTA_SLACK / settings.router_count as f64;
         let local = settings
             .tenants
             .get(tenant)
             .filter(|_| !budgets.has_budget(kind));
-        let rate = local.map_or(f64::INFINITY, local_part);
+        let rate = local.map_or(f64::INFINITY, local_rate);
         budgets.request_unit(now, kind, 1.0)
             && self.buckets[tenant].try_take(now, rate, rate.max(MIN_QUOTA_BURST))
     }
 }
 
-/// What is spent of one budget of the fleet: a bucket that starts empty, since a router that starts again and again must
-/// not bring a burst along each time.
+/// This router's account of one fleet-wide budget: a bucket that starts empty, so that a router that restarts repeatedly
+/// does not get a burst each time.
 #[derive(Clone)]
 struct BudgetAccount {
     grant: BudgetGrant,
@@ -115,31 +116,31 @@
     }
 }
 
-/// What is spent of all budgets of the fleet. What has no budget may be spent.
+/// This router's accounts of all fleet-wide budgets. A kind without a budget is unlimited.
 #[derive(Clone, Default)]
 pub struct BudgetLedger(BTreeMap<BudgetKind, BudgetAccount>);
 
 impl BudgetLedger {
-    /// Takes what the fleet grants from now on; budgets that are not among the grants are dropped.
+    /// Replaces the grants; accounts without a grant are removed.
     pub fn set_grants(&mut self, now: Seconds, grants: &BudgetGrants) {
         self.0.retain(|kind, _| grants.contains_key(kind));
         for (kind, grant) in grants {
             let account = self.0.entry(*kind);
             let account = account.or_insert_with(|| BudgetAccount::new(now, *grant));
-            // What has come in until now came in by the grant until now.
+            // Until now the account has been refilled by the previous grant.
             account.refill(now);
             account.grant = *grant;
             account.refill(now);
         }
     }
 
-    /// Counts the demand for a unit and spends it where there is one; returns whether it may be used.
+    /// Records the demand for a unit and spends one if available; returns whether it was available.
     pub fn request_unit(&mut self, now: Seconds, kind: BudgetKind, priority_weight: f64) -> bool {
         self.record_demand(kind, 1.0, priority_weight);
         self.spend_unit(now, kind)
     }
 
-    /// Spends a unit whose demand has been counted before; returns whether it may be used.
+    /// Spends a unit if available, without recording demand; returns whether it was available.
     pub fn spend_unit(&mut self, now: Seconds, kind: BudgetKind) -> bool {
         let has_unit = self.has_unit(now, kind, 0.0);
         if has_unit {
@@ -151,15 +152,15 @@
         has_unit
     }
 
-    /// Whether a unit may be spent so that this part, from 0 to 1, of what can be saved up is left behind it.
-    pub fn has_unit(&self, now: Seconds, kind: BudgetKind, reserved_part: f64) -> bool {
+    /// Whether a unit is available while `reserved_fraction`, from 0 to 1, of the rest of the bucket's depth remains in it.
+    pub fn has_unit(&self, now: Seconds, kind: BudgetKind, reserved_fraction: f64) -> bool {
         self.0.get(&kind).is_none_or(|account| {
             let reservable = (account.depth(now) - 1.0).max(0.0);
-            account.level_at(now) >= 1.0 + reserved_part * reservable
+            account.level_at(now) >= 1.0 + reserved_fraction * reservable
         })
     }
 
-    /// Counts the demand for units, whoever decides about them.
+    /// Records the demand for units without spending any.
     pub fn record_demand(&mut self, kind: BudgetKind, units: f64, priority_weight: f64) {
         if let Some(account) = self.0.get_mut(&kind) {
             account.demand.units += units;
@@ -167,12 +168,12 @@
         }
     }
 
-    /// Whether there is a budget of this kind.
+    /// Whether the fleet limits this kind by a budget.
     pub fn has_budget(&self, kind: BudgetKind) -> bool {
         self.0.contains_key(&kind)
     }
 
-    /// Units a second that come in now.
+    /// The current refill rate in units per second; `None` if the kind has no budget.
     pub fn rate(&self, now: Seconds, kind: BudgetKind) -> Option<f64> {
         let grant = self.0.get(&kind)?.grant;
         Some(if now < grant.expires_at {
@@ -182,7 +183,7 @@
         })
     }
 
-    /// What has been asked for since the start, for each kind that has a budget.
+    /// The demand since the budget was first granted, for each kind that has a budget.
     pub fn demand(&self) -> BTreeMap<BudgetKind, BudgetDemand> {
         let accounts = self.0.iter();
         accounts
--- a/crates/scheduler/src/budgets/tests.rs
+++ b/crates/scheduler/src/budgets/tests.rs
@@ -1,4 +1,4 @@
-//! Token buckets and the ledger of budgets alone.
+//! Unit tests of token buckets and the budget ledger.
 
 use super::{BudgetLedger, TokenBucket};
 use crate::types::{BudgetGrant, BudgetKind};
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn expired_grant_leaves_the_guaranteed_part() {
+fn expired_grant_leaves_the_guaranteed_rate() {
     let ledger = ledger(0.0);
     assert_eq!(ledger.rate(9.0, BudgetKind::Retries), Some(3.0));
     assert_eq!(ledger.rate(10.0, BudgetKind::Retries), Some(1.0));
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn kind_without_a_budget_may_always_be_spent() {
+fn kind_without_a_budget_is_unlimited() {
     let mut ledger = ledger(0.0);
     assert!(!ledger.has_budget(BudgetKind::Probes));
     assert!(ledger.request_unit(0.0, BudgetKind::Probes, 1.0));
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn demand_is_counted_whether_granted_or_not() {
+fn demand_is_recorded_whether_or_not_a_unit_is_available() {
     let mut ledger = ledger(0.0);
     ledger.request_unit(0.0, BudgetKind::Retries, 5.0);
     ledger.record_demand(BudgetKind::Retries, 0.5, 2.0);
@@ -64,9 +64,9 @@
 }
 
 #[test]
-fn reserve_is_left_behind_a_unit() {
+fn reserved_fraction_remains_after_spending_a_unit() {
     let ledger = ledger(0.0);
-    // One second at three units a second: of the four that can be saved up, half of the other three must be left.
+    // The bucket is four units deep: one is spent, and half of the other three must remain. It fills at three units per second.
     assert!(!ledger.has_unit(0.8, BudgetKind::Retries, 0.5));
     assert!(ledger.has_unit(0.9, BudgetKind::Retries, 0.5));
 }
--- a/crates/scheduler/src/concurrency.rs
+++ b/crates/scheduler/src/concurrency.rs
@@ -1,60 +1,61 @@
-//! The limit of requests that a router may have in flight at all warm replicas together, and at each of them.
+//! The concurrency limit: how many requests a router may have in flight at all warm replicas together and at each of them.
 //!
-//! A limit for each replica alone would be too coarse: one request from each of many routers is too much for a replica.
-//! So the router's limits have a common bound, which grows on early first tokens and shrinks on late ones.
+//! Limits per replica alone would be too coarse, because one request from each of many routers can overload a replica. The
+//! router therefore also has a common limit, which grows on early first tokens and shrinks on late ones.
 
 use crate::types::Seconds;
 
-/// The limit at the start for each replica, shared among the routers.
+/// The initial limit per replica, divided among the routers.
 const INITIAL_LIMIT_PER_REPLICA: f64 = 8.0;
-/// The limit grows by this factor on an early first token while half of it is used,
+/// Growth factor of the limit on an early first token, if at least half of the limit is used.
 const GROWTH_FACTOR: f64 = 1.04;
-/// and shrinks by this one on a late first token, a timeout or a replica at capacity. Deeper cuts left replicas idle.
-const CUT_FACTOR: f64 = 0.985;
-/// The limit of one replica is this many even parts of the whole,
-const REPLICA_LIMIT_PARTS: f64 = 4.0;
-/// and at least this many requests.
+/// Reduction factor of the limit on a late first token, a broken stream, a timeout or a replica at capacity. With stronger
+/// reductions replicas were left idle.
+const REDUCTION_FACTOR: f64 = 0.985;
+/// The limit of one replica as a multiple of the limit's even share per warm replica.
+const REPLICA_LIMIT_FACTOR: f64 = 4.0;
+/// The limit of one replica is at least this many requests.
 const MIN_REPLICA_LIMIT: f64 = 4.0;
-/// Best-effort requests use only this part: other routers may hold requests of higher priority.
-const BEST_EFFORT_PART: f64 = 0.4;
-/// A first token is late past this part of its objective: prompts being read hold up streams, and a first token at the
-/// objective itself is a timeout seen late.
-const LATE_PART: f64 = 0.3;
-
-/// How a first token counts for the limit.
+/// Best-effort requests may use only this fraction of the limit, because other routers may have queued requests of higher
+/// priority.
+const BEST_EFFORT_FRACTION: f64 = 0.4;
+/// A first token is late after this fraction of its TTFT objective: prefill delays running streams, and a first token that
+/// needs the whole objective shows overload too late.
+const LATE_FRACTION: f64 = 0.3;
+
+/// How a first token affects the limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) enum Promptness {
+pub(crate) enum FirstTokenTiming {
     Early,
-    InTime,
+    OnTime,
     Late,
 }
 
-impl Promptness {
-    /// Compares a time to first token with the request's objective and with the time that the request waited here
-    /// before. Where replicas are replaced all day nothing is cached and first tokens are late: a limit cut for that
-    /// alone shrank until requests waited longer in the router than at replicas that had capacity.
+impl FirstTokenTiming {
+    /// Compares a time to first token with the request's TTFT objective and with the time that the request was queued in the
+    /// router. If replicas are replaced frequently, nothing is cached and first tokens are late although replicas have
+    /// capacity. A limit reduced for that reason alone shrank until requests waited longer in the router than at replicas.
     pub(crate) fn of(elapsed: Seconds, ttft_objective: Seconds, waited: Seconds) -> Self {
-        let late = ttft_objective * LATE_PART;
+        let late = ttft_objective * LATE_FRACTION;
         if elapsed > late && elapsed > waited {
-            Promptness::Late
+            FirstTokenTiming::Late
         } else if elapsed <= late / 2.0 {
-            Promptness::Early
+            FirstTokenTiming::Early
         } else {
-            Promptness::InTime
+            FirstTokenTiming::OnTime
         }
     }
 }
 
-/// The limit of one router.
 pub(crate) struct ConcurrencyLimit {
     limit: f64,
-    /// The limit grows by whole requests until its first cut.
-    has_been_cut: bool,
-    /// The warm replicas that the limit is for.
+    /// Until its first reduction the limit grows by whole requests.
+    has_been_reduced: bool,
+    /// The number of warm replicas for which the limit was last resized.
     warm_replica_count: usize,
     max_available_replicas: usize,
-    /// Routers for each replica, at least 1: the more there are, the fewer answers come to each router and the more each
-    /// answer counts.
+    /// Routers per replica, at least 1. With more of them each router gets fewer answers, so each answer changes the limit
+    /// more.
     feedback_sparsity: f64,
 }
 
@@ -62,21 +63,21 @@
     pub(crate) fn new() -> Self {
         ConcurrencyLimit {
             limit: 1.0,
-            has_been_cut: false,
+            has_been_reduced: false,
             warm_replica_count: 0,
             max_available_replicas: 0,
             feedback_sparsity: 1.0,
         }
     }
 
-    /// Takes how many replicas are available now.
+    /// Records the number of available replicas.
     pub(crate) fn observe_available(&mut self, available: usize, router_count: usize) {
         self.max_available_replicas = self.max_available_replicas.max(available);
         let replicas = self.max_available_replicas.max(1) as f64;
         self.feedback_sparsity = (router_count as f64 / replicas).max(1.0);
     }
 
-    /// Keeps the limit's part for each warm replica. Without any warm replica the limit stays as it is.
+    /// Scales the limit with the number of warm replicas. If there is none, the limit does not change.
     pub(crate) fn resize(&mut self, warm_replica_count: usize, router_count: usize) {
         if warm_replica_count == 0 || warm_replica_count == self.warm_replica_count {
             return;
@@ -90,71 +91,71 @@
         self.warm_replica_count = warm_replica_count;
     }
 
-    /// Takes a first token; `in_flight` is the number of requests at warm replicas.
+    /// Adapts the limit to a first token; `in_flight` returns the number of requests in flight at warm replicas.
     pub(crate) fn record_first_token(
         &mut self,
-        promptness: Promptness,
+        timing: FirstTokenTiming,
         in_flight: impl FnOnce() -> usize,
     ) {
-        match promptness {
-            Promptness::Late => self.cut(),
-            Promptness::Early if in_flight() as f64 * 2.0 >= self.limit => self.grow(),
-            Promptness::Early | Promptness::InTime => {}
+        match timing {
+            FirstTokenTiming::Late => self.reduce(),
+            FirstTokenTiming::Early if in_flight() as f64 * 2.0 >= self.limit => self.grow(),
+            FirstTokenTiming::Early | FirstTokenTiming::OnTime => {}
         }
     }
 
-    /// Shrinks the limit for a sign of overload; one request may always be in flight.
-    pub(crate) fn cut(&mut self) {
-        let factor = CUT_FACTOR.powf(self.feedback_sparsity);
+    /// Reduces the limit after a sign of overload, to no less than one request.
+    pub(crate) fn reduce(&mut self) {
+        let factor = REDUCTION_FACTOR.powf(self.feedback_sparsity);
         self.limit = (self.limit * factor).max(1.0);
-        self.has_been_cut = true;
+        self.has_been_reduced = true;
     }
 
     fn grow(&mut self) {
-        if self.has_been_cut {
+        if self.has_been_reduced {
             self.limit *= GROWTH_FACTOR.powf(self.feedback_sparsity);
         } else {
             self.limit += 1.0;
         }
     }
 
-    /// Continues from the limit per replica that another process has learned.
+    /// Restores a limit per replica that another process has learned.
     pub(crate) fn restore(&mut self, limit_per_replica: f64) {
         if self.warm_replica_count > 0 {
             self.limit = (limit_per_replica * self.warm_replica_count as f64).max(1.0);
-            self.has_been_cut = true;
+            self.has_been_reduced = true;
         }
     }
 
-    /// Requests that may be in flight at all warm replicas together.
+    /// Maximum number of requests in flight at all warm replicas together.
     pub(crate) fn limit(&self) -> f64 {
         self.limit
     }
 
-    /// The limit's part for each warm replica.
+    /// The limit's even share per warm replica.
     pub(crate) fn limit_per_replica(&self) -> f64 {
         self.limit / self.warm_replica_count.max(1) as f64
     }
 
-    /// Whether another request fits beside those in flight at warm replicas.
+    /// Whether the limit allows another request in addition to those in flight at warm replicas.
     pub(crate) fn has_free_slot(&self, in_flight: usize, is_best_effort: bool) -> bool {
-        let part = if is_best_effort {
-            BEST_EFFORT_PART
+        let fraction = if is_best_effort {
+            BEST_EFFORT_FRACTION
         } else {
             1.0
         };
-        (in_flight as f64) < (self.limit * part).max(1.0)
+        (in_flight as f64) < (self.limit * fraction).max(1.0)
     }
 
-    /// Whether another request fits beside those in flight at one replica.
+    /// Whether the limit of one replica allows another request in addition to those in flight there.
     pub(crate) fn has_free_slot_at_replica(&self, in_flight: usize) -> bool {
         let replicas = self.warm_replica_count.max(1) as f64;
-        let limit = (REPLICA_LIMIT_PARTS * self.limit / replicas).max(MIN_REPLICA_LIMIT);
+        let limit = (REPLICA_LIMIT_FACTOR * self.limit / replicas).max(MIN_REPLICA_LIMIT);
         (in_flight as f64) < limit.floor()
     }
 
-    /// There are more routers than replicas: answers are rare at each router, so it asks replicas for load reports, and
-    /// an idle replica may be used beside the limit, which is too coarse then.
+    /// Whether there are more routers than replicas. Each router then gets few answers, so it probes replicas for load reports,
+    /// and may use an idle replica beyond the limit, which is too coarse in that case.
     pub(crate) fn has_sparse_feedback(&self) -> bool {
         self.feedback_sparsity > 1.0
     }
@@ -163,7 +164,7 @@
         self.warm_replica_count
     }
 
-    /// The most replicas that were available at once.
+    /// The largest number of replicas that were available at the same time.
     pub(crate) fn max_available_replicas(&self) -> usize {
         self.max_available_replicas
     }
--- a/crates/scheduler/src/concurrency/tests.rs
+++ b/crates/scheduler/src/concurrency/tests.rs
@@ -1,6 +1,6 @@
-//! The concurrency limit alone.
+//! Unit tests of the concurrency limit.
 
-use super::{ConcurrencyLimit, Promptness};
+use super::{ConcurrencyLimit, FirstTokenTiming};
 
 const ROUTERS: usize = 4;
 
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn limit_keeps_its_part_for_each_warm_replica() {
+fn limit_scales_with_the_number_of_warm_replicas() {
     let mut limit = limit_for(8);
     assert_eq!(limit.limit(), 16.0);
     limit.resize(4, ROUTERS);
@@ -22,22 +22,22 @@
 }
 
 #[test]
-fn limit_grows_by_requests_until_its_first_cut_and_by_a_factor_then() {
+fn limit_grows_by_requests_until_its_first_reduction_and_by_a_factor_afterwards() {
     let mut limit = limit_for(8);
-    limit.record_first_token(Promptness::Early, || 8);
+    limit.record_first_token(FirstTokenTiming::Early, || 8);
     assert_eq!(limit.limit(), 17.0);
-    limit.cut();
-    let after_cut = limit.limit();
-    assert!(after_cut < 17.0);
-    limit.record_first_token(Promptness::Early, || 17);
-    assert!(limit.limit() > after_cut && limit.limit() < after_cut + 1.0);
+    limit.reduce();
+    let after_reduction = limit.limit();
+    assert!(after_reduction < 17.0);
+    limit.record_first_token(FirstTokenTiming::Early, || 17);
+    assert!(limit.limit() > after_reduction && limit.limit() < after_reduction + 1.0);
 }
 
 #[test]
 fn limit_does_not_grow_while_less_than_half_is_used() {
     let mut limit = limit_for(8);
-    limit.record_first_token(Promptness::Early, || 7);
-    limit.record_first_token(Promptness::InTime, || 16);
+    limit.record_first_token(FirstTokenTiming::Early, || 7);
+    limit.record_first_token(FirstTokenTiming::OnTime, || 16);
     assert_eq!(limit.limit(), 16.0);
 }
 
@@ -45,7 +45,7 @@
 fn limit_never_falls_below_one_request() {
     let mut limit = limit_for(1);
     for _ in 0..1000 {
-        limit.cut();
+        limit.reduce();
     }
     assert_eq!(limit.limit(), 1.0);
     assert!(limit.has_free_slot(0, true));
@@ -53,10 +53,16 @@
 }
 
 #[test]
-fn first_token_is_late_only_if_it_took_longer_than_the_request_waited() {
-    assert_eq!(Promptness::of(0.4, 1.0, 0.1), Promptness::Late);
-    assert_eq!(Promptness::of(0.4, 1.0, 0.5), Promptness::InTime);
-    assert_eq!(Promptness::of(0.15, 1.0, 0.0), Promptness::Early);
+fn first_token_is_late_only_if_it_took_longer_than_the_request_was_queued() {
+    assert_eq!(FirstTokenTiming::of(0.4, 1.0, 0.1), FirstTokenTiming::Late);
+    assert_eq!(
+        FirstTokenTiming::of(0.4, 1.0, 0.5),
+        FirstTokenTiming::OnTime
+    );
+    assert_eq!(
+        FirstTokenTiming::of(0.15, 1.0, 0.0),
+        FirstTokenTiming::Early
+    );
 }
 
 #[test]
--- a/crates/scheduler/src/endpoint_confirmation.rs
+++ b/crates/scheduler/src/endpoint_confirmation.rs
@@ -1,61 +1,55 @@
-//! Whether the endpoint list is known to be current, and what a router goes by while it is not.
+//! Tracks whether the endpoint list is known to be current, and the evidence that an attempt needs while it is not.
 //!
-//! A list is current while discovery has answered and is asked again. One that was restored from an earlier process, whose
-//! polls fail, or of which only a part has come may lack drains and removals of which the router already counts as notified.
-//! Where replicas may be probed, an attempt then goes only to a replica that has just answered a probe well: a draining
-//! replica declines its probes. Where they may not, requests wait for the first answer after a start, and for a whole
-//! answer after a part of one, for a bounded time; else the last list is used, since without it an outage of discovery would be an outage of the
-//! whole service.
+//! A list is current while discovery answers its polls. If the list was restored from an earlier process, its polls fail or
+//! only part of an answer has arrived, it may lack drains and removals that already count as notified.
 //!
-//! Invariant: while the list is not current, the first byte of each attempt follows evidence from the replica itself within
-//! the grace for draining. Whenever the replica has begun to drain since then, the attempt is within the grace. Half of the
-//! grace is for the age of the evidence when the attempt is placed; the other half, less the time for which a process may be
-//! held up, is for its connection ([`max_write_start_delay`]).
+//! If replicas may be probed, an attempt is then sent only to a replica that has recently answered a probe successfully; a
+//! draining replica declines probes. If they may not be probed, requests wait for a bounded time for the first answer after a
+//! start, or for the rest of a partial answer. After that, and in all other cases, the last list is used, because otherwise an
+//! outage of discovery would stop the whole service.
+//!
+//! Invariant: while the list is not current, the first byte of each attempt is sent within the drain grace after evidence
+//! from the replica itself. Even if the replica has started to drain since then, the attempt is within the grace. Half of the
+//! grace is allowed for the age of the evidence at placement. The other half, less the time for which the process may stall,
+//! is allowed for the connection ([`max_write_start_delay`]).
 
 use crate::types::Seconds;
 
-/// A router can be held up for this long between reading its clock and writing an attempt.
-const MAX_WRITE_DELAY: Seconds = 0.15;
-/// Evidence is used, and connections are waited for, for this long at least, however short the grace is: nothing would ever
-/// be young enough else.
+/// A router process can stall for this long between reading its clock and writing an attempt.
+const MAX_PROCESS_STALL: Seconds = 0.15;
+/// Lower bound of the evidence lifetime and of the time for a connection. With a very short drain grace no evidence would
+/// ever be recent enough otherwise.
 const MIN_LIFETIME: Seconds = 0.05;
-/// The age that evidence may have when an attempt is placed, as a part of the grace for draining.
-const EVIDENCE_PART: f64 = 0.5;
-/// A replica that has declined a probe is not probed again for this long.
-const DECLINE_LIFETIME: Seconds = 0.5;
-/// A replica that leaves a probe unanswered for this long is passed over.
-const PROBE_PATIENCE: Seconds = 0.1;
-/// Requests wait for a poll for this long at most: by then clients prefer an answer by the list that there is.
+/// The age that evidence may have at placement, as a fraction of the drain grace.
+const EVIDENCE_AGE_FRACTION: f64 = 0.5;
+/// A replica that has declined a probe or an attempt is not used or probed again for this long.
+const DECLINE_BACKOFF: Seconds = 0.5;
+/// Other replicas are preferred to one that has not answered its probe within this time.
+const PROBE_TIMEOUT: Seconds = 0.1;
+/// The longest time for which requests wait for a poll; after that an answer based on the old list is better for clients.
 const MAX_POLL_WAIT: Seconds = 3.0;
 
-/// How long a replica's answer to a probe stands for a current list, by the grace for draining.
+/// How long a replica's successful answer to a probe is valid as evidence.
 pub(crate) fn evidence_lifetime(drain_grace: Seconds) -> Seconds {
-    (drain_grace * EVIDENCE_PART).max(MIN_LIFETIME)
+    (drain_grace * EVIDENCE_AGE_FRACTION).max(MIN_LIFETIME)
 }
 
-/// An attempt must begin to be written within this many seconds of being placed if the endpoint list is not current then; by
-/// the grace for draining in seconds.
+/// If the endpoint list is not current when an attempt is placed, its first byte must be written within this time. Both
+/// times are in seconds.
 pub fn max_write_start_delay(drain_grace: Seconds) -> Seconds {
-    (drain_grace * (1.0 - EVIDENCE_PART) - MAX_WRITE_DELAY).max(MIN_LIFETIME)
+    (drain_grace * (1.0 - EVIDENCE_AGE_FRACTION) - MAX_PROCESS_STALL).max(MIN_LIFETIME)
 }
 
-/// What is known of the age of the endpoint list.
+/// Whether the endpoint list is known to be current, and if not, why.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) enum ListConfirmation {
-    /// It is current.
     #[default]
     Confirmed,
-    /// It is of an earlier process, and no poll of this one was answered.
-    Restored {
-        /// When it was restored.
-        at: Seconds,
-    },
-    /// A part of an answer has come, which may have told of a drain.
-    Incomplete {
-        /// When it came.
-        at: Seconds,
-    },
-    /// It was current once, or may be: the last poll has failed or is overdue.
+    /// The list was restored at this time from an earlier process, and no poll of this process has been answered.
+    Restored { at: Seconds },
+    /// The first part of an answer, which may have announced a drain, arrived at this time.
+    Incomplete { at: Seconds },
+    /// The last poll has failed or is overdue, or requests must not wait for a poll.
     Unconfirmed,
 }
 
@@ -64,7 +58,7 @@
         self == ListConfirmation::Confirmed
     }
 
-    /// Whether requests wait for a poll, at a site where replicas can't be probed.
+    /// Whether requests wait for a poll if replicas may not be probed.
     pub(crate) fn awaits_poll(self, now: Seconds) -> bool {
         match self {
             ListConfirmation::Restored { at } | ListConfirmation::Incomplete { at } => {
@@ -74,35 +68,36 @@
         }
     }
 
-    /// A poll may have missed something. A restored list still waits for an answer.
+    /// Records a failed or overdue poll. Requests that wait for a poll continue to wait.
     pub(crate) fn mark_unconfirmed(&mut self) {
         if self.is_confirmed() {
             *self = ListConfirmation::Unconfirmed;
         }
     }
 
-    /// A part of an answer has come. Further parts do not prolong the wait for the whole.
+    /// Records that part of an answer has arrived. Further parts do not extend the wait for the complete answer.
     pub(crate) fn mark_incomplete(&mut self, now: Seconds) {
         if !matches!(self, ListConfirmation::Incomplete { .. }) {
             *self = ListConfirmation::Incomplete { at: now };
         }
     }
 
-    /// Nothing listens at discovery's address: there is nobody to wait for.
+    /// Records that nothing listens on the discovery address, so waiting for a poll is pointless.
     pub(crate) fn mark_unreachable(&mut self) {
         *self = ListConfirmation::Unconfirmed;
     }
 }
 
-/// What one replica's answers to probes say of whether it takes requests.
+/// Evidence, from probes and declined attempts, of whether a replica accepts requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct ReplicaEvidence {
-    /// When the last probe was sent that was answered well.
+    /// Send time of the last successful probe, unless the replica has declined since.
     accepted_at: Option<Seconds>,
-    /// When a probe was last declined or unanswered.
+    /// When a probe or an attempt last failed, unless a probe has succeeded since.
     declined_at: Option<Seconds>,
     probes_in_flight: usize,
-    /// When the first of the probes in flight was sent, or an earlier one: an answer counts from no later time.
+    /// No later than the send time of any probe in flight. Answers are dated back to it, because they are not matched to
+    /// probes.
     sent_at: Seconds,
 }
 
@@ -127,13 +122,13 @@
         }
     }
 
-    /// The replica has declined a probe or an attempt, or can't be reached.
+    /// Records that the replica has declined a probe or an attempt, or is unreachable.
     pub(crate) fn record_declined(&mut self, now: Seconds) {
         self.accepted_at = None;
         self.declined_at = Some(now);
     }
 
-    /// Whether the replica has said within `lifetime` that it takes requests.
+    /// Whether the replica has accepted a probe within `lifetime`.
     pub(crate) fn is_valid(&self, now: Seconds, lifetime: Seconds) -> bool {
         self.accepted_at.is_some_and(|at| now < at + lifetime)
     }
@@ -142,12 +137,12 @@
         self.probes_in_flight > 0
     }
 
-    /// Whether another replica is to be asked.
-    pub(crate) fn is_unlikely(&self, now: Seconds) -> bool {
+    /// Whether other replicas should be preferred, because this one has declined or its probe has timed out.
+    pub(crate) fn is_suspect(&self, now: Seconds) -> bool {
         let has_declined = self
             .declined_at
-            .is_some_and(|at| now < at + DECLINE_LIFETIME);
-        let is_unanswered = self.has_probe_in_flight() && now > self.sent_at + PROBE_PATIENCE;
+            .is_some_and(|at| now < at + DECLINE_BACKOFF);
+        let is_unanswered = self.has_probe_in_flight() && now > self.sent_at + PROBE_TIMEOUT;
         has_declined || is_unanswered
     }
 }
--- a/crates/scheduler/src/endpoint_poll/tests.rs
+++ b/crates/scheduler/src/endpoint_poll/tests.rs
@@ -1,9 +1,9 @@
-//! The schedule of polls alone.
+//! Unit tests of the poll schedule.
 
 use super::EndpointPoll;
 
 #[test]
-fn first_poll_is_spread_over_a_quarter_of_the_interval_and_bounded() {
+fn first_poll_is_spread_over_a_quarter_of_the_interval_up_to_a_bound() {
     let mut poll = EndpointPoll::default();
     assert!(!poll.take_due(1e9));
     poll.schedule_first(100.0, 8.0, 0.5);
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn retry_comes_within_its_interval_whatever_the_spread() {
+fn retry_is_due_within_its_interval_for_any_spread() {
     let mut poll = EndpointPoll::default();
     poll.schedule_retry(10.0, 0.0);
     assert!(!poll.take_due(10.18));
--- a/crates/scheduler/src/fair_queue.rs
+++ b/crates/scheduler/src/fair_queue.rs
@@ -1,8 +1,8 @@
-//! The queue of requests that wait for capacity: priority tiers, within a tier deficit round robin over tenants, within a
-//! tenant earliest deadline first.
+//! The queue of requests that wait for capacity: strict priority tiers, deficit round robin over tenants within a tier, and
+//! earliest deadline first within a tenant.
 //!
-//! Deficit round robin gives each tenant with queued requests a quantum in its turn and dispatches its requests while
-//! their cost is covered, so that tenants get even parts of the capacity in tokens, whatever their requests cost.
+//! Deficit round robin adds a quantum to the deficit of each tenant in its turn and dispatches the tenant's requests while the
+//! deficit covers their cost. Tenants thus get equal shares of the capacity in tokens, whatever their requests cost.
 
 use crate::time::to_micros;
 use crate::types::{RequestId, SchedulerSettings, Seconds};
@@ -15,16 +15,16 @@
     pub(crate) sequence: u64,
 }
 
-/// A request as the queue keeps it. The same entry must be given to take it out again.
+/// An entry of the queue. The same entry must be passed to remove the request.
 #[derive(Clone, Copy)]
 pub(crate) struct QueueEntry {
     pub(crate) request: RequestId,
     pub(crate) tenant: usize,
     pub(crate) tier: usize,
     pub(crate) key: QueueKey,
-    /// Tokens.
+    /// In tokens.
     pub(crate) cost: f64,
-    /// Past this time an answer earns nothing.
+    /// An answer after this time is worth nothing.
     pub(crate) useful_until: Seconds,
 }
 
@@ -44,18 +44,18 @@
 #[derive(Default)]
 struct TenantQueue {
     requests: BTreeMap<QueueKey, QueuedRequest>,
-    /// The sum of their costs.
+    /// The total cost of the requests.
     cost: f64,
-    /// Cost that the tenant may still dispatch in its turn.
+    /// The cost that the tenant may still dispatch.
     deficit: f64,
-    /// It has got its quantum in this turn.
+    /// Whether the tenant has received its quantum in this turn.
     has_quantum: bool,
 }
 
 /// All queued requests of one priority weight.
 struct Tier {
     priority_weight: f64,
-    /// Its weight is below that of any request within its tenant's quota.
+    /// The priority weight is below that of every request within its tenant's quota.
     is_best_effort: bool,
     queues: Vec<TenantQueue>,
     /// Tenants with queued requests, in round-robin order.
@@ -93,7 +93,7 @@
         queue.cost += entry.cost;
     }
 
-    /// An emptied queue starts anew, its deficit too.
+    /// Removes a request; a tenant's queue that becomes empty loses its deficit.
     fn remove(&mut self, entry: &QueueEntry) {
         let queue = &mut self.queues[entry.tenant];
         queue.requests.remove(&entry.key);
@@ -104,7 +104,7 @@
         }
     }
 
-    /// The request whose turn it is; its cost is taken from its tenant's deficit.
+    /// The next request in round-robin order; its cost is taken from its tenant's deficit.
     fn charge_next(&mut self, quantum: f64) -> Option<RequestId> {
         loop {
             let tenant = *self.turns.front()?;
@@ -126,14 +126,14 @@
 
 /// All queued requests.
 pub(crate) struct FairQueue {
-    /// The highest priority weight first.
+    /// In descending order of priority weight.
     tiers: Vec<Tier>,
-    /// By the time after which an answer earns nothing.
+    /// All queued requests, ordered by `useful_until`.
     expiries: BTreeSet<(u64, RequestId)>,
 }
 
 impl FairQueue {
-    /// A tier for each priority weight there is, within a quota and beyond it.
+    /// Creates one tier for each distinct priority weight of requests within and beyond a quota.
     pub(crate) fn new(settings: &SchedulerSettings) -> Self {
         let over_quota = if settings.tenants.is_empty() {
             1.0
@@ -156,7 +156,7 @@
         }
     }
 
-    /// The highest tier of no more than this priority weight.
+    /// The highest tier whose priority weight is at most this one.
     pub(crate) fn tier_for(&self, priority_weight: f64) -> usize {
         let position = self
             .tiers
@@ -192,14 +192,14 @@
         self.tiers.iter().position(|tier| !tier.is_empty())
     }
 
-    /// The request whose turn it is in the highest tier that has any. Its cost is charged to its tenant; the caller takes
-    /// it out of the queue.
+    /// The next request of the highest tier with queued requests. Its cost is charged to its tenant; the caller removes it
+    /// from the queue.
     pub(crate) fn charge_next(&mut self, quantum: f64) -> Option<RequestId> {
         let tier = self.tiers.iter_mut().find(|tier| !tier.is_empty())?;
         tier.charge_next(quantum)
     }
 
-    /// The cost, in tokens, that round robin would dispatch before it comes to a request that joined the queue now.
+    /// The cost, in tokens, that round robin would dispatch before a request that is queued now.
     pub(crate) fn cost_ahead_of(&self, entry: &QueueEntry) -> f64 {
         let higher: f64 = self.tiers[..entry.tier].iter().map(Tier::cost).sum();
         let queues = &self.tiers[entry.tier].queues;
@@ -213,7 +213,7 @@
         higher + own + others
     }
 
-    /// The queued request whose answer must come first, if that is no later than `time`.
+    /// The queued request that expires first, if that is no later than `time`.
     pub(crate) fn first_expiring_by(&self, time: Seconds) -> Option<RequestId> {
         let (expiry, request) = *self.expiries.first()?;
         (expiry <= to_micros(time)).then_some(request)
--- a/crates/scheduler/src/fair_queue/tests.rs
+++ b/crates/scheduler/src/fair_queue/tests.rs
@@ -1,4 +1,4 @@
-//! The fair queue alone.
+//! Unit tests of the fair queue.
 
 use super::{FairQueue, QueueEntry, QueueKey};
 use crate::tests::settings;
@@ -20,8 +20,8 @@
     }
 }
 
-/// Takes all requests out in the queue's order.
-fn drain(queue: &mut FairQueue, entries: &[QueueEntry]) -> Vec<u64> {
+/// Removes all requests; returns them in the order of the queue.
+fn dequeue_all(queue: &mut FairQueue, entries: &[QueueEntry]) -> Vec<u64> {
     let mut order = Vec::new();
     while let Some(request) = queue.charge_next(QUANTUM) {
         let entry = entries
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn tenants_get_even_parts_of_cost_not_of_requests() {
+fn tenants_get_equal_shares_of_cost_not_of_requests() {
     let mut queue = FairQueue::new(&settings());
     let small = (1..=4).map(|number| entry(number, 0, 0, 50.0));
     let large = (11..=12).map(|number| entry(number, 1, 0, 100.0));
@@ -43,7 +43,7 @@
     for entry in &entries {
         queue.enqueue(entry);
     }
-    assert_eq!(drain(&mut queue, &entries), [1, 2, 11, 3, 4, 12]);
+    assert_eq!(dequeue_all(&mut queue, &entries), [1, 2, 11, 3, 4, 12]);
 }
 
 #[test]
@@ -53,7 +53,7 @@
     for entry in &entries {
         queue.enqueue(entry);
     }
-    assert_eq!(drain(&mut queue, &entries), [2, 1]);
+    assert_eq!(dequeue_all(&mut queue, &entries), [2, 1]);
 }
 
 #[test]
@@ -70,12 +70,12 @@
 }
 
 #[test]
-fn cost_ahead_counts_higher_tiers_and_others_up_to_the_own_turn() {
+fn cost_ahead_includes_higher_tiers_and_other_tenants_up_to_the_own_turn() {
     let mut queue = FairQueue::new(&settings());
     queue.enqueue(&entry(1, 0, 0, 70.0));
     queue.enqueue(&entry(2, 0, 1, 10.0));
     queue.enqueue(&entry(3, 1, 1, 500.0));
-    // The higher tier, the own tenant's queue, and of the other tenant what its turns cover meanwhile.
+    // The higher tier, the own tenant's queue, and the cost that the other tenant dispatches in the same turns.
     assert_eq!(
         queue.cost_ahead_of(&entry(4, 0, 1, 20.0)),
         70.0 + 10.0 + 30.0
@@ -94,5 +94,5 @@
     for entry in &entries {
         queue.enqueue(entry);
     }
-    assert_eq!(drain(&mut queue, &entries), [3, 2]);
+    assert_eq!(dequeue_all(&mut queue, &entries), [3, 2]);
 }
--- a/crates/scheduler/src/fleet_view.rs
+++ b/crates/scheduler/src/fleet_view.rs
@@ -1,4 +1,4 @@
-//! What decisions read: the state of the fleet at one moment, borrowed from the scheduler.
+//! A read-only view of the scheduler's state, from which decisions are made.
 
 use crate::concurrency::ConcurrencyLimit;
 use crate::host_types::HostTypeStatistics;
@@ -8,10 +8,10 @@
 use crate::statistics::TrafficStatistics;
 use crate::types::{SchedulerSettings, Seconds};
 
-/// Prompt tokens that every attempt costs beyond its own: connecting, a step of the batch, the first token.
-pub(crate) const BASE_TOKENS: f64 = 500.0;
+/// The fixed overhead of an attempt, in prompt tokens: connecting, a batch step and the first token.
+pub(crate) const ATTEMPT_OVERHEAD_TOKENS: f64 = 500.0;
 
-/// A consistent view for one decision; it owns nothing and changes nothing.
+/// A consistent view for one decision.
 #[derive(Clone, Copy)]
 pub(crate) struct FleetView<'a> {
     pub(crate) now: Seconds,
@@ -21,9 +21,9 @@
     pub(crate) traffic: &'a TrafficStatistics,
     pub(crate) host_types: &'a HostTypeStatistics,
     pub(crate) prompt_cache: &'a PromptCacheModel,
-    /// Most replicas are ejected: their pauses are ignored.
+    /// Most replicas are ejected, so their pauses are ignored.
     pub(crate) is_panic_mode: bool,
-    /// The endpoint list may be out of date: an attempt needs evidence from its replica.
+    /// The endpoint list may be outdated, so an attempt needs evidence from its replica.
     pub(crate) requires_evidence: bool,
 }
 
@@ -36,24 +36,24 @@
         replica.zone() == self.settings.zone
     }
 
-    /// Whether a request fits below the router's concurrency limit.
+    /// Whether the router's concurrency limit allows another request.
     pub(crate) fn has_free_slot(&self, is_best_effort: bool) -> bool {
         let rules = &self.settings.lifecycle;
         let in_flight = self.replicas.in_flight_at_warm(rules, self.now);
         self.concurrency.has_free_slot(in_flight, is_best_effort)
     }
 
-    /// Whether the replica may be sent another attempt. `has_free_slot` says whether the router's concurrency limit has a
-    /// free slot, which binds at warm replicas; what a replica in slow start gets is bounded by its slow-start budget.
+    /// Whether the replica may be sent another attempt. `has_free_slot`: whether the router's concurrency limit has a free
+    /// slot. That limit applies to warm replicas; a replica in slow start is limited by its slow-start budget.
     pub(crate) fn has_capacity(&self, replica: &Replica, has_free_slot: bool) -> bool {
         let is_allowed = if self.is_warm(replica) {
-            has_free_slot || self.is_idle_beside_limit(replica)
+            has_free_slot || self.is_idle_beyond_limit(replica)
         } else {
             replica.slow_start.has_budget()
         };
-        let is_ruled_out = self.requires_evidence && replica.evidence.is_unlikely(self.now);
+        let is_suspect = self.requires_evidence && replica.evidence.is_suspect(self.now);
         replica.is_available()
-            && !is_ruled_out
+            && !is_suspect
             && is_allowed
             && replica
                 .health
@@ -63,12 +63,12 @@
                 .has_free_slot_at_replica(replica.in_flight())
     }
 
-    /// Whether a replica that has just reported to be idle may be used beside the limit, which is too coarse where there
-    /// are more routers than replicas.
-    fn is_idle_beside_limit(&self, replica: &Replica) -> bool {
+    /// Whether a replica that has recently reported to be idle may be used beyond the limit, which is too coarse if there are
+    /// more routers than replicas.
+    fn is_idle_beyond_limit(&self, replica: &Replica) -> bool {
         self.concurrency.has_sparse_feedback()
             && replica.load.is_recent(self.now)
-            && self.queued_tokens(replica) < BASE_TOKENS
+            && self.queued_tokens(replica) < ATTEMPT_OVERHEAD_TOKENS
     }
 
     /// Whether any replica has capacity for another request.
@@ -79,7 +79,7 @@
             .any(|replica| self.has_capacity(replica, has_free_slot))
     }
 
-    /// Prompt tokens that will be read at the replica before those of an attempt sent now.
+    /// Prompt tokens that the replica prefills before those of an attempt sent now.
     pub(crate) fn queued_tokens(&self, replica: &Replica) -> f64 {
         replica.queued_tokens(self.now, self.traffic.mean_queued_tokens())
     }
--- a/crates/scheduler/src/host_types.rs
+++ b/crates/scheduler/src/host_types.rs
@@ -1,40 +1,41 @@
-//! What a router has learned of each host type: how fast it reads prompts, how long answers take, how large its batch is.
+//! Learned statistics of each host type: prefill time, service time and batch size.
 
 use crate::statistics::LEARNING_RATE;
 use crate::types::{BatchSize, LearnedState, PrefillTime, RequestClass, Seconds, ServiceTime};
 use std::collections::BTreeMap;
 
-/// Time for a prompt token before any was seen.
+/// Prefill time per prompt token before the first sample.
 const DEFAULT_PREFILL_TIME: Seconds = 0.0005;
-/// The prefill time of a host type is a mean over this many first tokens, so that rendezvous orders, which use it as a
-/// weight, do not wander with it.
+/// The prefill time of a host type is a mean over this many first tokens. With fewer, rendezvous orders, which use it as a
+/// weight, would change too often.
 const PREFILL_SAMPLES: f64 = 400.0;
-/// The default counts like this many samples.
+/// The weight of the default prefill time, in samples.
 const PREFILL_PRIOR_SAMPLES: f64 = PREFILL_SAMPLES / 100.0;
-/// Weight of one answer in the mean service time of its host type.
+/// Weight of an answer in the mean service time of its host type.
 const SERVICE_TIME_WEIGHT: f64 = LEARNING_RATE / 2.0;
-/// Before any answer has ended: answers run to a quarter of their limit, four times as fast as they must.
+/// For the initial service time: answers are assumed to have a quarter of their maximum length and to be generated four
+/// times as fast as the inter-token objective demands.
 const ANSWER_LIMIT_DIVISOR: f64 = 16.0;
-/// Requests in a batch where no report has shown any: the least that such servers run with.
+/// The batch size before any report has shown one: the smallest that is usual for model servers.
 const DEFAULT_BATCH_SIZE: f64 = 16.0;
-/// Weight of one guess of a batch size.
+/// Weight of one inferred batch size in their mean.
 const BATCH_SIZE_WEIGHT: f64 = 0.1;
-/// The smallest batch size that a guess is believed to show.
-const MIN_GUESSED_BATCH_SIZE: f64 = 2.0;
-/// A replica that reports at least this many requests queued has a queue.
+/// Lower bound of inferred batch sizes.
+const MIN_INFERRED_BATCH_SIZE: f64 = 2.0;
+/// Fewer reported queued requests than this count as no queue.
 const MIN_QUEUED: f64 = 0.5;
 
-/// The geometric mean of a host type's prefill time.
+/// The geometric mean of a host type's prefill time per token.
 struct PrefillMean {
     samples: f64,
-    /// Of the time for a prompt token, as a multiple of the default.
+    /// Mean natural logarithm of the time relative to the default.
     mean_logarithm: f64,
 }
 
-/// What has been learned by host type.
+/// Learned statistics by host type.
 pub(crate) struct HostTypeStatistics {
     prefill_times: BTreeMap<usize, PrefillMean>,
-    /// Over all host types, from the start of an attempt to its end.
+    /// Mean time from the start of an attempt to its end over all host types.
     mean_service_time: Seconds,
     service_times: BTreeMap<usize, Seconds>,
     batch_sizes: BTreeMap<usize, f64>,
@@ -50,14 +51,18 @@
         }
     }
 
-    /// Guesses the service time from the first request's class and answer limit, before any answer has ended.
-    pub(crate) fn guess_service_time(&mut self, class: &RequestClass, max_output_tokens: u64) {
+    /// Estimates the service time from the first request's class and maximum answer length.
+    pub(crate) fn set_initial_service_time(
+        &mut self,
+        class: &RequestClass,
+        max_output_tokens: u64,
+    ) {
         let token_time = class.inter_token_objective.min(1.0);
-        let guess = token_time * max_output_tokens as f64 / ANSWER_LIMIT_DIVISOR;
-        self.mean_service_time = guess.max(1.0);
+        let service_time = token_time * max_output_tokens as f64 / ANSWER_LIMIT_DIVISOR;
+        self.mean_service_time = service_time.max(1.0);
     }
 
-    /// Takes the time that a replica of this host type took for each prompt token.
+    /// Records the prefill time per prompt token of one first token.
     pub(crate) fn record_prefill_time(&mut self, host_type: usize, per_token: Seconds) {
         let mean = self.prefill_times.entry(host_type).or_insert(PrefillMean {
             samples: PREFILL_PRIOR_SAMPLES,
@@ -68,19 +73,19 @@
         mean.mean_logarithm += (logarithm - mean.mean_logarithm) / mean.samples;
     }
 
-    /// The prefill time of a host type as a multiple of the default. Rendezvous scores are whole numbers, in which far
-    /// smaller figures would fall together.
+    /// The prefill time of a host type relative to the default. Rendezvous scores use it because they are integers: with times
+    /// in seconds many scores would be equal.
     pub(crate) fn relative_prefill_time(&self, host_type: usize) -> f64 {
         let mean = self.prefill_times.get(&host_type);
         mean.map_or(1.0, |mean| mean.mean_logarithm.exp())
     }
 
-    /// The time for a prompt token.
+    /// The prefill time per prompt token.
     pub(crate) fn prefill_time(&self, host_type: usize) -> Seconds {
         self.relative_prefill_time(host_type) * DEFAULT_PREFILL_TIME
     }
 
-    /// Takes the time from the start of an attempt to its end.
+    /// Records the time from the start of an attempt to its end.
     pub(crate) fn record_service_time(&mut self, host_type: usize, elapsed: Seconds) {
         self.mean_service_time += 2.0 * SERVICE_TIME_WEIGHT * (elapsed - self.mean_service_time);
         let mean = self
@@ -90,29 +95,29 @@
         *mean += SERVICE_TIME_WEIGHT * (elapsed - *mean);
     }
 
-    /// Over all host types.
+    /// The mean service time over all host types.
     pub(crate) fn mean_service_time(&self) -> Seconds {
         self.mean_service_time
     }
 
-    /// Of one host type, or of all where none of it has answered.
+    /// The mean service time of one host type, or of all if no replica of that type has answered yet.
     pub(crate) fn service_time(&self, host_type: usize) -> Seconds {
         let mean = self.service_times.get(&host_type).copied();
         mean.unwrap_or(self.mean_service_time)
     }
 
-    /// Takes a batch size that a replica has shown by its report.
+    /// Records a batch size that follows from a load report.
     pub(crate) fn record_batch_size(&mut self, host_type: usize, requests: f64) {
         self.batch_sizes.insert(host_type, requests);
     }
 
-    /// Guesses a batch size where reports tell the queue but not the requests held: with a queue the batch is what is
-    /// left of the requests held, without one it is no smaller than they are.
-    pub(crate) fn record_reported_queue(&mut self, host_type: usize, held: f64, queued: f64) {
+    /// Infers a batch size from a report of queued requests without the number of requests held, which is estimated: with a
+    /// queue, the batch size is the difference; without a queue, the batch size is at least the requests held.
+    pub(crate) fn infer_batch_size(&mut self, host_type: usize, held: f64, queued: f64) {
         let known = self.batch_sizes.get(&host_type).copied();
         let has_queue = queued >= MIN_QUEUED;
         let sample = if has_queue {
-            (held - queued).max(MIN_GUESSED_BATCH_SIZE)
+            (held - queued).max(MIN_INFERRED_BATCH_SIZE)
         } else {
             held
         };
@@ -123,14 +128,14 @@
         }
     }
 
-    /// The batch size of a host type, else of the largest one seen, else the default.
+    /// The batch size of a host type; if unknown, the largest of any host type; if none is known, the default.
     pub(crate) fn batch_size(&self, host_type: usize) -> f64 {
         let largest = || self.batch_sizes.values().copied().reduce(f64::max);
         let known = self.batch_sizes.get(&host_type).copied();
         known.or_else(largest).unwrap_or(DEFAULT_BATCH_SIZE)
     }
 
-    /// Adds what has been learned to the state for another process.
+    /// Writes the statistics to the learned state.
     pub(crate) fn export(&self, state: &mut LearnedState) {
         state.mean_service_time = self.mean_service_time;
         for (host_type, mean) in &self.prefill_times {
@@ -154,7 +159,7 @@
         }
     }
 
-    /// Continues from what another process has learned.
+    /// Restores the statistics from another process's learned state.
     pub(crate) fn restore(&mut self, state: &LearnedState) {
         self.mean_service_time = state.mean_service_time;
         self.prefill_times.clear();
--- a/crates/scheduler/src/host_types/tests.rs
+++ b/crates/scheduler/src/host_types/tests.rs
@@ -1,4 +1,4 @@
-//! What is learned by host type, alone.
+//! Unit tests of the statistics by host type.
 
 use super::HostTypeStatistics;
 
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn prefill_time_follows_its_host_type_alone() {
+fn prefill_time_is_learned_for_each_host_type_separately() {
     let mut host_types = HostTypeStatistics::new();
     for _ in 0..1000 {
         host_types.record_prefill_time(1, 0.001);
@@ -21,13 +21,13 @@
 }
 
 #[test]
-fn queue_shows_a_small_batch_and_its_absence_a_larger_one() {
+fn batch_size_is_inferred_from_reports_with_and_without_a_queue() {
     let mut host_types = HostTypeStatistics::new();
-    host_types.record_reported_queue(0, 5.0, 0.0);
+    host_types.infer_batch_size(0, 5.0, 0.0);
     assert_eq!(host_types.batch_size(0), 16.0);
-    host_types.record_reported_queue(0, 6.0, 2.0);
+    host_types.infer_batch_size(0, 6.0, 2.0);
     assert_eq!(host_types.batch_size(0), 4.0);
-    host_types.record_reported_queue(0, 14.0, 0.0);
+    host_types.infer_batch_size(0, 14.0, 0.0);
     assert_eq!(host_types.batch_size(0), 5.0);
     assert_eq!(host_types.batch_size(7), 5.0);
 }
--- a/crates/scheduler/src/latency_estimate.rs
+++ b/crates/scheduler/src/latency_estimate.rs
@@ -1,64 +1,67 @@
-//! The estimate of an attempt's time to first token at a replica, and of what sending it there costs.
+//! Estimates the time to first token (TTFT) of an attempt at a replica, and the cost of sending it there.
 //!
-//! One estimate in seconds takes the place of weights in tokens, queue places and zones, whose units meant something else
-//! at each site. `docs/design.md` has the figures of each term. Costs are in answers of priority weight 1.
+//! One estimate in seconds is used instead of weights for tokens, queue lengths and zones, whose effect would differ from
+//! site to site. `docs/design.md` lists the figures of each term. Costs are relative to the value of one answer of priority
+//! weight 1.
 
 use crate::attempt::Attempt;
-use crate::fleet_view::{FleetView, BASE_TOKENS};
-use crate::outlier_detection::RESTART_SUSPICION;
+use crate::fleet_view::{FleetView, ATTEMPT_OVERHEAD_TOKENS};
+use crate::outlier_detection::RESTART_SUSPECTED_AFTER;
 use crate::prompt_cache::{CacheSource, PreviousTurn};
 use crate::replica::Replica;
 use crate::request::Request;
 use crate::types::{ReplicaId, Seconds};
 
-/// Queued tokens are read beside others' answers: they delay a new prompt by this part of the time to read them.
-const QUEUED_TOKENS_PART: f64 = 0.4;
-/// What other routers hold at a replica is told at the end of answers and may be late: the part that is believed.
-const REPORT_TRUST: f64 = 0.3;
-/// Variance of the requests held now, in requests squared, where a report has just come.
+/// Queued tokens are prefilled in parallel with running answers, so they delay a new prompt by only this fraction of their
+/// prefill time.
+const QUEUED_TOKENS_WEIGHT: f64 = 0.4;
+/// Weight of the reported requests of other routers. Reports arrive with the end of answers and may be outdated.
+const REPORT_WEIGHT: f64 = 0.3;
+/// Variance of the number of requests held, right after a report.
 const HELD_VARIANCE: f64 = 0.2;
-/// Other routers hold at least this many requests, for the variance.
+/// Lower bound of the mean number of other routers' requests in the variance.
 const MIN_OTHERS_VARIANCE: f64 = 0.1;
-/// The ratio of a normal distribution's deviation to that of the logistic one that stands for it.
+/// Ratio of the standard deviation of a normal distribution to the scale of the logistic distribution that approximates it.
 const LOGISTIC_SCALE: f64 = 1.7;
-/// Bounds the exponent in the logistic's mean excess.
+/// Upper bound of the exponent in the mean excess of the logistic distribution, against overflow.
 const MAX_EXCESS_EXPONENT: f64 = 30.0;
-/// A replica that leaves a probe unanswered is expected to keep a request this much longer.
+/// Expected extra delay at a replica with an unanswered probe.
 const UNANSWERED_PROBE_DELAY: Seconds = 0.3;
-/// A replica without a response since an overdue attempt is expected to go on so for this part of that time.
-const SILENCE_PART: f64 = 0.5;
-/// Reading a prompt holds up all requests that run there: the cost of one second for each of them.
+/// A replica with an overdue attempt is expected to remain unresponsive for this fraction of the time since that attempt.
+const UNRESPONSIVE_FRACTION: f64 = 0.5;
+/// Prefill delays all requests that run at the replica: the cost of one second for each of them.
 const PREFILL_COST: f64 = 0.15;
-/// Requests held up count as this many more where the session's previous turn is known, and as one more elsewhere.
-const HELD_UP_WITH_PREVIOUS_TURN: f64 = 4.0;
-const HELD_UP_OTHERWISE: f64 = 1.0;
-/// A place taken is one that later requests lack: the cost of filling a batch, or the memory.
-const PLACE_COST: f64 = 0.3;
-/// The most batches, in mean service times, that places taken count for.
-const MAX_PLACES_TAKEN: f64 = 8.0;
-/// Where reports do not say what a replica holds, this part of the guess is believed.
-const UNREPORTED_TRUST: f64 = 0.5;
-/// A replica whose memory is full is chosen this much as often as an empty one, not never.
+/// Added to the number of delayed requests if the session's previous turn is known.
+const EXTRA_DELAYED_WITH_PREVIOUS_TURN: f64 = 4.0;
+/// Added to the number of delayed requests otherwise.
+const EXTRA_DELAYED_OTHERWISE: f64 = 1.0;
+/// Batch slots and memory in use are unavailable to later requests: the cost of a full batch, or of full memory.
+const OCCUPANCY_COST: f64 = 0.3;
+/// Upper bound of the batch load, in full batches.
+const MAX_BATCH_LOAD: f64 = 8.0;
+/// Weight of the batch load if load reports do not contain the requests held, which are then only estimated.
+const UNREPORTED_WEIGHT: f64 = 0.5;
+/// Added to the choice weight, so that a replica with full memory is still chosen sometimes.
 const MIN_CHOICE_WEIGHT: f64 = 0.05;
 
-/// What an estimate needs to know of a request and of the router: the same for all candidates.
+/// The inputs of an estimate that are the same for all candidates.
 pub(crate) struct EstimateInput {
     prompt_tokens: f64,
     shared_prefix_tokens: f64,
     previous_turn: Option<PreviousTurn>,
-    /// Where the session's prompts are expected to be cached, if its previous turn is not known.
+    /// Where the session's prompts are expected to be cached; `None` if its previous turn is known.
     affinity_replica: Option<ReplicaId>,
-    /// Time until a first token earns nothing.
+    /// Time after which a first token is worth nothing.
     time_left: Seconds,
-    /// Requests of other routers at a replica, the mean.
+    /// Mean number of other routers' requests at a replica.
     mean_held_by_others: f64,
 }
 
-/// Parameters of an estimate that the scheduler's timing sets.
+/// The parameters of estimates that follow from the scheduler's timing.
 pub(crate) struct EstimateTiming {
-    /// The time left counts as this much at least.
+    /// Lower bound of the time left.
     pub(crate) min_time_left: Seconds,
-    /// A probe counts as unanswered after this long.
+    /// A probe counts as unanswered after this time.
     pub(crate) probe_answer_time: Seconds,
 }
 
@@ -74,7 +77,7 @@
         let previous_turn = incoming
             .session
             .and_then(|session| view.prompt_cache.previous_turn(session));
-        // A replica that leaves a probe unanswered may have been restarted, and then has nothing in its cache.
+        // A replica with an unanswered probe may have restarted with an empty cache.
         let answers_probes = |id: &ReplicaId| {
             let span = timing.probe_answer_time;
             let replica = view.replicas.get(*id);
@@ -96,33 +99,33 @@
     }
 }
 
-/// What a replica is expected to have of a prompt in its cache.
+/// The part of a prompt that a replica is expected to have in its cache.
 struct CachedPrompt {
     tokens: f64,
     source: CacheSource,
 }
 
-/// The requests at a replica, of all routers.
+/// The requests of all routers at a replica.
 struct Occupancy {
-    /// Requests held, the mean.
+    /// Mean number of requests held.
     held: f64,
     batch_size: f64,
     service_time: Seconds,
-    /// Time until a new request has a place in the batch.
+    /// Time until a new request gets a batch slot.
     wait: Seconds,
 }
 
-/// One candidate for an attempt.
+/// A candidate for placement.
 pub(crate) struct Candidate {
     pub(crate) attempt: Attempt,
-    /// What sending the attempt there costs.
+    /// The cost of sending the attempt to this replica.
     pub(crate) cost: f64,
-    /// How often it is chosen beside other candidates of that cost.
+    /// Relative weight among candidates of equal cost.
     pub(crate) choice_weight: f64,
 }
 
-/// Estimates an attempt at a replica: reading the prompt, waiting for a place in the batch, and how far the last answers
-/// there ran over their estimates.
+/// Estimates an attempt at a replica from its prefill time, the wait for a batch slot and the error of recent estimates
+/// there.
 pub(crate) fn estimate(
     view: &FleetView<'_>,
     input: &EstimateInput,
@@ -130,49 +133,52 @@
     replica: &Replica,
 ) -> Candidate {
     let cached = cached_prompt(view, input, id);
-    let unread_tokens = input.prompt_tokens - cached.tokens;
+    let prefill_tokens = input.prompt_tokens - cached.tokens;
     let prefill_time = view.host_types.prefill_time(replica.host_type());
     let occupancy = occupancy(view, input, replica);
-    let queued = view.queued_tokens(replica) * QUEUED_TOKENS_PART;
-    let reading = (queued + unread_tokens + BASE_TOKENS) * prefill_time;
+    let queued = view.queued_tokens(replica) * QUEUED_TOKENS_WEIGHT;
+    let prefill = (queued + prefill_tokens + ATTEMPT_OVERHEAD_TOKENS) * prefill_time;
     let probe_delay = if replica.probe.is_in_flight() {
         UNANSWERED_PROBE_DELAY
     } else {
         0.0
     };
     let error_factor = replica.estimate_error_factor(view.now);
-    let time_to_first_token = (reading + occupancy.wait) * error_factor + probe_delay;
+    let time_to_first_token = (prefill + occupancy.wait) * error_factor + probe_delay;
 
     let late = lateness(time_to_first_token, input.time_left);
-    let crossing = if view.is_local_zone(replica) {
+    let cross_zone_cost = if view.is_local_zone(replica) {
         0.0
     } else {
         view.settings.costs.cross_zone
     };
-    let prefill = prefill_cost(input, &occupancy, unread_tokens, prefill_time);
+    let prefill_cost = prefill_cost(input, &occupancy, prefill_tokens, prefill_time);
     let memory = replica.load.memory_utilization;
-    let places = places_taken(view, replica, &occupancy);
+    let batch_load = batch_load(view, replica, &occupancy);
     Candidate {
         attempt: Attempt::new(
             id,
             view.now,
-            unread_tokens,
+            prefill_tokens,
             cached.source,
             time_to_first_token,
         ),
-        cost: late + crossing + prefill + PLACE_COST * (places + memory.min(1.0)),
+        cost: late
+            + cross_zone_cost
+            + prefill_cost
+            + OCCUPANCY_COST * (batch_load + memory.min(1.0)),
         choice_weight: 1.0 + MIN_CHOICE_WEIGHT - memory.clamp(0.0, 1.0),
     }
 }
 
-/// The chance to be late, with errors about as large as the estimate.
+/// The probability that the first token is late, if the error is about as large as the estimate.
 fn lateness(time_to_first_token: Seconds, time_left: Seconds) -> f64 {
     let squared = time_to_first_token * time_to_first_token;
     squared / (squared + time_left * time_left)
 }
 
-/// What a replica is expected to have in its cache: the previous turn where this router sent it, else what affinity
-/// replicas have shown.
+/// The part of the prompt expected in a replica's cache: the previous turn if this router sent it there, otherwise according
+/// to the hit rate of affinity replicas or of shared prefixes.
 fn cached_prompt(view: &FleetView<'_>, input: &EstimateInput, id: ReplicaId) -> CachedPrompt {
     let hit_rate = |source| view.prompt_cache.hit_rate(source);
     let shared_prefix = input.shared_prefix_tokens * hit_rate(CacheSource::SharedPrefix);
@@ -205,14 +211,14 @@
     let host_type = replica.host_type();
     let service_time = view.host_types.service_time(host_type);
     let others = input.mean_held_by_others;
-    // What other routers hold drifts from what the last report showed to the mean as answers end.
+    // As answers end, the number of other routers' requests drifts from the reported value to the mean.
     let report_weight = (-load.age(view.now) / service_time).exp();
     let reported_others = load.requests_held.map_or(others, |held| {
         (held.reported - held.own_in_flight as f64).max(0.0)
     });
     let held = replica.in_flight() as f64
         + others
-        + (reported_others - others) * report_weight * REPORT_TRUST;
+        + (reported_others - others) * report_weight * REPORT_WEIGHT;
     let batch_size = load
         .batch_size
         .unwrap_or_else(|| view.host_types.batch_size(host_type));
@@ -224,7 +230,7 @@
         0.0
     };
     if let Some(overdue) = replica.health.overdue_since(view.now) {
-        wait += SILENCE_PART * overdue.min(RESTART_SUSPICION);
+        wait += UNRESPONSIVE_FRACTION * overdue.min(RESTART_SUSPECTED_AFTER);
     }
     Occupancy {
         held,
@@ -234,8 +240,8 @@
     }
 }
 
-/// The mean number of requests over a full batch, where the requests held are normally distributed about their mean (a
-/// logistic distribution stands for the normal one). `mean_excess` may be negative.
+/// The mean number of requests in excess of a full batch, if the requests held are normally distributed (approximated by a
+/// logistic distribution). `mean_excess` may be negative.
 fn excess_over_batch(mean_excess: f64, others: f64, report_weight: f64) -> f64 {
     let unreported = 1.0 - report_weight * report_weight;
     let variance = others.max(MIN_OTHERS_VARIANCE) * unreported + HELD_VARIANCE;
@@ -244,33 +250,33 @@
     (exponent.exp().ln_1p() * scale).max(mean_excess)
 }
 
-/// The cost of reading this prompt to the requests that run at the replica.
+/// The cost of the delay that this prompt's prefill causes to the requests that run at the replica.
 fn prefill_cost(
     input: &EstimateInput,
     occupancy: &Occupancy,
-    unread_tokens: f64,
+    prefill_tokens: f64,
     prefill_time: Seconds,
 ) -> f64 {
-    let held_up = if input.previous_turn.is_some() {
-        HELD_UP_WITH_PREVIOUS_TURN
+    let extra_delayed = if input.previous_turn.is_some() {
+        EXTRA_DELAYED_WITH_PREVIOUS_TURN
     } else {
-        HELD_UP_OTHERWISE
+        EXTRA_DELAYED_OTHERWISE
     };
-    PREFILL_COST * (occupancy.held + held_up) * unread_tokens * prefill_time
+    PREFILL_COST * (occupancy.held + extra_delayed) * prefill_tokens * prefill_time
 }
 
-/// The batches that are taken, weighed by how long answers hold a place there.
-fn places_taken(view: &FleetView<'_>, replica: &Replica, occupancy: &Occupancy) -> f64 {
-    let trust = if replica.load.requests_held.is_some() {
+/// The number of full batches at the replica, weighted by its service time relative to the mean of all host types.
+fn batch_load(view: &FleetView<'_>, replica: &Replica, occupancy: &Occupancy) -> f64 {
+    let weight = if replica.load.requests_held.is_some() {
         1.0
     } else {
-        UNREPORTED_TRUST
+        UNREPORTED_WEIGHT
     };
     let batches = occupancy.held / occupancy.batch_size * occupancy.service_time;
-    (batches / view.host_types.mean_service_time() * trust).min(MAX_PLACES_TAKEN)
+    (batches / view.host_types.mean_service_time() * weight).min(MAX_BATCH_LOAD)
 }
 
-/// The candidates' estimates in their order.
+/// Estimates all candidates, in their order.
 pub(crate) fn estimate_all(
     view: &FleetView<'_>,
     input: &EstimateInput,
--- a/crates/scheduler/src/outlier_detection.rs
+++ b/crates/scheduler/src/outlier_detection.rs
@@ -1,24 +1,25 @@
-//! Health of replicas as this router's attempts show it: failures in a row, ejection, trials and unresponsive replicas.
+//! Outlier detection from this router's attempts: consecutive failures, ejection, trials and unresponsive replicas.
 //!
-//! A replica is ejected after [`EJECTION_FAILURES`] failures in a row, or streams in a row that broke after their first
-//! token, or while it is unresponsive. An ejected replica gets one attempt as a trial after each pause. In panic mode,
-//! when more than half of the available replicas are ejected, the cause is likely shared, and pauses are ignored.
+//! A replica is ejected after [`EJECTION_FAILURES`] consecutive failures, after as many consecutive streams that broke after
+//! their first token, or while it is unresponsive. An ejected replica gets one attempt as a trial after each pause. If more
+//! than half of the available replicas are ejected (panic mode), the cause is probably shared, and pauses are ignored.
 
 use crate::types::Seconds;
 
-/// Failures in a row that eject a replica.
+/// Number of consecutive failures that eject a replica.
 const EJECTION_FAILURES: u32 = 3;
-/// An ejected replica gets one trial in this time; a replica that was at capacity is left alone as long.
-const PAUSE: Seconds = 0.7;
-/// A trial of a replica whose streams break costs a client its answer: the pause doubles with each, up to so often.
+/// The pause between the trials of an ejected replica, and after a replica was at capacity.
+const PAUSE_DURATION: Seconds = 0.7;
+/// The pause doubles with each failed trial of a replica whose streams break, at most this many times, because each such
+/// trial costs a client its answer.
 const MAX_PAUSE_DOUBLINGS: u32 = 3;
-/// After being unresponsive for longer than this a replica may have been restarted.
-pub(crate) const RESTART_SUSPICION: Seconds = 2.0;
+/// A replica that was unresponsive for longer than this may have restarted.
+pub(crate) const RESTART_SUSPECTED_AFTER: Seconds = 2.0;
 
 /// The first attempt sent to a replica since its last response.
 struct UnansweredAttempt {
     sent_at: Seconds,
-    /// When its first token was due at the latest.
+    /// When its first token becomes overdue.
     overdue_at: Seconds,
 }
 
@@ -29,12 +30,11 @@
     };
 }
 
-/// The health of one replica.
 pub(crate) struct ReplicaHealth {
     last_response_at: Seconds,
     unanswered: UnansweredAttempt,
     consecutive_failures: u32,
-    /// Streams in a row that stalled or broke after their first token.
+    /// Consecutive streams that stalled or broke after their first token.
     consecutive_stream_failures: u32,
     last_stream_failure_at: Seconds,
     unresponsive_since: Option<Seconds>,
@@ -54,7 +54,7 @@
         }
     }
 
-    /// A new process forgets what the one before it has shown.
+    /// Resets the health after a restart of the replica's process.
     pub(crate) fn restart(&mut self) {
         self.consecutive_failures = 0;
         self.consecutive_stream_failures = 0;
@@ -72,13 +72,13 @@
         self.unresponsive_since.is_some()
     }
 
-    /// Whether the replica may be sent an attempt, which is a trial if it is ejected.
+    /// Whether the replica may be sent an attempt, which is a trial if the replica is ejected.
     pub(crate) fn accepts_attempts(&self, now: Seconds, is_panic_mode: bool) -> bool {
         now >= self.paused_until || (is_panic_mode && !self.is_unresponsive())
     }
 
-    /// Whether a session's order of replicas may have it: a replica whose streams broke would never get its trial while
-    /// others have capacity, but as the session's affinity replica.
+    /// Whether the replica may be an affinity candidate. This includes replicas ejected for broken streams whose trial is due,
+    /// because while others have capacity they get trials only as affinity replicas.
     pub(crate) fn is_affinity_candidate(&self, now: Seconds) -> bool {
         let is_trial_due = self.consecutive_failures < EJECTION_FAILURES
             && !self.is_unresponsive()
@@ -86,7 +86,7 @@
         !self.is_ejected() || is_trial_due
     }
 
-    /// How long ago the first attempt since the last response was sent, once its first token is overdue.
+    /// Time since the first attempt after the last response, if that attempt is overdue.
     pub(crate) fn overdue_since(&self, now: Seconds) -> Option<Seconds> {
         let is_overdue =
             self.unanswered.sent_at > self.last_response_at && now > self.unanswered.overdue_at;
@@ -97,14 +97,14 @@
         self.last_response_at
     }
 
-    /// When the last answer came, if nothing has failed since.
+    /// Time of the last answer, if no attempt or stream has failed since.
     pub(crate) fn last_success_at(&self) -> Option<Seconds> {
         let has_failed = self.consecutive_failures > 0 || self.consecutive_stream_failures > 0;
         Some(self.last_response_at).filter(|at| !has_failed && *at > 0.0)
     }
 
-    /// An attempt was sent that is overdue after this long. If the replica is ejected this was its trial, and the next
-    /// pause begins, longer the more streams have broken in a row.
+    /// Records an attempt that becomes overdue after `overdue_after`. If the replica is ejected, the attempt is a trial, and the
+    /// next pause begins, which is longer after more consecutive broken streams.
     pub(crate) fn record_attempt(&mut self, now: Seconds, overdue_after: Seconds) {
         if self.unanswered.sent_at <= self.last_response_at {
             self.unanswered = UnansweredAttempt {
@@ -117,12 +117,12 @@
                 .consecutive_stream_failures
                 .saturating_sub(EJECTION_FAILURES)
                 .min(MAX_PAUSE_DOUBLINGS);
-            self.paused_until = now + PAUSE * f64::from(1 << doublings);
+            self.paused_until = now + PAUSE_DURATION * f64::from(1 << doublings);
         }
     }
 
-    /// The replica has answered a request (a probe shows only that its process runs). Returns since when it had been
-    /// unresponsive, if it was.
+    /// Records a response. Only an answer to a request (`is_answer`) resets the failures, because a probe shows only that the
+    /// process runs. If the replica was unresponsive, returns the time since when.
     pub(crate) fn record_response(&mut self, now: Seconds, is_answer: bool) -> Option<Seconds> {
         self.last_response_at = now;
         if is_answer {
@@ -131,7 +131,7 @@
         self.unresponsive_since.take()
     }
 
-    /// A stream came to its end: the replica's streams are whole again.
+    /// Records a complete stream, which ends an ejection for broken streams.
     pub(crate) fn record_stream_completed(&mut self, now: Seconds) {
         if self.consecutive_stream_failures > 0 {
             if self.is_ejected() {
@@ -141,7 +141,8 @@
         }
     }
 
-    /// A stream stalled or broke after its first token. Streams of one crash break together and count once.
+    /// Records a stream that stalled or broke after its first token. Streams that started before the last such failure are
+    /// ignored, because a crash breaks all streams at once and must count once.
     pub(crate) fn record_stream_failure(&mut self, now: Seconds, attempt_sent_at: Seconds) {
         if attempt_sent_at <= self.last_stream_failure_at {
             return;
@@ -149,45 +150,45 @@
         self.consecutive_stream_failures += 1;
         self.last_stream_failure_at = now;
         if self.consecutive_stream_failures == EJECTION_FAILURES {
-            self.paused_until = now + PAUSE;
+            self.paused_until = now + PAUSE_DURATION;
         }
     }
 
-    /// An attempt failed. A replica that fails at once has capacity again at once and would draw every queued request:
-    /// after some failures in a row it is paused.
+    /// Records a failed attempt. A replica that fails immediately always has capacity and would attract every queued request,
+    /// so it is paused after several consecutive failures.
     pub(crate) fn record_failure(&mut self, now: Seconds) {
         self.consecutive_failures += 1;
-        // It responds, if badly.
+        // A failure is a response too.
         self.unanswered = UnansweredAttempt::NONE;
         if self.consecutive_failures == EJECTION_FAILURES {
-            self.paused_until = now + PAUSE;
+            self.paused_until = now + PAUSE_DURATION;
         }
     }
 
-    /// The replica turned an attempt away because it is full.
+    /// Records that the replica declined an attempt because it is at capacity.
     pub(crate) fn record_at_capacity(&mut self, now: Seconds) {
         self.pause(now);
         self.last_response_at = now;
     }
 
-    /// Leaves the replica alone for a while.
+    /// Pauses the replica: it gets no attempts for a while.
     pub(crate) fn pause(&mut self, now: Seconds) {
-        self.paused_until = self.paused_until.max(now + PAUSE);
+        self.paused_until = self.paused_until.max(now + PAUSE_DURATION);
     }
 
-    /// Marks the replica as unresponsive: it keeps what it has until the timeout, and nothing may follow it there. Where
-    /// probes are allowed they find it well again; else a trial must.
+    /// Marks the replica as unresponsive: it keeps its attempts until their timeout but gets no new ones. Its recovery is
+    /// detected by probes if they are allowed, otherwise by a trial.
     pub(crate) fn mark_unresponsive(&mut self, now: Seconds, allows_probes: bool) {
         self.unresponsive_since = Some(now);
         self.paused_until = if allows_probes {
             f64::INFINITY
         } else {
-            now + PAUSE
+            now + PAUSE_DURATION
         };
     }
 }
 
-/// Whether so many replicas are ejected that their common cause must lie elsewhere.
+/// Whether so many replicas are ejected that the cause is probably not the replicas.
 pub(crate) fn is_panic_mode(ejected_count: usize, available_count: usize) -> bool {
     2 * ejected_count > available_count
 }
--- a/crates/scheduler/src/outlier_detection/tests.rs
+++ b/crates/scheduler/src/outlier_detection/tests.rs
@@ -1,4 +1,4 @@
-//! The health of one replica alone.
+//! Unit tests of the health of one replica.
 
 use super::{is_panic_mode, ReplicaHealth};
 
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn three_failures_in_a_row_eject_until_a_trial_is_due() {
+fn three_consecutive_failures_eject_until_a_trial_is_due() {
     let mut health = ReplicaHealth::new();
     health.record_failure(1.0);
     health.record_failure(1.0);
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn streams_that_began_before_the_last_failure_count_once() {
+fn streams_that_started_before_the_last_failure_count_once() {
     let mut health = ReplicaHealth::new();
     for _ in 0..5 {
         health.record_stream_failure(2.0, 1.0);
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn first_attempt_since_the_last_response_becomes_overdue() {
+fn first_attempt_after_the_last_response_becomes_overdue() {
     let mut health = ReplicaHealth::new();
     health.record_response(1.0, true);
     health.record_attempt(2.0, 0.5);
--- a/crates/scheduler/src/placement.rs
+++ b/crates/scheduler/src/placement.rs
@@ -1,8 +1,8 @@
-//! Placement: which replica the next attempt of a request goes to.
+//! Placement: the choice of the replica for the next attempt of a request.
 //!
 //! Among the replicas that have capacity and may run the request, one is chosen at random, weighted by the estimated cost
-//! (a softmax): routers that choose the cheapest replica all at once would overload it. Where there are more routers than
-//! replicas only the first replicas of the session's order are candidates, since they have just been asked for their load.
+//! (softmax), because routers that all choose the cheapest replica at the same time would overload it. If there are more
+//! routers than replicas, only the first replicas of the session's order are candidates, because their load reports are recent.
 
 use crate::affinity;
 use crate::fleet_view::FleetView;
@@ -12,19 +12,19 @@
 use crate::retry;
 use crate::types::ReplicaId;
 
-/// Costs that differ by less than this make the choice nearly even.
+/// Candidates whose costs differ by less than this are chosen with similar probability.
 const SOFTMAX_TEMPERATURE: f64 = 0.005;
 
-/// What limits the placement of one attempt.
+/// Constraints on the placement of one attempt.
 pub(crate) struct PlacementLimits {
-    /// The request's tier may use only a part of the concurrency limit.
+    /// The request may use only a fraction of the concurrency limit.
     pub(crate) is_best_effort: bool,
     /// The fleet's budget allows an attempt at a replica of another zone.
     pub(crate) may_cross_zones: bool,
 }
 
-/// The replicas that an attempt of this request may go to, with their estimates; best the ones that have had no attempt
-/// of it yet.
+/// The replicas that the next attempt of this request may be sent to, with their estimates. Replicas that have already had an
+/// attempt of the request are included only if there are no others.
 pub(crate) fn candidates(
     view: &FleetView<'_>,
     request: &Request,
@@ -34,8 +34,8 @@
     let affinity = affinity::affinity_candidates(view, request.incoming());
     let has_sparse_feedback = view.concurrency.has_sparse_feedback();
     let has_free_slot = view.has_free_slot(limits.is_best_effort);
-    // What a session has in the cache of its affinity replica would be read anew elsewhere: the router's concurrency
-    // limit does not bind there.
+    // Other replicas would have to prefill again what the affinity replica has in its cache, so the router's concurrency
+    // limit does not apply to the affinity replica.
     let unlimited = affinity.first().copied().filter(|_| has_sparse_feedback);
     let is_open = |id: ReplicaId, replica: &Replica| {
         view.has_capacity(replica, has_free_slot || unlimited == Some(id))
@@ -64,13 +64,13 @@
     estimate_all(view, &input, &selected)
 }
 
-/// Chooses one candidate at random, weighted by cost. `random` gives a number from 0 to 1 for each candidate.
+/// Chooses one candidate at random, weighted by cost. `random` returns a number from 0 to 1 and is called once per candidate.
 pub(crate) fn choose(
     candidates: Vec<Candidate>,
     mut random: impl FnMut() -> f64,
 ) -> Option<Candidate> {
-    // Weights are against the lowest cost: where all candidates are dear, all weights would be zero else, and the last
-    // candidate would be chosen.
+    // Weights are relative to the lowest cost. Otherwise, if all candidates had high costs, all weights would underflow to
+    // zero and the last candidate would be chosen.
     let costs = candidates.iter().map(|candidate| candidate.cost);
     let lowest_cost = costs.fold(f64::INFINITY, f64::min);
     let mut chosen = None;
--- a/crates/scheduler/src/prompt_cache.rs
+++ b/crates/scheduler/src/prompt_cache.rs
@@ -1,37 +1,37 @@
-//! What of a prompt is expected to be found in a replica's cache, learned from what answers say they found there.
+//! A model of the replicas' prompt caches, learned from the cached tokens reported with answers.
 
 use crate::statistics::LEARNING_RATE;
 use crate::types::{CacheHitRates, IncomingRequest, LearnedState, ReplicaId, SessionRecord};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Sessions remembered; the oldest is forgotten for a new one.
+/// Maximum number of sessions in the table.
 const MAX_SESSIONS: usize = 16_384;
-/// Tokens expected in a cache, the mean before any answer.
+/// Initial mean of the tokens expected in a cache.
 const DEFAULT_EXPECTED_TOKENS: f64 = 1000.0;
-/// Weight of one answer in the mean of tokens expected.
+/// Weight of one answer in the mean of expected tokens.
 const EXPECTED_TOKENS_WEIGHT: f64 = 0.05;
-/// Weight of one answer of mean length in a hit rate.
+/// Weight in a hit rate of an answer with the mean number of expected tokens.
 const HIT_RATE_WEIGHT: f64 = LEARNING_RATE / 2.0;
-/// The most that one long prompt counts in a hit rate.
+/// Upper bound of the weight of one long prompt in a hit rate.
 const MAX_HIT_RATE_WEIGHT: f64 = 0.5;
-/// Fewer tokens than this expected in a cache teach nothing.
+/// With fewer expected tokens than this, an answer does not change the hit rate.
 const MIN_EXPECTED_TOKENS: f64 = 1.0;
 
-/// Why a replica is expected to hold a part of a prompt in its cache.
+/// Why a replica is expected to have part of a prompt in its cache.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub(crate) enum CacheSource {
-    /// At most the beginning that the prompt shares with other sessions.
+    /// Only the prefix that the prompt shares with other sessions is expected.
     SharedPrefix,
-    /// It is the session's affinity replica, and this router has not seen the session's earlier turns.
+    /// The replica is the session's affinity replica, and the previous turn is unknown to this router.
     AffinityReplica,
-    /// This router sent the previous turn there.
+    /// This router sent the previous turn to the replica.
     PreviousTurn,
 }
 
-/// How far one cache source can be relied on.
+/// The learned hit rate of one cache source.
 #[derive(Clone, Copy)]
 struct HitRate {
-    /// The part of the tokens expected that was found, from 0 to 1.
+    /// The fraction, from 0 to 1, of the expected tokens that was found.
     rate: f64,
     mean_expected_tokens: f64,
 }
@@ -44,7 +44,7 @@
         }
     }
 
-    /// The mean is over tokens, not requests: first turns are many, and they have little to be found.
+    /// Records an answer. The mean is over tokens, not requests, because first turns are frequent but have few cached tokens.
     fn record(&mut self, found_tokens: f64, expected_tokens: f64) {
         if expected_tokens < MIN_EXPECTED_TOKENS {
             return;
@@ -57,15 +57,15 @@
     }
 }
 
-/// Where the previous turn of a session was read.
+/// The previous turn of a session.
 #[derive(Clone, Copy)]
 pub(crate) struct PreviousTurn {
     pub(crate) replica: ReplicaId,
-    /// The prompt tokens read there.
+    /// Prompt tokens of that turn.
     pub(crate) prompt_tokens: f64,
 }
 
-/// Where this router sent the last turn of its sessions. Bounded: the oldest session is forgotten first.
+/// The last turn of this router's sessions. Beyond [`MAX_SESSIONS`] the oldest session is evicted.
 #[derive(Default)]
 struct SessionTable {
     turns: BTreeMap<u64, PreviousTurn>,
@@ -89,7 +89,7 @@
     }
 }
 
-/// What has been learned of the replicas' prompt caches.
+/// The model of the replicas' prompt caches.
 pub(crate) struct PromptCacheModel {
     sessions: SessionTable,
     shared_prefix: HitRate,
@@ -102,18 +102,18 @@
         PromptCacheModel {
             sessions: SessionTable::default(),
             shared_prefix: HitRate::new(1.0),
-            // If it is believed too little, affinity replicas are passed over, and then there is little to be found there.
+            // With a lower rate affinity replicas would be avoided, and then little would be found in their caches.
             affinity_replica: HitRate::new(0.8),
             previous_turn: HitRate::new(1.0),
         }
     }
 
-    /// Where this router sent the session's previous turn.
+    /// The session's previous turn, if this router sent it or imported it.
     pub(crate) fn previous_turn(&self, session: u64) -> Option<PreviousTurn> {
         self.sessions.get(session)
     }
 
-    /// The part, from 0 to 1, of the tokens expected from this source that are found.
+    /// The fraction, from 0 to 1, of the expected tokens of this source that is found.
     pub(crate) fn hit_rate(&self, source: CacheSource) -> f64 {
         match source {
             CacheSource::SharedPrefix => self.shared_prefix.rate,
@@ -122,7 +122,7 @@
         }
     }
 
-    /// Takes what an answer says it found in the cache of `replica`, where it was sent for `source`.
+    /// Records the cached tokens that `replica` reported with an answer; `source` is why they were expected.
     pub(crate) fn record_cached_tokens(
         &mut self,
         request: &IncomingRequest,
@@ -142,8 +142,8 @@
                     .record(cached_tokens - shared, prompt - shared);
             }
             CacheSource::PreviousTurn => {
-                let read = previous.map_or(0.0, |turn| turn.prompt_tokens.min(prompt));
-                self.previous_turn.record(cached_tokens, read);
+                let expected = previous.map_or(0.0, |turn| turn.prompt_tokens.min(prompt));
+                self.previous_turn.record(cached_tokens, expected);
             }
         }
         if let Some(session) = request.session {
@@ -155,7 +155,7 @@
         }
     }
 
-    /// Adds what has been learned to the state for another process.
+    /// Writes hit rates and sessions to the learned state.
     pub(crate) fn export(&self, state: &mut LearnedState) {
         state.cache_hit_rates = CacheHitRates {
             shared_prefix: self.shared_prefix.rate,
@@ -173,7 +173,7 @@
         }
     }
 
-    /// Takes over those sessions of another process that are not known here.
+    /// Adds the sessions of another process that are unknown here.
     pub(crate) fn add_unknown_sessions(&mut self, sessions: &[SessionRecord]) {
         for record in sessions {
             if self.sessions.get(record.session).is_none() {
@@ -186,7 +186,7 @@
         }
     }
 
-    /// Continues from the hit rates that another process has learned.
+    /// Restores the hit rates that another process has learned.
     pub(crate) fn restore_hit_rates(&mut self, rates: CacheHitRates) {
         self.shared_prefix.rate = rates.shared_prefix;
         self.affinity_replica.rate = rates.affinity_replica;
--- a/crates/scheduler/src/prompt_cache/tests.rs
+++ b/crates/scheduler/src/prompt_cache/tests.rs
@@ -1,4 +1,4 @@
-//! The model of prompt caches alone.
+//! Unit tests of the prompt cache model.
 
 use super::{CacheSource, PreviousTurn, PromptCacheModel, SessionTable, MAX_SESSIONS};
 use crate::types::{IncomingRequest, ReplicaId, RequestId};
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn answer_makes_its_replica_the_one_of_the_previous_turn() {
+fn answer_sets_the_previous_turn_of_its_session() {
     let mut model = PromptCacheModel::new();
     assert!(model.previous_turn(7).is_none());
     model.record_cached_tokens(&request(900), replica(), CacheSource::AffinityReplica, 0.0);
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn hit_rate_follows_what_is_found() {
+fn hit_rate_falls_if_nothing_is_found() {
     let mut model = PromptCacheModel::new();
     let before = model.hit_rate(CacheSource::AffinityReplica);
     model.record_cached_tokens(&request(1000), replica(), CacheSource::AffinityReplica, 0.0);
@@ -43,14 +43,14 @@
 }
 
 #[test]
-fn prompt_without_expected_tokens_teaches_nothing() {
+fn prompt_without_expected_tokens_does_not_change_the_hit_rate() {
     let mut model = PromptCacheModel::new();
     model.record_cached_tokens(&request(1000), replica(), CacheSource::SharedPrefix, 0.0);
     assert_eq!(model.hit_rate(CacheSource::SharedPrefix), 1.0);
 }
 
 #[test]
-fn oldest_session_is_forgotten_first() {
+fn oldest_session_is_evicted_first() {
     let mut sessions = SessionTable::default();
     let turn = PreviousTurn {
         replica: replica(),
--- a/crates/scheduler/src/rendezvous/tests.rs
+++ b/crates/scheduler/src/rendezvous/tests.rs
@@ -1,4 +1,4 @@
-//! Scores that sessions rest on: they must not change from version to version.
+//! Unit tests of rendezvous scores, which must not change between versions: sessions would move to other replicas.
 
 use super::{address_key, score};
 use crate::types::ReplicaId;
@@ -8,7 +8,7 @@
 }
 
 #[test]
-fn scores_stay_what_they_were() {
+fn scores_are_stable_across_versions() {
     let v4 = key("10.0.0.1:80");
     let v6 = key("[2001:db8::15]:8015");
     let scores = [
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn replica_of_twice_the_weight_comes_first_twice_as_often() {
+fn replica_of_twice_the_weight_is_first_twice_as_often() {
     let large = key("10.0.0.1:80");
     let small = key("10.0.0.2:80");
     let is_large_first = |session: &u64| score(*session, large, 2.0) < score(*session, small, 1.0);
--- a/crates/scheduler/src/replica.rs
+++ b/crates/scheduler/src/replica.rs
@@ -1,4 +1,4 @@
-//! One replica as this router knows it: what the endpoint list says, what it reports, what it has of this router.
+//! The state of one replica: its endpoint list entry, its reported load, and this router's attempts and observations.
 
 use crate::endpoint_confirmation::ReplicaEvidence;
 use crate::outlier_detection::ReplicaHealth;
@@ -9,46 +9,46 @@
     DeduplicationScope, Endpoint, EndpointState, LifecycleRules, LoadReport, ReplicaId, Seconds,
 };
 
-/// A load report is asked for again after this long, when a request may go to the replica.
+/// Minimum interval between probes of a replica for load reports.
 pub(crate) const PROBE_INTERVAL: Seconds = 1.0;
-/// A load report counts less with age and is worth nothing after this long.
+/// The weight of a load report falls linearly to 0 over this time.
 const REPORT_LIFETIME: Seconds = 3.0;
-/// No replica can have this many prompt tokens, or requests, waiting: a report of more is no report.
+/// Reported numbers of tokens or requests from this on are impossible and ignored.
 const MAX_REPORTED: f64 = 1e9;
-/// A replica that reports at least this many requests queued has a queue.
+/// Fewer reported queued requests than this count as no queue.
 const MIN_QUEUED: f64 = 0.5;
-/// How far answers ran over their estimates is a mean over this many.
+/// Number of first tokens in the mean error of estimates.
 const ESTIMATE_ERROR_SAMPLES: f64 = 4.0;
-/// The estimates of this many answers are taken to have been right, beside those seen.
+/// Number of samples without error that are added to the mean (shrinkage).
 const ESTIMATE_ERROR_PRIOR_SAMPLES: f64 = 4.0;
-/// What a replica's last answers were off by is forgotten in this time.
+/// Time constant with which the error of estimates decays after the last response.
 const ESTIMATE_ERROR_LIFETIME: Seconds = 5.0;
-/// A time to first token below this counts as this long where it is compared with its estimate.
+/// Lower bound of the time to first token in the comparison with its estimate.
 const MIN_COMPARED_TIME: Seconds = 0.005;
-/// Bounds of the logarithm of one answer's error.
+/// Bounds of the natural logarithm of one sample's error.
 const MIN_ERROR_LOGARITHM: f64 = -2.0;
 const MAX_ERROR_LOGARITHM: f64 = 3.0;
 
-/// Requests that a replica reported to hold.
+/// The number of requests held, from a load report.
 #[derive(Clone, Copy)]
 pub(crate) struct HeldRequests {
-    /// Of all routers.
+    /// Requests of all routers.
     pub(crate) reported: f64,
-    /// This router's requests in flight there when the report came.
+    /// This router's requests in flight at the replica when the report arrived.
     pub(crate) own_in_flight: usize,
 }
 
-/// What a replica last reported.
+/// The load that a replica last reported.
 pub(crate) struct ReportedLoad {
     queued_prompt_tokens: f64,
     reported_at: Seconds,
     /// From 0 to 1.
     pub(crate) memory_utilization: f64,
-    /// Requests queued for a place in the batch.
+    /// Requests queued for a batch slot.
     pub(crate) requests_queued: f64,
-    /// `None` where reports do not say it.
+    /// `None` if reports do not contain it.
     pub(crate) requests_held: Option<HeldRequests>,
-    /// Requests that its batch holds, learned from a report with a queue.
+    /// Batch size, derived from a report with queued requests.
     pub(crate) batch_size: Option<f64>,
 }
 
@@ -64,14 +64,14 @@
         }
     }
 
-    /// Takes over what a report says; figures that cannot be are passed over.
+    /// Records a report; impossible values are ignored.
     fn record(&mut self, report: LoadReport, now: Seconds, own_in_flight: usize) {
-        let is_count = |figure: &f64| (0.0..MAX_REPORTED).contains(figure);
+        let is_count = |value: &f64| (0.0..MAX_REPORTED).contains(value);
         if let Some(tokens) = report.queued_prompt_tokens.filter(is_count) {
             self.queued_prompt_tokens = tokens;
             self.reported_at = now;
         }
-        let is_utilization = |figure: &f64| (0.0..f64::INFINITY).contains(figure);
+        let is_utilization = |value: &f64| (0.0..f64::INFINITY).contains(value);
         if let Some(utilization) = report.memory_utilization.filter(is_utilization) {
             self.memory_utilization = utilization;
         }
@@ -97,18 +97,18 @@
         now < self.reported_at + PROBE_INTERVAL
     }
 
-    /// How much the report still counts, from 1 when new to 0.
+    /// The weight of the report, from 1 when new to 0.
     pub(crate) fn freshness(&self, now: Seconds) -> f64 {
         (1.0 - self.age(now) / REPORT_LIFETIME).max(0.0)
     }
 
-    /// Prompt tokens as last reported, however long ago.
+    /// Queued prompt tokens as last reported, regardless of age.
     pub(crate) fn queued_prompt_tokens(&self) -> f64 {
         self.queued_prompt_tokens
     }
 }
 
-/// The probes of one replica.
+/// The schedule of load report probes of one replica.
 #[derive(Default)]
 pub(crate) struct ProbeState {
     next_probe_at: Seconds,
@@ -120,7 +120,6 @@
         self.is_in_flight
     }
 
-    /// A probe for a load report was sent.
     pub(crate) fn record_sent(&mut self, now: Seconds) {
         self.is_in_flight = true;
         self.schedule_next(now);
@@ -142,13 +141,12 @@
         now >= self.next_probe_at
     }
 
-    /// Whether a probe in flight has gone without an answer for longer than this.
-    pub(crate) fn is_unanswered_for(&self, now: Seconds, span: Seconds) -> bool {
-        self.is_in_flight && now > self.next_probe_at - PROBE_INTERVAL + span
+    /// Whether a probe has been in flight for longer than `duration`.
+    pub(crate) fn is_unanswered_for(&self, now: Seconds, duration: Seconds) -> bool {
+        self.is_in_flight && now > self.next_probe_at - PROBE_INTERVAL + duration
     }
 }
 
-/// One replica.
 pub(crate) struct Replica {
     zone: usize,
     cell: usize,
@@ -158,9 +156,9 @@
     address_key: u64,
     /// This router's attempts in flight.
     in_flight: usize,
-    /// This router's prompt tokens sent and not yet read.
-    unread_prompt_tokens: f64,
-    /// Logarithm of how far the last first tokens ran over their estimates.
+    /// Prompt tokens of this router's attempts that are not yet prefilled.
+    pending_prefill_tokens: f64,
+    /// Natural logarithm of the ratio of recent times to first token to their estimates.
     estimate_error: RunningMean,
     pub(crate) load: ReportedLoad,
     pub(crate) probe: ProbeState,
@@ -170,7 +168,7 @@
 }
 
 impl Replica {
-    /// A replica of which nothing is known; the endpoint list fills in the rest.
+    /// Creates a replica that gets no requests until its endpoint list entry is applied.
     pub(crate) fn new(id: ReplicaId) -> Self {
         Replica {
             zone: 0,
@@ -180,7 +178,7 @@
             state: EndpointState::Draining,
             address_key: rendezvous::address_key(id),
             in_flight: 0,
-            unread_prompt_tokens: 0.0,
+            pending_prefill_tokens: 0.0,
             estimate_error: RunningMean::default(),
             load: ReportedLoad::new(),
             probe: ProbeState::default(),
@@ -190,7 +188,6 @@
         }
     }
 
-    /// Takes over what the endpoint list says.
     pub(crate) fn apply_endpoint(&mut self, endpoint: &Endpoint) {
         self.zone = endpoint.zone;
         self.cell = endpoint.cell;
@@ -227,7 +224,7 @@
         self.in_flight
     }
 
-    /// A new process begins: it knows nothing of the one before it. `slow_start_debt` is a part of one attempt.
+    /// Begins slow start and resets the health for a new process. `slow_start_debt` is a fraction of one attempt.
     pub(crate) fn restart(&mut self, started_at: Option<Seconds>, slow_start_debt: f64) {
         self.slow_start.restart(started_at, slow_start_debt);
         self.health.restart();
@@ -237,69 +234,69 @@
         !self.slow_start.is_warming_up(rules, now)
     }
 
-    /// An attempt was sent that is overdue after this long.
+    /// Records an attempt that becomes overdue after `overdue_after`.
     pub(crate) fn record_attempt(
         &mut self,
-        unread_tokens: f64,
+        prefill_tokens: f64,
         now: Seconds,
         overdue_after: Seconds,
     ) {
         self.health.record_attempt(now, overdue_after);
         self.in_flight += 1;
-        self.unread_prompt_tokens += unread_tokens;
+        self.pending_prefill_tokens += prefill_tokens;
         self.slow_start.record_attempt();
     }
 
-    /// A prompt is read; the time to its first token is compared with its estimate.
+    /// Records a first token, after which the prompt is prefilled, and the error of its estimate.
     pub(crate) fn record_first_token(
         &mut self,
-        unread_tokens: f64,
-        estimate: Seconds,
+        prefill_tokens: f64,
+        estimated_ttft: Seconds,
         elapsed: Seconds,
     ) {
-        self.remove_unread_tokens(unread_tokens);
-        if estimate > 0.0 {
-            let ratio = elapsed.max(MIN_COMPARED_TIME) / estimate;
+        self.remove_pending_prefill(prefill_tokens);
+        if estimated_ttft > 0.0 {
+            let ratio = elapsed.max(MIN_COMPARED_TIME) / estimated_ttft;
             let error = ratio.ln().clamp(MIN_ERROR_LOGARITHM, MAX_ERROR_LOGARITHM);
             self.estimate_error.record(error, ESTIMATE_ERROR_SAMPLES);
         }
     }
 
-    /// An attempt has ended that had this many tokens still to be read.
-    pub(crate) fn record_attempt_end(&mut self, unread_tokens: f64) {
+    /// Records the end of an attempt with this many prompt tokens not yet prefilled.
+    pub(crate) fn record_attempt_end(&mut self, pending_prefill_tokens: f64) {
         self.in_flight = self.in_flight.saturating_sub(1);
-        self.remove_unread_tokens(unread_tokens);
+        self.remove_pending_prefill(pending_prefill_tokens);
     }
 
-    fn remove_unread_tokens(&mut self, tokens: f64) {
-        self.unread_prompt_tokens = (self.unread_prompt_tokens - tokens).max(0.0);
+    fn remove_pending_prefill(&mut self, tokens: f64) {
+        self.pending_prefill_tokens = (self.pending_prefill_tokens - tokens).max(0.0);
     }
 
     pub(crate) fn record_report(&mut self, report: LoadReport, now: Seconds) {
         self.load.record(report, now, self.in_flight);
     }
 
-    /// Prompt tokens that will be read here before those of an attempt sent now. `mean_queued_tokens` stands for what is
-    /// not reported.
+    /// Prompt tokens that the replica prefills before those of an attempt sent now. `mean_queued_tokens` is used as far as
+    /// there is no recent report.
     pub(crate) fn queued_tokens(&self, now: Seconds, mean_queued_tokens: f64) -> f64 {
         let weight = self.load.freshness(now);
         let reported = self.load.queued_prompt_tokens() * weight;
-        reported + mean_queued_tokens * (1.0 - weight) + self.unread_prompt_tokens
+        reported + mean_queued_tokens * (1.0 - weight) + self.pending_prefill_tokens
     }
 
-    /// The factor by which the last answers ran over their estimates.
+    /// The factor by which recent times to first token exceeded their estimates.
     pub(crate) fn estimate_error_factor(&self, now: Seconds) -> f64 {
         let age = now - self.health.last_response_at();
         let error = self.estimate_error.shrunk(ESTIMATE_ERROR_PRIOR_SAMPLES);
         (error * (-age / ESTIMATE_ERROR_LIFETIME).exp()).exp()
     }
 
-    /// Its place in a session's order, lowest first.
+    /// The replica's score in a session's order, lowest first.
     pub(crate) fn rendezvous_score(&self, session: u64, weight: f64) -> u64 {
         rendezvous::score(session, self.address_key, weight)
     }
 
-    /// Whether the two drop each other's repeats of a request.
+    /// Whether the two replicas deduplicate repeated requests together.
     pub(crate) fn shares_deduplication(&self, other: &Replica, scope: DeduplicationScope) -> bool {
         match scope {
             DeduplicationScope::AllReplicas => true,
--- a/crates/scheduler/src/replicas.rs
+++ b/crates/scheduler/src/replicas.rs
@@ -1,10 +1,10 @@
-//! The table of replicas, updated by the endpoint list.
+//! The table of replicas, updated from the endpoint list.
 
 use crate::replica::Replica;
 use crate::types::{LifecycleRules, ReplicaId, Seconds};
 use std::collections::BTreeMap;
 
-/// All replicas that are listed or still have attempts of this router.
+/// All replicas that are listed or have attempts of this router in flight.
 #[derive(Default)]
 pub(crate) struct ReplicaTable {
     replicas: BTreeMap<ReplicaId, Replica>,
@@ -45,8 +45,9 @@
         }
     }
 
-    /// Forgets removed replicas without attempts in flight: replicas are replaced all day long.
-    pub(crate) fn forget_removed(&mut self) {
+    /// Deletes removed replicas without attempts in flight. Replicas are replaced continually, so the table would grow without
+    /// limit otherwise.
+    pub(crate) fn purge_removed(&mut self) {
         let is_needed = |replica: &Replica| !replica.is_removed() || replica.in_flight() > 0;
         self.replicas.retain(|_, replica| is_needed(replica));
     }
@@ -55,7 +56,7 @@
         self.values().filter(|replica| replica.is_available())
     }
 
-    /// Available replicas that have warmed up.
+    /// Available replicas that have finished slow start.
     fn warm<'a>(
         &'a self,
         rules: &'a LifecycleRules,
@@ -69,12 +70,13 @@
         self.warm(rules, now).count()
     }
 
-    /// This router's attempts in flight at warm replicas, which its concurrency limit bounds.
+    /// This router's attempts in flight at warm replicas, to which the concurrency limit applies.
     pub(crate) fn in_flight_at_warm(&self, rules: &LifecycleRules, now: Seconds) -> usize {
         self.warm(rules, now).map(Replica::in_flight).sum()
     }
 
-    /// Attempts that all other routers have in flight at a replica, the mean, if each has as many as this router.
+    /// The estimated mean number of attempts that all other routers have in flight at a replica, if each router has as many as
+    /// this one.
     pub(crate) fn mean_in_flight_of_others(&self, router_count: usize) -> f64 {
         let mut in_flight = 0;
         let mut available: usize = 0;
--- a/crates/scheduler/src/request.rs
+++ b/crates/scheduler/src/request.rs
@@ -1,4 +1,4 @@
-//! One request with its attempts, as an explicit state machine.
+//! The state machine of one request with its attempts.
 
 use crate::attempt::Attempt;
 use crate::fair_queue::{QueueEntry, QueueKey};
@@ -9,11 +9,11 @@
 /// | from | event | to |
 /// |---|---|---|
 /// | `NotQueued` | it is queued: at its arrival, for a retry or for a hedged attempt | `Queued` |
-/// | `Queued` | it is dispatched, deferred, answered elsewhere or expires | `NotQueued` |
+/// | `Queued` | it is dispatched, deferred or expires, or another attempt streams | `NotQueued` |
 /// | `NotQueued`, `Queued` | it has its final answer, or its client has left | `Finished` |
 ///
-/// A request that is not queued has attempts in flight, or is deferred until load reports or capacity change. A finished
-/// request is kept until its last attempt has ended, and is never queued again.
+/// A request that is not queued has attempts in flight, or is deferred until load reports arrive or capacity changes. A
+/// finished request is stored until its last attempt has ended, and is never queued again.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum RequestState {
     NotQueued,
@@ -21,27 +21,26 @@
     Finished,
 }
 
-/// When a request must be answered.
+/// The time limits of a request.
 #[derive(Clone, Copy)]
 pub(crate) struct RequestDeadlines {
-    /// The time to first token that is wanted.
+    /// The target for the time to first token.
     pub(crate) ttft_objective: Seconds,
-    /// Past this time the client has given up.
+    /// When the client's timeout ends.
     pub(crate) deadline: Seconds,
-    /// Past this time an answer earns nothing.
+    /// An answer after this time is worth nothing.
     pub(crate) useful_until: Seconds,
 }
 
-/// Where a request stands in the fair queue.
+/// The position of a request in the fair queue.
 #[derive(Clone, Copy)]
 pub(crate) struct QueuePosition {
     pub(crate) tier: usize,
     pub(crate) key: QueueKey,
-    /// Tokens.
+    /// In tokens.
     pub(crate) cost: f64,
 }
 
-/// One request.
 pub(crate) struct Request {
     incoming: IncomingRequest,
     arrived_at: Seconds,
@@ -53,7 +52,6 @@
 }
 
 impl Request {
-    /// A request that is not queued yet.
     pub(crate) fn new(
         incoming: IncomingRequest,
         position: QueuePosition,
@@ -70,12 +68,12 @@
         }
     }
 
-    /// The replica whose evidence the request's next attempt waits for.
+    /// The replica that was probed for evidence for the request's next attempt.
     pub(crate) fn awaited_replica(&self) -> Option<ReplicaId> {
         self.awaited_replica
     }
 
-    pub(crate) fn await_replica(&mut self, replica: ReplicaId) {
+    pub(crate) fn set_awaited_replica(&mut self, replica: ReplicaId) {
         self.awaited_replica = Some(replica);
     }
 
@@ -99,7 +97,8 @@
         self.deadlines
     }
 
-    /// Brings its times within the life of the router. The request must not be queued: the queue finds it by its times.
+    /// Limits its deadlines to the router's answer deadline. The request must not be queued, because the queue finds it by its
+    /// deadlines.
     pub(crate) fn shorten_deadlines(&mut self, answer_deadline: Seconds) {
         debug_assert!(!self.is_queued());
         self.deadlines.deadline = self.deadlines.deadline.min(answer_deadline);
@@ -110,18 +109,17 @@
         self.position.tier
     }
 
-    /// Moves it to another tier. The request must not be queued: the queue finds it by its tier.
+    /// Moves it to another tier. The request must not be queued, because the queue finds it by its tier.
     pub(crate) fn set_tier(&mut self, tier: usize) {
         debug_assert!(!self.is_queued());
         self.position.tier = tier;
     }
 
-    /// Tokens.
+    /// In tokens.
     pub(crate) fn cost(&self) -> f64 {
         self.position.cost
     }
 
-    /// What the queue keeps of it.
     pub(crate) fn queue_entry(&self) -> QueueEntry {
         QueueEntry {
             request: self.id(),
@@ -141,7 +139,7 @@
         self.state == RequestState::Finished
     }
 
-    /// Marks it as queued; false where it is queued already or finished.
+    /// Marks it as queued; returns false if it is already queued or finished.
     pub(crate) fn mark_queued(&mut self) -> bool {
         let is_queueable = self.state == RequestState::NotQueued;
         if is_queueable {
@@ -150,7 +148,7 @@
         is_queueable
     }
 
-    /// Marks it as not queued; false where it was not queued.
+    /// Marks it as not queued; returns false if it was not queued.
     pub(crate) fn mark_dequeued(&mut self) -> bool {
         let was_queued = self.is_queued();
         if was_queued {
@@ -159,7 +157,7 @@
         was_queued
     }
 
-    /// Marks it as finished. It must have been taken out of the queue.
+    /// Marks it as finished. The request must not be queued.
     pub(crate) fn mark_finished(&mut self) {
         debug_assert!(!self.is_queued());
         self.state = RequestState::Finished;
@@ -191,17 +189,17 @@
         self.attempts.iter().any(Attempt::is_streaming)
     }
 
-    /// It has neither its final answer nor a first token.
+    /// Whether it has neither a final answer nor a first token.
     pub(crate) fn awaits_first_token(&self) -> bool {
         !self.is_finished() && !self.is_streaming()
     }
 
-    /// The first attempt that a replica may have worked on, or that is in flight.
+    /// The first attempt that is in flight or may have been run by its replica.
     pub(crate) fn first_attempt_that_may_have_run(&self) -> Option<&Attempt> {
         self.attempts.iter().find(|attempt| attempt.may_have_run())
     }
 
-    /// Requests the cancellation, once, of the attempts without a first token, and returns their numbers.
+    /// Cancels the attempts without a first token that are not yet cancelled, and returns their numbers.
     pub(crate) fn cancel_attempts(&mut self) -> Vec<usize> {
         let mut cancelled = Vec::new();
         for (number, attempt) in self.attempts.iter_mut().enumerate() {
--- a/crates/scheduler/src/request/tests.rs
+++ b/crates/scheduler/src/request/tests.rs
@@ -1,4 +1,4 @@
-//! The table of transitions of a request.
+//! Unit tests of the state transitions of a request.
 
 use super::{QueuePosition, Request, RequestDeadlines};
 use crate::fair_queue::QueueKey;
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn request_is_queued_once_and_taken_out_once() {
+fn request_is_queued_once_and_dequeued_once() {
     let mut request = request();
     assert!(!request.mark_dequeued());
     assert!(request.mark_queued());
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn arrival_is_reckoned_back_from_the_deadline() {
+fn arrival_time_is_computed_from_the_deadline() {
     assert_eq!(request().arrived_at(), 10.0);
 }
 
--- a/crates/scheduler/src/retry.rs
+++ b/crates/scheduler/src/retry.rs
@@ -1,24 +1,24 @@
-//! What may be sent again. A request that a replica may have worked on is repeated only where a repeat has no effect.
+//! Retry rules: a request that a replica may have run is sent again only if the repeat has no second effect.
 
 use crate::fleet_view::FleetView;
 use crate::replica::Replica;
 use crate::request::Request;
 use crate::types::{DeduplicationScope, Idempotency, SchedulerSettings, Seconds};
 
-/// Whether another attempt of a request is in time, allowed, and without a second effect.
+/// Whether another attempt of a request can be in time, is within the limit of attempts, and has no second effect.
 pub(crate) fn may_retry(
     settings: &SchedulerSettings,
     request: &Request,
     earliest_answer: Seconds,
 ) -> bool {
     let idempotency = settings.classes[request.class()].idempotency;
-    let is_harmless = idempotency != Idempotency::NonIdempotent
+    let is_safe = idempotency != Idempotency::NonIdempotent
         || request.first_attempt_that_may_have_run().is_none();
     let is_in_time = earliest_answer < request.deadlines().useful_until;
-    is_harmless && is_in_time && request.attempts().len() < settings.limits.max_attempts
+    is_safe && is_in_time && request.attempts().len() < settings.limits.max_attempts
 }
 
-/// Whether an attempt of a request may run at this replica without a second effect.
+/// Whether another attempt at this replica has no second effect.
 pub(crate) fn may_run_at(view: &FleetView<'_>, request: &Request, replica: &Replica) -> bool {
     let Some(first) = request.first_attempt_that_may_have_run() else {
         return true;
@@ -35,7 +35,7 @@
     }
 }
 
-/// Whether the client may send a request again to any router without a second effect.
+/// Whether the client can retry a request at any router without a second effect.
 pub(crate) fn is_safe_for_client_to_retry(settings: &SchedulerSettings, request: &Request) -> bool {
     match settings.classes[request.class()].idempotency {
         Idempotency::Idempotent
--- a/crates/scheduler/src/scheduler/arrival.rs
+++ b/crates/scheduler/src/scheduler/arrival.rs
@@ -1,4 +1,4 @@
-//! A request arrives: it is rejected early, deferred until load reports have come, or queued.
+//! Handles the arrival of a request: it is rejected early, deferred until load reports have arrived, or queued.
 
 use super::{Scheduler, EXPIRY_MARGIN, TIMER_INTERVAL};
 use crate::admission;
@@ -11,10 +11,10 @@
     Seconds,
 };
 
-/// A request with less time than this is not deferred until load reports have come.
+/// Requests with less time left than this are not deferred for load reports.
 const MIN_TIME_FOR_PROBES: Seconds = 2.0 * TIMER_INTERVAL;
-/// A request with less time than this is answered at once if it is not dispatched at once: the next timer would find it
-/// expired.
+/// Requests with less time left than this are answered immediately if they cannot be dispatched immediately, because they
+/// would have expired by the next timer event.
 const MIN_TIME_FOR_QUEUE: Seconds = EXPIRY_MARGIN + TIMER_INTERVAL;
 
 impl Scheduler {
@@ -33,7 +33,7 @@
         };
         let time_left = self.time_left(incoming);
         if time_left <= 0.0 {
-            // Its client has given up: an attempt would be cancelled at once, and might have run.
+            // The client's timeout is over: an attempt would be cancelled immediately but might already run.
             actions.push(Action::Reject {
                 request: id,
                 retry_after: 0.0,
@@ -96,7 +96,7 @@
         Request::new(incoming, QueuePosition { tier, key, cost }, deadlines)
     }
 
-    /// What a tenant sends beyond its quota waits in a lower tier.
+    /// The priority tier of a request; requests beyond their tenant's quota get a lower one.
     fn tier_for(&mut self, tenant: usize, class: &RequestClass) -> usize {
         let is_within_quota =
             self.quotas
@@ -109,17 +109,17 @@
         self.queue.tier_for(priority_weight)
     }
 
-    /// Learns from a request what requests cost; returns its cost in tokens.
+    /// Updates the cost statistics with a request; returns its cost in tokens.
     fn record_arrival(&mut self, incoming: &IncomingRequest, class: &RequestClass) -> f64 {
         if self.traffic.requests_seen() == 0 {
             self.host_types
-                .guess_service_time(class, incoming.max_output_tokens);
+                .set_initial_service_time(class, incoming.max_output_tokens);
         }
         let tokens = (incoming.prompt_tokens + incoming.max_output_tokens).max(1) as f64;
         self.traffic.record_arrival(tokens, incoming.expected_work)
     }
 
-    /// `Retry-After` for a request that would wait too long in the queue, if no replica has capacity for it now.
+    /// The `Retry-After` of a request that must be rejected because no replica has capacity and it would be queued too long.
     fn early_rejection(&self, request: &Request, time_left: Seconds) -> Option<Seconds> {
         let is_best_effort = self.queue.is_best_effort(request.tier());
         if self.view().any_has_capacity(is_best_effort) {
@@ -130,8 +130,7 @@
         (wait > max_wait).then(|| wait.min(self.settings.limits.max_retry_after))
     }
 
-    /// Probes the first replicas of the session's order whose load reports are out of date; returns whether any probe
-    /// was sent.
+    /// Probes the session's affinity candidates whose load reports are outdated; returns whether any probe was sent.
     fn probe_affinity_candidates(&mut self, request: &Request, actions: &mut Vec<Action>) -> bool {
         if !self.lacks_load_reports() {
             return false;
@@ -150,7 +149,7 @@
         !probed.is_empty()
     }
 
-    /// Whether load reports come with probes only, or too rarely with answers.
+    /// Whether load reports arrive only with probes, or too rarely with answers.
     fn lacks_load_reports(&self) -> bool {
         let is_lacking = match self.settings.load_report_source {
             LoadReportSource::Probes => true,
--- a/crates/scheduler/src/scheduler/attempt_events.rs
+++ b/crates/scheduler/src/scheduler/attempt_events.rs
@@ -1,18 +1,18 @@
-//! An attempt has its first token, or ends: what is learned from it, and what becomes of its request.
+//! Handles the first token and the end of an attempt: updates statistics and continues or finishes the request.
 
 use super::{Scheduler, EXPIRY_MARGIN};
 use crate::attempt::Attempt;
-use crate::concurrency::Promptness;
-use crate::fleet_view::BASE_TOKENS;
-use crate::outlier_detection::RESTART_SUSPICION;
+use crate::concurrency::FirstTokenTiming;
+use crate::fleet_view::ATTEMPT_OVERHEAD_TOKENS;
+use crate::outlier_detection::RESTART_SUSPECTED_AFTER;
 use crate::request::Request;
 use crate::retry;
 use crate::types::{Action, AttemptOutcome, BudgetKind, LoadReport, ReplicaId, RequestId, Seconds};
 
-/// A time to first token below this counts as this long where prefill times are learned.
+/// Lower bound of the time to first token from which prefill times are learned.
 const MIN_PREFILL_SAMPLE: Seconds = 0.001;
 
-/// The end of an attempt, as the event tells it.
+/// The fields of [`Event::AttemptEnded`](crate::types::Event::AttemptEnded).
 pub(super) struct AttemptEnd {
     pub(super) request: RequestId,
     pub(super) attempt: usize,
@@ -21,13 +21,13 @@
     pub(super) report: Option<LoadReport>,
 }
 
-/// An attempt as it was when it ended.
+/// The state of an attempt at its end.
 struct EndedAttempt {
     replica: ReplicaId,
     sent_at: Seconds,
     was_streaming: bool,
-    /// Prompt tokens that were still to be read.
-    unread_tokens: f64,
+    /// Prompt tokens that the replica had not yet prefilled.
+    pending_prefill_tokens: f64,
 }
 
 impl Scheduler {
@@ -50,23 +50,24 @@
             return;
         }
         let replica_id = attempt.replica;
-        let unread_tokens = attempt.unread_tokens;
-        let estimate = attempt.estimate;
+        let prefill_tokens = attempt.prefill_tokens;
+        let estimated_ttft = attempt.estimated_ttft;
         let waited = attempt.sent_at - arrived_at;
         self.dequeue(id);
         self.cancel_attempts(id, actions);
         let Some(replica) = self.replicas.get_mut(replica_id) else {
             return;
         };
-        replica.record_first_token(unread_tokens, estimate, elapsed);
+        replica.record_first_token(prefill_tokens, estimated_ttft, elapsed);
         self.traffic.record_time_to_first_token(elapsed);
-        let per_token = elapsed.max(MIN_PREFILL_SAMPLE) / (unread_tokens + BASE_TOKENS);
+        let per_token =
+            elapsed.max(MIN_PREFILL_SAMPLE) / (prefill_tokens + ATTEMPT_OVERHEAD_TOKENS);
         self.host_types
             .record_prefill_time(replica.host_type(), per_token);
-        let promptness = Promptness::of(elapsed, ttft_objective, waited);
+        let timing = FirstTokenTiming::of(elapsed, ttft_objective, waited);
         let rules = &self.settings.lifecycle;
         let in_flight = || self.replicas.in_flight_at_warm(rules, self.now);
-        self.concurrency.record_first_token(promptness, in_flight);
+        self.concurrency.record_first_token(timing, in_flight);
         self.record_response(replica_id, true);
     }
 
@@ -81,34 +82,34 @@
         } else {
             self.continue_request(end.request, end.outcome, actions);
         }
-        self.forget_if_done(end.request);
+        self.remove_if_done(end.request);
     }
 
-    /// Ends an attempt, once.
+    /// Marks an attempt as ended; `None` if it is unknown or has already ended.
     fn end_attempt(&mut self, end: &AttemptEnd, actions: &mut Vec<Action>) -> Option<EndedAttempt> {
         let request = self.requests.get(&end.request)?;
         let attempt = request.attempts().get(end.attempt)?;
         let sent_at = attempt.sent_at;
         let was_streaming = attempt.is_streaming();
         if end.outcome == AttemptOutcome::Completed {
-            // An answer that does not stream is its own first token: the concurrency limit would never grow else.
+            // An answer without streaming counts as its own first token; otherwise the concurrency limit would never grow.
             self.on_first_token(end.request, end.attempt, self.now - sent_at, actions);
         }
         let request = self.requests.get_mut(&end.request)?;
         let attempt = request.attempt_mut(end.attempt)?;
-        let unread_tokens = attempt.end(end.outcome)?;
+        let pending_prefill_tokens = attempt.end(end.outcome)?;
         Some(EndedAttempt {
             replica: attempt.replica,
             sent_at,
             was_streaming,
-            unread_tokens,
+            pending_prefill_tokens,
         })
     }
 
-    /// Takes an attempt out of what its replica has, and learns from its load report.
+    /// Records the load report of an ended attempt and removes the attempt from its replica's counts.
     fn record_attempt_end(&mut self, end: &AttemptEnd, ended: &EndedAttempt) {
         if let Some(report) = end.report {
-            // The replica made the report while it still held the attempt.
+            // Recorded first because the replica made the report while it still held the attempt.
             self.record_load_report(ended.replica, report);
             let cached_tokens = report.cached_prompt_tokens;
             if end.outcome == AttemptOutcome::Completed {
@@ -116,7 +117,7 @@
             }
         }
         if let Some(replica) = self.replicas.get_mut(ended.replica) {
-            replica.record_attempt_end(ended.unread_tokens);
+            replica.record_attempt_end(ended.pending_prefill_tokens);
         }
     }
 
@@ -147,9 +148,9 @@
         match outcome {
             AttemptOutcome::Completed => self.learn_from_completion(ended),
             AttemptOutcome::AtCapacity => {
-                // What was turned away is no measure of what a warm replica bears, on which slow start rests.
-                self.traffic.uncount_attempt(self.now);
-                self.concurrency.cut();
+                // Slow start is based on the attempt rate that warm replicas handle; declined attempts must not raise it.
+                self.traffic.retract_attempt(self.now);
+                self.concurrency.reduce();
                 if let Some(replica) = self.replicas.get_mut(ended.replica) {
                     replica.health.record_at_capacity(self.now);
                 }
@@ -177,8 +178,8 @@
     fn learn_from_failure(&mut self, outcome: AttemptOutcome, ended: &EndedAttempt) {
         let has_timed_out = outcome == AttemptOutcome::TimedOut;
         if ended.was_streaming || has_timed_out {
-            // A broken stream is a sign of load, as a timeout is.
-            self.concurrency.cut();
+            // A broken stream is a sign of overload, like a timeout.
+            self.concurrency.reduce();
         }
         let Some(replica) = self.replicas.get_mut(ended.replica) else {
             return;
@@ -193,7 +194,7 @@
         }
     }
 
-    /// What becomes of a request that is not finished after one of its attempts has ended.
+    /// Retries, fails or answers an unfinished request after one of its attempts has ended.
     fn continue_request(
         &mut self,
         id: RequestId,
@@ -224,15 +225,16 @@
         retry::may_retry(&self.settings, request, self.now + EXPIRY_MARGIN)
     }
 
-    /// A replica has responded: to a request, or to a probe (`is_answer` false), which shows only that its process runs.
+    /// Records a response of a replica to a request, or to a probe (`is_answer` is false), which shows only that its process
+    /// runs.
     pub(super) fn record_response(&mut self, id: ReplicaId, is_answer: bool) {
         let Some(replica) = self.replicas.get_mut(id) else {
             return;
         };
         if let Some(since) = replica.health.record_response(self.now, is_answer) {
-            // A replica back from being unresponsive may have been restarted, whatever the endpoint list says; one that
-            // was only slow has not, and is no less warm for it.
-            let started_at = if self.now - since > RESTART_SUSPICION {
+            // A replica that was unresponsive for long may have restarted even if the endpoint list does not show it. After
+            // a short time it was only slow and is as warm as before.
+            let started_at = if self.now - since > RESTART_SUSPECTED_AFTER {
                 Some(self.now)
             } else {
                 replica.slow_start.started_at()
@@ -252,8 +254,7 @@
         match (report.requests_queued, report.requests_held) {
             (Some(queued), None) => {
                 let held = replica.in_flight() as f64 + others;
-                self.host_types
-                    .record_reported_queue(host_type, held, queued);
+                self.host_types.infer_batch_size(host_type, held, queued);
             }
             _ => {
                 if let Some(batch_size) = replica.load.batch_size {
--- a/crates/scheduler/src/scheduler/dispatch.rs
+++ b/crates/scheduler/src/scheduler/dispatch.rs
@@ -1,4 +1,4 @@
-//! Queued requests are dispatched to replicas as far as there is capacity.
+//! Dispatches queued requests to replicas with capacity.
 
 use super::{Scheduler, ESTIMATE_TIMING, TIMER_INTERVAL};
 use crate::attempt::Attempt;
@@ -6,11 +6,11 @@
 use crate::placement::{self, PlacementLimits};
 use crate::types::{Action, BudgetKind, ReplicaId, RequestId};
 
-/// Of the cross-zone budget that can be saved up, this part is kept for requests of the highest priority.
-const RESERVED_CROSS_ZONE_PART: f64 = 0.5;
+/// The fraction of the cross-zone budget's burst that is reserved for requests of the highest priority.
+const RESERVED_CROSS_ZONE_FRACTION: f64 = 0.5;
 
 impl Scheduler {
-    /// Dispatches queued requests while any replica has capacity for the highest tier that has some.
+    /// Dispatches queued requests while any replica has capacity for the highest tier with queued requests.
     pub(super) fn dispatch_queued(&mut self, actions: &mut Vec<Action>) {
         if self.awaits_poll() {
             return;
@@ -35,7 +35,7 @@
         })
     }
 
-    /// Chooses the replica for a request's next attempt; `None` where no replica qualifies.
+    /// Chooses the replica for a request's next attempt; `None` if no replica qualifies or evidence is awaited.
     fn place(&mut self, id: RequestId, actions: &mut Vec<Action>) -> Option<Attempt> {
         let request = self.requests.get(&id)?;
         let priority_weight = self.settings.classes[request.class()].priority_weight;
@@ -47,12 +47,12 @@
         let candidates = placement::candidates(&self.view(), request, &limits, &ESTIMATE_TIMING);
         let has_candidates = !candidates.is_empty();
         let chosen = if self.requires_evidence() {
-            self.choose_by_evidence(id, candidates, actions)
+            self.choose_with_evidence(id, candidates, actions)
         } else {
             placement::choose(candidates, || self.rng.rand_float())
         };
         if !has_candidates && !may_cross_zones {
-            // The request is tried again at each timer: waiting for that long counts as this part of one attempt wanted.
+            // Placement is repeated at each timer event; counting the interval in units makes one second of waiting one unit.
             let units = TIMER_INTERVAL;
             self.budgets
                 .record_demand(BudgetKind::CrossZone, units, priority_weight);
@@ -60,15 +60,15 @@
         chosen.map(|candidate| candidate.attempt)
     }
 
-    /// Requests of less than the highest priority leave a part of the fleet's cross-zone budget to those.
+    /// Whether the cross-zone budget allows an attempt. A fraction of it is reserved for the highest priority.
     fn may_cross_zones(&self, priority_weight: f64) -> bool {
-        let reserved_part = if priority_weight < self.queue.highest_priority_weight() {
-            RESERVED_CROSS_ZONE_PART
+        let reserved_fraction = if priority_weight < self.queue.highest_priority_weight() {
+            RESERVED_CROSS_ZONE_FRACTION
         } else {
             0.0
         };
         self.budgets
-            .has_unit(self.now, BudgetKind::CrossZone, reserved_part)
+            .has_unit(self.now, BudgetKind::CrossZone, reserved_fraction)
     }
 
     fn start_attempt(&mut self, id: RequestId, attempt: Attempt, actions: &mut Vec<Action>) {
@@ -76,8 +76,8 @@
             return;
         };
         let replica_id = attempt.replica;
-        let unread_tokens = attempt.unread_tokens;
-        let overdue_after = hedging::overdue_after(attempt.estimate);
+        let prefill_tokens = attempt.prefill_tokens;
+        let overdue_after = hedging::overdue_after(attempt.estimated_ttft);
         request.add_attempt(attempt);
         actions.push(Action::StartAttempt {
             request: id,
@@ -87,23 +87,24 @@
         self.traffic.record_dispatch(self.now, request.cost());
         self.record_budget_use(id, replica_id);
         if let Some(replica) = self.replicas.get_mut(replica_id) {
-            replica.record_attempt(unread_tokens, self.now, overdue_after);
+            replica.record_attempt(prefill_tokens, self.now, overdue_after);
         }
     }
 
-    /// Counts an attempt against the fleet's budgets: what of it a replica in slow start would get, and a zone crossed.
+    /// Records the demand of an attempt for the slow-start budget, namely its share for each replica, and takes a unit of the
+    /// cross-zone budget if the replica is in another zone.
     fn record_budget_use(&mut self, id: RequestId, replica: ReplicaId) {
         let priority_weight = self.priority_weight(id);
-        let part = 1.0 / self.concurrency.max_available_replicas().max(1) as f64;
+        let units_per_replica = 1.0 / self.concurrency.max_available_replicas().max(1) as f64;
         self.budgets
-            .record_demand(BudgetKind::SlowStart, part, priority_weight);
+            .record_demand(BudgetKind::SlowStart, units_per_replica, priority_weight);
         let own_zone = self.settings.zone;
         let crosses_zones = self
             .replicas
             .get(replica)
             .is_some_and(|replica| replica.zone() != own_zone);
         if crosses_zones {
-            // The placement has checked that there is a unit, or there is no budget.
+            // The unit is available, because placement has checked the budget.
             self.budgets
                 .request_unit(self.now, BudgetKind::CrossZone, priority_weight);
         }
--- a/crates/scheduler/src/scheduler/endpoint_events.rs
+++ b/crates/scheduler/src/scheduler/endpoint_events.rs
@@ -1,15 +1,14 @@
-//! The endpoint list changes, a probe ends, or another router advises on an ejected replica.
+//! Handles endpoint list changes, the end of probes, and outlier advice from another router.
 
 use super::Scheduler;
 use crate::types::{AttemptOutcome, Endpoint, LoadReport, ReplicaId};
 
 impl Scheduler {
-    /// Takes over the entries of an endpoint list.
     pub(super) fn apply_endpoints(&mut self, endpoints: &[Endpoint]) {
         for endpoint in endpoints {
             self.apply_endpoint(endpoint);
         }
-        self.replicas.forget_removed();
+        self.replicas.purge_removed();
         let available = self.replicas.available().count();
         let router_count = self.settings.router_count;
         self.concurrency.observe_available(available, router_count);
@@ -30,8 +29,8 @@
         }
     }
 
-    /// The concurrency limit follows the number of warm replicas at once: a router that sends little would learn of a
-    /// change too late.
+    /// Adapts the concurrency limit to the number of warm replicas immediately, because a router with little traffic would
+    /// learn of the change too late from its answers.
     pub(super) fn resize_concurrency_limit(&mut self) {
         let warm = self.replicas.warm_count(&self.settings.lifecycle, self.now);
         self.concurrency.resize(warm, self.settings.router_count);
--- a/crates/scheduler/src/scheduler/evidence.rs
+++ b/crates/scheduler/src/scheduler/evidence.rs
@@ -1,4 +1,4 @@
-//! Attempts while the endpoint list may be out of date: each waits until its replica has answered a probe.
+//! Placement while the endpoint list may be outdated: each attempt waits for evidence, a successful probe of its replica.
 
 use super::Scheduler;
 use crate::endpoint_confirmation::{evidence_lifetime, ListConfirmation};
@@ -22,19 +22,19 @@
         }
     }
 
-    /// Whether attempts need evidence from their replica: the list may be out of date, and replicas can be asked.
+    /// Whether attempts need evidence: the endpoint list may be outdated, and replicas may be probed.
     pub(super) fn requires_evidence(&self) -> bool {
         !self.list_confirmation.is_confirmed() && self.settings.limits.allows_probes
     }
 
-    /// Whether requests wait for a poll of the endpoint list.
+    /// Whether requests wait for a poll of the endpoint list, because replicas may not be probed.
     pub(super) fn awaits_poll(&self) -> bool {
         !self.settings.limits.allows_probes && self.list_confirmation.awaits_poll(self.now)
     }
 
-    /// Chooses among the candidates a replica that has just said that it takes requests. Where the chosen one has not, it is
-    /// probed, and the request waits for its answer: `None`.
-    pub(super) fn choose_by_evidence(
+    /// Chooses a candidate, preferably the one whose evidence the request waits for. If the chosen replica has no valid
+    /// evidence, it is probed, and the result is `None` until it has answered.
+    pub(super) fn choose_with_evidence(
         &mut self,
         id: RequestId,
         mut candidates: Vec<Candidate>,
@@ -51,7 +51,7 @@
             return Some(chosen);
         }
         if let Some(request) = self.requests.get_mut(&id) {
-            request.await_replica(replica);
+            request.set_awaited_replica(replica);
         }
         self.probe_for_evidence(replica, actions);
         None
--- a/crates/scheduler/src/scheduler/mod.rs
+++ b/crates/scheduler/src/scheduler/mod.rs
@@ -1,9 +1,8 @@
-//! The scheduler: takes events, hands each to the code of its kind, and returns the actions that follow.
+//! The scheduler: dispatches each event to its handler and returns the resulting actions.
 //!
-//! The ordinary path of a request: it arrives, is rejected early or queued by priority and tenant (`arrival`), is
-//! dispatched to a replica once there is capacity (`dispatch`), and ends with its attempts (`attempt_events`). The timer
-//! looks for requests that expire or are overdue (`timer`). The rules themselves are in the modules beside this one; here
-//! is only the order in which they apply.
+//! A request arrives, is rejected early or queued by priority and tenant (`arrival`), is dispatched to a replica once there
+//! is capacity (`dispatch`), and ends with its attempts (`attempt_events`). The timer finds requests that expire or are
+//! overdue (`timer`). This module defines the order in which the rules apply; the rules are in the sibling modules.
 
 mod arrival;
 mod attempt_events;
@@ -37,17 +36,17 @@
 use oorandom::Rand64;
 use std::collections::BTreeMap;
 
-/// How often all requests are looked over: small against any latency objective, cheap against the processor time.
+/// How often all requests are checked: short compared with any latency objective, at low CPU cost.
 const TIMER_INTERVAL: Seconds = 0.02;
-/// Queued requests are answered this long before they expire, so that a late timer is still in time.
+/// Queued requests are answered this long before they expire, so that a late timer event does not make the answer late.
 const EXPIRY_MARGIN: Seconds = 0.03;
-/// What the timing of the scheduler means for estimates.
+/// The parameters of estimates that follow from the scheduler's timing.
 const ESTIMATE_TIMING: EstimateTiming = EstimateTiming {
     min_time_left: EXPIRY_MARGIN,
     probe_answer_time: TIMER_INTERVAL / 2.0,
 };
 
-/// The decisions of one router.
+/// Makes the scheduling decisions of one router.
 pub struct Scheduler {
     settings: SchedulerSettings,
     rng: Rand64,
@@ -55,7 +54,7 @@
     has_started: bool,
     queue: FairQueue,
     requests: BTreeMap<RequestId, Request>,
-    /// Requests that wait for a load report, or for which no replica qualified: they are queued again at the next timer,
+    /// Requests that wait for a load report, or for which no replica qualified. They are queued again at the next timer event
     /// or when the last probe has ended.
     deferred: Vec<RequestId>,
     replicas: ReplicaTable,
@@ -68,14 +67,14 @@
     traffic: TrafficStatistics,
     host_types: HostTypeStatistics,
     prompt_cache: PromptCacheModel,
-    /// Most replicas are ejected: the cause is likely shared, and sending to none of them would help nobody.
+    /// Most replicas are ejected. The cause is then probably a shared one, and avoiding all of them would only stop service.
     is_panic_mode: bool,
-    /// Every request that waits for a first token has its final answer by then: the end of the router's own life.
+    /// Requests that wait for their first token must have their final answer by this time, because the router shuts down.
     answer_deadline: Seconds,
 }
 
 impl Scheduler {
-    /// A scheduler that knows no replica yet. The same settings, seed and events give the same actions.
+    /// Creates a scheduler without replicas. The same settings, seed and events give the same actions.
     ///
     /// # Errors
     /// The settings must pass [`SchedulerSettings::check`].
@@ -104,8 +103,8 @@
         })
     }
 
-    /// Takes one event and appends the actions that follow from it. Events about something unknown are ignored; so are
-    /// all but the first arrival of a request id. A time before the last one counts as the last one.
+    /// Handles one event and appends the resulting actions. Events about unknown requests or replicas are ignored, and so are
+    /// repeated arrivals of a request id. If `now` is before the time of the previous event, the previous time is used.
     pub fn handle_event(&mut self, now: Seconds, event: Event, actions: &mut Vec<Action>) {
         if now.is_finite() {
             self.now = self.now.max(now);
@@ -177,8 +176,8 @@
             .schedule_first(self.now, interval, spread);
     }
 
-    /// Where this router stands among all of them, from 0 to 1, at random within its own part: what all routers do at
-    /// once is spread evenly by it.
+    /// A position from 0 to 1 that spreads simultaneous work of all routers evenly: this router's interval among them, and a
+    /// random point within it.
     fn spread_position(&mut self) -> f64 {
         let position = self.settings.router_index as f64 + self.rng.rand_float();
         position / self.settings.router_count as f64
@@ -189,7 +188,6 @@
         self.endpoint_poll.schedule_retry(self.now, spread);
     }
 
-    /// What decisions read.
     fn view(&self) -> FleetView<'_> {
         FleetView {
             now: self.now,
@@ -214,7 +212,7 @@
         }
     }
 
-    /// Puts a request into the queue, unless it is there or is finished.
+    /// Queues a request, unless it is already queued or finished.
     fn enqueue(&mut self, id: RequestId) {
         if let Some(request) = self.requests.get_mut(&id) {
             if request.mark_queued() {
@@ -223,7 +221,7 @@
         }
     }
 
-    /// Takes a request out of the queue, if it is there.
+    /// Removes a request from the queue, if it is queued.
     fn dequeue(&mut self, id: RequestId) {
         if let Some(request) = self.requests.get_mut(&id) {
             if request.mark_dequeued() {
@@ -232,15 +230,13 @@
         }
     }
 
-    /// Queues all deferred requests again.
     fn enqueue_deferred(&mut self) {
         for id in std::mem::take(&mut self.deferred) {
             self.enqueue(id);
         }
     }
 
-    /// Gives a request the router's own final answer: a rejection where a retry by the client does no harm, else a
-    /// failure.
+    /// Gives a request a final answer from the router: a rejection if the client can retry safely, otherwise a failure.
     fn answer_request(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self
             .requests
@@ -261,7 +257,7 @@
         self.finish_request(id, actions);
     }
 
-    /// Nothing more is owed to a request: its attempts are cancelled and free their slots when they end.
+    /// Marks a request as finished and cancels its attempts, whose slots become free when they end.
     fn finish_request(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         self.dequeue(id);
         self.deferred.retain(|deferred| *deferred != id);
@@ -269,10 +265,10 @@
         if let Some(request) = self.requests.get_mut(&id) {
             request.mark_finished();
         }
-        self.forget_if_done(id);
+        self.remove_if_done(id);
     }
 
-    /// Cancels the attempts of a request that have had no first token, where the site allows it.
+    /// Cancels those attempts of a request that have had no first token, if the site allows cancellation.
     fn cancel_attempts(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         if !self.settings.limits.allows_cancellation {
             return;
@@ -288,8 +284,8 @@
         }
     }
 
-    /// Forgets a finished request once its last attempt has ended.
-    fn forget_if_done(&mut self, id: RequestId) {
+    /// Removes a finished request once its last attempt has ended.
+    fn remove_if_done(&mut self, id: RequestId) {
         let is_done = |request: &Request| request.is_finished() && !request.has_attempt_in_flight();
         if self.requests.get(&id).is_some_and(is_done) {
             self.requests.remove(&id);
@@ -302,7 +298,7 @@
         class.map_or(0.0, |class| class.priority_weight)
     }
 
-    /// Takes a unit of a budget of the fleet for a request; returns whether it may be used.
+    /// Requests a unit of a fleet-wide budget for a request; returns whether it was available.
     fn request_budget(&mut self, kind: BudgetKind, id: RequestId) -> bool {
         let priority_weight = self.priority_weight(id);
         self.budgets.request_unit(self.now, kind, priority_weight)
--- a/crates/scheduler/src/scheduler/shutdown.rs
+++ b/crates/scheduler/src/scheduler/shutdown.rs
@@ -1,12 +1,12 @@
-//! Graceful shutdown: nobody is kept waiting beyond the router's own life.
+//! Graceful shutdown: every waiting request gets its final answer before the router exits.
 
 use super::Scheduler;
 use crate::request::Request;
 use crate::types::{IncomingRequest, RequestId, Seconds};
 
 impl Scheduler {
-    /// The router ends: every request that waits for its first token, now or later, has its final answer by this time.
-    /// Streams that have begun go on.
+    /// Starts the shutdown: every request that waits for its first token, now or later, gets its final answer by `time`.
+    /// Streams that have started continue.
     pub fn set_answer_deadline(&mut self, time: Seconds) {
         self.answer_deadline = self.answer_deadline.min(time);
         for id in self.requests_awaiting_first_token() {
@@ -14,8 +14,8 @@
         }
     }
 
-    /// Brings a request's deadlines within the router's life. The queue finds a request by its times, so it is taken out
-    /// meanwhile.
+    /// Limits a request's deadlines to the answer deadline. The request is dequeued meanwhile because the queue finds it by
+    /// its deadlines.
     fn shorten_deadlines(&mut self, id: RequestId) {
         let was_queued = self.requests.get(&id).is_some_and(Request::is_queued);
         self.dequeue(id);
@@ -35,13 +35,15 @@
             .collect()
     }
 
-    /// The time in which a request needs its first token: its client's patience, within the router's life.
+    /// Time until a request needs its first token: the client's time left, at most until the answer deadline.
     pub(super) fn time_left(&self, incoming: &IncomingRequest) -> Seconds {
-        let patience = if incoming.time_left.is_finite() {
+        let client_time_left = if incoming.time_left.is_finite() {
             incoming.time_left
         } else {
             0.0
         };
-        patience.min(self.answer_deadline - self.now).max(0.0)
+        client_time_left
+            .min(self.answer_deadline - self.now)
+            .max(0.0)
     }
 }
--- a/crates/scheduler/src/scheduler/status.rs
+++ b/crates/scheduler/src/scheduler/status.rs
@@ -1,4 +1,4 @@
-//! What a scheduler tells of itself, new settings, and the learned state that one process leaves to the next.
+//! Status queries, settings updates, budget grants, and the export and import of learned state.
 
 use super::Scheduler;
 use crate::fair_queue::FairQueue;
@@ -8,32 +8,32 @@
 };
 use std::collections::BTreeMap;
 
-/// Figures for the log and for operators.
+/// Gauges for the log and for operators.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SchedulerGauges {
-    /// Requests that may be in flight at all warm replicas together.
+    /// Maximum number of requests in flight at all warm replicas together.
     pub concurrency_limit: f64,
-    /// Requests that are.
+    /// Requests in flight at all warm replicas together.
     pub in_flight: usize,
     /// Queued requests by tenant.
     pub queued_by_tenant: Vec<usize>,
-    /// Replicas known: those listed, and removed ones with attempts in flight.
+    /// Number of listed replicas and of removed replicas with attempts in flight.
     pub replica_count: usize,
 }
 
-/// The health of one listed replica as this router's attempts show it.
+/// The health of one listed replica, as seen by this router.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ReplicaHealthStatus {
     /// The replica.
     pub replica: ReplicaId,
-    /// It gets single attempts as trials only.
+    /// It gets only single attempts as trials.
     pub is_ejected: bool,
-    /// When its last answer came, if nothing has failed there since.
+    /// When it last answered; `None` if it has never answered or an attempt has failed since.
     pub last_success_at: Option<Seconds>,
 }
 
 impl Scheduler {
-    /// Figures as they are now.
+    /// The current gauges.
     pub fn gauges(&self) -> SchedulerGauges {
         let rules = &self.settings.lifecycle;
         SchedulerGauges {
@@ -44,7 +44,7 @@
         }
     }
 
-    /// The number of listed replicas that get nothing, or trials only.
+    /// Number of listed replicas that are draining or ejected.
     pub fn unavailable_replica_count(&self) -> usize {
         let listed = self
             .replicas
@@ -70,21 +70,21 @@
         health
     }
 
-    /// Takes what the fleet grants from now on.
+    /// Replaces the budget grants; a kind that is missing has no budget any more.
     pub fn set_budget_grants(&mut self, grants: &BudgetGrants) {
         self.budgets.set_grants(self.now, grants);
     }
 
-    /// What has been asked for since the start, for each kind that has a budget.
+    /// The demand since the budget was first granted, for each kind that has a budget.
     pub fn budget_demand(&self) -> BTreeMap<BudgetKind, BudgetDemand> {
         self.budgets.demand()
     }
 
-    /// Takes new settings, whose classes and tenants keep their positions. Queued requests move to the tier of the
-    /// priority weight with which they came; all others keep their class.
+    /// Applies new settings, in which classes and tenants must keep their positions. Queued requests move to the tier that
+    /// matches the priority weight with which they were queued.
     ///
     /// # Errors
-    /// The settings must pass [`SchedulerSettings::check`]; if they don't, nothing changes.
+    /// Returns the error of [`SchedulerSettings::check`]; nothing changes then.
     pub fn update_settings(&mut self, settings: SchedulerSettings) -> Result<(), SettingsError> {
         settings.check()?;
         let queued = self.queued_requests();
@@ -112,7 +112,7 @@
         queued.map(|(id, _)| *id).collect()
     }
 
-    /// What has been learned, for the process that takes this one's place.
+    /// Exports the learned state for the process that replaces this one.
     pub fn export_learned_state(&self) -> LearnedState {
         let mut state = LearnedState {
             requests_seen: self.traffic.requests_seen(),
@@ -130,8 +130,8 @@
         state
     }
 
-    /// Takes over what another process has learned: the sessions that are not known here, and all else if that process
-    /// had seen more requests.
+    /// Imports the learned state of another process: its sessions that are unknown here, and everything else only if it is
+    /// based on more requests than this scheduler has seen.
     pub fn import_learned_state(&mut self, state: &LearnedState) {
         self.prompt_cache.add_unknown_sessions(&state.sessions);
         if self.traffic.requests_seen() >= state.requests_seen {
--- a/crates/scheduler/src/scheduler/timer.rs
+++ b/crates/scheduler/src/scheduler/timer.rs
@@ -1,4 +1,4 @@
-//! The timer: polls, requests that expire or are overdue, slow-start budgets, and probes of unresponsive replicas.
+//! Handles the timer: polls, expired and overdue requests, slow-start budgets, and probes of unresponsive replicas.
 
 use super::{Scheduler, EXPIRY_MARGIN, TIMER_INTERVAL};
 use crate::hedging;
@@ -26,8 +26,8 @@
         }
     }
 
-    /// Takes requests out of the queue that can no longer have their first token in time: they would only take capacity.
-    /// A hedged attempt that is in flight may yet be in time.
+    /// Removes queued requests whose first token can no longer arrive in time, because they would only use up capacity. A
+    /// request is not answered yet if another attempt of it is in flight, which may still be in time.
     fn answer_expired(&mut self, actions: &mut Vec<Action>) {
         let margin = EXPIRY_MARGIN.max(self.traffic.mean_time_to_first_token());
         while let Some(id) = self.queue.first_expiring_by(self.now + margin) {
@@ -49,7 +49,7 @@
         self.is_panic_mode = outlier_detection::is_panic_mode(ejected, available);
     }
 
-    /// Refills the slow-start budgets for one timer interval, and probes unresponsive replicas where that is allowed.
+    /// Refills the slow-start budgets for one timer interval, and probes unresponsive replicas if the site allows it.
     fn refill_slow_start_budgets(&mut self, actions: &mut Vec<Action>) {
         let now = self.now;
         let traffic = SlowStartTraffic {
@@ -77,7 +77,8 @@
         }
     }
 
-    /// Looks at a request without a first token: its attempts may be overdue, or at unresponsive replicas.
+    /// Checks a request without a first token. If it is past its deadline, it is answered. If its attempts are overdue or at
+    /// unresponsive replicas, it is hedged or, where hedging is not allowed, its attempts are cancelled so that it is retried.
     fn check_for_overdue_attempts(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self
             .requests
@@ -105,14 +106,14 @@
             return;
         }
         if !self.settings.limits.allows_hedging {
-            // The retry that follows the cancelled attempt is counted as one.
+            // The retry after the cancellation is counted against the retry budget.
             self.cancel_attempts(id, actions);
         } else if self.request_budget(BudgetKind::HedgedAttempts, id) {
             self.enqueue(id);
         }
     }
 
-    /// Whether a hedged attempt is due: the only attempt is overdue, and another one can still be in time.
+    /// Whether a hedged attempt is due: the only attempt is overdue, and another attempt could still be in time.
     fn is_hedging_due(&self, request: &Request) -> bool {
         let expected_at = self.now + self.traffic.mean_time_to_first_token();
         self.settings.limits.allows_hedging
@@ -121,9 +122,9 @@
             && expected_at < request.deadlines().useful_until
     }
 
-    /// Marks the replicas as unresponsive that have not responded to anything since an attempt of this request was sent
-    /// longer ago than its latency objective. Returns whether all attempts in flight, at least one, are at unresponsive
-    /// replicas.
+    /// Marks a replica as unresponsive if it has not responded at all since it was sent an attempt of this request, and that
+    /// was longer ago than the TTFT objective. Returns whether at least one attempt is in flight and all attempts in flight
+    /// are at unresponsive replicas.
     fn mark_unresponsive_replicas(&mut self, id: RequestId) -> bool {
         let Some(request) = self.requests.get(&id) else {
             return false;
--- a/crates/scheduler/src/slow_start.rs
+++ b/crates/scheduler/src/slow_start.rs
@@ -1,24 +1,24 @@
-//! Slow start: a replica that has just started gets no more than a warm one bears, scaled by how far it has warmed up,
-//! and never in a burst. All routers hear of a start at once, so each of them spends a budget of its own that fills with
-//! time and cannot be saved up. `docs/glossary.md` explains the rule that this keeps.
+//! Slow start: a newly started replica gets at most the rate that a warm replica can handle, scaled by its warm-up fraction,
+//! and never a burst. All routers are notified of a start at the same time, so each of them has its own budget, which fills
+//! with time and does not accumulate. `docs/glossary.md` explains the underlying rule.
 
 use crate::budgets::BudgetLedger;
 use crate::types::{BudgetKind, LifecycleRules, SchedulerSettings, Seconds, UNLIMITED_RATE};
 
-/// A router that starts fewer attempts a second than this is idle.
+/// A router that starts fewer attempts per second than this is idle.
 const IDLE_ATTEMPT_RATE: f64 = 0.1;
 
-/// A replica's slow start, as far as one router keeps it.
+/// One router's slow-start state of a replica.
 #[derive(Default)]
 pub(crate) struct SlowStart {
     started_at: Option<Seconds>,
-    /// Attempts that may still be sent during slow start; below zero while the budget is overdrawn.
+    /// Attempts that may still be sent during slow start; negative while overdrawn.
     budget: f64,
 }
 
 impl SlowStart {
-    /// Begins anew. `debt` is a random part of one attempt, so that routers that hear of a start together do not send
-    /// their first attempts together.
+    /// Restarts slow start. `debt` is a random fraction of one attempt, so that routers that are notified of a start at the
+    /// same time do not send their first attempts at the same time.
     pub(crate) fn restart(&mut self, started_at: Option<Seconds>, debt: f64) {
         self.started_at = started_at;
         self.budget = -debt;
@@ -28,7 +28,7 @@
         self.started_at
     }
 
-    /// The part of its capacity, up to 1, that the site's rules promise of the replica now.
+    /// The fraction of its capacity, up to 1, that the replica has now according to the site's rules.
     pub(crate) fn warm_up_fraction(&self, rules: &LifecycleRules, now: Seconds) -> f64 {
         let started_at = self.started_at.filter(|_| rules.slow_start_duration > 0.0);
         let Some(started_at) = started_at else {
@@ -50,26 +50,26 @@
         self.budget -= 1.0;
     }
 
-    /// Adds what came in during `elapsed` at `rate` attempts a second for a warm replica. Nothing is saved up. What an
-    /// idle router may send lapses: with a burst of traffic all idle routers would send it at once.
+    /// Refills the budget for `elapsed`; `rate` is the attempts per second of a warm replica. The budget does not accumulate.
+    /// The budget of an idle router expires, because all idle routers would spend it at the same time in a burst of traffic.
     pub(crate) fn refill(&mut self, fraction: f64, rate: f64, elapsed: Seconds, is_idle: bool) {
-        let income = fraction * rate * elapsed;
-        let lapsed = if is_idle && self.budget > 0.0 {
+        let added = fraction * rate * elapsed;
+        let expired = if is_idle && self.budget > 0.0 {
             1.0
         } else {
             0.0
         };
-        self.budget = (self.budget + income).min(income) - lapsed;
+        self.budget = (self.budget + added).min(added) - expired;
     }
 }
 
-/// What the rate of the slow-start budget is derived from.
+/// The traffic from which the rate of the slow-start budget is derived.
 pub(crate) struct SlowStartTraffic {
-    /// Attempts a second of this router.
+    /// This router's attempts per second.
     pub(crate) attempt_rate: f64,
-    /// Replicas that have warmed up.
+    /// Number of replicas that have finished slow start.
     pub(crate) warm_replica_count: usize,
-    /// The most replicas that were available at once.
+    /// The largest number of replicas that were available at the same time.
     pub(crate) max_available_replicas: usize,
 }
 
@@ -78,8 +78,9 @@
         self.attempt_rate < IDLE_ATTEMPT_RATE
     }
 
-    /// Attempts a second that one warm replica bears from this router: by the fleet's budget, else by what all tenants
-    /// may send (among many routers the traffic of one tells little), else by this router's own traffic.
+    /// Attempts per second that one warm replica can handle from this router. Taken from the fleet-wide budget; if there is
+    /// none, from the rate limits of all tenants, because with many routers the traffic of one of them is not representative;
+    /// if they are unlimited, from this router's own traffic.
     pub(crate) fn rate_per_replica(
         &self,
         now: Seconds,
@@ -95,8 +96,8 @@
             .map(|tenant| tenant.rate_limit)
             .sum();
         if allowed > 0.0 && allowed < UNLIMITED_RATE {
-            let parts = self.max_available_replicas.max(1) * settings.router_count;
-            allowed / parts as f64
+            let divisor = self.max_available_replicas.max(1) * settings.router_count;
+            allowed / divisor as f64
         } else {
             self.attempt_rate / self.warm_replica_count.max(1) as f64
         }
--- a/crates/scheduler/src/slow_start/tests.rs
+++ b/crates/scheduler/src/slow_start/tests.rs
@@ -1,4 +1,4 @@
-//! Slow start alone.
+//! Unit tests of slow start.
 
 use super::{SlowStart, SlowStartTraffic};
 use crate::budgets::BudgetLedger;
@@ -6,7 +6,7 @@
 use crate::types::{BudgetGrant, BudgetKind};
 
 #[test]
-fn warm_up_fraction_grows_from_the_initial_one_to_the_whole() {
+fn warm_up_fraction_grows_from_the_initial_fraction_to_one() {
     let rules = settings().lifecycle;
     let mut slow_start = SlowStart::default();
     assert_eq!(slow_start.warm_up_fraction(&rules, 0.0), 1.0);
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn budget_cannot_be_saved_up() {
+fn budget_does_not_accumulate() {
     let mut slow_start = SlowStart::default();
     slow_start.restart(Some(100.0), 0.0);
     for _ in 0..100 {
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn budget_of_an_idle_router_lapses() {
+fn budget_of_an_idle_router_expires() {
     let mut slow_start = SlowStart::default();
     slow_start.restart(Some(100.0), 0.0);
     slow_start.refill(0.5, 10.0, 0.02, true);
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn rate_comes_from_the_budget_then_from_quotas_then_from_own_traffic() {
+fn rate_is_taken_from_the_budget_then_rate_limits_then_own_traffic() {
     let traffic = SlowStartTraffic {
         attempt_rate: 6.0,
         warm_replica_count: 3,
--- a/crates/scheduler/src/statistics.rs
+++ b/crates/scheduler/src/statistics.rs
@@ -1,15 +1,15 @@
-//! Running means and rates, and what a router has learned of its traffic with them.
+//! Running means and rates, and a router's traffic statistics.
 
 use crate::types::Seconds;
 
-/// Weight of one new sample in a learned mean.
+/// Weight of a new sample in an exponential moving average.
 pub(crate) const LEARNING_RATE: f64 = 0.1;
-/// Horizon of rates: long enough to smooth single requests, short enough to follow a burst.
-const RATE_HORIZON: Seconds = 2.0;
-/// A hint of expected work may be absurd: it multiplies or divides the cost by this at the most.
+/// Time constant of rates: long enough to smooth single requests, short enough to follow a burst.
+const RATE_TIME_CONSTANT: Seconds = 2.0;
+/// Client-declared work changes the cost by at most this factor, because it may be wrong.
 const MAX_HINT_FACTOR: f64 = 4.0;
 
-/// A mean over a limited number of the last samples.
+/// A mean over approximately a limited number of recent samples.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct RunningMean {
     samples: f64,
@@ -17,59 +17,59 @@
 }
 
 impl RunningMean {
-    /// Takes a sample; the mean is over about `max_samples` of them.
+    /// Adds a sample to a mean over about `max_samples` samples.
     pub(crate) fn record(&mut self, sample: f64, max_samples: f64) {
         self.samples = (self.samples + 1.0).min(max_samples);
         self.value += (sample - self.value) / self.samples;
     }
 
-    /// The mean as if `prior_samples` samples of zero stood beside its own.
+    /// The mean with `prior_samples` additional samples of zero (shrinkage).
     pub(crate) fn shrunk(&self, prior_samples: f64) -> f64 {
         self.value * self.samples / (self.samples + prior_samples)
     }
 }
 
-/// A rate per second that forgets exponentially.
+/// An exponentially decaying rate per second.
 pub(crate) struct DecayingRate {
-    horizon: Seconds,
+    time_constant: Seconds,
     value: f64,
     updated_at: Seconds,
 }
 
 impl DecayingRate {
-    pub(crate) fn new(horizon: Seconds) -> Self {
+    pub(crate) fn new(time_constant: Seconds) -> Self {
         DecayingRate {
-            horizon,
+            time_constant,
             value: 0.0,
             updated_at: 0.0,
         }
     }
 
     pub(crate) fn per_second(&self, now: Seconds) -> f64 {
-        self.value * (-(now - self.updated_at) / self.horizon).exp()
+        self.value * (-(now - self.updated_at) / self.time_constant).exp()
     }
 
     pub(crate) fn record(&mut self, now: Seconds, amount: f64) {
-        self.value = self.per_second(now) + amount / self.horizon;
+        self.value = self.per_second(now) + amount / self.time_constant;
         self.updated_at = now;
     }
 
-    /// Continues from a rate that another process has measured.
+    /// Restores a rate that another process has measured.
     pub(crate) fn restore(&mut self, now: Seconds, per_second: f64) {
         self.value = per_second;
         self.updated_at = now;
     }
 }
 
-/// What a router has learned of its traffic.
+/// A router's traffic statistics.
 pub(crate) struct TrafficStatistics {
     requests_seen: u64,
-    /// Tokens, with what hints of expected work add.
+    /// In tokens, adjusted by client-declared work.
     mean_request_cost: f64,
-    /// Tokens of cost that a second of work told by clients stands for, the geometric mean.
+    /// Cost in tokens per second of client-declared work, geometric mean.
     tokens_per_work_second: Option<f64>,
     mean_time_to_first_token: Seconds,
-    /// Mean of the prompt tokens reported as queued, for replicas without a report.
+    /// Mean of reported queued prompt tokens, used for replicas without a report.
     mean_queued_tokens: f64,
     dispatched_cost: DecayingRate,
     attempts: DecayingRate,
@@ -83,12 +83,12 @@
             tokens_per_work_second: None,
             mean_time_to_first_token: 0.0,
             mean_queued_tokens: 0.0,
-            dispatched_cost: DecayingRate::new(RATE_HORIZON),
-            attempts: DecayingRate::new(RATE_HORIZON),
+            dispatched_cost: DecayingRate::new(RATE_TIME_CONSTANT),
+            attempts: DecayingRate::new(RATE_TIME_CONSTANT),
         }
     }
 
-    /// Counts a request of so many tokens and returns its cost, which a hint of expected work changes.
+    /// Records the arrival of a request; returns its cost, which is its tokens adjusted by the client-declared work.
     pub(crate) fn record_arrival(&mut self, tokens: f64, expected_work: Option<Seconds>) -> f64 {
         let cost = self.cost_with_hint(tokens, expected_work);
         if self.requests_seen == 0 {
@@ -99,7 +99,7 @@
         cost
     }
 
-    /// The cost of a request whose work is told, in the tokens that such work stands for on the mean.
+    /// Converts client-declared work to a cost in tokens at the mean ratio and updates that ratio.
     fn cost_with_hint(&mut self, tokens: f64, expected_work: Option<Seconds>) -> f64 {
         let Some(work) = expected_work.filter(|work| work.is_finite() && *work > 0.0) else {
             return tokens;
@@ -110,14 +110,14 @@
         cost
     }
 
-    /// Counts an attempt that has been started for a request of this cost.
+    /// Records an attempt for a request of this cost.
     pub(crate) fn record_dispatch(&mut self, now: Seconds, cost: f64) {
         self.dispatched_cost.record(now, cost);
         self.attempts.record(now, 1.0);
     }
 
-    /// Takes an attempt out of the rate: what a replica turned away is no measure of what it can bear.
-    pub(crate) fn uncount_attempt(&mut self, now: Seconds) {
+    /// Removes a declined attempt from the rate, which is used as a measure of what replicas can handle.
+    pub(crate) fn retract_attempt(&mut self, now: Seconds) {
         self.attempts.record(now, -1.0);
     }
 
@@ -129,12 +129,12 @@
         self.mean_queued_tokens += LEARNING_RATE * (reported - self.mean_queued_tokens);
     }
 
-    /// Requests that have come since the start, those of an earlier process included.
+    /// Number of requests since the start, including those of an earlier process.
     pub(crate) fn requests_seen(&self) -> u64 {
         self.requests_seen
     }
 
-    /// Tokens.
+    /// In tokens.
     pub(crate) fn mean_request_cost(&self) -> f64 {
         self.mean_request_cost
     }
@@ -151,17 +151,17 @@
         self.mean_queued_tokens
     }
 
-    /// Cost of the requests dispatched, tokens a second.
+    /// Cost of dispatched requests in tokens per second.
     pub(crate) fn dispatched_cost_rate(&self, now: Seconds) -> f64 {
         self.dispatched_cost.per_second(now)
     }
 
-    /// Attempts a second.
+    /// Attempts per second.
     pub(crate) fn attempt_rate(&self, now: Seconds) -> f64 {
         self.attempts.per_second(now)
     }
 
-    /// Continues from what another process has learned.
+    /// Restores the statistics from another process's learned state.
     pub(crate) fn restore(&mut self, now: Seconds, state: &crate::types::LearnedState) {
         self.requests_seen = state.requests_seen;
         self.mean_request_cost = state.mean_request_cost;
--- a/crates/scheduler/src/statistics/tests.rs
+++ b/crates/scheduler/src/statistics/tests.rs
@@ -1,9 +1,9 @@
-//! Running means and rates alone.
+//! Unit tests of running means and rates.
 
 use super::{DecayingRate, RunningMean, TrafficStatistics};
 
 #[test]
-fn running_mean_forgets_beyond_its_samples() {
+fn running_mean_is_limited_to_its_number_of_samples() {
     let mut mean = RunningMean::default();
     for _ in 0..4 {
         mean.record(1.0, 4.0);
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn rate_decays_over_its_horizon() {
+fn rate_decays_with_its_time_constant() {
     let mut rate = DecayingRate::new(2.0);
     rate.record(10.0, 4.0);
     assert_eq!(rate.per_second(10.0), 2.0);
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn absurd_hints_of_work_are_bounded() {
+fn effect_of_implausible_declared_work_is_bounded() {
     let mut traffic = TrafficStatistics::new();
     assert_eq!(traffic.record_arrival(1000.0, Some(1.0)), 1000.0);
     assert_eq!(traffic.record_arrival(1000.0, Some(1e9)), 4000.0);
--- a/crates/scheduler/src/tests.rs
+++ b/crates/scheduler/src/tests.rs
@@ -1,4 +1,4 @@
-//! Settings that the tests beside private code share.
+//! Settings shared by the unit tests of this crate.
 
 use crate::types::{
     CostWeights, EndpointListMode, Idempotency, LifecycleRules, LoadReportSource, RequestClass,
@@ -18,7 +18,7 @@
     }
 }
 
-/// One router, two classes of the priority weights 5 and 1, two tenants without a rate limit.
+/// One router, two classes with priority weights 5 and 1, two tenants without a rate limit.
 pub(crate) fn settings() -> SchedulerSettings {
     let tenant = Tenant {
         quota: 0.5,
