--- a/crates/scheduler/tests/admission.rs
+++ b/crates/scheduler/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Early rejection, expiry in the queue, and the end of requests.
+//! Tests of early rejection, expiry in the queue, and invalid settings and events.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -25,16 +25,16 @@
 fn rejects_requests_that_would_wait_past_their_objective_with_bounded_retry_after() {
     let mut harness = SchedulerHarness::new(settings(), 1);
     harness.fill_capacity();
-    let mut refused = None;
+    let mut rejected_with = None;
     for n in 0..400 {
         let actions = harness.arrive(incoming_request(n, 1, 0, 5.0));
         if let Some(Action::Reject { retry_after, .. }) = actions.first() {
-            refused = Some(*retry_after);
+            rejected_with = Some(*retry_after);
             break;
         }
     }
-    let advice = refused.expect("a refusal");
-    assert!(advice > 1.0 && advice <= 2.0, "{advice}");
+    let retry_after = rejected_with.expect("a request is rejected");
+    assert!(retry_after > 1.0 && retry_after <= 2.0, "{retry_after}");
 }
 
 #[test]
@@ -46,26 +46,26 @@
     assert_eq!((early.len(), late), (0, vec![1]));
 }
 
-/// Otherwise a request would be lost between two timers.
+/// Guards against requests that expire between two timer events and get no answer.
 #[test]
-fn answers_requests_with_less_than_a_timer_interval_left_at_once() {
+fn answers_requests_with_less_than_a_timer_interval_left_immediately() {
     let mut harness = SchedulerHarness::new(settings(), 0);
     let actions = harness.arrive(incoming_request(1, 1, 0, 0.008));
     assert_eq!(answered_requests(&actions), vec![1]);
 }
 
-/// Capacity must not be spent on queued requests whose first token can no longer come in time.
+/// Guards against capacity being used for queued requests whose first token can no longer arrive in time.
 #[test]
-fn gives_up_queued_requests_that_cannot_have_their_first_token_in_time() {
-    let mut given_up = Vec::new();
-    for first in [0.01, 0.5] {
+fn rejects_queued_requests_whose_first_token_would_be_late() {
+    let mut rejected_after = Vec::new();
+    for time_to_first_token in [0.01, 0.5] {
         let mut harness = SchedulerHarness::new(settings(), 1);
         for n in 0..80 {
             harness.arrive(incoming_request(n, 0, 0, 5.0));
             harness.handle(Event::FirstToken {
                 request: RequestId(n),
                 attempt: 0,
-                elapsed: first,
+                elapsed: time_to_first_token,
             });
             harness.end_attempt(n, 0, AttemptOutcome::Completed, true);
         }
@@ -80,22 +80,28 @@
         {
             harness.advance(0.02);
         }
-        given_up.push(harness.now - start);
+        rejected_after.push(harness.now - start);
     }
-    assert!(given_up[0] > 0.9 && given_up[0] < 1.04, "{given_up:?}");
-    assert!(given_up[1] > 0.4 && given_up[1] < 0.7, "{given_up:?}");
+    assert!(
+        rejected_after[0] > 0.9 && rejected_after[0] < 1.04,
+        "{rejected_after:?}"
+    );
+    assert!(
+        rejected_after[1] > 0.4 && rejected_after[1] < 0.7,
+        "{rejected_after:?}"
+    );
 }
 
 #[test]
-fn frees_the_slot_of_a_late_outcome_without_another_attempt() {
+fn late_or_repeated_end_of_an_attempt_gives_no_answer() {
     let mut harness = SchedulerHarness::new(settings(), 1);
-    let out = harness.fill_capacity();
+    let started = harness.fill_capacity();
     harness.handle(Event::ClientDisconnected(RequestId(1000)));
     assert!(
         answered_requests(&harness.end_attempt(1000, 0, AttemptOutcome::TimedOut, true)).is_empty()
     );
     assert!(
-        out >= 1
+        started >= 1
             && harness
                 .end_attempt(1000, 0, AttemptOutcome::TimedOut, true)
                 .is_empty()
@@ -109,35 +115,35 @@
 }
 
 #[test]
-fn rejects_illegal_settings() {
-    let spoil: [fn(&mut SchedulerSettings); 5] = [
+fn rejects_invalid_settings() {
+    let invalidations: [fn(&mut SchedulerSettings); 5] = [
         |site| site.classes.clear(),
         |site| site.router_count = 0,
         |site| site.limits.max_attempts = 0,
         |site| site.lifecycle.slow_start_duration = f64::NAN,
         remove_quotas,
     ];
-    for (n, spoil) in spoil.iter().enumerate() {
+    for (n, invalidate) in invalidations.iter().enumerate() {
         let mut site = settings();
-        spoil(&mut site);
+        invalidate(&mut site);
         assert!(Scheduler::new(site, 0).is_err(), "case {n}");
     }
 }
 
 #[test]
-fn ignores_events_about_unknown_requests_and_odd_times() {
+fn ignores_events_about_unknown_requests_and_invalid_numbers() {
     let mut harness = SchedulerHarness::new(settings(), 1);
-    let odd = IncomingRequest {
+    let unknown_class = IncomingRequest {
         class: 99,
         ..incoming_request(1, 0, 0, 5.0)
     };
-    assert_eq!(answered_requests(&harness.arrive(odd)), vec![1]);
-    let nan = IncomingRequest {
+    assert_eq!(answered_requests(&harness.arrive(unknown_class)), vec![1]);
+    let invalid_time_left = IncomingRequest {
         time_left: f64::NAN,
         tenant: 77,
         ..incoming_request(2, 0, 0, 0.0)
     };
-    harness.arrive(nan);
+    harness.arrive(invalid_time_left);
     assert!(harness
         .end_attempt(55, 3, AttemptOutcome::Completed, true)
         .is_empty());
--- a/crates/scheduler/tests/affinity.rs
+++ b/crates/scheduler/tests/affinity.rs
@@ -1,4 +1,4 @@
-//! Session affinity and prompt caches.
+//! Tests of session affinity and of the prompt cache model.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -10,12 +10,11 @@
 };
 use std::collections::{BTreeMap, BTreeSet};
 use support::{
-    available_endpoints, endpoint, incoming_request, probes, replica_id, settings,
+    available_endpoints, endpoint, incoming_request, probed_replicas, replica_id, settings,
     started_attempts, SchedulerHarness, StartedAttempt,
 };
 
-/// Sends of `n` sessions to the router's own zone, of four replicas that are half there, after as many early
-/// first tokens.
+/// The number of attempts in the router's own zone among `n` requests of new sessions. Half of the four replicas are in it.
 fn attempts_in_own_zone(cross_zone: f64, n: u64) -> usize {
     let settings = SchedulerSettings {
         costs: CostWeights {
@@ -25,35 +24,35 @@
         ..settings()
     };
     let mut harness = SchedulerHarness::new(settings, 4);
-    let mut near = 0;
+    let mut in_own_zone = 0;
     for id in 1..=n {
         let out = harness.arrive(incoming_request(id, 0, 0, 30.0));
         let own_zone = [replica_id(0), replica_id(2)];
         let attempts = started_attempts(&out);
-        let near_attempts = attempts
+        let local_attempts = attempts
             .iter()
             .filter(|attempt| own_zone.contains(&attempt.replica));
-        near += near_attempts.count();
+        in_own_zone += local_attempts.count();
         harness.first_token(id, 0.001);
         harness.end_attempt(id, 0, AttemptOutcome::Completed, true);
     }
-    near
+    in_own_zone
 }
 
-/// A router of one replica that has completed requests of new sessions, each given by its prompt tokens and those found in
-/// the cache. Returns the part of a prompt that it then expects to find at a session's affinity replica.
+/// The hit rate of affinity replicas that a router has learned from requests of new sessions, each given by its prompt
+/// tokens and the cached ones.
 fn hit_rate_after(requests: impl IntoIterator<Item = (u64, f64)>) -> f64 {
     let mut harness = SchedulerHarness::new(settings(), 1);
-    for (n, (due, found)) in requests.into_iter().enumerate() {
+    for (n, (prompt_tokens, cached_tokens)) in requests.into_iter().enumerate() {
         let n = n as u64 + 1;
         harness.arrive(IncomingRequest {
-            prompt_tokens: due,
+            prompt_tokens,
             ..incoming_request(n, 0, 0, 10.0)
         });
         harness.first_token(n, 0.1);
         let (request, outcome) = (RequestId(n), AttemptOutcome::Completed);
         let report = Some(LoadReport {
-            cached_prompt_tokens: Some(found),
+            cached_prompt_tokens: Some(cached_tokens),
             ..LoadReport::default()
         });
         harness.handle(Event::AttemptEnded {
@@ -72,7 +71,7 @@
 }
 
 #[test]
-fn session_returns_to_the_replica_that_read_it() {
+fn session_returns_to_the_replica_that_served_it() {
     let mut harness = SchedulerHarness::new(settings(), 4);
     let mut affinity_replicas = BTreeSet::new();
     for n in 0..10 {
@@ -90,14 +89,14 @@
     assert_eq!(affinity_replicas.len(), 1, "{affinity_replicas:?}");
 }
 
-/// Otherwise turns are read anew because each router looks for their session somewhere else.
+/// If each router had a different affinity replica for a session, its prompts would be prefilled again at each of them.
 #[test]
 fn all_routers_agree_on_the_affinity_replica() {
     let mut affinity_replicas = BTreeSet::new();
-    for me in 0..20 {
+    for router in 0..20 {
         let mut harness = SchedulerHarness::new(
             SchedulerSettings {
-                router_index: me,
+                router_index: router,
                 router_count: 20,
                 ..settings()
             },
@@ -105,11 +104,11 @@
         );
         harness.scheduler = Scheduler::new(
             SchedulerSettings {
-                router_index: me,
+                router_index: router,
                 router_count: 20,
                 ..settings()
             },
-            me as u64,
+            router as u64,
         )
         .unwrap();
         harness.handle(Event::EndpointsReplaced(available_endpoints(30)));
@@ -123,7 +122,7 @@
     assert_eq!(affinity_replicas.len(), 1, "{affinity_replicas:?}");
 }
 
-/// Otherwise slow replicas get as many sessions as fast ones.
+/// Guards against slow replicas getting as many sessions as fast ones.
 #[test]
 fn larger_replicas_have_more_sessions() {
     let mut harness = SchedulerHarness::new(settings(), 0);
@@ -140,13 +139,14 @@
     }
     assert!(
         (130..=170).contains(&large),
-        "{large} of 200, three quarters are due"
+        "{large} of 200, three quarters expected"
     );
 }
 
-/// Rendezvous scores must not be so coarse that they fall together, which would leave all sessions to a few replicas.
+/// Rendezvous scores are integers. If the weights made them so coarse that many are equal, a few replicas would get all
+/// sessions.
 #[test]
-fn sessions_stay_spread_whatever_the_learned_prefill_time() {
+fn sessions_stay_spread_for_any_learned_prefill_time() {
     let mut harness = SchedulerHarness::new(settings(), 50);
     let mut affinity_replicas: BTreeMap<ReplicaId, usize> = BTreeMap::new();
     for n in 0..2000 {
@@ -168,18 +168,18 @@
 #[test]
 fn cross_zone_cost_prefers_the_own_zone() {
     // Without a cost half of the attempts cross zones.
-    let (free, priced) = (
+    let (without_cost, with_cost) = (
         attempts_in_own_zone(0.0, 300),
         attempts_in_own_zone(0.16, 300),
     );
-    assert!((100..200).contains(&free), "{free}");
-    assert!(priced > 255, "{priced}");
+    assert!((100..200).contains(&without_cost), "{without_cost}");
+    assert!(with_cost > 255, "{with_cost}");
 }
 
-/// Otherwise sessions are scattered over idle replicas, where all is read anew, since the limit is exhausted and their
-/// affinity replica is not idle.
+/// Guards against sessions being scattered over idle replicas without their cached prompts when the concurrency limit is
+/// exhausted and their affinity replica is not idle.
 #[test]
-fn session_goes_to_its_affinity_replica_beside_an_exhausted_limit() {
+fn session_is_sent_to_its_affinity_replica_beyond_an_exhausted_limit() {
     let mut site = SchedulerSettings {
         router_count: 100,
         ..settings()
@@ -189,19 +189,19 @@
         let mut harness = SchedulerHarness::among_many_routers();
         harness.scheduler = Scheduler::new(site.clone(), n).unwrap();
         harness.handle(Event::EndpointsReplaced(available_endpoints(4)));
-        // The limit of one router among a hundred is a single request, and this one stays.
-        for replica in probes(&harness.arrive(incoming_request(1, 0, 0, 60.0))) {
+        // The limit of one router among a hundred is a single request, which this request uses up.
+        for replica in probed_replicas(&harness.arrive(incoming_request(1, 0, 0, 60.0))) {
             harness.report_load(replica, 0.0, 0.1);
         }
         harness.advance(1.1);
-        // All reports are out of date by now: both candidates are probed.
+        // All reports are outdated now, so both candidates are probed.
         harness.advance(1.1);
         let later = IncomingRequest {
             session: Some(100 + n),
             prompt_tokens: 20_000,
             ..incoming_request(2, 0, 0, 60.0)
         };
-        let order = probes(&harness.arrive(later));
+        let order = probed_replicas(&harness.arrive(later));
         let mut sent = Vec::new();
         for replica in order.iter().rev() {
             let tokens = if *replica == order[0] { 1_000.0 } else { 0.0 };
@@ -219,10 +219,10 @@
     }
 }
 
-/// Turns are not sent to the session's affinity replica where this router sent the previous turn elsewhere.
+/// A turn is not sent to the session's affinity replica if this router sent the previous turn elsewhere.
 #[test]
-fn turn_follows_the_replica_of_the_previous_turn() {
-    let mut back = 0;
+fn turn_is_sent_to_the_replica_of_the_previous_turn() {
+    let mut returned = 0;
     for session in 0..20 {
         let turn = |n| IncomingRequest {
             session: Some(session),
@@ -240,31 +240,31 @@
             0,
             EndpointState::Draining,
         )]));
-        let away = started_attempts(&harness.arrive(turn(2)))[0].replica;
+        let other = started_attempts(&harness.arrive(turn(2)))[0].replica;
         harness.complete_with_cached_tokens(2, 0.0);
         harness.handle(Event::EndpointsChanged(vec![entry(
             0,
             EndpointState::Available,
         )]));
-        back += usize::from(started_attempts(&harness.arrive(turn(3)))[0].replica == away);
+        returned += usize::from(started_attempts(&harness.arrive(turn(3)))[0].replica == other);
     }
     assert!(
-        back >= 18,
-        "{back} of 20 went where the turn before was read"
+        returned >= 18,
+        "{returned} of 20 were sent to the replica of the previous turn"
     );
 }
 
-/// Sessions of one turn have nothing in any cache: affinity replicas must not attract them.
+/// If most sessions have a single turn, caches hold nothing for them, so affinity replicas must not be preferred.
 #[test]
 fn affinity_replicas_without_cache_hits_lose_their_preference() {
-    let sent_to = |kept: f64| {
+    let replicas_used = |cached_tokens: f64| {
         let mut harness = SchedulerHarness::new(settings(), 8);
         for n in 0..150 {
             harness.arrive(IncomingRequest {
                 prompt_tokens: 6000,
                 ..incoming_request(n, 0, 0, 5.0)
             });
-            harness.complete_with_cached_tokens(n, kept);
+            harness.complete_with_cached_tokens(n, cached_tokens);
         }
         let mut seen = BTreeSet::new();
         for n in 1000..1040 {
@@ -278,18 +278,18 @@
         }
         seen.len()
     };
-    let (none, all) = (sent_to(0.0), sent_to(6000.0));
+    let (none, all) = (replicas_used(0.0), replicas_used(6000.0));
     assert!(
         none >= 6 && all <= 2,
-        "{none} replicas where nothing is cached, {all} where all is"
+        "{none} replicas used if nothing is cached, {all} if everything is"
     );
 }
 
-/// Most requests are first turns with nothing in the cache; the long prompts of later turns are what reading them
-/// elsewhere would cost.
+/// With a mean over requests the frequent first turns, which have nothing cached, would hide the long prompts of later
+/// turns, whose prefill at another replica is expensive.
 #[test]
 fn cache_hit_rate_is_a_mean_over_tokens() {
-    // Four first turns for each later one, whose prompt is fifteen times as long and found in the cache whole.
+    // Four first turns for each later turn, whose prompt is fifteen times as long and completely cached.
     let turns = (0..200).map(|n| {
         if n % 5 == 4 {
             (15_000, 15_000.0)
@@ -298,18 +298,15 @@
         }
     });
     let expected = hit_rate_after(turns);
-    assert!(
-        expected > 0.6,
-        "{expected}: 79 in a hundred tokens were found"
-    );
+    assert!(expected > 0.6, "{expected}: 79 % of the tokens were cached");
     let nothing = hit_rate_after((0..200).map(|_| (8_000, 0.0)));
     assert!(
         nothing < 0.1,
-        "{nothing} is still expected where nothing was found"
+        "{nothing} is still expected although nothing was cached"
     );
 }
 
-/// The turn of session 7 with this number.
+/// A turn of session 7, with this request number.
 fn turn_of_session(number: u64) -> IncomingRequest {
     IncomingRequest {
         session: Some(7),
@@ -318,9 +315,9 @@
     }
 }
 
-/// Sends requests of other sessions until both replicas are busy, and ends some at the replica that is not `affinity_replica`, so
-/// that it has three requests fewer.
-fn keep_home_busier(harness: &mut SchedulerHarness, affinity_replica: ReplicaId) {
+/// Sends requests of other sessions to both replicas, and ends some of them so that `affinity_replica` has three requests
+/// more than the other one.
+fn make_affinity_replica_busier(harness: &mut SchedulerHarness, affinity_replica: ReplicaId) {
     let mut in_flight: BTreeMap<ReplicaId, Vec<u64>> = BTreeMap::new();
     for number in 100..128 {
         for attempt in started_attempts(&harness.arrive(incoming_request(number, 0, 0, 30.0))) {
@@ -331,24 +328,27 @@
                 .push(attempt.request);
         }
     }
-    let at_home = in_flight[&affinity_replica].len();
-    assert!(at_home >= 8, "{at_home} at affinity_replica");
+    let at_affinity_replica = in_flight[&affinity_replica].len();
+    assert!(
+        at_affinity_replica >= 8,
+        "{at_affinity_replica} at affinity_replica"
+    );
     for (replica, requests) in in_flight {
-        let kept = if replica == affinity_replica {
-            at_home
+        let remaining = if replica == affinity_replica {
+            at_affinity_replica
         } else {
-            at_home.saturating_sub(3)
+            at_affinity_replica.saturating_sub(3)
         };
-        for request in requests.iter().skip(kept) {
+        for request in requests.iter().skip(remaining) {
             harness.end_attempt(*request, 0, AttemptOutcome::Completed, true);
         }
     }
 }
 
-/// A turn is not read anew elsewhere because its replica is a little busier: reading holds up all requests that run where
-/// it is done.
+/// A cached prompt must not be prefilled again at another replica just because its own replica is slightly busier: prefill
+/// delays all requests that run at the other replica.
 #[test]
-fn long_prompt_stays_with_its_replica_the_more_requests_run() {
+fn cached_prompt_stays_at_a_slightly_busier_replica() {
     let mut stayed = 0;
     for seed in 0..40 {
         let mut harness = SchedulerHarness::with_seed(settings(), seed, 2);
@@ -365,7 +365,7 @@
             is_request_finished: true,
             report: Some(report),
         });
-        keep_home_busier(&mut harness, affinity_replica);
+        make_affinity_replica_busier(&mut harness, affinity_replica);
         let sent = started_attempts(&harness.arrive(turn_of_session(2)));
         stayed += usize::from(
             sent.first()
@@ -374,6 +374,6 @@
     }
     assert!(
         stayed >= 36,
-        "{stayed} of 40 went to where the turn before was read"
+        "{stayed} of 40 were sent to the replica of the previous turn"
     );
 }
--- a/crates/scheduler/tests/budgets.rs
+++ b/crates/scheduler/tests/budgets.rs
@@ -1,4 +1,4 @@
-//! Budgets that the routers of a fleet share: retries, probes, zones crossed, slow start and tenants.
+//! Tests of fleet-wide budgets: retries, probes, cross-zone attempts, slow start and tenants.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -36,57 +36,57 @@
     }
 }
 
-/// The retries of this many failing requests, of which one comes each tenth of a second.
-fn retries(harness: &mut SchedulerHarness, first: u64, count: u64) -> usize {
-    let mut made = 0;
+/// The number of retries of `count` requests, one each tenth of a second, whose first attempts are declined.
+fn count_retries(harness: &mut SchedulerHarness, first: u64, count: u64) -> usize {
+    let mut retries = 0;
     for n in first..first + count {
         harness.advance(0.1);
         assert_eq!(
             started_attempts(&harness.arrive(incoming_request(n, 0, 0, 30.0))).len(),
             1
         );
-        // A replica at capacity is not ejected, and the request may be tried elsewhere.
-        let again = harness.end_attempt(n, 0, AttemptOutcome::AtCapacity, false);
-        made += started_attempts(&again).len();
-        if started_attempts(&again).is_empty() {
-            assert_eq!(answered_requests(&again), [n]);
+        // A replica at capacity is not ejected, and the request may be retried.
+        let actions = harness.end_attempt(n, 0, AttemptOutcome::AtCapacity, false);
+        retries += started_attempts(&actions).len();
+        if started_attempts(&actions).is_empty() {
+            assert_eq!(answered_requests(&actions), [n]);
         } else {
             harness.end_attempt(n, 1, AttemptOutcome::Completed, true);
         }
     }
-    made
+    retries
 }
 
 #[test]
-fn spends_retries_from_the_budget_and_answers_the_others_at_once() {
-    let harness = |allowed: Option<BudgetGrant>| {
+fn spends_retries_from_the_budget_and_answers_the_others_immediately() {
+    let harness = |grant: Option<BudgetGrant>| {
         let mut harness = SchedulerHarness::new(settings(), 40);
-        harness.grant(allowed.map(|budget| (BudgetKind::Retries, budget)));
+        harness.grant(grant.map(|grant| (BudgetKind::Retries, grant)));
         harness
     };
-    assert_eq!(retries(&mut harness(None), 1, 20), 20);
+    assert_eq!(count_retries(&mut harness(None), 1, 20), 20);
     assert_eq!(
-        retries(&mut harness(Some(budget(0.0, 0.0, 0.0, 0.0, 1e9))), 1, 20),
+        count_retries(&mut harness(Some(budget(0.0, 0.0, 0.0, 0.0, 1e9))), 1, 20),
         0
     );
-    // The guaranteed rate alone.
-    let made = retries(&mut harness(Some(budget(0.0, 0.0, 1.0, 1.0, 0.0))), 1, 20);
-    assert!((1..=2).contains(&made), "{made}");
-    // Two seconds at two a second, from an empty bucket, guaranteed and granted rate together.
-    let made = retries(&mut harness(Some(budget(1.5, 1.0, 0.5, 1.0, 1e9))), 1, 20);
-    assert!((3..=4).contains(&made), "{made}");
-    // An expired grant leaves the guaranteed rate, and what had been saved beyond it is gone.
-    let mut late = harness(Some(budget(100.0, 100.0, 0.5, 1.0, 101.0)));
-    late.advance(5.0);
-    let made = retries(&mut late, 1, 20);
-    assert!((1..=2).contains(&made), "{made}");
+    // Only the guaranteed rate.
+    let retried = count_retries(&mut harness(Some(budget(0.0, 0.0, 1.0, 1.0, 0.0))), 1, 20);
+    assert!((1..=2).contains(&retried), "{retried}");
+    // Two seconds at two units per second, guaranteed and granted rate together, from an empty bucket.
+    let retried = count_retries(&mut harness(Some(budget(1.5, 1.0, 0.5, 1.0, 1e9))), 1, 20);
+    assert!((3..=4).contains(&retried), "{retried}");
+    // After a grant has expired, only the guaranteed rate and burst remain.
+    let mut expired = harness(Some(budget(100.0, 100.0, 0.5, 1.0, 101.0)));
+    expired.advance(5.0);
+    let retried = count_retries(&mut expired, 1, 20);
+    assert!((1..=2).contains(&retried), "{retried}");
     assert_eq!(
-        late.scheduler.budget_demand()[&BudgetKind::Retries].units,
+        expired.scheduler.budget_demand()[&BudgetKind::Retries].units,
         20.0
     );
 }
 
-const NONE: BudgetGrant = BudgetGrant {
+const EMPTY_GRANT: BudgetGrant = BudgetGrant {
     rate: 0.0,
     burst: 0.0,
     guaranteed_rate: 0.0,
@@ -101,10 +101,11 @@
         .count()
 }
 
-/// An unresponsive replica is probed each second; with a budget only as often as that allows, and all demand is counted.
+/// An unresponsive replica is probed once a second, or as often as the budget allows. The demand includes probes that were
+/// not sent.
 #[test]
 fn spends_probes_from_the_budget() {
-    let probed = |budgets: Vec<(BudgetKind, BudgetGrant)>| {
+    let probes_and_demand = |budgets: Vec<(BudgetKind, BudgetGrant)>| {
         let mut harness = SchedulerHarness::new(settings(), 2);
         harness.grant(budgets);
         harness.arrive(incoming_request(1, 0, 0, 30.0));
@@ -118,33 +119,33 @@
                 .map_or(0.0, |demand| demand.units),
         )
     };
-    let (free, _) = probed(vec![]);
-    assert!(free >= 15, "{free}");
-    let (none, wanted) = probed(vec![(BudgetKind::Probes, NONE)]);
-    assert!(none == 0 && wanted >= 15.0, "{none} {wanted}");
-    let (some, _) = probed(vec![(
+    let (unlimited, _) = probes_and_demand(vec![]);
+    assert!(unlimited >= 15, "{unlimited}");
+    let (none, demand) = probes_and_demand(vec![(BudgetKind::Probes, EMPTY_GRANT)]);
+    assert!(none == 0 && demand >= 15.0, "{none} {demand}");
+    let (some, _) = probes_and_demand(vec![(
         BudgetKind::Probes,
         BudgetGrant {
             guaranteed_rate: 0.25,
             guaranteed_burst: 1.0,
-            ..NONE
+            ..EMPTY_GRANT
         },
     )]);
     assert!((3..=6).contains(&some), "{some}");
 }
 
-/// A request without a cross-zone budget waits for its own zone, and is answered in time where that has no capacity; of
-/// what is saved up, half is kept for the class of the highest priority.
+/// Without a cross-zone budget a request waits for its own zone and is answered in time if that has no capacity. Half of the
+/// burst is reserved for the class of the highest priority.
 #[test]
-fn cross_zone_budget_goes_to_higher_priority_first() {
-    let crossing = |harness: &mut SchedulerHarness, class: usize, from: u64| -> usize {
-        let mut crossed = 0;
+fn half_of_the_cross_zone_burst_is_reserved_for_the_highest_priority() {
+    let cross_zone_attempts = |harness: &mut SchedulerHarness, class: usize, from: u64| -> usize {
+        let mut count = 0;
         for n in from..from + 20 {
-            crossed += started_attempts(&harness.arrive(incoming_request(n, class, 0, 5.0))).len();
+            count += started_attempts(&harness.arrive(incoming_request(n, class, 0, 5.0))).len();
         }
-        crossed
+        count
     };
-    // All replicas of this router's zone are removed: every attempt crosses zones.
+    // All replicas in this router's zone are removed, so every attempt crosses zones.
     let harness = |budget: Option<BudgetGrant>| {
         let mut harness = SchedulerHarness::new(settings(), 8);
         harness.handle(Event::EndpointsChanged(
@@ -156,24 +157,30 @@
         harness.grant(budget.map(|budget| (BudgetKind::CrossZone, budget)));
         harness
     };
-    assert_eq!(crossing(&mut harness(None), 1, 1), 20);
-    assert_eq!(crossing(&mut harness(Some(NONE)), 0, 1), 0);
-    let saved = BudgetGrant {
+    assert_eq!(cross_zone_attempts(&mut harness(None), 1, 1), 20);
+    assert_eq!(
+        cross_zone_attempts(&mut harness(Some(EMPTY_GRANT)), 0, 1),
+        0
+    );
+    let grant = BudgetGrant {
         rate: 10.0,
         burst: 10.0,
-        ..NONE
+        ..EMPTY_GRANT
     };
-    let mut low = harness(Some(saved));
-    low.advance(1.5);
-    let (lower, higher) = (crossing(&mut low, 1, 1), crossing(&mut low, 0, 100));
+    let mut limited = harness(Some(grant));
+    limited.advance(1.5);
+    let (lower, higher) = (
+        cross_zone_attempts(&mut limited, 1, 1),
+        cross_zone_attempts(&mut limited, 0, 100),
+    );
     assert!(
         (4..=6).contains(&lower) && (4..=6).contains(&higher),
         "{lower} {higher}"
     );
-    // What could not be sent is demand: the longer it waits, the more.
-    let before = low.scheduler.budget_demand()[&BudgetKind::CrossZone];
-    let late = low.advance(4.9);
-    assert!(low.scheduler.budget_demand()[&BudgetKind::CrossZone].units > before.units);
+    // Demand grows while requests wait for the budget.
+    let before = limited.scheduler.budget_demand()[&BudgetKind::CrossZone];
+    let late = limited.advance(4.9);
+    assert!(limited.scheduler.budget_demand()[&BudgetKind::CrossZone].units > before.units);
     assert!(
         started_attempts(&late).len() > 5,
         "{}",
@@ -181,23 +188,23 @@
     );
 }
 
-/// With capacity in its own zone, a router without a cross-zone budget serves all requests there.
+/// If its own zone has capacity, a router without a cross-zone budget sends all requests there.
 #[test]
 fn own_zone_serves_without_a_cross_zone_budget() {
     let mut harness = SchedulerHarness::new(settings(), 8);
-    harness.grant([(BudgetKind::CrossZone, NONE)]);
+    harness.grant([(BudgetKind::CrossZone, EMPTY_GRANT)]);
     for n in 1..=12 {
         let sent = started_attempts(&harness.arrive(incoming_request(n, 0, 0, 5.0)));
         assert_eq!(sent.len(), 1);
         assert!((0..8)
             .step_by(2)
-            .any(|near| replica_id(near) == sent[0].replica));
+            .any(|local| replica_id(local) == sent[0].replica));
     }
 }
 
-/// A starting replica gets what the fleet's budget grants this router, scaled by how far it has warmed up.
+/// A replica in slow start gets the rate of the fleet-wide budget, scaled by its warm-up fraction.
 #[test]
-fn starting_replicas_get_what_the_budget_grants() {
+fn replica_in_slow_start_gets_the_budgeted_rate() {
     let sent = |budgets: Vec<(BudgetKind, BudgetGrant)>| {
         let mut harness = SchedulerHarness::new(settings(), 1);
         harness.grant(budgets);
@@ -217,28 +224,35 @@
             })
             .sum::<usize>()
     };
-    assert_eq!(sent(vec![(BudgetKind::SlowStart, NONE)]), 0);
+    assert_eq!(sent(vec![(BudgetKind::SlowStart, EMPTY_GRANT)]), 0);
     let (little, much) = (
         sent(vec![(
             BudgetKind::SlowStart,
-            BudgetGrant { rate: 1.0, ..NONE },
+            BudgetGrant {
+                rate: 1.0,
+                ..EMPTY_GRANT
+            },
         )]),
         sent(vec![(
             BudgetKind::SlowStart,
-            BudgetGrant { rate: 8.0, ..NONE },
+            BudgetGrant {
+                rate: 8.0,
+                ..EMPTY_GRANT
+            },
         )]),
     );
-    // Ten seconds of a start of twenty, from a tenth of its capacity: a third of it in the mean.
+    // In the first ten of twenty seconds, from a tenth of its capacity: a third of the capacity on average.
     assert!(
         (1..=5).contains(&little) && (12..=34).contains(&much),
         "{little} {much}"
     );
 }
 
-/// Requests of a tenant count as within its quota by the fleet's budget for it, not by this router's even part.
+/// The fleet-wide budget of a tenant, not this router's even share of its rate limit, decides which requests are within the
+/// quota.
 #[test]
-fn budget_of_a_tenant_decides_what_is_within_its_quota() {
-    let kept = |budgets: Vec<(BudgetKind, BudgetGrant)>| {
+fn budget_of_a_tenant_replaces_the_local_quota() {
+    let dispatched_within_quota = |budgets: Vec<(BudgetKind, BudgetGrant)>| {
         let site = settings();
         let tenants = site
             .tenants
@@ -255,7 +269,7 @@
         for n in 1..=30 {
             harness.arrive(incoming_request(n, 0, 0, 20.0));
         }
-        // What is beyond the quota is dispatched after it.
+        // Requests beyond the quota are dispatched after this one.
         harness.arrive(incoming_request(99, 1, 1, 20.0));
         let ends =
             (1000..1000 + full).map(|n| harness.end_attempt(n, 0, AttemptOutcome::Completed, true));
@@ -265,27 +279,27 @@
             .collect();
         order.iter().position(|n| *n == 99).unwrap_or(order.len())
     };
-    let even = kept(vec![]);
+    let local = dispatched_within_quota(vec![]);
     let (none, much) = (
-        kept(vec![(BudgetKind::Tenant(0), NONE)]),
-        kept(vec![(
+        dispatched_within_quota(vec![(BudgetKind::Tenant(0), EMPTY_GRANT)]),
+        dispatched_within_quota(vec![(
             BudgetKind::Tenant(0),
             BudgetGrant {
                 rate: 100.0,
                 burst: 20.0,
-                ..NONE
+                ..EMPTY_GRANT
             },
         )]),
     );
     assert!(
-        none <= 1 && (6..12).contains(&even) && much >= 18,
-        "{none} {even} {much}"
+        none <= 1 && (6..12).contains(&local) && much >= 18,
+        "{none} {local} {much}"
     );
 }
 
-/// A grant of a part of a unit a second adds up.
+/// Guards against the loss of grants of less than one unit per second.
 #[test]
-fn grants_below_one_unit_add_up() {
+fn grants_below_one_unit_per_second_accumulate() {
     let mut harness = SchedulerHarness::new(settings(), 40);
     harness.grant([(
         BudgetKind::Retries,
@@ -293,40 +307,41 @@
             rate: 0.1,
             burst: 0.0,
             guaranteed_burst: 1.0,
-            ..NONE
+            ..EMPTY_GRANT
         },
     )]);
-    let made = retries(&mut harness, 1, 300);
-    assert!((2..=3).contains(&made), "{made} in 30 s");
+    let retried = count_retries(&mut harness, 1, 300);
+    assert!((2..=3).contains(&retried), "{retried} in 30 s");
 }
 
-/// A process that stood still until its grant had expired wakes with a queue of retries: only what was saved within the
-/// guaranteed burst goes out.
+/// A process that was suspended until its grant had expired may have many retries to send when it resumes. It may send no
+/// more than the guaranteed burst.
 #[test]
-fn queue_of_retries_after_a_long_stop_gets_the_guaranteed_burst() {
+fn retries_after_a_suspension_are_limited_to_the_guaranteed_burst() {
     let mut harness = SchedulerHarness::new(settings(), 40);
     harness.grant([(BudgetKind::Retries, budget(50.0, 50.0, 0.0, 1.0, 102.0))]);
     for n in 1..=30 {
         harness.arrive(incoming_request(n, 0, 0, 60.0));
     }
     harness.now += 20.0;
-    let made: usize = (1..=30)
+    let retried: usize = (1..=30)
         .map(|n| {
             started_attempts(&harness.end_attempt(n, 0, AttemptOutcome::AtCapacity, false)).len()
         })
         .sum();
-    assert!(made <= 1, "{made}");
+    assert!(retried <= 1, "{retried}");
 }
 
-/// The burst of one tenant takes nothing of another's budget, and what is beyond its own budget waits behind.
+/// A burst of one tenant must not use the budget of another, and its requests beyond its own budget must be dispatched
+/// later.
 #[test]
-fn burst_of_a_tenant_leaves_others_within_their_quotas() {
+fn burst_of_a_tenant_does_not_affect_the_quotas_of_others() {
     let mut harness = SchedulerHarness::new(settings(), 8);
     let full = harness.fill_capacity();
     let each = BudgetGrant {
         rate: 10.0,
         burst: 10.0,
-        ..NONE
+        ..EMPTY_GRANT
     };
     harness.grant([(BudgetKind::Tenant(0), each), (BudgetKind::Tenant(1), each)]);
     harness.advance(1.5);
@@ -348,6 +363,6 @@
         .unwrap_or(usize::MAX);
     assert!(
         last < 20,
-        "the eighth of the other tenant is dispatched at place {last} of {order:?}"
+        "the last request of the other tenant is dispatched at position {last} of {order:?}"
     );
 }
--- a/crates/scheduler/tests/concurrency.rs
+++ b/crates/scheduler/tests/concurrency.rs
@@ -1,4 +1,4 @@
-//! The concurrency limit: its start, growth, cuts and its parts.
+//! Tests of the concurrency limit: initial value, growth, reduction and division.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -7,7 +7,9 @@
 use poppykeel_scheduler::{
     AttemptOutcome, EndpointState, Event, IncomingRequest, RequestId, SchedulerSettings,
 };
-use support::{endpoint, incoming_request, probes, settings, started_attempts, SchedulerHarness};
+use support::{
+    endpoint, incoming_request, probed_replicas, settings, started_attempts, SchedulerHarness,
+};
 
 #[test]
 fn limit_grows_on_early_first_tokens_and_shrinks_at_capacity() {
@@ -39,9 +41,9 @@
     assert!(sent < before, "{before} then {sent}");
 }
 
-/// Otherwise the limit never grows where answers do not stream.
+/// Guards against a limit that never grows if answers are not streamed.
 #[test]
-fn limit_grows_on_answers_without_streams() {
+fn limit_grows_on_answers_without_streaming() {
     let mut harness = SchedulerHarness::new(settings(), 1);
     let before = harness.fill_capacity();
     for n in 0..=before {
@@ -54,9 +56,9 @@
     assert!(after > before, "{before} then {after}");
 }
 
-/// The limits of many routers must not add up to more than a replica can hold.
+/// The sum of all routers' limits must not exceed what the replicas can hold.
 #[test]
-fn routers_share_what_a_replica_may_hold() {
+fn initial_limit_is_divided_among_routers() {
     for (routers, sent) in [(1, 32), (4, 8), (32, 1), (300, 1)] {
         let mut site = SchedulerSettings {
             router_count: routers,
@@ -68,7 +70,7 @@
     }
 }
 
-/// One late replica must not take the capacity of all: cuts are shallow, and growth makes up for them.
+/// One late replica must not reduce the capacity of all: reductions are small, and early first tokens make up for them.
 #[test]
 fn limit_shrinks_on_late_first_tokens_and_recovers_on_early_ones() {
     let mut harness = SchedulerHarness::new(settings(), 4);
@@ -96,9 +98,9 @@
     assert!(grown > small, "{small} then {grown}");
 }
 
-/// An even part of a quota below one request a second must not reject requests within the quota.
+/// A router's share of a quota may be below one request per second; requests within the quota must not be rejected then.
 #[test]
-fn small_part_of_a_quota_covers_requests_that_come_together() {
+fn small_share_of_a_quota_allows_a_burst() {
     let mut site = SchedulerSettings {
         router_count: 100,
         ..settings()
@@ -118,9 +120,10 @@
     assert!(held >= 1, "{held}");
 }
 
-/// Requests beyond a quota leave the rest of the limit to requests that other routers may have queued.
+/// Requests beyond a quota may use only a fraction of the limit, because other routers may have queued requests of higher
+/// priority.
 #[test]
-fn requests_beyond_quota_use_a_part_of_the_limit() {
+fn requests_beyond_quota_use_a_fraction_of_the_limit() {
     let mut site = settings();
     site.tenants[0].rate_limit = 0.0;
     let mut harness = SchedulerHarness::new(site, 4);
@@ -137,8 +140,8 @@
 
 #[test]
 fn limit_shrinks_on_broken_streams() {
-    // Broken streams cut the limit as timeouts and replicas at capacity do.
-    let room_after = |outcome| {
+    // Broken streams reduce the limit like timeouts and replicas at capacity.
+    let capacity_after = |outcome| {
         let mut harness = SchedulerHarness::new(settings(), 1);
         for id in 1..=60 {
             harness.arrive(incoming_request(id, 0, 0, 30.0));
@@ -148,7 +151,9 @@
         harness.advance(0.8);
         harness.fill_capacity()
     };
-    assert!(room_after(AttemptOutcome::ConnectionReset) < room_after(AttemptOutcome::Completed));
+    assert!(
+        capacity_after(AttemptOutcome::ConnectionReset) < capacity_after(AttemptOutcome::Completed)
+    );
 }
 
 #[test]
@@ -159,7 +164,7 @@
         harness.first_token(1000 + n, 0.2);
     }
     for n in 0..40 {
-        // The next one has been queued for longer than its first token then takes.
+        // The next request has been queued for longer than its time to first token.
         harness.advance(0.5);
         harness.end_attempt(1000 + n, 0, AttemptOutcome::Completed, true);
         harness.first_token(1000 + before + n, 0.4);
@@ -176,7 +181,7 @@
     assert!(sent >= before, "{before} then {sent}");
 }
 
-/// Routers must not learn of a change too late: replicas that leave take their part of the limit along.
+/// When replicas leave, the limit must shrink immediately; a router would learn of it too late from its answers.
 #[test]
 fn limit_follows_the_number_of_warm_replicas() {
     let mut harness = SchedulerHarness::new(settings(), 8);
@@ -203,17 +208,17 @@
     );
 }
 
-/// Requests must not be queued by a limit too coarse for a router's few requests while replicas are idle.
+/// With many routers the limit of each is too coarse: requests must not be queued while replicas report to be idle.
 #[test]
-fn idle_replica_is_used_beside_a_small_limit() {
+fn idle_replica_is_used_beyond_a_small_limit() {
     for (tokens, more) in [(0.0, 1), (5_000.0, 0)] {
         let mut harness = SchedulerHarness::among_many_routers();
         // The limit of one router among a hundred is a single request.
-        for replica in probes(&harness.arrive(incoming_request(1, 0, 0, 5.0))) {
+        for replica in probed_replicas(&harness.arrive(incoming_request(1, 0, 0, 5.0))) {
             harness.report_load(replica, tokens, 0.1);
         }
         let mut sent = 0;
-        for replica in probes(&harness.arrive(IncomingRequest {
+        for replica in probed_replicas(&harness.arrive(IncomingRequest {
             session: Some(7),
             ..incoming_request(2, 0, 0, 5.0)
         })) {
--- a/crates/scheduler/tests/endpoint_evidence.rs
+++ b/crates/scheduler/tests/endpoint_evidence.rs
@@ -1,4 +1,4 @@
-//! Attempts while the endpoint list may be out of date: each follows evidence from its replica.
+//! Tests of attempts while the endpoint list may be outdated: each needs evidence, a recent successful probe of its replica.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -10,8 +10,8 @@
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 use support::{
-    answered_requests, incoming_request, probes, settings, started_attempts, SchedulerHarness,
-    TIMER_INTERVAL,
+    answered_requests, incoming_request, probed_replicas, settings, started_attempts,
+    SchedulerHarness, TIMER_INTERVAL,
 };
 
 const REPLICAS: usize = 4;
@@ -49,7 +49,7 @@
     let mut harness = unconfirmed();
     let actions = arrive(&mut harness, 1);
     assert_eq!(started_attempts(&actions), []);
-    let probed = probes(&actions);
+    let probed = probed_replicas(&actions);
     assert_eq!(probed.len(), 1);
     let actions = end_probe(&mut harness, probed[0], AttemptOutcome::Completed);
     let started = started_attempts(&actions);
@@ -58,16 +58,17 @@
 }
 
 #[test]
-fn replica_that_declines_its_probe_is_passed_over() {
+fn replica_that_declines_its_probe_is_not_used() {
     for outcome in [
         AttemptOutcome::ServerError,
         AttemptOutcome::TimedOut,
         AttemptOutcome::ConnectFailed,
     ] {
         let mut harness = unconfirmed();
-        let mut declined = probes(&arrive(&mut harness, 1));
+        let mut declined = probed_replicas(&arrive(&mut harness, 1));
         for _ in 1..REPLICAS {
-            let next = probes(&end_probe(&mut harness, *declined.last().unwrap(), outcome));
+            let next =
+                probed_replicas(&end_probe(&mut harness, *declined.last().unwrap(), outcome));
             assert_eq!(next.len(), 1, "{outcome:?}");
             assert!(!declined.contains(&next[0]), "{outcome:?}");
             declined.extend(next);
@@ -81,16 +82,16 @@
 #[test]
 fn requests_share_one_probe_and_evidence_expires_within_the_grace() {
     let mut harness = unconfirmed();
-    let probed = probes(&arrive(&mut harness, 1));
+    let probed = probed_replicas(&arrive(&mut harness, 1));
     end_probe(&mut harness, probed[0], AttemptOutcome::Completed);
     harness.now += settings().lifecycle.drain_grace;
     let actions = arrive(&mut harness, 2);
     assert_eq!(started_attempts(&actions), [], "the evidence is too old");
-    assert_eq!(probes(&actions).len(), 1);
+    assert_eq!(probed_replicas(&actions).len(), 1);
 }
 
 #[test]
-fn confirmed_list_lets_waiting_requests_go() {
+fn waiting_requests_are_dispatched_once_the_list_is_confirmed() {
     let mut harness = unconfirmed();
     arrive(&mut harness, 1);
     harness.handle(Event::EndpointListStatusChanged(
@@ -112,7 +113,7 @@
     ));
     assert_eq!(started_attempts(&harness.last_actions).len(), 1);
 
-    // Nobody waits for a poll without end.
+    // The wait for a poll is bounded.
     let mut harness = harness_with(settings.clone(), EndpointListStatus::Restored);
     harness.now += 2.9;
     assert_eq!(started_attempts(&arrive(&mut harness, 1)), []);
@@ -130,7 +131,7 @@
     let mut actions = arrive(&mut harness, 1);
     let mut answered = Vec::new();
     while harness.now < 106.0 && answered.is_empty() {
-        for replica in probes(&actions) {
+        for replica in probed_replicas(&actions) {
             end_probe(&mut harness, replica, AttemptOutcome::ServerError);
         }
         harness.now += TIMER_INTERVAL;
@@ -148,7 +149,7 @@
     ProbesEnd(bool),
     Status(EndpointListStatus),
     Wait(f64),
-    ClientLeaves(u64),
+    ClientDisconnects(u64),
 }
 
 fn step() -> impl Strategy<Value = Step> {
@@ -164,20 +165,20 @@
         4 => any::<bool>().prop_map(Step::ProbesEnd),
         1 => status.prop_map(Step::Status),
         3 => (0.0_f64..0.4).prop_map(Step::Wait),
-        1 => (1_u64..40).prop_map(Step::ClientLeaves),
+        1 => (1_u64..40).prop_map(Step::ClientDisconnects),
     ]
 }
 
 proptest! {
-    /// While the list is not confirmed, each attempt goes to a replica whose last ended probe was answered well and was sent
-    /// within half of the grace.
+    /// While the list is not confirmed, each attempt is sent to a replica whose last completed probe was successful and was
+    /// sent no longer ago than half of the drain grace.
     #[test]
     fn attempts_follow_recent_evidence(steps in proptest::collection::vec(step(), 1..120)) {
         let mut harness = unconfirmed();
         let max_age = settings().lifecycle.drain_grace / 2.0 + 1e-9;
         let mut is_confirmed = false;
         let mut request = 0;
-        // When each probe in flight was sent, and of each replica the last probe that was answered well.
+        // Send times of the probes in flight and of the last successful probe of each replica.
         let mut in_flight: Vec<(ReplicaId, f64)> = Vec::new();
         let mut accepted: BTreeMap<ReplicaId, f64> = BTreeMap::new();
         for step in steps {
@@ -207,7 +208,7 @@
                     harness.now += span;
                     events.push(Event::TimerFired);
                 }
-                Step::ClientLeaves(number) => {
+                Step::ClientDisconnects(number) => {
                     events.push(Event::ClientDisconnected(RequestId(number)));
                 }
             }
@@ -215,15 +216,15 @@
                 harness.handle(event);
                 let now = harness.now;
                 let actions = harness.last_actions.clone();
-                in_flight.extend(probes(&actions).into_iter().map(|replica| (replica, now)));
+                in_flight.extend(probed_replicas(&actions).into_iter().map(|replica| (replica, now)));
                 if is_confirmed {
                     continue;
                 }
                 for attempt in started_attempts(&actions) {
-                    let evidence = accepted.get(&attempt.replica);
+                    let probed_at = accepted.get(&attempt.replica);
                     prop_assert!(
-                        evidence.is_some_and(|sent_at| now - sent_at <= max_age),
-                        "{attempt:?} at {now} by {evidence:?}"
+                        probed_at.is_some_and(|sent_at| now - sent_at <= max_age),
+                        "{attempt:?} at {now}, last successful probe at {probed_at:?}"
                     );
                 }
             }
--- a/crates/scheduler/tests/fair_queue.rs
+++ b/crates/scheduler/tests/fair_queue.rs
@@ -1,4 +1,4 @@
-//! The fair queue: priority tiers, deficit round robin over tenants, earliest deadline first.
+//! Tests of the fair queue: priority tiers, deficit round robin over tenants, earliest deadline first.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn gives_tenants_turns_whatever_their_backlogs() {
+fn gives_tenants_turns_regardless_of_their_backlogs() {
     let mut harness = SchedulerHarness::new(settings(), 1);
     let out = harness.fill_capacity();
     harness.handle(Event::ClientDisconnected(RequestId(1000 + out)));
@@ -37,11 +37,11 @@
                 .map(|attempt| attempt.request),
         );
     }
-    let place = order
+    let position = order
         .iter()
         .position(|n| *n == 10)
         .expect("the second tenant is served");
-    assert!(place <= 1, "order {order:?}");
+    assert!(position <= 1, "order {order:?}");
 }
 
 #[test]
@@ -72,21 +72,21 @@
     );
 }
 
-/// A hint that is absent, zero or absurd harms nobody.
+/// Client-declared work affects the order of tenants. Missing, zero or implausible values must not starve another tenant.
 #[test]
-fn weighs_hints_of_work_in_round_robin_and_bounds_absurd_ones() {
-    let light_sent = |light: Option<f64>, heavy: Option<f64>| {
+fn declared_work_affects_round_robin_within_bounds() {
+    let light_dispatched = |light: Option<f64>, heavy: Option<f64>| {
         let mut site = settings();
         site.classes[0].ttft_objective = 500.0;
         let mut harness = SchedulerHarness::new(site, 1);
         harness.fill_capacity();
         for n in 0..40 {
             let (tenant, work) = if n % 2 == 0 { (0, light) } else { (1, heavy) };
-            let hinted = IncomingRequest {
+            let request = IncomingRequest {
                 expected_work: work,
                 ..incoming_request(n, 0, tenant, 900.0)
             };
-            assert!(answered_requests(&harness.arrive(hinted)).is_empty());
+            assert!(answered_requests(&harness.arrive(request)).is_empty());
         }
         let mut sent = Vec::new();
         let mut n = 1000;
@@ -103,13 +103,16 @@
             .filter(|attempt| attempt.request % 2 == 0)
             .count()
     };
-    let (even, uneven) = (light_sent(None, None), light_sent(Some(0.5), Some(1.5)));
+    let (undeclared, declared) = (
+        light_dispatched(None, None),
+        light_dispatched(Some(0.5), Some(1.5)),
+    );
     assert!(
-        uneven > even + 1,
-        "{even} of 15 without hints, {uneven} of the light ones"
+        declared > undeclared + 1,
+        "{undeclared} light requests of 15 without declared work, {declared} with it"
     );
-    for absurd in [0.0, -1.0, f64::NAN, f64::INFINITY, 1e300, 1e-300] {
-        let light = light_sent(Some(1.0), Some(absurd));
-        assert!((2..=13).contains(&light), "{absurd}: {light} of 15");
+    for implausible in [0.0, -1.0, f64::NAN, f64::INFINITY, 1e300, 1e-300] {
+        let light = light_dispatched(Some(1.0), Some(implausible));
+        assert!((2..=13).contains(&light), "{implausible}: {light} of 15");
     }
 }
--- a/crates/scheduler/tests/histories.rs
+++ b/crates/scheduler/tests/histories.rs
@@ -1,5 +1,5 @@
-//! Random legal histories: whatever happens, no request has two answers or goes unanswered, nothing is sent to a draining
-//! replica, attempts stay within their limits, and the same events give the same actions.
+//! Property tests with random but valid sequences of events: each request gets exactly one answer in time, draining replicas
+//! get no attempts, attempts stay within their limits, and the same events give the same actions.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -16,7 +16,7 @@
 const REPLICAS: usize = 4;
 /// Tolerance of comparisons of times.
 const TOLERANCE: Seconds = 1e-9;
-/// Outcomes of attempts without a first token.
+/// Possible outcomes of attempts without a first token.
 const OUTCOMES: [AttemptOutcome; 5] = [
     AttemptOutcome::Completed,
     AttemptOutcome::ServerError,
@@ -24,11 +24,12 @@
     AttemptOutcome::ConnectionReset,
     AttemptOutcome::ConnectFailed,
 ];
-/// Outcomes of attempts that stream.
+/// Possible outcomes of streaming attempts.
 const STREAM_OUTCOMES: [AttemptOutcome; 2] =
     [AttemptOutcome::Completed, AttemptOutcome::ConnectionReset];
 
-/// One step of a random but legal history. Numbers choose among what is there; a number without a choice does nothing.
+/// One step of a sequence. Numbers are positions among the existing requests or attempts; a step whose number is too large
+/// has no effect.
 #[derive(Clone, Debug)]
 enum Step {
     Arrive {
@@ -36,10 +37,10 @@
         tenant: usize,
         time_left_ms: u16,
     },
-    /// The first token of an attempt in flight.
+    /// Position of an attempt in flight.
     FirstToken(usize),
-    /// The end of an attempt in flight.
     EndAttempt {
+        /// Position of an attempt in flight.
         attempt: usize,
         outcome: usize,
     },
@@ -47,7 +48,7 @@
     DrainReplica(usize),
     ReturnReplica(usize),
     RestartReplica(usize),
-    /// Timer intervals pass.
+    /// Number of timer intervals.
     Advance(u8),
 }
 
@@ -73,37 +74,36 @@
     proptest::collection::vec(step, 1..200)
 }
 
-/// An attempt in flight.
 struct InFlight {
     request: u64,
     number: usize,
     is_streaming: bool,
 }
 
-/// A fair world round a scheduler, which checks every action.
-struct World {
+/// The environment of a scheduler: generates valid events and checks every action.
+struct Environment {
     harness: SchedulerHarness,
     allows_hedging: bool,
     max_attempts: usize,
-    /// Requests that are owed an answer, and until when.
+    /// Unanswered requests and the times by which they need an answer.
     open: BTreeMap<u64, Seconds>,
     in_flight: Vec<InFlight>,
-    /// Attempts so far, by request.
+    /// Number of attempts started so far, by request.
     attempt_counts: BTreeMap<u64, usize>,
     draining: BTreeSet<ReplicaId>,
     last_request: u64,
     actions: Vec<Action>,
 }
 
-impl World {
-    fn new(allows_hedging: bool) -> World {
+impl Environment {
+    fn new(allows_hedging: bool) -> Environment {
         let mut site = settings();
         site.limits.allows_hedging = allows_hedging;
         site.classes[1].idempotency = Idempotency::Keyed {
             scope: DeduplicationScope::Zone,
             retention: 1.0,
         };
-        World {
+        Environment {
             max_attempts: site.limits.max_attempts,
             harness: SchedulerHarness::new(site, REPLICAS),
             allows_hedging,
@@ -142,13 +142,13 @@
         assert!(is_open, "an attempt of a request that has its answer");
         let is_draining = self.draining.contains(&replica);
         assert!(!is_draining, "an attempt at a draining replica");
-        let is_alone = self
+        let has_no_other_attempt = self
             .in_flight
             .iter()
             .all(|attempt| attempt.request != request);
         assert!(
-            self.allows_hedging || is_alone,
-            "two attempts in flight together"
+            self.allows_hedging || has_no_other_attempt,
+            "two attempts in flight without hedging"
         );
         let count = self.attempt_counts.entry(request).or_default();
         self.in_flight.push(InFlight {
@@ -160,19 +160,19 @@
         let limit = self.harness.max_concurrency;
         assert!(
             in_flight as f64 <= limit,
-            "{in_flight} in flight, {limit} at most"
+            "{in_flight} attempts in flight, the limit is {limit}"
         );
         *count += 1;
         assert!(*count <= self.max_attempts);
     }
 
-    /// What the limit can have grown to after one more first token or end.
+    /// Raises the bound of the concurrency limit after a first token or the end of an attempt.
     fn raise_max_concurrency(&mut self) {
         let limit = self.harness.max_concurrency;
         self.harness.max_concurrency = (limit + 1.0).max(limit * 1.04);
     }
 
-    fn take(&mut self, step: &Step) {
+    fn apply(&mut self, step: &Step) {
         match step {
             Step::Arrive {
                 class,
@@ -283,13 +283,13 @@
     }
 }
 
-/// Plays a history and checks every action; returns all actions.
-fn play(steps: &[Step], allows_hedging: bool) -> Vec<Action> {
-    let mut world = World::new(allows_hedging);
+/// Runs a sequence and checks every action; returns all actions.
+fn run(steps: &[Step], allows_hedging: bool) -> Vec<Action> {
+    let mut environment = Environment::new(allows_hedging);
     for step in steps {
-        world.take(step);
+        environment.apply(step);
     }
-    world.actions
+    environment.actions
 }
 
 proptest! {
@@ -301,8 +301,8 @@
     })]
 
     #[test]
-    fn random_histories_keep_the_rules(steps in steps(), allows_hedging in any::<bool>()) {
-        let actions = play(&steps, allows_hedging);
-        prop_assert_eq!(actions, play(&steps, allows_hedging));
+    fn random_events_keep_the_invariants(steps in steps(), allows_hedging in any::<bool>()) {
+    let actions = run(&steps, allows_hedging);
+    prop_assert_eq!(actions, run(&steps, allows_hedging));
     }
 }
--- a/crates/scheduler/tests/isolation.rs
+++ b/crates/scheduler/tests/isolation.rs
@@ -1,14 +1,13 @@
-//! The scheduler's isolation: no input or output, no clock, no async runtime, and the deploy file names every source.
+//! Tests that the scheduler has no input or output, no clock and no async runtime, and that the deploy file lists every
+//! source.
 //!
-//! `clippy.toml` of this package forbids the types and functions; this test also covers what only a macro or a dependency
-//! could bring in.
+//! `clippy.toml` of this package forbids types and functions; these tests also cover macros and dependencies.
 
 use std::path::{Path, PathBuf};
 
-/// The packages that the scheduler may depend on.
 const ALLOWED_DEPENDENCIES: [&str; 3] = ["oorandom", "serde", "thiserror"];
 
-/// Paths through which a program reaches files, sockets, clocks, threads, the environment or other processes.
+/// Text that must not occur in sources: paths to files, sockets, clocks, threads, the environment or other processes.
 const FORBIDDEN: [&str; 17] = [
     "std::time",
     "std::fs",
@@ -44,7 +43,7 @@
     std::fs::read_to_string(path).unwrap_or_else(|e| panic!("{}: {e}", path.display()))
 }
 
-/// All source files of the package; test files beside private code are not among them.
+/// All source files of the package except those of unit tests.
 fn source_files() -> Vec<PathBuf> {
     let mut files = Vec::new();
     let mut folders = vec![repository().join("crates/scheduler/src")];
@@ -86,7 +85,7 @@
 }
 
 #[test]
-fn source_files_hold_no_tests() {
+fn source_files_contain_no_tests() {
     for file in source_files() {
         assert!(!read(&file).contains("#[test]"), "{}", file.display());
     }
--- a/crates/scheduler/tests/learned_state.rs
+++ b/crates/scheduler/tests/learned_state.rs
@@ -1,4 +1,4 @@
-//! Learned state that one process leaves to the next.
+//! Tests of the export and import of learned state.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -43,7 +43,7 @@
     harness
 }
 
-/// How many sessions a new router sends to the replica of their previous turn, and its concurrency limit.
+/// The number of sessions that a new router sends to the replica of their previous turn, and its concurrency limit.
 fn sessions_continued(learned: &LearnedState, imports: bool) -> (usize, f64) {
     let mut harness = SchedulerHarness::new(settings(), REPLICAS);
     if imports {
--- a/crates/scheduler/tests/load_reports.rs
+++ b/crates/scheduler/tests/load_reports.rs
@@ -1,4 +1,4 @@
-//! Load reports: when replicas are probed for them, and how they steer placement.
+//! Tests of load reports: when replicas are probed for them, and how they affect placement.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -8,13 +8,13 @@
     AttemptOutcome, Event, IncomingRequest, LoadReportSource, SchedulerSettings,
 };
 use support::{
-    held_requests_report, incoming_request, probes, replica_id, settings, started_attempts,
-    SchedulerHarness, StartedAttempt,
+    held_requests_report, incoming_request, probed_replicas, replica_id, settings,
+    started_attempts, SchedulerHarness, StartedAttempt,
 };
 
-/// A session leaves an affinity replica with much to read for the next replica in its order.
+/// If the affinity replica reports many queued tokens, the request is sent to the next replica in the session's order.
 #[test]
-fn probes_for_load_reports_before_an_attempt_and_follows_them() {
+fn probes_candidates_before_an_attempt_and_uses_their_reports() {
     let mut away = 0;
     for session in 0..20 {
         let mut harness = SchedulerHarness::new(
@@ -29,19 +29,19 @@
             ..incoming_request(1, 0, 0, 5.0)
         };
         let actions = harness.arrive(turn);
-        let asked = probes(&actions);
+        let probed = probed_replicas(&actions);
         assert_eq!(
-            (asked.len(), started_attempts(&actions).len()),
+            (probed.len(), started_attempts(&actions).len()),
             (2, 0),
             "{actions:?}"
         );
         harness
             .scheduler
             .handle_event(harness.now, Event::EndpointsChanged(vec![]), &mut vec![]);
-        let mut sent = started_attempts(&harness.report_load(asked[0], 60_000.0, 0.1));
-        sent.extend(started_attempts(&harness.report_load(asked[1], 0.0, 0.1)));
+        let mut sent = started_attempts(&harness.report_load(probed[0], 60_000.0, 0.1));
+        sent.extend(started_attempts(&harness.report_load(probed[1], 0.0, 0.1)));
         assert_eq!(sent.len(), 1);
-        away += usize::from(sent[0].replica != asked[0]);
+        away += usize::from(sent[0].replica != probed[0]);
     }
     assert!(away >= 18, "{away} of 20");
     let mut harness = SchedulerHarness::new(
@@ -55,13 +55,13 @@
     assert_eq!(
         started_attempts(&harness.advance(0.02)).len(),
         1,
-        "an unanswered probe delays nothing for long"
+        "an unanswered probe delays an attempt by one timer interval"
     );
 }
 
-/// Such a report must not turn sessions away from their affinity replica.
+/// Impossible numbers in a report must not move sessions away from their affinity replica.
 #[test]
-fn ignores_reports_that_cannot_be_true() {
+fn ignores_impossible_reports() {
     for tokens in [f64::NAN, f64::INFINITY, 1e300, -1e300] {
         let mut harness = SchedulerHarness::new(
             SchedulerSettings {
@@ -76,11 +76,11 @@
                 ..incoming_request(n, 0, 0, 5.0)
             };
             let mut actions = harness.arrive(turn);
-            let affinity_replica = probes(&actions).first().copied();
-            for asked in probes(&actions) {
+            let affinity_replica = probed_replicas(&actions).first().copied();
+            for probed in probed_replicas(&actions) {
                 actions.extend(harness.report_load(
-                    asked,
-                    if Some(asked) == affinity_replica {
+                    probed,
+                    if Some(probed) == affinity_replica {
                         tokens
                     } else {
                         2000.0
@@ -103,60 +103,60 @@
     }
 }
 
-/// Among many routers the last report of a replica is a minute old: placement must not rest on it.
+/// With many routers a replica's last report may be a minute old, so placement must not use it.
 #[test]
-fn probes_both_candidates_where_feedback_is_sparse() {
-    for (full, memory) in [(20_000.0, 0.1), (0.0, 0.9)] {
-        let mut passed_over = 0;
+fn probes_both_candidates_if_feedback_is_sparse() {
+    for (queued_tokens, memory) in [(20_000.0, 0.1), (0.0, 0.9)] {
+        let mut to_less_loaded = 0;
         for n in 0..40 {
             let mut harness = SchedulerHarness::among_many_routers();
-            let to = probes(&harness.arrive(incoming_request(n, 0, 0, 5.0)));
+            let probed = probed_replicas(&harness.arrive(incoming_request(n, 0, 0, 5.0)));
             assert_eq!(
-                (to.len(), started_attempts(&harness.last_actions).len()),
+                (probed.len(), started_attempts(&harness.last_actions).len()),
                 (2, 0)
             );
             assert_eq!(
-                started_attempts(&harness.report_load(to[1], 0.0, 0.1)),
+                started_attempts(&harness.report_load(probed[1], 0.0, 0.1)),
                 [],
                 "the request waits for both answers"
             );
-            let sent = started_attempts(&harness.report_load(to[0], full, memory));
+            let sent = started_attempts(&harness.report_load(probed[0], queued_tokens, memory));
             assert_eq!(sent.len(), 1);
-            passed_over += usize::from(sent[0].replica == to[1]);
-            // Replicas that have just reported are not probed again.
+            to_less_loaded += usize::from(sent[0].replica == probed[1]);
+            // Replicas with recent reports are not probed again.
             assert!(
-                probes(&harness.arrive(incoming_request(1000 + n, 0, 0, 5.0)))
+                probed_replicas(&harness.arrive(incoming_request(1000 + n, 0, 0, 5.0)))
                     .iter()
-                    .all(|replica| !to.contains(replica))
+                    .all(|replica| !probed.contains(replica))
             );
         }
         assert!(
-            passed_over >= 36,
-            "{passed_over} of 40 went to the emptier replica"
+            to_less_loaded >= 36,
+            "{to_less_loaded} of 40 were sent to the less loaded replica"
         );
     }
 }
 
-/// Requests must not wait for the answer of a replica that does not respond.
+/// Requests must not wait for the probe of an unresponsive replica.
 #[test]
-fn unanswered_probe_delays_nothing() {
+fn unanswered_probe_does_not_block_a_request() {
     for n in 0..20 {
         let mut harness = SchedulerHarness::among_many_routers();
-        let to = probes(&harness.arrive(incoming_request(n, 0, 0, 5.0)));
-        harness.report_load(to[1], 0.0, 0.1);
+        let probed = probed_replicas(&harness.arrive(incoming_request(n, 0, 0, 5.0)));
+        harness.report_load(probed[1], 0.0, 0.1);
         assert_eq!(
             started_attempts(&harness.advance(0.03)),
             [StartedAttempt {
                 request: n,
-                replica: to[1]
+                replica: probed[1]
             }]
         );
     }
 }
 
-/// Small fleets must not pay for probes that they do not need: their reports come with every answer.
+/// With few routers each gets enough load reports with its answers, so probes would be unnecessary cost.
 #[test]
-fn sends_no_probes_where_feedback_is_dense() {
+fn sends_no_probes_if_feedback_is_dense() {
     let mut harness = SchedulerHarness::new(
         SchedulerSettings {
             router_count: 4,
@@ -164,13 +164,16 @@
         },
         12,
     );
-    assert_eq!(probes(&harness.arrive(incoming_request(1, 0, 0, 5.0))), []);
+    assert_eq!(
+        probed_replicas(&harness.arrive(incoming_request(1, 0, 0, 5.0))),
+        []
+    );
 }
 
-/// Where batches are small, a request sent to a replica whose batch is full waits there for a whole answer, though nothing
-/// is left to read.
+/// A request that is sent to a replica with a full batch waits there until an answer ends, even if no prompt tokens are
+/// queued.
 #[test]
-fn passes_over_replica_with_queued_requests() {
+fn avoids_replica_with_queued_requests() {
     let mut away = 0;
     for session in 0..20 {
         let mut harness = SchedulerHarness::new(
@@ -184,22 +187,23 @@
             session: Some(session),
             ..incoming_request(1, 0, 0, 5.0)
         };
-        let asked = probes(&harness.arrive(turn));
+        let probed = probed_replicas(&harness.arrive(turn));
         let mut sent =
-            started_attempts(&harness.handle(held_requests_report(asked[0], None, 12.0)));
+            started_attempts(&harness.handle(held_requests_report(probed[0], None, 12.0)));
         sent.extend(started_attempts(
-            &harness.handle(held_requests_report(asked[1], None, 0.0)),
+            &harness.handle(held_requests_report(probed[1], None, 0.0)),
         ));
         assert_eq!(sent.len(), 1);
-        away += usize::from(sent[0].replica != asked[0]);
+        away += usize::from(sent[0].replica != probed[0]);
     }
     assert!(
         away >= 18,
-        "{away} of 20 went to the replica without a queue"
+        "{away} of 20 were sent to the replica without a queue"
     );
 }
 
-/// Two replicas with batches of 2 reported one request each; what this router sent to one of them since then fills it.
+/// Two replicas with a batch size of 2 reported one request each. An attempt that this router has sent to one of them since
+/// then fills its batch.
 #[test]
 fn counts_own_attempts_since_the_report_against_the_batch() {
     let mut away = 0;
@@ -217,15 +221,15 @@
         away +=
             usize::from(started_attempts(&harness.arrive(turn(2)))[0].replica != first[0].replica);
     }
-    assert!(away >= 36, "{away} of 40 passed over the full batch");
+    assert!(away >= 36, "{away} of 40 avoided the full batch");
 }
 
-/// Where reports do not say what a replica holds, a queue while it held few requests shows a small batch, and requests then
-/// spread over replicas with capacity.
+/// If reports do not contain the requests held, a queue at a replica with few requests shows a small batch. Requests must
+/// then be spread evenly.
 #[test]
-fn learns_batch_size_from_a_reported_queue() {
-    let second_elsewhere = |queued: f64| {
-        let mut elsewhere = 0;
+fn infers_batch_size_from_a_reported_queue() {
+    let evenly_spread = |queued: f64| {
+        let mut even_runs = 0;
         for session in 0..20 {
             let mut harness = SchedulerHarness::new(settings(), 2);
             let turn = |n: u64| IncomingRequest {
@@ -255,13 +259,13 @@
                 .iter()
                 .filter(|attempt| attempt.replica == replica_id(0))
                 .count();
-            elsewhere += usize::from(sent.len() == 6 && first == 3);
+            even_runs += usize::from(sent.len() == 6 && at_first_replica == 3);
         }
-        elsewhere
+        even_runs
     };
-    let (small, unknown) = (second_elsewhere(1.0), second_elsewhere(0.0));
+    let (small, unknown) = (evenly_spread(1.0), evenly_spread(0.0));
     assert!(
         small >= 12 && small > unknown + 4,
-        "{small} of 20 evenly with a batch of 2, {unknown} with none shown"
+        "{small} of 20 spread evenly with a batch of 2, {unknown} with an unknown batch size"
     );
 }
--- a/crates/scheduler/tests/outlier_detection.rs
+++ b/crates/scheduler/tests/outlier_detection.rs
@@ -1,4 +1,4 @@
-//! Ejection, trials, unresponsive replicas and panic mode.
+//! Tests of ejection, trials, unresponsive replicas, panic mode and removed replicas.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -10,9 +10,9 @@
     SchedulerHarness, StartedAttempt,
 };
 
-/// First tokens must not clear the failures of a replica whose streams never complete.
+/// First tokens must not reset the failures of a replica whose streams never complete.
 #[test]
-fn ejects_replica_whose_streams_break_in_a_row_until_one_completes() {
+fn ejects_replica_after_consecutive_broken_streams_until_one_completes() {
     for outcome in [AttemptOutcome::TimedOut, AttemptOutcome::ConnectionReset] {
         let mut harness = SchedulerHarness::new(settings(), 3);
         let mut sent = [[0; 3]; 2];
@@ -25,19 +25,19 @@
             let to = (0..3)
                 .find(|number| Some(replica_id(*number)) == to)
                 .unwrap();
-            // First tokens come from it as from the others, and in the second half its streams complete.
-            let late = usize::from(n >= 400);
-            sent[late][to] += 1;
+            // Replica 0 sends first tokens like the others; its streams complete only in the second half.
+            let half = usize::from(n >= 400);
+            sent[half][to] += 1;
             harness.handle(Event::FirstToken {
                 request: RequestId(n),
                 attempt: 0,
                 elapsed: 0.01,
             });
-            let whole = to != 0 || late == 1;
+            let completes = to != 0 || half == 1;
             harness.end_attempt(
                 n,
                 0,
-                if whole {
+                if completes {
                     AttemptOutcome::Completed
                 } else {
                     outcome
@@ -46,13 +46,13 @@
             );
             harness.advance(0.02);
         }
-        // Three attempts, then trials after 0.7, 1.4 and 2.8 s of the 8 s.
+        // Three attempts, then trials after pauses of 0.7, 1.4 and 2.8 s within the 8 s.
         assert!((5..=7).contains(&sent[0][0]), "{outcome:?}: {sent:?}");
         assert!(sent[1][0] > 50, "{outcome:?}: {sent:?}");
     }
 }
 
-/// One pause of a replica, which ends all its streams together, must not be taken for streams that break in a row.
+/// A single fault of a replica that breaks all its streams must not count as consecutive broken streams.
 #[test]
 fn counts_streams_that_break_together_once() {
     let mut harness = SchedulerHarness::new(settings(), 3);
@@ -98,12 +98,12 @@
         });
         harness.end_attempt(n, 0, AttemptOutcome::Completed, true);
     }
-    assert!(again > 3, "{again} of 30 went there");
+    assert!(again > 3, "{again} of 30 were sent to the replica");
 }
 
-/// A replica that fails at once has capacity again at once, and must not draw every queued request.
+/// A replica that fails immediately always has capacity; it must not attract every queued request.
 #[test]
-fn ejects_replica_that_fails_at_once_and_tries_it_again_later() {
+fn ejects_replica_that_fails_immediately_and_retries_it_later() {
     let mut harness = SchedulerHarness::new(settings(), 3);
     let mut bad = 0;
     for n in 0..60 {
@@ -140,7 +140,7 @@
     );
 }
 
-/// Requests must not be left with a replica that answers nothing at all.
+/// Requests must not stay at a replica that does not respond at all.
 #[test]
 fn moves_requests_away_from_unresponsive_replica_while_time_is_left() {
     let mut site = settings();
@@ -159,16 +159,16 @@
     assert!(again.len() == 1 && again[0].replica != first, "{again:?}");
 }
 
-/// Panic mode: a whole fleet must not be ejected for a cause that all replicas share.
+/// Panic mode: a fault that all replicas share must not eject the whole fleet.
 #[test]
-fn still_tries_replicas_when_all_fail() {
+fn still_uses_replicas_when_all_fail() {
     let mut harness = SchedulerHarness::new(settings(), 3);
-    let mut tried = 0;
+    let mut attempts = 0;
     for n in 0..40 {
         let mut sent = started_attempts(&harness.arrive(incoming_request(n, 0, 0, 5.0)));
         let mut attempt = 0;
         while let Some(StartedAttempt { request: id, .. }) = sent.pop() {
-            tried += usize::from(n >= 20);
+            attempts += usize::from(n >= 20);
             sent = started_attempts(&harness.end_attempt(
                 id,
                 attempt,
@@ -179,11 +179,11 @@
         }
         harness.advance(0.1);
     }
-    assert!(tried >= 20, "{tried} attempts in the later half");
+    assert!(attempts >= 20, "{attempts} attempts in the second half");
 }
 
-/// A hung replica must not go on getting its part until a whole latency objective is over: once its first attempt is
-/// overdue, the others are preferred.
+/// A hung replica must not get its share of requests for a whole TTFT objective: once its first attempt is overdue, other
+/// replicas are preferred.
 #[test]
 fn prefers_others_to_a_replica_with_an_overdue_attempt() {
     let mut site = settings();
@@ -251,7 +251,7 @@
 }
 
 #[test]
-fn forgets_removed_replicas_without_attempts_in_flight() {
+fn deletes_removed_replicas_without_attempts_in_flight() {
     let mut harness = SchedulerHarness::new(settings(), 1);
     assert_eq!(
         started_attempts(&harness.arrive(incoming_request(1, 1, 0, 5.0))).len(),
@@ -263,7 +263,7 @@
             endpoint(n + 1, EndpointState::Available, None),
         ]));
     }
-    // The first one still has an attempt in flight.
+    // The first replica still has an attempt in flight.
     assert_eq!(harness.scheduler.gauges().replica_count, 2);
     harness.end_attempt(1, 0, AttemptOutcome::Completed, true);
     harness.handle(Event::EndpointsReplaced(vec![endpoint(
--- a/crates/scheduler/tests/retry.rs
+++ b/crates/scheduler/tests/retry.rs
@@ -1,4 +1,4 @@
-//! Retries and what idempotency allows.
+//! Tests of retries, idempotency and hedging.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -14,7 +14,7 @@
 
 #[test]
 fn fails_non_idempotent_request_that_may_have_run() {
-    for (outcome, again) in [
+    for (outcome, is_retried) in [
         (AttemptOutcome::ServerError, false),
         (AttemptOutcome::AtCapacity, true),
     ] {
@@ -23,14 +23,14 @@
         let actions = harness.end_attempt(1, 0, outcome, false);
         assert_eq!(
             started_attempts(&actions).len(),
-            usize::from(again),
+            usize::from(is_retried),
             "{outcome:?}"
         );
         assert_eq!(
             actions.contains(&Action::Fail {
                 request: RequestId(1)
             }),
-            !again,
+            !is_retried,
             "{outcome:?}"
         );
     }
@@ -38,37 +38,34 @@
 
 #[test]
 fn retries_keyed_request_within_its_scope_and_retention() {
-    for (group, memory, where_to) in [
+    for (scope, retention, candidate_count) in [
         (DeduplicationScope::AllReplicas, 5.0, 3),
         (DeduplicationScope::Zone, 5.0, 1),
         (DeduplicationScope::Cell, 0.0, 0),
     ] {
         let mut site = settings();
-        site.classes[0].idempotency = Idempotency::Keyed {
-            scope: group,
-            retention: memory,
-        };
+        site.classes[0].idempotency = Idempotency::Keyed { scope, retention };
         let mut harness = SchedulerHarness::new(site, 4);
         let first = started_attempts(&harness.arrive(incoming_request(1, 0, 0, 5.0)))[0].replica;
         let actions = harness.end_attempt(1, 0, AttemptOutcome::ConnectionReset, false);
-        let again = started_attempts(&actions);
+        let retries = started_attempts(&actions);
         assert_eq!(
-            again.len(),
-            usize::from(where_to > 0),
-            "{group:?}: {actions:?}"
+            retries.len(),
+            usize::from(candidate_count > 0),
+            "{scope:?}: {actions:?}"
         );
-        if where_to == 1 {
+        if candidate_count == 1 {
             let zone = |replica: ReplicaId| {
                 let number = (0..4).find(|number| replica_id(*number) == replica);
                 number.unwrap() % 2
             };
-            assert_eq!(zone(again[0].replica), zone(first));
+            assert_eq!(zone(retries[0].replica), zone(first));
         }
     }
 }
 
 #[test]
-fn keeps_to_settings_that_allow_nothing() {
+fn sends_no_probes_cancellations_or_retries_if_the_site_forbids_them() {
     let mut site = settings();
     site.limits = SiteLimits {
         allows_probes: false,
@@ -98,7 +95,7 @@
 }
 
 #[test]
-fn fails_invalid_request_at_once_without_blame_for_the_replica() {
+fn fails_invalid_request_immediately_without_ejecting_the_replica() {
     let mut harness = SchedulerHarness::new(settings(), 1);
     for n in 0..6 {
         assert_eq!(
@@ -116,13 +113,13 @@
     }
 }
 
-/// Hedged attempts go to another replica in time, for a part of all attempts only.
+/// A hedged attempt is sent to another replica while it can be in time, for only a fraction of all attempts.
 #[test]
-fn hedges_overdue_request_elsewhere_while_it_can_be_in_time() {
+fn hedges_overdue_request_at_another_replica_within_a_limit() {
     let mut site = settings();
     site.classes[0].ttft_objective = 4.0;
-    for (copies, due) in [(true, 1), (false, 0)] {
-        site.limits.allows_hedging = copies;
+    for (allows_hedging, expected) in [(true, 1), (false, 0)] {
+        site.limits.allows_hedging = allows_hedging;
         let mut harness = SchedulerHarness::new(site.clone(), 4);
         for n in 0..100 {
             harness.arrive(incoming_request(n, 0, 0, 9.0));
@@ -131,18 +128,18 @@
         }
         let first = started_attempts(&harness.arrive(incoming_request(500, 0, 0, 9.0)))[0].replica;
         let second = started_attempts(&harness.advance(1.0));
-        assert_eq!(second.len(), due, "{second:?}");
+        assert_eq!(second.len(), expected, "{second:?}");
         assert!(second.iter().all(|attempt| attempt.replica != first));
     }
     site.limits.allows_hedging = true;
     let mut harness = SchedulerHarness::new(site, 8);
-    let (mut firsts, mut copied) = (0, 0);
+    let (mut firsts, mut hedged) = (0, 0);
     for n in 0..100 {
         firsts += started_attempts(&harness.arrive(incoming_request(n, 0, 0, 3.0))).len();
-        copied += started_attempts(&harness.advance(0.1)).len();
+        hedged += started_attempts(&harness.advance(0.1)).len();
     }
     assert!(
-        copied <= 3 + firsts / 8,
-        "{copied} hedged attempts of {firsts} where nothing answers"
+        hedged <= 3 + firsts / 8,
+        "{hedged} hedged attempts after {firsts} first attempts, none of which is answered"
     );
 }
--- a/crates/scheduler/tests/slow_start.rs
+++ b/crates/scheduler/tests/slow_start.rs
@@ -1,4 +1,4 @@
-//! Slow start of replicas, by one router and by many that share nothing.
+//! Tests of slow start with one router and with many routers that do not communicate.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -15,14 +15,14 @@
 };
 
 const ROUTERS: usize = 100;
-/// An answer ends this long after its first token.
+/// Time from the first token of an answer to its end.
 const ANSWER_TIME_MICROS: u64 = 500_000;
 
 fn to_micros(time: Seconds) -> u64 {
     (time * 1e6) as u64
 }
 
-/// When something becomes of an attempt. The derived order is by time first.
+/// Identifies the next event of an attempt. The derived order is by time first.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct AttemptKey {
     at_micros: u64,
@@ -35,16 +35,16 @@
     has_first_token: bool,
 }
 
-/// Many routers that share replicas, each with little traffic of its own: what shows only in the sum.
+/// Many routers that share replicas, each with little traffic.
 struct RouterFleet {
     harnesses: Vec<SchedulerHarness>,
     last_request: u64,
-    /// Attempts by replica.
+    /// Number of attempts by replica.
     sent: BTreeMap<ReplicaId, usize>,
 }
 
 impl RouterFleet {
-    /// 100 routers on this many warm replicas, whose tenants may send two requests a second for each of these.
+    /// 100 routers with this many warm replicas and a rate limit of two requests per second and replica.
     fn new(replicas: usize) -> RouterFleet {
         let harness = |router_index| {
             let tenant = Tenant {
@@ -72,8 +72,8 @@
         }
     }
 
-    /// Lets this many seconds pass with `rate` requests a second in all, which come to the routers in turn.
-    /// `time_to_first_token` is that of a replica.
+    /// Runs for this many seconds with `rate` requests per second in total, which arrive at the routers in turn.
+    /// `time_to_first_token` returns that of a replica.
     fn run(
         &mut self,
         seconds: Seconds,
@@ -185,10 +185,10 @@
     assert!((1..=12).contains(&to_starting), "{to_starting} of 60");
 }
 
-/// Otherwise the first attempts of all routers meet at a replica that has just started.
+/// Guards against a burst of first attempts from all routers at a newly started replica.
 #[test]
 fn routers_do_not_all_send_to_a_new_replica_at_once() {
-    let mut at_once = 0;
+    let mut sent = 0;
     for seed in 0..12 {
         let mut harness = SchedulerHarness::new(settings(), 1);
         let mut site = SchedulerSettings {
@@ -202,61 +202,64 @@
             EndpointState::Available,
             None,
         )]));
-        let out = harness.fill_capacity();
+        let started = harness.fill_capacity();
         harness.handle(Event::EndpointsChanged(vec![endpoint(
             1,
             EndpointState::Available,
             Some(100.0),
         )]));
-        at_once += started_attempts(&harness.advance(0.1)).len();
-        assert!(out > 0);
+        sent += started_attempts(&harness.advance(0.1)).len();
+        assert!(started > 0);
     }
     assert!(
-        at_once <= 3,
-        "{at_once} of 12 routers sent an attempt at once"
+        sent <= 3,
+        "{sent} of 12 routers sent an attempt within 0.1 s"
     );
 }
 
-/// Starting replicas must not be left idle because each of many routers, by its own little traffic, waits too long, nor be
-/// overloaded by the sum of what many routers send at once.
+/// Replicas in slow start must not stay idle because each of many routers derives too low a rate from its own traffic, nor
+/// be overloaded by many routers that send at the same time.
 #[test]
-fn many_routers_together_keep_to_the_budget_of_starting_replicas() {
+fn many_routers_together_use_the_slow_start_budget_without_exceeding_it() {
     let mut fleet = RouterFleet::new(16);
     fleet.run(10.0, 30.0, |_| 0.1);
-    // Ten of the sixteen are replaced; replicas bear two requests a second when warm, a tenth of it at the start.
+    // Ten of the sixteen replicas are replaced. A replica handles two requests per second when warm, a tenth at its start.
     let start = fleet.harnesses[0].now;
-    let gone = (0..10).map(|n| endpoint(n, EndpointState::Removed, None));
+    let removed = (0..10).map(|n| endpoint(n, EndpointState::Removed, None));
     let new = (16..26).map(|n| endpoint(n, EndpointState::Available, Some(start)));
-    let changes: Vec<Endpoint> = gone.chain(new).collect();
+    let changes: Vec<Endpoint> = removed.chain(new).collect();
     fleet.change_endpoints(&changes);
     // The remaining replicas are slow, so that requests wait for capacity.
-    let first = |to: ReplicaId| {
-        if (10..16).any(|n| replica_id(n) == to) {
+    let time_to_first_token = |replica: ReplicaId| {
+        if (10..16).any(|n| replica_id(n) == replica) {
             2.0
         } else {
             0.3
         }
     };
-    fleet.run(1.0, 90.0, first);
-    let at_once = (16..26).map(|n| fleet.sent_to(n..n + 1)).max().unwrap();
-    assert!(at_once <= 3, "{at_once} to one of them in its first second");
-    fleet.run(9.0, 90.0, first);
-    // 2/s x (0.1 + 0.45 x t/10) over 10 s, for ten replicas: 65 in all.
+    fleet.run(1.0, 90.0, time_to_first_token);
+    let max_sent = (16..26).map(|n| fleet.sent_to(n..n + 1)).max().unwrap();
+    assert!(
+        max_sent <= 3,
+        "{max_sent} to one of them in its first second"
+    );
+    fleet.run(9.0, 90.0, time_to_first_token);
+    // 2/s x (0.1 + 0.45 x t/10) over 10 s, for ten replicas: 65 in total.
     let to_starting = fleet.sent_to(16..26);
     assert!((40..=72).contains(&to_starting), "{to_starting}");
 }
 
-/// Replicas that were only slow must not be taken for restarted.
+/// A replica that was only slow must not be treated as restarted.
 #[test]
-fn only_long_unresponsiveness_begins_slow_start_anew() {
-    for (silence, warm) in [(0.5, true), (4.0, false)] {
+fn slow_start_restarts_only_after_long_unresponsiveness() {
+    for (unresponsive_for, stays_warm) in [(0.5, true), (4.0, false)] {
         let mut harness = SchedulerHarness::new(settings(), 2);
         let (before, to) = (
             harness.scheduler.gauges().concurrency_limit,
             started_attempts(&harness.arrive(incoming_request(1, 0, 0, 9.0)))[0].replica,
         );
         harness.advance(1.2);
-        harness.advance(silence);
+        harness.advance(unresponsive_for);
         harness.handle(Event::ProbeEnded {
             replica: to,
             outcome: AttemptOutcome::Completed,
@@ -265,8 +268,8 @@
         harness.advance(0.02);
         assert_eq!(
             harness.scheduler.gauges().concurrency_limit == before,
-            warm,
-            "{silence} s: {:?}",
+            stays_warm,
+            "{unresponsive_for} s: {:?}",
             harness.scheduler.gauges()
         );
     }
--- a/crates/scheduler/tests/slow_start_budget.rs
+++ b/crates/scheduler/tests/slow_start_budget.rs
@@ -1,5 +1,5 @@
-//! Slow start under the sum of many routers that share nothing: what each sends by itself must add up to no more than the
-//! settings allow and chance explains.
+//! Property test of slow start with many routers that do not communicate: their attempts together must stay within the
+//! limit of the settings, apart from random variation.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -12,26 +12,25 @@
 use support::{endpoint, incoming_request, replica_id, settings, started_attempts, TIMER_INTERVAL};
 
 const REPLICAS: usize = 8;
-/// The replica that has just started.
+/// The replica in slow start.
 const STARTING: usize = 0;
-/// The part of its capacity with which it starts.
 const INITIAL_FRACTION: f64 = 0.15;
-/// Requests a second that one warm replica bears.
+/// Requests per second that one warm replica can handle.
 const CAPACITY: f64 = 8.0;
-/// The part of all capacity that tenants may use.
+/// The fraction of the total capacity that tenants may use.
 const QUOTA: f64 = 0.8;
-/// How long each case is played after the start was notified.
+/// Simulated time after the start was notified.
 const LENGTH: Seconds = 20.0;
 
 #[derive(Clone, Debug)]
 struct Case {
     routers: usize,
     seed: u64,
-    /// Time without any request after the start was notified.
+    /// Time without requests after the start was notified.
     idle: Seconds,
-    /// Requests that come to each router at once when the idle time is over.
+    /// Requests that arrive at each router at the end of the idle time.
     burst: usize,
-    /// Requests a second that come to the first router alone afterwards.
+    /// Requests per second that arrive only at the first router afterwards.
     uneven: usize,
 }
 
@@ -48,7 +47,7 @@
     )
 }
 
-fn router(case: &Case, me: usize) -> Scheduler {
+fn scheduler(case: &Case, router: usize) -> Scheduler {
     let tenant = Tenant {
         quota: 1.0,
         rate_limit: QUOTA * CAPACITY * REPLICAS as f64,
@@ -60,52 +59,52 @@
         ..settings().lifecycle
     };
     let settings = SchedulerSettings {
-        router_index: me,
+        router_index: router,
         router_count: case.routers,
         tenants: vec![tenant],
         lifecycle: rules,
         ..settings()
     };
-    Scheduler::new(settings, case.seed.wrapping_add(me as u64)).unwrap()
+    Scheduler::new(settings, case.seed.wrapping_add(router as u64)).unwrap()
 }
 
-/// Times at which one of the routers sent an attempt to the starting replica.
+/// The times of all attempts that the routers sent to the starting replica.
 fn attempts_at_starting_replica(case: &Case) -> Vec<Seconds> {
     let start = 100.0;
     let mut sent = Vec::new();
-    for me in 0..case.routers {
-        let mut brain = router(case, me);
-        let mut out = Vec::new();
+    for router in 0..case.routers {
+        let mut scheduler = scheduler(case, router);
+        let mut actions = Vec::new();
         let started_at = |n: usize| (n == STARTING).then_some(start);
         let list = (0..REPLICAS)
             .map(|n| endpoint(n, EndpointState::Available, started_at(n)))
             .collect();
-        brain.handle_event(start, Event::EndpointsReplaced(list), &mut out);
+        scheduler.handle_event(start, Event::EndpointsReplaced(list), &mut actions);
         let mut id = 0;
-        let mut arrive = |brain: &mut Scheduler, now: Seconds, out: &mut Vec<Action>| {
+        let mut arrive = |scheduler: &mut Scheduler, now: Seconds, actions: &mut Vec<Action>| {
             id += 1;
-            brain.handle_event(
+            scheduler.handle_event(
                 now,
                 Event::RequestArrived(incoming_request(id, 0, 0, 10.0)),
-                out,
+                actions,
             );
         };
         for tick in 0..(LENGTH / TIMER_INTERVAL) as usize {
             let now = start + tick as f64 * TIMER_INTERVAL;
-            brain.handle_event(now, Event::TimerFired, &mut out);
+            scheduler.handle_event(now, Event::TimerFired, &mut actions);
             if tick == (case.idle / TIMER_INTERVAL) as usize {
-                (0..case.burst).for_each(|_| arrive(&mut brain, now, &mut out));
+                (0..case.burst).for_each(|_| arrive(&mut scheduler, now, &mut actions));
             }
-            if me == 0 && now > start + case.idle && tick % 50 < case.uneven.min(50) {
-                arrive(&mut brain, now, &mut out);
+            if router == 0 && now > start + case.idle && tick % 50 < case.uneven.min(50) {
+                arrive(&mut scheduler, now, &mut actions);
             }
             sent.extend(
-                started_attempts(&out)
+                started_attempts(&actions)
                     .iter()
                     .filter(|attempt| attempt.replica == replica_id(STARTING))
                     .map(|_| now),
             );
-            out.clear();
+            actions.clear();
         }
     }
     sent.sort_by(f64::total_cmp);
@@ -120,14 +119,15 @@
         ..ProptestConfig::default()
     })]
 
-    /// Routers must not each keep one attempt in reserve while they are idle: with a burst all of them would spend it at
-    /// once, however many they are.
+    /// Guards against each idle router keeping one attempt in reserve, because in a burst all routers would spend it at the
+    /// same time.
     #[test]
-    fn all_routers_together_keep_to_what_a_starting_replica_bears(case in case()) {
+    fn all_routers_together_do_not_overload_a_starting_replica(case in case()) {
         let sent = attempts_at_starting_replica(&case);
         for (first, at) in sent.iter().enumerate() {
             let within = sent[first..].iter().take_while(|time| **time < at + 1.0).count() as f64;
-            // The rule counts against what the replica bears at the end of the window.
+            // The site's rule uses the capacity at the end of the window. The capacity at its start, used here, is a
+            // stricter bound.
             let fraction = INITIAL_FRACTION + (1.0 - INITIAL_FRACTION) * (at - 100.0) / settings().lifecycle.slow_start_duration;
             let allowed = 4.0 * CAPACITY * fraction;
             let bound = allowed + 2.0 * allowed.sqrt() + 2.0;
--- a/crates/scheduler/tests/support/mod.rs
+++ b/crates/scheduler/tests/support/mod.rs
@@ -1,6 +1,6 @@
-//! What the tests of the scheduler share: settings and events with defaults, and a scheduler with its own time.
+//! Shared test support: default settings, endpoints and requests, and a harness that runs a scheduler with simulated time.
 
-#![allow(dead_code, reason = "each test file uses a part")]
+#![allow(dead_code, reason = "each test file uses only some of the items")]
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 use poppykeel_scheduler::{
@@ -10,9 +10,9 @@
     UNLIMITED_RATE,
 };
 
-/// How often the scheduler asks to be woken.
+/// The interval of the scheduler's timer.
 pub const TIMER_INTERVAL: Seconds = 0.02;
-/// The number of the first request of [`SchedulerHarness::fill_capacity`].
+/// Number of the first request that [`SchedulerHarness::fill_capacity`] sends.
 pub const FIRST_FILLING_REQUEST: u64 = 1000;
 
 pub fn request_class(priority_weight: f64, idempotency: Idempotency) -> RequestClass {
@@ -70,7 +70,7 @@
     ReplicaId(format!("10.0.0.{}:80", number + 1).parse().unwrap())
 }
 
-/// Replicas of even numbers are in zone and cell 0, the others in 1.
+/// Replicas with even numbers are in zone and cell 0, the others in zone and cell 1.
 pub fn endpoint(number: usize, state: EndpointState, started_at: Option<Seconds>) -> Endpoint {
     Endpoint {
         id: replica_id(number),
@@ -83,7 +83,7 @@
     }
 }
 
-/// Endpoints of the numbers 0 to `count`, all of them available and warm.
+/// `count` endpoints numbered from 0, all available and warm.
 pub fn available_endpoints(count: usize) -> Vec<Endpoint> {
     let numbers = 0..count;
     numbers
@@ -91,7 +91,7 @@
         .collect()
 }
 
-/// A request of a session of its own.
+/// A request with its own session.
 pub fn incoming_request(
     number: u64,
     class: usize,
@@ -113,7 +113,6 @@
     }
 }
 
-/// An attempt that the scheduler wants started.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct StartedAttempt {
     pub request: u64,
@@ -133,7 +132,7 @@
     actions.iter().filter_map(started).collect()
 }
 
-/// The requests that get the router's own final answer.
+/// The requests that get a final answer from the router.
 pub fn answered_requests(actions: &[Action]) -> Vec<u64> {
     let answered = |action: &Action| match action {
         Action::Reject { request, .. } | Action::Fail { request } => Some(request.0),
@@ -142,8 +141,7 @@
     actions.iter().filter_map(answered).collect()
 }
 
-/// The replicas that are probed.
-pub fn probes(actions: &[Action]) -> Vec<ReplicaId> {
+pub fn probed_replicas(actions: &[Action]) -> Vec<ReplicaId> {
     let probed = |action: &Action| match action {
         Action::Probe { replica } => Some(*replica),
         _ => None,
@@ -151,17 +149,18 @@
     actions.iter().filter_map(probed).collect()
 }
 
-/// A scheduler with its time and its last actions.
+/// A scheduler with simulated time and its last actions.
 pub struct SchedulerHarness {
     pub scheduler: Scheduler,
     pub now: Seconds,
     pub last_actions: Vec<Action>,
-    /// What the concurrency limit can have grown to: by one, or by a twenty-fifth, with each first token and each end.
+    /// Upper bound of the concurrency limit, which can grow by one or by 4 % with each first token and each end of an
+    /// attempt.
     pub max_concurrency: f64,
 }
 
 impl SchedulerHarness {
-    /// A scheduler that knows this many warm replicas.
+    /// Creates a scheduler with this many warm replicas.
     pub fn new(settings: SchedulerSettings, replicas: usize) -> SchedulerHarness {
         SchedulerHarness::with_seed(settings, 1, replicas)
     }
@@ -177,7 +176,7 @@
         harness
     }
 
-    /// A router among 100 on four replicas: feedback is sparse, so it probes before it sends.
+    /// One of 100 routers for four replicas: feedback is sparse, so it probes replicas before it starts attempts.
     pub fn among_many_routers() -> SchedulerHarness {
         let settings = SchedulerSettings {
             router_count: 100,
@@ -197,7 +196,7 @@
         self.handle(Event::RequestArrived(request))
     }
 
-    /// Lets this long pass, with the timer's events.
+    /// Advances the time, with timer events.
     pub fn advance(&mut self, seconds: Seconds) -> Vec<Action> {
         let end = self.now + seconds;
         let mut actions = Vec::new();
@@ -224,7 +223,7 @@
         })
     }
 
-    /// The first token of a request's first attempt.
+    /// Passes the first token of a request's first attempt.
     pub fn first_token(&mut self, request: u64, elapsed: Seconds) {
         self.handle(Event::FirstToken {
             request: RequestId(request),
@@ -233,7 +232,7 @@
         });
     }
 
-    /// The first attempt of a request completes, with this many prompt tokens found in the cache.
+    /// Completes the first attempt of a request, with this many prompt tokens found in the cache.
     pub fn complete_with_cached_tokens(&mut self, request: u64, cached: f64) {
         self.first_token(request, 0.05);
         let report = LoadReport {
@@ -249,7 +248,7 @@
         });
     }
 
-    /// A probe is answered with this load.
+    /// Passes the answer to a probe with this load.
     pub fn report_load(
         &mut self,
         replica: ReplicaId,
@@ -268,7 +267,7 @@
         })
     }
 
-    /// Sends requests until one gets no attempt, which stays queued; returns how many got one.
+    /// Sends requests until one gets no attempt and stays queued; returns the number of requests with an attempt.
     pub fn fill_capacity(&mut self) -> u64 {
         let mut number = FIRST_FILLING_REQUEST;
         loop {
@@ -281,7 +280,7 @@
     }
 }
 
-/// The answer to a probe by a replica with nothing to read, of what requests it holds and how many of them are queued.
+/// The answer to a probe by a replica without queued prompt tokens, with the requests that it holds and has queued.
 pub fn held_requests_report(replica: ReplicaId, held: Option<f64>, queued: f64) -> Event {
     let report = LoadReport {
         queued_prompt_tokens: Some(0.0),
