--- a/crates/scheduler/src/affinity.rs
+++ b/crates/scheduler/src/affinity.rs
@@ -1,8 +1,9 @@
 //! Session affinity: which replicas are preferred for the requests of a session.
 //!
 //! The turns of a session can arrive at any router, so each session has an order of replicas that all routers compute alike
-//! (see [`crate::rendezvous`]). Replicas in the router's own zone come first if crossing zones has a cost. The first replicas
-//! are probed for load reports before an attempt, and the first one is expected to have the session's prompts in its cache.
+//! (see [`crate::rendezvous`]). Replicas in the router's own zone come first if crossing zones has a cost. The first
+//! replicas are probed for load reports before an attempt, and the first one is expected to have the session's prompts in
+//! its cache.
 
 use crate::fleet_view::FleetView;
 use crate::replica::Replica;
--- a/crates/scheduler/src/budgets.rs
+++ b/crates/scheduler/src/budgets.rs
@@ -54,8 +54,8 @@
         tenant.min(self.buckets.len() - 1)
     }
 
-    /// Takes a request from this tenant's quota; returns false if the quota is used up. A fleet-wide budget, if there is one,
-    /// replaces the router's local quota.
+    /// Takes a request from this tenant's quota; returns false if the quota is used up. A fleet-wide budget, if there is
+    /// one, replaces the router's local quota.
     pub(crate) fn try_take(
         &mut self,
         now: Seconds,
--- a/crates/scheduler/src/budgets/tests.rs
+++ b/crates/scheduler/src/budgets/tests.rs
@@ -66,7 +66,8 @@
 #[test]
 fn reserved_fraction_remains_after_spending_a_unit() {
     let ledger = ledger(0.0);
-    // The bucket is four units deep: one is spent, and half of the other three must remain. It fills at three units per second.
+    // The bucket is four units deep: one is spent, and half of the other three must remain. It fills at three units per
+    // second.
     assert!(!ledger.has_unit(0.8, BudgetKind::Retries, 0.5));
     assert!(ledger.has_unit(0.9, BudgetKind::Retries, 0.5));
 }
--- a/crates/scheduler/src/concurrency.rs
+++ b/crates/scheduler/src/concurrency.rs
@@ -154,8 +154,8 @@
         (in_flight as f64) < limit.floor()
     }
 
-    /// Whether there are more routers than replicas. Each router then gets few answers, so it probes replicas for load reports,
-    /// and may use an idle replica beyond the limit, which is too coarse in that case.
+    /// Whether there are more routers than replicas. Each router then gets few answers, so it probes replicas for load
+    /// reports, and may use an idle replica beyond the limit, which is too coarse in that case.
     pub(crate) fn has_sparse_feedback(&self) -> bool {
         self.feedback_sparsity > 1.0
     }
--- a/crates/scheduler/src/endpoint_confirmation.rs
+++ b/crates/scheduler/src/endpoint_confirmation.rs
@@ -4,14 +4,14 @@
 //! only part of an answer has arrived, it may lack drains and removals that already count as notified.
 //!
 //! If replicas may be probed, an attempt is then sent only to a replica that has recently answered a probe successfully; a
-//! draining replica declines probes. If they may not be probed, requests wait for a bounded time for the first answer after a
-//! start, or for the rest of a partial answer. After that, and in all other cases, the last list is used, because otherwise an
-//! outage of discovery would stop the whole service.
+//! draining replica declines probes. If they may not be probed, requests wait for a bounded time for the first answer after
+//! a start, or for the rest of a partial answer. After that, and in all other cases, the last list is used, because
+//! otherwise an outage of discovery would stop the whole service.
 //!
 //! Invariant: while the list is not current, the first byte of each attempt is sent within the drain grace after evidence
-//! from the replica itself. Even if the replica has started to drain since then, the attempt is within the grace. Half of the
-//! grace is allowed for the age of the evidence at placement. The other half, less the time for which the process may stall,
-//! is allowed for the connection ([`max_write_start_delay`]).
+//! from the replica itself. Even if the replica has started to drain since then, the attempt is within the grace. Half of
+//! the grace is allowed for the age of the evidence at placement. The other half, less the time for which the process may
+//! stall, is allowed for the connection ([`max_write_start_delay`]).
 
 use crate::types::Seconds;
 
--- a/crates/scheduler/src/fair_queue.rs
+++ b/crates/scheduler/src/fair_queue.rs
@@ -1,8 +1,8 @@
 //! The queue of requests that wait for capacity: strict priority tiers, deficit round robin over tenants within a tier, and
 //! earliest deadline first within a tenant.
 //!
-//! Deficit round robin adds a quantum to the deficit of each tenant in its turn and dispatches the tenant's requests while the
-//! deficit covers their cost. Tenants thus get equal shares of the capacity in tokens, whatever their requests cost.
+//! Deficit round robin adds a quantum to the deficit of each tenant in its turn and dispatches the tenant's requests while
+//! the deficit covers their cost. Tenants thus get equal shares of the capacity in tokens, whatever their requests cost.
 
 use crate::time::to_micros;
 use crate::types::{RequestId, SchedulerSettings, Seconds};
--- a/crates/scheduler/src/host_types.rs
+++ b/crates/scheduler/src/host_types.rs
@@ -73,8 +73,8 @@
         mean.mean_logarithm += (logarithm - mean.mean_logarithm) / mean.samples;
     }
 
-    /// The prefill time of a host type relative to the default. Rendezvous scores use it because they are integers: with times
-    /// in seconds many scores would be equal.
+    /// The prefill time of a host type relative to the default. Rendezvous scores use it because they are integers: with
+    /// times in seconds many scores would be equal.
     pub(crate) fn relative_prefill_time(&self, host_type: usize) -> f64 {
         let mean = self.prefill_times.get(&host_type);
         mean.map_or(1.0, |mean| mean.mean_logarithm.exp())
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -1,7 +1,7 @@
 //! Routing decisions for fleets of language-model servers.
 //!
-//! A [`Scheduler`] decides which queued request is dispatched next and to which replica, which requests are rejected early, and
-//! how failures are handled. It does no input or output and reads no clock: the embedding program passes [`Event`]s with
+//! A [`Scheduler`] decides which queued request is dispatched next and to which replica, which requests are rejected early,
+//! and how failures are handled. It does no input or output and reads no clock: the embedding program passes [`Event`]s with
 //! monotonic timestamps and carries out the returned [`Action`]s. Given the same events, times and seed, a scheduler returns
 //! the same actions.
 //!
--- a/crates/scheduler/src/outlier_detection.rs
+++ b/crates/scheduler/src/outlier_detection.rs
@@ -77,8 +77,8 @@
         now >= self.paused_until || (is_panic_mode && !self.is_unresponsive())
     }
 
-    /// Whether the replica may be an affinity candidate. This includes replicas ejected for broken streams whose trial is due,
-    /// because while others have capacity they get trials only as affinity replicas.
+    /// Whether the replica may be an affinity candidate. This includes replicas ejected for broken streams whose trial is
+    /// due, because while others have capacity they get trials only as affinity replicas.
     pub(crate) fn is_affinity_candidate(&self, now: Seconds) -> bool {
         let is_trial_due = self.consecutive_failures < EJECTION_FAILURES
             && !self.is_unresponsive()
@@ -103,8 +103,8 @@
         Some(self.last_response_at).filter(|at| !has_failed && *at > 0.0)
     }
 
-    /// Records an attempt that becomes overdue after `overdue_after`. If the replica is ejected, the attempt is a trial, and the
-    /// next pause begins, which is longer after more consecutive broken streams.
+    /// Records an attempt that becomes overdue after `overdue_after`. If the replica is ejected, the attempt is a trial, and
+    /// the next pause begins, which is longer after more consecutive broken streams.
     pub(crate) fn record_attempt(&mut self, now: Seconds, overdue_after: Seconds) {
         if self.unanswered.sent_at <= self.last_response_at {
             self.unanswered = UnansweredAttempt {
@@ -121,8 +121,8 @@
         }
     }
 
-    /// Records a response. Only an answer to a request (`is_answer`) resets the failures, because a probe shows only that the
-    /// process runs. If the replica was unresponsive, returns the time since when.
+    /// Records a response. Only an answer to a request (`is_answer`) resets the failures, because a probe shows only that
+    /// the process runs. If the replica was unresponsive, returns the time since when.
     pub(crate) fn record_response(&mut self, now: Seconds, is_answer: bool) -> Option<Seconds> {
         self.last_response_at = now;
         if is_answer {
@@ -154,8 +154,8 @@
         }
     }
 
-    /// Records a failed attempt. A replica that fails immediately always has capacity and would attract every queued request,
-    /// so it is paused after several consecutive failures.
+    /// Records a failed attempt. A replica that fails immediately always has capacity and would attract every queued
+    /// request, so it is paused after several consecutive failures.
     pub(crate) fn record_failure(&mut self, now: Seconds) {
         self.consecutive_failures += 1;
         // A failure is a response too.
--- a/crates/scheduler/src/placement.rs
+++ b/crates/scheduler/src/placement.rs
@@ -2,7 +2,8 @@
 //!
 //! Among the replicas that have capacity and may run the request, one is chosen at random, weighted by the estimated cost
 //! (softmax), because routers that all choose the cheapest replica at the same time would overload it. If there are more
-//! routers than replicas, only the first replicas of the session's order are candidates, because their load reports are recent.
+//! routers than replicas, only the first replicas of the session's order are candidates, because their load reports are
+//! recent.
 
 use crate::affinity;
 use crate::fleet_view::FleetView;
@@ -23,8 +24,8 @@
     pub(crate) may_cross_zones: bool,
 }
 
-/// The replicas that the next attempt of this request may be sent to, with their estimates. Replicas that have already had an
-/// attempt of the request are included only if there are no others.
+/// The replicas that the next attempt of this request may be sent to, with their estimates. Replicas that have already had
+/// an attempt of the request are included only if there are no others.
 pub(crate) fn candidates(
     view: &FleetView<'_>,
     request: &Request,
@@ -64,7 +65,8 @@
     estimate_all(view, &input, &selected)
 }
 
-/// Chooses one candidate at random, weighted by cost. `random` returns a number from 0 to 1 and is called once per candidate.
+/// Chooses one candidate at random, weighted by cost. `random` returns a number from 0 to 1 and is called once per
+/// candidate.
 pub(crate) fn choose(
     candidates: Vec<Candidate>,
     mut random: impl FnMut() -> f64,
--- a/crates/scheduler/src/prompt_cache.rs
+++ b/crates/scheduler/src/prompt_cache.rs
@@ -44,7 +44,8 @@
         }
     }
 
-    /// Records an answer. The mean is over tokens, not requests, because first turns are frequent but have few cached tokens.
+    /// Records an answer. The mean is over tokens, not requests, because first turns are frequent but have few cached
+    /// tokens.
     fn record(&mut self, found_tokens: f64, expected_tokens: f64) {
         if expected_tokens < MIN_EXPECTED_TOKENS {
             return;
--- a/crates/scheduler/src/replicas.rs
+++ b/crates/scheduler/src/replicas.rs
@@ -45,8 +45,8 @@
         }
     }
 
-    /// Deletes removed replicas without attempts in flight. Replicas are replaced continually, so the table would grow without
-    /// limit otherwise.
+    /// Deletes removed replicas without attempts in flight. Replicas are replaced continually, so the table would grow
+    /// without limit otherwise.
     pub(crate) fn purge_removed(&mut self) {
         let is_needed = |replica: &Replica| !replica.is_removed() || replica.in_flight() > 0;
         self.replicas.retain(|_, replica| is_needed(replica));
@@ -75,8 +75,8 @@
         self.warm(rules, now).map(Replica::in_flight).sum()
     }
 
-    /// The estimated mean number of attempts that all other routers have in flight at a replica, if each router has as many as
-    /// this one.
+    /// The estimated mean number of attempts that all other routers have in flight at a replica, if each router has as many
+    /// as this one.
     pub(crate) fn mean_in_flight_of_others(&self, router_count: usize) -> f64 {
         let mut in_flight = 0;
         let mut available: usize = 0;
--- a/crates/scheduler/src/request.rs
+++ b/crates/scheduler/src/request.rs
@@ -97,8 +97,8 @@
         self.deadlines
     }
 
-    /// Limits its deadlines to the router's answer deadline. The request must not be queued, because the queue finds it by its
-    /// deadlines.
+    /// Limits its deadlines to the router's answer deadline. The request must not be queued, because the queue finds it by
+    /// its deadlines.
     pub(crate) fn shorten_deadlines(&mut self, answer_deadline: Seconds) {
         debug_assert!(!self.is_queued());
         self.deadlines.deadline = self.deadlines.deadline.min(answer_deadline);
--- a/crates/scheduler/src/scheduler/dispatch.rs
+++ b/crates/scheduler/src/scheduler/dispatch.rs
@@ -52,7 +52,8 @@
             placement::choose(candidates, || self.rng.rand_float())
         };
         if !has_candidates && !may_cross_zones {
-            // Placement is repeated at each timer event; counting the interval in units makes one second of waiting one unit.
+            // Placement is repeated at each timer event; counting the interval in units makes one second of waiting one
+            // unit.
             let units = TIMER_INTERVAL;
             self.budgets
                 .record_demand(BudgetKind::CrossZone, units, priority_weight);
@@ -91,8 +92,8 @@
         }
     }
 
-    /// Records the demand of an attempt for the slow-start budget, namely its share for each replica, and takes a unit of the
-    /// cross-zone budget if the replica is in another zone.
+    /// Records the demand of an attempt for the slow-start budget, namely its share for each replica, and takes a unit of
+    /// the cross-zone budget if the replica is in another zone.
     fn record_budget_use(&mut self, id: RequestId, replica: ReplicaId) {
         let priority_weight = self.priority_weight(id);
         let units_per_replica = 1.0 / self.concurrency.max_available_replicas().max(1) as f64;
--- a/crates/scheduler/src/scheduler/mod.rs
+++ b/crates/scheduler/src/scheduler/mod.rs
@@ -54,8 +54,8 @@
     has_started: bool,
     queue: FairQueue,
     requests: BTreeMap<RequestId, Request>,
-    /// Requests that wait for a load report, or for which no replica qualified. They are queued again at the next timer event
-    /// or when the last probe has ended.
+    /// Requests that wait for a load report, or for which no replica qualified. They are queued again at the next timer
+    /// event or when the last probe has ended.
     deferred: Vec<RequestId>,
     replicas: ReplicaTable,
     concurrency: ConcurrencyLimit,
@@ -103,8 +103,8 @@
         })
     }
 
-    /// Handles one event and appends the resulting actions. Events about unknown requests or replicas are ignored, and so are
-    /// repeated arrivals of a request id. If `now` is before the time of the previous event, the previous time is used.
+    /// Handles one event and appends the resulting actions. Events about unknown requests or replicas are ignored, and so
+    /// are repeated arrivals of a request id. If `now` is before the time of the previous event, the previous time is used.
     pub fn handle_event(&mut self, now: Seconds, event: Event, actions: &mut Vec<Action>) {
         if now.is_finite() {
             self.now = self.now.max(now);
--- a/crates/scheduler/src/scheduler/timer.rs
+++ b/crates/scheduler/src/scheduler/timer.rs
@@ -78,7 +78,8 @@
     }
 
     /// Checks a request without a first token. If it is past its deadline, it is answered. If its attempts are overdue or at
-    /// unresponsive replicas, it is hedged or, where hedging is not allowed, its attempts are cancelled so that it is retried.
+    /// unresponsive replicas, it is hedged or, where hedging is not allowed, its attempts are cancelled so that it is
+    /// retried.
     fn check_for_overdue_attempts(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self
             .requests
--- a/crates/scheduler/src/slow_start.rs
+++ b/crates/scheduler/src/slow_start.rs
@@ -50,8 +50,9 @@
         self.budget -= 1.0;
     }
 
-    /// Refills the budget for `elapsed`; `rate` is the attempts per second of a warm replica. The budget does not accumulate.
-    /// The budget of an idle router expires, because all idle routers would spend it at the same time in a burst of traffic.
+    /// Refills the budget for `elapsed`; `rate` is the attempts per second of a warm replica. The budget does not
+    /// accumulate. The budget of an idle router expires, because all idle routers would spend it at the same time in a burst
+    /// of traffic.
     pub(crate) fn refill(&mut self, fraction: f64, rate: f64, elapsed: Seconds, is_idle: bool) {
         let added = fraction * rate * elapsed;
         let expired = if is_idle && self.budget > 0.0 {
@@ -79,8 +80,8 @@
     }
 
     /// Attempts per second that one warm replica can handle from this router. Taken from the fleet-wide budget; if there is
-    /// none, from the rate limits of all tenants, because with many routers the traffic of one of them is not representative;
-    /// if they are unlimited, from this router's own traffic.
+    /// none, from the rate limits of all tenants, because with many routers the traffic of one of them is not
+    /// representative; if they are unlimited, from this router's own traffic.
     pub(crate) fn rate_per_replica(
         &self,
         now: Seconds,
