--- a/crates/scheduler/src/replica.rs
+++ b/crates/scheduler/src/replica.rs
@@ -9,7 +9,7 @@
     DeduplicationScope, Endpoint, EndpointState, LifecycleRules, LoadReport, ReplicaId, Seconds,
 };
 
-/// Minimum interval between probes of a replica for load reports.
+/// Minimum interval between probes of a replica, and the age below which a load report is recent enough to need no probe.
 pub(crate) const PROBE_INTERVAL: Seconds = 1.0;
 /// The weight of a load report falls linearly to 0 over this time.
 const REPORT_LIFETIME: Seconds = 3.0;
@@ -108,7 +108,7 @@
     }
 }
 
-/// The schedule of load report probes of one replica.
+/// The probe schedule of one replica, and whether a probe for a load report is in flight.
 #[derive(Default)]
 pub(crate) struct ProbeState {
     next_probe_at: Seconds,
--- a/crates/scheduler/src/request.rs
+++ b/crates/scheduler/src/request.rs
@@ -10,7 +10,7 @@
 /// |---|---|---|
 /// | `NotQueued` | it is queued: at its arrival, for a retry or for a hedged attempt | `Queued` |
 /// | `Queued` | it is dispatched, deferred or expires, or another attempt streams | `NotQueued` |
-/// | `NotQueued`, `Queued` | it has its final answer, or its client has left | `Finished` |
+/// | `NotQueued`, `Queued` | it has its final answer, or its client has disconnected | `Finished` |
 ///
 /// A request that is not queued has attempts in flight, or is deferred until load reports arrive or capacity changes. A
 /// finished request is stored until its last attempt has ended, and is never queued again.
--- a/crates/scheduler/src/statistics.rs
+++ b/crates/scheduler/src/statistics.rs
@@ -9,7 +9,7 @@
 /// Client-declared work changes the cost by at most this factor, because it may be wrong.
 const MAX_HINT_FACTOR: f64 = 4.0;
 
-/// A mean over approximately a limited number of recent samples.
+/// A mean over a limited number of recent samples.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct RunningMean {
     samples: f64,
