--- a/crates/scheduler/tests/load_reports.rs
+++ b/crates/scheduler/tests/load_reports.rs
@@ -255,7 +255,7 @@
             let sent: Vec<_> = (1..=6)
                 .flat_map(|n| started_attempts(&harness.arrive(turn(n))))
                 .collect();
-            let first = sent
+            let at_first_replica = sent
                 .iter()
                 .filter(|attempt| attempt.replica == replica_id(0))
                 .count();
