--- a/crates/scheduler/src/latency_estimate.rs
+++ b/crates/scheduler/src/latency_estimate.rs
@@ -49,7 +49,8 @@
     prompt_tokens: f64,
     shared_prefix_tokens: f64,
     previous_turn: Option<PreviousTurn>,
-    /// Where the session's prompts are expected to be cached; `None` if its previous turn is known.
+    /// Where the session's prompts are expected to be cached; `None` if its previous turn is known or a probe there is
+    /// unanswered.
     affinity_replica: Option<ReplicaId>,
     /// Time after which a first token is worth nothing.
     time_left: Seconds,
--- a/crates/scheduler/tests/affinity.rs
+++ b/crates/scheduler/tests/affinity.rs
@@ -26,9 +26,9 @@
     let mut harness = SchedulerHarness::new(settings, 4);
     let mut in_own_zone = 0;
     for id in 1..=n {
-        let out = harness.arrive(incoming_request(id, 0, 0, 30.0));
+        let actions = harness.arrive(incoming_request(id, 0, 0, 30.0));
         let own_zone = [replica_id(0), replica_id(2)];
-        let attempts = started_attempts(&out);
+        let attempts = started_attempts(&actions);
         let local_attempts = attempts
             .iter()
             .filter(|attempt| own_zone.contains(&attempt.replica));
--- a/crates/scheduler/tests/budgets.rs
+++ b/crates/scheduler/tests/budgets.rs
@@ -225,7 +225,7 @@
             .sum::<usize>()
     };
     assert_eq!(sent(vec![(BudgetKind::SlowStart, EMPTY_GRANT)]), 0);
-    let (little, much) = (
+    let (small, large) = (
         sent(vec![(
             BudgetKind::SlowStart,
             BudgetGrant {
@@ -243,8 +243,8 @@
     );
     // In the first ten of twenty seconds, from a tenth of its capacity: a third of the capacity on average.
     assert!(
-        (1..=5).contains(&little) && (12..=34).contains(&much),
-        "{little} {much}"
+        (1..=5).contains(&small) && (12..=34).contains(&large),
+        "{small} {large}"
     );
 }
 
@@ -263,7 +263,7 @@
             })
             .collect();
         let mut harness = SchedulerHarness::new(SchedulerSettings { tenants, ..site }, 8);
-        let full = harness.fill_capacity();
+        let started = harness.fill_capacity();
         harness.grant(budgets);
         harness.advance(1.5);
         for n in 1..=30 {
@@ -271,16 +271,16 @@
         }
         // Requests beyond the quota are dispatched after this one.
         harness.arrive(incoming_request(99, 1, 1, 20.0));
-        let ends =
-            (1000..1000 + full).map(|n| harness.end_attempt(n, 0, AttemptOutcome::Completed, true));
+        let ends = (1000..1000 + started)
+            .map(|n| harness.end_attempt(n, 0, AttemptOutcome::Completed, true));
         let order: Vec<u64> = ends
-            .flat_map(|out| started_attempts(&out))
+            .flat_map(|actions| started_attempts(&actions))
             .map(|attempt| attempt.request)
             .collect();
         order.iter().position(|n| *n == 99).unwrap_or(order.len())
     };
     let local = dispatched_within_quota(vec![]);
-    let (none, much) = (
+    let (none, large) = (
         dispatched_within_quota(vec![(BudgetKind::Tenant(0), EMPTY_GRANT)]),
         dispatched_within_quota(vec![(
             BudgetKind::Tenant(0),
@@ -292,8 +292,8 @@
         )]),
     );
     assert!(
-        none <= 1 && (6..12).contains(&local) && much >= 18,
-        "{none} {local} {much}"
+        none <= 1 && (6..12).contains(&local) && large >= 18,
+        "{none} {local} {large}"
     );
 }
 
@@ -337,7 +337,7 @@
 #[test]
 fn burst_of_a_tenant_does_not_affect_the_quotas_of_others() {
     let mut harness = SchedulerHarness::new(settings(), 8);
-    let full = harness.fill_capacity();
+    let started = harness.fill_capacity();
     let each = BudgetGrant {
         rate: 10.0,
         burst: 10.0,
@@ -352,9 +352,9 @@
         harness.arrive(incoming_request(n, 0, 1, 20.0));
     }
     let ends =
-        (1000..1000 + full).map(|n| harness.end_attempt(n, 0, AttemptOutcome::Completed, true));
+        (1000..1000 + started).map(|n| harness.end_attempt(n, 0, AttemptOutcome::Completed, true));
     let order: Vec<u64> = ends
-        .flat_map(|out| started_attempts(&out))
+        .flat_map(|actions| started_attempts(&actions))
         .map(|attempt| attempt.request)
         .collect();
     let last = (101..=108)
--- a/crates/scheduler/tests/fair_queue.rs
+++ b/crates/scheduler/tests/fair_queue.rs
@@ -10,10 +10,10 @@
 #[test]
 fn dispatches_higher_priority_first() {
     let mut harness = SchedulerHarness::new(settings(), 1);
-    let out = harness.fill_capacity();
+    let started = harness.fill_capacity();
     harness.arrive(incoming_request(1, 1, 0, 30.0));
     harness.arrive(incoming_request(2, 0, 0, 30.0));
-    harness.handle(Event::ClientDisconnected(RequestId(1000 + out)));
+    harness.handle(Event::ClientDisconnected(RequestId(1000 + started)));
     assert_eq!(
         started_attempts(&harness.end_attempt(1000, 0, AttemptOutcome::Completed, true))[0].request,
         2
@@ -23,14 +23,14 @@
 #[test]
 fn gives_tenants_turns_regardless_of_their_backlogs() {
     let mut harness = SchedulerHarness::new(settings(), 1);
-    let out = harness.fill_capacity();
-    harness.handle(Event::ClientDisconnected(RequestId(1000 + out)));
+    let started = harness.fill_capacity();
+    harness.handle(Event::ClientDisconnected(RequestId(1000 + started)));
     for n in 0..3 {
         harness.arrive(incoming_request(n, 1, 0, 30.0));
     }
     harness.arrive(incoming_request(10, 1, 1, 30.0));
     let mut order = vec![];
-    for n in 0..out {
+    for n in 0..started {
         order.extend(
             started_attempts(&harness.end_attempt(1000 + n, 0, AttemptOutcome::Completed, true))
                 .iter()
@@ -47,8 +47,8 @@
 #[test]
 fn dispatches_earliest_deadline_of_a_tenant_first() {
     let mut harness = SchedulerHarness::new(settings(), 1);
-    let out = harness.fill_capacity();
-    harness.handle(Event::ClientDisconnected(RequestId(1000 + out)));
+    let started = harness.fill_capacity();
+    harness.handle(Event::ClientDisconnected(RequestId(1000 + started)));
     harness.arrive(incoming_request(1, 1, 0, 30.0));
     harness.arrive(incoming_request(2, 1, 0, 20.0));
     assert_eq!(
@@ -62,8 +62,8 @@
     let mut site = settings();
     site.tenants[0].rate_limit = 1.0;
     let mut harness = SchedulerHarness::new(site, 1);
-    let out = harness.fill_capacity();
-    harness.handle(Event::ClientDisconnected(RequestId(1000 + out)));
+    let started = harness.fill_capacity();
+    harness.handle(Event::ClientDisconnected(RequestId(1000 + started)));
     harness.arrive(incoming_request(1, 1, 0, 30.0));
     harness.arrive(incoming_request(2, 1, 1, 30.0));
     assert_eq!(
--- a/crates/scheduler/tests/outlier_detection.rs
+++ b/crates/scheduler/tests/outlier_detection.rs
@@ -17,8 +17,8 @@
         let mut harness = SchedulerHarness::new(settings(), 3);
         let mut sent = [[0; 3]; 2];
         for n in 0..800 {
-            let out = harness.arrive(incoming_request(n, 0, 0, 5.0));
-            let to = out.iter().find_map(|action| match action {
+            let actions = harness.arrive(incoming_request(n, 0, 0, 5.0));
+            let to = actions.iter().find_map(|action| match action {
                 Action::StartAttempt { replica, .. } => Some(*replica),
                 _ => None,
             });
@@ -58,13 +58,13 @@
     let mut harness = SchedulerHarness::new(settings(), 3);
     let mut at_first = Vec::new();
     for n in 0..24 {
-        let out = harness.arrive(incoming_request(n, 0, 0, 5.0));
+        let actions = harness.arrive(incoming_request(n, 0, 0, 5.0));
         harness.handle(Event::FirstToken {
             request: RequestId(n),
             attempt: 0,
             elapsed: 0.01,
         });
-        if started_attempts(&out)
+        if started_attempts(&actions)
             .iter()
             .any(|attempt| attempt.replica == replica_id(0))
         {
@@ -84,10 +84,10 @@
             true,
         );
     }
-    let mut again = 0;
+    let mut attempts = 0;
     for n in 100..130 {
-        let out = harness.arrive(incoming_request(n, 0, 0, 5.0));
-        again += started_attempts(&out)
+        let actions = harness.arrive(incoming_request(n, 0, 0, 5.0));
+        attempts += started_attempts(&actions)
             .iter()
             .filter(|attempt| attempt.replica == replica_id(0))
             .count();
@@ -98,7 +98,7 @@
         });
         harness.end_attempt(n, 0, AttemptOutcome::Completed, true);
     }
-    assert!(again > 3, "{again} of 30 were sent to the replica");
+    assert!(attempts > 3, "{attempts} of 30 were sent to the replica");
 }
 
 /// A replica that fails immediately always has capacity; it must not attract every queued request.
@@ -155,8 +155,11 @@
         }),
         "{actions:?}"
     );
-    let again = started_attempts(&harness.end_attempt(1, 0, AttemptOutcome::Cancelled, false));
-    assert!(again.len() == 1 && again[0].replica != first, "{again:?}");
+    let retries = started_attempts(&harness.end_attempt(1, 0, AttemptOutcome::Cancelled, false));
+    assert!(
+        retries.len() == 1 && retries[0].replica != first,
+        "{retries:?}"
+    );
 }
 
 /// Panic mode: a fault that all replicas share must not eject the whole fleet.
