--- a/crates/stream-recovery/src/budget.rs
+++ b/crates/stream-recovery/src/budget.rs
@@ -1,21 +1,21 @@
-//! How many streams may be continued, so that recovery does not overload a fleet that is in trouble.
+//! Limits how many streams are continued, so that recovery does not overload a fleet that is already failing.
 
 use crate::Micros;
 use std::collections::VecDeque;
 
-/// The window is divided into this many slices, so that memory is bounded.
+/// Number of slices that the window is divided into. Counting per slice bounds the memory.
 const SLICE_COUNT: u64 = 16;
 
-/// Bounds of what continuing streams may cost.
+/// Limits on the number of continuations.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ContinuationLimits {
-    /// Continuations of one stream.
+    /// Maximum number of continuations per stream.
     pub max_per_stream: u32,
-    /// Continuations as a part of the streams begun within the window.
+    /// Maximum ratio of continuations to streams started within the window.
     pub share: f64,
-    /// This many are allowed within the window, however few streams there are.
+    /// Number of continuations always allowed within the window, however few streams were started.
     pub min_allowed: u32,
-    /// The time looked back.
+    /// Length of the sliding window.
     pub window: Micros,
 }
 
@@ -30,37 +30,33 @@
     }
 }
 
-/// What happened within one slice of the window.
+/// Counts for one slice of the window.
 #[derive(Clone, Debug)]
 struct Slice {
-    begins_at: Micros,
+    start: Micros,
     streams: u64,
     continuations: u64,
 }
 
-/// Streams and continuations within the window.
+/// Counts streams and continuations within the sliding window.
 #[derive(Clone, Debug, Default)]
 pub struct ContinuationBudget {
-    /// The oldest first.
+    /// Oldest first.
     slices: VecDeque<Slice>,
 }
 
 impl ContinuationBudget {
-    /// Forgets slices that have left the window, and returns the present one.
-    fn present_slice(&mut self, now: Micros, limits: &ContinuationLimits) -> &mut Slice {
+    /// Drops slices that are outside the window and returns the current slice.
+    fn current_slice(&mut self, now: Micros, limits: &ContinuationLimits) -> &mut Slice {
         let width = (limits.window / SLICE_COUNT).max(1);
-        let begins_at = now / width * width;
-        let has_left = |slice: &Slice| now.saturating_sub(slice.begins_at) >= limits.window;
-        while self.slices.front().is_some_and(has_left) {
+        let start = now / width * width;
+        let is_expired = |slice: &Slice| now.saturating_sub(slice.start) >= limits.window;
+        while self.slices.front().is_some_and(is_expired) {
             self.slices.pop_front();
         }
-        if self
-            .slices
-            .back()
-            .is_none_or(|slice| slice.begins_at < begins_at)
-        {
+        if self.slices.back().is_none_or(|slice| slice.start < start) {
             self.slices.push_back(Slice {
-                begins_at,
+                start,
                 streams: 0,
                 continuations: 0,
             });
@@ -69,20 +65,20 @@
         &mut self.slices[last]
     }
 
-    /// A stream has begun.
+    /// Counts a stream that has started.
     pub fn record_stream(&mut self, now: Micros, limits: &ContinuationLimits) {
-        self.present_slice(now, limits).streams += 1;
+        self.current_slice(now, limits).streams += 1;
     }
 
-    /// Takes one continuation if the limits allow it.
+    /// Counts one continuation and returns true if the limits allow it.
     pub fn try_take(&mut self, now: Micros, limits: &ContinuationLimits) -> bool {
-        self.present_slice(now, limits);
+        self.current_slice(now, limits);
         let streams: u64 = self.slices.iter().map(|slice| slice.streams).sum();
         let taken: u64 = self.slices.iter().map(|slice| slice.continuations).sum();
         let allowed = (streams as f64 * limits.share).max(f64::from(limits.min_allowed));
         let is_allowed = taken as f64 + 1.0 <= allowed;
         if is_allowed {
-            self.present_slice(now, limits).continuations += 1;
+            self.current_slice(now, limits).continuations += 1;
         }
         is_allowed
     }
--- a/crates/stream-recovery/src/gaps.rs
+++ b/crates/stream-recovery/src/gaps.rs
@@ -1,30 +1,30 @@
-//! How long a silence may last in a stream: learned from the gaps between events of each replica.
+//! Learns the silence limit of a stream from the gaps between the events of each replica.
 
 use crate::Micros;
 
-/// The part of gaps that are shorter than the long gap.
+/// Quantile of the recorded gaps that counts as the long gap.
 const LONG_GAP_QUANTILE: f64 = 0.98;
-/// The shortest gap that is told apart, in microseconds.
-const SHORTEST_GAP: f64 = 1000.0;
-/// Each bucket ends at this many times the gap of the one before: a quantile is that exact.
+/// Upper bound of the first bucket, in microseconds. Shorter gaps are not distinguished.
+const MIN_GAP_US: f64 = 1000.0;
+/// Ratio of the upper bounds of adjacent buckets, and so the precision of a quantile.
 const BUCKET_RATIO: f64 = 1.15;
-/// Buckets from a millisecond to beyond half a minute.
+/// Covers gaps from one millisecond to over 30 s.
 const BUCKET_COUNT: usize = 76;
-/// All weights are halved when they sum to this many gaps, so that a replica's past fades.
+/// All weights are halved when their sum exceeds this many gaps, so that recent gaps dominate.
 const MAX_TOTAL_WEIGHT: f64 = 2000.0;
-/// Below this weight there is no saying what a long gap is.
+/// Minimum total weight for an estimate of the long gap.
 const MIN_WEIGHT: f64 = 20.0;
 
-/// Bounds of the rule for stalls.
+/// Settings from which the silence limit of a stream is computed.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct StallLimits {
-    /// No silence shorter than this is a stall.
+    /// Lower bound of the silence limit.
     pub min_silence: Micros,
-    /// Every longer one is.
+    /// Upper bound of the silence limit.
     pub max_silence: Micros,
-    /// Within these, a stall is this many times the class's inter-token objective,
+    /// The limit is at least this multiple of the inter-token objective of the class, within the bounds.
     pub objective_factor: f64,
-    /// or this many times the replica's own long gap, whichever is more.
+    /// The limit is at least this multiple of the replica's long gap, within the bounds.
     pub long_gap_factor: f64,
 }
 
@@ -39,7 +39,7 @@
     }
 }
 
-/// A replica's recent gaps between events: a histogram with buckets in geometric order and fading weights.
+/// Decaying histogram of the gaps between events of one replica, with geometric buckets.
 #[derive(Clone, Debug, PartialEq)]
 pub struct GapHistogram {
     weights: [f32; BUCKET_COUNT],
@@ -56,13 +56,13 @@
 }
 
 impl GapHistogram {
-    /// A gap has ended.
+    /// Records the gap between two events.
     pub fn record(&mut self, gap: Micros) {
         self.add(gap, 1.0);
     }
 
-    /// A stream was given up within a gap, which would have been longer, by how much is not known. One such gap says as
-    /// much as many short ones: it cost a stream.
+    /// Records that a stream was abandoned after a silence of this length. The full length of the gap is unknown, so it is
+    /// recorded one bucket higher. It has the weight of many short gaps, because it cost a stream.
     pub fn record_abandoned(&mut self, gap: Micros) {
         let longer = (gap as f64 * BUCKET_RATIO) as Micros;
         let weight = 1.0 + self.total * 2.0 * (1.0 - LONG_GAP_QUANTILE);
@@ -70,7 +70,7 @@
     }
 
     fn add(&mut self, gap: Micros, weight: f64) {
-        let ratio = gap.max(1) as f64 / SHORTEST_GAP;
+        let ratio = gap.max(1) as f64 / MIN_GAP_US;
         let bucket = (ratio.ln() / BUCKET_RATIO.ln()).ceil().max(0.0) as usize;
         self.weights[bucket.min(BUCKET_COUNT - 1)] += weight as f32;
         self.total += weight;
@@ -82,37 +82,37 @@
         }
     }
 
-    /// The long gap: nearly all gaps are shorter. `None` while there are few.
+    /// The 98th percentile of the gaps; `None` until enough gaps are recorded.
     pub fn long_gap(&self) -> Option<Micros> {
         self.quantile(LONG_GAP_QUANTILE)
             .filter(|_| self.total >= MIN_WEIGHT)
     }
 
-    /// The gap that this part of all gaps, from 0 to 1, does not exceed, as exact as a bucket; `None` without any gap.
-    pub fn quantile(&self, part: f64) -> Option<Micros> {
-        let mut longer_weight = self.total * (1.0 - part);
+    /// The gap at this quantile (0 to 1), rounded up to the bound of its bucket; `None` if no gap is recorded.
+    pub fn quantile(&self, fraction: f64) -> Option<Micros> {
+        let mut weight_above = self.total * (1.0 - fraction);
         for (bucket, weight) in self.weights.iter().enumerate().rev() {
-            longer_weight -= f64::from(*weight);
-            if longer_weight < 0.0 {
-                return Some((SHORTEST_GAP * BUCKET_RATIO.powi(bucket as i32)) as Micros);
+            weight_above -= f64::from(*weight);
+            if weight_above < 0.0 {
+                return Some((MIN_GAP_US * BUCKET_RATIO.powi(bucket as i32)) as Micros);
             }
         }
         None
     }
 
-    /// How long a silence may last in a stream of this replica. `inter_token_objective` is that of the request's class,
-    /// where it has one.
+    /// How long a stream of this replica may be silent before it counts as stalled. `inter_token_objective` is that of the
+    /// request's class; `None` if the class has no objective.
     pub fn silence_limit(
         &self,
         inter_token_objective: Option<Micros>,
         limits: &StallLimits,
     ) -> Micros {
-        let by_objective = inter_token_objective
+        let objective_limit = inter_token_objective
             .map_or(0.0, |objective| objective as f64 * limits.objective_factor);
-        let by_gaps = self
+        let gap_limit = self
             .long_gap()
             .map_or(0.0, |gap| gap as f64 * limits.long_gap_factor);
-        let limit = by_objective.max(by_gaps) as Micros;
+        let limit = objective_limit.max(gap_limit) as Micros;
         limit.clamp(limits.min_silence, limits.max_silence)
     }
 }
--- a/crates/stream-recovery/src/lib.rs
+++ b/crates/stream-recovery/src/lib.rs
@@ -1,11 +1,11 @@
-//! Answers that stream: whether they flow, stall or break, and what can be recovered of them.
+//! Detects stalled and broken response streams and decides how to recover them.
 //!
-//! Nothing here reads a socket or a clock: events, bytes and the time are fed in. Times are microseconds on a monotonic
-//! clock. `docs/streams.md` has the table of states and the alternatives that were weighed.
+//! This crate performs no I/O and reads no clock: the caller passes in events, bytes and the current time. Times are
+//! microseconds on a monotonic clock. `docs/streams.md` has the table of states and the alternatives considered.
 //!
-//! - [`GapHistogram`] and [`StallDetector`]: how long a silence may last in a stream, and what state the stream is in.
-//! - [`StreamTranscript`]: what has been forwarded to a client, and how the streams of several replicas become one.
-//! - [`decide_recovery`]: how a stream that ended too early is to end, within a [`ContinuationBudget`].
+//! - [`GapHistogram`] and [`StallDetector`]: compute the silence limit of a stream and track its state.
+//! - [`StreamTranscript`]: records what was forwarded to a client and merges the streams of several replicas into one.
+//! - [`decide_recovery`]: decides how to end an interrupted stream, within a [`ContinuationBudget`].
 
 mod budget;
 mod gaps;
@@ -20,5 +20,5 @@
 pub use stall_detection::{StallDetector, StreamState};
 pub use transcript::{ContinuationObstacle, ForwardedBytes, StreamProgress, StreamTranscript};
 
-/// Microseconds on a monotonic clock, or a span of them.
+/// A time on a monotonic clock, or a duration, in microseconds.
 pub type Micros = u64;
--- a/crates/stream-recovery/src/recovery.rs
+++ b/crates/stream-recovery/src/recovery.rs
@@ -1,64 +1,64 @@
-//! How a stream that its replica did not end is to end: completed, continued at another replica, or with a failure.
+//! Decides how to end an interrupted stream: complete it, continue it on another replica, or fail it.
 
 use crate::transcript::{ContinuationObstacle, StreamTranscript};
 
-/// What is known of a stream that has stalled or broken.
+/// A stream that has stalled or broken.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct InterruptedStream {
-    /// How often a stream may be continued; `None` where the operators do not allow it at all.
+    /// Maximum number of continuations per stream; `None` if continuations are disabled.
     pub max_continuations: Option<u32>,
-    /// Requests of its class are idempotent.
+    /// Whether requests of the class are idempotent.
     pub is_idempotent: bool,
-    /// Continuations of this stream so far.
+    /// Number of continuations of this stream so far.
     pub continuations: u32,
-    /// The client is still connected.
+    /// Whether the client can still receive the rest of the stream.
     pub is_client_connected: bool,
-    /// The node is shutting down.
+    /// Whether the node is shutting down.
     pub is_shutting_down: bool,
 }
 
-/// How the stream is to end.
+/// How to end an interrupted stream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RecoveryDecision {
-    /// All of the text has been forwarded: only the framing is missing, and is written.
+    /// All of the text was forwarded. The node writes the missing framing itself.
     Complete,
-    /// Another replica is asked for the rest, with this request body.
+    /// Request the remaining text from another replica, with this request body.
     Continue(Vec<u8>),
-    /// At once, with a failure.
+    /// Fail the stream immediately.
     Fail(RecoveryRefusal),
 }
 
 /// Why a stream is not continued.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RecoveryRefusal {
-    /// The operators do not allow it.
+    /// Continuations are disabled in the settings.
     #[error("continuing is switched off")]
-    SwitchedOff,
-    /// A repeat might do something twice.
+    Disabled,
+    /// The request is not idempotent, so repeating it could cause side effects twice.
     #[error("a repeat might do something twice")]
     NotIdempotent,
-    /// The client has disconnected.
+    /// The client disconnected.
     #[error("the client has gone")]
     ClientDisconnected,
     /// The node is shutting down.
     #[error("the node is ending")]
     ShuttingDown,
-    /// This stream has been continued as often as the limits allow.
+    /// The stream has reached the maximum number of continuations.
     #[error("it has been continued as often as may be")]
     TooManyContinuations,
-    /// The budget of continuations is spent.
+    /// The continuation budget is exhausted.
     #[error("too many streams are being continued")]
-    BudgetSpent,
-    /// No replica accepted the request for the rest.
+    BudgetExhausted,
+    /// No replica accepted the continuation request.
     #[error("no other server took it on")]
     NoReplica,
-    /// What was forwarded cannot be carried on.
+    /// The forwarded response or the request cannot be continued.
     #[error(transparent)]
     Obstacle(#[from] ContinuationObstacle),
 }
 
-/// Decides how a stream that has ended before its end is to end. `request_body` is the client's; `take_from_budget` is
-/// called last, and only where all else allows a continuation.
+/// Decides how to end an interrupted stream. `request_body` is the body of the client's request. `take_from_budget` is
+/// called last, and only if everything else allows a continuation.
 pub fn decide_recovery(
     stream: &InterruptedStream,
     transcript: &StreamTranscript,
@@ -66,13 +66,13 @@
     mut take_from_budget: impl FnMut() -> bool,
 ) -> RecoveryDecision {
     let Some(max_continuations) = stream.max_continuations else {
-        return RecoveryDecision::Fail(RecoveryRefusal::SwitchedOff);
+        return RecoveryDecision::Fail(RecoveryRefusal::Disabled);
     };
     if !stream.is_client_connected {
         return RecoveryDecision::Fail(RecoveryRefusal::ClientDisconnected);
     }
-    // What is missing is framing, or a count that nobody may invent. Asking again for that would cost a replica the whole
-    // prompt, and could not change the text.
+    // Only framing or the usage is missing. Repeating the request for it would make a replica process the whole prompt
+    // again without changing the text; the usage is omitted, because the node must not make up token counts.
     if transcript.is_text_complete(request_body) {
         return RecoveryDecision::Complete;
     }
@@ -87,7 +87,7 @@
     }
     match transcript.continuation_request(request_body) {
         Err(obstacle) => RecoveryDecision::Fail(obstacle.into()),
-        Ok(_) if !take_from_budget() => RecoveryDecision::Fail(RecoveryRefusal::BudgetSpent),
+        Ok(_) if !take_from_budget() => RecoveryDecision::Fail(RecoveryRefusal::BudgetExhausted),
         Ok(body) => RecoveryDecision::Continue(body),
     }
 }
--- a/crates/stream-recovery/src/sse.rs
+++ b/crates/stream-recovery/src/sse.rs
@@ -1,6 +1,6 @@
-//! Server-sent events, as far as forwarding needs them: where an event ends, and its data.
+//! Minimal parser for server-sent events: finds the end of an event and extracts its data.
 
-/// The length of the first whole event, with the empty line after it.
+/// The length of the first complete event, including its terminating empty line; `None` if no event is complete.
 pub(crate) fn event_length(bytes: &[u8]) -> Option<usize> {
     let mut line_start = 0;
     for (position, byte) in bytes.iter().enumerate() {
@@ -16,7 +16,7 @@
     None
 }
 
-/// The data of an event, its lines joined.
+/// The data of an event: its `data:` lines, joined with newlines.
 pub(crate) fn event_data(event: &[u8]) -> String {
     let text = String::from_utf8_lossy(event);
     let data_lines = text.lines().filter_map(|line| line.strip_prefix("data:"));
--- a/crates/stream-recovery/src/stall_detection.rs
+++ b/crates/stream-recovery/src/stall_detection.rs
@@ -1,74 +1,75 @@
-//! The state of one stream, from its first event on.
+//! Tracks the state of one stream, starting with its first event.
 
 use crate::Micros;
 
-/// What a stream is doing.
+/// The state of a stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StreamState {
-    /// Events come as they should.
+    /// Events arrive at the usual pace.
     Flowing,
-    /// Events come with gaps longer than the replica's long gap, or such a gap is under way.
+    /// The last or the current gap is longer than the replica's long gap.
     Slow,
-    /// Nothing has come for longer than the limit of silence.
+    /// No event has arrived for at least the silence limit.
     Stalled,
-    /// The replica has ended it before its end.
+    /// The replica closed the stream before it was complete.
     Broken,
-    /// The client does not keep up: the silence is the node's own, not the replica's.
+    /// The client does not read fast enough. The replica is not responsible for the silence.
     ClientSlow,
-    /// It has come to its end.
+    /// The stream ended completely.
     Completed,
 }
 
-/// Watches one stream for stalls.
+/// Detects stalls of one stream.
 #[derive(Clone, Debug)]
 pub struct StallDetector {
     last_event_at: Micros,
     silence_limit: Micros,
-    /// The replica's long gap, where one is known.
+    /// The replica's long gap; `None` if unknown.
     long_gap: Option<Micros>,
-    /// Since when the client has been waited for.
-    client_waited_for_since: Option<Micros>,
+    /// Since when the client has not accepted data; `None` while it does.
+    client_blocked_since: Option<Micros>,
     has_long_gap: bool,
     /// `Broken` or `Completed` once the stream has ended.
     end: Option<StreamState>,
 }
 
 impl StallDetector {
-    /// A stream whose first event has come. `silence_limit` is how long a silence may last, `long_gap` that of the replica.
+    /// Starts with the first event. A silence of `silence_limit` is a stall; `long_gap` is that of the replica, if known.
     pub fn new(now: Micros, silence_limit: Micros, long_gap: Option<Micros>) -> Self {
         StallDetector {
             last_event_at: now,
             silence_limit,
             long_gap,
-            client_waited_for_since: None,
+            client_blocked_since: None,
             has_long_gap: false,
             end: None,
         }
     }
 
-    /// An event, or a part of one, has come. Returns the gap before it, unless the client caused that or the stream has
-    /// ended.
+    /// Records that an event, or a part of one, has arrived. Returns the gap before it; `None` if the client caused the
+    /// gap or the stream has ended.
     pub fn record_event(&mut self, now: Micros) -> Option<Micros> {
         let gap = now.saturating_sub(self.last_event_at);
         self.last_event_at = self.last_event_at.max(now);
-        self.has_long_gap = self.is_longer_than_usual(gap);
-        let is_of_replica = self.end.is_none() && self.client_waited_for_since.is_none();
-        is_of_replica.then_some(gap)
+        self.has_long_gap = self.is_long(gap);
+        let is_replica_gap = self.end.is_none() && self.client_blocked_since.is_none();
+        is_replica_gap.then_some(gap)
     }
 
-    /// The client takes nothing: from here on silence is the node's own.
+    /// Records that the client does not accept data. From now on, silence is not attributed to the replica.
     pub fn client_blocked(&mut self, now: Micros) {
-        self.client_waited_for_since.get_or_insert(now);
+        self.client_blocked_since.get_or_insert(now);
     }
 
-    /// The client has taken what there was. What the replica had sent meanwhile lay in buffers, so silence begins now.
+    /// Records that the client has accepted all pending data. Events from the replica may have waited in buffers meanwhile,
+    /// so the silence is measured from now.
     pub fn client_resumed(&mut self, now: Micros) {
-        if self.client_waited_for_since.take().is_some() {
+        if self.client_blocked_since.take().is_some() {
             self.last_event_at = self.last_event_at.max(now);
         }
     }
 
-    /// The replica has ended the stream. The first end counts.
+    /// Records that the replica has ended the stream. Later calls have no effect.
     pub fn record_end(&mut self, is_complete: bool) {
         let end = if is_complete {
             StreamState::Completed
@@ -78,30 +79,30 @@
         self.end.get_or_insert(end);
     }
 
-    /// When the stream will have stalled if nothing comes; `None` while the client is waited for, and after the end.
+    /// When the stream counts as stalled if no event arrives; `None` while the client is blocked and after the end.
     pub fn stall_deadline(&self) -> Option<Micros> {
-        let is_watched = self.end.is_none() && self.client_waited_for_since.is_none();
+        let is_watched = self.end.is_none() && self.client_blocked_since.is_none();
         is_watched.then(|| self.last_event_at.saturating_add(self.silence_limit))
     }
 
-    /// The state at this time.
+    /// The state at `now`.
     pub fn state(&self, now: Micros) -> StreamState {
         if let Some(end) = self.end {
             return end;
         }
         let silence = now.saturating_sub(self.last_event_at);
-        if self.client_waited_for_since.is_some() {
+        if self.client_blocked_since.is_some() {
             StreamState::ClientSlow
         } else if silence >= self.silence_limit {
             StreamState::Stalled
-        } else if self.has_long_gap || self.is_longer_than_usual(silence) {
+        } else if self.has_long_gap || self.is_long(silence) {
             StreamState::Slow
         } else {
             StreamState::Flowing
         }
     }
 
-    fn is_longer_than_usual(&self, gap: Micros) -> bool {
+    fn is_long(&self, gap: Micros) -> bool {
         self.long_gap.is_some_and(|long_gap| gap > long_gap)
     }
 }
--- a/crates/stream-recovery/src/transcript.rs
+++ b/crates/stream-recovery/src/transcript.rs
@@ -1,33 +1,33 @@
-//! What has been forwarded to one client, and how the streams of several replicas become one coherent stream.
+//! Records what was forwarded to one client and merges the streams of several replicas into one coherent stream.
 //!
-//! The form is that of published OpenAI-compatible servers: `data:` events with a `chat.completion.chunk` each, an event
-//! with the finish reason, one with the usage where that was asked for, and `[DONE]`.
+//! The format is that of published OpenAI-compatible servers: `data:` events with a `chat.completion.chunk` each, an event
+//! with the finish reason, an event with the usage if the request asked for it, and `[DONE]`.
 //!
-//! Replicas are numbered by epochs: only the one of the present epoch may write. Its events pass unchanged if it is the
-//! first; those of later ones are rewritten so that they carry on what the first began.
+//! Each continuation starts a new epoch, and only the replica of the current epoch may write. Events of the first replica
+//! are forwarded unchanged. Events of later replicas are rewritten to continue the response of the first.
 
 use crate::sse::{event_data, event_length};
 use serde_json::{json, Map, Value};
 
-/// The longest event, in bytes; a longer one is no event.
+/// Maximum length of an event, in bytes.
 const MAX_EVENT_BYTES: usize = 64 * 1024;
-/// The longest text that is continued, in bytes.
+/// Maximum length of a text that can be continued, in bytes.
 const MAX_TEXT_BYTES: usize = 128 * 1024;
 /// The data of the event that ends a stream.
 const END_OF_STREAM: &str = "[DONE]";
-/// The keys of a request that limit the tokens of its answer.
+/// Request keys that limit the number of tokens in the response.
 const TOKEN_LIMIT_KEYS: [&str; 2] = ["max_tokens", "max_completion_tokens"];
-/// The keys of the first chunk that all later ones repeat.
+/// Keys whose values are the same in all chunks of a stream.
 const IDENTITY_KEYS: [&str; 3] = ["id", "created", "model"];
 
-/// How far a stream has come for its client. The order is that of the stream.
+/// How much of a stream was forwarded to its client. Variants are in stream order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum StreamProgress {
-    /// Within the text.
+    /// The finish reason has not been forwarded yet.
     Text,
     /// The finish reason has been forwarded: the text is complete.
     FinishReason,
-    /// The usage has been forwarded, too.
+    /// The usage has been forwarded as well.
     Usage,
     /// `[DONE]` has been forwarded.
     Done,
@@ -36,76 +36,76 @@
 /// Why a stream cannot be continued.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ContinuationObstacle {
-    /// An event exceeds the limit of bytes.
+    /// An event exceeds the maximum length.
     #[error("an event is longer than may be")]
     EventTooLong,
     /// An event's data is not JSON.
     #[error("an event is not a chunk of text")]
     NotAChunk,
-    /// The replica has sent an error.
+    /// The response contains an error.
     #[error("the answer holds an error")]
-    ErrorInAnswer,
-    /// The answer has more than one choice.
+    ErrorInResponse,
+    /// The response has more than one choice.
     #[error("there are several choices")]
-    SeveralChoices,
-    /// A tool call has begun.
+    MultipleChoices,
+    /// The response contains a tool call.
     #[error("a tool is being called")]
     ToolCall,
-    /// Probabilities of tokens were asked for.
+    /// The response contains log probabilities.
     #[error("there are probabilities of tokens")]
     LogProbabilities,
-    /// The text exceeds the limit of bytes.
+    /// The text exceeds the maximum length.
     #[error("the text is too long")]
     TextTooLong,
     /// The request's body is not JSON.
     #[error("the request is not JSON")]
     RequestNotJson,
-    /// The request asks for an answer in one piece.
+    /// The request does not ask for a streamed response.
     #[error("the request did not ask for a stream")]
     RequestNotStreaming,
     /// The request asks for more than one choice.
     #[error("several choices were asked for")]
-    SeveralChoicesRequested,
+    MultipleChoicesRequested,
     /// The request has no list of messages.
     #[error("the request has no messages")]
     RequestWithoutMessages,
-    /// The request's last message is the assistant's.
+    /// The last message of the request is from the assistant.
     #[error("the request itself continues an answer")]
-    RequestContinuesAnswer,
-    /// The request for the rest is no JSON text.
+    RequestContinuesResponse,
+    /// The continuation request cannot be serialized.
     #[error("the request cannot be written")]
-    RequestNotWritable,
+    RequestNotSerializable,
 }
 
-/// What became of bytes of a replica.
+/// Result of [`StreamTranscript::forward`].
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ForwardedBytes {
-    /// Bytes for the client: whole events.
+    /// Complete events to send to the client.
     pub bytes: Vec<u8>,
-    /// The number of events in them.
+    /// Number of events forwarded.
     pub event_count: usize,
-    /// Bytes of a replica that may no longer write, dropped.
+    /// Number of bytes dropped: from a replica of an earlier epoch, or after the end of the stream.
     pub dropped_bytes: usize,
 }
 
-/// The transcript of one client's stream.
+/// Transcript of one client's stream.
 #[derive(Clone, Debug)]
 pub struct StreamTranscript {
-    /// Which replica may write: each continuation has the next number.
+    /// Number of continuations so far. Only the replica of this epoch may write.
     epoch: u64,
-    /// Bytes of an event that is not complete yet.
+    /// Bytes of an incomplete event.
     partial_event: Vec<u8>,
     text: String,
-    /// Each event with text counts as one token.
+    /// Number of events with text; each counts as one token.
     token_count: u64,
     progress: StreamProgress,
     /// The values of [`IDENTITY_KEYS`] in the first chunk.
     identity: Option<[Value; 3]>,
     obstacle: Option<ContinuationObstacle>,
     dropped_bytes: u64,
-    /// Tokens that replicas before the present one wrote.
-    tokens_before_epoch: u64,
-    /// Its events are chunks of text: others cannot be judged.
+    /// Tokens forwarded before the current epoch.
+    earlier_epoch_tokens: u64,
+    /// Whether any event was a `chat.completion.chunk`.
     has_chunks: bool,
 }
 
@@ -120,14 +120,14 @@
             identity: None,
             obstacle: None,
             dropped_bytes: 0,
-            tokens_before_epoch: 0,
+            earlier_epoch_tokens: 0,
             has_chunks: false,
         }
     }
 }
 
 impl StreamTranscript {
-    /// The number of the replica that may write.
+    /// The current epoch: the number of continuations so far.
     pub fn epoch(&self) -> u64 {
         self.epoch
     }
@@ -142,42 +142,42 @@
         &self.text
     }
 
-    /// How far the stream has come.
+    /// How much of the stream has been forwarded.
     pub fn progress(&self) -> StreamProgress {
         self.progress
     }
 
-    /// Why the stream cannot be continued, where that is so.
+    /// Why the stream cannot be continued; `None` if it can.
     pub fn obstacle(&self) -> Option<ContinuationObstacle> {
         self.obstacle
     }
 
-    /// Bytes dropped so far because their replica could no longer write.
+    /// Bytes dropped so far: those of replicas of earlier epochs, unfinished events and those after the end.
     pub fn dropped_bytes(&self) -> u64 {
         self.dropped_bytes
     }
 
-    /// Whether its events are chunks of text at all; what else a replica streams cannot be judged.
+    /// Whether any event was a `chat.completion.chunk`. Whether other streams are complete cannot be determined.
     pub fn has_chunks(&self) -> bool {
         self.has_chunks
     }
 
-    /// Takes what is left of an event that was never completed.
+    /// Removes and returns the bytes of the incomplete event; empty if there is none.
     pub fn take_partial_event(&mut self) -> Vec<u8> {
         std::mem::take(&mut self.partial_event)
     }
 
-    /// From now on only the next replica may write; what is left of an event of the last one is dropped. Returns the new
-    /// epoch.
+    /// Starts the next epoch: drops the incomplete event of the previous replica and ignores all its later bytes. Returns
+    /// the new epoch.
     pub fn begin_epoch(&mut self) -> u64 {
         self.dropped_bytes += self.partial_event.len() as u64;
         self.partial_event.clear();
-        self.tokens_before_epoch = self.token_count;
+        self.earlier_epoch_tokens = self.token_count;
         self.epoch += 1;
         self.epoch
     }
 
-    /// Takes bytes of a replica's body, and returns what of them goes to the client now: whole events.
+    /// Processes bytes of a replica's response body and returns the complete events to send to the client.
     pub fn forward(&mut self, epoch: u64, bytes: &[u8]) -> ForwardedBytes {
         let mut forwarded = ForwardedBytes::default();
         if epoch != self.epoch || self.progress == StreamProgress::Done {
@@ -190,7 +190,7 @@
             let event = self.partial_event[start..start + length].to_vec();
             start += length;
             if self.progress == StreamProgress::Done {
-                // Nothing after the end belongs to this answer.
+                // Events after `[DONE]` do not belong to this response.
                 self.drop_bytes(length, &mut forwarded);
                 continue;
             }
@@ -240,7 +240,7 @@
         self.identity.get_or_insert_with(identity);
         if chunk.get("error").is_some() {
             self.obstacle
-                .get_or_insert(ContinuationObstacle::ErrorInAnswer);
+                .get_or_insert(ContinuationObstacle::ErrorInResponse);
         }
         self.has_chunks |= chunk["choices"].is_array();
         for choice in chunk["choices"].as_array().into_iter().flatten() {
@@ -259,7 +259,7 @@
         let delta = &choice["delta"];
         if choice["index"].as_u64().unwrap_or(0) != 0 {
             self.obstacle
-                .get_or_insert(ContinuationObstacle::SeveralChoices);
+                .get_or_insert(ContinuationObstacle::MultipleChoices);
         }
         if !delta["tool_calls"].is_null() || !delta["function_call"].is_null() {
             self.obstacle.get_or_insert(ContinuationObstacle::ToolCall);
@@ -278,7 +278,7 @@
         }
     }
 
-    /// Makes a chunk of a later replica one of the answer that the first replica began.
+    /// Rewrites a chunk of a later replica to continue the response of the first.
     fn rewrite_chunk(&self, chunk: &mut Value) {
         if let Some(identity) = &self.identity {
             for (key, value) in IDENTITY_KEYS.into_iter().zip(identity) {
@@ -289,7 +289,7 @@
         }
         for choice in chunk["choices"].as_array_mut().into_iter().flatten() {
             if let Some(delta) = choice["delta"].as_object_mut() {
-                remove_opening(delta);
+                remove_opening_fields(delta);
             }
         }
         if let Some(usage) = chunk["usage"].as_object_mut() {
@@ -297,29 +297,29 @@
         }
     }
 
-    /// The answer so far was read as a part of the prompt there, and is a part of the answer here.
+    /// Counts the text of earlier epochs as completion tokens. The replica counted it as part of the prompt.
     fn rewrite_usage(&self, usage: &mut Map<String, Value>) {
         let number = |key: &str| usage.get(key).and_then(Value::as_u64);
         let prompt = number("prompt_tokens");
         let answer = number("completion_tokens");
         if let (Some(prompt), Some(answer)) = (prompt, answer) {
-            let prompt = prompt.saturating_sub(self.tokens_before_epoch);
-            let answer = answer + self.tokens_before_epoch;
+            let prompt = prompt.saturating_sub(self.earlier_epoch_tokens);
+            let answer = answer + self.earlier_epoch_tokens;
             usage.insert("prompt_tokens".into(), json!(prompt));
             usage.insert("completion_tokens".into(), json!(answer));
             usage.insert("total_tokens".into(), json!(prompt + answer));
         }
     }
 
-    /// Whether all of the text has been forwarded: its finish reason has, or as many tokens as the request allows.
+    /// Whether all of the text has been forwarded: the finish reason was forwarded or the token limit is reached.
     pub fn is_text_complete(&self, request_body: &[u8]) -> bool {
         self.obstacle.is_none()
             && (self.progress >= StreamProgress::FinishReason
                 || (self.token_count > 0 && self.is_token_limit_reached(request_body)))
     }
 
-    /// Each event with text holds one token or more, so no less than the limit has been forwarded, and no replica may
-    /// write more than that.
+    /// Whether the token limit of the request is reached. Each event with text holds at least one token, so the actual count
+    /// may be higher, and no replica may write more than the limit.
     fn is_token_limit_reached(&self, request_body: &[u8]) -> bool {
         let Ok(request) = serde_json::from_slice::<Value>(request_body) else {
             return false;
@@ -330,7 +330,7 @@
         limits.into_iter().any(|limit| self.token_count >= limit)
     }
 
-    /// The framing that a complete text lacks. A count of tokens is not made up.
+    /// The events missing after a complete text: finish reason and `[DONE]`. A missing usage is not made up.
     pub fn closing_events(&self) -> Vec<u8> {
         let mut events = String::new();
         if self.progress == StreamProgress::Text {
@@ -345,11 +345,11 @@
         events.into_bytes()
     }
 
-    /// The body of the request for the rest: the prompt with the answer so far as the beginning of the assistant's message,
-    /// and the token limit less what has been forwarded.
+    /// The body of the continuation request: the original request with the text so far as the start of the assistant's
+    /// message, and with the token limit reduced by the tokens already forwarded.
     ///
     /// # Errors
-    /// Says why there can be none.
+    /// Why the stream cannot be continued.
     pub fn continuation_request(
         &self,
         request_body: &[u8],
@@ -363,7 +363,7 @@
             return Err(ContinuationObstacle::RequestNotStreaming);
         }
         if request["n"].as_u64().unwrap_or(1) != 1 {
-            return Err(ContinuationObstacle::SeveralChoicesRequested);
+            return Err(ContinuationObstacle::MultipleChoicesRequested);
         }
         let messages = request["messages"].as_array_mut();
         let messages = messages.ok_or(ContinuationObstacle::RequestWithoutMessages)?;
@@ -371,7 +371,7 @@
             .last()
             .is_some_and(|message| message["role"] == "assistant")
         {
-            return Err(ContinuationObstacle::RequestContinuesAnswer);
+            return Err(ContinuationObstacle::RequestContinuesResponse);
         }
         if !self.text.is_empty() {
             messages.push(json!({"role": "assistant", "content": self.text}));
@@ -383,12 +383,12 @@
                 request[key] = json!(limit.saturating_sub(self.token_count).max(1));
             }
         }
-        serde_json::to_vec(&request).map_err(|_| ContinuationObstacle::RequestNotWritable)
+        serde_json::to_vec(&request).map_err(|_| ContinuationObstacle::RequestNotSerializable)
     }
 }
 
-/// The opening of an answer says who speaks; a later replica's says nothing new.
-fn remove_opening(delta: &mut Map<String, Value>) {
+/// Removes the role and an empty content, which only the first event of a response has.
+fn remove_opening_fields(delta: &mut Map<String, Value>) {
     delta.remove("role");
     let content = delta.get("content").and_then(Value::as_str);
     if content.is_some_and(str::is_empty) {
@@ -396,12 +396,12 @@
     }
 }
 
-/// Whether a chunk has choices that say nothing, and no usage.
+/// Whether a chunk has neither text, nor a finish reason, nor usage.
 fn is_empty_chunk(chunk: &Value) -> bool {
-    let is_empty = |choice: &Value| {
+    let is_empty_choice = |choice: &Value| {
         let delta = choice["delta"].as_object();
         delta.is_none_or(Map::is_empty) && choice["finish_reason"].is_null()
     };
     let choices = chunk["choices"].as_array();
-    chunk["usage"].is_null() && choices.is_some_and(|choices| choices.iter().all(is_empty))
+    chunk["usage"].is_null() && choices.is_some_and(|choices| choices.iter().all(is_empty_choice))
 }
--- a/crates/stream-recovery/tests/recovery.rs
+++ b/crates/stream-recovery/tests/recovery.rs
@@ -1,4 +1,4 @@
-//! Decisions on interrupted streams, and their budget.
+//! Tests of recovery decisions and of the continuation budget.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -10,7 +10,7 @@
 };
 use support::{finish_event, request_body, text_event, SECOND};
 
-fn interrupted() -> InterruptedStream {
+fn interrupted_stream() -> InterruptedStream {
     InterruptedStream {
         max_continuations: Some(2),
         is_idempotent: true,
@@ -20,51 +20,51 @@
     }
 }
 
-fn begun_transcript() -> StreamTranscript {
+fn started_transcript() -> StreamTranscript {
     let mut transcript = StreamTranscript::default();
     transcript.forward(0, text_event("one", "ab ").as_bytes());
     transcript
 }
 
-fn budget_is_not_asked() -> bool {
-    panic!("the budget was asked")
+fn panic_if_budget_consulted() -> bool {
+    panic!("the budget was consulted")
 }
 
 #[test]
-fn refuses_what_cannot_be_continued_before_it_asks_the_budget() {
+fn refuses_ineligible_streams_without_consulting_the_budget() {
     let cases = [
         (
             InterruptedStream {
                 max_continuations: None,
-                ..interrupted()
+                ..interrupted_stream()
             },
-            RecoveryRefusal::SwitchedOff,
+            RecoveryRefusal::Disabled,
         ),
         (
             InterruptedStream {
                 is_client_connected: false,
-                ..interrupted()
+                ..interrupted_stream()
             },
             RecoveryRefusal::ClientDisconnected,
         ),
         (
             InterruptedStream {
                 is_idempotent: false,
-                ..interrupted()
+                ..interrupted_stream()
             },
             RecoveryRefusal::NotIdempotent,
         ),
         (
             InterruptedStream {
                 is_shutting_down: true,
-                ..interrupted()
+                ..interrupted_stream()
             },
             RecoveryRefusal::ShuttingDown,
         ),
         (
             InterruptedStream {
                 continuations: 2,
-                ..interrupted()
+                ..interrupted_stream()
             },
             RecoveryRefusal::TooManyContinuations,
         ),
@@ -72,37 +72,39 @@
     for (stream, refusal) in cases {
         let decision = decide_recovery(
             &stream,
-            &begun_transcript(),
+            &started_transcript(),
             &request_body(),
-            budget_is_not_asked,
+            panic_if_budget_consulted,
         );
         assert_eq!(decision, RecoveryDecision::Fail(refusal));
     }
 }
 
 #[test]
-fn continues_within_the_budget_only() {
-    let transcript = begun_transcript();
-    let refused = decide_recovery(&interrupted(), &transcript, &request_body(), || false);
+fn continues_only_within_the_budget() {
+    let transcript = started_transcript();
+    let refused = decide_recovery(&interrupted_stream(), &transcript, &request_body(), || {
+        false
+    });
     assert_eq!(
         refused,
-        RecoveryDecision::Fail(RecoveryRefusal::BudgetSpent)
+        RecoveryDecision::Fail(RecoveryRefusal::BudgetExhausted)
     );
-    let allowed = decide_recovery(&interrupted(), &transcript, &request_body(), || true);
+    let allowed = decide_recovery(&interrupted_stream(), &transcript, &request_body(), || true);
     assert!(matches!(allowed, RecoveryDecision::Continue(_)));
 }
 
 #[test]
-fn completes_an_answer_that_has_reached_its_token_limit() {
-    let mut transcript = begun_transcript();
+fn completes_a_response_that_has_reached_its_token_limit() {
+    let mut transcript = started_transcript();
     for _ in 0..8 {
         transcript.forward(0, text_event("one", "ab ").as_bytes());
     }
     let decision = decide_recovery(
-        &interrupted(),
+        &interrupted_stream(),
         &transcript,
         &request_body(),
-        budget_is_not_asked,
+        panic_if_budget_consulted,
     );
     assert_eq!(decision, RecoveryDecision::Complete);
     let closing = String::from_utf8(transcript.closing_events()).unwrap();
@@ -111,19 +113,24 @@
 }
 
 #[test]
-fn completes_a_complete_text_whatever_its_class() {
-    let mut transcript = begun_transcript();
+fn completes_a_finished_text_of_a_request_that_is_not_idempotent() {
+    let mut transcript = started_transcript();
     transcript.forward(0, finish_event("one").as_bytes());
     let stream = InterruptedStream {
         is_idempotent: false,
-        ..interrupted()
+        ..interrupted_stream()
     };
-    let decision = decide_recovery(&stream, &transcript, &request_body(), budget_is_not_asked);
+    let decision = decide_recovery(
+        &stream,
+        &transcript,
+        &request_body(),
+        panic_if_budget_consulted,
+    );
     assert_eq!(decision, RecoveryDecision::Complete);
 }
 
 #[test]
-fn budget_holds_over_its_window_and_recovers_after_it() {
+fn budget_is_limited_within_its_window_and_recovers_afterwards() {
     let limits = ContinuationLimits {
         max_per_stream: 1,
         share: 0.1,
@@ -131,13 +138,15 @@
         window: 10 * SECOND,
     };
     let mut budget = ContinuationBudget::default();
-    let taken = |budget: &mut ContinuationBudget, now, tries: usize| {
-        (0..tries).filter(|_| budget.try_take(now, &limits)).count()
+    let granted = |budget: &mut ContinuationBudget, now, attempts: usize| {
+        (0..attempts)
+            .filter(|_| budget.try_take(now, &limits))
+            .count()
     };
-    assert_eq!(taken(&mut budget, 0, 9), 2);
+    assert_eq!(granted(&mut budget, 0, 9), 2);
     for _ in 0..100 {
         budget.record_stream(SECOND, &limits);
     }
-    assert_eq!(taken(&mut budget, 2 * SECOND, 99), 8);
-    assert_eq!(taken(&mut budget, 30 * SECOND, 9), 2);
+    assert_eq!(granted(&mut budget, 2 * SECOND, 99), 8);
+    assert_eq!(granted(&mut budget, 30 * SECOND, 9), 2);
 }
--- a/crates/stream-recovery/tests/stall_detection.rs
+++ b/crates/stream-recovery/tests/stall_detection.rs
@@ -1,4 +1,4 @@
-//! Limits of silence and the state of a stream, with fed events and time.
+//! Tests of silence limits and stream states, with simulated events and time.
 
 mod support;
 
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn limit_of_silence_follows_the_replica_within_its_bounds() {
+fn silence_limit_follows_the_gaps_of_the_replica_within_its_bounds() {
     let limits = StallLimits {
         min_silence: SECOND,
         max_silence: 5 * SECOND,
@@ -24,7 +24,7 @@
     assert_eq!(gaps.silence_limit(Some(100_000), &limits), 2 * SECOND);
     record_many(&mut gaps, 500, 40_000);
     assert_eq!(gaps.silence_limit(None, &limits), SECOND);
-    // A slow healthy replica: one gap in ten lasts 1.5 s.
+    // A slow but healthy replica: one gap in ten lasts 1.5 s.
     for n in 0..500 {
         gaps.record(if n % 10 == 0 { 1_500_000 } else { 100_000 });
     }
@@ -32,13 +32,13 @@
     assert!((3 * SECOND..4 * SECOND).contains(&limit), "{limit}");
     record_many(&mut gaps, 500, 20 * SECOND);
     assert_eq!(gaps.silence_limit(None, &limits), 5 * SECOND);
-    // The past fades.
+    // Old gaps lose their weight.
     record_many(&mut gaps, 20_000, 40_000);
     assert_eq!(gaps.silence_limit(None, &limits), SECOND);
 }
 
 #[test]
-fn limit_grows_after_streams_were_given_up_too_early() {
+fn silence_limit_grows_after_streams_were_abandoned_too_early() {
     let limits = StallLimits {
         min_silence: 3 * SECOND,
         max_silence: 5 * SECOND,
@@ -47,19 +47,19 @@
     };
     let mut gaps = GapHistogram::default();
     record_many(&mut gaps, 300, 20_000);
-    let mut given_up = 0;
+    let mut abandoned = 0;
     while gaps.silence_limit(None, &limits) <= 3 * SECOND {
         gaps.record_abandoned(3 * SECOND);
-        given_up += 1;
+        abandoned += 1;
         assert!(
-            given_up < 5,
-            "one stream after the other is lost to the same limit"
+            abandoned < 5,
+            "the limit has not grown after {abandoned} abandoned streams"
         );
     }
 }
 
 #[test]
-fn state_follows_events_and_time() {
+fn state_depends_on_events_and_time() {
     let mut detector = StallDetector::new(0, 3 * SECOND, Some(SECOND / 2));
     assert_eq!(detector.state(0), StreamState::Flowing);
     assert_eq!(detector.stall_deadline(), Some(3 * SECOND));
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn waiting_for_the_client_is_neither_a_stall_nor_a_gap() {
+fn blocked_client_causes_neither_a_stall_nor_a_gap() {
     let mut detector = StallDetector::new(0, 3 * SECOND, Some(SECOND / 2));
     detector.record_event(SECOND);
     detector.record_event(SECOND + 1000);
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn ended_stream_is_no_longer_watched() {
+fn ended_stream_cannot_stall() {
     let mut broken = StallDetector::new(0, 3 * SECOND, None);
     let mut completed = broken.clone();
     broken.record_end(false);
--- a/crates/stream-recovery/tests/support/mod.rs
+++ b/crates/stream-recovery/tests/support/mod.rs
@@ -1,6 +1,6 @@
-//! Events of an OpenAI-compatible server, and a request that they answer.
+//! Builders for events of an OpenAI-compatible server and for a matching request.
 
-#![allow(dead_code, reason = "each test file uses a part")]
+#![allow(dead_code, reason = "each test file uses only some of these items")]
 
 use poppykeel_stream_recovery::Micros;
 use serde_json::json;
@@ -22,11 +22,11 @@
     format!("data: {}\n\n", json!({"id": id, "choices": choices}))
 }
 
-pub fn usage_event(prompt: u64, answer: u64) -> String {
+pub fn usage_event(prompt_tokens: u64, completion_tokens: u64) -> String {
     let usage = json!({
-        "prompt_tokens": prompt,
-        "completion_tokens": answer,
-        "total_tokens": prompt + answer,
+        "prompt_tokens": prompt_tokens,
+        "completion_tokens": completion_tokens,
+        "total_tokens": prompt_tokens + completion_tokens,
     });
     format!(
         "data: {}\n\n",
@@ -34,7 +34,7 @@
     )
 }
 
-/// A request for a stream of at most nine tokens.
+/// A streaming request limited to nine tokens.
 pub fn request_body() -> Vec<u8> {
     let messages = json!([{"role": "user", "content": "hi"}]);
     let request = json!({"stream": true, "max_tokens": 9, "messages": messages});
--- a/crates/stream-recovery/tests/transcript.rs
+++ b/crates/stream-recovery/tests/transcript.rs
@@ -1,4 +1,4 @@
-//! Transcripts: how the streams of several replicas become one.
+//! Tests of transcripts: streams of several replicas are merged into one.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -10,14 +10,14 @@
 use support::{finish_event, request_body, text_event, usage_event, END_OF_STREAM};
 
 #[test]
-fn two_replicas_make_one_coherent_stream() {
+fn merges_the_streams_of_two_replicas() {
     let mut transcript = StreamTranscript::default();
     let first = text_event("one", "ab ") + &text_event("one", "cd ");
     let forwarded = transcript.forward(0, format!("{first}data: {{\"id\"").as_bytes());
     assert_eq!(
         String::from_utf8(forwarded.bytes).unwrap(),
         first,
-        "passes unchanged"
+        "events of the first replica are forwarded unchanged"
     );
     let request = transcript.continuation_request(&request_body()).unwrap();
     let request: Value = serde_json::from_slice(&request).unwrap();
@@ -29,7 +29,7 @@
     assert_eq!(request["continue_final_message"], json!(true));
     assert!(request.get("n").is_none());
     assert_eq!(transcript.begin_epoch(), 1);
-    // The first replica still writes.
+    // Bytes of the first replica that arrive after the continuation started.
     let late = text_event("one", "ef ");
     assert_eq!(
         transcript.forward(0, late.as_bytes()).dropped_bytes,
@@ -51,11 +51,11 @@
     assert_eq!(transcript.progress(), StreamProgress::Done);
     assert_eq!(transcript.text(), "ab cd ef ");
     let after_end = transcript.forward(1, text_event("two", "more").as_bytes());
-    assert_eq!(after_end.event_count, 0, "nothing after the end");
+    assert_eq!(after_end.event_count, 0, "events after the end are dropped");
 }
 
 #[test]
-fn answers_that_cannot_be_one_stream_are_not_continued() {
+fn unsupported_responses_are_not_continued() {
     let choice = |choice: Value| format!("data: {}\n\n", json!({"choices": [choice]}));
     let answers = [
         choice(json!({"index": 1, "delta": {"content": "x"}})),
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn requests_that_cannot_be_continued_are_not() {
+fn unsupported_requests_are_not_continued() {
     let transcript = StreamTranscript::default();
     let requests = [
         json!({}),
@@ -92,15 +92,19 @@
     }
 }
 
-/// What a transcript forwards of bytes that come in these pieces.
-fn forward_in_pieces(transcript: &mut StreamTranscript, bytes: &[u8], cuts: &[usize]) -> Vec<u8> {
-    let mut rest = bytes;
+/// The bytes that a transcript forwards if they arrive in pieces of these lengths, repeated cyclically.
+fn forward_in_pieces(
+    transcript: &mut StreamTranscript,
+    bytes: &[u8],
+    piece_lengths: &[usize],
+) -> Vec<u8> {
+    let mut remaining = bytes;
     let mut forwarded = Vec::new();
-    for cut in cuts.iter().cycle() {
-        let (piece, after) = rest.split_at((*cut).min(rest.len()));
+    for length in piece_lengths.iter().cycle() {
+        let (piece, after) = remaining.split_at((*length).min(remaining.len()));
         forwarded.extend(transcript.forward(0, piece).bytes);
-        rest = after;
-        if rest.is_empty() {
+        remaining = after;
+        if remaining.is_empty() {
             break;
         }
     }
@@ -110,11 +114,11 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 256, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// However bytes are cut into pieces, the same is forwarded; and whatever they are, nothing panics.
+    /// The forwarded bytes do not depend on how the input is split into pieces, and no input causes a panic.
     #[test]
-    fn pieces_of_any_size_are_forwarded_alike(
-        cuts in prop::collection::vec(1..40_usize, 1..60),
-        noise in prop::collection::vec(any::<u8>(), 0..300),
+    fn forwarded_bytes_do_not_depend_on_piece_boundaries(
+        piece_lengths in prop::collection::vec(1..40_usize, 1..60),
+        random_bytes in prop::collection::vec(any::<u8>(), 0..300),
     ) {
         let answer = [
             text_event("one", "ab "),
@@ -123,11 +127,11 @@
             usage_event(3, 2),
             END_OF_STREAM.to_string(),
         ];
-        for bytes in [answer.concat().into_bytes(), noise] {
+        for bytes in [answer.concat().into_bytes(), random_bytes] {
             let mut whole = StreamTranscript::default();
             let mut pieces = StreamTranscript::default();
             let expected = whole.forward(0, &bytes).bytes;
-            prop_assert_eq!(forward_in_pieces(&mut pieces, &bytes, &cuts), expected);
+            prop_assert_eq!(forward_in_pieces(&mut pieces, &bytes, &piece_lengths), expected);
             prop_assert_eq!(whole.progress(), pieces.progress());
         }
     }
