--- a/crates/durable-log/src/fault_injecting_disk.rs
+++ b/crates/durable-log/src/fault_injecting_disk.rs
@@ -1,4 +1,4 @@
-//! A real folder that fails on request, for tests of whole processes, whose disk can't be replaced from outside.
+//! A folder with faults that a test injects from outside the process. Tests of whole processes cannot replace the disk.
 
 use super::disk::Disk;
 use super::folder_disk::FolderDisk;
@@ -6,26 +6,26 @@
 use std::io;
 use std::path::PathBuf;
 
-/// The text of the request file under which writes fail because the disk is full.
+/// Content of the request file that makes writes fail as on a full disk.
 const DISK_FULL: &str = "full";
-/// The text of the request file under which syncs fail.
+/// Content of the request file that makes syncs fail.
 const SYNC_FAILURE: &str = "sync";
 
-/// A [`FolderDisk`] with the faults that a test requests through a file.
+/// A [`FolderDisk`] with faults that a test requests through a file.
 ///
-/// While the request file says `full`, half of each write fits and the write fails; while it says `sync`, syncs fail and
-/// what they should have made durable is lost, as with a real disk. Without a request file, or while it says anything
-/// else, this behaves as the [`FolderDisk`] alone.
+/// While the request file contains `full`, each write writes half of its bytes and then fails. While it contains
+/// `sync`, syncs fail and the unsynced bytes are lost, as can happen on a real disk. Without a request file, or with
+/// any other content, this behaves like the [`FolderDisk`] alone.
 #[derive(Debug)]
 pub struct FaultInjectingDisk {
     folder: FolderDisk,
     request_file: Option<PathBuf>,
-    /// How many bytes of each file a sync has made durable, by the file's name.
+    /// Number of durable bytes of each file, by file name.
     synced_bytes: BTreeMap<String, u64>,
 }
 
 impl FaultInjectingDisk {
-    /// A folder that fails as the request file says, if there is one.
+    /// Wraps `folder`. `request_file` need not exist; without one, no faults are injected.
     pub fn new(folder: FolderDisk, request_file: Option<PathBuf>) -> FaultInjectingDisk {
         FaultInjectingDisk {
             folder,
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Whether the request file asks for this fault now.
+    /// Whether the request file contains this fault now.
     fn is_requested(&self, fault: &str) -> bool {
         let request = self
             .request_file
@@ -43,7 +43,7 @@
         request.is_some_and(|text| text.trim() == fault)
     }
 
-    /// Counts all bytes that the file has now as durable.
+    /// Records that all current bytes of the file are durable.
     fn mark_synced(&mut self, name: &str) -> io::Result<()> {
         let length = self.folder.read(name)?.len() as u64;
         self.synced_bytes.insert(name.to_string(), length);
@@ -52,8 +52,8 @@
 }
 
 impl Disk for FaultInjectingDisk {
-    fn names(&self) -> io::Result<Vec<String>> {
-        self.folder.names()
+    fn file_names(&self) -> io::Result<Vec<String>> {
+        self.folder.file_names()
     }
 
     fn read(&self, name: &str) -> io::Result<Vec<u8>> {
@@ -85,7 +85,7 @@
             if let Some(length) = self.synced_bytes.get(name).copied() {
                 self.folder.truncate(name, length)?;
             }
-            return Err(io::Error::other("the sync failed, as ordered"));
+            return Err(io::Error::other("the sync failed (injected by a test)"));
         }
         self.folder.sync(name)?;
         if self.request_file.is_some() {
--- a/crates/durable-log/src/folder_disk.rs
+++ b/crates/durable-log/src/folder_disk.rs
@@ -1,6 +1,6 @@
-//! A [`Disk`] that is a folder of the file system.
+//! A [`Disk`] backed by a folder of the file system.
 //!
-//! A lock file keeps other processes out of the folder as long as the [`FolderDisk`] lives.
+//! A lock file prevents other processes from opening the folder during the lifetime of the [`FolderDisk`].
 
 use super::disk::Disk;
 use std::collections::BTreeMap;
@@ -8,24 +8,24 @@
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
 
-/// The file whose lock says that a process uses the folder.
+/// The file that a process locks while it uses the folder.
 const LOCK_FILE: &str = "lock";
 
 /// A folder of the file system, used by one process at a time.
 #[derive(Debug)]
 pub struct FolderDisk {
     folder: PathBuf,
-    /// Files that have been appended to, by name.
+    /// Files open for writing, by name.
     open_files: BTreeMap<String, File>,
-    /// The locked file; closing it unlocks the folder.
+    /// The lock file. Closing it unlocks the folder.
     _lock: File,
 }
 
 impl FolderDisk {
-    /// Opens a folder, creates it if need be, and locks it against other processes.
+    /// Opens a folder, creating it if necessary, and locks it against other processes.
     ///
     /// # Errors
-    /// As the system reports them; [`io::ErrorKind::WouldBlock`] where another process has locked the folder.
+    /// Any I/O error; [`io::ErrorKind::WouldBlock`] if another process has locked the folder.
     pub fn open(folder: &Path) -> io::Result<FolderDisk> {
         fs::create_dir_all(folder)?;
         Ok(FolderDisk {
@@ -35,7 +35,7 @@
         })
     }
 
-    /// The file of this name, open for appending.
+    /// The file of this name, opened for appending if it is not open yet.
     fn file(&mut self, name: &str) -> io::Result<&mut File> {
         if !self.open_files.contains_key(name) {
             let file = OpenOptions::new()
@@ -60,14 +60,14 @@
         Ok(()) => Ok(lock),
         Err(TryLockError::WouldBlock) => Err(io::Error::new(
             io::ErrorKind::WouldBlock,
-            "another process holds this folder",
+            "another process has locked this folder",
         )),
         Err(TryLockError::Error(error)) => Err(error),
     }
 }
 
 impl Disk for FolderDisk {
-    fn names(&self) -> io::Result<Vec<String>> {
+    fn file_names(&self) -> io::Result<Vec<String>> {
         let entries = fs::read_dir(&self.folder)?.collect::<io::Result<Vec<_>>>()?;
         Ok(entries
             .into_iter()
--- a/crates/durable-log/src/lib.rs
+++ b/crates/durable-log/src/lib.rs
@@ -1,11 +1,15 @@
-//! A durable log of small records: a record that was acknowledged is found again after a crash, and no record is found
-//! that was never appended.
+//! A durable log of small records. Acknowledged records survive a crash, and recovery never returns a record that was
+//! not appended.
 //!
-//! A log is one live segment file in a folder. Records are appended to it in groups, each made durable by one sync; a
-//! compaction replaces the segment as a whole. A lease server writes its grants here. All file work goes through
-//! [`Disk`]: [`FolderDisk`] is a real folder, [`SimulatedDisk`] a folder in memory that loses unsynced writes, tears
-//! them, fails a sync, is full or returns corrupt bytes, and [`FaultInjectingDisk`] a real folder that fails where a
-//! test asks for it. `docs/store.md` describes the format.
+//! A log consists of one live segment file in a folder. Records are appended in groups, and one sync makes a group
+//! durable. A compaction replaces the whole segment. Lease servers store their grants in such a log. `docs/store.md`
+//! describes the format.
+//!
+//! All file operations go through [`Disk`]:
+//!
+//! - [`FolderDisk`]: a folder of the file system.
+//! - [`SimulatedDisk`]: a disk in memory that can lose or tear unsynced writes, fail a sync, be full or hold corrupt bytes.
+//! - [`FaultInjectingDisk`]: a folder of the file system with faults that a test requests.
 
 mod disk;
 mod error;
--- a/crates/durable-log/src/log.rs
+++ b/crates/durable-log/src/log.rs
@@ -1,49 +1,50 @@
-//! The log: one live segment, appended to in groups, and replaced as a whole by a compaction.
+//! The log: appends records to the live segment in groups and replaces the segment in a compaction.
 
 use super::disk::Disk;
 use super::error::LogError;
 use super::record::{self, RecordKind, MAX_PAYLOAD_BYTES};
 use super::segment::{
-    draft_name, read_segment, segment_name, segment_number, SegmentContents, DRAFT_EXTENSION,
+    read_segment, segment_name, segment_number, temporary_name, SegmentContents,
+    TEMPORARY_EXTENSION,
 };
 
 /// A log on a disk.
 ///
-/// A record is durable once the [`DurableLog::sync`] after its [`DurableLog::append`] has succeeded. Once a write or a sync
-/// has failed the log takes no more records: after a failed sync the system may count pages as written that never reached
-/// the disk.
+/// A record is durable once the [`DurableLog::sync`] after its [`DurableLog::append`] has succeeded. The log accepts no
+/// more records after a failed write or sync, because the kernel may then mark pages as clean that never reached the
+/// disk.
 #[derive(Debug)]
 pub struct DurableLog<D: Disk> {
     disk: D,
-    /// The number of the live segment; 0 where there is none yet.
+    /// The number of the live segment; 0 if there is none yet.
     segment: u64,
     /// The sequence number of the next record.
     next_sequence: u64,
-    /// The bytes of the records that the next sync writes.
+    /// Encoded records that the next sync writes.
     unsynced: Vec<u8>,
     /// The live segment's length in bytes.
     size_bytes: u64,
     has_failed: bool,
 }
 
-/// A log that was opened, with the records that it holds.
+/// An opened log with its records.
 #[derive(Debug)]
 pub struct RecoveredLog<D: Disk> {
     /// The log, ready for appending.
     pub log: DurableLog<D>,
-    /// The payloads of its records, oldest first.
+    /// The payloads of the records, oldest first.
     pub records: Vec<Vec<u8>>,
 }
 
 impl<D: Disk> DurableLog<D> {
-    /// Opens the log and reads what it holds. A torn write at the end, which no sync had covered, is cut off; what a
-    /// compaction left behind in a crash is removed.
+    /// Opens the log and reads its records, or creates it if there is none. Truncates an unsynced torn write at the end
+    /// and removes the files that an interrupted compaction left behind.
     ///
     /// # Errors
-    /// [`LogError::Corrupt`] where acknowledged records are damaged, [`LogError::UnsupportedFormat`], and
+    /// [`LogError::Corrupt`] if acknowledged records are damaged, [`LogError::UnsupportedFormat`], and
     /// [`LogError::Io`].
     pub fn open(disk: D) -> Result<RecoveredLog<D>, LogError> {
-        let names = disk.names()?;
+        let names = disk.file_names()?;
         let mut segments: Vec<u64> = names
             .iter()
             .filter_map(|name| segment_number(name))
@@ -54,16 +55,16 @@
         };
         let mut opened = DurableLog::open_segment(disk, live_segment)?;
         let old_segments = segments.into_iter().map(segment_name);
-        let drafts = names
+        let temporary_files = names
             .into_iter()
-            .filter(|name| name.ends_with(DRAFT_EXTENSION));
-        for leftover in old_segments.chain(drafts) {
+            .filter(|name| name.ends_with(TEMPORARY_EXTENSION));
+        for leftover in old_segments.chain(temporary_files) {
             opened.log.disk.remove(&leftover)?;
         }
         Ok(opened)
     }
 
-    /// Begins an empty log.
+    /// Creates an empty log.
     fn create(disk: D) -> Result<RecoveredLog<D>, LogError> {
         let mut log = DurableLog {
             disk,
@@ -80,17 +81,17 @@
         })
     }
 
-    /// Reads the live segment and cuts off a torn write at its end.
+    /// Reads the live segment and truncates a torn write at its end.
     fn open_segment(mut disk: D, segment: u64) -> Result<RecoveredLog<D>, LogError> {
         let file = segment_name(segment);
         let bytes = disk.read(&file)?;
         let SegmentContents {
             payloads,
             last_sequence,
-            sound_bytes,
+            valid_bytes,
         } = read_segment(&file, &bytes)?;
-        let size_bytes = sound_bytes as u64;
-        if sound_bytes < bytes.len() {
+        let size_bytes = valid_bytes as u64;
+        if valid_bytes < bytes.len() {
             disk.truncate(&file, size_bytes)?;
             disk.sync(&file)?;
         }
@@ -108,7 +109,7 @@
         })
     }
 
-    /// Adds a record to those that the next [`DurableLog::sync`] makes durable; returns its sequence number.
+    /// Buffers a record, which the next [`DurableLog::sync`] makes durable, and returns its sequence number.
     ///
     /// # Errors
     /// [`LogError::RecordTooLong`] and [`LogError::Failed`].
@@ -123,10 +124,10 @@
         Ok(sequence)
     }
 
-    /// Makes all appended records durable. They may be acknowledged only once this has succeeded.
+    /// Makes all appended records durable. The caller must not acknowledge them before this succeeds.
     ///
     /// # Errors
-    /// [`LogError::Io`] where the disk fails; from then on [`LogError::Failed`].
+    /// [`LogError::Io`] if the disk fails, and [`LogError::Failed`] on all later calls.
     pub fn sync(&mut self) -> Result<(), LogError> {
         if self.has_failed {
             return Err(LogError::Failed);
@@ -146,8 +147,8 @@
         Ok(())
     }
 
-    /// Replaces all records of the log by these. They are durable as a whole before the old ones are removed, so that a
-    /// crash leaves either the old or the new records.
+    /// Replaces all records of the log. The new records are durable before the old ones are removed, so a crash leaves
+    /// either all old or all new records.
     ///
     /// # Errors
     /// As [`DurableLog::sync`], and [`LogError::RecordTooLong`].
@@ -163,16 +164,17 @@
         self.size_bytes
     }
 
-    /// Writes a new segment with these records, makes it the live one and removes the one before it.
+    /// Writes a new segment with these records, makes it live and removes the previous segment.
     fn start_segment(&mut self, payloads: &[Vec<u8>]) -> Result<(), LogError> {
         let bytes = self.encode_segment(payloads)?;
         let old_segment = self.segment;
         let new_segment = old_segment + 1;
-        let draft = draft_name(new_segment);
-        self.disk.create(&draft)?;
-        self.disk.append(&draft, &bytes)?;
-        self.disk.sync(&draft)?;
-        self.disk.rename(&draft, &segment_name(new_segment))?;
+        let temporary_file = temporary_name(new_segment);
+        self.disk.create(&temporary_file)?;
+        self.disk.append(&temporary_file, &bytes)?;
+        self.disk.sync(&temporary_file)?;
+        self.disk
+            .rename(&temporary_file, &segment_name(new_segment))?;
         self.disk.sync_names()?;
         self.segment = new_segment;
         self.size_bytes = bytes.len() as u64;
@@ -182,7 +184,7 @@
         Ok(())
     }
 
-    /// The bytes of a segment that begins with these records.
+    /// Encodes a segment that contains these records, as a compaction.
     fn encode_segment(&mut self, payloads: &[Vec<u8>]) -> Result<Vec<u8>, LogError> {
         let mut bytes = record::header().to_vec();
         for payload in payloads {
--- a/crates/durable-log/src/record.rs
+++ b/crates/durable-log/src/record.rs
@@ -1,54 +1,54 @@
-//! The bytes of a segment: a header, then records. Numbers are little-endian.
+//! Encoding of a segment: a header followed by records. Numbers are little-endian.
 //!
-//! Header: `PPKLLOG` and one byte of format version. Record: length of the payload (u32), CRC-32 of the length and of all
-//! that follows the checksum (u32), sequence number (u64, from 1, one higher each time), kind (u8), payload.
+//! Header: `PPKLLOG` and the format version (u8). Record: payload length (u32), CRC-32 over the length and everything
+//! after the checksum (u32), sequence number (u64, consecutive from 1), kind (u8), payload.
 
-/// The format version that this program writes; it reads this one and older ones.
+/// The format version that is written. This version and older ones can be read.
 pub const FORMAT_VERSION: u8 = 1;
-/// The header's length in bytes.
+/// Length of a segment's header, in bytes.
 pub(crate) const HEADER_BYTES: usize = 8;
-/// The longest payload, in bytes.
+/// Maximum length of a payload, in bytes.
 pub(crate) const MAX_PAYLOAD_BYTES: usize = 16 << 20;
-/// What a segment begins with.
+/// The first bytes of every segment.
 const MAGIC: &[u8; 7] = b"PPKLLOG";
-/// The length in bytes of what stands before a record's payload.
+/// Length of the fields before a record's payload, in bytes.
 const FRAME_BYTES: usize = 17;
 
-/// What a record is for.
+/// The origin of a record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RecordKind {
-    /// Appended by the log's user.
+    /// Appended through [`super::DurableLog::append`].
     Appended = 0,
-    /// Written by the compaction that made this segment.
+    /// Written by the compaction that created this segment.
     Compacted = 1,
-    /// Ends the records of the compaction: all of them stand before it.
+    /// Marks the end of the compacted records.
     CompactionEnd = 2,
 }
 
-/// One record in the bytes of a segment.
+/// A decoded record.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) struct Record<'a> {
     pub sequence: u64,
     pub kind: RecordKind,
     pub payload: &'a [u8],
-    /// Its whole length in bytes, with the frame.
+    /// Length in bytes, including the frame.
     pub size: usize,
 }
 
-/// The header of a segment in the present format.
+/// The header of a segment in the current format.
 pub(crate) fn header() -> [u8; HEADER_BYTES] {
     let mut header = [FORMAT_VERSION; HEADER_BYTES];
     header[..MAGIC.len()].copy_from_slice(MAGIC);
     header
 }
 
-/// The format version of a segment; `None` where these bytes are no segment.
+/// The format version of a segment; `None` if the bytes do not start with a segment header.
 pub(crate) fn format_version(bytes: &[u8]) -> Option<u8> {
     let has_header = bytes.len() >= HEADER_BYTES && bytes.starts_with(MAGIC);
     has_header.then(|| bytes[MAGIC.len()])
 }
 
-/// Appends the bytes of a record to a buffer.
+/// Appends an encoded record to a buffer.
 pub(crate) fn encode(buffer: &mut Vec<u8>, sequence: u64, kind: RecordKind, payload: &[u8]) {
     let length = (payload.len() as u32).to_le_bytes();
     let sequence = sequence.to_le_bytes();
@@ -64,7 +64,7 @@
     buffer.extend_from_slice(payload);
 }
 
-/// The record at the beginning of these bytes; `None` unless it is whole and its checksum holds.
+/// Decodes the record at the start of the bytes; `None` if it is incomplete or its checksum does not match.
 pub(crate) fn decode(bytes: &[u8]) -> Option<Record<'_>> {
     let length = u32::from_le_bytes(bytes.get(..4)?.try_into().ok()?) as usize;
     let expected_checksum = u32::from_le_bytes(bytes.get(4..8)?.try_into().ok()?);
--- a/crates/durable-log/src/segment.rs
+++ b/crates/durable-log/src/segment.rs
@@ -1,26 +1,26 @@
-//! Segment files: their names, and the records that a segment holds.
+//! Segment files: naming and parsing.
 
 use super::error::LogError;
 use super::record::{self, RecordKind, FORMAT_VERSION, HEADER_BYTES};
 
-/// The extension of a segment that a compaction has not finished yet.
-pub(crate) const DRAFT_EXTENSION: &str = ".new";
-/// The extension of a segment.
+/// File extension of a segment that is still being written.
+pub(crate) const TEMPORARY_EXTENSION: &str = ".new";
+/// File extension of a complete segment.
 const SEGMENT_EXTENSION: &str = ".log";
-/// How many digits the number of a segment has in its file name.
+/// Number of digits of a segment number in a file name.
 const NUMBER_DIGITS: usize = 16;
 
-/// The file name of the segment with this number.
+/// The file name of a segment.
 pub(crate) fn segment_name(number: u64) -> String {
     format!("{number:0NUMBER_DIGITS$}{SEGMENT_EXTENSION}")
 }
 
-/// The file name of the segment with this number while a compaction writes it.
-pub(crate) fn draft_name(number: u64) -> String {
-    format!("{number:0NUMBER_DIGITS$}{DRAFT_EXTENSION}")
+/// The file name of a segment while it is being written.
+pub(crate) fn temporary_name(number: u64) -> String {
+    format!("{number:0NUMBER_DIGITS$}{TEMPORARY_EXTENSION}")
 }
 
-/// The number of the segment with this file name; `None` where the file is no segment.
+/// The number of the segment with this file name; `None` if the name is not that of a segment.
 pub(crate) fn segment_number(name: &str) -> Option<u64> {
     let digits = name.strip_suffix(SEGMENT_EXTENSION)?;
     if digits.len() != NUMBER_DIGITS {
@@ -29,22 +29,22 @@
     digits.parse().ok()
 }
 
-/// What a segment holds.
+/// The contents of a segment.
 #[derive(Debug)]
 pub(crate) struct SegmentContents {
     /// The records' payloads, oldest first.
     pub payloads: Vec<Vec<u8>>,
     /// The sequence number of the last record.
     pub last_sequence: u64,
-    /// The length of the header and of all whole records, in bytes; what follows is a torn write.
-    pub sound_bytes: usize,
+    /// Length of the header and all complete records, in bytes. Any bytes after them are a torn write.
+    pub valid_bytes: usize,
 }
 
-/// Reads a segment.
+/// Parses a segment.
 ///
-/// Bytes after the last whole record are a torn write, unless a whole record follows them: then a record in the middle is
-/// damaged. A segment gets its name only once the whole compaction is durable, so that one without the compaction's end is
-/// damaged too.
+/// Bytes after the last complete record are a torn write. If another complete record follows them, a record in the
+/// middle is corrupt. A segment is renamed to its final name only after its compaction is durable, so a segment without
+/// the end of the compaction is corrupt too.
 ///
 /// # Errors
 /// [`LogError::Corrupt`] and [`LogError::UnsupportedFormat`].
@@ -71,11 +71,11 @@
     Ok(SegmentContents {
         payloads,
         last_sequence,
-        sound_bytes: offset,
+        valid_bytes: offset,
     })
 }
 
-/// Checks that this program reads the segment's format.
+/// Fails if the segment has no valid header or a newer format.
 fn check_format(file: &str, bytes: &[u8]) -> Result<(), LogError> {
     match record::format_version(bytes) {
         Some(FORMAT_VERSION) => Ok(()),
@@ -87,7 +87,7 @@
     }
 }
 
-/// Whether a whole record with a higher sequence number begins at this offset or anywhere after it.
+/// Whether a complete record with a higher sequence number starts at or after `first_offset`.
 fn has_later_record(bytes: &[u8], first_offset: usize, last_sequence: u64) -> bool {
     (first_offset..bytes.len()).any(|offset| {
         record::decode(&bytes[offset..]).is_some_and(|record| record.sequence > last_sequence)
--- a/crates/durable-log/src/simulated_disk.rs
+++ b/crates/durable-log/src/simulated_disk.rs
@@ -1,4 +1,4 @@
-//! A [`Disk`] in memory for tests, which loses power, fails syncs, is full or returns corrupt bytes on request.
+//! A [`Disk`] in memory for tests, which can lose power, fail syncs, be full or hold corrupt bytes.
 
 use super::disk::Disk;
 use std::cell::RefCell;
@@ -9,14 +9,14 @@
 /// The bytes of one file.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 struct FileState {
-    /// What a power loss leaves for certain.
+    /// The bytes that are certain to survive a power loss.
     durable: Vec<u8>,
-    /// What a process reads, written bytes without a sync among it.
+    /// The bytes that a process reads, including unsynced ones.
     current: Vec<u8>,
 }
 
 impl FileState {
-    /// The file after a power loss that has kept this many 256ths of the unsynced bytes.
+    /// The file after a power loss in which this fraction of the unsynced bytes survived, in 256ths.
     fn after_power_loss(&self, unsynced_256ths: usize) -> FileState {
         let mut bytes = self.durable.clone();
         if let Some(unsynced) = self.current.strip_prefix(&self.durable[..]) {
@@ -33,55 +33,55 @@
 /// The files of a disk, and the faults that a test has requested.
 #[derive(Clone, Debug, Default)]
 struct DiskState {
-    /// The names that a process sees, with their indices in `files`.
+    /// The names that a process sees, mapped to indices in `files`.
     names: BTreeMap<String, usize>,
-    /// The names that a power loss leaves for certain, with their indices in `files`.
+    /// The names that are certain to survive a power loss, mapped to indices in `files`.
     durable_names: BTreeMap<String, usize>,
-    /// All files that ever had a name.
+    /// All files ever created, including removed ones.
     files: Vec<FileState>,
-    /// Operations since the last request for a power loss.
+    /// Operations since the last call of [`SimulatedDisk::lose_power_after`].
     operation_count: usize,
-    /// How many operations succeed before the power is lost.
+    /// Number of operations that succeed before the power loss; `None` for no power loss.
     operations_before_power_loss: Option<usize>,
-    /// The sync of this number, from 0, fails; the ones after it succeed.
+    /// Zero-based number of the sync that fails; the later ones succeed.
     failing_sync: Option<usize>,
-    /// Syncs since the last request for a failing one.
+    /// Syncs since the last call of [`SimulatedDisk::fail_sync`].
     sync_count: usize,
-    /// How many more bytes fit.
+    /// Free space in bytes; `None` for unlimited.
     free_bytes: Option<usize>,
 }
 
-/// A disk in memory. Clones are the same disk, so that a test can go on with it after the log is dropped.
+/// A disk in memory. Clones share the same disk, so a test can continue to use it after the log is dropped.
 #[derive(Clone, Debug, Default)]
 pub struct SimulatedDisk(Rc<RefCell<DiskState>>);
 
 impl SimulatedDisk {
-    /// Lets this many operations succeed; the ones after them fail. `None` takes the request back.
+    /// Simulates a power loss after this many operations: all later ones fail. `None` cancels the power loss.
     pub fn lose_power_after(&self, operations: Option<usize>) {
         let mut state = self.0.borrow_mut();
         state.operations_before_power_loss = operations;
         state.operation_count = 0;
     }
 
-    /// Lets the sync of this number fail, counted from 0 and from now. `None` takes the request back.
+    /// Makes one sync fail: the one with this number, counting from 0 and from now. `None` cancels the failure.
     pub fn fail_sync(&self, sync: Option<usize>) {
         let mut state = self.0.borrow_mut();
         state.failing_sync = sync;
         state.sync_count = 0;
     }
 
-    /// Lets this many more bytes fit; `None` for any number.
+    /// Limits the free space to this many bytes; `None` for unlimited.
     pub fn set_free_bytes(&self, bytes: Option<usize>) {
         self.0.borrow_mut().free_bytes = bytes;
     }
 
-    /// Operations since the last [`SimulatedDisk::lose_power_after`].
+    /// Number of operations since the last call of [`SimulatedDisk::lose_power_after`].
     pub fn operation_count(&self) -> usize {
         self.0.borrow().operation_count
     }
 
-    /// The disk that a power loss leaves. Of the unsynced bytes of each file the first `unsynced_256ths` of 256 parts
-    /// survive; `keeps_unsynced_names` says whether names that no sync covered survive.
+    /// The disk after a power loss. The first `unsynced_256ths` / 256 of the unsynced bytes of each file survive.
+    /// `keeps_unsynced_names` selects whether unsynced changes of file names survive.
     pub fn crash(&self, unsynced_256ths: usize, keeps_unsynced_names: bool) -> SimulatedDisk {
         let state = self.0.borrow();
         let files = state
@@ -102,12 +102,12 @@
         })))
     }
 
-    /// An independent copy of the disk as it is now.
+    /// An independent copy of the disk in its current state.
     pub fn snapshot(&self) -> SimulatedDisk {
         SimulatedDisk(Rc::new(RefCell::new(self.0.borrow().clone())))
     }
 
-    /// Changes a file's bytes without the log's knowledge; the change is durable.
+    /// Changes the bytes of a file without the log noticing. The change is durable.
     pub fn corrupt(&self, name: &str, change: impl FnOnce(&mut Vec<u8>)) {
         let mut state = self.0.borrow_mut();
         if let Some(index) = state.names.get(name).copied() {
@@ -117,10 +117,10 @@
         }
     }
 
-    /// Counts an operation.
+    /// Counts an operation towards the power loss.
     ///
     /// # Errors
-    /// Where the power has been lost.
+    /// If the power has been lost.
     fn count_operation(&self) -> io::Result<()> {
         let mut state = self.0.borrow_mut();
         state.operation_count += 1;
@@ -128,12 +128,12 @@
             .operations_before_power_loss
             .is_some_and(|operations| state.operation_count > operations);
         if has_lost_power {
-            return Err(io::Error::other("the power is gone"));
+            return Err(io::Error::other("simulated power loss"));
         }
         Ok(())
     }
 
-    /// Reads or changes the file of this name.
+    /// Runs `action` on the file of this name.
     fn with_file<T>(&self, name: &str, action: impl FnOnce(&mut FileState) -> T) -> io::Result<T> {
         let mut state = self.0.borrow_mut();
         let index = state
@@ -147,20 +147,20 @@
     /// Counts a sync.
     ///
     /// # Errors
-    /// Where this is the one that a test wants to fail.
+    /// If a test has requested the failure of this sync.
     fn count_sync(&self) -> io::Result<()> {
         let mut state = self.0.borrow_mut();
         let sync = state.sync_count;
         state.sync_count += 1;
         if state.failing_sync == Some(sync) {
-            return Err(io::Error::other("the sync failed"));
+            return Err(io::Error::other("simulated sync failure"));
         }
         Ok(())
     }
 }
 
 impl Disk for SimulatedDisk {
-    fn names(&self) -> io::Result<Vec<String>> {
+    fn file_names(&self) -> io::Result<Vec<String>> {
         Ok(self.0.borrow().names.keys().cloned().collect())
     }
 
@@ -181,7 +181,7 @@
         let counted = self.count_operation();
         let free_bytes = self.0.borrow().free_bytes.unwrap_or(usize::MAX);
         let mut fitting = bytes.len().min(free_bytes);
-        // A write that fails may have written any part of itself.
+        // A failed write may have written some of the bytes.
         if counted.is_err() {
             fitting /= 2;
         }
--- a/crates/durable-log/tests/golden.rs
+++ b/crates/durable-log/tests/golden.rs
@@ -1,5 +1,5 @@
-//! Golden file of the log's on-disk format: a segment that a landed version wrote must stay readable, and the present
-//! code must write the same bytes for the same records.
+//! Golden file of the on-disk format: a segment written by an earlier version stays readable, and the current code
+//! writes the same bytes for the same records.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -7,20 +7,20 @@
 use std::fs;
 use std::path::{Path, PathBuf};
 
-/// The segment's file name, in the golden folder and in a log's own folder.
+/// File name of the segment, both in the golden folder and in the folder of a log.
 const SEGMENT: &str = "0000000000000002.log";
 
-/// Records that are written before the compaction and dropped by it.
+/// Records written before the compaction, which drops them.
 fn records_before_compaction() -> Vec<Vec<u8>> {
     vec![b"dropped by the compaction".to_vec(), payload(40)]
 }
 
-/// Records that the compaction keeps.
+/// Records that the compaction retains.
 fn kept_records() -> Vec<Vec<u8>> {
     vec![b"kept by the compaction".to_vec(), payload(300)]
 }
 
-/// Records that are appended after the compaction: empty, one byte, and lengths of one, two and three bytes.
+/// Records appended after the compaction. Their lengths take zero to three bytes to encode.
 fn appended_records() -> Vec<Vec<u8>> {
     vec![
         Vec::new(),
@@ -33,39 +33,39 @@
     ]
 }
 
-/// All records that the golden segment holds, oldest first.
+/// All records of the golden segment, oldest first.
 fn all_records() -> Vec<Vec<u8>> {
     [kept_records(), appended_records()].concat()
 }
 
-/// A payload of this length in which neighbouring bytes differ.
+/// A payload of this length in which adjacent bytes differ.
 fn payload(length: usize) -> Vec<u8> {
     (0..length).map(|index| (index * 31 % 251) as u8).collect()
 }
 
-/// The committed file of this name.
+/// Path of a committed golden file.
 fn golden_path(name: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR"))
         .join("tests/golden")
         .join(name)
 }
 
-/// Asserts that what the present code has written equals the committed file.
+/// Asserts that the bytes written by the current code equal those of the committed file.
 fn assert_equals_golden_file(name: &str, written: &[u8]) {
     let committed = fs::read(golden_path(name)).unwrap();
     assert!(written == committed, "{name}: the bytes differ");
 }
 
-/// An empty folder for one test of this process.
+/// Creates an empty temporary folder. The name includes the process id, so parallel runs do not collide.
 fn empty_folder(name: &str) -> PathBuf {
     let folder = std::env::temp_dir().join(format!("golden-log-{name}-{}", std::process::id()));
-    // A folder of an earlier process with this id may be left; usually there is none.
+    // Remove a folder left by an earlier process with the same id. Usually there is none, so errors are ignored.
     let _ = fs::remove_dir_all(&folder);
     fs::create_dir_all(&folder).unwrap();
     folder
 }
 
-/// Writes all records through the public interface: appended, compacted, and appended again in two groups.
+/// Writes all records through the public API: append, compact, and append again in two groups.
 fn write_log(folder: &Path) {
     let RecoveredLog {
         mut log,
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn log_segment_of_landed_version_stays_readable() {
+fn log_segment_of_earlier_version_stays_readable() {
     let folder = empty_folder("read");
     fs::copy(golden_path(SEGMENT), folder.join(SEGMENT)).unwrap();
     let RecoveredLog {
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn same_records_are_written_as_the_same_log_segment() {
+fn same_records_are_encoded_as_the_same_log_segment() {
     let folder = empty_folder("write");
     write_log(&folder);
     let written = fs::read(folder.join(SEGMENT)).unwrap();
--- a/crates/durable-log/tests/log.rs
+++ b/crates/durable-log/tests/log.rs
@@ -1,4 +1,4 @@
-//! Tests of the log on a disk with faults: no acknowledged record is lost, and none is found that was never appended.
+//! Tests of the log on a faulty disk: no acknowledged record is lost, and no record is returned that was not appended.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -9,7 +9,7 @@
     format!("record {number}").into_bytes()
 }
 
-/// The length of a record in the segment, in bytes: its frame and the payload, for numbers of one digit.
+/// Length of an encoded record with a single-digit number, in bytes: the frame and the payload.
 fn record_bytes() -> usize {
     17 + record(0).len()
 }
@@ -25,7 +25,7 @@
 }
 
 fn live_segment(disk: &SimulatedDisk) -> String {
-    disk.names()
+    disk.file_names()
         .unwrap()
         .into_iter()
         .find(|name| name.ends_with(".log"))
@@ -36,17 +36,17 @@
 fn recovers_all_records_before_a_truncation_at_any_byte() {
     let disk = disk_with_records(5);
     let file = live_segment(&disk);
-    let whole = disk.read(&file).unwrap();
-    let header_bytes = whole.len() - 5 * record_bytes();
-    for length in 0..whole.len() {
+    let original = disk.read(&file).unwrap();
+    let header_bytes = original.len() - 5 * record_bytes();
+    for length in 0..original.len() {
         let torn = disk.snapshot();
         torn.corrupt(&file, |bytes| bytes.truncate(length));
         match DurableLog::open(torn) {
             Ok(RecoveredLog { records: found, .. }) => {
-                let sound = (length - header_bytes) / record_bytes();
+                let complete_count = (length - header_bytes) / record_bytes();
                 assert_eq!(
                     found,
-                    (0..sound as u64).map(record).collect::<Vec<_>>(),
+                    (0..complete_count as u64).map(record).collect::<Vec<_>>(),
                     "{length}"
                 );
             }
@@ -57,18 +57,18 @@
 }
 
 #[test]
-fn rejects_or_drops_a_record_with_a_flipped_byte() {
+fn rejects_or_drops_a_record_with_a_flipped_bit() {
     let disk = disk_with_records(5);
     let file = live_segment(&disk);
-    let whole = disk.read(&file).unwrap();
+    let original = disk.read(&file).unwrap();
     let size = record_bytes();
-    for offset in 0..whole.len() {
+    for offset in 0..original.len() {
         let corrupted = disk.snapshot();
         corrupted.corrupt(&file, |bytes| bytes[offset] ^= 0x10);
         match DurableLog::open(corrupted) {
-            // Only the last record can't be told from one that a crash tore.
+            // Corruption of the last record cannot be distinguished from a torn write.
             Ok(RecoveredLog { records: found, .. }) => {
-                assert!(offset >= whole.len() - size, "{offset}");
+                assert!(offset >= original.len() - size, "{offset}");
                 assert_eq!(found, (0..4).map(record).collect::<Vec<_>>());
             }
             Err(LogError::Corrupt { .. } | LogError::UnsupportedFormat { .. }) => {}
@@ -84,7 +84,7 @@
     disk.fail_sync(Some(0));
     log.append(&record(2)).unwrap();
     assert!(matches!(log.sync(), Err(LogError::Io(_))));
-    // The disk is well again, but what the system calls written may not be.
+    // Later syncs would succeed, but the kernel may have marked pages as clean that were not written.
     assert!(matches!(log.append(&record(3)), Err(LogError::Failed)));
     assert!(matches!(log.sync(), Err(LogError::Failed)));
     let found = DurableLog::open(disk.crash(0, false)).unwrap().records;
@@ -114,11 +114,11 @@
     );
 }
 
-/// The power is lost at each operation of two compactions in a row, with each outcome of unsynced bytes and names.
+/// Loses power at each operation of two consecutive compactions, with several outcomes for unsynced bytes and names.
 #[test]
 fn keeps_old_or_new_records_after_a_crash_at_any_step_of_a_compaction() {
     let kept = vec![b"kept 1".to_vec(), b"kept 2".to_vec()];
-    let again = vec![b"kept 3".to_vec()];
+    let kept_by_second = vec![b"kept 3".to_vec()];
     for step in 0..40 {
         for (unsynced_256ths, keeps_unsynced_names) in [
             (0, false),
@@ -134,17 +134,17 @@
             } = DurableLog::open(disk.clone()).unwrap();
             disk.lose_power_after(Some(step));
             let first = log.replace(&kept).is_ok();
-            let second = first && log.replace(&again).is_ok();
+            let second = first && log.replace(&kept_by_second).is_ok();
             let found = DurableLog::open(disk.crash(unsynced_256ths, keeps_unsynced_names))
                 .unwrap()
                 .records;
-            let good = match (first, second) {
+            let is_consistent = match (first, second) {
                 (false, _) => found == before || found == kept,
-                (true, false) => found == kept || found == again,
-                (true, true) => found == again,
+                (true, false) => found == kept || found == kept_by_second,
+                (true, true) => found == kept_by_second,
             };
             assert!(
-                good,
+                is_consistent,
                 "step {step}, {unsynced_256ths}, {keeps_unsynced_names}: {found:?}"
             );
         }
@@ -154,12 +154,12 @@
 #[test]
 fn locks_the_folder_against_other_processes() {
     let folder = std::env::temp_dir().join(format!("poppykeel-durable-log-{}", std::process::id()));
-    let files = FolderDisk::open(&folder).unwrap();
+    let disk = FolderDisk::open(&folder).unwrap();
     assert_eq!(
         FolderDisk::open(&folder).err().unwrap().kind(),
         std::io::ErrorKind::WouldBlock
     );
-    let mut log = DurableLog::open(files).unwrap().log;
+    let mut log = DurableLog::open(disk).unwrap().log;
     log.append(b"one").unwrap();
     log.sync().unwrap();
     log.replace(&[b"one".to_vec()]).unwrap();
@@ -194,7 +194,8 @@
 }
 
 proptest! {
-    /// After any crash the log holds all that was acknowledged, and beyond that only what was appended, in order.
+    /// After any crash the log contains all acknowledged records, followed only by records that were appended, in
+    /// order.
     #[test]
     fn keeps_acknowledged_records_across_crashes(operations in proptest::collection::vec(operation(), 1..60)) {
         let mut disk = SimulatedDisk::default();
@@ -219,12 +220,12 @@
                 Operation::Crash { unsynced_256ths, keeps_unsynced_names } => {
                     drop(log.take());
                     disk = disk.crash(unsynced_256ths, keeps_unsynced_names);
-                    let RecoveredLog { log: again, records: found } = DurableLog::open(disk.clone()).unwrap();
-                    prop_assert!(found.len() >= acknowledged, "{} of {acknowledged}", found.len());
+                    let RecoveredLog { log: reopened, records: found } = DurableLog::open(disk.clone()).unwrap();
+                    prop_assert!(found.len() >= acknowledged, "recovered {} of {acknowledged} acknowledged records", found.len());
                     prop_assert_eq!(&found[..], &appended[..found.len()]);
                     appended = found;
                     acknowledged = appended.len();
-                    log = Some(again);
+                    log = Some(reopened);
                 }
             }
         }
--- a/crates/stream-recovery/src/gaps.rs
+++ b/crates/stream-recovery/src/gaps.rs
@@ -61,8 +61,8 @@
         self.add(gap, 1.0);
     }
 
-    /// Records that a stream was abandoned after a silence of this length. The full length of the gap is unknown, so it is
-    /// recorded one bucket higher. It has the weight of many short gaps, because it cost a stream.
+    /// Records that a stream was abandoned after a silence of this length. The full length of the gap is unknown, so it
+    /// is recorded one bucket higher. It has the weight of many short gaps, because it cost a stream.
     pub fn record_abandoned(&mut self, gap: Micros) {
         let longer = (gap as f64 * BUCKET_RATIO) as Micros;
         let weight = 1.0 + self.total * 2.0 * (1.0 - LONG_GAP_QUANTILE);
@@ -100,8 +100,8 @@
         None
     }
 
-    /// How long a stream of this replica may be silent before it counts as stalled. `inter_token_objective` is that of the
-    /// request's class; `None` if the class has no objective.
+    /// How long a stream of this replica may be silent before it counts as stalled. `inter_token_objective` is that of
+    /// the request's class; `None` if the class has no objective.
     pub fn silence_limit(
         &self,
         inter_token_objective: Option<Micros>,
--- a/crates/stream-recovery/src/stall_detection.rs
+++ b/crates/stream-recovery/src/stall_detection.rs
@@ -34,7 +34,8 @@
 }
 
 impl StallDetector {
-    /// Starts with the first event. A silence of `silence_limit` is a stall; `long_gap` is that of the replica, if known.
+    /// Starts with the first event. A silence of `silence_limit` is a stall; `long_gap` is that of the replica, if
+    /// known.
     pub fn new(now: Micros, silence_limit: Micros, long_gap: Option<Micros>) -> Self {
         StallDetector {
             last_event_at: now,
@@ -61,8 +62,8 @@
         self.client_blocked_since.get_or_insert(now);
     }
 
-    /// Records that the client has accepted all pending data. Events from the replica may have waited in buffers meanwhile,
-    /// so the silence is measured from now.
+    /// Records that the client has accepted all pending data. Events from the replica may have waited in buffers
+    /// meanwhile, so the silence is measured from now.
     pub fn client_resumed(&mut self, now: Micros) {
         if self.client_blocked_since.take().is_some() {
             self.last_event_at = self.last_event_at.max(now);
--- a/crates/stream-recovery/src/transcript.rs
+++ b/crates/stream-recovery/src/transcript.rs
@@ -1,10 +1,10 @@
 //! Records what was forwarded to one client and merges the streams of several replicas into one coherent stream.
 //!
-//! The format is that of published OpenAI-compatible servers: `data:` events with a `chat.completion.chunk` each, an event
-//! with the finish reason, an event with the usage if the request asked for it, and `[DONE]`.
+//! The format is that of published OpenAI-compatible servers: `data:` events with a `chat.completion.chunk` each, an
+//! event with the finish reason, an event with the usage if the request asked for it, and `[DONE]`.
 //!
-//! Each continuation starts a new epoch, and only the replica of the current epoch may write. Events of the first replica
-//! are forwarded unchanged. Events of later replicas are rewritten to continue the response of the first.
+//! Each continuation starts a new epoch, and only the replica of the current epoch may write. Events of the first
+//! replica are forwarded unchanged. Events of later replicas are rewritten to continue the response of the first.
 
 use crate::sse::{event_data, event_length};
 use serde_json::{json, Map, Value};
@@ -167,8 +167,8 @@
         std::mem::take(&mut self.partial_event)
     }
 
-    /// Starts the next epoch: drops the incomplete event of the previous replica and ignores all its later bytes. Returns
-    /// the new epoch.
+    /// Starts the next epoch: drops the incomplete event of the previous replica and ignores all its later bytes.
+    /// Returns the new epoch.
     pub fn begin_epoch(&mut self) -> u64 {
         self.dropped_bytes += self.partial_event.len() as u64;
         self.partial_event.clear();
@@ -318,8 +318,8 @@
                 || (self.token_count > 0 && self.is_token_limit_reached(request_body)))
     }
 
-    /// Whether the token limit of the request is reached. Each event with text holds at least one token, so the actual count
-    /// may be higher, and no replica may write more than the limit.
+    /// Whether the token limit of the request is reached. Each event with text holds at least one token, so the actual
+    /// count may be higher, and no replica may write more than the limit.
     fn is_token_limit_reached(&self, request_body: &[u8]) -> bool {
         let Ok(request) = serde_json::from_slice::<Value>(request_body) else {
             return false;
