--- a/crates/fault-shim/src/lib.rs
+++ b/crates/fault-shim/src/lib.rs
@@ -1,7 +1,7 @@
-//! A library that tests preload (`LD_PRELOAD`) into a node's process, so that its system calls fail as Linux documents.
+//! Injects system call failures into a node's process. Tests preload this library with `LD_PRELOAD`.
 //!
-//! It replaces four functions of the C library. The plan is a TOML file that the variable [`PLAN_VARIABLE`] names; without it
-//! every call passes. Only tests load this library.
+//! It overrides four functions of the C library, which then fail in ways that Linux documents. The environment variable
+//! [`PLAN_VARIABLE`] names a TOML file with the fault plan. Without a plan, no call fails.
 
 mod plan;
 
@@ -12,10 +12,10 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::OnceLock;
 
-/// The environment variable that names the file of the plan.
+/// The environment variable with the path of the plan.
 pub const PLAN_VARIABLE: &str = "POPPYKEEL_FAULT_PLAN";
 
-/// Calls of all kinds since the start of the process.
+/// Number of calls of all kinds since the process started.
 static CALL_COUNT: AtomicU64 = AtomicU64::new(0);
 
 type AcceptFn = unsafe extern "C" fn(c_int, *mut sockaddr, *mut socklen_t, c_int) -> c_int;
@@ -23,18 +23,18 @@
 type ReceiveFn = unsafe extern "C" fn(c_int, *mut c_void, size_t, c_int) -> ssize_t;
 type SendFn = unsafe extern "C" fn(c_int, *const c_void, size_t, c_int) -> ssize_t;
 
-/// The fault of the next call, which is of this kind; `None` if it succeeds.
+/// Counts a call and returns its fault; `None` if the call is not to fail.
 fn next_fault(call: SystemCall) -> Option<CallFault> {
     static PLAN: OnceLock<FaultPlan> = OnceLock::new();
     let call_number = CALL_COUNT.fetch_add(1, Ordering::Relaxed);
     PLAN.get_or_init(load_plan).fault_for(call, call_number)
 }
 
-/// Reads the plan.
+/// Loads the plan; an empty plan if the variable is not set or the file cannot be read.
 ///
 /// # Panics
 ///
-/// Panics if the file is not a plan: the test that wrote it must not pass without its faults.
+/// Panics if the file is not a valid plan. Otherwise a test could pass without its faults.
 fn load_plan() -> FaultPlan {
     let Some(path) = std::env::var_os(PLAN_VARIABLE) else {
         return FaultPlan::default();
@@ -42,24 +42,24 @@
     let Ok(text) = std::fs::read_to_string(path) else {
         return FaultPlan::default();
     };
-    FaultPlan::parse(&text).expect("the file is a plan of faults")
+    FaultPlan::parse(&text).expect("the fault plan is valid")
 }
 
-/// The C library's own function of this name, looked up once.
+/// The original C library function with this name, cached in `cell`.
 ///
 /// # Safety
 ///
-/// `F` must be the type of the function of this name.
+/// `F` must be the type of the function with this name.
 unsafe fn c_library_function<F: Copy>(cell: &OnceLock<F>, name: &CStr) -> F {
     *cell.get_or_init(|| {
         let address = libc::dlsym(libc::RTLD_NEXT, name.as_ptr());
-        assert!(!address.is_null(), "{name:?} is in the C library");
+        assert!(!address.is_null(), "{name:?} not found in the C library");
         std::mem::transmute_copy::<*mut c_void, F>(&address)
     })
 }
 
 fn set_errno(errno: c_int) {
-    // SAFETY: the location belongs to this thread.
+    // SAFETY: `__errno_location` returns a valid pointer to the errno of this thread.
     unsafe { *libc::__errno_location() = errno }
 }
 
@@ -79,7 +79,7 @@
     let real = c_library_function(&REAL, c"accept4");
     match next_fault(SystemCall::Accept).and_then(CallFault::errno) {
         None => real(listener, addr, addr_length, flags),
-        // The connection is lost with this error.
+        // On Linux the aborted connection is removed from the queue, so accept it and close it.
         Some(libc::ECONNABORTED) => {
             let accepted = real(listener, addr, addr_length, flags);
             if accepted >= 0 {
@@ -88,7 +88,7 @@
             }
             accepted.min(-1)
         }
-        // The connection stays in the kernel's queue.
+        // The connection remains in the kernel's accept queue.
         Some(errno) => {
             set_errno(errno);
             -1
@@ -136,7 +136,7 @@
     }
 }
 
-/// How many bytes the next call of this kind may move; `None` if it fails, and then `errno` is set.
+/// Maximum number of bytes that the next call may transfer. If the call is to fail, sets `errno` and returns `None`.
 fn transfer_length(call: SystemCall, length: size_t) -> Option<size_t> {
     match next_fault(call) {
         None => Some(length),
--- a/crates/fault-shim/src/plan.rs
+++ b/crates/fault-shim/src/plan.rs
@@ -1,32 +1,32 @@
-//! A plan of faults, as TOML: which system calls fail, how, and how often.
+//! The fault plan, a TOML file: which system calls fail, how, and how often.
 
 use serde::Deserialize;
 
-/// Separates the numbers of calls before they are mixed: 2^64 divided by the golden ratio.
-const CALL_STRIDE: u64 = 0x9e37_79b9_7f4a_7c15;
-/// The bits of a key in which the position of a rule goes.
+/// Multiplier that spreads call numbers over 64 bits before mixing: 2^64 divided by the golden ratio.
+const CALL_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
+/// Position of a rule's index within a key, in bits.
 const RULE_SHIFT: u32 = 56;
 
-/// Which system calls fail.
+/// Defines which system calls fail.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields, default)]
 pub struct FaultPlan {
-    /// The same seed and the same order of calls give the same faults.
+    /// The same seed and the same order of calls produce the same faults.
     pub seed: u64,
-    /// The first rule that applies to a call counts.
+    /// The first rule that selects a call determines its fault.
     #[serde(rename = "rule")]
     pub rules: Vec<CallFaultRule>,
 }
 
-/// How often calls of one kind fail, and how.
+/// A fault for calls of one kind.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct CallFaultRule {
     /// The kind of call.
     pub call: SystemCall,
-    /// One call in this many fails on average; 1 is every call.
+    /// On average, one call in this many fails. With 0 or 1 every call fails.
     pub one_in: u64,
-    /// What happens instead of the call.
+    /// The injected fault.
     pub fault: CallFault,
 }
 
@@ -34,41 +34,41 @@
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "snake_case")]
 pub enum SystemCall {
-    /// A connection is taken from a listener.
+    /// accept4(2): accepts a connection.
     Accept,
-    /// Bytes are read from a socket.
+    /// recv(2): reads from a socket.
     Read,
-    /// Bytes are written to a socket.
+    /// send(2): writes to a socket.
     Write,
-    /// A socket is connected.
+    /// connect(2): connects a socket.
     Connect,
 }
 
-/// What happens instead of a call. The errors have their names of errno(3).
+/// An injected fault. Errors have their errno(3) names.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "SCREAMING_SNAKE_CASE")]
 pub enum CallFault {
     /// A signal interrupts the call.
     Eintr,
-    /// The connection was reset before it was accepted, and is lost.
+    /// The connection was aborted before it was accepted, and is lost.
     Econnaborted,
-    /// The process has no descriptor left.
+    /// The process has reached its limit of file descriptors.
     Emfile,
-    /// The system has no descriptor left.
+    /// The system has reached its limit of open files.
     Enfile,
-    /// The system has no buffers left.
+    /// No buffer space is available.
     Enobufs,
-    /// The system has no memory left.
+    /// No memory is available.
     Enomem,
-    /// No local address or port is left.
+    /// No local address or port is available.
     Eaddrnotavail,
-    /// The network cannot be reached.
+    /// The network is unreachable.
     Enetunreach,
-    /// The host cannot be reached.
+    /// The host is unreachable.
     Ehostunreach,
-    /// The host did not answer.
+    /// The connection attempt timed out.
     Etimedout,
-    /// The call moves at most this many bytes.
+    /// The call succeeds but transfers at most this many bytes, and at least one.
     #[serde(rename = "short")]
     Short(usize),
 }
@@ -97,12 +97,12 @@
     ///
     /// # Errors
     ///
-    /// Returns an error that names the key and its line where the text is no plan.
+    /// Returns an error with the key and line if the text is not a valid plan.
     pub fn parse(text: &str) -> Result<FaultPlan, toml::de::Error> {
         toml::from_str(text)
     }
 
-    /// The fault of the call with this number; `None` if it succeeds.
+    /// The fault of the call with this number; `None` if the call is not to fail.
     pub fn fault_for(&self, call: SystemCall, call_number: u64) -> Option<CallFault> {
         let (_, rule) = self
             .rules
@@ -115,12 +115,12 @@
 
     fn is_due(&self, position: usize, rule: &CallFaultRule, call_number: u64) -> bool {
         let rule_bits = (position as u64) << RULE_SHIFT;
-        let key = self.seed ^ call_number.wrapping_mul(CALL_STRIDE) ^ rule_bits;
+        let key = self.seed ^ call_number.wrapping_mul(CALL_MULTIPLIER) ^ rule_bits;
         mix_bits(key).is_multiple_of(rule.one_in.max(1))
     }
 }
 
-/// The finalizer of `SplitMix64`, which gives unlike results for similar keys.
+/// The finalizer of `SplitMix64`. Similar keys give unrelated results.
 fn mix_bits(mut key: u64) -> u64 {
     key = (key ^ (key >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     key = (key ^ (key >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
--- a/crates/fault-shim/src/plan/tests.rs
+++ b/crates/fault-shim/src/plan/tests.rs
@@ -1,11 +1,11 @@
-//! Plans: how they are parsed, and how often calls fail.
+//! Tests of parsing plans and of fault rates.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 use super::{CallFault, FaultPlan, SystemCall};
 
 #[test]
-fn calls_fail_as_often_as_the_plan_says_and_the_same_way_each_time() {
+fn faults_have_the_planned_rate_and_are_reproducible() {
     let text = "seed = 7\n[[rule]]\ncall = \"read\"\none_in = 4\nfault = { short = 3 }\n\
                 [[rule]]\ncall = \"accept\"\none_in = 1\nfault = \"EMFILE\"\n";
     let plan = FaultPlan::parse(text).unwrap();
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn names_the_line_of_a_bad_plan() {
+fn parse_error_contains_the_line() {
     let error = FaultPlan::parse("[[rule]]\ncall = \"read\"\none_in = 1\nfault = \"EWHAT\"\n")
         .unwrap_err()
         .to_string();
