--- a/crates/stub-model-server/src/checker.rs
+++ b/crates/stub-model-server/src/checker.rs
@@ -1,40 +1,40 @@
-//! Checks what clients received against what the servers recorded: every request has one final outcome, nothing is
-//! doubled, nothing is missing inside a text, nothing follows an end, and nothing comes that no server wrote.
+//! Compares the responses that clients received with the records of the stub servers.
 //!
-//! Tests, benches and experiments use the same checks.
+//! Every request must have one final outcome. A response must not contain duplicates or gaps, events after its end, or
+//! text that no server sent. Tests, benches and experiments share these checks.
 
-use crate::event_stream::{read_stream, ReceivedStream};
+use crate::event_stream::{parse_stream, ReceivedStream};
 use crate::server::ServedRequest;
 use crate::tokens;
 use std::collections::BTreeMap;
 
-/// How a request ended for its client.
+/// The outcome of a request for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClientOutcome {
-    /// The response came to its last chunk.
+    /// The client received the last chunk of the response.
     Completed,
-    /// An event said that the request failed, and the last chunk is missing.
+    /// The response ended with an error event and without the last chunk.
     FailedWithError,
     /// The connection was closed without the last chunk.
     Truncated,
-    /// The response has this status, which is not 200.
+    /// The response has this HTTP status, which is not 200.
     Rejected(u16),
     /// There was no response, or the connection was reset.
     NoResponse,
 }
 
-/// What a client received.
+/// A request and the response that its client received.
 #[derive(Clone, Debug)]
 pub struct ClientObservation {
     /// The request's id.
     pub id: String,
-    /// Its prompt.
+    /// The prompt.
     pub prompt: String,
-    /// Tokens of a complete answer.
+    /// Number of tokens of the complete answer.
     pub expected_token_count: usize,
     /// Whether the request asked for the usage.
     pub wants_usage: bool,
-    /// How it ended.
+    /// How the request ended.
     pub outcome: ClientOutcome,
     /// The bytes of the body, without chunk framing.
     pub body: Vec<u8>,
@@ -43,23 +43,23 @@
 /// The result of a check.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct CheckReport {
-    /// Requests that were checked.
+    /// Number of requests checked.
     pub requests: usize,
-    /// Answers that were complete.
+    /// Number of complete responses.
     pub completed: usize,
-    /// Complete answers that several servers wrote.
+    /// Number of complete responses written by more than one server.
     pub continued: usize,
-    /// Requests that failed, with an error event or by a truncation.
+    /// Number of requests that failed with an error event or a truncated response.
     pub failed: usize,
-    /// Requests that were rejected.
+    /// Number of rejected requests.
     pub rejected: usize,
-    /// Tokens that servers were asked for beyond those of one answer each.
+    /// Tokens requested from servers in excess of one complete answer per request.
     pub extra_tokens: u64,
-    /// Violated rules, each as a text that names the request.
+    /// Violated rules, each with the id of the request.
     pub violations: Vec<String>,
 }
 
-/// Checks what clients received against what the servers recorded.
+/// Compares the responses that clients received with the records of the servers.
 pub fn check(observations: &[ClientObservation], served: &[ServedRequest]) -> CheckReport {
     let mut report = CheckReport {
         requests: observations.len(),
@@ -81,7 +81,7 @@
     report
 }
 
-/// Checks one request; `served` is what servers recorded of its prompt.
+/// Checks one request. `served` are the records with the same prompt.
 fn check_one(observation: &ClientObservation, served: &[&ServedRequest], report: &mut CheckReport) {
     let planned_tokens: usize = served
         .iter()
@@ -89,7 +89,7 @@
         .sum();
     report.extra_tokens += planned_tokens.saturating_sub(observation.expected_token_count) as u64;
     count_outcome(observation.outcome, served, report);
-    let stream = read_stream(&observation.body);
+    let stream = parse_stream(&observation.body);
     let mut violations = stream_violations(observation, &stream, served);
     violations.extend(outcome_violations(observation, &stream));
     let ClientObservation { id, outcome, .. } = observation;
@@ -116,7 +116,7 @@
     }
 }
 
-/// Rules that hold of every stream, however it ended.
+/// Checks the rules that apply to every stream, regardless of its outcome.
 fn stream_violations(
     observation: &ClientObservation,
     stream: &ReceivedStream,
@@ -125,52 +125,54 @@
     let mut violations = Vec::new();
     if !expected_text(observation).starts_with(&stream.text) {
         violations.push(format!(
-            "the text is not the beginning of the right one: '{}'",
+            "the text is not the beginning of the expected text: '{}'",
             stream.text
         ));
     }
     if stream.ids.len() > 1 {
-        violations.push(format!("several ids: {:?}", stream.ids));
+        violations.push(format!("several response ids: {:?}", stream.ids));
     }
     if stream.finish_reasons.len() > 1 || stream.done_count > 1 || stream.usages.len() > 1 {
-        violations.push("a finish reason, an end or a usage came twice".into());
+        violations.push("duplicate finish reason, [DONE] event or usage".into());
     }
     if stream.late_event_count > 0 {
         violations.push("events after the end".into());
     }
     if !stream.text.is_empty() && served.is_empty() {
-        violations.push("text that no server wrote".into());
+        violations.push("text although no server recorded a request with this prompt".into());
     }
     let expected = observation.expected_token_count;
     for usage in &stream.usages {
         let reported = usage.completion_tokens;
         if reported != expected as u64 {
             violations.push(format!(
-                "a usage of {reported} tokens for an answer of {expected}"
+                "usage reports {reported} completion tokens, expected {expected}"
             ));
         }
     }
     violations
 }
 
-/// Rules that follow from how the request ended.
+/// Checks the rules that depend on the outcome of the request.
 fn outcome_violations(observation: &ClientObservation, stream: &ReceivedStream) -> Vec<String> {
     let mut violations = Vec::new();
     match observation.outcome {
         ClientOutcome::Completed => {
             if stream.text != expected_text(observation) {
-                violations.push("the text is not whole, and the answer says it is".into());
+                violations.push("the text is incomplete although the response completed".into());
             }
             if stream.finish_reasons.len() != 1 || stream.done_count != 1 {
-                violations.push("a whole answer lacks its finish reason or its end".into());
+                violations.push(
+                    "complete response without exactly one finish reason and [DONE] event".into(),
+                );
             }
         }
         ClientOutcome::FailedWithError => {
             if stream.error_count != 1 {
-                violations.push("a failed answer does not have exactly one error event".into());
+                violations.push("failed response without exactly one error event".into());
             }
         }
-        ClientOutcome::NoResponse => violations.push("no final outcome".into()),
+        ClientOutcome::NoResponse => violations.push("no response".into()),
         ClientOutcome::Truncated | ClientOutcome::Rejected(_) => {}
     }
     violations
--- a/crates/stub-model-server/src/event_stream.rs
+++ b/crates/stub-model-server/src/event_stream.rs
@@ -1,52 +1,52 @@
-//! What a client has received, taken apart: the text, ids, finish reasons and usages of a stream's events.
+//! Parses a received event stream: text, ids, finish reasons and usages.
 
 use serde_json::Value;
 
-/// The usage that a stream reports.
+/// Token usage reported by a stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReportedUsage {
-    /// Tokens of the prompt.
+    /// Number of prompt tokens.
     pub prompt_tokens: u64,
-    /// Tokens of the answer.
+    /// Number of completion tokens.
     pub completion_tokens: u64,
 }
 
-/// The events of a stream.
+/// Summary of the events of a stream.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ReceivedStream {
-    /// The text.
+    /// The concatenated text of all chunks.
     pub text: String,
-    /// The different ids of chunks, in order of their first appearance.
+    /// Distinct ids of the chunks, in order of first appearance.
     pub ids: Vec<String>,
-    /// Finish reasons, in order.
+    /// Finish reasons, in stream order.
     pub finish_reasons: Vec<String>,
-    /// Usages, in order.
+    /// Usages, in stream order.
     pub usages: Vec<ReportedUsage>,
-    /// Events of `[DONE]`.
+    /// Number of `[DONE]` events.
     pub done_count: usize,
-    /// Events with an error.
+    /// Number of error events.
     pub error_count: usize,
-    /// Events after `[DONE]` or after an error.
+    /// Number of events after `[DONE]` or an error event.
     pub late_event_count: usize,
-    /// Events that could not be read.
-    pub unreadable_count: usize,
+    /// Number of events that could not be parsed.
+    pub malformed_count: usize,
 }
 
-/// Reads the events of a body.
-pub fn read_stream(body: &[u8]) -> ReceivedStream {
+/// Parses the body of a response, without chunk framing.
+pub fn parse_stream(body: &[u8]) -> ReceivedStream {
     let mut stream = ReceivedStream::default();
     let text = String::from_utf8_lossy(body);
     for event in text.split("\n\n").filter(|event| !event.is_empty()) {
-        stream.read_event(event);
+        stream.add_event(event);
     }
     stream
 }
 
 impl ReceivedStream {
-    fn read_event(&mut self, event: &str) {
+    fn add_event(&mut self, event: &str) {
         let Some(data) = event.strip_prefix("data: ") else {
             let is_comment = event.starts_with(':');
-            self.unreadable_count += usize::from(!is_comment);
+            self.malformed_count += usize::from(!is_comment);
             return;
         };
         let has_ended = self.done_count + self.error_count > 0;
@@ -56,12 +56,12 @@
             return;
         }
         match serde_json::from_str(data) {
-            Ok(chunk) => self.read_chunk(&chunk),
-            Err(_) => self.unreadable_count += 1,
+            Ok(chunk) => self.add_chunk(&chunk),
+            Err(_) => self.malformed_count += 1,
         }
     }
 
-    fn read_chunk(&mut self, chunk: &Value) {
+    fn add_chunk(&mut self, chunk: &Value) {
         if chunk.get("error").is_some() {
             self.error_count += 1;
         } else {
--- a/crates/stub-model-server/src/main.rs
+++ b/crates/stub-model-server/src/main.rs
@@ -1,5 +1,5 @@
-//! Stub model servers from the command line: `poppykeel-stub-model-server --script FILE --script FILE`. A line on
-//! standard input, with a server's number and the name of a file, gives that server another script.
+//! Runs stub model servers: `poppykeel-stub-model-server --script FILE --script FILE`. A line `NUMBER FILE` on standard
+//! input replaces the script of the server with that number.
 
 use clap::Parser;
 use poppykeel_stub_model_server::{ReplyScript, StubServers};
@@ -11,31 +11,31 @@
 #[command(
     name = "poppykeel-stub-model-server",
     version,
-    about = "Model servers on loopback that answer by scripts"
+    about = "Runs scripted stub model servers on loopback addresses"
 )]
 struct StubModelServerCli {
-    /// A server's script, as TOML; one server for each
+    /// Script of a server, a TOML file; give the flag once per server
     #[arg(long = "script", value_name = "FILE", required = true)]
     scripts: Vec<PathBuf>,
-    /// The servers end by themselves after this many seconds
+    /// Exit after this many seconds
     #[arg(long = "for", default_value_t = 600, value_name = "SECONDS")]
     lifetime_s: u64,
 }
 
-/// Why the program ends, or a script is not used.
+/// Why the servers cannot start, or a script cannot be used.
 #[derive(Debug, thiserror::Error)]
 enum StubError {
-    #[error("{path}: {source}")]
+    #[error("cannot read script {path}: {source}")]
     Read {
         path: String,
         source: std::io::Error,
     },
-    #[error("{path}: {source}")]
+    #[error("invalid script {path}: {source}")]
     Parse {
         path: String,
         source: Box<toml::de::Error>,
     },
-    #[error(transparent)]
+    #[error("cannot start the servers: {0}")]
     Start(#[from] std::io::Error),
 }
 
@@ -61,25 +61,25 @@
     for (number, addr) in servers.addrs().iter().enumerate() {
         println!("server {number} on {addr}");
     }
-    end_after(Duration::from_secs(cli.lifetime_s));
+    exit_after(Duration::from_secs(cli.lifetime_s));
     for line in std::io::stdin().lines().map_while(Result::ok) {
         handle_line(&line, &servers);
     }
-    // After the end of the input the servers go on until their time is over.
+    // The servers keep running after the end of the input, until their lifetime is over.
     loop {
         std::thread::park();
     }
 }
 
-/// Ends the process after a time.
-fn end_after(lifetime: Duration) {
+/// Exits the process after `lifetime`.
+fn exit_after(lifetime: Duration) {
     std::thread::spawn(move || {
         std::thread::sleep(lifetime);
         std::process::exit(0);
     });
 }
 
-/// Carries out a line of the input: a server's number and the name of its new script.
+/// Handles a line of standard input: the number of a server and the path of its new script.
 fn handle_line(line: &str, servers: &StubServers) {
     let mut words = line.split_whitespace();
     let number = words
@@ -92,8 +92,8 @@
             servers.set_script(number, script);
             println!("server {number} has another script");
         }
-        (_, Some(Err(e))) => eprintln!("the script was not changed: {e}"),
-        _ => eprintln!("expected the number of a server and a file's name, not '{line}'"),
+        (_, Some(Err(e))) => eprintln!("script not replaced: {e}"),
+        _ => eprintln!("invalid input '{line}': expected the number of a running server and the path of a script"),
     }
 }
 
--- a/crates/stub-model-server/src/answer.rs
+++ b/crates/stub-model-server/src/response_plan.rs
@@ -1,32 +1,32 @@
-//! Turns a request and a script into a plan: the pieces of the body to be sent, the pauses between them, and how the
-//! connection ends. No sockets and no clock; `server::connection` carries plans out.
+//! Builds the plan of a response from a request and a script: the pieces of the body, the pauses between them and how
+//! the connection ends. Uses no sockets and no clock; `server::connection` executes plans.
 
 use crate::script::{AnswerPart, ReplyFault, ReplyScript};
 use crate::tokens;
 use serde_json::{json, Value};
 use std::time::Duration;
 
-/// How long a silent server keeps its connection open.
-const SILENCE: Duration = Duration::from_secs(600);
+/// How long a connection stays open without a response.
+const SILENT_CONNECTION_DURATION: Duration = Duration::from_secs(600);
 const STATUS_OK: u16 = 200;
 
-/// What an answer depends on in a request.
+/// The parts of a request that determine the response.
 #[derive(Clone, Debug)]
 pub struct ChatRequest {
-    /// The prompt, without the beginning of the answer.
+    /// The prompt, without the partial answer that the request continues.
     pub prompt: String,
-    /// Tokens of the answer that the request has already.
+    /// Number of tokens in the partial answer that the request continues.
     pub tokens_before: usize,
-    /// Tokens of the whole answer.
+    /// Number of tokens of the complete answer.
     pub total_token_count: usize,
-    /// Tokens that this answer may have at most.
+    /// Maximum number of tokens in this response.
     pub max_tokens: usize,
-    /// Whether the stream is to report the usage.
+    /// Whether the request asks for the usage.
     pub wants_usage: bool,
 }
 
 impl ChatRequest {
-    /// Reads a request's body. A body that is not JSON counts as an empty prompt.
+    /// Parses the body of a request. A body that is not JSON is treated as an empty prompt.
     pub fn parse(body: &[u8], script: &ReplyScript) -> ChatRequest {
         let request: Value = serde_json::from_slice(body).unwrap_or(Value::Null);
         let (prompt, tokens_before) = tokens::split_prompt(&request);
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Tokens of the answer to this request.
+    /// Number of tokens in the response to this request.
     fn token_count(&self) -> usize {
         self.total_token_count
             .saturating_sub(self.tokens_before)
@@ -55,25 +55,25 @@
 /// One step of a plan.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PlanStep {
-    /// Wait.
+    /// Wait for this duration.
     Wait(Duration),
     /// Send these bytes of the body, chunk framing included.
     Send(Vec<u8>),
     /// Close the connection.
     Close {
-        /// Whether by a reset instead of an orderly close.
+        /// Whether to reset the connection instead of closing it in an orderly way.
         reset: bool,
     },
 }
 
-/// How a request is answered.
+/// The plan of a response.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ResponsePlan {
-    /// The status; a response with another one than 200 has no stream.
+    /// The HTTP status. Responses with a status other than 200 have no stream.
     pub status: u16,
-    /// What follows the head.
+    /// The steps after the head.
     pub steps: Vec<PlanStep>,
-    /// Tokens of the answer, if all of it is sent.
+    /// Number of tokens if the plan is not cut short.
     pub token_count: usize,
 }
 
@@ -87,21 +87,21 @@
     }
 }
 
-/// A piece of the body, and which part of the answer it is where a cut may come before it.
+/// A piece of the body. `part` is set if the connection can be cut before this piece.
 struct BodyPiece {
     part: Option<AnswerPart>,
     bytes: Vec<u8>,
 }
 
-/// Where the connection is cut within the bytes of the body.
+/// Offset in the body at which the connection is cut.
 #[derive(Clone, Copy)]
 struct Cut {
     after_bytes: usize,
     reset: bool,
 }
 
-/// The plan of one answer. `id` is the answer's own, so that two answers can be told apart.
-pub fn plan(
+/// Builds the plan of one response. `id` is the response id, which distinguishes the responses to one request.
+pub fn plan_response(
     request: &ChatRequest,
     id: &str,
     script: &ReplyScript,
@@ -110,7 +110,10 @@
     match fault {
         Some(ReplyFault::Status(status)) => ResponsePlan::without_tokens(*status, Vec::new()),
         Some(ReplyFault::Silent) => {
-            let steps = vec![PlanStep::Wait(SILENCE), PlanStep::Close { reset: false }];
+            let steps = vec![
+                PlanStep::Wait(SILENT_CONNECTION_DURATION),
+                PlanStep::Close { reset: false },
+            ];
             ResponsePlan::without_tokens(STATUS_OK, steps)
         }
         _ => {
@@ -124,7 +127,7 @@
     }
 }
 
-/// The pieces of the body in order.
+/// The pieces of the body, in order.
 fn body_pieces(request: &ChatRequest, id: &str, fault: Option<&ReplyFault>) -> Vec<BodyPiece> {
     let mut pieces = Vec::new();
     let mut add = |part, bytes| pieces.push(BodyPiece { part, bytes });
@@ -138,8 +141,8 @@
         };
         add(None, text_event(id, &delta, None));
     }
-    let is_cut_short = request.tokens_before + token_count < request.total_token_count;
-    let finish_reason = if is_cut_short { "length" } else { "stop" };
+    let is_limited = request.tokens_before + token_count < request.total_token_count;
+    let finish_reason = if is_limited { "length" } else { "stop" };
     add(
         Some(AnswerPart::Finish),
         text_event(id, &json!({}), Some(finish_reason)),
@@ -147,7 +150,7 @@
     if request.wants_usage {
         add(Some(AnswerPart::Usage), usage_event(request, id));
     }
-    add(Some(AnswerPart::Done), chunk("data: [DONE]\n\n"));
+    add(Some(AnswerPart::Done), http_chunk("data: [DONE]\n\n"));
     if fault == Some(&ReplyFault::EventsAfterEnd) {
         add(None, text_event(id, &json!({"content": "more "}), None));
     }
@@ -166,7 +169,7 @@
         Some(ReplyFault::SlowTokens(gap_ms)) => *gap_ms,
         _ => script.token_gap_ms,
     };
-    let cut = cut_within_body(prompt, fault);
+    let cut = cut_in_body(prompt, fault);
     let mut steps = vec![wait_ms(script.first_token_ms)];
     let mut sent_bytes = 0;
     for (index, BodyPiece { part, bytes }) in pieces.into_iter().enumerate() {
@@ -197,22 +200,22 @@
     steps
 }
 
-fn cut_within_body(prompt: &str, fault: Option<&ReplyFault>) -> Option<Cut> {
+fn cut_in_body(prompt: &str, fault: Option<&ReplyFault>) -> Option<Cut> {
     match fault? {
         ReplyFault::CutAfterBytes { after, reset } => Some(Cut {
             after_bytes: *after,
             reset: *reset,
         }),
         ReplyFault::CutAtPromptOffset { reset } => Some(Cut {
-            after_bytes: cut_in_prompt(prompt)?,
+            after_bytes: cut_offset_in_prompt(prompt)?,
             reset: *reset,
         }),
         _ => None,
     }
 }
 
-/// The number after `cut=` in a prompt.
-fn cut_in_prompt(prompt: &str) -> Option<usize> {
+/// The number after `cut=` in a prompt; `None` if there is none.
+fn cut_offset_in_prompt(prompt: &str) -> Option<usize> {
     let after_key = prompt.split("cut=").nth(1)?;
     let digits = after_key
         .split(|character: char| !character.is_ascii_digit())
@@ -224,12 +227,12 @@
     PlanStep::Wait(Duration::from_millis(ms))
 }
 
-fn chunk(body: &str) -> Vec<u8> {
+fn http_chunk(body: &str) -> Vec<u8> {
     format!("{:x}\r\n{body}\r\n", body.len()).into_bytes()
 }
 
 fn event(value: &Value) -> Vec<u8> {
-    chunk(&format!("data: {value}\n\n"))
+    http_chunk(&format!("data: {value}\n\n"))
 }
 
 fn text_event(id: &str, delta: &Value, finish_reason: Option<&str>) -> Vec<u8> {
--- a/crates/stub-model-server/src/script.rs
+++ b/crates/stub-model-server/src/script.rs
@@ -1,8 +1,8 @@
-//! The script of a stub server, as TOML: how fast it answers, and which requests it answers with a fault.
+//! The TOML script of a stub server: its response times, and which requests are answered with a fault.
 
 use serde::Deserialize;
 
-/// How a server answers.
+/// The script of a server.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields, default)]
 pub struct ReplyScript {
@@ -12,10 +12,10 @@
     /// Time between two tokens, in milliseconds.
     #[serde(rename = "gap_ms")]
     pub token_gap_ms: u64,
-    /// Tokens of an answer, where the request does not limit it to fewer.
+    /// Number of tokens of a complete answer. A request can limit its response to fewer.
     #[serde(rename = "tokens")]
     pub token_count: usize,
-    /// Which requests get a fault; the first rule that applies to a request counts.
+    /// Rules that inject faults. The first rule that applies to a request is used.
     #[serde(rename = "rule")]
     pub rules: Vec<FaultRule>,
 }
@@ -31,25 +31,25 @@
     }
 }
 
-/// Which requests get a fault, and which fault.
+/// Selects requests and the fault that is injected into their responses.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct FaultRule {
-    /// Only requests whose prompt contains this text.
+    /// Applies only to requests whose prompt contains this text; `None` for all prompts.
     pub prompt: Option<String>,
-    /// Only requests that continue an answer, or only those that do not.
+    /// Applies only to requests that continue an answer (true) or only to others (false); `None` for both.
     #[serde(rename = "continued")]
     pub is_continuation: Option<bool>,
-    /// One in this many of the requests that the rule applies to, the first one included.
+    /// Injects the fault into every nth matching request, starting with the first.
     #[serde(default = "every_request")]
     pub every: u64,
-    /// Only the first request of each prompt, at whichever of the servers it arrives.
+    /// Applies only to the first request of each prompt, counted across all servers.
     #[serde(default, rename = "once")]
     pub first_of_prompt_only: bool,
-    /// At most this many requests.
+    /// Maximum number of faults that this rule injects; `None` for no limit.
     #[serde(rename = "most")]
     pub max_count: Option<u64>,
-    /// The fault.
+    /// The injected fault.
     pub fault: ReplyFault,
 }
 
@@ -57,60 +57,60 @@
     1
 }
 
-/// What goes wrong with an answer.
+/// A fault of a response.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(rename_all = "kebab-case")]
 pub enum ReplyFault {
-    /// The stream is silent for a time in its midst, and then goes on.
+    /// The stream pauses and then continues.
     Stall {
-        /// Events before the silence.
+        /// Number of events before the pause.
         after: usize,
-        /// Length of the silence, in milliseconds.
+        /// Length of the pause, in milliseconds.
         ms: u64,
     },
-    /// Events come this many milliseconds apart.
+    /// Time between events, in milliseconds, instead of that of the script.
     #[serde(rename = "trickle")]
     SlowTokens(u64),
-    /// The connection ends after this many bytes of the body.
+    /// The connection is closed after a number of bytes of the body.
     #[serde(rename = "cut-bytes")]
     CutAfterBytes {
-        /// Bytes, chunk framing counted.
+        /// Number of bytes, including chunk framing.
         after: usize,
-        /// Whether it ends by a reset instead of an orderly close.
+        /// Whether to reset the connection instead of closing it in an orderly way.
         #[serde(default)]
         reset: bool,
     },
-    /// The connection ends after as many bytes of the body as the prompt says after `cut=`.
+    /// The connection is closed after the number of bytes of the body that follows `cut=` in the prompt.
     #[serde(rename = "cut-named")]
     CutAtPromptOffset {
-        /// Whether it ends by a reset instead of an orderly close.
+        /// Whether to reset the connection instead of closing it in an orderly way.
         #[serde(default)]
         reset: bool,
     },
-    /// The connection ends before this part of the answer.
+    /// The connection is closed before a part of the response.
     CutBefore {
-        /// The part that is missing.
+        /// The first part that is not sent.
         part: AnswerPart,
-        /// Whether it ends by a reset instead of an orderly close.
+        /// Whether to reset the connection instead of closing it in an orderly way.
         #[serde(default)]
         reset: bool,
     },
-    /// The event of this index is sent twice.
+    /// The event with this index is sent twice.
     #[serde(rename = "repeat")]
     RepeatEvent(usize),
-    /// More events follow the end.
+    /// An event is sent after `[DONE]`.
     #[serde(rename = "go-on")]
     EventsAfterEnd,
-    /// The answer is sent on its connection, and on another one too, where this server has an idle one.
+    /// The response is also sent on an idle connection of this server, if there is one.
     #[serde(rename = "twice")]
     DuplicateOnIdleConnection,
-    /// A response with this status, without a stream.
+    /// The response has this HTTP status and no stream.
     Status(u16),
-    /// No response at all.
+    /// No response is sent.
     Silent,
 }
 
-/// A part of an answer before which the connection can be cut.
+/// A part of the response before which the connection can be closed.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
 pub enum AnswerPart {
@@ -129,12 +129,12 @@
     ///
     /// # Errors
     ///
-    /// Returns an error that names the key and its line where the text is no script.
+    /// Returns an error with the key and line if the text is not a valid script.
     pub fn parse(text: &str) -> Result<ReplyScript, toml::de::Error> {
         toml::from_str(text)
     }
 
-    /// The same script with one more rule, for all requests to which no earlier rule applies.
+    /// Appends a rule that injects `fault` into the responses to all requests to which no earlier rule applies.
     #[must_use]
     pub fn with_fault(mut self, fault: ReplyFault) -> ReplyScript {
         self.rules.push(FaultRule {
--- a/crates/stub-model-server/src/server/connection.rs
+++ b/crates/stub-model-server/src/server/connection.rs
@@ -1,8 +1,8 @@
-//! One connection of a stub server: requests one after the other, each answered by its plan.
+//! One connection of a stub server. Requests are handled one after the other, each according to its plan.
 
 use super::request_head::RequestHead;
-use super::state::{lock, ConnectionId, PreparedAnswer, State};
-use crate::answer::PlanStep;
+use super::state::{lock, ConnectionId, PreparedResponse, State};
+use crate::response_plan::PlanStep;
 use socket2::SockRef;
 use std::io::Error;
 use std::sync::Mutex;
@@ -11,32 +11,32 @@
 use tokio::net::TcpStream;
 use tokio::sync::mpsc;
 
-/// The longest request that is read, in bytes.
+/// Maximum length of a request, in bytes.
 const MAX_REQUEST_BYTES: usize = 512 * 1024;
 const READ_BUFFER_BYTES: usize = 16 * 1024;
-/// Pieces of unsolicited answers that wait to be written on one connection. Further ones are dropped.
+/// Maximum number of queued pieces of unsolicited responses per connection. Further pieces are dropped.
 const MAX_UNSOLICITED_PIECES: usize = 64;
 const CHAT_PATH: &str = "/v1/chat/completions";
 const STREAM_HEAD: &str =
     "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n";
-const EMPTY_OBJECT: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}";
+const EMPTY_OBJECT_RESPONSE: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}";
 const STATUS_OK: u16 = 200;
 
-/// Whether a connection takes another request.
+/// Whether a connection accepts further requests after a response.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum AfterAnswer {
-    KeepOpen,
+enum ConnectionState {
+    Open,
     Closed,
 }
 
-/// A request that was read completely.
+/// A completely received request.
 struct ReceivedRequest {
     id: String,
     path: String,
     body: Vec<u8>,
 }
 
-/// Removes a connection from the idle ones once it ends.
+/// Removes a connection from the idle connections when it ends.
 struct IdleRegistration<'a> {
     state: &'a Mutex<State>,
     id: ConnectionId,
@@ -55,44 +55,44 @@
     state: &Mutex<State>,
 ) -> Result<(), Error> {
     stream.set_nodelay(true)?;
-    let mut unread = Vec::new();
+    let mut buffered = Vec::new();
     let (unsolicited, mut unsolicited_pieces) = mpsc::channel(MAX_UNSOLICITED_PIECES);
     let id = lock(state).new_connection(server);
     let _registration = IdleRegistration { state, id };
     loop {
         lock(state).set_idle(id, unsolicited.clone());
-        let request = read_request(&mut stream, &mut unread, &mut unsolicited_pieces).await?;
+        let request = read_request(&mut stream, &mut buffered, &mut unsolicited_pieces).await?;
         let Some(request) = request else {
             return Ok(());
         };
         lock(state).set_busy(id);
         if request.path != CHAT_PATH {
-            stream.write_all(EMPTY_OBJECT).await?;
+            stream.write_all(EMPTY_OBJECT_RESPONSE).await?;
             continue;
         }
-        let answer = lock(state).prepare_answer(server, &request.id, &request.body);
-        if send_answer(&mut stream, answer, state).await? == AfterAnswer::Closed {
+        let response = lock(state).prepare_response(server, &request.id, &request.body);
+        if send_response(&mut stream, response, state).await? == ConnectionState::Closed {
             return Ok(());
         }
     }
 }
 
-/// Reads a request, and writes unsolicited pieces that come meanwhile; `None` at the end of the connection, and for a
-/// request that is too long. `unread` holds bytes of a request that has not been read completely.
+/// Reads a request. Unsolicited pieces that are queued meanwhile are written to the connection. `buffered` holds the
+/// bytes received but not yet parsed. Returns `None` if the connection ends or the request is too long.
 async fn read_request(
     stream: &mut TcpStream,
-    unread: &mut Vec<u8>,
+    buffered: &mut Vec<u8>,
     unsolicited_pieces: &mut mpsc::Receiver<Vec<u8>>,
 ) -> Result<Option<ReceivedRequest>, Error> {
     let mut buffer = vec![0; READ_BUFFER_BYTES];
     loop {
-        if let Some(request) = take_request(unread) {
+        if let Some(request) = take_request(buffered) {
             return Ok(Some(request));
         }
-        if unread.len() > MAX_REQUEST_BYTES {
+        if buffered.len() > MAX_REQUEST_BYTES {
             return Ok(None);
         }
-        // Both branches are cancel-safe: a read that loses has read nothing, a receive that loses has taken nothing.
+        // Both branches are cancel-safe: a cancelled read or receive has consumed nothing.
         let size = tokio::select! {
             size = stream.read(&mut buffer) => size?,
             Some(bytes) = unsolicited_pieces.recv() => {
@@ -103,17 +103,17 @@
         if size == 0 {
             return Ok(None);
         }
-        unread.extend_from_slice(&buffer[..size]);
+        buffered.extend_from_slice(&buffer[..size]);
     }
 }
 
-/// Takes the first request out of what was read, if it is complete.
-fn take_request(unread: &mut Vec<u8>) -> Option<ReceivedRequest> {
-    let head = RequestHead::parse(unread)?;
-    if unread.len() < head.request_bytes() {
+/// Removes the first request from the buffer, if it is complete.
+fn take_request(buffered: &mut Vec<u8>) -> Option<ReceivedRequest> {
+    let head = RequestHead::parse(buffered)?;
+    if buffered.len() < head.request_bytes() {
         return None;
     }
-    let body = unread
+    let body = buffered
         .drain(..head.request_bytes())
         .skip(head.head_bytes)
         .collect();
@@ -124,17 +124,17 @@
     })
 }
 
-/// Carries a plan out.
-async fn send_answer(
+/// Executes the plan of a response.
+async fn send_response(
     stream: &mut TcpStream,
-    answer: PreparedAnswer,
+    response: PreparedResponse,
     state: &Mutex<State>,
-) -> Result<AfterAnswer, Error> {
-    let PreparedAnswer {
+) -> Result<ConnectionState, Error> {
+    let PreparedResponse {
         plan,
         record_index,
         duplicate,
-    } = answer;
+    } = response;
     let record = |written_bytes, is_complete| {
         lock(state).record_progress(record_index, written_bytes, is_complete);
     };
@@ -143,11 +143,11 @@
         let head = format!("HTTP/1.1 {status} Stand-in\r\nContent-Length: 0\r\n\r\n");
         stream.write_all(head.as_bytes()).await?;
         record(0, true);
-        return Ok(AfterAnswer::KeepOpen);
+        return Ok(ConnectionState::Open);
     }
     let send_duplicate = |bytes: &[u8]| {
         if let Some(connection) = &duplicate {
-            // A full or closed connection loses the duplicate, which nobody waits for.
+            // If the queue is full or closed, the duplicate is lost. No client waits for it.
             let _ = connection.try_send(bytes.to_vec());
         }
     };
@@ -168,24 +168,24 @@
             PlanStep::Close { reset } => {
                 close(stream, reset).await?;
                 record(0, true);
-                return Ok(AfterAnswer::Closed);
+                return Ok(ConnectionState::Closed);
             }
         }
     }
     record(0, true);
-    Ok(AfterAnswer::KeepOpen)
+    Ok(ConnectionState::Open)
 }
 
 async fn close(stream: &mut TcpStream, reset: bool) -> Result<(), Error> {
     if reset {
-        // Without the option the connection closes in order, which the test that asked for a reset then shows.
+        // If the option cannot be set, the connection closes without a reset, and the test that expects a reset fails.
         let _ = SockRef::from(&*stream).set_linger(Some(Duration::ZERO));
         return Ok(());
     }
     stream.shutdown().await
 }
 
-/// Waits, and fails if the client disconnects meanwhile.
+/// Waits for `pause`; fails early if the client disconnects.
 async fn wait(stream: &TcpStream, pause: Duration) -> Result<(), Error> {
     if pause.is_zero() {
         return Ok(());
--- a/crates/stub-model-server/src/server/mod.rs
+++ b/crates/stub-model-server/src/server/mod.rs
@@ -1,4 +1,4 @@
-//! Stub servers on loopback sockets: any number of them on one thread of their own, which ends when they are dropped.
+//! Stub servers on loopback sockets. All servers of a [`StubServers`] run on one thread, which ends when it is dropped.
 
 mod connection;
 mod request_head;
@@ -14,49 +14,49 @@
 use tokio::net::TcpListener;
 use tokio::sync::oneshot;
 
-/// How long a server waits after a failed accept.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(5);
+/// Delay after a failed accept.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(5);
 
-/// What a server recorded of one request.
+/// Record of one request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServedRequest {
-    /// The server's number.
+    /// Index of the server.
     pub server: usize,
-    /// The request's id, as it came.
+    /// The request id that the server received.
     pub id: String,
-    /// Its prompt.
+    /// The prompt.
     pub prompt: String,
-    /// Tokens of the answer that the request had already.
+    /// Number of tokens in the partial answer that the request continued.
     pub tokens_before: usize,
-    /// Tokens of this answer, if all of it was sent.
+    /// Number of tokens of the planned response.
     pub planned_token_count: usize,
-    /// Bytes of the body that were written.
+    /// Number of body bytes written.
     pub written_bytes: usize,
-    /// Whether the whole plan was carried out.
+    /// Whether the plan was executed completely.
     pub is_complete: bool,
 }
 
-/// Running servers. Dropping them ends them.
+/// Running stub servers. Dropping this value stops them.
 pub struct StubServers {
     addrs: Vec<SocketAddr>,
     state: SharedState,
-    /// Ends the servers' thread when it is dropped.
+    /// Stops the servers' thread when dropped.
     _stop: oneshot::Sender<()>,
 }
 
 impl StubServers {
-    /// Starts one server for each script, on free ports of the loopback address.
+    /// Starts one server per script, each on a free port of the loopback address.
     ///
     /// # Errors
     ///
-    /// Returns the system's error if a socket or the runtime cannot be created.
+    /// Returns an I/O error if a socket or the runtime cannot be created.
     pub fn start(scripts: Vec<ReplyScript>) -> Result<StubServers, Error> {
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_all()
             .build()?;
         let listeners = scripts
             .iter()
-            .map(|_| listen())
+            .map(|_| bind_loopback())
             .collect::<Result<Vec<_>, _>>()?;
         let addrs = listeners
             .iter()
@@ -71,9 +71,9 @@
                     let Ok(listener) = TcpListener::from_std(listener) else {
                         continue;
                     };
-                    tokio::spawn(accept(server, listener, servers_state.clone()));
+                    tokio::spawn(accept_connections(server, listener, servers_state.clone()));
                 }
-                // An error means that the handle was dropped, which is the order to stop.
+                // The sender never sends: the receiver resolves with an error when the handle is dropped.
                 let _ = stopped.await;
             });
         });
@@ -84,44 +84,44 @@
         })
     }
 
-    /// The addresses of the servers, in the order of the scripts.
+    /// The addresses of the servers, in script order.
     pub fn addrs(&self) -> &[SocketAddr] {
         &self.addrs
     }
 
-    /// Gives a server another script. Answers under way keep the old one.
+    /// Replaces the script of a server. Responses in progress keep the old script.
     pub fn set_script(&self, server: usize, script: ReplyScript) {
         lock(&self.state).set_script(server, script);
     }
 
-    /// What has been recorded so far.
+    /// The requests recorded so far, in order of arrival.
     pub fn served_requests(&self) -> Vec<ServedRequest> {
         lock(&self.state).served.clone()
     }
 
-    /// How many answers were also written to a connection on which nothing had been asked.
+    /// Number of responses that were also sent on an idle connection.
     pub fn unsolicited_count(&self) -> u64 {
         lock(&self.state).unsolicited_count
     }
 }
 
-fn listen() -> Result<std::net::TcpListener, Error> {
+fn bind_loopback() -> Result<std::net::TcpListener, Error> {
     let listener = std::net::TcpListener::bind("127.0.0.1:0")?;
     listener.set_nonblocking(true)?;
     Ok(listener)
 }
 
-async fn accept(server: usize, listener: TcpListener, state: SharedState) {
+async fn accept_connections(server: usize, listener: TcpListener, state: SharedState) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
                 let state = state.clone();
                 tokio::spawn(async move {
-                    // A connection that breaks is the client's affair: what was written is in the records.
+                    // Errors of a connection are ignored: the records contain what was written.
                     let _ = serve_connection(server, stream, &state).await;
                 });
             }
-            Err(_) => tokio::time::sleep(ACCEPT_PAUSE).await,
+            Err(_) => tokio::time::sleep(ACCEPT_RETRY_DELAY).await,
         }
     }
 }
--- a/crates/stub-model-server/src/server/request_head.rs
+++ b/crates/stub-model-server/src/server/request_head.rs
@@ -1,21 +1,21 @@
-//! The head of an HTTP request.
+//! Parsing of the head of an HTTP request.
 
-/// The most headers that a request may have.
+/// Maximum number of headers in a request.
 const MAX_HEADERS: usize = 64;
 
-/// What the server needs of a request's head.
+/// The parts of a request head that the server uses.
 pub(super) struct RequestHead {
     /// Length of the head in bytes.
     pub head_bytes: usize,
     /// Length of the body in bytes.
     pub body_bytes: usize,
-    /// The request's id; empty if there is none.
+    /// The request id; empty if there is none.
     pub id: String,
     pub path: String,
 }
 
 impl RequestHead {
-    /// Parses a head; `None` while it is incomplete, and if it is malformed.
+    /// Parses a head; `None` if it is incomplete or malformed.
     pub(super) fn parse(bytes: &[u8]) -> Option<RequestHead> {
         let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut request = httparse::Request::new(&mut headers);
@@ -40,7 +40,7 @@
         })
     }
 
-    /// Length of the whole request in bytes.
+    /// Length of the request in bytes, head and body.
     pub(super) fn request_bytes(&self) -> usize {
         self.head_bytes + self.body_bytes
     }
--- a/crates/stub-model-server/src/server/state.rs
+++ b/crates/stub-model-server/src/server/state.rs
@@ -1,13 +1,13 @@
-//! What all connections of the stub servers share: scripts, records, and which connections are idle.
+//! State shared by all connections of the stub servers: scripts, records and idle connections.
 
 use super::ServedRequest;
-use crate::answer::{plan, ChatRequest, ResponsePlan};
+use crate::response_plan::{plan_response, ChatRequest, ResponsePlan};
 use crate::script::{FaultRule, ReplyFault, ReplyScript};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use tokio::sync::mpsc;
 
-/// Requests that are recorded; further ones are only counted.
+/// Maximum number of recorded requests. Further requests are served but not recorded.
 const MAX_RECORDS: usize = 200_000;
 
 /// Identifies a connection of one of the servers.
@@ -17,43 +17,43 @@
     pub number: u64,
 }
 
-/// Where bytes go that are written to an idle connection.
-pub(super) type UnsolicitedBytes = mpsc::Sender<Vec<u8>>;
+/// Sends unsolicited bytes to an idle connection.
+pub(super) type UnsolicitedSender = mpsc::Sender<Vec<u8>>;
 pub(super) type SharedState = Arc<Mutex<State>>;
 
-/// How often a rule has applied to a request, and how often its fault was caused.
+/// Number of requests that a rule matched, and number of faults that it injected.
 #[derive(Clone, Copy, Default)]
 struct RuleCounts {
-    applied: u64,
-    caused: u64,
+    matched: u64,
+    injected: u64,
 }
 
-/// What all servers share.
+/// State shared by all servers.
 pub(super) struct State {
     scripts: Vec<ReplyScript>,
-    /// Counts of each rule of each server's script.
+    /// Counts per rule, for the script of each server.
     rule_counts: Vec<Vec<RuleCounts>>,
-    /// What was recorded, in the order of arrival.
+    /// Recorded requests, in order of arrival.
     pub served: Vec<ServedRequest>,
-    /// Prompts on which a rule for first requests has acted.
-    prompts_with_faults: BTreeSet<String>,
-    answer_count: u64,
+    /// Prompts that a rule with `first_of_prompt_only` has matched.
+    matched_prompts: BTreeSet<String>,
+    response_count: u64,
     connection_count: u64,
-    /// Connections that wait for a request.
-    idle: BTreeMap<ConnectionId, UnsolicitedBytes>,
+    /// Connections that are waiting for a request.
+    idle: BTreeMap<ConnectionId, UnsolicitedSender>,
     pub unsolicited_count: u64,
 }
 
-/// An answer that is to be sent.
-pub(super) struct PreparedAnswer {
+/// A response that is ready to be sent.
+pub(super) struct PreparedResponse {
     pub plan: ResponsePlan,
-    /// The answer's index in [`State::served`], if it is recorded.
+    /// Index of the record in [`State::served`]; `None` if the request is not recorded.
     pub record_index: Option<usize>,
-    /// An idle connection that gets the same bytes.
-    pub duplicate: Option<UnsolicitedBytes>,
+    /// An idle connection on which the same bytes are sent.
+    pub duplicate: Option<UnsolicitedSender>,
 }
 
-/// Locks the state, also after a panic of another thread that held it.
+/// Locks the state, ignoring poisoning by a panic of another thread.
 pub(super) fn lock(state: &Mutex<State>) -> MutexGuard<'_, State> {
     state.lock().unwrap_or_else(PoisonError::into_inner)
 }
@@ -61,11 +61,11 @@
 impl State {
     pub(super) fn new(scripts: Vec<ReplyScript>) -> State {
         State {
-            rule_counts: scripts.iter().map(no_counts).collect(),
+            rule_counts: scripts.iter().map(zero_counts).collect(),
             scripts,
             served: Vec::new(),
-            prompts_with_faults: BTreeSet::new(),
-            answer_count: 0,
+            matched_prompts: BTreeSet::new(),
+            response_count: 0,
             connection_count: 0,
             idle: BTreeMap::new(),
             unsolicited_count: 0,
@@ -73,7 +73,7 @@
     }
 
     pub(super) fn set_script(&mut self, server: usize, script: ReplyScript) {
-        self.rule_counts[server] = no_counts(&script);
+        self.rule_counts[server] = zero_counts(&script);
         self.scripts[server] = script;
     }
 
@@ -85,7 +85,7 @@
         }
     }
 
-    pub(super) fn set_idle(&mut self, id: ConnectionId, bytes: UnsolicitedBytes) {
+    pub(super) fn set_idle(&mut self, id: ConnectionId, bytes: UnsolicitedSender) {
         self.idle.insert(id, bytes);
     }
 
@@ -93,19 +93,19 @@
         self.idle.remove(&id);
     }
 
-    /// Decides how a request is answered, and records it.
-    pub(super) fn prepare_answer(
+    /// Plans the response to a request and records the request.
+    pub(super) fn prepare_response(
         &mut self,
         server: usize,
         id: &str,
         body: &[u8],
-    ) -> PreparedAnswer {
-        self.answer_count += 1;
+    ) -> PreparedResponse {
+        self.response_count += 1;
         let script = self.scripts[server].clone();
         let request = ChatRequest::parse(body, &script);
         let fault = self.fault_for(server, &script, &request);
-        let answer_id = format!("stand-in-{server}-{}", self.answer_count);
-        let plan = plan(&request, &answer_id, &script, fault.as_ref());
+        let response_id = format!("stand-in-{server}-{}", self.response_count);
+        let plan = plan_response(&request, &response_id, &script, fault.as_ref());
         let duplicate = if fault == Some(ReplyFault::DuplicateOnIdleConnection) {
             self.first_idle(server)
         } else {
@@ -121,14 +121,14 @@
             written_bytes: 0,
             is_complete: false,
         });
-        PreparedAnswer {
+        PreparedResponse {
             plan,
             record_index,
             duplicate,
         }
     }
 
-    /// Adds to what was written of a recorded answer.
+    /// Updates the record of a request with the progress of its response.
     pub(super) fn record_progress(
         &mut self,
         record_index: Option<usize>,
@@ -150,7 +150,7 @@
         Some(index)
     }
 
-    fn first_idle(&self, server: usize) -> Option<UnsolicitedBytes> {
+    fn first_idle(&self, server: usize) -> Option<UnsolicitedSender> {
         let first = ConnectionId { server, number: 0 };
         let last = ConnectionId {
             server,
@@ -160,7 +160,7 @@
         Some(connection.clone())
     }
 
-    /// The fault of the first rule that applies to the request and is due.
+    /// The fault of the first rule that matches the request and is due; `None` if there is none.
     fn fault_for(
         &mut self,
         server: usize,
@@ -172,16 +172,16 @@
                 continue;
             }
             if rule.first_of_prompt_only {
-                let is_first = self.prompts_with_faults.len() < MAX_RECORDS
-                    && self.prompts_with_faults.insert(request.prompt.clone());
+                let is_first = self.matched_prompts.len() < MAX_RECORDS
+                    && self.matched_prompts.insert(request.prompt.clone());
                 if !is_first {
                     continue;
                 }
             }
-            let is_due = counts.applied % rule.every.max(1) == 0;
-            counts.applied += 1;
-            if is_due && rule.max_count.is_none_or(|max| counts.caused < max) {
-                counts.caused += 1;
+            let is_due = counts.matched % rule.every.max(1) == 0;
+            counts.matched += 1;
+            if is_due && rule.max_count.is_none_or(|max| counts.injected < max) {
+                counts.injected += 1;
                 return Some(rule.fault.clone());
             }
         }
@@ -189,11 +189,11 @@
     }
 }
 
-fn no_counts(script: &ReplyScript) -> Vec<RuleCounts> {
+fn zero_counts(script: &ReplyScript) -> Vec<RuleCounts> {
     vec![RuleCounts::default(); script.rules.len()]
 }
 
-/// Whether a rule is for requests like this one.
+/// Whether the conditions of a rule match the request.
 fn matches_request(rule: &FaultRule, request: &ChatRequest) -> bool {
     let has_prompt = rule
         .prompt
--- a/crates/stub-model-server/src/tokens.rs
+++ b/crates/stub-model-server/src/tokens.rs
@@ -1,10 +1,10 @@
-//! The text of an answer, computed from the prompt alone: every server gives the same text, and so does a continuation.
+//! Computes the text of an answer from the prompt alone, so all servers and all continuations produce the same text.
 
 use serde_json::Value;
 
-/// Characters of one token, its space included.
+/// Length of a token in characters, including the trailing space.
 pub const TOKEN_LENGTH: usize = 4;
-/// Letters that a token is made of.
+/// Number of letters that tokens are composed of.
 const LETTER_COUNT: u64 = 26;
 const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
 const FNV_PRIME: u64 = 0x100_0000_01b3;
@@ -23,7 +23,7 @@
     })
 }
 
-/// The token of this index of the answer to a prompt.
+/// The token with this index in the answer to a prompt.
 pub fn answer_token(prompt: &str, index: usize) -> String {
     let mut bits = mix_bits(hash_text(prompt) ^ mix_bits(index as u64 + 1));
     let mut token = String::with_capacity(TOKEN_LENGTH);
@@ -42,13 +42,14 @@
         .collect()
 }
 
-/// The prompt of a request, and how many tokens of its answer the request has already. Where the last message is the
-/// assistant's and is to be continued, it is the beginning of the answer and not a part of the prompt.
+/// Splits a request into its prompt and the number of tokens of the partial answer that it continues. If the request
+/// asks to continue the last message and that message is from the assistant, the message is the partial answer and not
+/// part of the prompt.
 pub fn split_prompt(request: &Value) -> (String, usize) {
     let no_messages = Vec::new();
     let messages = request["messages"].as_array().unwrap_or(&no_messages);
     let is_continuation = request["continue_final_message"] == Value::Bool(true);
-    let (begun_answer, prompt_messages) = match messages.split_last() {
+    let (partial_answer, prompt_messages) = match messages.split_last() {
         Some((last, before)) if is_continuation && last["role"] == "assistant" => {
             (Some(last), before)
         }
@@ -59,7 +60,7 @@
         .map(message_text)
         .collect::<Vec<_>>()
         .join("\n");
-    let tokens_before = begun_answer.map_or(0, |message| {
+    let tokens_before = partial_answer.map_or(0, |message| {
         message_text(message).chars().count() / TOKEN_LENGTH
     });
     (prompt, tokens_before)
--- a/crates/stub-model-server/tests/script.rs
+++ b/crates/stub-model-server/tests/script.rs
@@ -1,4 +1,4 @@
-//! Scripts as TOML: every key and fault by the name that files use.
+//! Tests of parsing scripts: every key and every fault, by its name in TOML.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -67,13 +67,13 @@
 }
 
 #[test]
-fn names_the_key_and_line_of_a_bad_script() {
+fn parse_error_contains_the_key_and_line() {
     let error = ReplyScript::parse("tokens = 3\nspeed = 1\n").unwrap_err();
     let text = error.to_string();
     assert!(text.contains("line 2") && text.contains("speed"), "{text}");
 }
 
 #[test]
-fn the_example_is_a_script() {
+fn example_is_a_valid_script() {
     ReplyScript::parse(include_str!("../examples/stalls.toml")).unwrap();
 }
