--- a/crates/durable-log/src/lib.rs
+++ b/crates/durable-log/src/lib.rs
@@ -8,7 +8,7 @@
 //! All file operations go through [`Disk`]:
 //!
 //! - [`FolderDisk`]: a folder of the file system.
-//! - [`SimulatedDisk`]: a disk in memory that can lose or tear unsynced writes, fail a sync, be full or hold corrupt bytes.
+//! - [`SimulatedDisk`]: a disk in memory that can lose or tear unsynced writes, fail a sync, be full or corrupt.
 //! - [`FaultInjectingDisk`]: a folder of the file system with faults that a test requests.
 
 mod disk;
--- a/crates/durable-log/src/log.rs
+++ b/crates/durable-log/src/log.rs
@@ -11,8 +11,8 @@
 /// A log on a disk.
 ///
 /// A record is durable once the [`DurableLog::sync`] after its [`DurableLog::append`] has succeeded. The log accepts no
-/// more records after a failed write or sync, because the kernel may then mark pages as clean that never reached the
-/// disk.
+/// more records after a failed write or sync: after a failed sync the kernel may mark pages as clean that never reached
+/// the disk.
 #[derive(Debug)]
 pub struct DurableLog<D: Disk> {
     disk: D,
--- a/crates/stream-recovery/src/gaps.rs
+++ b/crates/stream-recovery/src/gaps.rs
@@ -82,7 +82,7 @@
         }
     }
 
-    /// The 98th percentile of the gaps; `None` until enough gaps are recorded.
+    /// The gap at a high quantile (`LONG_GAP_QUANTILE`); `None` until enough gaps are recorded.
     pub fn long_gap(&self) -> Option<Micros> {
         self.quantile(LONG_GAP_QUANTILE)
             .filter(|_| self.total >= MIN_WEIGHT)
--- a/crates/stream-recovery/src/transcript.rs
+++ b/crates/stream-recovery/src/transcript.rs
@@ -82,7 +82,7 @@
 pub struct ForwardedBytes {
     /// Complete events to send to the client.
     pub bytes: Vec<u8>,
-    /// Number of events forwarded.
+    /// Number of complete events processed, including empty ones that were omitted.
     pub event_count: usize,
     /// Number of bytes dropped: from a replica of an earlier epoch, or after the end of the stream.
     pub dropped_bytes: usize,
@@ -105,7 +105,7 @@
     dropped_bytes: u64,
     /// Tokens forwarded before the current epoch.
     earlier_epoch_tokens: u64,
-    /// Whether any event was a `chat.completion.chunk`.
+    /// Whether any event had a list of choices, as a `chat.completion.chunk` has.
     has_chunks: bool,
 }
 
@@ -157,7 +157,8 @@
         self.dropped_bytes
     }
 
-    /// Whether any event was a `chat.completion.chunk`. Whether other streams are complete cannot be determined.
+    /// Whether any event had a list of choices, as a `chat.completion.chunk` has. Other streams cannot be checked for
+    /// completeness.
     pub fn has_chunks(&self) -> bool {
         self.has_chunks
     }
--- a/crates/stub-model-server/src/lib.rs
+++ b/crates/stub-model-server/src/lib.rs
@@ -1,6 +1,6 @@
 //! Stub model servers on loopback, for tests, benches and experiments.
 //!
-//! - `tokens`: computes the text of an answer from the prompt alone, so every continuation has exactly one correct text.
+//! - `tokens`: computes the text of an answer from the prompt alone, so each continuation has one correct text.
 //! - `script`: defines which requests are answered with which fault.
 //! - `response_plan`: builds the plan of a response from a request and a script, without sockets.
 //! - `server`: executes plans over HTTP/1.1 and records the requests.
