--- a/crates/testbed/src/emulator/clients.rs
+++ b/crates/testbed/src/emulator/clients.rs
@@ -1,8 +1,8 @@
-//! The clients of a run: tenants with sessions, turn after turn.
+//! Generates the load of a run: requests of tenants, in sessions of several turns.
 //!
-//! Arrivals do not wait for answers (an open loop), so an overloaded fleet is not asked for less. The emulator and the
-//! load generator on sockets draw their requests from the same [`ClientPopulation`]. Each method draws its random
-//! numbers in a fixed order: the results of a seed depend on it.
+//! The load is an open loop: arrivals do not wait for answers, so an overloaded fleet does not receive fewer requests.
+//! The emulator and the load generator on sockets both draw their requests from [`ClientPopulation`]. Each method draws
+//! its random numbers in a fixed order, because the results of a seed depend on it.
 
 use super::description::{ClassDescription, RunDescription};
 use super::model_server::SharedPrefix;
@@ -11,7 +11,7 @@
 use rand_distr::{Distribution, Exp1, LogNormal};
 use std::collections::VecDeque;
 
-/// A request as its client knows it, over all its tries.
+/// A request of a client, over all its submissions to nodes.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClientRequest {
     /// The index of its class.
@@ -20,36 +20,36 @@
     pub tenant: usize,
     /// The id of its session.
     pub session: u64,
-    /// The beginning of the prompt that other sessions share.
+    /// The beginning of the prompt, which other sessions share.
     pub prefix: SharedPrefix,
     /// Tokens of the prompt.
     pub prompt_tokens: u32,
-    /// Tokens that the answer will have.
+    /// Tokens of the answer.
     pub answer_tokens: u32,
-    /// When the client sent it for the first time.
+    /// When the client first sent it.
     pub first_sent_at: Micros,
-    /// Tries so far.
+    /// How often the client has sent it: 1 without client retries.
     pub submission_count: u32,
 }
 
-/// A session whose next turn may come.
+/// A session that waits for its next turn.
 #[derive(Clone, Copy, Debug)]
 struct IdleSession {
     id: u64,
     prefix_id: u64,
-    /// Tokens of the conversation so far: the next prompt begins with them.
+    /// Tokens of the conversation so far; the prompt of the next turn begins with them.
     tokens: u32,
 }
 
 struct TenantLoad {
-    /// Arrivals a second.
+    /// Arrivals per second.
     arrival_rate: f64,
-    /// Multiplies the rate; 1 but during a burst.
+    /// Multiplies the rate; 1 except during a burst.
     burst_factor: f64,
     idle_sessions: VecDeque<IdleSession>,
 }
 
-/// A class with the end of its interval, for drawing one by weight.
+/// A class and the end of its interval of cumulative weights, for weighted sampling.
 struct WeightedClass {
     cumulative_weight: f64,
     description: ClassDescription,
@@ -63,7 +63,7 @@
 }
 
 impl ClientPopulation {
-    /// The clients of a run, none of which has a session yet.
+    /// Creates the clients of a run, without sessions.
     pub fn new(run: &RunDescription) -> Self {
         let total_rate = run.load.per_server * run.fleet.servers as f64;
         let total_weight: f64 = run.tenant.iter().map(|tenant| tenant.part).sum();
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Draws the time until a tenant's next arrival; `None` where the tenant sends nothing.
+    /// Draws the time until a tenant's next arrival; `None` if its rate is 0.
     pub fn draw_interarrival_time(&self, tenant: usize, rng: &mut impl Rng) -> Option<Micros> {
         let load = &self.tenants[tenant];
         let drawn: f64 = Exp1.sample(rng);
@@ -99,7 +99,7 @@
         (rate > 0.0).then(|| (drawn / rate * 1e6) as Micros)
     }
 
-    /// Multiplies a tenant's rate of arrivals from now on.
+    /// Multiplies a tenant's arrival rate from now on.
     pub fn set_burst_factor(&mut self, tenant: usize, factor: f64) {
         self.tenants[tenant].burst_factor = factor;
     }
@@ -150,8 +150,8 @@
         }
     }
 
-    /// Ends a request. Where its answer was complete, its session becomes idle: its next turn may come. A tenant has at
-    /// most `max_idle_sessions`; the one that has been idle the longest gives way.
+    /// Ends a request. If its answer is complete, its session becomes idle and may continue with another turn. A tenant
+    /// has at most `max_idle_sessions`; the session that has been idle the longest is dropped for a new one.
     pub fn finish_request(
         &mut self,
         request: &ClientRequest,
@@ -219,7 +219,7 @@
     }
 }
 
-/// Draws from a log-normal distribution, at least 1 and at most `max_tokens`.
+/// Draws from a log-normal distribution, limited to 1 to `max_tokens`.
 fn draw_token_count(rng: &mut impl Rng, median: f64, sigma: f64, max_tokens: u32) -> u32 {
     let drawn = match LogNormal::new(median.max(1.0).ln(), sigma) {
         Ok(distribution) => distribution.sample(rng),
--- a/crates/testbed/src/emulator/coordination/measures.rs
+++ b/crates/testbed/src/emulator/coordination/measures.rs
@@ -1,9 +1,9 @@
-//! What is measured of the coordination: messages sent, lease holders, and how far repeats exceed the budget.
+//! Measurements of the coordination: messages sent, lease holders, and repeated attempts beyond the budget.
 
 use super::super::outcome::MessageRate;
 use crate::Micros;
 
-/// Messages sent, ordered by their number.
+/// Messages sent. Compared by their number first, then by their bytes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct MessageCounts {
     pub(super) messages: u64,
@@ -19,8 +19,8 @@
     }
 }
 
-/// A token bucket that repeated attempts fill and the rate of the budget drains: its greatest level is the most by which
-/// repeats exceeded the rate over any window.
+/// A leaky bucket that repeated attempts fill and that drains at the rate of the budget. Its highest level is the
+/// largest excess of repeats over that rate in any window.
 #[derive(Default)]
 pub(super) struct RepeatBucket {
     level: f64,
@@ -29,7 +29,7 @@
 }
 
 impl RepeatBucket {
-    /// Adds one repeat; the budget allows `rate` a second.
+    /// Adds one repeat. `rate` is the budget in repeats per second.
     pub(super) fn add(&mut self, now: Micros, rate: f64) {
         let drained = rate * (now - self.updated_at) as f64 / 1e6;
         self.level = (self.level - drained).max(0.0) + 1.0;
@@ -42,9 +42,9 @@
     }
 }
 
-/// Checks of how many nodes hold the lease.
+/// Monitors how many nodes hold the lease.
 #[derive(Default)]
-pub(super) struct HolderWatch {
+pub(super) struct HolderMonitor {
     /// Checks that found more than one holder.
     overlap_count: u64,
     /// The latest check that found a holder; `None` before the first one.
@@ -53,7 +53,7 @@
     longest_without: Micros,
 }
 
-impl HolderWatch {
+impl HolderMonitor {
     pub(super) fn record(&mut self, now: Micros, holder_count: usize) {
         if holder_count > 1 {
             self.overlap_count += 1;
--- a/crates/testbed/src/emulator/coordination/mod.rs
+++ b/crates/testbed/src/emulator/coordination/mod.rs
@@ -1,10 +1,9 @@
-//! The coordination of emulated nodes: leases and budgets by the project's own state machines, one of each at every
-//! node.
+//! The coordination of emulated nodes: every node runs the project's own state machines for leases and budgets.
 //!
-//! [`Coordination`] knows nothing of the simulation. It is fed [`CoordinationEvent`]s with the time, and answers with
-//! [`CoordinationCommand`]s that the simulation carries out in their order: it schedules the next events, sends messages
-//! over the emulated network and gives nodes what they are granted. It measures that at most one node holds the lease
-//! and that the nodes together keep to the budget.
+//! [`Coordination`] does not depend on the simulation. It receives [`CoordinationEvent`]s with their time and returns
+//! [`CoordinationCommand`]s, which the simulation executes in order: it schedules further events, sends messages over
+//! the emulated network and sets the budget grants of nodes. It counts the checks at which more than one node holds the
+//! lease, and measures whether all nodes together stay within the budget.
 
 mod measures;
 mod process;
@@ -14,7 +13,7 @@
 use super::outcome::{CoordinationSummary, MessageRate};
 use super::time::micros;
 use crate::Micros;
-use measures::{HolderWatch, MessageCounts, RepeatBucket};
+use measures::{HolderMonitor, MessageCounts, RepeatBucket};
 use poppykeel::transport::coordination::budgets::FleetBudgets;
 use poppykeel_coordination::budget::{BudgetLimit, BudgetSettings};
 use poppykeel_coordination::envelope::{self, Envelope};
@@ -25,54 +24,54 @@
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr};
 
-/// How long a lease server's write to its disk takes.
+/// How long a lease server takes to write its log to disk.
 const DISK_WRITE_DURATION: Micros = 1_000;
-/// How often it is checked who holds the lease.
+/// Interval between checks for lease holders.
 const HOLDER_CHECK_INTERVAL: Micros = 5_000;
-/// The name of the one budget: that of retries.
+/// The only budget in the emulator: retries.
 const RETRY_BUDGET: &str = "retries";
-/// The drift of clocks that nodes allow for; the emulator's clocks have none.
+/// The clock drift that nodes allow for, in parts per million; the emulator's clocks have none.
 const CLOCK_DRIFT_PPM: u32 = 1_000;
 /// The shortest interval of probes between nodes.
 const MIN_PROBE_INTERVAL: Micros = 10_000;
-/// Processes do not all start in one microsecond: their first events are spread over this time ...
+/// The first events of processes are spread over this time, so that they do not all occur in one microsecond ...
 const START_SPREAD: Micros = 50_000;
 /// ... in steps of this length, a prime number.
 const START_STEP: Micros = 7_919;
-/// The first address of nodes, 10.128.0.0; the others follow it.
+/// The address of the first node, 10.128.0.0; the others follow it.
 const FIRST_NODE_ADDRESS: u32 = 0x0a80_0000;
 /// The port on which nodes receive messages.
 const NODE_PORT: u16 = 7946;
 
-/// Counts the processes that have been started at all nodes. A process is named by its number.
+/// Identifies a process: how many processes have been started on all nodes, including it.
 pub(super) type ProcessNumber = u64;
 
-/// What happens to the coordination of one node.
+/// An event for the coordination of one node.
 #[derive(Debug)]
 pub(super) enum CoordinationEvent {
-    /// A message arrives, for whatever process the node has by then.
+    /// A message arrives. The process that the node runs by then receives it.
     Message(Box<Envelope>),
-    /// Records that a lease server wrote are on its disk.
+    /// The records written by a lease server are on its disk.
     LogWritten {
         write: u64,
         records: Vec<LeaseLogRecord>,
     },
-    /// The timers of its state machine are due.
+    /// The timers of the state machine are due.
     Timer,
-    /// It is time to ask the lease holder for a budget grant.
+    /// The next budget request is due.
     BudgetRequest,
 }
 
-/// What the simulation must do.
+/// An action for the simulation.
 pub(super) enum CoordinationCommand {
-    /// Hand over an event at a time, if the process still runs then.
+    /// Deliver an event at time `at`, if the process still runs then.
     Schedule {
         at: Micros,
         node: usize,
         process: ProcessNumber,
         event: CoordinationEvent,
     },
-    /// Check the lease holders at a time.
+    /// Check the lease holders at time `at`.
     ScheduleHolderCheck { at: Micros },
     /// Send a message over the network.
     Send {
@@ -80,16 +79,16 @@
         to: usize,
         envelope: Box<Envelope>,
     },
-    /// Tell a node what it is granted.
+    /// Set the budget grants of a node.
     SetBudgetGrants { node: usize, grants: BudgetGrants },
 }
 
-/// One node's part in the coordination.
+/// The coordination state of one node.
 #[derive(Default)]
 struct Participant {
     /// `None` while the node is down.
     process: Option<CoordinationProcess>,
-    /// The log on its disk, which outlives processes.
+    /// The lease log on its disk, which outlives processes.
     log: Vec<LeaseLogRecord>,
     sent: MessageCounts,
 }
@@ -105,19 +104,19 @@
 /// The coordination of all nodes.
 pub(super) struct Coordination {
     description: CoordinationDescription,
-    /// The length of the load, in seconds. Nothing is coordinated after it.
+    /// The duration of the load, in seconds. Coordination stops at its end.
     load_seconds: f64,
     budgets: FleetBudgets,
     participants: Vec<Participant>,
     started_process_count: ProcessNumber,
-    /// Checks of lease holders have been scheduled.
+    /// Whether checks of lease holders have been scheduled.
     checks_holders: bool,
-    holder_watch: HolderWatch,
+    holder_monitor: HolderMonitor,
     repeats: RepeatBucket,
 }
 
 impl Coordination {
-    /// The coordination of nodes that have not started.
+    /// Creates the coordination of nodes that have not started.
     pub(super) fn new(
         description: &CoordinationDescription,
         node_count: usize,
@@ -133,12 +132,12 @@
             participants: (0..node_count).map(|_| Participant::default()).collect(),
             started_process_count: 0,
             checks_holders: false,
-            holder_watch: HolderWatch::default(),
+            holder_monitor: HolderMonitor::default(),
             repeats: RepeatBucket::default(),
         }
     }
 
-    /// Starts a process of a node; the node may have had one before.
+    /// Starts a process on a node, which may have had one before.
     pub(super) fn start_node(
         &mut self,
         now: Micros,
@@ -155,12 +154,12 @@
         }
     }
 
-    /// Ends the process of a node; its log stays.
+    /// Ends the process of a node. Its log remains.
     pub(super) fn stop_node(&mut self, node: usize) {
         self.participants[node].process = None;
     }
 
-    /// Takes an event for a process of a node; one for a process that has ended is dropped.
+    /// Handles an event for a process of a node. Events for a process that has ended are dropped.
     pub(super) fn handle_event(
         &mut self,
         now: Micros,
@@ -177,7 +176,7 @@
         let Some(process) = &mut participant.process else {
             return;
         };
-        // Messages are addressed to the node, to whatever process it has by then.
+        // Messages are addressed to the node and not to one of its processes.
         let is_message = matches!(event, CoordinationEvent::Message(_));
         let number = process.number();
         if !is_message && number != process_number {
@@ -212,7 +211,7 @@
             commands.push(schedule(due, CoordinationEvent::Timer));
         }
         for output in outputs {
-            self.carry_out(now, node_index, number, output, commands);
+            self.execute_output(now, node_index, number, output, commands);
         }
     }
 
@@ -226,20 +225,20 @@
             .iter()
             .filter(|participant| participant.holds_lease(now))
             .count();
-        self.holder_watch.record(now, holder_count);
+        self.holder_monitor.record(now, holder_count);
         commands.push(CoordinationCommand::ScheduleHolderCheck {
             at: now + HOLDER_CHECK_INTERVAL,
         });
     }
 
-    /// Counts an attempt beyond its request's first that has reached a server.
+    /// Counts a repeat: an attempt that has reached a server and is not the first of its request.
     pub(super) fn record_repeat(&mut self, now: Micros) {
         self.repeats.add(now, self.description.retries);
     }
 
-    /// What the coordination has come to.
+    /// Summarizes the measurements of the run.
     pub(super) fn summary(&self) -> CoordinationSummary {
-        // Messages are counted in the second half of the run.
+        // `send` counts messages in the second half of the run only.
         let seconds = self.load_seconds / 2.0;
         let mut total = MessageCounts::default();
         for participant in &self.participants {
@@ -260,8 +259,8 @@
                 bytes_per_second: total_rate.bytes_per_second / node_count,
             },
             keeper: busiest.unwrap_or_default().rate_over(seconds),
-            overlaps: self.holder_watch.overlap_count(),
-            longest_without: self.holder_watch.longest_without() as f64 / 1e6,
+            overlaps: self.holder_monitor.overlap_count(),
+            longest_without: self.holder_monitor.longest_without() as f64 / 1e6,
             worst_window: self.repeats.max_level() / self.description.burst.max(1.0),
         }
     }
@@ -319,7 +318,7 @@
         }
     }
 
-    /// An equal and constant part of the budget, as each node has it without coordination.
+    /// A fixed and equal part of the budget, as nodes have without coordination.
     fn equal_grants(&self) -> BudgetGrants {
         let node_count = self.participants.len() as f64;
         let grant = BudgetGrant {
@@ -332,7 +331,7 @@
         BudgetGrants::from([(BudgetKind::Retries, grant)])
     }
 
-    fn carry_out(
+    fn execute_output(
         &mut self,
         now: Micros,
         node: usize,
@@ -353,7 +352,7 @@
         }
     }
 
-    /// Counts a message and hands it to the network; one to a name that no node has is dropped.
+    /// Counts a message and sends it over the network. A message to an unknown node is dropped.
     fn send(
         &mut self,
         now: Micros,
@@ -367,7 +366,7 @@
         if to >= self.participants.len() {
             return;
         }
-        // The first half of a run is its start, which is not counted.
+        // The first half of a run contains its start-up and is not counted.
         if to != from && now >= self.load_end() / 2 {
             let sent = &mut self.participants[from].sent;
             sent.messages += 1;
@@ -392,7 +391,7 @@
     }
 }
 
-/// Budgets are counted in thousandths.
+/// Converts to thousandths, in which budgets are counted.
 fn thousandths(amount: f64) -> u64 {
     (amount * 1e3).round() as u64
 }
@@ -402,7 +401,7 @@
     format!("n{node:05}")
 }
 
-/// The node of this name, which [`node_name`] has made.
+/// The index of the node with this name; the inverse of [`node_name`].
 fn node_index(name: &str) -> Option<usize> {
     name.strip_prefix('n')?.parse().ok()
 }
--- a/crates/testbed/src/emulator/coordination/process.rs
+++ b/crates/testbed/src/emulator/coordination/process.rs
@@ -1,4 +1,4 @@
-//! One process of an emulated node: the project's own state machines of leases and budgets, and their next timer.
+//! One process of an emulated node: the project's own state machines for leases and budgets.
 
 use super::{node_name, ProcessNumber};
 use crate::Micros;
@@ -10,17 +10,17 @@
 use poppykeel_coordination::Incarnation;
 use std::collections::BTreeMap;
 
-/// The state machines of a process that runs.
+/// The state machines of a running process.
 pub(super) struct CoordinationProcess {
     number: ProcessNumber,
     node: CoordinationNode,
     budget: BudgetParticipant,
-    /// When its timers have been scheduled to run.
-    wakes_at: Option<Micros>,
+    /// When its next timer has been scheduled; `None` before the first one.
+    scheduled_timer: Option<Micros>,
 }
 
 impl CoordinationProcess {
-    /// Starts a process on what earlier ones have left in the log. It asks for the lease.
+    /// Starts a process with the log of earlier ones. It requests the lease.
     pub(super) fn start(
         now: Micros,
         number: ProcessNumber,
@@ -35,7 +35,7 @@
             number,
             node,
             budget,
-            wakes_at: None,
+            scheduled_timer: None,
         }
     }
 
@@ -72,7 +72,7 @@
         vec![self.node.message_to(sender.node, None, body)]
     }
 
-    /// Asks the lease holder, which may be this node itself, for a budget grant. Without a known holder nothing is sent.
+    /// Requests a budget grant from the lease holder, which may be this node. Sends nothing if no holder is known.
     pub(super) fn request_budget(
         &mut self,
         now: Micros,
@@ -103,16 +103,16 @@
         }
     }
 
-    /// The time of the next timer, if none has been scheduled that is early enough. The caller schedules it.
+    /// Returns the time of the next timer, unless one is scheduled that is early enough. The caller schedules it.
     pub(super) fn take_unscheduled_timer(&mut self, now: Micros) -> Option<Micros> {
         let due = self.node.next_deadline()?;
         let is_scheduled = self
-            .wakes_at
-            .is_some_and(|wakes_at| wakes_at > now && wakes_at <= due);
+            .scheduled_timer
+            .is_some_and(|scheduled_timer| scheduled_timer > now && scheduled_timer <= due);
         if is_scheduled {
             return None;
         }
-        self.wakes_at = Some(due);
+        self.scheduled_timer = Some(due);
         Some(due)
     }
 }
--- a/crates/testbed/src/emulator/event_queue.rs
+++ b/crates/testbed/src/emulator/event_queue.rs
@@ -1,7 +1,7 @@
-//! The calendar of a simulation: events by time, and the simulated clock.
+//! The event queue and simulated clock of a simulation.
 //!
-//! Events of the same time leave in the order in which they were scheduled, so that a run depends on nothing but its
-//! description, its policy and its seed. The clock never runs backwards.
+//! Events with the same time are popped in the order in which they were scheduled, so that a run depends only on its
+//! description, policy and seed. The clock never goes backwards.
 
 use crate::Micros;
 use std::cmp::Ordering;
@@ -28,13 +28,14 @@
 }
 
 impl<T> Ord for ScheduledEvent<T> {
-    /// Reversed, as the heap gives its greatest element first: the earliest, and of one time the first scheduled.
+    /// Reversed, because the heap returns its greatest element first: the earliest event, and the first scheduled of
+    /// those with the same time.
     fn cmp(&self, other: &Self) -> Ordering {
         (other.at, other.sequence_number).cmp(&(self.at, self.sequence_number))
     }
 }
 
-/// Events by time.
+/// Events ordered by time.
 pub struct EventQueue<T> {
     heap: BinaryHeap<ScheduledEvent<T>>,
     next_sequence_number: u64,
@@ -52,12 +53,12 @@
 }
 
 impl<T> EventQueue<T> {
-    /// The time of the event that was taken last.
+    /// The time of the event that was popped last.
     pub fn now(&self) -> Micros {
         self.now
     }
 
-    /// Schedules an event; one for a time that has passed happens now.
+    /// Schedules an event. An event for a time in the past is scheduled for the current time.
     pub fn schedule(&mut self, at: Micros, event: T) {
         self.heap.push(ScheduledEvent {
             at: at.max(self.now),
@@ -67,7 +68,7 @@
         self.next_sequence_number += 1;
     }
 
-    /// Takes the next event and sets the clock to its time.
+    /// Removes the next event and sets the clock to its time.
     pub fn pop(&mut self) -> Option<(Micros, T)> {
         let scheduled = self.heap.pop()?;
         self.now = scheduled.at;
--- a/crates/testbed/src/emulator/event_queue/tests.rs
+++ b/crates/testbed/src/emulator/event_queue/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn events_of_one_time_leave_in_the_order_they_were_scheduled() {
+fn pops_events_of_the_same_time_in_scheduling_order() {
     let mut queue = EventQueue::default();
     for n in 0..100 {
         queue.schedule(if n % 2 == 0 { 5 } else { 3 }, n);
@@ -15,5 +15,5 @@
         .collect();
     assert_eq!(order, expected);
     queue.schedule(1, 0);
-    assert_eq!(queue.pop(), Some((5, 0)), "time does not run backwards");
+    assert_eq!(queue.pop(), Some((5, 0)), "the clock must not go backwards");
 }
--- a/crates/testbed/src/emulator/mod.rs
+++ b/crates/testbed/src/emulator/mod.rs
@@ -1,11 +1,10 @@
-//! The emulator: one run of a whole fleet by discrete events.
+//! Discrete-event emulator of a fleet: clients, nodes, model servers and the network between them.
 //!
-//! A [`Simulation`] plays a [`description::RunDescription`] under one of [`policies::Policy`]: clients, nodes, servers
-//! and the network between them. Nodes are the project's own request router and scheduler, unchanged, or a simple policy
-//! to compare with. A run is one thread and depends on nothing but its description, its policy and its seed: the same
-//! three give the same bytes.
+//! A [`Simulation`] runs a [`description::RunDescription`] with one [`policies::Policy`]. Nodes are the project's own
+//! request router and scheduler, unchanged, or a baseline policy for comparison. A run is single-threaded and depends
+//! only on its description, policy and seed: the same three give identical bytes.
 //!
-//! Experiments, the view and the benchmarks play runs; the stub servers and the load generator on sockets use
+//! Experiments, the view and the benchmarks run simulations. The stub servers and the load generator on sockets use
 //! [`model_server`], `ClientPopulation` and `OutcomeRecorder` for the same model in real time.
 
 mod clients;
