--- a/crates/testbed/src/emulator/description/mod.rs
+++ b/crates/testbed/src/emulator/description/mod.rs
@@ -1,8 +1,7 @@
-//! The description of a run: its fleet, its load, its faults and the coordination of its nodes.
+//! The description of a run: its fleet, load, faults and the coordination of its nodes.
 //!
-//! The names of fields are the keys of an experiment's file, so they keep that file's words; a key that is left out has
-//! the default given here, and one that does not exist is an error. [`RunDescription::check`] must have passed before a
-//! run is played.
+//! Field names are the keys of an experiment's file and must not change. A missing key has the default given here; an
+//! unknown key is an error. A run must pass [`RunDescription::check`] before it is simulated.
 
 mod validation;
 
@@ -11,11 +10,11 @@
 use super::model_server::ServerProfile;
 use serde::{Deserialize, Serialize};
 
-/// One run, all but its seed and its policy.
+/// One run, without its seed and policy.
 #[derive(Clone, Debug, Default, Deserialize, Serialize, PartialEq)]
 #[serde(deny_unknown_fields, default)]
 pub struct RunDescription {
-    /// Servers, nodes and the network between them.
+    /// Model servers, nodes and the network between them.
     pub fleet: FleetDescription,
     /// The load that clients send.
     pub load: LoadDescription,
@@ -25,7 +24,7 @@
     pub tenant: Vec<TenantDescription>,
     /// The faults of the run.
     pub fault: Vec<FaultDescription>,
-    /// The coordination of the nodes and the budget that they share; none by default.
+    /// The coordination of the nodes and their common budget; `None` for a run without it.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub together: Option<CoordinationDescription>,
 }
@@ -37,17 +36,17 @@
     /// By the lease holder, in grants that follow the nodes' demand.
     #[default]
     Shares,
-    /// The same fixed part for each node.
+    /// The same fixed share for each node.
     Equal,
-    /// Not at all: nodes retry without a budget.
+    /// No budget: nodes retry without a limit.
     None,
 }
 
-/// The coordination of the nodes and the budget that they share.
+/// The coordination of the nodes and their common budget.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
 #[serde(deny_unknown_fields, default)]
 pub struct CoordinationDescription {
-    /// How many nodes are lease servers, from the first on; an odd number.
+    /// Number of lease servers, an odd number; the first nodes run them.
     pub keepers: usize,
     /// The duration of leases, in seconds.
     pub lease_s: f64,
@@ -57,13 +56,13 @@
     pub share_s: f64,
     /// How the retry budget is divided.
     pub division: BudgetDivision,
-    /// Retries a second of all nodes together.
+    /// Retries per second of all nodes together.
     pub retries: f64,
-    /// Retries at once of all nodes together.
+    /// Burst of retries of all nodes together.
     pub burst: f64,
-    /// Retries a second of a node that has no grant.
+    /// Retries per second of a node without a grant.
     pub floor: f64,
-    /// Retries at once of a node that has no grant.
+    /// Burst of retries of a node without a grant.
     pub floor_burst: f64,
 }
 
@@ -83,15 +82,15 @@
     }
 }
 
-/// Servers, nodes and the network between them.
+/// Model servers, nodes and the network between them.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
 #[serde(deny_unknown_fields, default)]
 pub struct FleetDescription {
-    /// How many model servers there are.
+    /// Number of model servers.
     pub servers: usize,
-    /// How many nodes there are.
+    /// Number of nodes.
     pub nodes: usize,
-    /// How many zones there are; servers and nodes are spread over them in turn.
+    /// Number of zones. Servers and nodes are assigned to them round robin.
     pub zones: usize,
     /// The capacity and speed of every server.
     pub server: ServerProfile,
@@ -99,27 +98,27 @@
     pub near_us: u64,
     /// The one-way latency between zones, in microseconds.
     pub far_us: u64,
-    /// Added to an attempt for which a connection has to be made, in microseconds.
+    /// Time added to an attempt that needs a new connection, in microseconds.
     pub connect_us: u64,
-    /// Idle connections that a node keeps to a server at most.
+    /// Maximum number of idle connections from a node to a server.
     pub idle: u16,
-    /// The timeout of a connection that nobody answers, in seconds.
+    /// The timeout of connecting to a server that cannot be reached, in seconds.
     pub dial_s: f64,
-    /// The timeout of a stream that sends nothing, in seconds.
+    /// The timeout of a stream on which nothing arrives, in seconds.
     pub silence_s: f64,
-    /// The greatest age of servers' load reports, in milliseconds.
+    /// The maximum age of servers' load reports, in milliseconds.
     pub report_ms: u64,
     /// The error of load reports, as the sigma of a log-normal factor.
     pub report_noise: f64,
-    /// The delay until nodes know a change of the endpoint list, in milliseconds.
+    /// The delay until nodes receive a change of the endpoint list, in milliseconds.
     pub list_ms: u64,
-    /// The delay until the endpoint list shows that a server has ended, in milliseconds.
+    /// The delay until a server that has ended is removed from the endpoint list, in milliseconds.
     pub notice_ms: u64,
-    /// Attempts of one request at most.
+    /// Maximum number of attempts of one request.
     pub attempts: usize,
     /// Whether nodes may send health checks.
     pub probes: bool,
-    /// Whether nodes may hedge: two attempts of one request in flight at once.
+    /// Whether nodes may hedge: run two attempts of one request at once.
     pub second_copies: bool,
 }
 
@@ -151,23 +150,24 @@
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
 #[serde(deny_unknown_fields, default)]
 pub struct LoadDescription {
-    /// New requests a second for each server: the load grows with the fleet.
+    /// New requests per second and server, so the load grows with the fleet.
     pub per_server: f64,
-    /// How long clients send new requests, in seconds; requests in flight may end after it.
+    /// How long clients send new requests, in seconds; requests in flight may end later.
     pub seconds: f64,
-    /// The fraction of requests that begin a session; the others are the next turn of one.
+    /// The fraction of requests that begin a session; each of the others is the next turn of an idle session.
     pub new_sessions: f64,
-    /// Idle sessions of each tenant at most.
+    /// Maximum number of idle sessions of a tenant.
     pub sessions: usize,
-    /// How many prompt prefixes sessions share.
+    /// Number of prompt prefixes that sessions share.
     pub prefixes: usize,
     /// Tokens of each shared prefix.
     pub prefix_tokens: u32,
-    /// Tokens of a prompt at most; longer ones are cut.
+    /// Maximum number of tokens of a prompt; longer ones are truncated.
     pub most_prompt: u32,
-    /// How many times a client retries after a rejection or a failure.
+    /// Maximum number of client retries after a rejection or a failure.
     pub retries: u32,
-    /// The longest `Retry-After` that a client waits for, in seconds; after a failure it waits half a second.
+    /// The longest `Retry-After` that a client waits for, in seconds; after a longer one it does not retry. After a
+    /// failure clients retry in half a second.
     pub heeds_s: f64,
 }
 
@@ -191,10 +191,10 @@
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
 pub enum RepeatSafety {
-    /// It may: it is idempotent.
+    /// The class is idempotent: requests may run more than once.
     #[default]
     Safe,
-    /// It must not.
+    /// Requests must run at most once.
     Unsafe,
 }
 
@@ -204,21 +204,21 @@
 pub struct ClassDescription {
     /// Its name.
     pub name: String,
-    /// Its weight among the classes when the class of a request is drawn.
+    /// Its weight in the load, relative to other classes.
     pub part: f64,
-    /// The priority weight of an answer within the latency objectives.
+    /// The priority weight of an answer that meets the latency objectives.
     pub worth: f64,
-    /// The fraction of that weight that a late answer has.
+    /// The fraction of that weight that a late answer earns.
     pub late_worth: f64,
     /// The objective for the time to first token, in seconds.
     pub aim_s: f64,
     /// The objective for the time between tokens, in seconds.
     pub token_aim_s: f64,
-    /// The client leaves if it has no first token by then, in seconds.
+    /// How long a client waits for the first token before it disconnects, in seconds.
     pub deadline_s: f64,
-    /// Whether it may run more than once.
+    /// Whether its requests may run more than once.
     pub repeats: RepeatSafety,
-    /// New tokens of a prompt: the median of a log-normal distribution.
+    /// New prompt tokens of a request: the median of a log-normal distribution.
     pub prompt_tokens: f64,
     /// The sigma of that distribution.
     pub prompt_sigma: f64,
@@ -226,7 +226,7 @@
     pub answer_tokens: f64,
     /// The sigma of that distribution.
     pub answer_sigma: f64,
-    /// Tokens of an answer at most, as requests state it.
+    /// Maximum number of tokens of an answer, as stated in requests.
     pub answer_limit: u32,
 }
 
@@ -256,9 +256,9 @@
 pub struct TenantDescription {
     /// Its name.
     pub name: String,
-    /// Its quota, compared with others'.
+    /// Its quota, relative to other tenants.
     pub share: f64,
-    /// Its weight among the tenants in the load.
+    /// Its weight in the load, relative to other tenants.
     pub part: f64,
 }
 
@@ -276,29 +276,29 @@
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
 pub enum FaultKind {
-    /// Servers end, and start again at the end of the fault without cache and at low speed.
+    /// Servers crash; they restart at the end of the fault, with an empty cache and at low speed.
     Die,
     /// Servers accept connections and send nothing.
     Silent,
-    /// Servers answer every request with an error at once.
+    /// Servers answer every request with an error immediately.
     FailFast,
-    /// Servers stop working for `size` seconds out of every two.
+    /// Servers stall for `size` seconds out of every two.
     Stall,
     /// Servers are `size` times slower.
     Slow,
-    /// Servers end and start again one second later, without cache and at low speed.
+    /// Servers crash and restart one second later, with an empty cache and at low speed.
     ColdRestart,
-    /// The network is cut between the zone `zone` and the others.
+    /// The network between the zone `zone` and the others is partitioned.
     ZoneCut,
-    /// Servers' load reports no longer change.
+    /// Servers' load reports are frozen.
     LateReports,
     /// The tenant `tenant` sends `size` times as many requests.
     Burst,
     /// Nodes receive no updates of the endpoint list.
     NoList,
-    /// Nodes end; new processes take their places at the end of the fault.
+    /// Nodes crash; new processes replace them at the end of the fault.
     NodeKill,
-    /// All servers are drained and restarted, a `part` of them at a time, one wave every `size` seconds.
+    /// All servers are drained and restarted, in waves of the fraction `part`; a wave starts every `size` seconds.
     Deploys,
 }
 
@@ -308,21 +308,21 @@
 pub struct FaultDescription {
     /// Its kind.
     pub what: FaultKind,
-    /// When it begins, in seconds since the beginning of the run.
+    /// When it begins, in seconds since the start of the run.
     pub at_s: f64,
     /// How long it lasts, in seconds.
     #[serde(default = "default_fault_duration_s")]
     pub for_s: f64,
-    /// The fraction of servers, or of nodes, that it affects, counted from the first.
+    /// The fraction of servers or nodes affected, counted from the first.
     #[serde(default = "default_fault_fraction")]
     pub part: f64,
-    /// Its strength; what that means depends on the kind.
+    /// Its size; the meaning depends on the kind.
     #[serde(default = "default_fault_size")]
     pub size: f64,
-    /// The zone, for a kind that has one.
+    /// The zone, for kinds that affect one.
     #[serde(default)]
     pub zone: usize,
-    /// The tenant, for a kind that has one.
+    /// The tenant, for kinds that affect one.
     #[serde(default)]
     pub tenant: usize,
 }
--- a/crates/testbed/src/emulator/description/validation.rs
+++ b/crates/testbed/src/emulator/description/validation.rs
@@ -1,22 +1,22 @@
-//! The check of a run's description: fills in what is left out and rejects what cannot be played.
+//! Validates a run's description and fills in defaults for empty lists.
 
 use super::{
     ClassDescription, CoordinationDescription, FaultDescription, RunDescription, TenantDescription,
 };
 
-/// Servers of a run at most.
+/// Maximum number of servers of a run.
 const MAX_SERVERS: usize = 1 << 20;
-/// Nodes of a run at most.
+/// Maximum number of nodes of a run.
 const MAX_NODES: usize = 1 << 16;
 /// The shortest duration of leases, in seconds.
 const MIN_LEASE_S: f64 = 0.1;
 /// The shortest duration of budget grants, in seconds.
 const MIN_GRANT_S: f64 = 0.2;
 
-/// Why a description cannot be played. Messages name the key and what is expected there.
+/// Why a description is invalid. The messages name the key and the expected value.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum RunDescriptionError {
-    /// A figure is zero, negative or not finite.
+    /// A value is zero, negative or not finite.
     #[error("{key}: expected more than 0, not {value}")]
     NotPositive {
         /// The key with its table.
@@ -24,26 +24,30 @@
         /// Its value.
         value: f64,
     },
-    /// There are more servers or nodes than the emulator plays.
+    /// There are more servers or nodes than the emulator supports.
     #[error(
         "fleet: expected at most {} servers and {} nodes",
         MAX_SERVERS,
         MAX_NODES
     )]
     FleetTooLarge,
-    /// The number of lease servers is zero, even or greater than that of the nodes.
-    #[error("together.keepers: expected 1, 3, 5 or 7 of the nodes, not {keepers}")]
+    /// The number of lease servers is zero, even or greater than the number of nodes.
+    #[error("together.keepers: expected an odd number, at most that of the nodes, not {keepers}")]
     LeaseServerCount {
-        /// The number given.
+        /// The given number.
         keepers: usize,
     },
-    /// A figure of the coordination is out of range.
-    #[error("together: expected figures of 0 or more, lease_s from 0.1, share_s from 0.2")]
-    CoordinationFigures,
-    /// A figure of a class is out of range.
-    #[error("class {index} ({name}): expected finite figures of 0 or more")]
-    ClassFigures {
-        /// The position of the class, from 0.
+    /// A value of the coordination is out of range.
+    #[error(
+        "together: expected finite values of 0 or more, lease_s at least 0.1, share_s at least 0.2"
+    )]
+    CoordinationOutOfRange,
+    /// A value of a class is out of range.
+    #[error(
+        "class {index} ({name}): expected finite values of 0 or more, answer_limit more than 0"
+    )]
+    ClassOutOfRange {
+        /// The index of the class.
         index: usize,
         /// Its name.
         name: String,
@@ -51,7 +55,7 @@
     /// The weights of all classes or tenants do not add up to a positive number.
     #[error("{key}: expected a sum of more than 0, not {value}")]
     SumNotPositive {
-        /// What is summed up.
+        /// The weights that are added up.
         key: &'static str,
         /// The sum.
         value: f64,
@@ -59,21 +63,21 @@
     /// A value of a fault is out of range.
     #[error("fault {index}: {keys}: expected {expected}")]
     Fault {
-        /// The position of the fault, from 0.
+        /// The index of the fault.
         index: usize,
-        /// The keys.
+        /// The keys concerned.
         keys: &'static str,
-        /// What would be right.
+        /// The expected value.
         expected: &'static str,
     },
 }
 
 impl RunDescription {
-    /// Fills in what is left out and checks the values.
+    /// Adds the default class and tenant if there are none, and checks all values.
     ///
     /// # Errors
     ///
-    /// The first [`RunDescriptionError`] that is found.
+    /// The first [`RunDescriptionError`] found.
     pub fn check(mut self) -> Result<RunDescription, RunDescriptionError> {
         if self.class.is_empty() {
             self.class.push(ClassDescription::default());
@@ -86,8 +90,8 @@
             coordination.check(self.fleet.nodes)?;
         }
         for (index, class) in self.class.iter().enumerate() {
-            if !class.has_valid_figures() {
-                return Err(RunDescriptionError::ClassFigures {
+            if !class.has_valid_values() {
+                return Err(RunDescriptionError::ClassOutOfRange {
                     index,
                     name: class.name.clone(),
                 });
@@ -164,7 +168,10 @@
             return out_of_range("size", "more than 0");
         }
         if fault.zone >= self.fleet.zones || fault.tenant >= self.tenant.len() {
-            return out_of_range("zone, tenant", "the number of one that there is, from 0");
+            return out_of_range(
+                "zone, tenant",
+                "the index of an existing zone or tenant, from 0",
+            );
         }
         Ok(())
     }
@@ -177,7 +184,7 @@
                 keepers: self.keepers,
             });
         }
-        let figures = [
+        let values = [
             self.lease_s,
             self.probe_s,
             self.share_s,
@@ -186,20 +193,20 @@
             self.floor,
             self.floor_burst,
         ];
-        let is_valid = figures.into_iter().all(is_finite_and_not_negative)
+        let is_valid = values.into_iter().all(is_finite_and_not_negative)
             && self.lease_s >= MIN_LEASE_S
             && self.share_s >= MIN_GRANT_S;
         if is_valid {
             Ok(())
         } else {
-            Err(RunDescriptionError::CoordinationFigures)
+            Err(RunDescriptionError::CoordinationOutOfRange)
         }
     }
 }
 
 impl ClassDescription {
-    fn has_valid_figures(&self) -> bool {
-        let figures = [
+    fn has_valid_values(&self) -> bool {
+        let values = [
             self.part,
             self.worth,
             self.late_worth,
@@ -210,7 +217,7 @@
             self.answer_tokens,
             self.answer_sigma,
         ];
-        self.answer_limit > 0 && figures.into_iter().all(is_finite_and_not_negative)
+        self.answer_limit > 0 && values.into_iter().all(is_finite_and_not_negative)
     }
 }
 
--- a/crates/testbed/src/emulator/model_server/batching.rs
+++ b/crates/testbed/src/emulator/model_server/batching.rs
@@ -1,13 +1,14 @@
-//! Continuous batching: which requests run, how long their steps take, and the work of a step.
+//! Continuous batching: admits and preempts requests, times the steps of the batch and executes them.
 
 use super::{ModelServer, Sequence, ServerOutput, StepRun, TokenGaps, MIN_SPEED};
 use crate::Micros;
 
-/// Steps that are planned at once at most while the server warms up, since it becomes faster meanwhile.
+/// Maximum number of steps planned at once during warm-up, because the step duration changes meanwhile.
 const MAX_WARM_UP_STEPS: u64 = 16;
 
 impl ModelServer {
-    /// Ends a run of steps with the one in progress, so that a change of the batch takes effect with the next one.
+    /// Shortens the planned run of steps to the one in progress, so that a change of the batch takes effect with the
+    /// next step.
     pub(super) fn end_run_with_current_step(&mut self, now: Micros) {
         let Some(steps) = self
             .steps
@@ -17,8 +18,8 @@
         };
         let elapsed_steps = (now - steps.started_at) / steps.step_duration.max(1);
         let ended_steps = elapsed_steps.min(steps.step_count - 1);
-        // Runs of several steps only decode, and no answer ends before the last step: there is no output.
-        self.do_steps(ended_steps, steps.step_duration, &mut Vec::new());
+        // Runs of several steps only decode, and no answer ends before the last step, so there is no output.
+        self.execute_steps(ended_steps, steps.step_duration, &mut Vec::new());
         self.steps = Some(StepRun {
             started_at: steps.started_at + ended_steps * steps.step_duration,
             step_count: 1,
@@ -26,8 +27,8 @@
         });
     }
 
-    /// Does the work of so many steps: reads prompts in the order of the batch, and decodes every other answer.
-    pub(super) fn do_steps(
+    /// Executes steps: prefills prompts in the order of the batch, and decodes every other answer.
+    pub(super) fn execute_steps(
         &mut self,
         step_count: u64,
         step_duration: Micros,
@@ -36,7 +37,7 @@
         if step_count == 0 {
             return;
         }
-        let decoding_count = self.read_and_decode(step_count, outputs);
+        let decoding_count = self.prefill_and_decode(step_count, outputs);
         if decoding_count > 0 {
             self.token_gaps.push(TokenGaps {
                 duration: step_duration,
@@ -46,7 +47,8 @@
         self.remove_completed(outputs);
     }
 
-    /// Plans the next steps where none are in progress: adapts the batch to the memory, then times its steps.
+    /// Plans the next steps if none are in progress: preempts and admits requests according to the memory, then
+    /// computes the duration and number of steps.
     pub(super) fn plan_steps(&mut self, now: Micros) {
         if self.steps.is_some() {
             return;
@@ -63,28 +65,28 @@
             .iter()
             .filter(|sequence| sequence.is_decoding())
             .count() as u64;
-        let unread_tokens: u32 = self
+        let pending_tokens: u32 = self
             .running
             .iter()
-            .map(|sequence| sequence.unread_prompt_tokens)
+            .map(|sequence| sequence.pending_prefill_tokens)
             .sum();
-        let read_tokens = unread_tokens.min(self.profile.chunk);
-        let step_count = if read_tokens == 0 {
-            self.equal_step_count(now, decoding_count, free_tokens)
+        let prefill_tokens = pending_tokens.min(self.profile.chunk);
+        let step_count = if prefill_tokens == 0 {
+            self.uniform_step_count(now, decoding_count, free_tokens)
         } else {
             1
         };
         self.steps = Some(StepRun {
             started_at: now.max(self.stalled_until),
-            step_duration: self.step_duration(now, read_tokens, decoding_count),
+            step_duration: self.step_duration(now, prefill_tokens, decoding_count),
             step_count,
         });
     }
 
-    /// Reads prompts and decodes answers. Returns how many answers were decoded, without those that had their first
-    /// token.
-    fn read_and_decode(&mut self, step_count: u64, outputs: &mut Vec<ServerOutput>) -> u64 {
-        let mut unused_chunk = self.profile.chunk;
+    /// Prefills prompts and decodes answers. Returns the number of decoded answers, without those that received their
+    /// first token.
+    fn prefill_and_decode(&mut self, step_count: u64, outputs: &mut Vec<ServerOutput>) -> u64 {
+        let mut remaining_chunk = self.profile.chunk;
         let mut decoding_count = 0;
         for sequence in &mut self.running {
             if sequence.is_decoding() {
@@ -92,11 +94,11 @@
                 decoding_count += 1;
                 continue;
             }
-            let read_tokens = sequence.unread_prompt_tokens.min(unused_chunk);
-            sequence.unread_prompt_tokens -= read_tokens;
-            unused_chunk -= read_tokens;
+            let prefill_tokens = sequence.pending_prefill_tokens.min(remaining_chunk);
+            sequence.pending_prefill_tokens -= prefill_tokens;
+            remaining_chunk -= prefill_tokens;
             if sequence.is_decoding() {
-                // A request that was preempted has sent its first token before.
+                // A preempted request has already sent its first token.
                 if sequence.generated_tokens == 0 {
                     outputs.push(ServerOutput::FirstToken(sequence.job.key));
                 }
@@ -106,7 +108,7 @@
         decoding_count
     }
 
-    /// Ends complete answers, and caches their sessions and shared prefixes.
+    /// Removes complete answers from the batch, and caches their sessions and shared prefixes.
     fn remove_completed(&mut self, outputs: &mut Vec<ServerOutput>) {
         for sequence in self
             .running
@@ -127,7 +129,7 @@
         }
     }
 
-    /// Puts the newest requests back to the head of the queue until the others have the memory for their next tokens.
+    /// Preempts the newest requests, back to the head of the queue, until the others have memory for their next tokens.
     fn preempt_newest(&mut self) {
         let memory_tokens = self.profile.memory_tokens;
         let mut held_tokens = self.held_tokens();
@@ -136,15 +138,15 @@
                 break;
             };
             held_tokens -= sequence.held_tokens();
-            // The whole prompt is read again, and what was made with it.
-            sequence.unread_prompt_tokens = sequence.job.prompt_tokens;
+            // The whole prompt is prefilled again; the generated tokens remain.
+            sequence.pending_prefill_tokens = sequence.job.prompt_tokens;
             self.preemption_count += 1;
             self.queued.push_front(sequence);
         }
     }
 
-    /// Lets queued requests run while there are slots and memory. Returns the tokens that running requests hold, with
-    /// the whole prompts of those that have just been admitted.
+    /// Admits queued requests while there are free slots and memory. Returns the tokens held by running requests,
+    /// counting the whole prompts of those just admitted.
     fn admit_queued(&mut self) -> u64 {
         let memory_tokens = self.profile.memory_tokens;
         let mut reserved_tokens = self.held_tokens();
@@ -155,7 +157,8 @@
             let needed_tokens = u64::from(sequence.job.prompt_tokens + sequence.generated_tokens);
             let next_tokens = self.running.len() as u64;
             let fits = reserved_tokens + needed_tokens + next_tokens <= memory_tokens;
-            // A request that does not fit an empty server runs all the same: it would never fit.
+            // A request that does not fit even an empty server is admitted when nothing else runs, as it would never
+            // fit.
             if !fits && !self.running.is_empty() {
                 break;
             }
@@ -163,17 +166,17 @@
                 break;
             };
             let cached_tokens = self.cached_tokens(&sequence);
-            // One token at least must be read to make the first of the answer.
+            // At least one token must be prefilled to generate the first token of the answer.
             sequence.cached_tokens =
                 cached_tokens.min(sequence.job.prompt_tokens.saturating_sub(1));
-            sequence.unread_prompt_tokens = sequence.job.prompt_tokens - sequence.cached_tokens;
+            sequence.pending_prefill_tokens = sequence.job.prompt_tokens - sequence.cached_tokens;
             reserved_tokens += needed_tokens;
             self.running.push(sequence);
         }
         reserved_tokens
     }
 
-    /// Looks up the cached beginning of a prompt: that of its session, otherwise that of its shared prefix.
+    /// Looks up the cached beginning of a prompt: that of its session, or else that of its shared prefix.
     fn cached_tokens(&mut self, sequence: &Sequence) -> u32 {
         let session_tokens = self.prefix_cache.lookup(sequence.job.session);
         if session_tokens > 0 {
@@ -183,8 +186,8 @@
         self.prefix_cache.lookup(prefix.id).min(prefix.tokens)
     }
 
-    /// How many steps are all alike, where no prompt has to be read: until the first answer ends or memory is short.
-    fn equal_step_count(&self, now: Micros, decoding_count: u64, free_tokens: u64) -> u64 {
+    /// The number of identical steps when no prompt needs prefill: until the first answer ends or memory runs short.
+    fn uniform_step_count(&self, now: Micros, decoding_count: u64, free_tokens: u64) -> u64 {
         let until_first_end = self.running.iter().map(remaining_steps).min();
         let until_memory_is_short = (free_tokens / decoding_count.max(1)).max(1);
         let step_count = until_first_end
@@ -204,14 +207,14 @@
             .is_some_and(|started_at| now.saturating_sub(started_at) < warm_up_micros)
     }
 
-    fn step_duration(&self, now: Micros, read_tokens: u32, decoding_count: u64) -> Micros {
+    fn step_duration(&self, now: Micros, prefill_tokens: u32, decoding_count: u64) -> Micros {
         let work_micros = self.profile.step_us as f64
-            + f64::from(read_tokens) * self.profile.prompt_token_us
+            + f64::from(prefill_tokens) * self.profile.prompt_token_us
             + decoding_count as f64 * self.profile.answer_us;
         (work_micros / self.speed(now)).max(1.0) as Micros
     }
 
-    /// The speed now, as a fraction of that of a warm server without a fault.
+    /// The current speed, as a fraction of that of a warm server without faults.
     fn speed(&self, now: Micros) -> f64 {
         let warm_up_micros = self.profile.warm_up_micros().max(1.0);
         let warm_up_fraction = match self.started_at {
@@ -223,7 +226,7 @@
     }
 }
 
-/// Steps until an answer that is being decoded ends, at least 1.
+/// Steps until a decoding answer ends, at least 1.
 fn remaining_steps(sequence: &Sequence) -> u64 {
     let generated_tokens = sequence.generated_tokens;
     u64::from(sequence.job.answer_tokens.max(generated_tokens + 1) - generated_tokens)
--- a/crates/testbed/src/emulator/model_server/mod.rs
+++ b/crates/testbed/src/emulator/model_server/mod.rs
@@ -1,13 +1,12 @@
-//! A model server with continuous batching (Yu et al., "Orca", OSDI 2022; chunked prefill as in Agrawal et al.,
+//! Model of a model server with continuous batching (Yu et al., "Orca", OSDI 2022) and chunked prefill (Agrawal et al.,
 //! "Sarathi-Serve", OSDI 2024).
 //!
-//! It works in steps, each of which reads a chunk of prompts and makes one token of every answer that is being decoded.
-//! Steps that are all alike are planned as one run of steps (`StepRun`), so that a long answer costs one event and not
-//! one for each token. The caller feeds jobs and time: the server reads no clock, so the emulator and the stub servers
-//! on sockets drive the same model.
+//! The server works in steps. Each step prefills one chunk of prompts and generates one token of every answer that is
+//! decoding. Consecutive identical steps are planned as one `StepRun`, so that a long answer costs one event instead of
+//! one for each token. The server reads no clock: callers pass in jobs and times, so the emulator and the stub servers
+//! on sockets use the same model.
 //!
-//! - This file has the server's state and what its callers may do.
-//! - `batching` plans steps and does their work.
+//! This file holds the state and the public interface; `batching` plans and executes steps.
 
 mod batching;
 
@@ -17,30 +16,30 @@
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 
-/// The lowest speed of a server, and the lowest factor by which it is slowed down: keeps the duration of steps finite.
+/// The minimum speed of a server and the minimum slowdown factor, so that step durations stay finite.
 const MIN_SPEED: f64 = 0.01;
 
-/// The capacity and speed of a server. The names of fields are keys of an experiment's file.
+/// The capacity and speed of a server. Field names are keys of an experiment's file.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
 #[serde(deny_unknown_fields, default)]
 pub struct ServerProfile {
-    /// Requests that run at once at most.
+    /// Maximum number of requests that run at once.
     pub slots: usize,
-    /// Requests that are queued at most; beyond it the server answers that it is at capacity.
+    /// Maximum number of queued requests; above it the server rejects requests as at capacity.
     pub queue: usize,
     /// Memory for prompts and answers, in tokens.
     pub memory_tokens: u64,
-    /// Prompt tokens read in one step at most.
+    /// Maximum number of prompt tokens that are prefilled in one step.
     pub chunk: u32,
-    /// The duration of a step without any work in it, in microseconds.
+    /// The fixed part of the duration of a step, in microseconds.
     pub step_us: u64,
-    /// Added for each prompt token read, in microseconds.
+    /// Step time for each prefilled prompt token, in microseconds.
     pub prompt_token_us: f64,
-    /// Added for each answer that is being decoded, in microseconds.
+    /// Step time for each decoding answer, in microseconds.
     pub answer_us: f64,
-    /// The fraction of its speed that a server has when it has just started.
+    /// The speed of a server that has just started, as a fraction of full speed.
     pub cold_from: f64,
-    /// The time until it has all of its speed, in seconds.
+    /// How long a server takes to reach full speed, in seconds.
     pub cold_s: f64,
 }
 
@@ -71,27 +70,27 @@
 pub struct AttemptKey {
     /// The request.
     pub request: RequestId,
-    /// The number of the attempt, from 0.
+    /// The index of the attempt among those of the request.
     pub attempt: usize,
 }
 
-/// The beginning of a prompt that several sessions share.
+/// A prompt prefix that several sessions share.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SharedPrefix {
-    /// Its id; 0 where there is none.
+    /// Its id; 0 if there is none.
     pub id: u64,
-    /// Its tokens; 0 where there is none.
+    /// Its tokens; 0 if there is none.
     pub tokens: u32,
 }
 
-/// What a server is to do for an attempt.
+/// The work of an attempt on a server.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServerJob {
     /// The attempt.
     pub key: AttemptKey,
-    /// The id of the session, whose earlier turns the prompt begins with.
+    /// The id of the session. The prompt begins with its earlier turns.
     pub session: u64,
-    /// The beginning of the prompt that other sessions share.
+    /// The prompt prefix shared with other sessions.
     pub prefix: SharedPrefix,
     /// Tokens of the prompt.
     pub prompt_tokens: u32,
@@ -99,16 +98,16 @@
     pub answer_tokens: u32,
 }
 
-/// What a server tells of a job.
+/// Progress of a job on a server.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ServerOutput {
-    /// It has made the first token.
+    /// The first token has been generated.
     FirstToken(AttemptKey),
-    /// It has made the last token.
+    /// The last token has been generated.
     Completed {
         /// The attempt.
         key: AttemptKey,
-        /// The prompt tokens that it had cached.
+        /// Prompt tokens that were in the prefix cache.
         cached_tokens: u32,
     },
 }
@@ -116,51 +115,51 @@
 /// The load that a server reports.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ReportedLoad {
-    /// Prompt tokens that have not been read yet.
+    /// Prompt tokens that have not been prefilled yet.
     pub queued_prompt_tokens: f64,
     /// The fraction of memory that running requests hold.
     pub memory_utilization: f64,
 }
 
-/// How many requests a server has.
+/// The number of requests on a server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RequestCounts {
-    /// Those in a slot.
+    /// Requests in a slot.
     pub running: usize,
-    /// Those that wait for a slot.
+    /// Requests that wait for a slot.
     pub queued: usize,
 }
 
 impl RequestCounts {
-    /// Both together.
+    /// Running and queued requests.
     pub fn total(self) -> usize {
         self.running + self.queued
     }
 }
 
-/// How far an answer has come.
+/// The progress of an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct GeneratedTokens {
     /// The attempt.
     pub key: AttemptKey,
-    /// Tokens made so far.
+    /// Tokens generated so far.
     pub tokens: u32,
 }
 
-/// Equal gaps between tokens.
+/// Gaps of equal length between tokens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TokenGaps {
     /// The length of each.
     pub duration: Micros,
-    /// How many there were.
+    /// The number of gaps.
     pub count: u64,
 }
 
-/// A job with how far it has come.
+/// A job and its progress.
 #[derive(Clone, Debug)]
 struct Sequence {
     job: ServerJob,
-    unread_prompt_tokens: u32,
+    pending_prefill_tokens: u32,
     generated_tokens: u32,
     cached_tokens: u32,
 }
@@ -168,21 +167,21 @@
 impl Sequence {
     fn new(job: ServerJob) -> Self {
         Sequence {
-            unread_prompt_tokens: job.prompt_tokens,
+            pending_prefill_tokens: job.prompt_tokens,
             generated_tokens: 0,
             cached_tokens: 0,
             job,
         }
     }
 
-    /// The memory that it holds, in tokens.
+    /// The memory in use, in tokens.
     fn held_tokens(&self) -> u64 {
-        u64::from(self.job.prompt_tokens - self.unread_prompt_tokens + self.generated_tokens)
+        u64::from(self.job.prompt_tokens - self.pending_prefill_tokens + self.generated_tokens)
     }
 
-    /// Whether its prompt has been read, so that each step makes a token.
+    /// Whether its prompt has been prefilled, so that each step generates a token.
     fn is_decoding(&self) -> bool {
-        self.unread_prompt_tokens == 0
+        self.pending_prefill_tokens == 0
     }
 
     fn is_complete(&self) -> bool {
@@ -190,7 +189,7 @@
     }
 }
 
-/// Equal steps one after another: no request joins or ends before the last of them.
+/// Consecutive steps of equal duration: no request joins or ends before the last of them.
 #[derive(Clone, Copy, Debug)]
 struct StepRun {
     started_at: Micros,
@@ -204,7 +203,7 @@
     }
 }
 
-/// A server.
+/// A model server.
 #[derive(Clone, Debug)]
 pub struct ModelServer {
     profile: ServerProfile,
@@ -213,18 +212,18 @@
     prefix_cache: PrefixCache,
     /// The steps in progress; `None` while nothing runs.
     steps: Option<StepRun>,
-    /// When it started; `None` for one that is warm from the beginning.
+    /// When it was last started; `None` if it has been warm from the beginning.
     started_at: Option<Micros>,
-    /// Multiplies the duration of steps; 1 but during a fault.
+    /// Multiplies the duration of steps; 1 except during a fault.
     slowdown: f64,
     stalled_until: Micros,
-    /// Gaps between tokens since they were last taken.
+    /// Gaps between tokens since the last [`Self::take_token_gaps`].
     token_gaps: Vec<TokenGaps>,
     preemption_count: u64,
 }
 
 impl ModelServer {
-    /// A server that is warm and has no requests.
+    /// Creates a warm server without requests.
     pub fn new(profile: ServerProfile) -> Self {
         ModelServer {
             profile,
@@ -240,7 +239,7 @@
         }
     }
 
-    /// Requests running and queued.
+    /// The number of running and queued requests.
     pub fn request_counts(&self) -> RequestCounts {
         RequestCounts {
             running: self.running.len(),
@@ -248,7 +247,7 @@
         }
     }
 
-    /// Requests that had to start over because memory was short.
+    /// How often a request was preempted because memory ran short.
     pub fn preemption_count(&self) -> u64 {
         self.preemption_count
     }
@@ -258,13 +257,13 @@
         self.steps.map(|steps| steps.end())
     }
 
-    /// When the step in progress ends: whoever shows tokens as they are made calls [`Self::catch_up`] then.
+    /// When the step in progress ends. Callers that stream tokens one by one must call [`Self::catch_up`] then.
     pub fn step_end(&self) -> Option<Micros> {
         self.steps
             .map(|steps| steps.started_at + steps.step_duration)
     }
 
-    /// Takes a job into its queue. Returns false where the queue is full.
+    /// Adds a job to the queue. Returns false if the queue is full.
     pub fn enqueue(&mut self, now: Micros, mut job: ServerJob) -> bool {
         if self.queued.len() >= self.profile.queue {
             return false;
@@ -277,7 +276,7 @@
         true
     }
 
-    /// Drops a job, queued or running; one that has ended is ignored.
+    /// Removes a queued or running job. A job that has ended is ignored.
     pub fn cancel(&mut self, now: Micros, key: AttemptKey) {
         self.end_run_with_current_step(now);
         self.queued.retain(|sequence| sequence.job.key != key);
@@ -294,22 +293,22 @@
         self.plan_steps(now);
     }
 
-    /// Does the work of the steps that have ended by now, and plans the next ones.
+    /// Executes the planned steps if they have ended by now, and plans the next ones.
     pub fn on_timer(&mut self, now: Micros, outputs: &mut Vec<ServerOutput>) {
         if let Some(steps) = self.steps.filter(|steps| steps.end() <= now) {
             self.steps = None;
-            self.do_steps(steps.step_count, steps.step_duration, outputs);
+            self.execute_steps(steps.step_count, steps.step_duration, outputs);
             self.plan_steps(now);
         }
     }
 
-    /// Does the work of all steps that have ended by now, also in the middle of a run of steps.
+    /// Executes all steps that have ended by now, also in the middle of a planned run of steps.
     pub fn catch_up(&mut self, now: Micros, outputs: &mut Vec<ServerOutput>) {
         self.end_run_with_current_step(now);
         self.on_timer(now, outputs);
     }
 
-    /// Answers that have begun, with the tokens made so far.
+    /// Answers that have their first token, with the tokens generated so far.
     pub fn answers_in_progress(&self) -> impl Iterator<Item = GeneratedTokens> + '_ {
         self.running
             .iter()
@@ -320,7 +319,7 @@
             })
     }
 
-    /// Loses all requests and all that was cached. Returns the attempts that were running or queued, in that order.
+    /// Drops all requests and clears the cache. Returns the attempts that were running or queued, in that order.
     pub fn crash(&mut self) -> Vec<AttemptKey> {
         let lost = self
             .running
@@ -335,18 +334,18 @@
         lost
     }
 
-    /// Starts again after [`Self::crash`]; its speed grows from now on.
+    /// Restarts after [`Self::crash`]; the warm-up begins now.
     pub fn start(&mut self, now: Micros) {
         self.started_at = Some(now);
     }
 
-    /// Steps take so many times as long from the next one on.
+    /// Multiplies the duration of steps by `factor`, from the next step on.
     pub fn set_slowdown(&mut self, now: Micros, factor: f64) {
         self.end_run_with_current_step(now);
         self.slowdown = factor.max(MIN_SPEED);
     }
 
-    /// Stops working until then.
+    /// Stops all work until the given time.
     pub fn stall(&mut self, now: Micros, until: Micros) {
         self.end_run_with_current_step(now);
         let stalls_from = self.stalled_until.max(now);
@@ -356,18 +355,18 @@
         self.stalled_until = self.stalled_until.max(until);
     }
 
-    /// Whether it has stopped working.
+    /// Whether work is stopped by [`Self::stall`].
     pub fn is_stalled(&self, now: Micros) -> bool {
         now < self.stalled_until
     }
 
-    /// Its load now.
+    /// The current load.
     pub fn reported_load(&self) -> ReportedLoad {
         let queued_prompt_tokens = self
             .queued
             .iter()
             .chain(&self.running)
-            .map(|sequence| f64::from(sequence.unread_prompt_tokens))
+            .map(|sequence| f64::from(sequence.pending_prefill_tokens))
             .sum();
         let memory_tokens = self.profile.memory_tokens.max(1);
         ReportedLoad {
@@ -376,7 +375,7 @@
         }
     }
 
-    /// Takes the gaps between tokens since the last call.
+    /// Drains the gaps between tokens since the last call.
     pub fn take_token_gaps(&mut self) -> std::vec::Drain<'_, TokenGaps> {
         self.token_gaps.drain(..)
     }
--- a/crates/testbed/src/emulator/model_server/tests.rs
+++ b/crates/testbed/src/emulator/model_server/tests.rs
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn lone_request_reads_its_prompt_in_chunks_and_makes_a_token_each_step() {
+fn prefills_in_chunks_and_generates_one_token_per_step() {
     let mut server = ModelServer::new(ServerProfile {
         prompt_token_us: 10.0,
         answer_us: 0.0,
@@ -47,7 +47,7 @@
     });
     assert!(server.enqueue(0, job(1, 1000, 5)));
     let outputs = run(&mut server, Micros::MAX);
-    // Two chunks: 512 and 488 tokens; then four more tokens.
+    // Two chunks of 512 and 488 tokens, then four more tokens.
     let first = 20_000 + 10_000;
     assert_eq!(
         outputs,
@@ -57,7 +57,7 @@
         server.take_token_gaps().map(|gaps| gaps.count).sum::<u64>(),
         4
     );
-    // The second turn finds the first cached.
+    // The second turn finds the first one in the cache.
     server.enqueue(
         100_000,
         ServerJob {
@@ -72,8 +72,8 @@
 }
 
 #[test]
-fn run_of_equal_steps_gives_the_same_outputs_as_single_steps() {
-    // A request that joins in the middle of a run of steps ends it; one server is interrupted at every step.
+fn run_of_steps_gives_the_same_outputs_as_single_steps() {
+    // A request that joins during a run of steps shortens it. The second server is interrupted within every step.
     let mut servers = [
         ModelServer::new(ServerProfile::default()),
         ModelServer::new(ServerProfile::default()),
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn preempts_the_newest_request_when_memory_is_short_and_loses_none() {
+fn preempts_the_newest_request_without_losing_any() {
     let mut server = ModelServer::new(ServerProfile {
         memory_tokens: 1000,
         ..ServerProfile::default()
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn faults_delay_or_drop_requests_and_full_queue_rejects() {
+fn faults_delay_or_drop_requests_and_a_full_queue_rejects() {
     let completion_time = |inject_fault: fn(&mut ModelServer)| {
         let mut server = ModelServer::new(ServerProfile::default());
         inject_fault(&mut server);
--- a/crates/testbed/src/emulator/outcome.rs
+++ b/crates/testbed/src/emulator/outcome.rs
@@ -1,31 +1,31 @@
-//! What a run comes to: counts, priority weight, latencies, series of bounded size, and violated rules.
+//! The outcome of a run: counts, priority weight, latencies, series of bounded size and violated invariants.
 //!
-//! The types here are what a results file holds: the names of fields are its keys, and pairs of figures stand in it as
-//! arrays of two. [`super::OutcomeRecorder`] makes a [`RunOutcome`]; tables, the report and the view read it.
+//! These types define the format of results files: field names are keys, and pairs of numbers are written as arrays of
+//! two. [`super::OutcomeRecorder`] creates a [`RunOutcome`]; tables, the report and the view read it.
 
 use super::description::FaultDescription;
 use serde::{Deserialize, Serialize};
 
-/// Slices that the time of a run is cut into for its series.
+/// Number of time slices into which a run is divided for its series.
 pub const TIME_SLICE_COUNT: usize = 120;
-/// The quantiles that a [`QuantileSummary`] gives.
+/// The quantiles of a [`QuantileSummary`].
 pub const QUANTILES: [f64; 7] = [0.1, 0.5, 0.9, 0.95, 0.99, 0.999, 1.0];
 
-/// How a request ended for its client, after all its tries.
+/// How a request ended for its client, after all client retries.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
 pub enum RequestEnd {
     /// Complete, and within the latency objectives of its class.
     Good,
-    /// Complete, but its first token or its pace was late.
+    /// Complete, but the first token or the later tokens were too late.
     Late,
     /// Rejected.
     Refused,
-    /// Failed before its first token.
+    /// Failed before the first token.
     Failed,
-    /// Broken off after its first token.
+    /// Failed after the first token.
     Broken,
-    /// The client had left.
+    /// The client disconnected first.
     Left,
 }
 
@@ -41,26 +41,26 @@
     ];
 }
 
-/// Counts and priority weight of some requests.
+/// Counts and priority weight of a set of requests.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize, PartialEq)]
 pub struct Tally {
-    /// The weight of all requests, as if each had ended good.
+    /// The total weight of the requests, as if all had met their objectives.
     pub offered: f64,
-    /// The weight that was served.
+    /// The weight earned by complete answers.
     pub gained: f64,
-    /// How many ended in which way, in the order of [`RequestEnd::ALL`].
+    /// The number of requests by their end, in the order of [`RequestEnd::ALL`].
     pub ends: [u64; 6],
 }
 
 impl Tally {
-    /// Adds one request of the weight `offered`, of which `gained` was served.
+    /// Adds one request of weight `offered` that earned the weight `gained`.
     pub(super) fn add(&mut self, end: RequestEnd, offered: f64, gained: f64) {
         self.offered += offered;
         self.gained += gained;
         self.ends[end as usize] += 1;
     }
 
-    /// The served fraction of the offered weight, 0 to 1; 0 where nothing was offered.
+    /// The fraction of the offered weight that was served, 0 to 1; 0 if nothing was offered.
     pub fn served_fraction(&self) -> f64 {
         if self.offered > 0.0 {
             self.gained / self.offered
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Requests of all ends.
+    /// The total number of requests.
     pub fn request_count(&self) -> u64 {
         self.ends.iter().sum()
     }
@@ -78,39 +78,39 @@
 /// A distribution of times, in milliseconds.
 #[derive(Clone, Debug, Default, Deserialize, Serialize, PartialEq)]
 pub struct QuantileSummary {
-    /// How many values there were.
+    /// The number of values.
     pub count: u64,
-    /// The value at each of [`QUANTILES`]; empty where there was none.
+    /// The value at each of [`QUANTILES`]; empty if there are no values.
     pub at: Vec<f64>,
 }
 
-/// How often a run violated the rules that hold for every run; all zero where the nodes work as they should.
+/// How often a run violated the invariants of all runs; all zero if the nodes work correctly.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize, PartialEq)]
 pub struct InvariantViolations {
-    /// Final outcomes beyond one for a request.
+    /// Final outcomes in excess of one per request.
     pub doubled: u64,
     /// Requests without a final outcome at the end of the run.
     pub lost: u64,
-    /// Attempts beyond the first of requests that must not run twice, after an earlier one may have run.
+    /// Repeated attempts of requests that must not run twice, after an attempt that may have run.
     pub repeated: u64,
-    /// Attempts at servers whose drain the node had known for longer than the rules allow.
+    /// Attempts that a node sent to a draining server after the drain grace had passed.
     pub drained: u64,
 }
 
 impl InvariantViolations {
-    /// All of them together.
+    /// The total number of violations.
     pub fn sum(&self) -> u64 {
         self.doubled + self.lost + self.repeated + self.drained
     }
 }
 
-/// Messages between nodes, as a rate; a pair of numbers in a results file.
+/// The rate of messages between nodes; a pair of numbers in a results file.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize, PartialEq)]
 #[serde(from = "(f64, f64)", into = "(f64, f64)")]
 pub struct MessageRate {
-    /// Messages sent a second.
+    /// Messages sent per second.
     pub messages_per_second: f64,
-    /// Bytes sent a second.
+    /// Bytes sent per second.
     pub bytes_per_second: f64,
 }
 
@@ -129,19 +129,19 @@
     }
 }
 
-/// What the coordination of the nodes came to.
+/// Measurements of the coordination of the nodes.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize, PartialEq)]
 pub struct CoordinationSummary {
-    /// What a node sent in the second half of the run, the mean of all.
+    /// Messages sent by a node in the second half of the run, as the mean of all nodes.
     pub node: MessageRate,
-    /// The same of the busiest lease server.
+    /// Messages sent by the busiest lease server in the same time.
     pub keeper: MessageRate,
-    /// Checks, one each 5 ms, at which two nodes held the lease.
+    /// Checks at which more than one node held the lease; there is a check every 5 ms.
     pub overlaps: u64,
-    /// The longest time without a lease holder after the first one, in seconds.
+    /// The longest time without a lease holder after the first one was elected, in seconds.
     pub longest_without: f64,
-    /// The most by which repeated attempts at servers exceeded the rate of the budget over any window, as a fraction of
-    /// its burst.
+    /// The largest excess of repeated attempts at servers over the rate of the budget in any window, as a fraction of
+    /// the burst of the budget.
     pub worst_window: f64,
 }
 
@@ -149,9 +149,9 @@
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize, PartialEq)]
 #[serde(from = "(u64, u64)", into = "(u64, u64)")]
 pub struct PromptTokenCounts {
-    /// All of them.
+    /// All prompt tokens.
     pub total: u64,
-    /// Those that the server had cached.
+    /// Prompt tokens that the server had cached.
     pub cached: u64,
 }
 
@@ -167,55 +167,55 @@
     }
 }
 
-/// What a run came to.
+/// The outcome of a run.
 #[derive(Clone, Debug, Default, Deserialize, Serialize, PartialEq)]
 pub struct RunOutcome {
     /// All requests.
     pub all: Tally,
-    /// By class, with its name.
+    /// Requests by class, with its name.
     pub classes: Vec<(String, Tally)>,
-    /// By tenant, with its name.
+    /// Requests by tenant, with its name.
     pub tenants: Vec<(String, Tally)>,
-    /// Tries of clients.
+    /// Requests that clients sent to nodes, including client retries.
     pub tries: u64,
     /// Attempts that nodes sent to servers.
     pub attempts: u64,
-    /// Attempts that reached a server and were not their request's first.
+    /// Attempts that reached a server and were not the first of their request.
     #[serde(default)]
     pub repeats: u64,
     /// Attempts from one zone to another.
     pub crossed: u64,
     /// Health checks that nodes sent.
     pub probes: u64,
-    /// Connections that nodes made.
+    /// Connections that nodes opened to servers.
     pub connected: u64,
     /// Prompt tokens of complete answers.
     pub prompt: PromptTokenCounts,
-    /// Requests that started over because their server ran out of memory.
+    /// Preemptions of requests because a server ran out of memory.
     pub preempted: u64,
-    /// Times to the first token, of answers that had one.
+    /// Times to first token, of answers that had one.
     pub first: QuantileSummary,
     /// Times to the last token, of complete answers.
     pub whole: QuantileSummary,
-    /// Gaps between tokens as servers made them.
+    /// Gaps between tokens, measured at the servers.
     pub gaps: QuantileSummary,
-    /// Times from a client's first try until it knows that it gets nothing.
+    /// Times from the first submission by the client until the request was finally rejected or failed.
     pub refusals: QuantileSummary,
-    /// The length of one slice of the series, in seconds.
+    /// The duration of one time slice, in seconds.
     pub piece_s: f64,
-    /// By time slice of the request's first try.
+    /// Requests by the time slice in which they were first sent.
     pub series: Vec<Tally>,
-    /// By time slice, the requests that servers held.
+    /// Requests running or queued on all servers, by time slice.
     pub held: Vec<f64>,
-    /// By row of servers and time slice: requests held over slots.
+    /// Requests on servers divided by their slots, by row of servers and time slice.
     pub heat: Vec<Vec<f32>>,
-    /// The faults of the run, for the axis of time.
+    /// The faults of the run, for the time axis of plots.
     pub faults: Vec<FaultDescription>,
-    /// How often rules were violated.
+    /// Violations of invariants.
     pub broken: InvariantViolations,
-    /// The coordination of the nodes, where the description has it.
+    /// Measurements of the coordination; `None` for runs without it.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub talked: Option<CoordinationSummary>,
-    /// Events of the simulation.
+    /// Number of events that the simulation processed.
     pub events: u64,
 }
--- a/crates/testbed/src/emulator/outcome_recorder.rs
+++ b/crates/testbed/src/emulator/outcome_recorder.rs
@@ -1,7 +1,7 @@
-//! Measures a run while it goes on and makes its [`RunOutcome`] at the end.
+//! Records a run while it is in progress and computes its [`RunOutcome`] at the end.
 //!
-//! The emulator and the load generator on sockets feed the same recorder. Memory is bounded: latencies go into
-//! histograms, series into a fixed number of time slices.
+//! The emulator and the load generator on sockets use the same recorder. Its memory is bounded: latencies are kept in
+//! histograms, series in a fixed number of time slices.
 
 use super::clients::ClientRequest;
 use super::description::{ClassDescription, RunDescription};
@@ -9,14 +9,14 @@
 use crate::Micros;
 use hdrhistogram::Histogram;
 
-/// Rows of the heat map at most; where there are more servers, neighbours share a row.
+/// Maximum number of rows of the heat map; in larger fleets neighbouring servers share a row.
 const MAX_HEAT_ROWS: usize = 32;
-/// The greatest value that histograms tell apart, some hours; greater ones count as this.
+/// The largest value that histograms record, in microseconds, almost three hours; larger ones are counted as this.
 const MAX_RECORDED: Micros = 10_000_000_000;
-/// Decimal digits to which histograms are exact.
+/// Significant decimal digits of histograms.
 const HISTOGRAM_DIGITS: u8 = 2;
 
-/// How busy a server is at one moment.
+/// The occupancy of a server at one moment.
 #[derive(Clone, Copy, Debug)]
 pub struct ServerOccupancy {
     /// Requests running and queued.
@@ -25,14 +25,14 @@
     pub slots: usize,
 }
 
-/// The sum of one row of the heat map while a sample is taken.
+/// The sum of one row of the heat map for one sample.
 #[derive(Clone, Copy, Debug, Default)]
 struct HeatRow {
     occupancy_sum: f32,
     server_count: u32,
 }
 
-/// Measures a run.
+/// Records the outcome of a run.
 pub struct OutcomeRecorder {
     slice_duration: Micros,
     outcome: RunOutcome,
@@ -44,7 +44,7 @@
 }
 
 impl OutcomeRecorder {
-    /// A recorder that has measured nothing yet.
+    /// Creates an empty recorder.
     pub fn new(run: &RunDescription) -> Self {
         let run_duration = (run.load.seconds * 1e6) as Micros;
         let slice_duration = (run_duration / TIME_SLICE_COUNT as Micros).max(1);
@@ -72,18 +72,18 @@
         }
     }
 
-    /// The length of a time slice.
+    /// The duration of a time slice.
     pub fn slice_duration(&self) -> Micros {
         self.slice_duration
     }
 
-    /// The outcome so far, for counts that their owner keeps itself. Quantiles are empty until [`Self::finish`].
+    /// The outcome so far, for counters that the caller maintains. Quantiles are empty until [`Self::finish`].
     pub fn outcome_mut(&mut self) -> &mut RunOutcome {
         &mut self.outcome
     }
 
-    /// Records the end of a request. Of a complete answer, which comes as [`RequestEnd::Good`], it is decided here by
-    /// the objectives of its class whether it was good or late.
+    /// Records the end of a request. Complete answers are passed as [`RequestEnd::Good`]; this method decides by the
+    /// objectives of the class whether the answer was late.
     ///
     /// Returns whether the answer was complete.
     pub fn record_end(
@@ -128,12 +128,12 @@
         matches!(end, RequestEnd::Good | RequestEnd::Late)
     }
 
-    /// Records that so many tokens came this long after those before them.
+    /// Records `count` tokens, each of which followed the previous one after `duration`.
     pub fn record_token_gaps(&mut self, duration: Micros, count: u64) {
         self.token_gaps.saturating_record_n(duration.max(1), count);
     }
 
-    /// Records how busy all servers are at one moment; `servers` gives `server_count` of them in order.
+    /// Records the occupancy of all servers at one moment. `servers` yields `server_count` of them in order.
     pub fn record_occupancy(
         &mut self,
         now: Micros,
@@ -159,7 +159,7 @@
         }
     }
 
-    /// Ends the run, which had so many events.
+    /// Computes the outcome of a run with `event_count` events.
     pub fn finish(mut self, event_count: u64) -> RunOutcome {
         self.outcome.events = event_count;
         self.outcome.first = summarize(&self.first_token_times);
@@ -186,7 +186,7 @@
     }
 }
 
-/// Whether a complete answer came within the objectives of its class.
+/// Whether a complete answer met the objectives of its class.
 fn meets_objectives(
     class: &ClassDescription,
     request: &ClientRequest,
@@ -201,7 +201,7 @@
 fn new_histogram() -> Histogram<u64> {
     match Histogram::new_with_bounds(1, MAX_RECORDED, HISTOGRAM_DIGITS) {
         Ok(histogram) => histogram,
-        Err(_) => unreachable!("the bounds are constants that hold"),
+        Err(_) => unreachable!("the bounds are valid constants"),
     }
 }
 
--- a/crates/testbed/src/emulator/prefix_cache.rs
+++ b/crates/testbed/src/emulator/prefix_cache.rs
@@ -1,12 +1,12 @@
-//! The prefix cache of a model server: how many tokens of earlier prompts it still has, least recently used first out.
+//! The prefix cache of a model server, with least-recently-used eviction.
 //!
-//! vLLM and `SGLang` cache by blocks of tokens; here an entry is a whole prefix under the id of its session or of the
-//! prefix that sessions share. The cache itself has no capacity: its owner, [`super::model_server::ModelServer`],
-//! evicts entries as running requests need memory.
+//! vLLM and `SGLang` cache blocks of tokens; here an entry is a whole prefix under the id of its session or shared
+//! prefix. The cache itself has no capacity: its owner, [`super::model_server::ModelServer`], evicts entries when
+//! running requests need memory.
 
 use std::collections::{HashMap, VecDeque};
 
-/// Stale uses that are tolerated beside two for each entry before they are removed.
+/// Stale uses are removed when there are more uses than two for each entry and this many.
 const STALE_USE_ALLOWANCE: usize = 64;
 
 /// One cached prefix.
@@ -17,26 +17,26 @@
     last_use: u64,
 }
 
-/// One use of an entry. It is stale when the entry has been used again since.
+/// One use of an entry. It is stale if the entry has been used again since.
 #[derive(Clone, Copy, Debug)]
 struct Use {
     prefix_id: u64,
     sequence_number: u64,
 }
 
-/// Cached prefixes by id, with their tokens.
+/// Cached token counts by prefix id.
 #[derive(Clone, Debug, Default)]
 pub struct PrefixCache {
-    /// Only looked up, never iterated: the order of iteration would differ from run to run.
+    /// Only used for lookups and never iterated: the order of iteration would differ between runs.
     entries: HashMap<u64, Entry>,
-    /// Uses in the order they happened, stale ones among them.
+    /// Uses in chronological order, including stale ones.
     uses: VecDeque<Use>,
     next_use: u64,
     cached_tokens: u64,
 }
 
 impl PrefixCache {
-    /// Returns the tokens cached under an id, 0 where there are none. Finding some counts as a use.
+    /// Returns the number of tokens cached under an id, or 0. A hit counts as a use.
     pub fn lookup(&mut self, prefix_id: u64) -> u32 {
         let sequence_number = self.next_use;
         let Some(entry) = self.entries.get_mut(&prefix_id) else {
@@ -48,7 +48,7 @@
         tokens
     }
 
-    /// Caches so many tokens under an id, in place of what it had there before.
+    /// Caches a prefix of `tokens` under an id and replaces the previous entry.
     pub fn insert(&mut self, prefix_id: u64, tokens: u32) {
         let entry = Entry {
             tokens,
@@ -60,7 +60,7 @@
         self.record_use(prefix_id);
     }
 
-    /// Evicts the least recently used entries until at most so many tokens are cached.
+    /// Evicts the least recently used entries until at most `max_tokens` are cached.
     pub fn evict_down_to(&mut self, max_tokens: u64) {
         while self.cached_tokens > max_tokens {
             let Some(oldest) = self.uses.pop_front() else {
@@ -88,7 +88,7 @@
             .is_some_and(|entry| entry.last_use == candidate.sequence_number)
     }
 
-    /// Keeps stale uses from piling up where nothing is ever evicted.
+    /// Prevents stale uses from accumulating when nothing is evicted.
     fn remove_stale_uses(&mut self) {
         if self.uses.len() <= 2 * self.entries.len() + STALE_USE_ALLOWANCE {
             return;
--- a/crates/testbed/src/emulator/request_trace.rs
+++ b/crates/testbed/src/emulator/request_trace.rs
@@ -1,6 +1,6 @@
-//! The trace of a run: the path of every try of every request, as one JSON object a line, compressed.
+//! The trace of a run: one compressed line of JSON for each submission of a request, with its attempts.
 //!
-//! The simulation writes one line when a try ends for its client. The names of fields are keys of the file.
+//! The simulation writes a line when a submission ends for its client. Field names are keys of the file.
 
 use super::outcome::RequestEnd;
 use crate::Micros;
@@ -9,40 +9,40 @@
 use std::io::{BufWriter, Write};
 use std::path::{Path, PathBuf};
 
-/// The level of the compression: zstd's default.
+/// Compression level: the default of zstd.
 const COMPRESSION_LEVEL: i32 = 3;
 
 /// A trace could not be written.
 #[derive(Debug, thiserror::Error)]
 pub enum TraceError {
-    /// The file cannot be made.
-    #[error("trace {}: {source}", path.display())]
+    /// The file could not be created.
+    #[error("cannot create trace {}: {source}", path.display())]
     Create {
         /// The file.
         path: PathBuf,
-        /// Why.
+        /// The cause.
         source: std::io::Error,
     },
-    /// A line, or the end of the file, could not be written.
-    #[error("trace: {0}")]
+    /// A line or the end of the file could not be written.
+    #[error("cannot write trace: {0}")]
     Write(#[source] std::io::Error),
 }
 
-/// One attempt on the path of a try.
+/// One attempt of a submission.
 #[derive(Clone, Debug, Serialize, PartialEq)]
 pub struct AttemptTrace {
     /// The index of the server.
     pub server: u32,
-    /// When the node sent it.
+    /// When the node sent it, in microseconds since the beginning of the run.
     pub sent: Micros,
-    /// How it ended, as the node heard it; `None` where that was after the try had ended for its client.
+    /// The outcome reported to the node; `None` if the submission had ended for its client before.
     pub ended: Option<&'static str>,
 }
 
-/// One try of a request. Times are microseconds since the beginning of the run.
+/// One submission of a request to a node. Times are in microseconds since the beginning of the run.
 #[derive(Clone, Debug, Serialize, PartialEq)]
 pub struct RequestTrace<'a> {
-    /// The id under which the node knows the try.
+    /// The request id in the node.
     pub id: u64,
     /// The index of its class.
     pub class: usize,
@@ -50,7 +50,7 @@
     pub tenant: usize,
     /// The id of its session.
     pub session: u64,
-    /// Which try of its client this is, from 1.
+    /// The number of this submission among those of the request, from 1.
     pub tries: u32,
     /// Tokens of the prompt.
     pub prompt: u32,
@@ -60,11 +60,11 @@
     pub sent: Micros,
     /// When the first token reached the client.
     pub first: Option<Micros>,
-    /// When it ended for the client.
+    /// When the submission ended for the client.
     pub over: Micros,
-    /// How it ended; `None` where the client tries again.
+    /// How the request ended; `None` if the client retries.
     pub end: Option<RequestEnd>,
-    /// Its attempts, in the order they were sent.
+    /// Its attempts, in the order in which they were sent.
     pub hops: &'a [AttemptTrace],
 }
 
@@ -76,11 +76,11 @@
 }
 
 impl TraceWriter {
-    /// Creates the file.
+    /// Creates the trace file.
     ///
     /// # Errors
     ///
-    /// [`TraceError::Create`] where the file cannot be made.
+    /// [`TraceError::Create`] if the file cannot be created.
     pub fn create(path: &Path) -> Result<TraceWriter, TraceError> {
         let create_error = |source| TraceError::Create {
             path: path.to_path_buf(),
@@ -95,18 +95,19 @@
         })
     }
 
-    /// Adds a trace. A failure is reported by [`TraceWriter::finish`]: the run itself is whole without its trace.
+    /// Writes a trace. A failure is reported by [`TraceWriter::finish`], because the run itself is complete without its
+    /// trace.
     pub fn add(&mut self, trace: &RequestTrace) {
         if self.error.is_none() {
             self.error = self.write_line(trace).err();
         }
     }
 
-    /// Ends the file.
+    /// Completes the file.
     ///
     /// # Errors
     ///
-    /// [`TraceError::Write`] with the first failure to write a trace, or with that to end the file.
+    /// [`TraceError::Write`] with the first failure to write a trace or to complete the file.
     pub fn finish(self) -> Result<(), TraceError> {
         if let Some(error) = self.error {
             return Err(TraceError::Write(error));
