--- a/crates/testbed/src/emulator/node.rs
+++ b/crates/testbed/src/emulator/node.rs
@@ -1,9 +1,10 @@
-//! One emulated node: the project's own request router or a simple policy, and the state of its process.
+//! One emulated node: the project's own request router or a baseline policy, and the state of the node's process.
 //!
-//! The simulation hands a node events with the time, carries out its commands and wakes it at its next timer.
+//! The simulation passes events with their time to a node, executes the commands of the node and calls it when its next
+//! timer is due.
 
 use super::description::{ClassDescription, RepeatSafety, RunDescription};
-use super::policies::{Policy, SimplePolicy};
+use super::policies::{BaselinePolicy, Policy};
 use crate::Micros;
 use poppykeel::routing::{RequestRouter, RouterCommand, RouterEvent};
 use poppykeel_scheduler::{
@@ -20,34 +21,34 @@
 /// The port of every server.
 const SERVER_PORT: u16 = 8000;
 
-/// The state of a node by its policy.
+/// The policy of a node, with its state.
 enum PolicyState {
     Router(Box<RequestRouter>),
-    Simple(Box<SimplePolicy>),
+    Baseline(Box<BaselinePolicy>),
 }
 
-/// A node. The simulation owns the fields of its process.
+/// A node. The simulation maintains its public fields.
 pub struct Node {
     policy: PolicyState,
     /// The index of its zone.
     pub zone: usize,
-    /// Whether its process runs.
+    /// Whether its process is running.
     pub is_up: bool,
-    /// Counts the processes that have run in its place. Events for an earlier one are dropped.
+    /// The number of earlier processes of this node. Events for an earlier process are dropped.
     pub epoch: u32,
-    /// The earliest time for which it has been scheduled to wake.
-    pub wakes_at: Option<Micros>,
-    /// By server, since when it has known that the server drains.
+    /// The earliest scheduled timer; `None` if none is scheduled.
+    pub scheduled_timer: Option<Micros>,
+    /// For each server, since when this node has known that it is draining; `None` if it is not.
     pub drain_known_since: Vec<Option<Micros>>,
 }
 
-/// The id under which nodes know a server.
+/// The id of a server in the nodes' scheduler.
 pub fn replica_id(server: usize) -> ReplicaId {
     let address = Ipv4Addr::from(FIRST_SERVER_ADDRESS + server as u32);
     ReplicaId(SocketAddr::from((address, SERVER_PORT)))
 }
 
-/// The index of the server with this id, which [`replica_id`] has made.
+/// The index of the server with this id; the inverse of [`replica_id`].
 pub fn server_index(id: ReplicaId) -> usize {
     match id.0 {
         SocketAddr::V4(address) => (address.ip().to_bits() - FIRST_SERVER_ADDRESS) as usize,
@@ -55,7 +56,7 @@
     }
 }
 
-/// The settings of the scheduler in the node `node`, also for the node's own program on sockets.
+/// The scheduler settings of a node. The programs that run on sockets use them as well.
 pub fn scheduler_settings(run: &RunDescription, node: usize) -> SchedulerSettings {
     let fleet = &run.fleet;
     SchedulerSettings {
@@ -107,7 +108,7 @@
     }
 }
 
-/// The tenants with their quotas. A single one is left out: there is nobody to be fair to.
+/// The tenants with their quotas. A single tenant is left out, as there are no others to share with.
 fn tenants(run: &RunDescription) -> Vec<Tenant> {
     if run.tenant.len() <= 1 {
         return Vec::new();
@@ -125,11 +126,11 @@
 }
 
 impl Node {
-    /// A node whose process has just started and knows no server.
+    /// Creates a node whose process has just started and has no endpoint list yet.
     ///
     /// # Errors
     ///
-    /// [`SettingsError`] where the scheduler does not take the settings of the run.
+    /// [`SettingsError`] if the scheduler rejects the settings of the run.
     pub fn new(
         run: &RunDescription,
         node: usize,
@@ -144,19 +145,19 @@
             PolicyState::Router(Box::new(RequestRouter::new(scheduler)))
         } else {
             let rng = rand_pcg::Pcg64Mcg::seed_from_u64(seed);
-            PolicyState::Simple(Box::new(SimplePolicy::new(policy, &settings, rng)))
+            PolicyState::Baseline(Box::new(BaselinePolicy::new(policy, &settings, rng)))
         };
         Ok(Node {
             policy,
             zone,
             is_up: true,
             epoch: 0,
-            wakes_at: None,
+            scheduled_timer: None,
             drain_known_since: vec![None; run.fleet.servers],
         })
     }
 
-    /// Takes one event and adds the commands that follow from it.
+    /// Handles one event and appends the resulting commands.
     pub fn handle_event(
         &mut self,
         now: Micros,
@@ -165,38 +166,38 @@
     ) {
         match &mut self.policy {
             PolicyState::Router(router) => router.handle_event(now, event, commands),
-            PolicyState::Simple(simple) => simple.handle_event(now, event, commands),
+            PolicyState::Baseline(baseline) => baseline.handle_event(now, event, commands),
         }
     }
 
-    /// Runs the timers that are due, and adds the commands that follow from them.
+    /// Runs the timers that are due and appends the resulting commands.
     pub fn on_timer(&mut self, now: Micros, commands: &mut Vec<RouterCommand>) {
         match &mut self.policy {
             PolicyState::Router(router) => router.on_timer(now, commands),
-            PolicyState::Simple(simple) => simple.on_timer(now, commands),
+            PolicyState::Baseline(baseline) => baseline.on_timer(now, commands),
         }
     }
 
-    /// Sets what the budgets of the fleet grant it from now on. A simple policy has no budgets.
+    /// Sets the budget grants of the node. Baseline policies have no budgets.
     pub fn set_budget_grants(&mut self, grants: &BudgetGrants) {
         if let PolicyState::Router(router) = &mut self.policy {
             router.set_budget_grants(grants);
         }
     }
 
-    /// What it has demanded of each budget of the fleet since its start.
+    /// The demand on each budget of the fleet since the node started.
     pub fn budget_demand(&self) -> BTreeMap<BudgetKind, BudgetDemand> {
         match &self.policy {
             PolicyState::Router(router) => router.budget_demand(),
-            PolicyState::Simple(_) => BTreeMap::new(),
+            PolicyState::Baseline(_) => BTreeMap::new(),
         }
     }
 
-    /// Requests queued in it, by tenant; a simple policy queues none.
+    /// Requests queued in the node, by tenant; empty for baseline policies, which queue none.
     pub fn queued_by_tenant(&self) -> Vec<usize> {
         match &self.policy {
             PolicyState::Router(router) => router.gauges().queued_by_tenant,
-            PolicyState::Simple(_) => Vec::new(),
+            PolicyState::Baseline(_) => Vec::new(),
         }
     }
 
@@ -204,7 +205,7 @@
     pub fn next_timer(&self) -> Option<Micros> {
         match &self.policy {
             PolicyState::Router(router) => router.next_timer(),
-            PolicyState::Simple(simple) => simple.next_timer(),
+            PolicyState::Baseline(baseline) => baseline.next_timer(),
         }
     }
 }
--- a/crates/testbed/src/emulator/policies/simple/mod.rs
+++ b/crates/testbed/src/emulator/policies/baseline/mod.rs
@@ -1,8 +1,8 @@
-//! One node that balances by a simple policy, behind the same events and commands as the project's request router.
+//! One node that balances by a baseline policy, with the same events and commands as the project's request router.
 //!
-//! It sends each request at once and queues nothing, retries elsewhere where that is allowed, and ejects a replica for a
-//! while after failures in a row, as the passive health checks of common proxies do. [`replicas`] chooses the replica;
-//! this file follows requests and their one attempt in flight.
+//! It sends each request immediately and queues nothing, retries on another replica if that is allowed, and ejects a
+//! replica for a while after consecutive failures, as the passive health checks of common proxies do. [`replicas`]
+//! chooses the replica; this file tracks requests and their one attempt in flight.
 
 mod replicas;
 
@@ -14,18 +14,18 @@
 use replicas::{ReplicaIndex, ReplicaTable};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What a rejected client is told to wait, in microseconds.
+/// The `Retry-After` of rejected requests, in microseconds.
 const RETRY_AFTER: MonotonicMicros = 1_000_000;
 
 /// The attempt of a request that is in flight.
 #[derive(Clone, Copy, Debug)]
 struct InFlightAttempt {
     replica: ReplicaIndex,
-    /// When it is abandoned if it has no first token by then.
+    /// When the attempt times out if it has no first token.
     timeout_at: MonotonicMicros,
 }
 
-/// A request that has no final answer yet.
+/// A request without a final answer.
 struct PendingRequest {
     request: IncomingRequest,
     deadline: MonotonicMicros,
@@ -35,32 +35,32 @@
 }
 
 impl PendingRequest {
-    /// The number of the latest attempt, from 0.
+    /// The index of the latest attempt.
     fn latest_attempt(&self) -> usize {
         self.attempt_count.saturating_sub(1) as usize
     }
 
-    /// What places the request on the ring of prefix-affine hashing.
+    /// The key of the request on the hash ring of prefix-affine balancing.
     fn affinity_key(&self) -> u64 {
         self.request.session.unwrap_or(self.request.id.0)
     }
 }
 
-/// One node that balances by a simple policy.
-pub struct SimplePolicy {
+/// A node that balances by a baseline policy.
+pub struct BaselinePolicy {
     classes: Vec<Idempotency>,
     max_attempts: u32,
     replicas: ReplicaTable,
     requests: BTreeMap<RequestId, PendingRequest>,
-    /// Timeouts of attempts in flight that have no first token.
+    /// Timeouts of attempts in flight without a first token.
     timers: BTreeSet<(MonotonicMicros, RequestId)>,
 }
 
-impl SimplePolicy {
-    /// A node that knows no replica yet.
+impl BaselinePolicy {
+    /// Creates a node without replicas.
     pub fn new(policy: Policy, settings: &SchedulerSettings, rng: rand_pcg::Pcg64Mcg) -> Self {
         let classes = settings.classes.iter().map(|class| class.idempotency);
-        SimplePolicy {
+        BaselinePolicy {
             classes: classes.collect(),
             max_attempts: settings.limits.max_attempts as u32,
             replicas: ReplicaTable::new(policy, rng),
@@ -74,7 +74,7 @@
         self.timers.first().map(|(timeout_at, _)| *timeout_at)
     }
 
-    /// Abandons the attempts whose timeout has passed.
+    /// Abandons the attempts that have timed out.
     pub fn on_timer(&mut self, now: MonotonicMicros, commands: &mut Vec<RouterCommand>) {
         while let Some((timeout_at, request)) = self.timers.first().copied() {
             if timeout_at > now {
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Takes one event and adds the commands that follow from it.
+    /// Handles one event and appends the resulting commands.
     pub fn handle_event(
         &mut self,
         now: MonotonicMicros,
@@ -144,7 +144,7 @@
         self.start_attempt(now, id, None, commands);
     }
 
-    /// Forgets the request of a client that has left, and abandons its attempt.
+    /// Removes the request of a client that has disconnected, and abandons its attempt.
     fn drop_request(&mut self, request: RequestId, commands: &mut Vec<RouterCommand>) {
         let attempt = self
             .requests
@@ -178,7 +178,7 @@
         Some(in_flight.replica)
     }
 
-    /// Ends the attempt in flight for the bookkeeping, and returns its replica.
+    /// Removes the attempt in flight and returns its replica.
     fn release_replica(&mut self, request: RequestId) -> Option<ReplicaIndex> {
         let in_flight = self.requests.get_mut(&request)?.in_flight.take()?;
         self.timers.remove(&(in_flight.timeout_at, request));
@@ -186,8 +186,8 @@
         Some(in_flight.replica)
     }
 
-    /// Ends an attempt, and then retries its request or gives its client the final answer. An attempt that is not the
-    /// latest of its request is ignored.
+    /// Ends an attempt, then retries the request or sends the final answer to its client. Ignored unless the attempt is
+    /// the latest of its request.
     fn end_attempt(
         &mut self,
         now: MonotonicMicros,
@@ -211,7 +211,7 @@
         }
         let pending = &self.requests[&id];
         if pending.is_streaming || outcome == AttemptOutcome::Completed {
-            // The end of a stream, complete or not, is that of its request.
+            // The end of a stream, complete or not, ends its request.
             self.requests.remove(&id);
             return;
         }
@@ -228,7 +228,7 @@
         }
     }
 
-    /// Sends a request to the replica that the policy chooses, but for `excluded`; rejects it where there is none.
+    /// Sends a request to the replica chosen by the policy, other than `excluded`, or rejects it if there is none.
     fn start_attempt(
         &mut self,
         now: MonotonicMicros,
@@ -279,7 +279,7 @@
     )
 }
 
-/// Whether the replica cannot have begun the request, so that any class may be sent again.
+/// Whether the replica cannot have started the request, so that it may be retried whatever its class.
 fn cannot_have_run(outcome: AttemptOutcome) -> bool {
     matches!(
         outcome,
--- a/crates/testbed/src/emulator/policies/simple/replicas.rs
+++ b/crates/testbed/src/emulator/policies/baseline/replicas.rs
@@ -1,4 +1,4 @@
-//! The replicas that a simple policy knows, and how each policy chooses among them.
+//! The replicas of a node with a baseline policy, and how each policy chooses one.
 
 use super::Policy;
 use poppykeel::routing::MonotonicMicros;
@@ -6,25 +6,26 @@
 use rand::RngExt;
 use std::collections::HashMap;
 
-/// Failures in a row after which a replica is ejected.
+/// Consecutive failures after which a replica is ejected.
 const EJECTION_THRESHOLD: u32 = 3;
-/// How long a replica is ejected, in microseconds; then requests come again, and failures are counted anew.
+/// How long a replica is ejected, in microseconds. After it the replica receives requests again, and its failures are
+/// counted from 0.
 const EJECTION_DURATION: MonotonicMicros = 10_000_000;
-/// Points of each replica on the ring of prefix-affine hashing.
+/// Points of each replica on the hash ring.
 const RING_POINTS: u64 = 40;
-/// Added to the number of a point before it is hashed.
+/// Added to the index of a point before hashing.
 const RING_POINT_OFFSET: u64 = 77;
-/// No replica has more in flight than so many times the mean (Mirrokni et al., "Consistent hashing with bounded loads",
-/// 2018).
+/// The maximum number of requests in flight on a replica, as a multiple of the mean (Mirrokni et al., "Consistent
+/// hashing with bounded loads", 2018).
 const LOAD_BOUND: f64 = 1.25;
-/// How many points of the ring are tried for each replica that there is ...
-const RING_TRIES_PER_REPLICA: usize = 4;
-/// ... where there are at least so many.
-const RING_TRIES_MIN_REPLICAS: usize = 16;
-/// Random draws before all replicas are looked through.
+/// Eligible points of the ring that are examined for each replica ...
+const RING_CANDIDATES_PER_REPLICA: usize = 4;
+/// ... where a table of fewer replicas counts as one of this many.
+const RING_CANDIDATES_MIN_REPLICAS: usize = 16;
+/// Random draws before all replicas are scanned.
 const QUICK_DRAWS: usize = 8;
 
-/// The position of a replica in the table, which it keeps for ever.
+/// The position of a replica in the table; it never changes.
 pub(super) type ReplicaIndex = usize;
 
 struct Replica {
@@ -32,7 +33,7 @@
     is_available: bool,
     in_flight: u32,
     reported_tokens: f64,
-    failures_in_row: u32,
+    consecutive_failures: u32,
     ejected_until: MonotonicMicros,
 }
 
@@ -43,30 +44,30 @@
             is_available,
             in_flight: 0,
             reported_tokens: 0.0,
-            failures_in_row: 0,
+            consecutive_failures: 0,
             ejected_until: 0,
         }
     }
 }
 
-/// Which replicas one choice may take.
+/// The replicas that one choice may return.
 #[derive(Clone, Copy)]
 struct Eligibility {
     now: MonotonicMicros,
-    /// The replica of the attempt before; it is not taken again unless it is the only one.
+    /// The replica of the previous attempt, which is chosen again only if it is the only one.
     excluded: Option<ReplicaIndex>,
-    /// Whether ejected replicas are taken, too: where all available ones are ejected.
+    /// Whether ejected replicas are eligible, because all available ones are ejected.
     includes_ejected: bool,
 }
 
-/// All replicas that have been on the endpoint list.
+/// All replicas that have ever been on the endpoint list.
 pub(super) struct ReplicaTable {
     policy: Policy,
     replicas: Vec<Replica>,
     index_by_id: HashMap<ReplicaId, ReplicaIndex>,
-    /// Points of the hash ring in order, each with its replica.
+    /// Points of the hash ring in ascending order, each with its replica.
     ring: Vec<(u64, ReplicaIndex)>,
-    /// Where round robin goes on.
+    /// Where round robin continues.
     next_in_turn: ReplicaIndex,
     rng: rand_pcg::Pcg64Mcg,
     total_in_flight: u64,
@@ -104,20 +105,20 @@
     }
 
     pub(super) fn record_success(&mut self, index: ReplicaIndex) {
-        self.replicas[index].failures_in_row = 0;
+        self.replicas[index].consecutive_failures = 0;
     }
 
-    /// Counts a failure, and ejects the replica where it is one too many.
+    /// Counts a failure, and ejects the replica when it reaches the threshold.
     pub(super) fn record_failure(&mut self, index: ReplicaIndex, now: MonotonicMicros) {
         let replica = &mut self.replicas[index];
-        replica.failures_in_row += 1;
-        if replica.failures_in_row >= EJECTION_THRESHOLD {
-            replica.failures_in_row = 0;
+        replica.consecutive_failures += 1;
+        if replica.consecutive_failures >= EJECTION_THRESHOLD {
+            replica.consecutive_failures = 0;
             replica.ejected_until = now + EJECTION_DURATION;
         }
     }
 
-    /// Takes a whole endpoint list: what is not on it is no longer available.
+    /// Replaces the endpoint list: replicas that are not on the new one are no longer available.
     pub(super) fn replace_endpoints(&mut self, endpoints: &[Endpoint]) {
         for replica in &mut self.replicas {
             replica.is_available = false;
@@ -125,7 +126,7 @@
         self.update_endpoints(endpoints);
     }
 
-    /// Takes changes of the endpoint list.
+    /// Applies changes of the endpoint list.
     pub(super) fn update_endpoints(&mut self, endpoints: &[Endpoint]) {
         for endpoint in endpoints {
             let is_available = endpoint.state == EndpointState::Available;
@@ -153,8 +154,8 @@
         }
     }
 
-    /// Chooses the replica of an attempt; `None` where none is available. The order of random draws is part of the
-    /// results of a seed.
+    /// Chooses the replica of an attempt; `None` if none is available. The results of a seed depend on the order of the
+    /// random draws.
     pub(super) fn choose(
         &mut self,
         now: MonotonicMicros,
@@ -187,7 +188,7 @@
         replica.is_available && (eligibility.includes_ejected || !is_ejected) && !is_excluded
     }
 
-    /// Eligible replicas in the order of the table, begun at one of them and going round.
+    /// Eligible replicas in the order of the table, starting at `start` and wrapping around.
     fn eligible_from(
         &self,
         start: ReplicaIndex,
@@ -203,8 +204,8 @@
         self.rng.random_range(0..self.replicas.len().max(1))
     }
 
-    /// Draws an eligible replica at random. The first draw is nearly always eligible; where hardly any replica is, all
-    /// are looked through.
+    /// Draws an eligible replica at random. The first draw is nearly always eligible; if several draws are not, all
+    /// replicas are scanned.
     fn draw(&mut self, eligibility: Eligibility) -> Option<ReplicaIndex> {
         for _ in 0..QUICK_DRAWS {
             let index = self.random_index();
@@ -235,14 +236,14 @@
         Some(chosen)
     }
 
-    /// Begins at a random replica, so that ties do not all go to the first.
+    /// Starts at a random replica, so that ties do not all go to the first one.
     fn choose_least_outstanding(&mut self, eligibility: Eligibility) -> Option<ReplicaIndex> {
         let start = self.random_index();
         self.eligible_from(start, eligibility)
             .min_by_key(|index| self.replicas[*index].in_flight)
     }
 
-    /// Begins at a random replica, so that ties do not all go to the first.
+    /// Starts at a random replica, so that ties do not all go to the first one.
     fn choose_least_reported(&mut self, eligibility: Eligibility) -> Option<ReplicaIndex> {
         let start = self.random_index();
         self.eligible_from(start, eligibility)
@@ -253,17 +254,18 @@
             })
     }
 
-    /// The first replica from the key's place on the ring that is below the bound of load; the first of all where none
-    /// of those tried is.
+    /// The first replica on the ring, from the position of the key on, that is below the load bound; the very first one
+    /// if none of those examined is below it.
     fn choose_on_ring(&self, eligibility: Eligibility, affinity_key: u64) -> Option<ReplicaIndex> {
         let position = mix(affinity_key);
         let start = self.ring.partition_point(|point| point.0 < position);
         let max_in_flight = self.in_flight_bound();
-        let max_tries = RING_TRIES_PER_REPLICA * self.replicas.len().max(RING_TRIES_MIN_REPLICAS);
+        let max_candidates =
+            RING_CANDIDATES_PER_REPLICA * self.replicas.len().max(RING_CANDIDATES_MIN_REPLICAS);
         let mut candidates = (0..self.ring.len())
             .map(|offset| self.ring[(start + offset) % self.ring.len()].1)
             .filter(|index| self.is_eligible(*index, eligibility))
-            .take(max_tries);
+            .take(max_candidates);
         let first = candidates.next()?;
         if self.replicas[first].in_flight < max_in_flight {
             return Some(first);
--- a/crates/testbed/src/emulator/policies/mod.rs
+++ b/crates/testbed/src/emulator/policies/mod.rs
@@ -1,14 +1,15 @@
-//! The policies that a run compares: the project's own scheduler, and what users would otherwise deploy.
+//! The policies that experiments compare: the project's own scheduler, and the common load-balancing policies as
+//! baselines.
 //!
-//! [`Policy`] names them; [`SimplePolicy`] is one node that balances by any of the others.
+//! [`Policy`] lists them; [`BaselinePolicy`] is a node that balances by any policy but the project's own.
 
-mod simple;
+mod baseline;
 
-pub use simple::SimplePolicy;
+pub use baseline::BaselinePolicy;
 
 use serde::{Deserialize, Serialize};
 
-/// How a node chooses the replica of an attempt. The names are those of experiments and of results files.
+/// How a node chooses the replica of an attempt. The serialized names are used in experiments and results files.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq, PartialOrd, Ord)]
 #[serde(rename_all = "kebab-case")]
 pub enum Policy {
@@ -16,20 +17,20 @@
     Poppykeel,
     /// Any replica at random.
     Random,
-    /// One replica after the other.
+    /// All replicas in turn.
     RoundRobin,
     /// The replica with the fewest requests of this node in flight.
     LeastOutstanding,
-    /// The better of two random replicas by requests in flight (Mitzenmacher, 2001).
+    /// The one of two random replicas with fewer requests in flight (Mitzenmacher, 2001).
     TwoChoices,
     /// The replica that reported the fewest queued prompt tokens.
     LeastReported,
-    /// The place of the session on a hash ring, unless that replica has too much in flight.
+    /// The replica of the session on a hash ring, unless that replica has too many requests in flight.
     PrefixAffine,
 }
 
 impl Policy {
-    /// All of them, the project's own first.
+    /// All policies, the project's own first.
     pub const ALL: [Policy; 7] = [
         Policy::Poppykeel,
         Policy::Random,
--- a/crates/testbed/src/emulator/simulation/clients.rs
+++ b/crates/testbed/src/emulator/simulation/clients.rs
@@ -1,4 +1,4 @@
-//! The side of clients: arrivals, retries, and the end of tries.
+//! Clients in the simulation: arrivals, retries, and the end of submissions.
 
 use super::super::clients::ClientRequest;
 use super::super::description::RepeatSafety;
@@ -11,13 +11,13 @@
 use poppykeel_scheduler::RequestId;
 use rand::RngExt;
 
-/// How long a client waits after a failure before it tries again.
-const RETRY_PAUSE: Micros = 500_000;
-/// Clients spread their retries over this fraction of the wait, as a divisor.
+/// How long a client waits after a failure before it retries.
+const RETRY_DELAY: Micros = 500_000;
+/// Retries are delayed by a random time of up to the wait divided by this.
 const RETRY_SPREAD_DIVISOR: Micros = 10;
 
-/// The end of one try as it is traced.
-struct EndedTry {
+/// An ended submission, for its trace.
+struct EndedSubmission {
     id: RequestId,
     node: usize,
     request: ClientRequest,
@@ -25,11 +25,11 @@
     sent_at: Micros,
     first_token_at: Option<Micros>,
     ended_at: Micros,
-    /// `None` where the client tries again.
+    /// `None` if the client retries.
     request_end: Option<RequestEnd>,
 }
 
-impl EndedTry {
+impl EndedSubmission {
     fn trace(&self) -> RequestTrace<'_> {
         RequestTrace {
             id: self.id.0,
@@ -56,7 +56,7 @@
         let request = self
             .clients
             .draw_request(now, tenant, self.run, &mut self.rng);
-        self.send_try(now, request);
+        self.submit_request(now, request);
         self.schedule_next_arrival(tenant);
     }
 
@@ -68,87 +68,87 @@
     }
 
     /// Sends a request to a random node that is up.
-    pub(super) fn send_try(&mut self, now: Micros, mut request: ClientRequest) {
+    pub(super) fn submit_request(&mut self, now: Micros, mut request: ClientRequest) {
         request.submission_count += 1;
         let Some(node) = self.draw_node() else {
-            // Nobody listens: refused connections are a failure at once.
+            // No node listens: connections are refused, which is an immediate failure.
             return self.finish_request(now, &request, None, RequestEnd::Failed);
         };
         let timeout = micros(self.run.class[request.class].deadline_s);
         self.recorder.outcome_mut().tries += 1;
-        let id = self.tries.insert(request, node, now);
+        let id = self.submissions.insert(request, node, now);
         self.notify_node_of_client(now, node, id, NodeNotice::Arrived);
         self.queue
             .schedule(now + timeout, Event::ClientTimeout { request: id });
     }
 
-    /// A client learns of its try. One that has left learns nothing more.
+    /// Notifies a client of progress of its submission. Ignored once the client has disconnected.
     pub(super) fn notify_client(&mut self, now: Micros, id: RequestId, notice: ClientNotice) {
-        let Some(client_try) = self.tries.get_unended(id) else {
+        let Some(submission) = self.submissions.get_open(id) else {
             return;
         };
         match notice {
             ClientNotice::FirstToken => {
-                client_try.first_token_at.get_or_insert(now);
+                submission.first_token_at.get_or_insert(now);
             }
-            ClientNotice::Completed => self.end_try(now, id, RequestEnd::Good, 0),
-            ClientNotice::Broken => self.end_try(now, id, RequestEnd::Broken, 0),
-            ClientNotice::Failed => self.end_try(now, id, RequestEnd::Failed, RETRY_PAUSE),
+            ClientNotice::Completed => self.end_submission(now, id, RequestEnd::Good, 0),
+            ClientNotice::Broken => self.end_submission(now, id, RequestEnd::Broken, 0),
+            ClientNotice::Failed => self.end_submission(now, id, RequestEnd::Failed, RETRY_DELAY),
             ClientNotice::Rejected { retry_after } => {
-                self.end_try(now, id, RequestEnd::Refused, retry_after);
+                self.end_submission(now, id, RequestEnd::Refused, retry_after);
             }
         }
     }
 
-    /// A client that has no first token by its deadline leaves.
+    /// Disconnects a client that has no first token by its deadline.
     pub(super) fn on_client_timeout(&mut self, now: Micros, id: RequestId) {
-        let Some(client_try) = self.tries.get_unended(id) else {
+        let Some(submission) = self.submissions.get_open(id) else {
             return;
         };
-        if client_try.first_token_at.is_some() {
+        if submission.first_token_at.is_some() {
             return;
         }
-        let node = client_try.node;
+        let node = submission.node;
         self.notify_node_of_client(now, node, id, NodeNotice::ClientLeft);
-        self.end_try(now, id, RequestEnd::Left, 0);
+        self.end_submission(now, id, RequestEnd::Left, 0);
     }
 
-    /// Ends a try for its client: the one place where that happens. Where the client tries again it waits for
-    /// `retry_after`; otherwise its request ends.
-    pub(super) fn end_try(
+    /// Ends a submission for its client; the only place that does so. The client retries after `retry_after`, or its
+    /// request ends.
+    pub(super) fn end_submission(
         &mut self,
         now: Micros,
         id: RequestId,
         end: RequestEnd,
         retry_after: Micros,
     ) {
-        let Some(client_try) = self.tries.get_unended(id) else {
+        let Some(submission) = self.submissions.get_open(id) else {
             return;
         };
-        client_try.has_ended = true;
-        let request = client_try.request.clone();
-        let mut ended_try = EndedTry {
+        submission.has_ended = true;
+        let request = submission.request.clone();
+        let mut ended = EndedSubmission {
             id,
-            node: client_try.node,
+            node: submission.node,
             request,
-            attempt_traces: std::mem::take(&mut client_try.attempt_traces),
-            sent_at: client_try.sent_at,
-            first_token_at: client_try.first_token_at,
+            attempt_traces: std::mem::take(&mut submission.attempt_traces),
+            sent_at: submission.sent_at,
+            first_token_at: submission.first_token_at,
             ended_at: now,
             request_end: Some(end),
         };
-        let is_retried = self.is_retried(&ended_try.request, end, retry_after);
+        let is_retried = self.is_retried(&ended.request, end, retry_after);
         if is_retried {
-            ended_try.request_end = None;
+            ended.request_end = None;
         }
         if let Some(trace) = &mut self.trace {
-            trace.add(&ended_try.trace());
+            trace.add(&ended.trace());
         }
-        self.tries.remove_if_finished(id);
+        self.submissions.remove_if_finished(id);
         if is_retried {
-            self.schedule_retry(now, ended_try.request, retry_after);
+            self.schedule_retry(now, ended.request, retry_after);
         } else {
-            self.finish_request(now, &ended_try.request, ended_try.first_token_at, end);
+            self.finish_request(now, &ended.request, ended.first_token_at, end);
         }
     }
 
@@ -164,7 +164,7 @@
         }
     }
 
-    /// Retries are spread in time, so that clients that were rejected together do not come back together.
+    /// Retries are spread in time, so that clients that were rejected together do not all return at once.
     fn schedule_retry(&mut self, now: Micros, request: ClientRequest, retry_after: Micros) {
         let max_spread = retry_after / RETRY_SPREAD_DIVISOR + 1;
         let spread = self.rng.random_range(0..=max_spread);
@@ -189,7 +189,7 @@
             .finish_request(request, is_complete, self.run.load.sessions);
     }
 
-    /// Draws a node that is up; `None` where none is.
+    /// Draws a node that is up; `None` if there is none.
     fn draw_node(&mut self) -> Option<usize> {
         let up_count = self.nodes.iter().filter(|node| node.is_up).count();
         if up_count == 0 {
@@ -201,7 +201,7 @@
         Some(index)
     }
 
-    /// A client sends something to its node, which is near.
+    /// Sends a notice from a client to its node, with the latency inside a zone.
     fn notify_node_of_client(
         &mut self,
         now: Micros,
--- a/crates/testbed/src/emulator/simulation/coordination.rs
+++ b/crates/testbed/src/emulator/simulation/coordination.rs
@@ -1,5 +1,5 @@
-//! The coordination of nodes as part of the simulation: hands events to its state machines and carries out what they
-//! want done. Without coordination in the description nothing happens here.
+//! Coordination of nodes in the simulation: passes events to the state machines and executes their commands. Without
+//! coordination in the description nothing happens here.
 
 use super::super::coordination::{CoordinationCommand, CoordinationEvent, ProcessNumber};
 use super::event::Event;
@@ -7,11 +7,11 @@
 use crate::Micros;
 use poppykeel_coordination::envelope::Envelope;
 
-/// Messages are for whatever process a node has: no process has this number.
+/// Passed with messages, which any process of the node receives; no process has this number.
 const ANY_PROCESS: ProcessNumber = 0;
 
 impl Simulation<'_> {
-    /// A process of a node starts.
+    /// Starts the coordination of a node's new process.
     pub(super) fn start_coordination(&mut self, node: usize) {
         let now = self.queue.now();
         if let Some(coordination) = &mut self.coordination {
@@ -20,7 +20,7 @@
         self.execute_coordination_commands(now);
     }
 
-    /// The process of a node ends.
+    /// Ends the coordination of a node's process.
     pub(super) fn stop_coordination(&mut self, node: usize) {
         if let Some(coordination) = &mut self.coordination {
             coordination.stop_node(node);
@@ -79,11 +79,11 @@
         self.coordination_commands = commands;
     }
 
-    /// Sends a message over the network; one to another zone is lost while the network is cut.
+    /// Sends a message over the network. A message between zones is lost during a partition between them.
     fn send_envelope(&mut self, now: Micros, from: usize, to: usize, envelope: Box<Envelope>) {
         let from_zone = self.nodes[from].zone;
         let to_zone = self.nodes[to].zone;
-        if self.is_cut_between(from_zone, to_zone) {
+        if self.is_partitioned_between(from_zone, to_zone) {
             return;
         }
         let latency = if to == from {
--- a/crates/testbed/src/emulator/simulation/endpoints.rs
+++ b/crates/testbed/src/emulator/simulation/endpoints.rs
@@ -1,4 +1,4 @@
-//! The endpoint list as nodes receive it: whole when they start, then its changes a little later than they happen.
+//! The endpoint list as nodes receive it: the full list when they start, then changes with a delay.
 
 use super::super::node::replica_id;
 use super::super::time::MICROS_PER_MS;
@@ -9,8 +9,8 @@
 use poppykeel_scheduler::{Endpoint, EndpointState};
 
 impl Simulation<'_> {
-    /// Hands the whole list to a node, at once.
-    pub(super) fn send_whole_list(&mut self, node: usize) {
+    /// Sends the full list to a node, without delay.
+    pub(super) fn send_full_list(&mut self, node: usize) {
         let now = self.queue.now();
         let mut endpoints = Vec::with_capacity(self.servers.len());
         for (index, server) in self.servers.iter().enumerate() {
@@ -20,7 +20,7 @@
         }
         for (index, server) in self.servers.iter().enumerate() {
             let known_since = &mut self.nodes[node].drain_known_since[index];
-            // A drain is known from its first notice on, and no longer once the whole list does not have it.
+            // A drain is known from its first notice until a full list no longer contains it.
             *known_since = if server.listed_state == EndpointState::Draining {
                 Some(known_since.unwrap_or(now))
             } else {
@@ -28,13 +28,13 @@
             };
         }
         let epoch = self.nodes[node].epoch;
-        self.hand_to_node(now, node, epoch, RouterEvent::EndpointsReplaced(endpoints));
+        self.deliver_to_node(now, node, epoch, RouterEvent::EndpointsReplaced(endpoints));
     }
 
-    /// Changes the state of a server on the list; nodes learn of it after the delay of the list.
+    /// Changes the state of a server on the list. Nodes are notified after the delay of the list.
     pub(super) fn set_listed_state(&mut self, now: Micros, server: usize, state: EndpointState) {
         self.servers[server].listed_state = state;
-        if self.is_endpoint_list_silent {
+        if self.is_endpoint_list_frozen {
             return;
         }
         let at = now + self.run.fleet.list_ms * MICROS_PER_MS;
@@ -54,7 +54,7 @@
         }
     }
 
-    /// A node learns of a change of the list.
+    /// Notifies a node of a change of the list.
     pub(super) fn on_endpoint_changed(
         &mut self,
         now: Micros,
@@ -69,7 +69,7 @@
             self.nodes[node].drain_known_since[server] = is_draining.then_some(now);
         }
         let changes = vec![self.endpoint(server, state, started_at)];
-        self.hand_to_node(now, node, epoch, RouterEvent::EndpointsChanged(changes));
+        self.deliver_to_node(now, node, epoch, RouterEvent::EndpointsChanged(changes));
     }
 
     fn endpoint(
--- a/crates/testbed/src/emulator/simulation/event.rs
+++ b/crates/testbed/src/emulator/simulation/event.rs
@@ -1,7 +1,8 @@
 //! The events of a simulation.
 //!
-//! An event says what happens at its time, not what follows from it. Those that are for a process of a node carry its
-//! epoch and are dropped once another process has its place; those that a later plan has replaced carry its number.
+//! An event describes what happens at its time and not its consequences. Events for a process of a node carry its epoch
+//! and are dropped once another process has replaced it. Timers of servers carry the number of the plan of steps and
+//! are dropped once there is a newer plan.
 
 use super::super::clients::ClientRequest;
 use super::super::coordination::{CoordinationEvent, ProcessNumber};
@@ -9,12 +10,12 @@
 use crate::Micros;
 use poppykeel_scheduler::{AttemptOutcome, EndpointState, RequestId};
 
-/// What a node learns of a try.
+/// What a node is notified of about a submission.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum NodeNotice {
-    /// The client has sent it.
+    /// The request has arrived.
     Arrived,
-    /// The client has left.
+    /// The client has disconnected.
     ClientLeft,
     /// An attempt has its first token.
     FirstToken { attempt: usize },
@@ -26,23 +27,23 @@
     },
 }
 
-/// What a client learns of its try.
+/// What a client is notified of about its submission.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum ClientNotice {
     FirstToken,
     /// The answer is complete.
     Completed,
-    /// The answer was broken off after its first token.
+    /// The answer failed after the first token.
     Broken,
-    /// It failed before its first token.
+    /// The request failed before the first token.
     Failed,
-    /// The node has rejected it.
+    /// The node has rejected the request.
     Rejected {
         retry_after: Micros,
     },
 }
 
-/// A step of a fault. `fault` is its position in the description.
+/// A step of a fault. `fault` is its index in the description.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum FaultEvent {
     Begin {
@@ -51,37 +52,37 @@
     End {
         fault: usize,
     },
-    /// The next stall of a fault that stalls servers again and again, until a time.
+    /// The next stall of a fault that stalls servers repeatedly until a time.
     NextStall {
         fault: usize,
         until: Micros,
     },
-    /// A server that has ended starts again.
+    /// A server that has crashed restarts.
     StartServer {
         server: usize,
     },
-    /// The next wave of a deployment; its first server.
+    /// The next wave of a deployment, which begins with this server.
     DeployWave {
         fault: usize,
         first_server: usize,
     },
 }
 
-/// What happens.
+/// An event.
 #[derive(Debug)]
 pub(super) enum Event {
     /// A tenant sends its next request.
     Arrival { tenant: usize },
-    /// A client tries a request again.
+    /// A client retries a request.
     ClientRetry(Box<ClientRequest>),
-    /// A client learns of its try.
+    /// A notice reaches a client.
     AtClient {
         request: RequestId,
         notice: ClientNotice,
     },
-    /// A client leaves if its try has no first token yet.
+    /// A client disconnects if it has no first token yet.
     ClientTimeout { request: RequestId },
-    /// A node learns of a try.
+    /// A notice reaches a node.
     AtNode {
         node: usize,
         epoch: u32,
@@ -90,7 +91,7 @@
     },
     /// The timers of a node are due.
     NodeTimer { node: usize, epoch: u32 },
-    /// A node learns how a health check has ended.
+    /// The result of a health check reaches a node.
     ProbeEnded {
         node: usize,
         epoch: u32,
@@ -98,7 +99,7 @@
         outcome: AttemptOutcome,
         load: Option<ReportedLoad>,
     },
-    /// A node learns of a change of the endpoint list.
+    /// A change of the endpoint list reaches a node.
     EndpointChanged {
         node: usize,
         epoch: u32,
@@ -106,7 +107,7 @@
         state: EndpointState,
         started_at: Option<Micros>,
     },
-    /// A node gives up an attempt whose stream sends nothing.
+    /// A stream that has sent nothing times out.
     StreamTimeout { key: AttemptKey },
     /// An attempt reaches a server.
     AttemptAtServer { server: usize, key: AttemptKey },
@@ -118,18 +119,18 @@
     },
     /// The cancellation of an attempt reaches a server.
     CancelAtServer { server: usize, key: AttemptKey },
-    /// The steps of a server end, if its plan is still this one.
+    /// The planned steps of a server end. Dropped if it has a newer plan.
     ServerTimer { server: usize, plan: u32 },
     /// A step of a fault.
     Fault(FaultEvent),
-    /// Something happens to the coordination of a node.
+    /// An event of the coordination of a node.
     Coordination {
         node: usize,
         process: ProcessNumber,
         event: CoordinationEvent,
     },
-    /// It is checked which nodes hold the lease.
+    /// The lease holders are checked.
     CheckLeaseHolders,
-    /// It is measured how busy servers are.
+    /// The occupancy of servers is sampled.
     SampleOccupancy,
 }
--- a/crates/testbed/src/emulator/simulation/faults.rs
+++ b/crates/testbed/src/emulator/simulation/faults.rs
@@ -1,30 +1,30 @@
-//! The faults of a run: how each kind begins, goes on and ends.
+//! The faults of a run: how each kind begins, repeats and ends.
 
 use super::super::description::{FaultDescription, FaultKind};
 use super::super::model_server::AttemptKey;
 use super::super::outcome::RequestEnd;
 use super::super::time::{micros, MICROS_PER_MS};
 use super::event::{Event, FaultEvent, NodeNotice};
-use super::tries::ClientTry;
+use super::submissions::Submission;
 use super::{Route, Simulation};
 use crate::Micros;
 use poppykeel_scheduler::{AttemptOutcome, EndpointState, RequestId};
 use std::ops::Range;
 
-/// A server that ends is started again after this time, where the fault does not say when.
+/// The delay of a restart, unless the fault specifies it.
 const RESTART_DELAY: Micros = 1_000_000;
-/// A fault of stalls stops servers once in each such interval.
+/// The interval between the stalls of a fault that stalls servers repeatedly.
 const STALL_INTERVAL: Micros = 2_000_000;
-/// How long a client waits before it tries again after its node has ended.
-const NODE_FAILURE_PAUSE: Micros = 100_000;
+/// How long a client waits before it retries after its node has crashed.
+const NODE_FAILURE_RETRY_DELAY: Micros = 100_000;
 
-/// An attempt that a cut of the network has cut off from its node.
-struct CutOffAttempt {
+/// An attempt that a network partition has disconnected from its node.
+struct DisconnectedAttempt {
     key: AttemptKey,
     is_streaming: bool,
 }
 
-/// The first `fraction` of so many.
+/// The indexes of the first `fraction` of `count`.
 fn affected(count: usize, fraction: f64) -> Range<usize> {
     0..((count as f64 * fraction).ceil() as usize).min(count)
 }
@@ -56,8 +56,8 @@
             FaultKind::LateReports => self.set_frozen_reports(servers, true),
             FaultKind::Slow => self.set_slowdown(now, servers, fault.size),
             FaultKind::Burst => self.clients.set_burst_factor(fault.tenant, fault.size),
-            FaultKind::ZoneCut => self.cut_off_zone(now, fault.zone),
-            FaultKind::NoList => self.is_endpoint_list_silent = true,
+            FaultKind::ZoneCut => self.partition_zone(now, fault.zone),
+            FaultKind::NoList => self.is_endpoint_list_frozen = true,
             FaultKind::NodeKill => {
                 for node in affected(self.nodes.len(), fault.part) {
                     self.stop_node(now, node);
@@ -76,12 +76,12 @@
             FaultKind::LateReports => self.set_frozen_reports(servers, false),
             FaultKind::Slow => self.set_slowdown(now, servers, 1.0),
             FaultKind::Burst => self.clients.set_burst_factor(fault.tenant, 1.0),
-            FaultKind::ZoneCut => self.cut_off_zone = None,
+            FaultKind::ZoneCut => self.partitioned_zone = None,
             FaultKind::NoList => {
-                self.is_endpoint_list_silent = false;
-                // Nodes ask again and learn of all that they have missed.
+                self.is_endpoint_list_frozen = false;
+                // Nodes reconnect and receive all changes that they have missed.
                 for node in 0..self.nodes.len() {
-                    self.send_whole_list(node);
+                    self.send_full_list(node);
                 }
             }
             FaultKind::NodeKill => {
@@ -89,7 +89,7 @@
                     self.start_node(node);
                 }
             }
-            // They last as long as the events that they have scheduled.
+            // They end with the events that they have scheduled.
             FaultKind::Silent | FaultKind::Stall | FaultKind::ColdRestart | FaultKind::Deploys => {}
         }
     }
@@ -121,7 +121,7 @@
         }
     }
 
-    /// A server's process ends: its connections are reset, and the endpoint list shows it later.
+    /// Stops a server's process: its connections are reset, and it is removed from the endpoint list later.
     fn stop_server(&mut self, now: Micros, server: usize) {
         if !self.servers[server].is_up {
             return;
@@ -154,15 +154,15 @@
         );
     }
 
-    /// A server stops working until a time. Nodes give up its streams if that is longer than their timeout.
+    /// Stalls a server until a time. Nodes close its streams if the stall is longer than their timeout.
     fn stall_server(&mut self, now: Micros, server: usize, until: Micros) {
         self.servers[server].model.stall(now, until);
         self.schedule_server_timer(server);
-        let gives_up_at = now + micros(self.run.fleet.silence_s);
-        if until > gives_up_at {
+        let times_out_at = now + micros(self.run.fleet.silence_s);
+        if until > times_out_at {
             for answer in self.servers[server].model.answers_in_progress() {
                 let timeout = Event::StreamTimeout { key: answer.key };
-                self.queue.schedule(gives_up_at, timeout);
+                self.queue.schedule(times_out_at, timeout);
             }
         }
     }
@@ -184,21 +184,21 @@
         }
     }
 
-    /// A node gives up a stream that has sent nothing for its timeout.
+    /// Ends a stream on its node that has sent nothing for the timeout.
     pub(super) fn on_stream_timeout(&mut self, now: Micros, key: AttemptKey) {
-        let Some(client_try) = self.tries.get_mut(key.request) else {
+        let Some(submission) = self.submissions.get_mut(key.request) else {
             return;
         };
-        let node = client_try.node;
-        let Some(server_attempt) = client_try.open_attempt(key.attempt) else {
+        let node = submission.node;
+        let Some(server_attempt) = submission.open_attempt(key.attempt) else {
             return;
         };
         if !server_attempt.is_streaming() {
             return;
         }
         let server = server_attempt.server;
-        // Whatever is on its way is no longer wanted.
-        server_attempt.is_cut_off = true;
+        // Notices that are still in flight no longer count.
+        server_attempt.is_disconnected = true;
         let timed_out = Event::AtNode {
             node,
             epoch: self.nodes[node].epoch,
@@ -214,34 +214,34 @@
             .schedule(now, Event::CancelAtServer { server, key });
     }
 
-    /// Cuts a zone off the others. What is in flight across the cut no longer arrives; nodes give up its streams after
+    /// Partitions a zone from the others. Data in flight across the partition is lost; nodes close its streams after
     /// their timeout.
-    fn cut_off_zone(&mut self, now: Micros, zone: usize) {
-        self.cut_off_zone = Some(zone);
-        let gives_up_at = now + micros(self.run.fleet.silence_s);
-        for CutOffAttempt { key, is_streaming } in self.attempts_across_cut() {
-            if let Some(client_try) = self.tries.get_mut(key.request) {
-                client_try.attempts[key.attempt].is_cut_off = true;
+    fn partition_zone(&mut self, now: Micros, zone: usize) {
+        self.partitioned_zone = Some(zone);
+        let times_out_at = now + micros(self.run.fleet.silence_s);
+        for DisconnectedAttempt { key, is_streaming } in self.attempts_across_partition() {
+            if let Some(submission) = self.submissions.get_mut(key.request) {
+                submission.attempts[key.attempt].is_disconnected = true;
             }
             if is_streaming {
                 self.queue
-                    .schedule(gives_up_at, Event::StreamTimeout { key });
+                    .schedule(times_out_at, Event::StreamTimeout { key });
             }
         }
     }
 
-    fn attempts_across_cut(&self) -> Vec<CutOffAttempt> {
+    fn attempts_across_partition(&self) -> Vec<DisconnectedAttempt> {
         let mut across = Vec::new();
-        for client_try in self.tries.iter() {
-            for (attempt, server_attempt) in client_try.attempts.iter().enumerate() {
+        for submission in self.submissions.iter() {
+            for (attempt, server_attempt) in submission.attempts.iter().enumerate() {
                 let route = Route {
-                    node: client_try.node,
+                    node: submission.node,
                     server: server_attempt.server,
                 };
-                if !server_attempt.is_closed && self.is_route_cut(route) {
-                    across.push(CutOffAttempt {
+                if !server_attempt.is_closed && self.is_route_partitioned(route) {
+                    across.push(DisconnectedAttempt {
                         key: AttemptKey {
-                            request: client_try.id,
+                            request: submission.id,
                             attempt,
                         },
                         is_streaming: server_attempt.is_streaming(),
@@ -252,7 +252,7 @@
         across
     }
 
-    /// A node's process ends with all tries that it had accepted.
+    /// Stops a node's process and ends all submissions that it had accepted.
     fn stop_node(&mut self, now: Micros, node: usize) {
         let process = &mut self.nodes[node];
         if !process.is_up {
@@ -261,24 +261,24 @@
         process.is_up = false;
         process.epoch += 1;
         self.stop_coordination(node);
-        let of_node = |client_try: &&ClientTry| client_try.node == node;
+        let is_on_node = |submission: &&Submission| submission.node == node;
         let accepted = self
-            .tries
+            .submissions
             .iter()
-            .filter(of_node)
+            .filter(is_on_node)
             .map(|accepted| accepted.id);
         let accepted: Vec<RequestId> = accepted.collect();
         for request in accepted {
-            self.drop_try_of_stopped_node(now, request);
+            self.drop_submission_of_stopped_node(now, request);
         }
     }
 
-    fn drop_try_of_stopped_node(&mut self, now: Micros, request: RequestId) {
-        let Some(client_try) = self.tries.get_mut(request) else {
+    fn drop_submission_of_stopped_node(&mut self, now: Micros, request: RequestId) {
+        let Some(submission) = self.submissions.get_mut(request) else {
             return;
         };
-        let has_begun = client_try.first_token_at.is_some();
-        for (attempt, server_attempt) in client_try.attempts.iter_mut().enumerate() {
+        let has_first_token = submission.first_token_at.is_some();
+        for (attempt, server_attempt) in submission.attempts.iter_mut().enumerate() {
             if server_attempt.is_closed {
                 continue;
             }
@@ -289,16 +289,16 @@
             };
             self.queue.schedule(now + self.run.fleet.near_us, cancel);
         }
-        let end = if has_begun {
+        let end = if has_first_token {
             RequestEnd::Broken
         } else {
             RequestEnd::Failed
         };
-        self.end_try(now, request, end, NODE_FAILURE_PAUSE);
-        self.tries.remove_if_finished(request);
+        self.end_submission(now, request, end, NODE_FAILURE_RETRY_DELAY);
+        self.submissions.remove_if_finished(request);
     }
 
-    /// A new process takes the place of a node that has ended.
+    /// Starts a new process for a node that has stopped.
     fn start_node(&mut self, node: usize) {
         if self.nodes[node].is_up {
             return;
@@ -306,12 +306,12 @@
         if let Some(mut process) = self.new_process(node) {
             process.epoch = self.nodes[node].epoch;
             self.nodes[node] = process;
-            self.send_whole_list(node);
+            self.send_full_list(node);
             self.start_coordination(node);
         }
     }
 
-    /// Drains the servers of the next wave, and restarts those of the wave before.
+    /// Drains the servers of the next wave, and restarts those of the previous one.
     fn deploy_wave(&mut self, now: Micros, index: usize, first_server: usize) {
         let fault = self.fault(index);
         let server_count = self.servers.len();
--- a/crates/testbed/src/emulator/simulation/mod.rs
+++ b/crates/testbed/src/emulator/simulation/mod.rs
@@ -1,16 +1,16 @@
-//! The simulation of one run by discrete events in whole microseconds.
+//! Discrete-event simulation of one run, in whole microseconds.
 //!
-//! One [`Simulation`] has clients, nodes, servers and the network between them, and one calendar of events. It runs on
-//! one thread and depends on nothing but its description, its policy and its seed: the same three give the same bytes
-//! of results and traces. So the order in which events are scheduled and random numbers are drawn is part of its
-//! behaviour. Each file has the handlers of one side:
+//! A [`Simulation`] has the clients, nodes, model servers and network of a run, and one event queue. It is
+//! single-threaded and depends only on its description, policy and seed: the same three give identical bytes of results
+//! and traces. The order in which events are scheduled and random numbers are drawn is therefore part of its behaviour.
+//! Each file has the handlers of one component:
 //!
-//! - [`event`]: the events; [`tries`]: the state of requests in flight.
-//! - [`clients`]: arrivals, retries, and the end of tries.
-//! - [`nodes`]: what nodes learn, and their commands.
+//! - [`event`]: the events; [`submissions`]: the requests that clients have sent to nodes.
+//! - [`clients`]: arrivals, retries, and the end of submissions.
+//! - [`nodes`]: notices to nodes, and their commands.
 //! - [`servers`]: attempts and health checks at servers, and their load reports.
 //! - [`endpoints`]: the endpoint list as nodes receive it.
-//! - [`faults`]: what goes wrong.
+//! - [`faults`]: the injected faults.
 //! - [`coordination`]: leases and budgets of the nodes.
 
 mod clients;
@@ -20,7 +20,7 @@
 mod faults;
 mod nodes;
 mod servers;
-mod tries;
+mod submissions;
 
 use super::clients::ClientPopulation;
 use super::coordination::{Coordination, CoordinationCommand};
@@ -40,17 +40,17 @@
 use rand::SeedableRng;
 use servers::ServerProcess;
 use std::collections::HashMap;
-use tries::TryTable;
+use submissions::SubmissionTable;
 
-/// A run goes on for so long at most after the last arrival, so that requests in flight may end.
+/// The maximum duration of a run after the last arrival, so that requests in flight may end.
 const MAX_TIME_AFTER_LOAD: Micros = 60_000_000;
-/// Events that [`Simulation::finish`] plays at a time.
+/// Events that [`Simulation::finish`] processes at a time.
 const EVENTS_PER_BATCH: u64 = 1 << 20;
 
-/// A run could not be played.
+/// A run failed.
 #[derive(Debug, thiserror::Error)]
 pub enum SimulationError {
-    /// The scheduler does not take the settings of the run.
+    /// The scheduler rejected the settings of the run.
     #[error(transparent)]
     Settings(#[from] SettingsError),
     /// The trace of the run could not be written.
@@ -58,25 +58,25 @@
     Trace(#[from] TraceError),
 }
 
-/// A server as a view shows it.
+/// The state of a server, for the view.
 #[derive(Clone, Copy, Debug)]
 pub struct ServerStatus {
-    /// Its requests.
+    /// Its running and queued requests.
     pub requests: RequestCounts,
-    /// Whether its process runs.
+    /// Whether its process is running.
     pub is_up: bool,
     /// Its state on the endpoint list.
     pub listed_state: EndpointState,
 }
 
-/// A connection from a node to a server, by their indexes.
+/// A pair of a node and a server, by their indexes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Route {
     node: usize,
     server: usize,
 }
 
-/// One run.
+/// The simulation of one run.
 pub struct Simulation<'a> {
     run: &'a RunDescription,
     policy: Policy,
@@ -86,29 +86,30 @@
     clients: ClientPopulation,
     nodes: Vec<Node>,
     servers: Vec<ServerProcess>,
-    tries: TryTable,
-    /// Idle connections. Only looked up, never iterated: the order of iteration would differ from run to run.
+    submissions: SubmissionTable,
+    /// Idle connections by route. Only used for lookups and never iterated: the order of iteration would differ between
+    /// runs.
     idle_connections: HashMap<Route, u16>,
     recorder: OutcomeRecorder,
-    /// The zone that the network is cut off from the others.
-    cut_off_zone: Option<usize>,
+    /// The zone that is partitioned from the others.
+    partitioned_zone: Option<usize>,
     /// Nodes receive no changes of the endpoint list.
-    is_endpoint_list_silent: bool,
+    is_endpoint_list_frozen: bool,
     coordination: Option<Box<Coordination>>,
     trace: Option<TraceWriter>,
     event_count: u64,
-    /// Buffers that are used again; empty between events.
+    /// Reused buffers, empty between events.
     commands: Vec<RouterCommand>,
     server_outputs: Vec<ServerOutput>,
     coordination_commands: Vec<CoordinationCommand>,
 }
 
 impl<'a> Simulation<'a> {
-    /// A simulation before its first moment; `run` has been checked.
+    /// Creates a simulation at time 0. `run` must have passed [`RunDescription::check`].
     ///
     /// # Errors
     ///
-    /// [`SimulationError::Settings`] where the scheduler does not take the settings of the run.
+    /// [`SimulationError::Settings`] if the scheduler rejects the settings of the run.
     pub fn new(
         run: &'a RunDescription,
         policy: Policy,
@@ -137,11 +138,11 @@
             servers: (0..fleet.servers)
                 .map(|server| ServerProcess::new(fleet, server))
                 .collect(),
-            tries: TryTable::default(),
+            submissions: SubmissionTable::default(),
             idle_connections: HashMap::new(),
             recorder: OutcomeRecorder::new(run),
-            cut_off_zone: None,
-            is_endpoint_list_silent: false,
+            partitioned_zone: None,
+            is_endpoint_list_frozen: false,
             coordination,
             trace: None,
             event_count: 0,
@@ -153,7 +154,7 @@
         Ok(simulation)
     }
 
-    /// Writes the trace of every try there.
+    /// Writes the trace of every submission to `trace`.
     pub fn write_traces_to(&mut self, trace: TraceWriter) {
         self.trace = Some(trace);
     }
@@ -168,12 +169,12 @@
         self.recorder.outcome_mut()
     }
 
-    /// Tries that clients or nodes still wait for.
+    /// Submissions for which the client or the node still waits.
     pub fn open_submission_count(&self) -> usize {
-        self.tries.len()
+        self.submissions.len()
     }
 
-    /// Requests queued in nodes, by tenant; simple policies queue none.
+    /// Requests queued in nodes, by tenant; baseline policies queue none.
     pub fn queued_by_tenant(&self) -> Vec<u64> {
         let mut queued = vec![0; self.run.tenant.len()];
         for node in self.nodes.iter().filter(|node| node.is_up) {
@@ -189,7 +190,7 @@
         self.servers.iter().map(ServerProcess::status)
     }
 
-    /// Plays so many events at most. Returns false once the run is over.
+    /// Processes at most `max_events` events. Returns false once the run is over.
     pub fn process_events(&mut self, max_events: u64) -> bool {
         let end = micros(self.run.load.seconds) + MAX_TIME_AFTER_LOAD;
         for _ in 0..max_events {
@@ -204,15 +205,18 @@
         true
     }
 
-    /// Plays the run to its end.
+    /// Runs the simulation to its end.
     ///
     /// # Errors
     ///
-    /// [`SimulationError::Trace`] where the trace could not be written.
+    /// [`SimulationError::Trace`] if the trace could not be written.
     pub fn finish(mut self) -> Result<RunOutcome, SimulationError> {
         while self.process_events(EVENTS_PER_BATCH) {}
-        let unended_tries = self.tries.iter().filter(|client_try| !client_try.has_ended);
-        let lost = unended_tries.count() as u64;
+        let open_submissions = self
+            .submissions
+            .iter()
+            .filter(|submission| !submission.has_ended);
+        let lost = open_submissions.count() as u64;
         let preempted = self
             .servers
             .iter()
@@ -234,7 +238,7 @@
             self.start_coordination(node);
         }
         for node in 0..self.nodes.len() {
-            self.send_whole_list(node);
+            self.send_full_list(node);
         }
         for tenant in 0..self.run.tenant.len() {
             self.schedule_next_arrival(tenant);
@@ -251,7 +255,7 @@
     fn handle_event(&mut self, now: Micros, event: Event) {
         match event {
             Event::Arrival { tenant } => self.on_arrival(now, tenant),
-            Event::ClientRetry(request) => self.send_try(now, *request),
+            Event::ClientRetry(request) => self.submit_request(now, *request),
             Event::AtClient { request, notice } => self.notify_client(now, request, notice),
             Event::ClientTimeout { request } => self.on_client_timeout(now, request),
             Event::AtNode {
@@ -323,15 +327,15 @@
         self.latency(self.nodes[route.node].zone, self.servers[route.server].zone)
     }
 
-    /// Whether the network between two zones is cut.
-    fn is_cut_between(&self, from_zone: usize, to_zone: usize) -> bool {
-        let is_an_end = |zone| zone == from_zone || zone == to_zone;
-        from_zone != to_zone && self.cut_off_zone.is_some_and(is_an_end)
+    /// Whether a partition separates two zones.
+    fn is_partitioned_between(&self, from_zone: usize, to_zone: usize) -> bool {
+        let is_either_zone = |zone| zone == from_zone || zone == to_zone;
+        from_zone != to_zone && self.partitioned_zone.is_some_and(is_either_zone)
     }
 
-    /// Whether the network between a node and a server is cut.
-    fn is_route_cut(&self, route: Route) -> bool {
-        self.is_cut_between(self.nodes[route.node].zone, self.servers[route.server].zone)
+    /// Whether a partition separates a node and a server.
+    fn is_route_partitioned(&self, route: Route) -> bool {
+        self.is_partitioned_between(self.nodes[route.node].zone, self.servers[route.server].zone)
     }
 }
 
--- a/crates/testbed/src/emulator/simulation/nodes.rs
+++ b/crates/testbed/src/emulator/simulation/nodes.rs
@@ -1,4 +1,4 @@
-//! The side of nodes: what they learn, and the commands that follow from it.
+//! Nodes in the simulation: notices to them, and the execution of their commands.
 
 use super::super::description::RepeatSafety;
 use super::super::model_server::{AttemptKey, ReportedLoad};
@@ -6,18 +6,18 @@
 use super::super::request_trace::AttemptTrace;
 use super::super::time::{micros, MICROS_PER_MS};
 use super::event::{ClientNotice, Event, NodeNotice};
-use super::tries::{AttemptProgress, ClientTry, ServerAttempt};
+use super::submissions::{AttemptProgress, ServerAttempt, Submission};
 use super::{node_seed, Route, Simulation};
 use crate::Micros;
 use poppykeel::routing::{RouterCommand, RouterEvent};
 use poppykeel_scheduler::{AttemptOutcome, IncomingRequest, LoadReport, ReplicaId, RequestId};
 
-/// How long a node may still send to a server after it knows that it drains, beside the delay of the endpoint list.
+/// How long a node may still send requests to a draining server, in addition to the delay of the endpoint list.
 const DRAIN_GRACE: Micros = 500_000;
 
 impl Simulation<'_> {
-    /// Hands an event to a process of a node, and carries out what follows. Dropped if the process has ended.
-    pub(super) fn hand_to_node(
+    /// Passes an event to a process of a node and executes the resulting commands. Dropped if the process has ended.
+    pub(super) fn deliver_to_node(
         &mut self,
         now: Micros,
         node: usize,
@@ -33,7 +33,7 @@
     pub(super) fn on_node_timer(&mut self, now: Micros, node: usize, epoch: u32) {
         let process = &mut self.nodes[node];
         if process.epoch == epoch && process.is_up {
-            process.wakes_at = None;
+            process.scheduled_timer = None;
             process.on_timer(now, &mut self.commands);
             self.execute_commands(now, node);
         }
@@ -53,17 +53,17 @@
         match notice {
             NodeNotice::Arrived => self.on_request_at_node(now, node, epoch, request),
             NodeNotice::ClientLeft => {
-                self.hand_to_node(now, node, epoch, RouterEvent::ClientDisconnected(request));
-                self.tries.remove_if_finished(request);
+                self.deliver_to_node(now, node, epoch, RouterEvent::ClientDisconnected(request));
+                self.submissions.remove_if_finished(request);
             }
             NodeNotice::FirstToken { attempt } => {
                 let key = AttemptKey { request, attempt };
-                let Some(server_attempt) = self.tries.reachable_attempt(key) else {
+                let Some(server_attempt) = self.submissions.reachable_attempt(key) else {
                     return;
                 };
                 server_attempt.progress = AttemptProgress::Streaming;
                 let first_token = RouterEvent::FirstToken { request, attempt };
-                self.hand_to_node(now, node, epoch, first_token);
+                self.deliver_to_node(now, node, epoch, first_token);
             }
             NodeNotice::AttemptEnded {
                 attempt,
@@ -90,17 +90,17 @@
             outcome,
             report: load.map(load_report),
         };
-        self.hand_to_node(now, node, epoch, ended);
+        self.deliver_to_node(now, node, epoch, ended);
     }
 
     fn on_request_at_node(&mut self, now: Micros, node: usize, epoch: u32, id: RequestId) {
         let run = self.run;
-        let Some(client_try) = self.tries.get_unended(id) else {
+        let Some(submission) = self.submissions.get_open(id) else {
             return;
         };
-        let request = &client_try.request;
+        let request = &submission.request;
         let class = &run.class[request.class];
-        let waited_s = (now - client_try.sent_at) as f64 / 1e6;
+        let waited_s = (now - submission.sent_at) as f64 / 1e6;
         let has_prefix = request.prefix.tokens > 0;
         let incoming = IncomingRequest {
             id,
@@ -115,7 +115,7 @@
             max_output_tokens: u64::from(class.answer_limit),
             is_client_retry: request.submission_count > 1,
         };
-        self.hand_to_node(now, node, epoch, RouterEvent::RequestArrived(incoming));
+        self.deliver_to_node(now, node, epoch, RouterEvent::RequestArrived(incoming));
     }
 
     fn on_attempt_ended(
@@ -128,19 +128,19 @@
         load: Option<ReportedLoad>,
     ) {
         let AttemptKey { request, attempt } = key;
-        let Some(client_try) = self.tries.get_mut(request) else {
+        let Some(submission) = self.submissions.get_mut(request) else {
             return;
         };
-        let Some(server_attempt) = client_try.open_attempt(attempt) else {
+        let Some(server_attempt) = submission.open_attempt(attempt) else {
             return;
         };
         server_attempt.is_closed = true;
         let server = server_attempt.server;
         let was_streaming = server_attempt.is_streaming();
-        if let Some(trace) = client_try.attempt_traces.get_mut(attempt) {
+        if let Some(trace) = submission.attempt_traces.get_mut(attempt) {
             trace.ended = Some(outcome_name(outcome));
         }
-        let is_bound = client_try.bound_attempt == Some(attempt);
+        let is_bound = submission.bound_attempt == Some(attempt);
         let is_completed = outcome == AttemptOutcome::Completed;
         if is_completed {
             self.return_connection(Route { node, server });
@@ -151,7 +151,7 @@
             outcome,
             report: load.map(load_report),
         };
-        self.hand_to_node(now, node, epoch, ended);
+        self.deliver_to_node(now, node, epoch, ended);
         if is_bound && was_streaming {
             let notice = if is_completed {
                 ClientNotice::Completed
@@ -160,10 +160,10 @@
             };
             self.send_to_client(now, request, notice);
         }
-        self.tries.remove_if_finished(request);
+        self.submissions.remove_if_finished(request);
     }
 
-    /// Carries out the commands of a node, and schedules its next timer.
+    /// Executes the commands of a node, and schedules its next timer.
     fn execute_commands(&mut self, now: Micros, node: usize) {
         let mut commands = std::mem::take(&mut self.commands);
         for command in commands.drain(..) {
@@ -174,8 +174,11 @@
         let Some(due) = process.next_timer() else {
             return;
         };
-        if process.wakes_at.is_none_or(|wakes_at| due < wakes_at) {
-            process.wakes_at = Some(due);
+        if process
+            .scheduled_timer
+            .is_none_or(|scheduled_timer| due < scheduled_timer)
+        {
+            process.scheduled_timer = Some(due);
             let epoch = process.epoch;
             self.queue.schedule(due, Event::NodeTimer { node, epoch });
         }
@@ -197,8 +200,8 @@
             }
             RouterCommand::BindStream { request, attempt } => {
                 self.count_final_answer(request);
-                if let Some(client_try) = self.tries.get_mut(request) {
-                    client_try.bound_attempt = Some(attempt);
+                if let Some(submission) = self.submissions.get_mut(request) {
+                    submission.bound_attempt = Some(attempt);
                     self.send_to_client(now, request, ClientNotice::FirstToken);
                 }
             }
@@ -218,18 +221,18 @@
         }
     }
 
-    /// Counts a node's final answer to a try, or its beginning. A second one violates a rule.
+    /// Counts the final answer of a node to a submission, or the beginning of it. A second one violates an invariant.
     fn count_final_answer(&mut self, request: RequestId) {
-        let Some(client_try) = self.tries.get_mut(request) else {
+        let Some(submission) = self.submissions.get_mut(request) else {
             return;
         };
-        if client_try.is_answered {
+        if submission.is_answered {
             self.recorder.outcome_mut().broken.doubled += 1;
         }
-        client_try.is_answered = true;
+        submission.is_answered = true;
     }
 
-    /// A node sends something to its client, which is near.
+    /// Sends a notice from a node to its client, with the latency inside a zone.
     fn send_to_client(&mut self, now: Micros, request: RequestId, notice: ClientNotice) {
         self.queue.schedule(
             now + self.run.fleet.near_us,
@@ -249,23 +252,24 @@
         self.queue.schedule(now + latency, probe);
     }
 
-    /// Sends an attempt to a server, over an idle connection where there is one.
+    /// Sends an attempt to a server, over an idle connection if there is one.
     fn start_attempt(&mut self, now: Micros, node: usize, key: AttemptKey, server: usize) {
         let route = Route { node, server };
-        let is_cut = self.is_route_cut(route);
+        let is_partitioned = self.is_route_partitioned(route);
         let is_connected = self.take_connection(route);
         self.count_attempt(now, route, is_connected);
-        let Some(client_try) = self.tries.get_mut(key.request) else {
+        let Some(submission) = self.submissions.get_mut(key.request) else {
             return;
         };
-        let is_unsafe = self.run.class[client_try.request.class].repeats == RepeatSafety::Unsafe;
-        if is_unsafe && client_try.attempts.iter().any(ServerAttempt::may_have_run) {
+        let must_run_once =
+            self.run.class[submission.request.class].repeats == RepeatSafety::Unsafe;
+        if must_run_once && submission.attempts.iter().any(ServerAttempt::may_have_run) {
             self.recorder.outcome_mut().broken.repeated += 1;
         }
-        add_attempt(client_try, now, server, is_cut);
-        debug_assert_eq!(client_try.attempts.len(), key.attempt + 1);
+        record_attempt(submission, now, server, is_partitioned);
+        debug_assert_eq!(submission.attempts.len(), key.attempt + 1);
         let latency = self.route_latency(route);
-        if is_cut {
+        if is_partitioned {
             let timeout = micros(self.run.fleet.dial_s);
             self.schedule_connect_failure(now + timeout, node, key);
         } else if self.servers[server].is_up {
@@ -297,7 +301,7 @@
         outcome.broken.drained += u64::from(is_drain_violation);
     }
 
-    /// Takes an idle connection. Returns false where there is none, so that one has to be made.
+    /// Takes an idle connection. Returns false if there is none, so that a new one is needed.
     fn take_connection(&mut self, route: Route) -> bool {
         let idle_count = self.idle_connections.entry(route).or_default();
         if *idle_count == 0 {
@@ -307,7 +311,7 @@
         true
     }
 
-    /// Keeps a connection whose attempt is completed, if there is room.
+    /// Returns the connection of a completed attempt to the idle ones, unless the limit is reached.
     fn return_connection(&mut self, route: Route) {
         let idle_count = self.idle_connections.entry(route).or_default();
         *idle_count = (*idle_count + 1).min(self.run.fleet.idle);
@@ -328,11 +332,11 @@
     }
 
     fn abandon_attempt(&mut self, now: Micros, key: AttemptKey) {
-        let Some(client_try) = self.tries.get_mut(key.request) else {
+        let Some(submission) = self.submissions.get_mut(key.request) else {
             return;
         };
-        let node = client_try.node;
-        let Some(server_attempt) = client_try.open_attempt(key.attempt) else {
+        let node = submission.node;
+        let Some(server_attempt) = submission.open_attempt(key.attempt) else {
             return;
         };
         server_attempt.is_closed = true;
@@ -340,33 +344,33 @@
         let latency = self.route_latency(Route { node, server });
         self.queue
             .schedule(now + latency, Event::CancelAtServer { server, key });
-        self.tries.remove_if_finished(key.request);
+        self.submissions.remove_if_finished(key.request);
     }
 
-    /// A fresh process for a node, of which earlier ones have ended.
+    /// Creates a new process for a node whose earlier processes have ended.
     pub(super) fn new_process(&self, node: usize) -> Option<Node> {
         let epoch = self.nodes[node].epoch;
         let seed = node_seed(self.seed, node) ^ u64::from(epoch);
-        // The settings have been checked when the simulation was made.
+        // `Simulation::new` has checked the settings.
         Node::new(self.run, node, self.policy, seed).ok()
     }
 }
 
-fn add_attempt(client_try: &mut ClientTry, now: Micros, server: usize, is_cut_off: bool) {
-    client_try.attempts.push(ServerAttempt {
+fn record_attempt(submission: &mut Submission, now: Micros, server: usize, is_disconnected: bool) {
+    submission.attempts.push(ServerAttempt {
         server,
         progress: AttemptProgress::NotRun,
         is_closed: false,
-        is_cut_off,
+        is_disconnected,
     });
-    client_try.attempt_traces.push(AttemptTrace {
+    submission.attempt_traces.push(AttemptTrace {
         server: server as u32,
         sent: now,
         ended: None,
     });
 }
 
-/// A server's report as a node reads it.
+/// Converts a server's report to the type that nodes receive.
 fn load_report(load: ReportedLoad) -> LoadReport {
     LoadReport {
         queued_prompt_tokens: Some(load.queued_prompt_tokens),
--- a/crates/testbed/src/emulator/simulation/servers.rs
+++ b/crates/testbed/src/emulator/simulation/servers.rs
@@ -1,4 +1,4 @@
-//! The side of servers: attempts, health checks and load reports.
+//! Model servers in the simulation: attempts, health checks and load reports.
 
 use super::super::description::FleetDescription;
 use super::super::model_server::{
@@ -6,38 +6,38 @@
 };
 use super::super::time::MICROS_PER_MS;
 use super::event::{Event, NodeNotice};
-use super::tries::AttemptProgress;
+use super::submissions::AttemptProgress;
 use super::{Route, ServerStatus, Simulation};
 use crate::Micros;
 use poppykeel_scheduler::{AttemptOutcome, EndpointState};
 use rand_distr::{Distribution, LogNormal};
 
-/// How long a server takes to answer a request with an error while it fails.
+/// How long a failing server takes to answer a request with an error.
 const ERROR_DELAY: Micros = 1_000;
-/// When a node gives up a health check that nobody answers.
+/// The timeout of health checks.
 const PROBE_TIMEOUT: Micros = 1_000_000;
 
-/// A server's process and what the endpoint list says of it.
+/// A model server's process and its entry on the endpoint list.
 pub(super) struct ServerProcess {
     pub(super) model: ModelServer,
     pub(super) zone: usize,
-    /// Whether its process runs.
+    /// Whether its process is running.
     pub(super) is_up: bool,
-    /// It answers every request with an error.
+    /// Whether it answers every request with an error.
     pub(super) is_failing: bool,
-    /// Its load reports no longer change.
+    /// Whether its load reports are frozen.
     pub(super) has_frozen_reports: bool,
-    /// When it was started during the run.
+    /// When it was last started during the run; `None` if it has run from the beginning.
     pub(super) started_at: Option<Micros>,
     pub(super) listed_state: EndpointState,
     last_report: ReportedLoad,
     last_report_at: Micros,
-    /// Counts the plans of its steps: timers of earlier ones are dropped.
+    /// The number of the current plan of steps. Timers of earlier plans are dropped.
     plan: u32,
 }
 
 impl ServerProcess {
-    /// A server of the fleet that runs and is warm.
+    /// Creates a warm server that is running.
     pub(super) fn new(fleet: &FleetDescription, server: usize) -> Self {
         ServerProcess {
             model: ModelServer::new(fleet.server.clone()),
@@ -71,13 +71,14 @@
 }
 
 impl Simulation<'_> {
-    /// A server tells a node of an attempt, unless the node cannot hear of it or does not want to.
+    /// Sends a notice about an attempt from a server to its node, unless the node can no longer receive it or has
+    /// closed the attempt.
     pub(super) fn notify_node(&mut self, now: Micros, key: AttemptKey, notice: NodeNotice) {
-        let Some(client_try) = self.tries.get_mut(key.request) else {
+        let Some(submission) = self.submissions.get_mut(key.request) else {
             return;
         };
-        let node = client_try.node;
-        let Some(server_attempt) = client_try.reachable_attempt(key.attempt) else {
+        let node = submission.node;
+        let Some(server_attempt) = submission.reachable_attempt(key.attempt) else {
             return;
         };
         let server = server_attempt.server;
@@ -91,7 +92,7 @@
         self.queue.schedule(now + latency, at_node);
     }
 
-    /// A server tells a node that an attempt has ended.
+    /// Notifies the node of an attempt that it has ended.
     pub(super) fn notify_node_of_end(
         &mut self,
         now: Micros,
@@ -108,10 +109,10 @@
     }
 
     pub(super) fn on_attempt_at_server(&mut self, now: Micros, server: usize, key: AttemptKey) {
-        let Some(client_try) = self.tries.get_mut(key.request) else {
+        let Some(submission) = self.submissions.get_mut(key.request) else {
             return;
         };
-        let request = &client_try.request;
+        let request = &submission.request;
         let job = ServerJob {
             key,
             session: request.session,
@@ -119,7 +120,7 @@
             prompt_tokens: request.prompt_tokens,
             answer_tokens: request.answer_tokens,
         };
-        let Some(server_attempt) = client_try.reachable_attempt(key.attempt) else {
+        let Some(server_attempt) = submission.reachable_attempt(key.attempt) else {
             return;
         };
         if !self.servers[server].is_up {
@@ -139,7 +140,7 @@
         if self.servers[server].model.enqueue(now, job) {
             self.schedule_server_timer(server);
         } else {
-            if let Some(server_attempt) = self.tries.reachable_attempt(key) {
+            if let Some(server_attempt) = self.submissions.reachable_attempt(key) {
                 server_attempt.progress = AttemptProgress::NotRun;
             }
             let load = self.report_load(now, server);
@@ -161,7 +162,7 @@
     ) {
         let route = Route { node, server };
         let process = &self.servers[server];
-        let outcome = if self.is_route_cut(route) || process.model.is_stalled(now) {
+        let outcome = if self.is_route_partitioned(route) || process.model.is_stalled(now) {
             AttemptOutcome::TimedOut
         } else if !process.is_up {
             AttemptOutcome::ConnectFailed
@@ -190,12 +191,12 @@
         self.queue.schedule(now + delay, ended);
     }
 
-    /// A server's load report: as old and as wrong as the description allows.
+    /// A server's load report, with the age and error allowed by the description.
     fn report_load(&mut self, now: Micros, server: usize) -> ReportedLoad {
         let fleet = &self.run.fleet;
         let process = &mut self.servers[server];
-        let is_outdated = now - process.last_report_at >= fleet.report_ms * MICROS_PER_MS;
-        if is_outdated && !process.has_frozen_reports {
+        let is_stale = now - process.last_report_at >= fleet.report_ms * MICROS_PER_MS;
+        if is_stale && !process.has_frozen_reports {
             process.last_report_at = now;
             process.last_report = process.model.reported_load();
         }
@@ -237,9 +238,9 @@
                 self.notify_node(now, key, NodeNotice::FirstToken { attempt });
             }
             ServerOutput::Completed { key, cached_tokens } => {
-                if let Some(client_try) = self.tries.get_mut(key.request) {
+                if let Some(submission) = self.submissions.get_mut(key.request) {
                     let prompt = &mut self.recorder.outcome_mut().prompt;
-                    prompt.total += u64::from(client_try.request.prompt_tokens);
+                    prompt.total += u64::from(submission.request.prompt_tokens);
                     prompt.cached += u64::from(cached_tokens);
                 }
                 let load = self.report_load(now, server);
@@ -248,7 +249,7 @@
         }
     }
 
-    /// Schedules the next timer of a server, in place of the one before.
+    /// Schedules the next timer of a server and invalidates the previous one.
     pub(super) fn schedule_server_timer(&mut self, server: usize) {
         let process = &mut self.servers[server];
         process.plan += 1;
--- a/crates/testbed/src/emulator/simulation/tries.rs
+++ b/crates/testbed/src/emulator/simulation/submissions.rs
@@ -1,4 +1,5 @@
-//! The tries of clients that are not forgotten yet, with their attempts at servers.
+//! The submissions in progress, with their attempts at servers. A submission is a request as a client has sent it to a
+//! node; a client retry is a new submission.
 
 use super::super::clients::ClientRequest;
 use super::super::model_server::AttemptKey;
@@ -6,14 +7,14 @@
 use crate::Micros;
 use poppykeel_scheduler::RequestId;
 
-/// How far an attempt has come.
+/// The progress of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum AttemptProgress {
-    /// No server has taken it.
+    /// No server has accepted it.
     NotRun,
-    /// A server has taken it, so that its request may have had an effect.
+    /// A server has accepted it, so the request may have had an effect.
     Run,
-    /// Its node has had the first token.
+    /// The node has received the first token.
     Streaming,
 }
 
@@ -22,10 +23,10 @@
 pub(super) struct ServerAttempt {
     pub(super) server: usize,
     pub(super) progress: AttemptProgress,
-    /// The node knows how it ended, or does not want to know.
+    /// The node has received its outcome or abandoned it.
     pub(super) is_closed: bool,
-    /// What the server sends of it no longer arrives.
-    pub(super) is_cut_off: bool,
+    /// Notices from the server no longer reach the node.
+    pub(super) is_disconnected: bool,
 }
 
 impl ServerAttempt {
@@ -37,62 +38,61 @@
         self.progress != AttemptProgress::NotRun
     }
 
-    /// Whether the node still waits for it and can hear of it.
+    /// Whether the node waits for the attempt and can receive notices about it.
     pub(super) fn is_reachable(&self) -> bool {
-        !self.is_closed && !self.is_cut_off
+        !self.is_closed && !self.is_disconnected
     }
 }
 
-/// One try of a client's request: what its node knows as a request.
-pub(super) struct ClientTry {
+/// One submission of a client's request, which its node handles as a request.
+pub(super) struct Submission {
     pub(super) id: RequestId,
     pub(super) request: ClientRequest,
     pub(super) node: usize,
     pub(super) sent_at: Micros,
     pub(super) attempts: Vec<ServerAttempt>,
     pub(super) attempt_traces: Vec<AttemptTrace>,
-    /// The attempt whose stream goes to the client.
+    /// The attempt whose stream is forwarded to the client.
     pub(super) bound_attempt: Option<usize>,
-    /// Its node has given its final answer, or begun it.
+    /// Whether the node has sent its final answer or the beginning of it.
     pub(super) is_answered: bool,
     /// When the first token reached the client.
     pub(super) first_token_at: Option<Micros>,
-    /// The client has its final answer, or has left.
+    /// Whether the client has its final answer or has disconnected.
     pub(super) has_ended: bool,
 }
 
-impl ClientTry {
-    /// An attempt that its node has not closed.
+impl Submission {
+    /// Returns an attempt that its node has not closed.
     pub(super) fn open_attempt(&mut self, attempt: usize) -> Option<&mut ServerAttempt> {
         self.attempts
             .get_mut(attempt)
             .filter(|attempt| !attempt.is_closed)
     }
 
-    /// An attempt of which its node can still hear.
+    /// Returns an attempt whose node can still receive notices about it.
     pub(super) fn reachable_attempt(&mut self, attempt: usize) -> Option<&mut ServerAttempt> {
         self.attempts
             .get_mut(attempt)
             .filter(|attempt| attempt.is_reachable())
     }
 
-    /// Whether neither its client nor its node waits for anything.
+    /// Whether neither the client nor the node waits for anything.
     fn is_finished(&self) -> bool {
         self.has_ended && self.attempts.iter().all(|attempt| attempt.is_closed)
     }
 }
 
-/// The tries by id. The lower half of an id is the slot in the table, which later tries use again; the upper half is
-/// never used twice.
+/// Submissions by id. The lower half of an id is the slot in the table, which is reused; the upper half is unique.
 #[derive(Default)]
-pub(super) struct TryTable {
-    slots: Vec<Option<ClientTry>>,
+pub(super) struct SubmissionTable {
+    slots: Vec<Option<Submission>>,
     free_slots: Vec<u32>,
     inserted_count: u64,
 }
 
-impl TryTable {
-    /// Adds a try that a client has just sent, and returns its id.
+impl SubmissionTable {
+    /// Adds a submission that a client has just sent, and returns its id.
     pub(super) fn insert(&mut self, request: ClientRequest, node: usize, now: Micros) -> RequestId {
         let slot = self.free_slots.pop().unwrap_or_else(|| {
             self.slots.push(None);
@@ -100,7 +100,7 @@
         });
         self.inserted_count += 1;
         let id = RequestId(self.inserted_count << 32 | u64::from(slot));
-        self.slots[slot as usize] = Some(ClientTry {
+        self.slots[slot as usize] = Some(Submission {
             id,
             request,
             node,
@@ -115,29 +115,29 @@
         id
     }
 
-    /// The try with this id; `None` once it is forgotten.
-    pub(super) fn get_mut(&mut self, id: RequestId) -> Option<&mut ClientTry> {
+    /// Returns the submission with this id; `None` once it has been removed.
+    pub(super) fn get_mut(&mut self, id: RequestId) -> Option<&mut Submission> {
         self.slots
             .get_mut(slot_of(id))?
             .as_mut()
-            .filter(|client_try| client_try.id == id)
+            .filter(|submission| submission.id == id)
     }
 
-    /// The try with this id, if its client still waits for the final answer.
-    pub(super) fn get_unended(&mut self, id: RequestId) -> Option<&mut ClientTry> {
-        self.get_mut(id).filter(|client_try| !client_try.has_ended)
+    /// Returns the submission with this id, if its client still waits for the final answer.
+    pub(super) fn get_open(&mut self, id: RequestId) -> Option<&mut Submission> {
+        self.get_mut(id).filter(|submission| !submission.has_ended)
     }
 
-    /// An attempt of which its node can still hear, with the node.
+    /// Returns an attempt whose node can still receive notices about it.
     pub(super) fn reachable_attempt(&mut self, key: AttemptKey) -> Option<&mut ServerAttempt> {
         self.get_mut(key.request)?.reachable_attempt(key.attempt)
     }
 
-    /// Forgets a try for which neither its client nor its node waits.
+    /// Removes a submission for which neither the client nor the node waits.
     pub(super) fn remove_if_finished(&mut self, id: RequestId) {
         if self
             .get_mut(id)
-            .is_some_and(|client_try| client_try.is_finished())
+            .is_some_and(|submission| submission.is_finished())
         {
             let slot = slot_of(id);
             self.slots[slot] = None;
@@ -145,12 +145,11 @@
         }
     }
 
-    /// All tries, in the order of their slots.
-    pub(super) fn iter(&self) -> impl Iterator<Item = &ClientTry> {
+    /// All submissions, in the order of their slots.
+    pub(super) fn iter(&self) -> impl Iterator<Item = &Submission> {
         self.slots.iter().flatten()
     }
 
-    /// How many tries there are.
     pub(super) fn len(&self) -> usize {
         self.slots.len() - self.free_slots.len()
     }
