--- a/crates/testbed/src/experiment/confidence.rs
+++ b/crates/testbed/src/experiment/confidence.rs
@@ -1,14 +1,14 @@
-//! Means with confidence intervals.
+//! Mean values with confidence intervals.
 
 use std::fmt;
 
-/// Student's t at 97.5%, by degrees of freedom from 1 on.
+/// Quantiles of Student's t distribution at 97.5%, by degrees of freedom from 1 on.
 const STUDENT_T: [f64; 30] = [
     12.706, 4.303, 3.182, 2.776, 2.571, 2.447, 2.365, 2.306, 2.262, 2.228, 2.201, 2.179, 2.160,
     2.145, 2.131, 2.120, 2.110, 2.101, 2.093, 2.086, 2.080, 2.074, 2.069, 2.064, 2.060, 2.056,
     2.052, 2.048, 2.045, 2.042,
 ];
-/// The quantile of the normal distribution, which Student's comes near to beyond the table.
+/// The same quantile of the normal distribution, used beyond the table as its limit.
 const NORMAL_QUANTILE: f64 = 1.96;
 
 /// A mean with its 95% confidence interval.
@@ -16,12 +16,12 @@
 pub struct ConfidenceInterval {
     /// The mean.
     pub mean: f64,
-    /// Half the width of the interval; NaN with fewer than two values.
+    /// Half the width of the interval; NaN for fewer than two values.
     pub half_width: f64,
 }
 
 impl ConfidenceInterval {
-    /// The mean of these values and its interval.
+    /// Computes the mean of the values and its interval. The mean is NaN without values.
     pub fn of(values: &[f64]) -> ConfidenceInterval {
         let n = values.len() as f64;
         let mean = values.iter().sum::<f64>() / n;
--- a/crates/testbed/src/experiment/description/mod.rs
+++ b/crates/testbed/src/experiment/description/mod.rs
@@ -1,4 +1,4 @@
-//! The file of an experiment: the keys of a run, and around them a name, policies, seeds and sweeps.
+//! The experiment file: the description of a run, and a name, policies, seeds and sweeps.
 
 mod sweep;
 
@@ -12,10 +12,10 @@
 use std::path::Path;
 use sweep::Sweep;
 
-/// The seeds of an experiment that names none.
+/// The seeds of an experiment that specifies none.
 const DEFAULT_SEEDS: std::ops::RangeInclusive<u64> = 1..=5;
 
-/// The file as it is written. The names of fields are its keys.
+/// The file format. Field names are its keys.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct ExperimentFile {
@@ -48,34 +48,34 @@
     DEFAULT_SEEDS.collect()
 }
 
-/// One point of all sweeps.
+/// One combination of the values of all sweeps.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ExperimentPoint {
     /// Its label.
     pub label: String,
-    /// The run there.
+    /// The run at this point.
     pub run: RunDescription,
 }
 
-/// An experiment.
+/// An experiment with its sweeps expanded to points.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Experiment {
-    /// Its name.
+    /// Its name, which is also that of its default results folder.
     pub name: String,
-    /// The policies that are compared.
+    /// The policies to compare.
     pub policies: Vec<Policy>,
-    /// The seeds; the same for each point and policy.
+    /// The seeds, which are the same for every point and policy.
     pub seeds: Vec<u64>,
-    /// The points, in order.
+    /// The points, in sweep order.
     pub points: Vec<ExperimentPoint>,
 }
 
 impl Experiment {
-    /// Reads a file.
+    /// Reads an experiment file.
     ///
     /// # Errors
     ///
-    /// [`ExperimentError::Read`] where the file cannot be read, [`ExperimentError::InFile`] with what is wrong in it.
+    /// [`ExperimentError::Read`] if the file cannot be read, [`ExperimentError::InFile`] if its content is invalid.
     pub fn read(path: &Path) -> Result<Experiment, ExperimentError> {
         let text = std::fs::read_to_string(path).map_err(|source| ExperimentError::Read {
             path: path.to_path_buf(),
@@ -87,11 +87,11 @@
         })
     }
 
-    /// Reads a text.
+    /// Parses the content of an experiment file.
     ///
     /// # Errors
     ///
-    /// [`ExperimentError`] with the key, and its line where it has one.
+    /// [`ExperimentError`] with the invalid key, and its line if known.
     pub fn parse(text: &str) -> Result<Experiment, ExperimentError> {
         let file: ExperimentFile = toml::from_str(text)?;
         if !is_valid_name(&file.name) {
@@ -117,7 +117,7 @@
     }
 }
 
-/// Whether a name can be that of a folder.
+/// Whether a name is valid as that of a folder.
 fn is_valid_name(name: &str) -> bool {
     let is_allowed =
         |character: char| character.is_ascii_alphanumeric() || character == '-' || character == '_';
--- a/crates/testbed/src/experiment/description/sweep.rs
+++ b/crates/testbed/src/experiment/description/sweep.rs
@@ -1,4 +1,4 @@
-//! Sweeps: parameters that take several values. All sweeps together give the points of an experiment.
+//! Parameter sweeps. The cross product of all sweeps gives the points of an experiment.
 
 use super::super::error::ExperimentError;
 use super::ExperimentPoint;
@@ -6,31 +6,32 @@
 use serde::Deserialize;
 use toml::Value;
 
-/// Points of all sweeps together at most.
+/// Maximum number of points of an experiment.
 const MAX_POINTS: usize = 4096;
 /// The label of the only point of an experiment without sweeps.
 const UNSWEPT_LABEL: &str = "as described";
 
-/// One parameter that takes several values.
+/// A parameter and its values.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct Sweep {
-    /// Its key, with points and, in lists, numbers from 0: "fleet.servers", `class.0.aim_s`, or "fault" as a whole.
+    /// The path of the parameter, separated by dots, with indexes from 0 in lists: "fleet.servers", `class.0.aim_s`, or
+    /// "fault" for the whole list.
     key: String,
     /// The values.
     values: Vec<Value>,
-    /// Their labels; by default the key's last part with the value.
+    /// The labels of the values; by default the last part of the key with the value.
     #[serde(default)]
     labels: Vec<String>,
 }
 
-/// A point before its run is checked.
+/// A point whose run has not been validated yet.
 struct DraftPoint {
     label: String,
     run: Value,
 }
 
-/// The points of all sweeps: each value of one with each of the others.
+/// Returns the points of all sweeps: every combination of their values.
 pub(super) fn points(
     run: &RunDescription,
     sweeps: &[Sweep],
@@ -51,7 +52,7 @@
 }
 
 impl Sweep {
-    /// Each of these points with each value of the sweep.
+    /// Combines each point with each value of the sweep.
     fn cross(&self, points: &[DraftPoint]) -> Result<Vec<DraftPoint>, ExperimentError> {
         let has_labels = !self.labels.is_empty();
         if self.values.is_empty() || has_labels && self.labels.len() != self.values.len() {
@@ -105,7 +106,7 @@
     }
 }
 
-/// Finds the value of a key in a run.
+/// Looks up the value of a key in a run.
 fn value_at<'a>(run: &'a mut Value, key: &str) -> Result<&'a mut Value, ExperimentError> {
     let mut value = run;
     for part in key.split('.') {
@@ -125,7 +126,7 @@
     Ok(value)
 }
 
-/// Replaces a value. A whole number where a run has one with a point is meant as such.
+/// Replaces a value. An integer in place of a floating-point number is converted.
 fn set_value(target: &mut Value, value: &Value) {
     *target = match (&*target, value) {
         (Value::Float(_), Value::Integer(number)) => Value::Float(*number as f64),
@@ -133,7 +134,7 @@
     };
 }
 
-/// What a value is called in a label.
+/// The text of a value in a label.
 fn value_label(value: &Value) -> String {
     match value {
         Value::String(text) => text.clone(),
--- a/crates/testbed/src/experiment/metric.rs
+++ b/crates/testbed/src/experiment/metric.rs
@@ -1,56 +1,56 @@
-//! The figures that tables show of a run.
+//! Metrics of a run, as shown in tables and reports.
 
 use crate::emulator::{RequestEnd, RunOutcome, Tally};
 
 /// The position of the median in [`QUANTILES`](crate::emulator::QUANTILES).
 const MEDIAN_INDEX: usize = 1;
-/// The position of the 99th percentile there.
+/// The position of the 99th percentile in the same list.
 const P99_INDEX: usize = 4;
-/// The service has recovered once it has this fraction of what it served before the fault.
+/// The service has recovered when it serves this fraction of what it served before the fault.
 const RECOVERED_FRACTION: f64 = 0.95;
 
-/// A figure of a run. The names are values of the command line, and the first lines of the comments are the titles that
-/// tables and reports show.
+/// A metric of a run. The names are values on the command line; the first paragraph of each comment is the title in
+/// tables and reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, clap::ValueEnum)]
 pub enum Metric {
-    /// Served worth, in percent.
+    /// Served priority weight, in percent.
     Worth,
-    /// The time to the first token that 99 of 100 answers kept, in milliseconds.
+    /// 99th percentile of the time to first token, in milliseconds.
     FirstP99,
-    /// The same for half of them.
+    /// Median of the time to first token, in milliseconds.
     FirstP50,
-    /// Requests turned away, in percent.
+    /// Rejected requests, in percent.
     Refused,
-    /// Requests failed or broken off, in percent.
+    /// Requests that failed, broke off or whose client left, in percent.
     Failed,
-    /// Attempts for each try.
+    /// Attempts for each request sent by a client, client retries included.
     Attempts,
-    /// Prompt tokens that were found kept, in percent.
+    /// Prompt tokens found in a prefix cache, in percent.
     Kept,
-    /// Attempts from zone to zone, in percent.
+    /// Attempts across zones, in percent.
     Crossed,
-    /// Broken rules.
+    /// Violations of invariants.
     Broken,
-    /// Attempts at servers beyond each request's first, for each 100 requests.
+    /// Attempts at servers beyond the first of each request, per 100 requests.
     Repeats,
-    /// Seconds from the first fault's end until a piece of time has 95% of the served worth of before that fault.
+    /// Seconds from the end of the first fault until a time slice serves 95% of the weight served before it.
     Recovery,
-    /// Repeats at servers beyond the fleet's budget over the worst window, as a part of its burst.
+    /// Repeats at servers beyond the fleet's budget in the worst window, as a fraction of its burst.
     Window,
-    /// Messages that a node sends a second.
+    /// Messages per second sent by a node.
     Messages,
-    /// Bytes that a node sends a second.
+    /// Bytes per second sent by a node.
     Bytes,
-    /// Messages that the busiest keeper sends a second.
+    /// Messages per second sent by the busiest lease server.
     KeeperMessages,
-    /// Bytes that the busiest keeper sends a second.
+    /// Bytes per second sent by the busiest lease server.
     KeeperBytes,
-    /// The longest time without a holder, in seconds.
+    /// The longest time without a lease holder, in seconds.
     Without,
 }
 
 impl Metric {
-    /// Its value in one run; NaN where the run has none.
+    /// Its value in one run; NaN if it does not apply to the run.
     pub fn value(self, outcome: &RunOutcome) -> f64 {
         let coordination = outcome.talked.unwrap_or_default();
         match self {
@@ -91,8 +91,7 @@
     ratio(count, outcome.all.request_count()) * 100.0
 }
 
-/// The time from the end of the first fault until the service is as it was; all that is left of the run where it never
-/// is.
+/// The time from the end of the first fault until the service has recovered, or the rest of the run if it does not.
 fn recovery_s(outcome: &RunOutcome) -> f64 {
     let Some(fault) = outcome.faults.first() else {
         return f64::NAN;
--- a/crates/testbed/src/experiment/mod.rs
+++ b/crates/testbed/src/experiment/mod.rs
@@ -1,8 +1,8 @@
-//! Experiments: one described run, swept over parameters, policies and seeds.
+//! Experiments: a described run, swept over parameters, policies and seeds.
 //!
-//! An [`Experiment`] is read from a TOML file, [`runner`] plays what is missing of it over all cores and keeps each
-//! result as a file of a [`ResultsFolder`], and [`table`] shows [`Metric`]s of the results with confidence intervals.
-//! The sub-commands `run`, `table`, `compare`, `load` and `report` are built from these.
+//! An [`Experiment`] is read from a TOML file. [`runner`] executes its missing runs on all cores and stores each result
+//! as a file of a [`ResultsFolder`]; [`table`] shows [`Metric`]s of the results with confidence intervals. The
+//! sub-commands `run`, `table`, `compare`, `load` and `report` use these.
 
 mod confidence;
 mod description;
--- a/crates/testbed/src/experiment/results_folder.rs
+++ b/crates/testbed/src/experiment/results_folder.rs
@@ -1,7 +1,7 @@
-//! Results as files: one for each run, with what it is the result of.
+//! Result files: one for each run, with the description of that run.
 //!
-//! So a sweep that was stopped goes on where it was, and a changed description is not mistaken for the old one. The names
-//! of files and of fields stay what they are: results of earlier versions are read.
+//! An interrupted sweep can therefore be resumed, and results of a changed description are not reused. The names of
+//! files and fields must not change, because results of earlier versions must remain readable.
 
 use super::error::ExperimentError;
 use crate::emulator::description::RunDescription;
@@ -10,12 +10,12 @@
 use serde::{Deserialize, Serialize};
 use std::path::{Path, PathBuf};
 
-/// The end of the names of results files.
+/// The extension of results files.
 const EXTENSION: &str = ".json.zst";
-/// The level of the compression: zstd's default.
+/// Compression level: the default of zstd.
 const COMPRESSION_LEVEL: i32 = 3;
 
-/// One run with its outcome.
+/// The result of one run.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
 pub struct RunResult {
     /// The label of the point.
@@ -24,24 +24,24 @@
     pub policy: Policy,
     /// The seed.
     pub seed: u64,
-    /// The run.
+    /// The description of the run.
     pub run: RunDescription,
-    /// What it came to.
+    /// Its outcome.
     pub outcome: RunOutcome,
 }
 
-/// The results of an experiment, in a folder of their own.
+/// The folder with the results of an experiment.
 #[derive(Clone, Debug)]
 pub struct ResultsFolder {
     folder: PathBuf,
 }
 
 impl ResultsFolder {
-    /// Opens a folder, which is made where there is none.
+    /// Opens a folder and creates it if it does not exist.
     ///
     /// # Errors
     ///
-    /// [`ExperimentError::ResultsFile`] where the folder cannot be made.
+    /// [`ExperimentError::ResultsFile`] if the folder cannot be created.
     pub fn open(folder: &Path) -> Result<ResultsFolder, ExperimentError> {
         std::fs::create_dir_all(folder).map_err(ExperimentError::results_file(folder))?;
         Ok(ResultsFolder {
@@ -49,24 +49,24 @@
         })
     }
 
-    /// The file of a run: by the number of the point, the policy and the seed.
+    /// The path of a run's result, named by the number of the point, the policy and the seed.
     pub fn path(&self, point: usize, policy: Policy, seed: u64) -> PathBuf {
         self.folder
             .join(format!("{point:04}-{policy}-{seed}{EXTENSION}"))
     }
 
-    /// The result in a file, if it is the result of this very run.
+    /// Returns the result in a file if it has the same label and description; `None` also if the file cannot be read.
     pub fn find(&self, path: &Path, label: &str, run: &RunDescription) -> Option<RunResult> {
         let result = read(path).ok()?;
         let is_of_run = result.run == *run && result.label == label;
         is_of_run.then_some(result)
     }
 
-    /// Keeps a result: whole or not at all, also where the program is stopped meanwhile.
+    /// Writes a result atomically: an interrupted write leaves no incomplete result file.
     ///
     /// # Errors
     ///
-    /// [`ExperimentError::ResultsFile`] where the file cannot be written.
+    /// [`ExperimentError::ResultsFile`] if the file cannot be written.
     pub fn write(&self, path: &Path, result: &RunResult) -> Result<(), ExperimentError> {
         let json = serde_json::to_vec(result).map_err(ExperimentError::ResultsJson)?;
         let compressed = zstd::encode_all(&json[..], COMPRESSION_LEVEL)
@@ -76,12 +76,12 @@
         std::fs::rename(&partial, path).map_err(ExperimentError::results_file(path))
     }
 
-    /// All results of the folder, in the order of points, policies and seeds.
+    /// Reads all results of the folder, ordered by point, policy and seed.
     ///
     /// # Errors
     ///
-    /// [`ExperimentError::ResultsFile`] and [`ExperimentError::ResultsFormat`] where a file cannot be read,
-    /// [`ExperimentError::NoResults`] where there is none.
+    /// [`ExperimentError::ResultsFile`] or [`ExperimentError::ResultsFormat`] if a file cannot be read,
+    /// [`ExperimentError::NoResults`] if there are no results.
     pub fn all(&self) -> Result<Vec<RunResult>, ExperimentError> {
         let folder = &self.folder;
         let entries = std::fs::read_dir(folder).map_err(ExperimentError::results_file(folder))?;
@@ -102,7 +102,7 @@
     }
 }
 
-/// The number of the point in a file's name; the last place for a name without one.
+/// The number of the point in a file's name; names without one sort last.
 fn point_number(path: &Path) -> usize {
     let name = path.file_name().unwrap_or_default().to_string_lossy();
     let number = name
--- a/crates/testbed/src/experiment/runner.rs
+++ b/crates/testbed/src/experiment/runner.rs
@@ -1,4 +1,4 @@
-//! Plays the runs of an experiment over all cores.
+//! Executes the runs of an experiment on all cores.
 
 use super::description::{Experiment, ExperimentPoint};
 use super::error::ExperimentError;
@@ -10,16 +10,16 @@
 use std::cmp::Reverse;
 use std::path::Path;
 
-/// The end of a trace's name, which stands beside the result.
+/// The extension of a trace, which is written next to the result.
 const TRACE_EXTENSION: &str = "trace.zst";
 
-/// How an experiment is run.
+/// Options for running an experiment.
 pub struct RunOptions<'a> {
-    /// Results that are there already are made again.
+    /// Whether runs with an existing result are executed again.
     pub repeats_existing: bool,
-    /// The trace of every run is written beside its result.
+    /// Whether the trace of every run is written next to its result.
     pub writes_traces: bool,
-    /// Is moved on with each run.
+    /// Advanced after each run.
     pub progress: &'a ProgressBar,
 }
 
@@ -32,19 +32,19 @@
 }
 
 impl PlannedRun<'_> {
-    /// Grows with the time that the run takes.
+    /// An estimate that grows with the duration of the run.
     fn size(&self) -> usize {
         let fleet = &self.point.run.fleet;
         fleet.servers * fleet.nodes
     }
 }
 
-/// Plays what is missing of an experiment, and returns how many runs were played. An error of one run does not keep the
-/// others from being kept.
+/// Executes the runs of an experiment that have no result yet, and returns their number. An error of one run does not
+/// prevent the results of others from being stored.
 ///
 /// # Errors
 ///
-/// The first [`ExperimentError`] of all runs, in their order.
+/// The first [`ExperimentError`], in the planned order of runs.
 pub fn run_missing(
     experiment: &Experiment,
     results: &ResultsFolder,
@@ -52,17 +52,18 @@
 ) -> Result<usize, ExperimentError> {
     let mut runs = runs(experiment);
     options.progress.set_length(runs.len() as u64);
-    // Long runs first, so that the last core does not run alone; what follows from it is only the order in time.
+    // The largest runs start first, so that none of them runs alone on one core at the end. This affects only the order
+    // of execution.
     runs.sort_by_key(|run| Reverse((run.size(), usize::MAX - run.point_number)));
     let outcomes: Vec<Result<bool, ExperimentError>> = runs
         .into_par_iter()
         .map(|run| run_if_missing(&run, results, options))
         .collect();
-    let mut played_count = 0;
-    for was_played in outcomes {
-        played_count += usize::from(was_played?);
+    let mut executed_count = 0;
+    for was_executed in outcomes {
+        executed_count += usize::from(was_executed?);
     }
-    Ok(played_count)
+    Ok(executed_count)
 }
 
 fn runs(experiment: &Experiment) -> Vec<PlannedRun<'_>> {
@@ -82,40 +83,39 @@
     runs
 }
 
-/// Returns whether the run was played.
+/// Returns whether the run was executed.
 fn run_if_missing(
     run: &PlannedRun,
     results: &ResultsFolder,
     options: &RunOptions,
 ) -> Result<bool, ExperimentError> {
     let path = results.path(run.point_number, run.policy, run.seed);
-    let is_known = !options.repeats_existing
+    let has_result = !options.repeats_existing
         && results
             .find(&path, &run.point.label, &run.point.run)
             .is_some();
-    if !is_known {
-        let trace_beside = options.writes_traces.then_some(path.as_path());
-        let result = execute_run(run.point, run.policy, run.seed, trace_beside)?;
+    if !has_result {
+        let result_path = options.writes_traces.then_some(path.as_path());
+        let result = execute_run(run.point, run.policy, run.seed, result_path)?;
         results.write(&path, &result)?;
     }
     options.progress.inc(1);
-    Ok(!is_known)
+    Ok(!has_result)
 }
 
-/// Plays one run. Its trace is written beside a results file, where one is given.
+/// Executes one run. If `result_path` is given, the trace is written next to that file.
 ///
 /// # Errors
 ///
-/// [`ExperimentError::Simulation`] where the run cannot be played, [`ExperimentError::Trace`] where the trace cannot be
-/// made.
+/// [`ExperimentError::Simulation`] if the run fails, [`ExperimentError::Trace`] if the trace cannot be created.
 pub fn execute_run(
     point: &ExperimentPoint,
     policy: Policy,
     seed: u64,
-    trace_beside: Option<&Path>,
+    result_path: Option<&Path>,
 ) -> Result<RunResult, ExperimentError> {
     let mut simulation = Simulation::new(&point.run, policy, seed)?;
-    if let Some(path) = trace_beside {
+    if let Some(path) = result_path {
         simulation.write_traces_to(TraceWriter::create(&path.with_extension(TRACE_EXTENSION))?);
     }
     let outcome = simulation.finish()?;
--- a/crates/testbed/src/experiment/table.rs
+++ b/crates/testbed/src/experiment/table.rs
@@ -1,25 +1,25 @@
-//! Results as tables: a row for each point, a column for each policy, with confidence intervals over seeds.
+//! Tables of results: a row for each point and a column for each policy, with confidence intervals over seeds.
 
 use super::confidence::ConfidenceInterval;
 use super::metric::Metric;
 use super::results_folder::RunResult;
 use crate::emulator::policies::Policy;
 
-/// What a cell shows that has no result.
+/// The text of a cell without results.
 const EMPTY_CELL: &str = "-";
-/// Blanks between two columns.
+/// Spaces between two columns.
 const COLUMN_GAP: usize = 2;
 
 /// The rows and columns of a table.
 pub struct TableAxes<'a> {
-    /// The labels of points, in the order they came.
+    /// The labels of points, in the order of the results.
     pub labels: Vec<&'a str>,
-    /// The policies, in their own order.
+    /// The policies, in the order of [`Policy`].
     pub policies: Vec<Policy>,
 }
 
 impl<'a> TableAxes<'a> {
-    /// The axes of some results.
+    /// The axes that cover all of the results.
     pub fn of(results: &'a [RunResult]) -> Self {
         let mut labels = Vec::new();
         let mut policies = Vec::new();
@@ -35,8 +35,8 @@
         TableAxes { labels, policies }
     }
 
-    /// Lays a table out, with the text of each cell.
-    fn lay_out(&self, cell: impl Fn(&str, Policy) -> String) -> String {
+    /// Renders a table; `cell` gives the text of each cell.
+    fn render(&self, cell: impl Fn(&str, Policy) -> String) -> String {
         let mut rows = Vec::with_capacity(self.labels.len());
         for label in &self.labels {
             let cells = self.policies.iter().map(|policy| cell(label, *policy));
@@ -49,11 +49,11 @@
             label: String::new(),
             cells: self.policies.iter().map(Policy::to_string).collect(),
         };
-        lay_out_rows(&head, &rows)
+        render_rows(&head, &rows)
     }
 }
 
-/// The results of one cell, in the order of seeds.
+/// The results of one cell, in the order of `results`.
 fn cell_results<'a>(
     results: &'a [RunResult],
     label: &'a str,
@@ -64,16 +64,16 @@
         .filter(move |result| result.label == label && result.policy == policy)
 }
 
-/// The values of one cell, in the order of seeds.
+/// The values of one cell, one for each seed.
 pub fn cell_values(results: &[RunResult], label: &str, policy: Policy, metric: Metric) -> Vec<f64> {
     cell_results(results, label, policy)
         .map(|result| metric.value(&result.outcome))
         .collect()
 }
 
-/// The table of one metric.
+/// Renders the table of one metric.
 pub fn table(results: &[RunResult], metric: Metric) -> String {
-    TableAxes::of(results).lay_out(|label, policy| {
+    TableAxes::of(results).render(|label, policy| {
         let values = cell_values(results, label, policy, metric);
         if values.is_empty() {
             EMPTY_CELL.to_string()
@@ -83,10 +83,10 @@
     })
 }
 
-/// Two results of like experiments: by how much each cell has changed, seed by seed. A change beyond its confidence
-/// interval is marked with a star.
+/// Renders the changes between two sets of results: the mean difference of runs with the same label, policy and seed. A
+/// change larger than its confidence interval is marked with a star.
 pub fn compare(before: &[RunResult], after: &[RunResult], metric: Metric) -> String {
-    TableAxes::of(after).lay_out(|label, policy| {
+    TableAxes::of(after).render(|label, policy| {
         let mut changes = Vec::new();
         for result in cell_results(after, label, policy) {
             let same_seed =
@@ -95,11 +95,11 @@
                 changes.push(metric.value(&result.outcome) - metric.value(&previous.outcome));
             }
         }
-        change_text(&changes)
+        format_change(&changes)
     })
 }
 
-fn change_text(changes: &[f64]) -> String {
+fn format_change(changes: &[f64]) -> String {
     if changes.is_empty() {
         return EMPTY_CELL.to_string();
     }
@@ -118,7 +118,7 @@
 }
 
 impl Row {
-    /// The row as a line, with the label to the left and cells to the right of their columns.
+    /// The row as a line, with the label left-aligned and cells right-aligned.
     fn line(&self, label_width: usize, widths: &[usize]) -> String {
         let mut line = format!("{:<label_width$}", self.label);
         for (cell, width) in self.cells.iter().zip(widths) {
@@ -129,7 +129,7 @@
     }
 }
 
-fn lay_out_rows(head: &Row, rows: &[Row]) -> String {
+fn render_rows(head: &Row, rows: &[Row]) -> String {
     let label_widths = rows.iter().map(|row| row.label.chars().count());
     let label_width = label_widths.max().unwrap_or(0);
     let mut widths = Vec::with_capacity(head.cells.len());
