--- a/crates/testbed/tests/coordination.rs
+++ b/crates/testbed/tests/coordination.rs
@@ -1,4 +1,4 @@
-//! Emulated nodes that talk to each other: one holder, a budget for all, and the same bytes for the same seed.
+//! Coordinated emulated nodes: a single lease holder, a common retry budget and reproducible results.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -8,14 +8,14 @@
 use poppykeel_testbed::emulator::policies::Policy;
 use poppykeel_testbed::emulator::{RunOutcome, Simulation};
 
-fn play(
+fn simulate(
     nodes: usize,
     division: BudgetDivision,
     faults: Vec<FaultDescription>,
     seed: u64,
 ) -> RunOutcome {
     let burst = 2.0 * nodes as f64;
-    let together = CoordinationDescription {
+    let coordination = CoordinationDescription {
         lease_s: 1.0,
         share_s: 1.0,
         retries: 10.0,
@@ -26,7 +26,7 @@
     };
     let mut run = RunDescription {
         fault: faults,
-        together: Some(together),
+        together: Some(coordination),
         ..RunDescription::default()
     };
     (run.fleet.nodes, run.fleet.servers) = (nodes, 8);
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn a_run_with_talk_is_the_same_bytes_for_the_same_seed() {
+fn coordinated_run_gives_identical_bytes_for_equal_seeds() {
     let faults = || {
         vec![
             fault(FaultKind::NodeKill, 6.0, 4.0, 0.25),
@@ -58,15 +58,15 @@
         ]
     };
     let bytes =
-        |seed| serde_json::to_vec(&play(9, BudgetDivision::Shares, faults(), seed)).unwrap();
+        |seed| serde_json::to_vec(&simulate(9, BudgetDivision::Shares, faults(), seed)).unwrap();
     assert_eq!(bytes(3), bytes(3));
     assert_ne!(bytes(3), bytes(4));
 }
 
-/// Servers that fail for three seconds, while keepers die and a zone is cut off: by the servers' own count the repeats
-/// of all nodes stay within the budget; without one they go far beyond.
+/// Servers fail twice for three seconds while lease servers crash and a zone is partitioned. The repeats of all nodes,
+/// counted at the servers, must stay within the budget; without a budget they far exceed it.
 #[test]
-fn repeats_at_the_servers_stay_within_the_budget_of_all_nodes() {
+fn repeats_at_servers_stay_within_the_fleet_budget() {
     let faults = || {
         vec![
             fault(FaultKind::FailFast, 8.0, 3.0, 0.5),
@@ -77,16 +77,16 @@
     };
     for seed in 1..=3 {
         let (shares, none) = (
-            play(12, BudgetDivision::Shares, faults(), seed),
-            play(12, BudgetDivision::None, faults(), seed),
+            simulate(12, BudgetDivision::Shares, faults(), seed),
+            simulate(12, BudgetDivision::None, faults(), seed),
         );
-        let talked = shares.talked.unwrap();
+        let summary = shares.talked.unwrap();
         assert!(
-            shares.repeats > 20 && talked.worst_window <= 1.0,
-            "{} {talked:?}",
+            shares.repeats > 20 && summary.worst_window <= 1.0,
+            "{} {summary:?}",
             shares.repeats
         );
-        assert_eq!(talked.overlaps, 0);
+        assert_eq!(summary.overlaps, 0);
         assert_eq!(shares.broken.sum(), 0, "{:?}", shares.broken);
         assert!(
             none.repeats > 3 * shares.repeats,
@@ -98,21 +98,22 @@
     }
 }
 
-/// The keepers die and come back: nobody holds the task for that time, a lease and a little, and never do two.
+/// All lease servers crash and restart: no node holds the lease during the outage and for about one lease duration, and
+/// two nodes never hold it at once.
 #[test]
-fn the_task_is_held_again_after_the_keepers_come_back() {
-    let out = play(
+fn lease_is_held_again_after_lease_servers_restart() {
+    let outcome = simulate(
         12,
         BudgetDivision::Shares,
         vec![fault(FaultKind::NodeKill, 8.0, 2.0, 0.25)],
         5,
     );
-    let talked = out.talked.unwrap();
-    assert_eq!(talked.overlaps, 0);
-    assert!((0.5..6.0).contains(&talked.longest_without), "{talked:?}");
+    let summary = outcome.talked.unwrap();
+    assert_eq!(summary.overlaps, 0);
+    assert!((0.5..6.0).contains(&summary.longest_without), "{summary:?}");
     assert!(
-        talked.node.messages_per_second > 1.0
-            && talked.keeper.messages_per_second > talked.node.messages_per_second,
-        "{talked:?}"
+        summary.node.messages_per_second > 1.0
+            && summary.keeper.messages_per_second > summary.node.messages_per_second,
+        "{summary:?}"
     );
 }
--- a/crates/testbed/tests/emulator.rs
+++ b/crates/testbed/tests/emulator.rs
@@ -1,20 +1,15 @@
-//! Runs of the emulator: the same bytes for the same seed, the rules under whatever goes wrong, and what faults do.
+//! Runs of the emulator: reproducible results, invariants under faults, and the effects of faults.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
-#![expect(
-    clippy::min_ident_chars,
-    clippy::redundant_closure_for_method_calls,
-    reason = "not yet converted"
-)]
 
 use poppykeel_testbed::emulator::description::{
     ClassDescription, FaultDescription, FaultKind, RepeatSafety, RunDescription, TenantDescription,
 };
 use poppykeel_testbed::emulator::policies::Policy;
-use poppykeel_testbed::emulator::{RunOutcome, Simulation};
+use poppykeel_testbed::emulator::{RunOutcome, Simulation, Tally};
 use proptest::prelude::*;
 
-const WHATS: [FaultKind; 12] = [
+const FAULT_KINDS: [FaultKind; 12] = [
     FaultKind::Die,
     FaultKind::Silent,
     FaultKind::FailFast,
@@ -41,7 +36,7 @@
     }
 }
 
-fn run(
+fn run_description(
     servers: usize,
     per_server: f64,
     seconds: f64,
@@ -55,7 +50,7 @@
     run.check().unwrap()
 }
 
-fn play(run: &RunDescription, policy: Policy, seed: u64) -> RunOutcome {
+fn simulate(run: &RunDescription, policy: Policy, seed: u64) -> RunOutcome {
     Simulation::new(run, policy, seed)
         .unwrap()
         .finish()
@@ -63,8 +58,8 @@
 }
 
 #[test]
-fn the_same_seed_gives_the_same_bytes_and_another_one_others() {
-    let run = run(
+fn equal_seeds_give_identical_bytes_and_different_seeds_do_not() {
+    let run = run_description(
         9,
         7.0,
         12.0,
@@ -74,57 +69,72 @@
         ],
     );
     for policy in Policy::ALL {
-        let bytes = |seed| serde_json::to_vec(&play(&run, policy, seed)).unwrap();
+        let bytes = |seed| serde_json::to_vec(&simulate(&run, policy, seed)).unwrap();
         assert_eq!(bytes(3), bytes(3), "{policy}");
         assert_ne!(bytes(3), bytes(4), "{policy}");
     }
 }
 
 #[test]
-fn all_that_is_offered_ends_and_a_calm_day_is_served() {
-    let run = run(6, 4.0, 20.0, vec![]);
+fn every_request_ends_and_a_moderate_load_is_served() {
+    let run = run_description(6, 4.0, 20.0, vec![]);
     for policy in Policy::ALL {
-        let out = play(&run, policy, 1);
-        assert!(out.all.request_count() > 400, "{policy}: {:?}", out.all);
+        let outcome = simulate(&run, policy, 1);
+        assert!(
+            outcome.all.request_count() > 400,
+            "{policy}: {:?}",
+            outcome.all
+        );
         assert_eq!(
-            out.all.request_count(),
-            out.series.iter().map(|t| t.request_count()).sum::<u64>()
+            outcome.all.request_count(),
+            outcome.series.iter().map(Tally::request_count).sum::<u64>()
+        );
+        assert_eq!(outcome.broken.sum(), 0, "{policy}: {:?}", outcome.broken);
+        assert!(
+            outcome.all.served_fraction() > 0.9,
+            "{policy}: {:?}",
+            outcome.all
         );
-        assert_eq!(out.broken.sum(), 0, "{policy}: {:?}", out.broken);
-        assert!(out.all.served_fraction() > 0.9, "{policy}: {:?}", out.all);
         assert!(
-            out.gaps.count > 10_000 && out.prompt.cached > 0,
+            outcome.gaps.count > 10_000 && outcome.prompt.cached > 0,
             "{policy}: {:?} {:?}",
-            out.gaps,
-            out.prompt
+            outcome.gaps,
+            outcome.prompt
         );
     }
 }
 
 #[test]
-fn an_overloaded_fleet_serves_what_it_can_and_holds_no_more_for_it() {
-    // Three times what it bears, and with refusals that come back.
-    let run = run(4, 40.0, 20.0, vec![]);
-    let mut world = Simulation::new(&run, Policy::Poppykeel, 1).unwrap();
-    let mut most = 0;
-    while world.process_events(10_000) {
-        most = most.max(world.open_submission_count());
+fn overloaded_fleet_serves_a_part_and_bounds_open_submissions() {
+    // The load is about three times the capacity, and rejected clients retry.
+    let run = run_description(4, 40.0, 20.0, vec![]);
+    let mut simulation = Simulation::new(&run, Policy::Poppykeel, 1).unwrap();
+    let mut max_open = 0;
+    while simulation.process_events(10_000) {
+        max_open = max_open.max(simulation.open_submission_count());
     }
-    assert!(most < 4000, "{most} tries held at once, of 160 a second");
-    let out = play(&run, Policy::Poppykeel, 1);
-    assert_eq!(out.broken.sum(), 0, "{:?}", out.broken);
     assert!(
-        out.all.served_fraction() > 0.1 && out.all.served_fraction() < 0.7,
+        max_open < 4000,
+        "{max_open} submissions open at once, of 160 requests per second"
+    );
+    let outcome = simulate(&run, Policy::Poppykeel, 1);
+    assert_eq!(outcome.broken.sum(), 0, "{:?}", outcome.broken);
+    assert!(
+        outcome.all.served_fraction() > 0.1 && outcome.all.served_fraction() < 0.7,
         "{:?}",
-        out.all
+        outcome.all
     );
 }
 
 #[test]
-fn each_fault_costs_what_it_should_and_ends() {
-    let calm = play(&run(8, 6.0, 48.0, vec![]), Policy::RoundRobin, 2)
-        .all
-        .served_fraction();
+fn faults_reduce_service_and_the_fleet_recovers() {
+    let without_fault = simulate(
+        &run_description(8, 6.0, 48.0, vec![]),
+        Policy::RoundRobin,
+        2,
+    )
+    .all
+    .served_fraction();
     for what in [
         FaultKind::Die,
         FaultKind::Silent,
@@ -134,28 +144,28 @@
         FaultKind::ZoneCut,
         FaultKind::NodeKill,
     ] {
-        let run = run(8, 6.0, 48.0, vec![fault(what, 8.0, 6.0, 0.5, 1.9)]);
-        let out = play(&run, Policy::RoundRobin, 2);
+        let run = run_description(8, 6.0, 48.0, vec![fault(what, 8.0, 6.0, 0.5, 1.9)]);
+        let outcome = simulate(&run, Policy::RoundRobin, 2);
         assert!(
-            out.all.served_fraction() < calm - 0.005,
-            "{what:?}: {} of {calm}",
-            out.all.served_fraction()
+            outcome.all.served_fraction() < without_fault - 0.005,
+            "{what:?}: {} of {without_fault}",
+            outcome.all.served_fraction()
         );
-        // The last eight seconds are long after it, and after what it left behind.
-        let late = out.series[100..]
-            .iter()
-            .fold((0.0, 0.0), |s, t| (s.0 + t.offered, s.1 + t.gained));
+        // The last eight seconds are long after the fault and its after-effects.
+        let last_slices = &outcome.series[100..];
+        let offered: f64 = last_slices.iter().map(|tally| tally.offered).sum();
+        let gained: f64 = last_slices.iter().map(|tally| tally.gained).sum();
         assert!(
-            late.1 / late.0 > 0.85,
+            gained / offered > 0.85,
             "{what:?}: {} at the end",
-            late.1 / late.0
+            gained / offered
         );
     }
 }
 
 #[test]
-fn tenants_and_classes_are_told_apart_and_an_unsafe_one_runs_once() {
-    let mut run = run(
+fn classes_and_tenants_are_counted_and_unsafe_requests_run_once() {
+    let mut run = run_description(
         4,
         12.0,
         15.0,
@@ -181,70 +191,74 @@
     };
     run.tenant = vec![tenant("small", 1.0), tenant("large", 4.0)];
     for policy in Policy::ALL {
-        let out = play(&run, policy, 5);
-        assert_eq!(out.broken.sum(), 0, "{policy}: {:?}", out.broken);
-        let of = |groups: &[(String, poppykeel_testbed::emulator::Tally)]| {
+        let outcome = simulate(&run, policy, 5);
+        assert_eq!(outcome.broken.sum(), 0, "{policy}: {:?}", outcome.broken);
+        let request_counts = |groups: &[(String, Tally)]| {
             groups
                 .iter()
-                .map(|g| g.1.request_count())
+                .map(|(_, tally)| tally.request_count())
                 .collect::<Vec<_>>()
         };
-        let (classes, tenants) = (of(&out.classes), of(&out.tenants));
+        let (classes, tenants) = (
+            request_counts(&outcome.classes),
+            request_counts(&outcome.tenants),
+        );
         assert!(
             classes[0] > classes[1] && tenants[1] > 3 * tenants[0],
             "{classes:?} {tenants:?}"
         );
-        assert_eq!(classes.iter().sum::<u64>(), out.all.request_count());
+        assert_eq!(classes.iter().sum::<u64>(), outcome.all.request_count());
     }
 }
 
-/// Guards against a drain that counts as known after the whole list has said that it is over.
+/// Guards against a server that counts as draining after a full list without the drain, which ended during an outage of
+/// the list.
 #[test]
-fn a_drain_that_ends_while_there_is_no_list_ends_with_the_next_one() {
+fn drain_that_ends_during_a_list_outage_ends_with_the_next_list() {
     let faults = vec![
         fault(FaultKind::NoList, 4.0, 4.3, 0.0, 0.2),
         fault(FaultKind::Deploys, 2.1, 0.0, 0.0, 2.4),
     ];
-    let run = run(1, 1.0, 8.0, faults);
+    let run = run_description(1, 1.0, 8.0, faults);
     for (policy, seed) in Policy::ALL.into_iter().zip(1..) {
-        assert_eq!(play(&run, policy, seed).broken.sum(), 0, "{policy}");
+        assert_eq!(simulate(&run, policy, seed).broken.sum(), 0, "{policy}");
     }
 }
 
 fn any_fault() -> impl Strategy<Value = FaultDescription> {
     (
-        0..WHATS.len(),
+        0..FAULT_KINDS.len(),
         0.0..5.0f64,
         0.0..5.0f64,
         0.0..=1.0f64,
         0.2..3.0f64,
     )
-        .prop_map(|(what, at, span, part, size)| fault(WHATS[what], at, span, part, size))
+        .prop_map(|(what, at, span, part, size)| fault(FAULT_KINDS[what], at, span, part, size))
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 48, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Whatever goes wrong together, every request has one final outcome, none that forbids it runs twice, and no
-    /// node sends to a server whose drain it has known for longer than it may.
+    /// Under any combination of faults every request has one final outcome, no request that must run once runs twice,
+    /// and no node sends to a draining server after the drain grace.
     #[test]
-    fn the_rules_hold(
+    fn invariants_hold_under_random_faults(
         faults in prop::collection::vec(any_fault(), 0..4),
         policy in 0..Policy::ALL.len(),
         servers in 1..7usize,
         nodes in 1..4usize,
         load in 1.0..25.0f64,
-        copies in any::<bool>(),
-        unsafe_too in any::<bool>(),
+        hedging in any::<bool>(),
+        is_unsafe in any::<bool>(),
         seed in any::<u64>(),
     ) {
-        let mut run = run(servers, load, 8.0, faults);
-        (run.fleet.nodes, run.fleet.second_copies, run.load.retries) = (nodes, copies, 2);
-        if unsafe_too {
+        let mut run = run_description(servers, load, 8.0, faults);
+        (run.fleet.nodes, run.fleet.second_copies, run.load.retries) = (nodes, hedging, 2);
+        if is_unsafe {
             run.class[0].repeats = RepeatSafety::Unsafe;
         }
-        let out = play(&run, Policy::ALL[policy], seed);
-        prop_assert_eq!(out.broken.sum(), 0, "{:?}", out.broken);
-        prop_assert_eq!(out.all.request_count(), out.series.iter().map(|t| t.request_count()).sum::<u64>());
+        let outcome = simulate(&run, Policy::ALL[policy], seed);
+        prop_assert_eq!(outcome.broken.sum(), 0, "{:?}", outcome.broken);
+        prop_assert_eq!(outcome.all.request_count(), outcome.series.iter().map(Tally::request_count).sum::<u64>());
     }
 }
--- a/crates/testbed/tests/golden.rs
+++ b/crates/testbed/tests/golden.rs
@@ -1,5 +1,5 @@
-//! Golden files of the emulator and of the view: result files that a landed version wrote must stay readable, a node's
-//! log must be shown as it was, and the emulator must come to the same results and paths for the same seed.
+//! Golden files of the emulator and the view: result files of an earlier version must stay readable, the view of a
+//! node's log must not change, and the emulator must give the same results and traces for the same seed.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -13,25 +13,26 @@
 use std::fs;
 use std::path::{Path, PathBuf};
 
-/// The description of the emulated day.
-const DAY: &str = "day.toml";
-/// The folder of results, one file for each run. They were read and kept once before they were committed: the parser of
-/// JSON may be off by the last bit of a number as the emulator wrote it, and what it has read it reads the same again.
+/// The experiment description.
+const EXPERIMENT: &str = "day.toml";
+/// The folder of results, one file for each run. The files were read and written again before they were committed: the
+/// JSON parser may be off by the last bit of a number that the emulator wrote, but reads a number that it has once read
+/// and written without change.
 const RESULTS: &str = "results";
 /// The tables of those results.
 const TABLES: &str = "tables.txt";
-/// Digests of the day's results and paths, as the present emulator comes to them.
+/// Checksums of the results and traces of the experiment with the current emulator.
 const DIGESTS: &str = "digests.txt";
-/// A node's log; the root package has it, and its own test reads it, too.
+/// The log of a node. It belongs to the root package, whose own test reads it as well.
 const NODE_LOG: &str = "../../../../tests/golden/node-log.jsonl";
-/// What the view shows of that log.
+/// The screen of the view for that log.
 const SCREEN: &str = "screen.txt";
-/// The terminal's size in columns and rows.
+/// The size of the terminal in columns and rows.
 const SCREEN_SIZE: (u16, u16) = (120, 24);
-/// What the view is told of the node's tenants.
+/// The names of the tenants, passed to the view.
 const TENANTS: [&str; 2] = ["acme", "zeta"];
-/// Figures of the tables that every run has.
-const FIGURES: [Metric; 17] = [
+/// The metrics in the tables.
+const METRICS: [Metric; 17] = [
     Metric::Worth,
     Metric::FirstP99,
     Metric::FirstP50,
@@ -51,20 +52,20 @@
     Metric::Without,
 ];
 
-/// The committed file of this name.
+/// Returns the path of a golden file.
 fn golden_path(name: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR"))
         .join("tests/golden")
         .join(name)
 }
 
-/// Asserts that what the present code has written equals the committed file.
+/// Asserts that the given text equals the golden file.
 fn assert_equals_golden_file(name: &str, written: &str) {
     let committed = fs::read_to_string(golden_path(name)).unwrap();
     assert_eq!(written, committed, "{name}");
 }
 
-/// An empty folder for one test of this process.
+/// Creates an empty folder for one test of this process.
 fn empty_folder(name: &str) -> PathBuf {
     let folder = std::env::temp_dir().join(format!("golden-lab-{name}-{}", std::process::id()));
     let _ = fs::remove_dir_all(&folder);
@@ -72,52 +73,53 @@
     folder
 }
 
-/// A file's bytes without their compression.
+/// Reads and decompresses a file.
 fn decompressed(path: &Path) -> Vec<u8> {
     zstd::decode_all(fs::File::open(path).unwrap()).unwrap()
 }
 
-/// Runs the day once for each policy, at the sweep's points in turn: the file of each result, the result, and the bytes
-/// of its paths.
-fn run_day(folder: &Path) -> Vec<(PathBuf, RunResult, Vec<u8>)> {
-    let day = Experiment::read(&golden_path(DAY)).unwrap();
+/// Runs the experiment once for each policy, at the points of the sweep in turn. Returns the file name, the result and
+/// the bytes of the trace of each run.
+fn run_experiment(folder: &Path) -> Vec<(PathBuf, RunResult, Vec<u8>)> {
+    let experiment = Experiment::read(&golden_path(EXPERIMENT)).unwrap();
     let results = ResultsFolder::open(folder).unwrap();
-    let seed = day.seeds[0];
+    let seed = experiment.seeds[0];
     let mut runs = Vec::new();
-    for (index, policy) in day.policies.iter().enumerate() {
-        let point = index % day.points.len();
+    for (index, policy) in experiment.policies.iter().enumerate() {
+        let point = index % experiment.points.len();
         let path = results.path(point, *policy, seed);
-        let found = execute_run(&day.points[point], *policy, seed, Some(&path)).unwrap();
-        let paths = decompressed(&path.with_extension("trace.zst"));
-        runs.push((path, found, paths));
+        let result = execute_run(&experiment.points[point], *policy, seed, Some(&path)).unwrap();
+        let trace = decompressed(&path.with_extension("trace.zst"));
+        runs.push((path, result, trace));
     }
     runs
 }
 
-/// One line for each run: its result file's name, and the checksums of its result and of its paths.
+/// Formats one line for each run: the name of its result file, and the checksums of its result and trace. The golden
+/// file calls traces "paths".
 fn digests(runs: &[(PathBuf, RunResult, Vec<u8>)]) -> String {
     let mut text = String::new();
-    for (path, found, paths) in runs {
+    for (path, result, trace) in runs {
         let name = path.file_name().unwrap().to_string_lossy();
-        let result = serde_json::to_vec(found).unwrap();
-        let result_digest = crc32fast::hash(&result);
-        let paths_digest = crc32fast::hash(paths);
+        let json = serde_json::to_vec(result).unwrap();
+        let result_digest = crc32fast::hash(&json);
+        let trace_digest = crc32fast::hash(trace);
         writeln!(
             text,
-            "{name} result {result_digest:08x} paths {paths_digest:08x}"
+            "{name} result {result_digest:08x} paths {trace_digest:08x}"
         )
         .unwrap();
     }
     text
 }
 
-/// All tables of some results.
-fn tables(found: &[RunResult]) -> String {
-    let tables = FIGURES.iter().map(|figure| table(found, *figure) + "\n");
+/// Renders the tables of all metrics.
+fn tables(results: &[RunResult]) -> String {
+    let tables = METRICS.iter().map(|metric| table(results, *metric) + "\n");
     tables.collect()
 }
 
-/// What the view shows of a log.
+/// Renders the screen of the view for a log.
 fn screen_of_log(log: &str) -> String {
     let mut state = ViewState::new("node", TENANTS.map(String::from).into());
     log.lines().for_each(|line| state.apply_log_line(line));
@@ -136,33 +138,33 @@
 }
 
 #[test]
-fn emulated_day_comes_to_the_same_results_and_paths() {
+fn experiment_gives_the_same_results_and_traces() {
     let folder = empty_folder("digest");
-    let runs = run_day(&folder);
+    let runs = run_experiment(&folder);
     assert_equals_golden_file(DIGESTS, &digests(&runs));
     fs::remove_dir_all(folder).unwrap();
 }
 
 #[test]
-fn result_files_of_landed_version_stay_readable() {
-    let results = ResultsFolder::open(&golden_path(RESULTS)).unwrap();
-    let found = results.all().unwrap();
-    for result in &found {
+fn result_files_of_an_earlier_version_are_readable() {
+    let folder = ResultsFolder::open(&golden_path(RESULTS)).unwrap();
+    let results = folder.all().unwrap();
+    for result in &results {
         let point = ["shares", "equal", "none"]
             .iter()
             .position(|division| result.label.ends_with(division))
             .unwrap();
-        let path = results.path(point, result.policy, result.seed);
+        let path = folder.path(point, result.policy, result.seed);
         let read_back = serde_json::to_vec(result).unwrap();
         assert!(read_back == decompressed(&path), "{}", path.display());
     }
-    assert_equals_golden_file(TABLES, &tables(&found));
+    assert_equals_golden_file(TABLES, &tables(&results));
 }
 
 #[test]
-fn kept_result_is_written_as_the_same_json() {
+fn result_is_written_as_the_same_json() {
     let golden = ResultsFolder::open(&golden_path(RESULTS)).unwrap();
-    let folder = empty_folder("keep");
+    let folder = empty_folder("write");
     let copy = ResultsFolder::open(&folder).unwrap();
     for result in golden.all().unwrap() {
         let path = copy.path(0, result.policy, result.seed);
@@ -177,7 +179,7 @@
 }
 
 #[test]
-fn log_of_landed_version_is_shown_as_before() {
+fn log_of_an_earlier_version_is_shown_unchanged() {
     let log = fs::read_to_string(golden_path(NODE_LOG)).unwrap();
     assert_equals_golden_file(SCREEN, &screen_of_log(&log));
 }
