--- a/crates/testbed/src/emulator/coordination/mod.rs
+++ b/crates/testbed/src/emulator/coordination/mod.rs
@@ -5,7 +5,7 @@
 //! the emulated network and sets the budget grants of nodes. It counts the checks at which more than one node holds the
 //! lease, and measures whether all nodes together stay within the budget.
 
-mod measures;
+mod measurements;
 mod process;
 
 use super::description::{BudgetDivision, CoordinationDescription};
@@ -13,7 +13,7 @@
 use super::outcome::{CoordinationSummary, MessageRate};
 use super::time::micros;
 use crate::Micros;
-use measures::{HolderMonitor, MessageCounts, RepeatBucket};
+use measurements::{HolderMonitor, MessageCounts, RepeatBucket};
 use poppykeel::transport::coordination::budgets::FleetBudgets;
 use poppykeel_coordination::budget::{BudgetLimit, BudgetSettings};
 use poppykeel_coordination::envelope::{self, Envelope};
@@ -34,16 +34,16 @@
 const CLOCK_DRIFT_PPM: u32 = 1_000;
 /// The shortest interval of probes between nodes.
 const MIN_PROBE_INTERVAL: Micros = 10_000;
-/// The first events of processes are spread over this time, so that they do not all occur in one microsecond ...
+/// The first events of processes are spread over this time, so that they do not all occur in one microsecond.
 const START_SPREAD: Micros = 50_000;
-/// ... in steps of this length, a prime number.
+/// The offset between the first events of successively started processes; a prime number.
 const START_STEP: Micros = 7_919;
 /// The address of the first node, 10.128.0.0; the others follow it.
 const FIRST_NODE_ADDRESS: u32 = 0x0a80_0000;
 /// The port on which nodes receive messages.
 const NODE_PORT: u16 = 7946;
 
-/// Identifies a process: how many processes have been started on all nodes, including it.
+/// The number of a process, counted from 1 over all nodes in the order of their starts.
 pub(super) type ProcessNumber = u64;
 
 /// An event for the coordination of one node.
@@ -378,10 +378,10 @@
 
 fn budget_settings(description: &CoordinationDescription, node_count: usize) -> BudgetSettings {
     let limit = BudgetLimit {
-        rate: thousandths(description.retries),
-        burst: thousandths(description.burst),
-        guaranteed_rate: thousandths(description.floor),
-        guaranteed_burst: thousandths(description.floor_burst),
+        rate: to_thousandths(description.retries),
+        burst: to_thousandths(description.burst),
+        guaranteed_rate: to_thousandths(description.floor),
+        guaranteed_burst: to_thousandths(description.floor_burst),
         max_nodes: node_count as u32,
     };
     BudgetSettings {
@@ -392,7 +392,7 @@
 }
 
 /// Converts to thousandths, in which budgets are counted.
-fn thousandths(amount: f64) -> u64 {
+fn to_thousandths(amount: f64) -> u64 {
     (amount * 1e3).round() as u64
 }
 
--- a/crates/testbed/src/emulator/model_server/tests.rs
+++ b/crates/testbed/src/emulator/model_server/tests.rs
@@ -73,7 +73,8 @@
 
 #[test]
 fn run_of_steps_gives_the_same_outputs_as_single_steps() {
-    // A request that joins during a run of steps shortens it. The second server is interrupted within every step.
+    // A request that joins during a run of steps shortens it. The second server is also interrupted between the
+    // arrivals.
     let mut servers = [
         ModelServer::new(ServerProfile::default()),
         ModelServer::new(ServerProfile::default()),
--- a/crates/testbed/src/emulator/outcome.rs
+++ b/crates/testbed/src/emulator/outcome.rs
@@ -138,7 +138,7 @@
     pub keeper: MessageRate,
     /// Checks at which more than one node held the lease; there is a check every 5 ms.
     pub overlaps: u64,
-    /// The longest time without a lease holder after the first one was elected, in seconds.
+    /// The longest time without a lease holder after the lease was first acquired, in seconds.
     pub longest_without: f64,
     /// The largest excess of repeated attempts at servers over the rate of the budget in any window, as a fraction of
     /// the burst of the budget.
@@ -172,9 +172,9 @@
 pub struct RunOutcome {
     /// All requests.
     pub all: Tally,
-    /// Requests by class, with its name.
+    /// The requests of each class, with its name.
     pub classes: Vec<(String, Tally)>,
-    /// Requests by tenant, with its name.
+    /// The requests of each tenant, with its name.
     pub tenants: Vec<(String, Tally)>,
     /// Requests that clients sent to nodes, including client retries.
     pub tries: u64,
--- a/crates/testbed/src/emulator/policies/baseline/replicas.rs
+++ b/crates/testbed/src/emulator/policies/baseline/replicas.rs
@@ -18,9 +18,9 @@
 /// The maximum number of requests in flight on a replica, as a multiple of the mean (Mirrokni et al., "Consistent
 /// hashing with bounded loads", 2018).
 const LOAD_BOUND: f64 = 1.25;
-/// Eligible points of the ring that are examined for each replica ...
+/// Eligible points of the hash ring that one choice examines, for each replica in the table.
 const RING_CANDIDATES_PER_REPLICA: usize = 4;
-/// ... where a table of fewer replicas counts as one of this many.
+/// A table of fewer replicas counts as one of this many for that number of points.
 const RING_CANDIDATES_MIN_REPLICAS: usize = 16;
 /// Random draws before all replicas are scanned.
 const QUICK_DRAWS: usize = 8;
@@ -147,9 +147,9 @@
         let index = self.replicas.len();
         self.index_by_id.insert(id, index);
         self.replicas.push(Replica::new(id, is_available));
-        let seed = mix(index as u64 + 1);
+        let seed = mix_bits(index as u64 + 1);
         for point in 0..RING_POINTS {
-            let position = mix(seed ^ mix(point + RING_POINT_OFFSET));
+            let position = mix_bits(seed ^ mix_bits(point + RING_POINT_OFFSET));
             self.ring.push((position, index));
         }
     }
@@ -257,7 +257,7 @@
     /// The first replica on the ring, from the position of the key on, that is below the load bound; the very first one
     /// if none of those examined is below it.
     fn choose_on_ring(&self, eligibility: Eligibility, affinity_key: u64) -> Option<ReplicaIndex> {
-        let position = mix(affinity_key);
+        let position = mix_bits(affinity_key);
         let start = self.ring.partition_point(|point| point.0 < position);
         let max_in_flight = self.in_flight_bound();
         let max_candidates =
@@ -284,7 +284,7 @@
 }
 
 /// Mixes the bits of a number: the finalizer of `SplitMix64`.
-fn mix(x: u64) -> u64 {
+fn mix_bits(x: u64) -> u64 {
     let x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     let x = (x ^ (x >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     x ^ (x >> 31)
--- a/crates/testbed/src/emulator/prefix_cache.rs
+++ b/crates/testbed/src/emulator/prefix_cache.rs
@@ -6,7 +6,7 @@
 
 use std::collections::{HashMap, VecDeque};
 
-/// Stale uses are removed when there are more uses than two for each entry and this many.
+/// Stale uses are removed when the number of uses exceeds twice that of the entries by more than this.
 const STALE_USE_ALLOWANCE: usize = 64;
 
 /// One cached prefix.
--- a/crates/testbed/src/emulator/simulation/clients.rs
+++ b/crates/testbed/src/emulator/simulation/clients.rs
@@ -77,7 +77,7 @@
         let timeout = micros(self.run.class[request.class].deadline_s);
         self.recorder.outcome_mut().tries += 1;
         let id = self.submissions.insert(request, node, now);
-        self.notify_node_of_client(now, node, id, NodeNotice::Arrived);
+        self.send_to_node(now, node, id, NodeNotice::Arrived);
         self.queue
             .schedule(now + timeout, Event::ClientTimeout { request: id });
     }
@@ -109,7 +109,7 @@
             return;
         }
         let node = submission.node;
-        self.notify_node_of_client(now, node, id, NodeNotice::ClientLeft);
+        self.send_to_node(now, node, id, NodeNotice::ClientLeft);
         self.end_submission(now, id, RequestEnd::Left, 0);
     }
 
@@ -202,13 +202,7 @@
     }
 
     /// Sends a notice from a client to its node, with the latency inside a zone.
-    fn notify_node_of_client(
-        &mut self,
-        now: Micros,
-        node: usize,
-        request: RequestId,
-        notice: NodeNotice,
-    ) {
+    fn send_to_node(&mut self, now: Micros, node: usize, request: RequestId, notice: NodeNotice) {
         let at_node = Event::AtNode {
             node,
             epoch: self.nodes[node].epoch,
--- a/crates/testbed/src/emulator/simulation/coordination.rs
+++ b/crates/testbed/src/emulator/simulation/coordination.rs
@@ -7,7 +7,7 @@
 use crate::Micros;
 use poppykeel_coordination::envelope::Envelope;
 
-/// Passed with messages, which any process of the node receives; no process has this number.
+/// The process number of messages, which any process of the node receives. No process has this number.
 const ANY_PROCESS: ProcessNumber = 0;
 
 impl Simulation<'_> {
--- a/crates/testbed/src/emulator/simulation/faults.rs
+++ b/crates/testbed/src/emulator/simulation/faults.rs
@@ -25,7 +25,7 @@
 }
 
 /// The indexes of the first `fraction` of `count`.
-fn affected(count: usize, fraction: f64) -> Range<usize> {
+fn affected_range(count: usize, fraction: f64) -> Range<usize> {
     0..((count as f64 * fraction).ceil() as usize).min(count)
 }
 
@@ -59,7 +59,7 @@
             FaultKind::ZoneCut => self.partition_zone(now, fault.zone),
             FaultKind::NoList => self.is_endpoint_list_frozen = true,
             FaultKind::NodeKill => {
-                for node in affected(self.nodes.len(), fault.part) {
+                for node in affected_range(self.nodes.len(), fault.part) {
                     self.stop_node(now, node);
                 }
             }
@@ -85,7 +85,7 @@
                 }
             }
             FaultKind::NodeKill => {
-                for node in affected(self.nodes.len(), fault.part) {
+                for node in affected_range(self.nodes.len(), fault.part) {
                     self.start_node(node);
                 }
             }
@@ -99,7 +99,7 @@
     }
 
     fn affected_servers(&self, fault: &FaultDescription) -> Range<usize> {
-        affected(self.servers.len(), fault.part)
+        affected_range(self.servers.len(), fault.part)
     }
 
     fn set_failing(&mut self, servers: Range<usize>, is_failing: bool) {
