--- a/src/program/config/error.rs
+++ b/src/program/config/error.rs
@@ -1,58 +1,60 @@
-//! Why the platform's configuration is rejected.
+//! Errors of the node configuration.
 
 use crate::protocol::discovery::EndpointListError;
 use poppykeel_site_settings::SettingsParseError;
 
-/// Why the platform's configuration is rejected. Each text is one line that names the key.
+/// Why the node configuration is invalid. Each message is one line that names the key; the caller adds the file.
 #[derive(Debug, thiserror::Error)]
 pub enum NodeConfigError {
-    /// The text is no JSON.
-    #[error("config: expected JSON ({0})")]
+    /// The text is not valid JSON.
+    #[error("expected JSON ({0})")]
     Json(#[source] serde_json::Error),
-    /// A key is missing or its value is no text.
-    #[error("config: {key}: expected text")]
+    /// A key is missing or its value is not a string.
+    #[error("{key}: expected a string")]
     NotText {
         /// The key.
         key: &'static str,
     },
-    /// A value is no address with a port.
-    #[error("config: {key}: expected ADDRESS:PORT, not '{value}'")]
+    /// A value is not an address with a port.
+    #[error("{key}: expected ADDRESS:PORT, not '{value}'")]
     NotAddress {
         /// The key.
         key: &'static str,
         /// The value.
         value: String,
     },
-    /// A limit of the machine is no whole number, or too low.
-    #[error("config: limits.{key}: expected a whole number from {min}")]
+    /// A machine limit is not an integer, or is too low.
+    #[error("limits.{key}: expected an integer of at least {min}")]
     InvalidLimit {
         /// The key below `limits`.
         key: &'static str,
         /// The lowest limit.
         min: u64,
     },
-    /// The site's settings are missing.
-    #[error("config: settings: expected an object")]
+    /// The site settings are missing.
+    #[error("settings: expected an object")]
     MissingSettings,
-    /// The site's settings are rejected.
-    #[error("config: settings: expected {0}")]
+    /// The site settings are invalid.
+    #[error("settings: expected {0}")]
     Settings(#[source] SettingsParseError),
-    /// The endpoint list of the start is rejected.
-    #[error("config: known.{0}")]
+    /// The initial endpoint list is invalid.
+    #[error("known.{0}")]
     KnownList(#[source] EndpointListError),
-    /// A time of the connections to replicas is out of its range.
-    #[error("config: settings.limits.{key}: expected seconds, at most a day")]
+    /// A duration of the connections to replicas is out of range.
+    #[error("settings.limits.{key}: expected a number of seconds from 0 to 86400 (one day)")]
     InvalidTime {
         /// The key below `settings.limits`.
         key: &'static str,
     },
-    /// The seed is no number.
-    #[error("config: seed: expected up to 16 hex digits")]
+    /// The seed is not a number.
+    #[error("seed: expected up to 16 hex digits")]
     InvalidSeed,
-    /// A newer configuration lacks a key of the one in force, so that it was probably cut off.
-    #[error("{path}: missing; it was there before")]
+    /// A reread configuration lacks a key that the current one has, so the file was probably truncated.
+    #[error(
+        "{path}: expected this key, which the current configuration has; the file may be truncated"
+    )]
     MissingKey {
-        /// The path of the key.
+        /// The path of the key, with the prefix `config`.
         path: String,
     },
 }
--- a/src/program/config/mod.rs
+++ b/src/program/config/mod.rs
@@ -1,7 +1,7 @@
-//! The one place where configuration is read, checked and given defaults. Every error names its key.
+//! Parses and validates all configuration and sets its defaults. Every error names its key.
 //!
-//! [`NodeConfig`] is the platform's JSON, [`operator`] the operators' own file in TOML. `program::files` finds and reads
-//! both; `program::serve` runs a node by them.
+//! [`NodeConfig`] is the node configuration in JSON, which the platform provides; [`operator`] is the operator file in
+//! TOML. `program::files` locates and reads both files; `program::serve` runs a node with them.
 
 mod error;
 mod node;
--- a/src/program/config/node.rs
+++ b/src/program/config/node.rs
@@ -1,9 +1,9 @@
-//! The platform's configuration of a node, as JSON.
+//! The node configuration, as JSON.
 
 use super::error::NodeConfigError;
 use super::transport_limits::{
-    derive_transport_limits, MachineLimits, DEFAULT_MEMORY_MB, DEFAULT_SOCKETS, MIN_MEMORY_MB,
-    MIN_SOCKETS,
+    derive_transport_limits, MachineLimits, DEFAULT_FILE_DESCRIPTORS, DEFAULT_MEMORY_MB,
+    MIN_FILE_DESCRIPTORS, MIN_MEMORY_MB,
 };
 use crate::protocol::discovery::{self, EndpointListResponse};
 use crate::transport::TransportLimits;
@@ -12,49 +12,49 @@
 use std::fmt;
 use std::net::SocketAddr;
 
-/// The key of the endpoint list that a node starts with.
+/// The key of the initial endpoint list.
 const KNOWN_KEY: &str = "known";
 
-/// Values of the command line and the environment, which replace those of the configuration's text.
+/// Values from the command line and the environment, which take precedence over those in the file.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Overrides<'a> {
     /// The node's name.
     pub name: Option<&'a str>,
-    /// Where clients connect.
+    /// The address to listen on for clients.
     pub listen: Option<&'a str>,
-    /// Where discovery listens.
+    /// The address of the discovery service.
     pub discovery: Option<&'a str>,
-    /// Where operators call.
+    /// The address to listen on for admin requests.
     pub admin: Option<&'a str>,
 }
 
 /// The configuration of a node.
 pub struct NodeConfig {
-    /// The node's name, the same after a restart.
+    /// The node's name, which must stay the same across restarts.
     pub name: String,
-    /// Where clients connect.
+    /// The address to listen on for clients.
     pub listen: SocketAddr,
-    /// Where discovery listens.
+    /// The address of the discovery service.
     pub discovery: SocketAddr,
-    /// Where operators call; without it they can't.
+    /// The address to listen on for admin requests; `None` disables them.
     pub admin: Option<SocketAddr>,
-    /// The seed of random numbers.
+    /// The seed of the random number generator; 0 by default.
     pub seed: u64,
-    /// The endpoint list that the node starts with.
+    /// The endpoint list to start with, if the file has one.
     pub known_endpoints: Option<EndpointListResponse>,
-    /// The site's settings.
+    /// The settings that all nodes of the site share.
     pub settings: SiteSettings,
-    /// The limits of the transport.
+    /// The limits of the transport, derived from the machine limits and the site settings.
     pub transport_limits: TransportLimits,
-    /// The text as read.
+    /// The parsed file, kept for [`NodeConfig::check_replaces`].
     document: Value,
 }
 
 impl NodeConfig {
-    /// Reads and checks the text of the configuration; the overrides replace its values.
+    /// Parses and validates the configuration. The overrides take precedence over its values.
     ///
     /// # Errors
-    /// Names the key and what would be right.
+    /// Names the key and the expected value.
     pub fn read(text: &str, overrides: Overrides) -> Result<NodeConfig, NodeConfigError> {
         let document: Value = serde_json::from_str(text).map_err(NodeConfigError::Json)?;
         if !document["settings"].is_object() {
@@ -64,11 +64,11 @@
             .map_err(NodeConfigError::Settings)?;
         let known_endpoints = read_known_endpoints(&document)?;
         let transport_limits = derive_transport_limits(read_machine_limits(&document)?, &settings)?;
-        let values = TextValues {
+        let values = StringValues {
             document: &document,
         };
         Ok(NodeConfig {
-            name: values.text("name", overrides.name)?,
+            name: values.string("name", overrides.name)?,
             listen: values.address("listen", overrides.listen)?,
             discovery: values.address("discovery", overrides.discovery)?,
             admin: values.optional_address("admin", overrides.admin)?,
@@ -83,7 +83,7 @@
     /// Checks that this configuration may replace an older one while the node runs.
     ///
     /// # Errors
-    /// Where it lacks a key of the older one: then it was probably cut off.
+    /// If a key of the older configuration is missing: the file was probably truncated.
     pub fn check_replaces(&self, old: &NodeConfig) -> Result<(), NodeConfigError> {
         match find_missing_key("config", &old.document, &self.document) {
             Some(path) => Err(NodeConfigError::MissingKey { path }),
@@ -92,13 +92,13 @@
     }
 }
 
-/// Reads values that are texts.
-struct TextValues<'a> {
+/// Reads string values, which can be overridden.
+struct StringValues<'a> {
     document: &'a Value,
 }
 
-impl TextValues<'_> {
-    fn text(
+impl StringValues<'_> {
+    fn string(
         &self,
         key: &'static str,
         value_override: Option<&str>,
@@ -114,13 +114,13 @@
         key: &'static str,
         value_override: Option<&str>,
     ) -> Result<SocketAddr, NodeConfigError> {
-        let value = self.text(key, value_override)?;
+        let value = self.string(key, value_override)?;
         value
             .parse()
             .map_err(|_| NodeConfigError::NotAddress { key, value })
     }
 
-    /// An address that may be missing.
+    /// Returns `None` if the address is set neither in the file nor by an override.
     fn optional_address(
         &self,
         key: &'static str,
@@ -145,10 +145,15 @@
 fn read_machine_limits(document: &Value) -> Result<MachineLimits, NodeConfigError> {
     let limits = &document["limits"];
     let memory_mb = read_limit(limits, "memory_mb", DEFAULT_MEMORY_MB, MIN_MEMORY_MB)?;
-    let sockets = read_limit(limits, "sockets", DEFAULT_SOCKETS, MIN_SOCKETS)?;
+    let file_descriptors = read_limit(
+        limits,
+        "sockets",
+        DEFAULT_FILE_DESCRIPTORS,
+        MIN_FILE_DESCRIPTORS,
+    )?;
     Ok(MachineLimits {
         memory_bytes: memory_mb << 20,
-        sockets,
+        file_descriptors,
     })
 }
 
@@ -176,8 +181,8 @@
     seed.ok_or(NodeConfigError::InvalidSeed)
 }
 
-/// The path of the first key of the old document that the new one lacks. Each entry of a new list is compared with the
-/// first entry of the old one. The endpoint list of the start may go.
+/// Returns the path of the first key of the old document that the new one lacks. Each element of a new array is compared
+/// with the first element of the old one. The initial endpoint list may be removed.
 fn find_missing_key(path: &str, old: &Value, new: &Value) -> Option<String> {
     match (old, new) {
         (Value::Object(old), Value::Object(new)) => old.iter().find_map(|(key, old_value)| {
@@ -201,7 +206,7 @@
     }
 }
 
-/// The summary that `poppykeel check` shows.
+/// The summary that `poppykeel check` prints.
 impl fmt::Display for NodeConfig {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let scheduler = &self.settings.scheduler;
--- a/src/program/config/operator/budgets.rs
+++ b/src/program/config/operator/budgets.rs
@@ -1,4 +1,4 @@
-//! `[fleet.budgets]` of the operators' file: what all nodes of the fleet may spend together.
+//! `[fleet.budgets]` of the operator file: rate limits that all nodes of the fleet share.
 
 use super::duration::ConfigDuration;
 use super::error::InvalidValue;
@@ -8,28 +8,31 @@
 use std::borrow::Cow;
 use std::collections::BTreeMap;
 
-/// The number of budgets is bounded, and this many are not tenants'.
+/// The number of budgets out of [`MAX_BUDGETS`] that are reserved for other uses than tenants.
 const NON_TENANT_BUDGETS: usize = 8;
-/// How many tenants may have a budget.
+/// The largest number of tenants with a budget.
 const MAX_TENANTS: usize = MAX_BUDGETS - NON_TENANT_BUDGETS;
-/// The largest fleet that a budget may be split for.
+/// The largest fleet that a budget can be divided among.
 const MAX_NODES: u32 = 4096;
 const MIN_SHARE: ConfigDuration = ConfigDuration::from_micros(200_000);
 const MAX_SHARE: ConfigDuration = ConfigDuration::from_micros(600_000_000);
-/// How long a grant lasts, where the file says nothing.
+/// The default of `share`, the lifetime of a grant.
 const DEFAULT_SHARE: ConfigDuration = ConfigDuration::from_micros(2_000_000);
-/// The largest rate or burst.
+/// The largest rate (in units per second) or burst (in units).
 const MAX_AMOUNT: f64 = 1e9;
-/// Nodes count budgets in thousandths of a unit.
+/// Nodes express budgets in thousandths of a unit.
 const THOUSANDTHS_PER_UNIT: f64 = 1e3;
 
-/// `[fleet.budgets]`. The fields have the names of the keys, which `deploy/operator.toml` explains.
+/// `[fleet.budgets]`. Field names are the keys, which `deploy/operator.toml` documents.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
-#[serde(deny_unknown_fields, expecting = "struct Budgets")]
+#[serde(
+    deny_unknown_fields,
+    expecting = "a table with the keys of [fleet.budgets]"
+)]
 pub struct BudgetsConfig {
     /// The largest number of nodes that the fleet has at a time.
     pub most_nodes: u32,
-    /// How long a node may spend its part of a budget before it needs a new grant.
+    /// How long a node may spend its share of a budget before it needs a new grant.
     #[serde(default = "default_share")]
     pub share: ConfigDuration,
     /// The budget of retries.
@@ -44,20 +47,23 @@
     pub cold: Option<BudgetConfig>,
     /// The budget of calls to the discovery service.
     pub discovery: Option<BudgetConfig>,
-    /// The budgets of tenants, by the tenant's name.
+    /// The budgets of tenants, by tenant name.
     #[serde(default)]
     pub tenants: BTreeMap<String, BudgetConfig>,
 }
 
-/// One budget: a token bucket of the whole fleet, and the part of it that each node has for certain.
+/// One budget: a token bucket for the whole fleet, and the share of it that is guaranteed to each node.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq)]
-#[serde(deny_unknown_fields, expecting = "struct Budget")]
+#[serde(
+    deny_unknown_fields,
+    expecting = "a table with rate, burst, floor and floor_burst"
+)]
 pub struct BudgetConfig {
-    /// The fleet's rate, in units a second.
+    /// The fleet's rate, in units per second.
     pub rate: f64,
     /// The fleet's burst, in units.
     pub burst: f64,
-    /// The rate of a node without a grant, in units a second.
+    /// The rate of a node without a grant, in units per second.
     pub floor: f64,
     /// The burst of a node without a grant, in units.
     pub floor_burst: f64,
@@ -65,7 +71,7 @@
 
 /// A budget with its names.
 struct NamedBudget {
-    /// The name that nodes use among each other.
+    /// The name in messages between nodes.
     name: String,
     /// The key below `fleet.budgets`.
     key: String,
@@ -77,7 +83,7 @@
 }
 
 impl BudgetsConfig {
-    /// All budgets that the file has, the tenants' last.
+    /// All budgets in the file, with those of tenants last.
     fn named_budgets(&self) -> Vec<NamedBudget> {
         let optional_budgets = [
             ("retries", self.retries),
@@ -107,7 +113,7 @@
         budgets
     }
 
-    /// The limits of all budgets, by the names that nodes use among each other.
+    /// The limits of all budgets, by their names in messages between nodes.
     pub(super) fn limits(&self) -> BTreeMap<String, BudgetLimit> {
         self.named_budgets()
             .into_iter()
@@ -125,13 +131,13 @@
         }
     }
 
-    /// Checks what the types leave open, for clocks that drift by this many parts in a million.
+    /// Checks value ranges and constraints between keys, for a clock drift in parts per million.
     pub(super) fn check(&self, drift_ppm: u32) -> Result<(), InvalidValue> {
         if self.most_nodes == 0 || self.most_nodes > MAX_NODES {
             return Err(invalid("most_nodes", "expected 1 to 4096 nodes"));
         }
         if !(MIN_SHARE..=MAX_SHARE).contains(&self.share) {
-            return Err(invalid("share", "expected a time from 200ms to 10m"));
+            return Err(invalid("share", "expected a duration from 200ms to 10m"));
         }
         if self.tenants.len() > MAX_TENANTS {
             let expected = format!("expected at most {MAX_TENANTS} tenants with budgets");
@@ -171,7 +177,7 @@
         if self.rate > 0.0 && self.floor_burst < 1.0 {
             return Err(invalid(
                 &format!("{budget_key}.floor_burst"),
-                "expected at least 1: less is never one whole unit",
+                "expected at least 1, because a bucket that holds less than one unit never admits anything",
             ));
         }
         Ok(())
--- a/src/program/config/operator/duration.rs
+++ b/src/program/config/operator/duration.rs
@@ -1,37 +1,37 @@
-//! Times in the operators' file: seconds as a number, or text with a unit such as `"250ms"`.
+//! Durations in the operator file: a number of seconds, or a string with a unit such as `"250ms"`.
 
 use poppykeel_endpoints::DurationMicros;
 use serde::de::{Deserialize, Deserializer, Error, Unexpected, Visitor};
 use std::fmt;
 
-/// The longest time that a key takes, in microseconds: a year.
+/// The longest accepted duration, in microseconds: a year.
 const MAX_DURATION: DurationMicros = 365 * 86_400_000_000;
 const MICROS_PER_SECOND: f64 = 1e6;
 
-/// A time from the operators' file, from 0 to a year.
+/// A duration in the operator file, from 0 to a year.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ConfigDuration(DurationMicros);
 
 impl ConfigDuration {
-    /// A time of this many microseconds.
+    /// A duration of this many microseconds, whose range is not checked.
     pub const fn from_micros(micros: DurationMicros) -> ConfigDuration {
         ConfigDuration(micros)
     }
 
-    /// The time in microseconds.
+    /// The duration in microseconds.
     pub const fn as_micros(self) -> DurationMicros {
         self.0
     }
 }
 
-/// Reads a [`ConfigDuration`] from a number or a text.
+/// Deserializes a [`ConfigDuration`] from a number or a string.
 struct DurationVisitor;
 
 impl Visitor<'_> for DurationVisitor {
     type Value = ConfigDuration;
 
     fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("a time from 0 to a year, in seconds or as text with a unit such as \"250ms\"")
+        f.write_str("a duration from 0 to a year: a number of seconds or a string with a unit such as \"250ms\"")
     }
 
     fn visit_f64<E: Error>(self, seconds: f64) -> Result<ConfigDuration, E> {
--- a/src/program/config/operator/error.rs
+++ b/src/program/config/operator/error.rs
@@ -1,16 +1,16 @@
-//! Why the operators' file is rejected.
+//! Errors of the operator file.
 
 use std::borrow::Cow;
 
-/// Why the operators' file is rejected. Each text is one line that names the line of the file.
+/// Why the operator file is invalid. Each message is one line that names the line of the file; the caller adds the path.
 #[derive(Debug, thiserror::Error)]
 pub enum OperatorConfigError {
-    /// The text is no TOML.
+    /// The text is not valid TOML.
     #[error("line {line}: {}", source.message())]
     Syntax {
         /// The line, from 1.
         line: usize,
-        /// What the parser found.
+        /// The parser's error.
         source: Box<toml::de::Error>,
     },
     /// A key is unknown or missing, or its value has the wrong type.
@@ -20,31 +20,30 @@
         line: usize,
         /// The path of the key.
         path: String,
-        /// What the parser expected.
+        /// The parser's error, which has the expected type.
         source: Box<toml::de::Error>,
     },
-    /// A value has the right type and is out of its range, or does not fit the values of other keys.
+    /// A value has the right type but is out of range, or conflicts with the values of other keys.
     #[error("line {line}: {source}")]
     Value {
         /// The line, from 1.
         line: usize,
-        /// The key, and what would be right.
+        /// The key and the expected value.
         source: InvalidValue,
     },
 }
 
-/// A value that is out of its range or does not fit the values of other keys.
+/// A value that is out of range or conflicts with the values of other keys.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{path}: {expected}")]
 pub struct InvalidValue {
     /// The path of the key.
     path: String,
-    /// What would be right.
+    /// The expected value.
     expected: Cow<'static, str>,
 }
 
 impl InvalidValue {
-    /// The value at this path is not what is expected.
     pub(super) fn new(path: impl Into<String>, expected: impl Into<Cow<'static, str>>) -> Self {
         InvalidValue {
             path: path.into(),
@@ -58,32 +57,33 @@
     }
 }
 
-/// Why a node can't take its place in the fleet by the operators' file.
+/// Why `[fleet]` of the operator file does not fit the node's name or the site settings.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum FleetPlacementError {
-    /// A tenant has a budget and is not in the site's settings.
+pub enum FleetConfigError {
+    /// A tenant has a budget but is not in the site settings.
     #[error(
-        "fleet.budgets.tenants.{tenant}: expected a tenant of the site's settings ({})",
-        list_tenants(known_tenants)
+        "operator file: fleet.budgets.tenants.{tenant}: expected a tenant of the site settings ({})",
+        format_tenants(known_tenants)
     )]
     UnknownTenant {
         /// The tenant with a budget.
         tenant: String,
-        /// The tenants of the site's settings.
+        /// The tenants of the site settings.
         known_tenants: Vec<String>,
     },
     /// A lease server has no folder for its log.
-    #[error("fleet.folder: expected a folder, since {node} is one of fleet.keepers")]
+    #[error(
+        "operator file: fleet.folder: expected a folder for the lease server's log, because fleet.keepers lists {node}"
+    )]
     MissingFolder {
         /// The node's name.
         node: String,
     },
 }
 
-/// The tenants as the error's text lists them.
-fn list_tenants(tenants: &[String]) -> String {
+fn format_tenants(tenants: &[String]) -> String {
     if tenants.is_empty() {
-        "it has none".into()
+        "which have none".into()
     } else {
         tenants.join(", ")
     }
--- a/src/program/config/operator/fleet.rs
+++ b/src/program/config/operator/fleet.rs
@@ -1,8 +1,8 @@
-//! `[fleet]` of the operators' file: how this node works with the others of its fleet.
+//! `[fleet]` of the operator file: the coordination of this node with the other nodes of its fleet.
 
 use super::budgets::BudgetsConfig;
 use super::duration::ConfigDuration;
-use super::error::{FleetPlacementError, InvalidValue};
+use super::error::{FleetConfigError, InvalidValue};
 use crate::transport::coordination::budgets::FleetBudgets;
 use crate::transport::coordination::{CoordinationSettings, ReportSettings};
 use poppykeel_coordination::budget::BudgetSettings;
@@ -17,64 +17,64 @@
 const MAX_NAME_BYTES: usize = 64;
 /// The largest number of lease servers.
 const MAX_LEASE_SERVERS: usize = 7;
-/// The largest drift of a node's clock, in parts in a million.
+/// The largest configurable clock drift, in parts per million.
 const MAX_DRIFT_PPM: u32 = 200_000;
 const MIN_LEASE: ConfigDuration = ConfigDuration::from_micros(100_000);
 const MAX_LEASE: ConfigDuration = ConfigDuration::from_micros(600_000_000);
 const MIN_PROBE_INTERVAL: ConfigDuration = ConfigDuration::from_micros(10_000);
 const MIN_REPORT_INTERVAL: ConfigDuration = ConfigDuration::from_micros(1_000);
 
-/// `[fleet]`. The fields have the names of the keys, which `deploy/operator.toml` explains.
+/// `[fleet]`. Field names are the keys, which `deploy/operator.toml` documents.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
-#[serde(deny_unknown_fields, expecting = "struct Fleet")]
+#[serde(deny_unknown_fields, expecting = "a table with the keys of [fleet]")]
 pub struct FleetConfig {
     /// The fleet's name: nodes ignore messages of other fleets.
     pub name: String,
-    /// Where this node listens for the others.
+    /// The address where this node listens for other nodes.
     pub listen: SocketAddr,
-    /// The address that the others use for this node, where it is not `listen`.
+    /// The address that other nodes use for this node; `None` means `listen`.
     pub advertise: Option<SocketAddr>,
-    /// Nodes by name, of which this one learns the others.
+    /// The nodes, by name, from which this node learns of the other members.
     #[serde(default)]
     pub seeds: BTreeMap<String, SocketAddr>,
-    /// Other addresses for nodes by name, in place of the ones that they advertise.
+    /// Addresses of nodes, by name, that override the ones that they advertise.
     #[serde(default)]
     pub via: BTreeMap<String, SocketAddr>,
     /// The nodes that host a lease server, by name.
     pub keepers: BTreeMap<String, SocketAddr>,
-    /// The number of the list of lease servers; a new list needs a higher one.
+    /// The version of the list of lease servers, which must increase whenever the list changes.
     #[serde(default = "default_keepers_number")]
     pub keepers_number: u32,
-    /// Where the lease server that this node hosts has its log.
+    /// The folder for the log of the lease server on this node; `None` if it hosts none.
     pub folder: Option<PathBuf>,
     /// Whether a lease server trusts its log after a restart.
     #[serde(default)]
     pub trust_disk: bool,
-    /// How long a lease lasts.
+    /// The duration of a lease.
     #[serde(default = "default_lease")]
     pub lease: ConfigDuration,
-    /// The largest drift of a node's clock, in parts in a million.
+    /// The largest drift of a node's clock, in parts per million.
     #[serde(default = "default_drift")]
     pub drift: u32,
     /// The interval between health checks of another node.
     #[serde(default = "default_probe")]
     pub probe: ConfigDuration,
-    /// The timeout of a message's answer.
+    /// The timeout for the response to a message.
     #[serde(default = "default_patience")]
     pub patience: ConfigDuration,
-    /// What all nodes may spend together.
+    /// The budgets that all nodes share; `None` disables them.
     pub budgets: Option<BudgetsConfig>,
-    /// Where the fleet's report is sent.
+    /// Where the fleet's report is sent; `None` sends none.
     pub report: Option<FleetReportConfig>,
 }
 
 /// `[fleet.report]`: where the fleet's report is sent, and how often.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
-#[serde(deny_unknown_fields, expecting = "struct ReportTo")]
+#[serde(deny_unknown_fields, expecting = "a table with to and every")]
 pub struct FleetReportConfig {
     /// The collector's address.
     pub to: SocketAddr,
-    /// The interval between two reports.
+    /// The interval between reports.
     #[serde(default = "default_report_interval")]
     pub every: ConfigDuration,
 }
@@ -104,16 +104,19 @@
 }
 
 impl FleetConfig {
-    /// Checks what the types leave open.
+    /// Checks value ranges and constraints between keys, which the types don't enforce.
     pub(super) fn check(&self) -> Result<(), InvalidValue> {
         self.check_names()?;
-        self.check_times()?;
+        self.check_durations()?;
         if let Some(budgets) = &self.budgets {
             budgets.check(self.drift)?;
         }
         if let Some(report) = &self.report {
             if report.every < MIN_REPORT_INTERVAL {
-                return Err(invalid("report.every", "expected a time from 1ms"));
+                return Err(invalid(
+                    "report.every",
+                    "expected a duration of at least 1ms",
+                ));
             }
         }
         Ok(())
@@ -127,7 +130,7 @@
         if lease_server_count.is_multiple_of(2) || lease_server_count > MAX_LEASE_SERVERS {
             return Err(invalid(
                 "keepers",
-                "expected 1, 3, 5 or 7 nodes with their addresses",
+                "expected the names and addresses of 1, 3, 5 or 7 nodes",
             ));
         }
         for name in self.keepers.keys().chain(self.seeds.keys()) {
@@ -139,39 +142,39 @@
         Ok(())
     }
 
-    fn check_times(&self) -> Result<(), InvalidValue> {
+    fn check_durations(&self) -> Result<(), InvalidValue> {
         if !(MIN_LEASE..=MAX_LEASE).contains(&self.lease) {
-            return Err(invalid("lease", "expected a time from 100ms to 10m"));
+            return Err(invalid("lease", "expected a duration from 100ms to 10m"));
         }
         if self.drift > MAX_DRIFT_PPM {
             return Err(invalid(
                 "drift",
-                "expected parts in a million, at most 200000",
+                "expected at most 200000 parts per million",
             ));
         }
         if self.probe < MIN_PROBE_INTERVAL {
-            return Err(invalid("probe", "expected a time from 10ms"));
+            return Err(invalid("probe", "expected a duration of at least 10ms"));
         }
-        let patience = self.patience.as_micros();
-        if patience == 0 || patience > self.lease.as_micros() / 2 {
+        let response_timeout = self.patience.as_micros();
+        if response_timeout == 0 || response_timeout > self.lease.as_micros() / 2 {
             return Err(invalid(
                 "patience",
-                "expected a time above 0 and at most half of lease",
+                "expected a duration above 0 and at most half of lease",
             ));
         }
         Ok(())
     }
 
-    /// The settings with which the node of this name works with the others, at a site with these tenants.
+    /// The coordination settings of the node with this name, at a site with these tenants.
     ///
     /// # Errors
-    /// Names the key that is missing, or that does not fit the site.
+    /// Names the key that is missing or does not fit the site settings.
     pub fn coordination_settings(
         &self,
         node_name: &str,
         tenants: &[String],
-    ) -> Result<CoordinationSettings, FleetPlacementError> {
-        self.check_placement(node_name, tenants)?;
+    ) -> Result<CoordinationSettings, FleetConfigError> {
+        self.check_node_and_tenants(node_name, tenants)?;
         Ok(CoordinationSettings {
             node: self.node_settings(node_name),
             listen: self.listen,
@@ -188,26 +191,26 @@
         })
     }
 
-    /// Checks that the node and the site have what the file needs.
-    fn check_placement(
+    /// Checks that every tenant with a budget exists, and that a lease server has a folder.
+    fn check_node_and_tenants(
         &self,
         node_name: &str,
         tenants: &[String],
-    ) -> Result<(), FleetPlacementError> {
+    ) -> Result<(), FleetConfigError> {
         let budgeted_tenants = self
             .budgets
             .iter()
             .flat_map(|budgets| budgets.tenants.keys());
         for tenant in budgeted_tenants {
             if !tenants.contains(tenant) {
-                return Err(FleetPlacementError::UnknownTenant {
+                return Err(FleetConfigError::UnknownTenant {
                     tenant: tenant.clone(),
                     known_tenants: tenants.to_vec(),
                 });
             }
         }
         if self.keepers.contains_key(node_name) && self.folder.is_none() {
-            return Err(FleetPlacementError::MissingFolder {
+            return Err(FleetConfigError::MissingFolder {
                 node: node_name.into(),
             });
         }
@@ -242,7 +245,7 @@
     }
 }
 
-/// Whether a fleet or a node may have this name.
+/// Whether a fleet or node name has a valid length.
 fn is_valid_name(name: &str) -> bool {
     !name.is_empty() && name.len() <= MAX_NAME_BYTES
 }
--- a/src/program/config/operator/membership.rs
+++ b/src/program/config/operator/membership.rs
@@ -1,4 +1,4 @@
-//! `[membership]` of the operators' file: which sources list endpoints, and when a loss of endpoints is believed.
+//! `[membership]` of the operator file: the endpoint sources, and when a loss of endpoints is applied.
 
 use super::duration::ConfigDuration;
 use super::error::InvalidValue;
@@ -11,40 +11,44 @@
 use serde::Deserialize;
 use std::net::SocketAddr;
 
-/// How long a sudden loss is held, where the file says nothing.
+/// The default of `hold`.
 const DEFAULT_HOLD: ConfigDuration = ConfigDuration::from_micros(30_000_000);
-/// How many answers in a row must confirm a sudden loss, where the file says nothing.
+/// The default of `confirmations`.
 const DEFAULT_CONFIRMATIONS: u32 = 3;
-/// Which part of the endpoints makes a loss sudden, where the file says nothing.
+/// The default of `loss_part`.
 const DEFAULT_LOSS_PART: f64 = 0.5;
-/// When a withdrawn endpoint is forgotten, where the file says nothing: after a day.
+/// The default of `forget`: a day.
 const DEFAULT_FORGET: ConfigDuration = ConfigDuration::from_micros(24 * 3_600_000_000);
 
-/// `[membership]`. The fields have the names of the keys, which `deploy/operator.toml` explains.
+/// `[membership]`. Field names are the keys, which `deploy/operator.toml` documents.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
-#[serde(deny_unknown_fields, default, expecting = "struct Membership")]
+#[serde(
+    deny_unknown_fields,
+    default,
+    expecting = "a table with the keys of [membership]"
+)]
 pub struct MembershipConfig {
-    /// The endpoint sources; where descriptions of one endpoint differ the earlier source wins.
+    /// The endpoint sources. If their descriptions of an endpoint differ, the earlier source takes precedence.
     pub sources: Vec<EndpointSource>,
-    /// A sudden loss is held this long; 0 believes it at once.
+    /// How long a sudden loss is held at least; 0 applies every loss at once.
     pub hold: ConfigDuration,
-    /// A sudden loss is held until this many answers in a row have confirmed it.
+    /// The number of consecutive answers that must confirm a sudden loss before it is applied.
     pub confirmations: u32,
-    /// A loss of more than this part of the endpoints within `hold` is sudden.
+    /// A loss of more than this fraction of the endpoints within `hold` is sudden.
     pub loss_part: f64,
-    /// Whether endpoints with a higher priority number stand by while one with a lower number is available.
+    /// Whether endpoints with a higher priority number are on standby while one with a lower number is available.
     pub standby: bool,
-    /// An endpoint that was withdrawn and that no source lists is forgotten after this time.
+    /// How long a withdrawn endpoint that no source lists is remembered.
     pub forget: ConfigDuration,
     /// The discovery service's list.
     pub list: EndpointListConfig,
-    /// SRV records.
+    /// SRV records; required if `sources` has `srv`.
     pub srv: Option<SrvConfig>,
 }
 
 /// The name of an endpoint source.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
-#[serde(rename_all = "lowercase", expecting = "enum Source")]
+#[serde(rename_all = "lowercase", expecting = "\"list\" or \"srv\"")]
 pub enum EndpointSource {
     /// The discovery service's list.
     List,
@@ -52,33 +56,37 @@
     Srv,
 }
 
-/// What it means that a source lists an endpoint no longer.
+/// The effect of a source no longer listing an endpoint.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
-#[serde(rename_all = "lowercase", expecting = "enum Absent")]
-pub enum AbsenceMeaning {
-    /// The source withdraws the endpoint.
+#[serde(rename_all = "lowercase", expecting = "\"removes\" or \"abstains\"")]
+pub enum AbsencePolicyConfig {
+    /// The endpoint is removed, even if other sources list it.
     Removes,
-    /// The source says nothing of the endpoint any more.
+    /// The other sources decide.
     Abstains,
 }
 
-impl From<AbsenceMeaning> for AbsencePolicy {
-    fn from(meaning: AbsenceMeaning) -> Self {
-        match meaning {
-            AbsenceMeaning::Removes => AbsencePolicy::Removes,
-            AbsenceMeaning::Abstains => AbsencePolicy::Abstains,
+impl From<AbsencePolicyConfig> for AbsencePolicy {
+    fn from(policy: AbsencePolicyConfig) -> Self {
+        match policy {
+            AbsencePolicyConfig::Removes => AbsencePolicy::Removes,
+            AbsencePolicyConfig::Abstains => AbsencePolicy::Abstains,
         }
     }
 }
 
 /// `[membership.list]`: the discovery service's list.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
-#[serde(deny_unknown_fields, default, expecting = "struct List")]
+#[serde(
+    deny_unknown_fields,
+    default,
+    expecting = "a table with the keys of [membership.list]"
+)]
 pub struct EndpointListConfig {
-    /// The address of the discovery service, for `resolve` without the platform's configuration.
+    /// The address of the discovery service for `resolve` without a node configuration.
     pub discovery: Option<SocketAddr>,
-    /// What it means that the list names an endpoint no longer.
-    pub absence: AbsenceMeaning,
+    /// The effect of the list no longer naming an endpoint.
+    pub absence: AbsencePolicyConfig,
 }
 
 impl Default for MembershipConfig {
@@ -100,19 +108,19 @@
     fn default() -> Self {
         EndpointListConfig {
             discovery: None,
-            absence: AbsenceMeaning::Removes,
+            absence: AbsencePolicyConfig::Removes,
         }
     }
 }
 
 impl MembershipConfig {
-    /// Checks what the types leave open.
+    /// Checks value ranges and constraints between keys, which the types don't enforce.
     pub(super) fn check(&self) -> Result<(), InvalidValue> {
         self.check_sources()?;
         if !(0.0..1.0).contains(&self.loss_part) {
             return Err(invalid(
                 "loss_part",
-                "expected a part from 0 up to, but not, 1",
+                "expected a fraction of at least 0 and below 1",
             ));
         }
         if self.confirmations == 0 {
@@ -122,7 +130,7 @@
             Some(srv) => srv.check(),
             None if self.has_source(EndpointSource::Srv) => Err(invalid(
                 "sources",
-                "\"srv\" expects a table [membership.srv] with name and servers",
+                "\"srv\" requires a table [membership.srv] with name and servers",
             )),
             None => Ok(()),
         }
@@ -143,12 +151,11 @@
         Ok(())
     }
 
-    /// Whether endpoints come from this source.
     pub(super) fn has_source(&self, source: EndpointSource) -> bool {
         self.sources.contains(&source)
     }
 
-    /// The settings of the endpoint sources and of the rules by which their lists become one.
+    /// The settings of the endpoint sources and of the rules that combine their lists.
     pub(super) fn source_settings(&self) -> EndpointSourceSettings {
         let mut weight_unit = None;
         let mut sources = Vec::new();
@@ -193,7 +200,7 @@
         }
     }
 
-    /// When a sudden loss is believed; `None` believes it at once.
+    /// When a sudden loss is applied; `None` applies it at once.
     fn sudden_loss_guard(&self) -> Option<SuddenLossGuard> {
         let guard = SuddenLossGuard {
             hold_time: self.hold.as_micros(),
@@ -204,7 +211,7 @@
     }
 }
 
-/// The settings without a table `[membership]`: the discovery service's list alone, believed at once.
+/// The settings without a table `[membership]`: only the discovery service's list, whose losses are applied at once.
 pub(super) fn list_only_settings() -> EndpointSourceSettings {
     let list = SourceSettings::new(ENDPOINT_LIST_SOURCE, EndpointIdentity::ByName);
     EndpointSourceSettings {
--- a/src/program/config/operator/mod.rs
+++ b/src/program/config/operator/mod.rs
@@ -1,8 +1,8 @@
-//! The operators' file: TOML, with a module for each of its tables. `deploy/operator.toml` lists every key with its
-//! default and its unit.
+//! The operator file, in TOML. Each of its tables has a module; `deploy/operator.toml` lists every key with its default
+//! and unit.
 //!
-//! [`OperatorConfig::read`] checks each key; an error names the key's path, its line and what would be right. The commands
-//! of `program` read the file at their start, and `serve` again at SIGHUP.
+//! [`OperatorConfig::read`] validates each key; an error names the key's path, its line and the expected value. Commands
+//! read the file when they start, and `serve` rereads it at SIGHUP.
 
 mod budgets;
 mod duration;
@@ -15,10 +15,10 @@
 
 pub use budgets::{BudgetConfig, BudgetsConfig};
 pub use duration::ConfigDuration;
-pub use error::{FleetPlacementError, InvalidValue, OperatorConfigError};
+pub use error::{FleetConfigError, InvalidValue, OperatorConfigError};
 pub use fleet::{FleetConfig, FleetReportConfig};
 pub use handover::HandoverConfig;
-pub use membership::{AbsenceMeaning, EndpointListConfig, EndpointSource, MembershipConfig};
+pub use membership::{AbsencePolicyConfig, EndpointListConfig, EndpointSource, MembershipConfig};
 pub use srv::{AddressFamily, SrvConfig};
 pub use streams::StreamsConfig;
 
@@ -30,25 +30,25 @@
 use std::fmt;
 use toml::de::{DeTable, DeValue};
 
-/// The operators' file.
+/// The operator file.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq)]
-#[serde(deny_unknown_fields, default, expecting = "struct Operator")]
+#[serde(deny_unknown_fields, default, expecting = "tables")]
 pub struct OperatorConfig {
-    /// Where endpoints come from; without it from the discovery service's list alone, which is believed at once.
+    /// The endpoint sources. `None` uses only the discovery service's list, whose losses are applied at once.
     pub membership: Option<MembershipConfig>,
     /// How long streams may be silent, and whether they are continued.
     pub streams: StreamsConfig,
-    /// How this node works with the others of its fleet; without it not at all.
+    /// The coordination with the other nodes of the fleet; `None` disables it.
     pub fleet: Option<FleetConfig>,
-    /// What one process of the node leaves to the next.
+    /// How a process passes its learned state to the next process of the node.
     pub handover: HandoverConfig,
 }
 
 impl OperatorConfig {
-    /// Reads and checks the text of the file.
+    /// Parses and validates the file.
     ///
     /// # Errors
-    /// Names the line, the key's path and what would be right.
+    /// Names the line, the key's path and the expected value.
     pub fn read(text: &str) -> Result<OperatorConfig, OperatorConfigError> {
         let line_of = |error: &toml::de::Error| {
             let start = error.span().map(|span| span.start);
@@ -76,7 +76,7 @@
         Ok(config)
     }
 
-    /// Checks what the types leave open.
+    /// Checks value ranges and constraints between keys, which the types don't enforce.
     fn check(&self) -> Result<(), InvalidValue> {
         self.streams.check()?;
         if let Some(fleet) = &self.fleet {
@@ -93,7 +93,7 @@
         self.streams.settings()
     }
 
-    /// The SRV records that are looked up; `None` where they are no endpoint source.
+    /// The settings of SRV look-ups; `None` if SRV records are not an endpoint source.
     pub fn srv_lookup_settings(&self) -> Option<SrvLookupSettings> {
         let membership = self.membership.as_ref()?;
         if !membership.has_source(EndpointSource::Srv) {
@@ -118,7 +118,7 @@
     }
 }
 
-/// The summary that `poppykeel check` shows.
+/// The summary that `poppykeel check` prints.
 impl fmt::Display for OperatorConfig {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let registry = self.endpoint_source_settings().registry;
@@ -127,7 +127,7 @@
             .iter()
             .map(|source| source.name.as_str())
             .collect();
-        write!(f, "servers from {}", names.join(" and "))?;
+        write!(f, "endpoints from {}", names.join(" and "))?;
         let guard = registry
             .sources
             .first()
@@ -135,39 +135,39 @@
         match guard {
             Some(guard) => write!(
                 f,
-                "; more than {:.0}% lost at once is held for {} and {} answers",
+                "; a loss of more than {:.0}% at once is held for {} and {} answers",
                 guard.max_loss_fraction * 100.0,
-                in_seconds(guard.hold_time),
+                format_seconds(guard.hold_time),
                 guard.confirmation_count
             )?,
-            None => write!(f, "; every loss is believed at once")?,
+            None => write!(f, "; every loss is applied at once")?,
         }
         let Some(lookup) = self.srv_lookup_settings() else {
             return Ok(());
         };
         let resolver = &lookup.resolver;
-        let floor = in_seconds(resolver.ttl_bounds.floor);
-        let ceiling = in_seconds(resolver.ttl_bounds.ceiling);
+        let floor = format_seconds(resolver.ttl_bounds.floor);
+        let ceiling = format_seconds(resolver.ttl_bounds.ceiling);
         write!(
             f,
-            "\n{} at {:?}, asked anew every {floor} to {ceiling}",
+            "\n{} from {:?}, refreshed every {floor} to {ceiling}",
             resolver.name, resolver.servers
         )
     }
 }
 
-fn in_seconds(duration: DurationMicros) -> String {
+fn format_seconds(duration: DurationMicros) -> String {
     format!("{} s", duration as f64 / 1e6)
 }
 
-/// The number, from 1, of the line with the byte at this offset.
+/// The number of the line, from 1, that contains the byte at this offset.
 fn line_at(text: &str, offset: usize) -> usize {
     let end = (offset + 1).min(text.len());
     text[..end].lines().count().max(1)
 }
 
-/// The offset of a key in the text; of the innermost table on its path where the key is missing. `None` where no table on
-/// its path is there.
+/// The byte offset of a key. If the key is missing, that of the innermost table on its path that exists; `None` if none
+/// does.
 fn find_key(text: &str, path: &str) -> Option<usize> {
     let mut table = DeTable::parse(text).ok()?.into_inner();
     let mut offset = None;
--- a/src/program/config/operator/srv.rs
+++ b/src/program/config/operator/srv.rs
@@ -1,8 +1,8 @@
-//! `[membership.srv]` of the operators' file: the endpoint source that reads SRV records.
+//! `[membership.srv]` of the operator file: the endpoint source that looks up SRV records.
 
 use super::duration::ConfigDuration;
 use super::error::InvalidValue;
-use super::membership::AbsenceMeaning;
+use super::membership::AbsencePolicyConfig;
 use crate::protocol::srv::SrvEndpointMapping;
 use crate::transport::endpoints::srv::SrvLookupSettings;
 use poppykeel_dns_resolver::{self as dns, ResolverConfig, TtlBounds};
@@ -12,86 +12,89 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// The shortest bound of a time to live, in microseconds: a bound of 0 would look up without a pause.
+/// The lowest bound of a TTL, in microseconds: with a bound of 0, look-ups would follow each other without a pause.
 const MIN_TTL_BOUND: u64 = 1;
 
-/// `[membership.srv]`. The fields have the names of the keys, which `deploy/operator.toml` explains.
+/// `[membership.srv]`. Field names are the keys, which `deploy/operator.toml` documents.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
-#[serde(deny_unknown_fields, expecting = "struct Srv")]
+#[serde(
+    deny_unknown_fields,
+    expecting = "a table with the keys of [membership.srv]"
+)]
 pub struct SrvConfig {
-    /// The service's name, such as `_llm._tcp.example.test`.
+    /// The name of the service, such as `_llm._tcp.example.test`.
     pub name: String,
-    /// The name servers, asked in turn.
+    /// The name servers, which are queried in turn.
     pub servers: Vec<SocketAddr>,
-    /// The families of addresses that are looked up, in the order of preference.
+    /// The address families to look up, in order of preference.
     #[serde(default = "default_families")]
     pub families: Vec<AddressFamily>,
-    /// No record lives shorter than this.
+    /// The lower bound of a record's TTL.
     #[serde(default = "default_ttl_floor")]
     pub ttl_floor: ConfigDuration,
-    /// No record lives longer than this.
+    /// The upper bound of a record's TTL.
     #[serde(default = "default_ttl_ceiling")]
     pub ttl_ceiling: ConfigDuration,
-    /// A negative answer lives no longer than this.
+    /// The upper bound of the TTL of a negative answer.
     #[serde(default = "default_ttl_negative")]
     pub ttl_negative: ConfigDuration,
-    /// The timeout of an attempt in the first round; it doubles in each further round.
+    /// The timeout of an attempt in the first round, which doubles with each further round.
     #[serde(default = "default_timeout")]
     pub timeout: ConfigDuration,
-    /// How often each name server is asked one question before the question has failed.
+    /// How often each name server is tried before a question fails.
     #[serde(default = "default_rounds")]
     pub rounds: u32,
-    /// The pause after a failed look-up; it doubles with each failure.
+    /// The pause after a failed look-up, which doubles with each further failure.
     #[serde(default = "default_retry")]
     pub retry: ConfigDuration,
     /// The longest pause after a failed look-up.
     #[serde(default = "default_retry_most")]
     pub retry_most: ConfigDuration,
-    /// The size of answers over UDP that is offered, in bytes.
+    /// The advertised size of answers over UDP, in bytes.
     #[serde(default = "default_payload")]
     pub payload: u16,
-    /// Targets of the service beyond this number are ignored.
+    /// The largest number of targets; further ones are ignored.
     #[serde(default = "default_most_targets")]
     pub most_targets: usize,
-    /// How many questions may be in flight.
+    /// The largest number of questions in flight.
     #[serde(default = "default_most_questions")]
     pub most_questions: usize,
-    /// What it means that the records list an endpoint no longer.
+    /// The effect of the records no longer listing an endpoint.
     #[serde(default = "default_absence")]
-    pub absence: AbsenceMeaning,
-    /// An endpoint may return this often within `flap_window` without being held back.
+    pub absence: AbsencePolicyConfig,
+    /// How often an endpoint may return within `flap_window` before flap damping applies.
     #[serde(default = "default_flap_free")]
     pub flap_free: u32,
-    /// The time over which returns are counted.
+    /// The window in which returns are counted.
     #[serde(default = "default_flap_window")]
     pub flap_window: ConfigDuration,
-    /// How long an endpoint that returns too often is held back at first; 0 never holds one back.
+    /// The initial time for which an endpoint that returns too often is excluded; 0 disables flap damping.
     #[serde(default = "default_flap_hold")]
     pub flap_hold: ConfigDuration,
-    /// How long an endpoint that returns too often is held back at most.
+    /// The longest time for which an endpoint that returns too often is excluded.
     #[serde(default = "default_flap_most")]
     pub flap_most: ConfigDuration,
-    /// A regular expression for targets, whose groups `zone` and `kind` name the zone and the host type.
+    /// A regular expression for targets, whose groups `zone`, `kind` and `cell` capture the zone, host type and cell.
     pub target: Option<String>,
-    /// The site's name of each zone in targets.
+    /// The zone names of the site settings, by the zone captured from a target.
     #[serde(default)]
     pub zones: BTreeMap<String, String>,
-    /// The site's name of each host type in targets.
+    /// The host type names of the site settings, by the host type captured from a target.
     #[serde(default)]
     pub kinds: BTreeMap<String, String>,
-    /// The zone of targets that name none.
+    /// The zone of targets from which none is captured.
     #[serde(default)]
     pub zone: String,
-    /// The host type of targets that name none.
+    /// The host type of targets from which none is captured.
     #[serde(default)]
     pub kind: String,
-    /// Endpoints with this priority drain.
+    /// Records with this priority mark their endpoint as draining; `None` marks none.
     pub drain_priority: Option<u16>,
-    /// The weight that stands for an endpoint of ordinary capacity.
+    /// The weight of an endpoint of ordinary capacity; with `None` the weights of records have no effect on the capacity.
     pub weight_unit: Option<f64>,
 }
 
-/// A family of addresses.
+/// An IP address family.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
 pub enum AddressFamily {
@@ -111,7 +114,7 @@
 }
 
 impl SrvConfig {
-    /// Checks what the types leave open.
+    /// Checks value ranges and constraints between keys, which the types don't enforce.
     pub(super) fn check(&self) -> Result<(), InvalidValue> {
         if let Some(target) = &self.target {
             if let Err(error) = Regex::new(target) {
@@ -133,7 +136,6 @@
             .map_err(|error| invalid(error.key(), error.expected()))
     }
 
-    /// The configuration of the DNS resolver.
     fn resolver_config(&self) -> ResolverConfig {
         ResolverConfig {
             name: self.name.clone(),
@@ -154,7 +156,7 @@
         }
     }
 
-    /// What is looked up, and how its records become endpoints.
+    /// What to look up, and how to map the records to endpoints.
     pub(super) fn lookup_settings(&self) -> SrvLookupSettings {
         let endpoint_mapping = SrvEndpointMapping {
             target_pattern: self
@@ -173,7 +175,7 @@
         }
     }
 
-    /// The limits of endpoints that come and go; `None` where none is held back.
+    /// The limits of flap damping; `None` if it is disabled.
     pub(super) fn flap_limits(&self) -> Option<FlapLimits> {
         let limits = FlapLimits {
             free_return_count: self.flap_free,
@@ -189,7 +191,7 @@
     InvalidValue::new(format!("membership.srv.{key}"), expected)
 }
 
-/// The resolver's own defaults.
+/// The resolver's defaults, with no name and no servers.
 fn resolver_defaults() -> ResolverConfig {
     ResolverConfig::new("", Vec::new())
 }
@@ -238,8 +240,8 @@
     resolver_defaults().max_questions
 }
 
-fn default_absence() -> AbsenceMeaning {
-    AbsenceMeaning::Removes
+fn default_absence() -> AbsencePolicyConfig {
+    AbsencePolicyConfig::Removes
 }
 
 fn default_flap_free() -> u32 {
--- a/src/program/config/operator/streams.rs
+++ b/src/program/config/operator/streams.rs
@@ -1,4 +1,4 @@
-//! `[streams]` of the operators' file: how long a streamed answer may be silent, and whether it is continued at another
+//! `[streams]` of the operator file: how long a streamed response may be silent, and whether it is continued at another
 //! replica.
 
 use super::duration::ConfigDuration;
@@ -8,37 +8,41 @@
 use serde::Deserialize;
 use std::time::Duration;
 
-/// Of a replica's streams this part may be continued elsewhere, where the file says nothing.
+/// The default of `replica_share`.
 const DEFAULT_REPLICA_SHARE: f64 = 0.5;
-/// A continuation must begin within this time, where the file says nothing.
+/// The default of `wait`.
 const DEFAULT_CONTINUATION_WAIT: ConfigDuration = ConfigDuration::from_micros(5_000_000);
 
-/// `[streams]`. The fields have the names of the keys, which `deploy/operator.toml` explains.
+/// `[streams]`. Field names are the keys, which `deploy/operator.toml` documents.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
-#[serde(deny_unknown_fields, default, expecting = "struct Streams")]
+#[serde(
+    deny_unknown_fields,
+    default,
+    expecting = "a table with the keys of [streams]"
+)]
 pub struct StreamsConfig {
-    /// A stream counts as stalled no earlier than after this silence.
+    /// The lower bound of the silence after which a stream counts as stalled.
     pub stall_least: ConfigDuration,
-    /// A stream counts as stalled at the latest after this silence.
+    /// The upper bound of the silence after which a stream counts as stalled.
     pub stall_most: ConfigDuration,
-    /// The allowed silence as a multiple of the objective between tokens.
+    /// The allowed silence as a multiple of the objective for the time between tokens.
     pub stall_aims: f64,
     /// The allowed silence as a multiple of the stream's long gaps.
     pub stall_gaps: f64,
     /// Whether a stalled or broken stream is continued at another replica.
     #[serde(rename = "continue")]
     pub continues: bool,
-    /// How often one stream may be continued.
+    /// The largest number of continuations of one stream.
     pub tries: u32,
-    /// The part of all streams that may be continued, from 0 to 1.
+    /// The fraction of all streams that may be continued, from 0 to 1.
     pub share: f64,
-    /// The part of one replica's streams that may be continued elsewhere, from 0 to 1.
+    /// The fraction of one replica's streams that may be continued elsewhere, from 0 to 1.
     pub replica_share: f64,
-    /// This many continuations in a window are allowed whatever `share` says.
+    /// The number of continuations per window that are allowed regardless of `share`.
     pub free: u32,
-    /// The time over which continuations are counted.
+    /// The window in which continuations are counted.
     pub window: ConfigDuration,
-    /// A continuation must begin within this time.
+    /// The time within which a continuation must begin.
     pub wait: ConfigDuration,
 }
 
@@ -63,7 +67,7 @@
 }
 
 impl StreamsConfig {
-    /// Checks what the types leave open.
+    /// Checks value ranges and constraints between keys, which the types don't enforce.
     pub(super) fn check(&self) -> Result<(), InvalidValue> {
         let invalid = |key: &str, expected: &'static str| {
             Err(InvalidValue::new(format!("streams.{key}"), expected))
@@ -71,7 +75,7 @@
         if self.stall_least > self.stall_most || self.stall_least.as_micros() == 0 {
             return invalid(
                 "stall_least",
-                "expected a time above 0 and at most stall_most",
+                "expected a duration above 0 and at most stall_most",
             );
         }
         for (key, factor) in [
@@ -79,16 +83,16 @@
             ("stall_gaps", self.stall_gaps),
         ] {
             if !factor.is_finite() || factor < 0.0 {
-                return invalid(key, "expected a number from 0");
+                return invalid(key, "expected a number of at least 0");
             }
         }
         for (key, share) in [("share", self.share), ("replica_share", self.replica_share)] {
             if !(0.0..=1.0).contains(&share) {
-                return invalid(key, "expected a part from 0 to 1");
+                return invalid(key, "expected a fraction from 0 to 1");
             }
         }
         if self.window.as_micros() == 0 {
-            return invalid("window", "expected a time above 0");
+            return invalid("window", "expected a duration above 0");
         }
         Ok(())
     }
--- a/src/program/files.rs
+++ b/src/program/files.rs
@@ -1,6 +1,6 @@
-//! The files of settings that commands read, and what the command line and the environment say in their place.
+//! The settings files that commands read, and the values from flags and environment variables that override them.
 //!
-//! The commands share these groups of flags: `check`, `resolve` and `serve`.
+//! The commands `check`, `resolve` and `serve` share these groups of flags.
 
 use super::config::operator::{OperatorConfig, OperatorConfigError};
 use super::config::{NodeConfig, NodeConfigError, Overrides};
@@ -8,70 +8,75 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// Why a file of settings can't be read.
+/// Why a settings file can't be used.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsFileError {
-    /// The platform's configuration can't be read from its file.
-    #[error("config {}: {source}", path.display())]
+    /// The file of the node configuration can't be read.
+    #[error("cannot read the node configuration {}: {source}", path.display())]
     ReadConfig {
         /// The file.
         path: PathBuf,
-        /// What the system reports.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// The operators' file can't be read.
-    #[error("operator {}: {source}", path.display())]
+    /// The operator file can't be read.
+    #[error("cannot read the operator file {}: {source}", path.display())]
     ReadOperator {
         /// The file.
         path: PathBuf,
-        /// What the system reports.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// The platform's configuration is rejected.
-    #[error(transparent)]
-    Config(#[from] NodeConfigError),
-    /// The operators' file is rejected.
-    #[error("operator {}: {source}", path.display())]
+    /// The node configuration is invalid.
+    #[error("node configuration {}: {source}", path.display())]
+    Config {
+        /// The file.
+        path: PathBuf,
+        /// The key and the expected value.
+        source: NodeConfigError,
+    },
+    /// The operator file is invalid.
+    #[error("operator file {}: {source}", path.display())]
     Operator {
         /// The file.
         path: PathBuf,
-        /// The key, and what would be right.
+        /// The line, the key and the expected value.
         source: OperatorConfigError,
     },
 }
 
 #[derive(Args)]
 pub(super) struct OperatorFileArgs {
-    /// The operators' file, as TOML; see deploy/operator.toml
+    /// Operator file (TOML); deploy/operator.toml documents every key
     #[arg(long, env = "POPPYKEEL_OPERATOR", value_name = "FILE")]
     pub(super) operator: Option<PathBuf>,
 }
 
 #[derive(Args)]
 pub(super) struct ConfigOverrideArgs {
-    /// This node's name, in place of the configuration's
+    /// Name of this node; overrides `name` of the configuration
     #[arg(long, env = "GW_NAME")]
     name: Option<String>,
-    /// Where clients connect, in place of the configuration's
+    /// Address to listen on for clients; overrides `listen` of the configuration
     #[arg(long, env = "GW_LISTEN", value_name = "ADDRESS")]
     listen: Option<String>,
-    /// Where discovery listens, in place of the configuration's
+    /// Address of the discovery service; overrides `discovery` of the configuration
     #[arg(long, env = "GW_DISCOVERY", value_name = "ADDRESS")]
     pub(super) discovery: Option<String>,
-    /// Where operators call, in place of the configuration's
+    /// Address to listen on for admin requests; overrides `admin` of the configuration
     #[arg(long, env = "GW_ADMIN", value_name = "ADDRESS")]
     admin: Option<String>,
 }
 
 impl ConfigOverrideArgs {
-    /// Reads the platform's configuration.
+    /// Reads the node configuration.
     pub(super) fn read(&self, path: &Path) -> Result<NodeConfig, SettingsFileError> {
         read_node_config(path, self.overrides())
     }
 
-    /// Reads the platform's configuration again, at SIGHUP. The environment is that of the start and says what discovery
-    /// was then: it must not hide what the replaced file says now.
-    pub(super) fn read_again(&self, path: &Path) -> Result<NodeConfig, SettingsFileError> {
+    /// Rereads the node configuration at SIGHUP. The override of the discovery address is ignored: it dates from the start
+    /// of the process and must not hide a new address in the replaced file.
+    pub(super) fn reread(&self, path: &Path) -> Result<NodeConfig, SettingsFileError> {
         let overrides = Overrides {
             discovery: None,
             ..self.overrides()
@@ -94,11 +99,14 @@
         path: path.to_path_buf(),
         source,
     })?;
-    Ok(NodeConfig::read(&text, overrides)?)
+    NodeConfig::read(&text, overrides).map_err(|source| SettingsFileError::Config {
+        path: path.to_path_buf(),
+        source,
+    })
 }
 
 impl OperatorFileArgs {
-    /// Reads the operators' file; the defaults where there is none.
+    /// Reads the operator file; returns the defaults if none is given.
     pub(super) fn read(&self) -> Result<OperatorConfig, SettingsFileError> {
         let Some(path) = &self.operator else {
             return Ok(OperatorConfig::default());
--- a/src/program/log.rs
+++ b/src/program/log.rs
@@ -1,20 +1,20 @@
-//! The log on standard error: one line an event, with its details as fields.
+//! The log on standard error: one line per event, with its details as fields.
 
 use clap::ValueEnum;
 
-/// The format of the log's lines.
+/// The format of a log line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
 pub enum LogFormat {
-    /// For people.
+    /// Human-readable text
     Text,
-    /// One JSON object a line.
+    /// One JSON object per line
     Json,
 }
 
-/// Starts the log. A verbose log has every event and command of the scheduler, too.
+/// Installs the global log subscriber. A verbose log also has every event and command of the scheduler.
 ///
 /// # Panics
-/// Where the process already has a log.
+/// If a subscriber is already installed.
 pub fn start(is_verbose: bool, format: LogFormat) {
     let level = if is_verbose {
         tracing::Level::DEBUG
--- a/src/program/mod.rs
+++ b/src/program/mod.rs
@@ -1,6 +1,6 @@
-//! The command line: what `poppykeel` does for each sub-command.
+//! The command line and its sub-commands.
 //!
-//! [`main`] parses the arguments, runs one command and turns its error into one line on standard error and an exit code.
+//! [`main`] parses the arguments, runs one command and reports an error as one line on standard error and an exit code.
 
 pub mod config;
 mod files;
@@ -30,15 +30,15 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Serve clients until SIGTERM or SIGINT, then let what runs end
+    /// Route requests until SIGTERM or SIGINT, then finish the requests in flight and exit
     Serve(ServeCommand),
-    /// Read and check the configuration, the operators' file or both, and say what they come to
+    /// Validate the node configuration, the operator file or both, and print a summary
     Check(CheckCommand),
-    /// Ask each source of servers and show what it says and the list that follows, with reasons
+    /// Query each endpoint source and show its answer and the combined endpoint list, with reasons
     Resolve(resolve::ResolveCommand),
-    /// Show how streams fare, from a node's log in JSON
+    /// Show the newest summary of streams in a node's JSON log
     Streams(streams::StreamsCommand),
-    /// Ask a running node about its fleet
+    /// Show the state of a fleet, or restart its nodes, through the admin address of a node
     Fleet(fleet::FleetCommand),
     /// Print the version
     Version,
@@ -46,24 +46,24 @@
 
 #[derive(Args)]
 struct ServeCommand {
-    /// The configuration, as JSON
+    /// Node configuration (JSON)
     #[arg(long, env = "GW_CONFIG", value_name = "FILE")]
     config: PathBuf,
     #[command(flatten)]
     overrides: ConfigOverrideArgs,
     #[command(flatten)]
     operator_file: OperatorFileArgs,
-    /// Log every event and command of the core, too
+    /// Also log every event and command of the scheduler
     #[arg(long, env = "GW_VERBOSE")]
     verbose: bool,
-    /// How lines of the log look
+    /// Format of the log on standard error
     #[arg(long, env = "POPPYKEEL_LOG_FORMAT", value_enum, default_value = "text")]
     log_format: LogFormat,
 }
 
 #[derive(Args)]
 struct CheckCommand {
-    /// The configuration, as JSON
+    /// Node configuration (JSON)
     #[arg(
         long,
         env = "GW_CONFIG",
@@ -77,7 +77,7 @@
     overrides: ConfigOverrideArgs,
 }
 
-/// Why a command has failed. Each text is one line.
+/// Why a command failed. Each message is one line.
 #[derive(Debug, thiserror::Error)]
 enum CommandError {
     #[error(transparent)]
@@ -99,13 +99,13 @@
             operator: self.operator_file.read()?,
         };
         log::start(self.verbose, self.log_format);
-        let read_again = || {
+        let reread_settings = || {
             Ok(ServeSettings {
-                node: self.overrides.read_again(&self.config)?,
+                node: self.overrides.reread(&self.config)?,
                 operator: self.operator_file.read()?,
             })
         };
-        Ok(serve::serve(settings, read_again)?)
+        Ok(serve::serve(settings, reread_settings)?)
     }
 }
 
@@ -121,7 +121,8 @@
     }
 }
 
-/// Runs a command. The exit code says whether it has succeeded; where it has shown what there is to say that is all.
+/// Runs a command. `resolve` exits with a failure code and no message if no endpoint is usable, since its report already
+/// shows that.
 fn run(command: &Command) -> Result<ExitCode, CommandError> {
     match command {
         Command::Serve(serve) => serve.run()?,
@@ -139,7 +140,7 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// Runs the command line; an error is one line on standard error.
+/// Runs the command line. An error is printed as one line on standard error.
 pub fn main() -> ExitCode {
     match run(&Cli::parse().command) {
         Ok(code) => code,
--- a/src/program/serve/error.rs
+++ b/src/program/serve/error.rs
@@ -1,6 +1,6 @@
-//! Why a node can't start, or can't take new settings.
+//! Errors at the start of a node and at a reload of its settings.
 
-use crate::program::config::operator::FleetPlacementError;
+use crate::program::config::operator::FleetConfigError;
 use crate::program::config::NodeConfigError;
 use crate::program::files::SettingsFileError;
 use crate::transport::coordination::CoordinationError;
@@ -9,71 +9,73 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// Why a node can't start. Each text is one line; it names the key where one is at fault.
+/// Why a node can't start. Each message is one line and names the invalid key, if there is one.
 #[derive(Debug, thiserror::Error)]
 pub enum ServeError {
-    /// The process can't be made to end with the one that started it.
-    #[error("{variable}: {source}")]
+    /// The signal at the death of the parent process can't be set.
+    #[error("{variable}: cannot set the parent death signal: {source}")]
     ParentDeathSignal {
-        /// The environment variable that asks for it.
+        /// The environment variable that requires it.
         variable: &'static str,
-        /// What the system reports.
+        /// The error of the operating system.
         source: io::Error,
     },
     /// The runtime can't be built.
-    #[error("runtime: {0}")]
+    #[error("cannot start the async runtime: {0}")]
     Runtime(#[source] io::Error),
-    /// Signals can't be caught.
-    #[error("signals: {0}")]
+    /// Signal handlers can't be installed.
+    #[error("cannot install the signal handlers: {0}")]
     Signals(#[source] io::Error),
-    /// The node can't listen where the configuration says.
-    #[error("config: {key}: {address}: {source}")]
+    /// The node can't listen at a configured address.
+    #[error("node configuration: {key}: cannot listen on {address}: {source}")]
     Listen {
-        /// The key of the configuration.
+        /// The key of the node configuration.
         key: &'static str,
-        /// The address.
+        /// The configured address.
         address: SocketAddr,
-        /// What the system reports.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// The address of a listener can't be read.
-    #[error("config: {key}: {source}")]
+    /// The local address of a listener can't be determined.
+    #[error(
+        "node configuration: {key}: cannot determine the local address of the listener: {source}"
+    )]
     LocalAddress {
-        /// The key of the configuration.
+        /// The key of the node configuration.
         key: &'static str,
-        /// What the system reports.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// The scheduler rejects the site's settings.
+    /// The scheduler rejects the site settings.
     #[error(transparent)]
     Scheduler(#[from] SettingsError),
-    /// The node has no place in the fleet by the operators' file.
+    /// The table `[fleet]` does not fit the node or the site settings.
     #[error(transparent)]
-    FleetPlacement(#[from] FleetPlacementError),
-    /// The node can't work with the others.
+    Fleet(#[from] FleetConfigError),
+    /// The coordination with the other nodes can't start.
     #[error(transparent)]
     Coordination(#[from] CoordinationError),
 }
 
-/// Why settings that were read again are not taken. Each text is one line and names the key.
+/// Why reread settings are rejected. Each message is one line and names the key.
 #[derive(Debug, thiserror::Error)]
 pub enum ReloadError {
-    /// A file can't be read or is rejected.
+    /// A file can't be read or is invalid.
     #[error(transparent)]
     SettingsFile(#[from] SettingsFileError),
-    /// The platform's configuration may not replace the one in force.
+    /// The node configuration must not replace the current one.
     #[error(transparent)]
     Config(#[from] NodeConfigError),
-    /// The site's settings may not replace those in force.
+    /// The site settings must not replace the current ones.
     #[error(transparent)]
     SiteSettings(#[from] SettingsUpdateError),
-    /// The node has no place in the fleet by the operators' file.
+    /// The table `[fleet]` does not fit the node or the site settings.
     #[error(transparent)]
-    FleetPlacement(#[from] FleetPlacementError),
-    /// The settings of the fleet may not replace those in force.
+    Fleet(#[from] FleetConfigError),
+    /// The fleet settings must not replace the current ones.
     #[error(transparent)]
     Coordination(#[from] CoordinationError),
-    /// The operators' file has the table `fleet` and had none at the start, or the other way round.
-    #[error("operator: fleet: expected to come or go with a restart alone")]
+    /// The table `[fleet]` was added to or removed from the operator file.
+    #[error("operator file: fleet: adding or removing this table requires a restart")]
     FleetTableChanged,
 }
--- a/src/program/serve/listeners.rs
+++ b/src/program/serve/listeners.rs
@@ -1,18 +1,18 @@
-//! The sockets on which a node listens.
+//! Binds the sockets on which a node listens.
 
 use super::error::ServeError;
 use crate::program::config::NodeConfig;
 use std::net::SocketAddr;
 use tokio::net::{TcpListener, TcpSocket};
 
-/// The configuration's key of the address where clients connect.
+/// The key of the client address in the node configuration.
 const CLIENT_KEY: &str = "listen";
-/// The configuration's key of the address where operators call.
+/// The key of the admin address in the node configuration.
 const ADMIN_KEY: &str = "admin";
-/// Connections that the kernel holds until they are accepted.
+/// The number of connections that the kernel queues until they are accepted.
 const ACCEPT_BACKLOG: u32 = 1024;
 
-/// A socket that listens, with its address.
+/// A listening socket with its local address.
 pub(super) struct BoundListener {
     pub listener: TcpListener,
     pub address: SocketAddr,
@@ -20,17 +20,16 @@
 
 /// The sockets on which a node listens.
 pub(super) struct Listeners {
-    /// For clients.
     pub client: BoundListener,
-    /// For operators, where they can call.
+    /// For admin requests; `None` if they are disabled.
     pub admin: Option<TcpListener>,
 }
 
 impl Listeners {
-    /// Listens where the configuration says.
+    /// Listens at the configured addresses.
     ///
     /// # Errors
-    /// Where the system doesn't allow it.
+    /// If a socket can't be bound.
     pub(super) fn bind(config: &NodeConfig) -> Result<Listeners, ServeError> {
         let client = listen(CLIENT_KEY, config.listen)?;
         let admin = match config.admin {
@@ -44,10 +43,10 @@
     }
 }
 
-/// The operators' listener with its address.
+/// Adds the local address to the listener for admin requests.
 ///
 /// # Errors
-/// Where the system doesn't tell the address.
+/// If the local address can't be determined.
 pub(super) fn admin_with_address(listener: TcpListener) -> Result<BoundListener, ServeError> {
     with_address(ADMIN_KEY, listener)
 }
@@ -59,7 +58,7 @@
     }
 }
 
-/// Listens at an address, also beside another process of this node: a new version starts while the old one still serves.
+/// Listens at an address. `SO_REUSEPORT` lets a new version of the node start while the old process still serves.
 fn listen(key: &'static str, address: SocketAddr) -> Result<TcpListener, ServeError> {
     let socket = if address.is_ipv4() {
         TcpSocket::new_v4()
--- a/src/program/serve/mod.rs
+++ b/src/program/serve/mod.rs
@@ -1,7 +1,7 @@
-//! `poppykeel serve`: runs a node until it is told to shut down.
+//! `poppykeel serve`: runs a node until SIGTERM or SIGINT.
 //!
-//! [`serve`] makes the runtime, `node` puts the node together from its tasks, `reload` replaces its settings at SIGHUP
-//! and `shutdown` ends it in order. All tasks of a node share one thread.
+//! [`serve`] creates the runtime, `node` starts the tasks of the node, `reload` replaces its settings at SIGHUP and
+//! `shutdown` stops it gracefully. All tasks of a node share one thread.
 
 mod error;
 mod listeners;
@@ -19,28 +19,28 @@
 use signals::{NodeSignal, NodeSignals};
 use tokio::task::LocalSet;
 
-/// For tests alone: if this environment variable holds the id of the process that started this one, both end together,
-/// however that one ends.
+/// For tests only: if this environment variable has the id of the parent process, this process is killed when the parent
+/// ends for any reason.
 const END_WITH_PARENT_VARIABLE: &str = "POPPYKEEL_TEST_WITH_PARENT";
-/// The exit code after a panic, which is that of a Rust program without a runtime.
+/// The exit code after a panic: the one that Rust uses for a panic in the main thread.
 const PANIC_EXIT_CODE: i32 = 101;
 
-/// The settings of a node, as read from its files.
+/// The settings of a node.
 pub struct ServeSettings {
-    /// The platform's configuration.
+    /// The node configuration.
     pub node: NodeConfig,
-    /// The operators' file.
+    /// The operator file, or its defaults.
     pub operator: OperatorConfig,
 }
 
-/// Serves until the process is told to shut down and all requests have ended. At SIGHUP `read_again` reads the settings as
-/// they are by then.
+/// Runs a node until it has received a signal to shut down and all its requests have ended. `reread_settings` reads the
+/// settings files again at SIGHUP.
 ///
 /// # Errors
-/// Where the node can't start.
+/// If the node can't start.
 pub fn serve(
     settings: ServeSettings,
-    read_again: impl Fn() -> Result<ServeSettings, SettingsFileError>,
+    reread_settings: impl Fn() -> Result<ServeSettings, SettingsFileError>,
 ) -> Result<(), ServeError> {
     if let Ok(parent) = std::env::var(END_WITH_PARENT_VARIABLE) {
         let kill = Some(rustix::process::Signal::KILL);
@@ -50,7 +50,7 @@
                 source: error.into(),
             }
         })?;
-        // The parent may have ended before the signal was set, and then it never comes.
+        // If the parent ended before the signal was set, the signal is never delivered.
         let current = rustix::process::getppid().map(rustix::process::Pid::as_raw_pid);
         if current.map(|id| id.to_string()) != Some(parent) {
             return Ok(());
@@ -61,11 +61,11 @@
         .enable_all()
         .build()
         .map_err(ServeError::Runtime)?;
-    LocalSet::new().block_on(&runtime, run(settings, read_again))
+    LocalSet::new().block_on(&runtime, run(settings, reread_settings))
 }
 
-/// Ends the process where a task panics. The runtime would keep the panic inside its task, and the node would go on without
-/// that task.
+/// Makes a panic in any task end the process. The runtime would otherwise catch the panic, and the node would continue
+/// without that task.
 fn exit_on_panic() {
     let report_panic = std::panic::take_hook();
     std::panic::set_hook(Box::new(move |panic| {
@@ -76,12 +76,12 @@
 
 async fn run(
     settings: ServeSettings,
-    read_again: impl Fn() -> Result<ServeSettings, SettingsFileError>,
+    reread_settings: impl Fn() -> Result<ServeSettings, SettingsFileError>,
 ) -> Result<(), ServeError> {
     let mut signals = NodeSignals::install()?;
     let mut node = Node::start(settings).await?;
     while signals.next().await == NodeSignal::Reload {
-        node.reload(&read_again).await;
+        node.reload(&reread_settings).await;
     }
     node.shut_down().await;
     Ok(())
--- a/src/program/serve/node.rs
+++ b/src/program/serve/node.rs
@@ -1,7 +1,7 @@
-//! Puts a node together: its listeners, the dispatcher, the watchers of endpoint sources, its part in the fleet, the
-//! handover of the learned state and the connections.
+//! Starts the tasks of a node: listeners, dispatcher, watchers of endpoint sources, coordination with the fleet, handover
+//! of the learned state and connections.
 //!
-//! Each task owns its sockets; the tasks end with the runtime.
+//! Each task owns its sockets. The tasks end with the runtime.
 
 use super::error::ServeError;
 use super::listeners::{admin_with_address, Listeners};
@@ -35,12 +35,12 @@
 use tokio::sync::{mpsc, watch};
 use tokio::task::spawn_local;
 
-/// Messages that wait for the dispatcher; tasks that send more wait themselves.
+/// The number of messages that can be queued for the dispatcher. Senders wait while the channel is full.
 const DISPATCHER_CHANNEL_CAPACITY: usize = 1024;
 /// How often connections to replicas that have been idle for too long are closed.
 const IDLE_CONNECTION_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// What the tasks of a node share.
+/// The state that the tasks of a node share.
 struct NodeContext {
     config: NodeConfig,
     operator: OperatorConfig,
@@ -53,35 +53,34 @@
     pool: ConnectionPool,
 }
 
-/// A node whose tasks run. It has what a reload of the settings and the shutdown need.
+/// Handles to the tasks of a running node, for reloads of the settings and the shutdown.
 pub(super) struct Node {
-    /// The platform's configuration in force.
+    /// The current node configuration.
     pub(super) config: NodeConfig,
-    /// The site's settings in force.
+    /// The current site settings.
     pub(super) site: Rc<SiteSettings>,
     pub(super) limits: Rc<TransportLimits>,
-    /// The way to the dispatcher.
     pub(super) dispatcher: mpsc::Sender<DispatcherMessage>,
     pub(super) phase: Rc<watch::Sender<NodePhase>>,
     pub(super) stream_monitor: Rc<StreamMonitor>,
     pub(super) list_watcher: EndpointWatcher,
-    /// Owns the look-ups: they end when this is dropped.
+    /// Owns the look-ups, which end when it is dropped.
     pub(super) srv_watcher: SrvWatcher,
-    /// The node's part in its fleet, where it has one.
+    /// `None` if the node belongs to no fleet.
     pub(super) coordination: Option<Rc<CoordinationDriver>>,
-    /// The handover of the learned state, where there is one.
+    /// `None` if the handover of the learned state is disabled.
     pub(super) handover: Option<Rc<LearnedStateHandover>>,
-    /// What the connections of clients share.
+    /// The state that client connections share.
     pub(super) clients: Rc<ConnectionRegistry>,
     pub(super) admin: Rc<Admin>,
 }
 
 impl Node {
-    /// Starts the tasks of a node. It joins its fleet before it accepts clients: a node that can't take its place must not
-    /// serve as if it had.
+    /// Starts the tasks of a node. The node joins its fleet before it accepts clients, because a node that can't join must
+    /// not serve.
     ///
     /// # Errors
-    /// Where the node can't listen, or the settings don't fit together.
+    /// If the node can't listen, or the settings conflict.
     pub(super) async fn start(settings: ServeSettings) -> Result<Node, ServeError> {
         let listeners = Listeners::bind(&settings.node)?;
         let scheduler =
@@ -159,8 +158,8 @@
         }
     }
 
-    /// The watcher of the discovery service's list. A pushed list is watched from the start: the scheduler never asks for
-    /// it.
+    /// Creates the watcher of the discovery service's list. A pushed list is watched from the start, because the scheduler
+    /// never requests it.
     fn list_watcher(&self) -> EndpointWatcher {
         let watcher = EndpointWatcher::new(
             self.config.discovery,
@@ -178,7 +177,7 @@
         }
     }
 
-    /// The endpoint list that the node starts with, where it uses one.
+    /// The endpoint list to start with, if the configuration has one and the list is an endpoint source.
     fn known_endpoints(&self) -> Option<SourceUpdate> {
         if !self.operator.uses_endpoint_list() {
             return None;
@@ -187,7 +186,7 @@
         tracing::info!(
             source = ENDPOINT_LIST_SOURCE,
             version = known.version(),
-            "endpoint list restored from the configuration, not confirmed yet"
+            "endpoint list restored from the configuration; not yet confirmed by discovery"
         );
         Some(known.into_source_update())
     }
@@ -212,7 +211,7 @@
         )
     }
 
-    /// Takes the node's place in its fleet, where it has one.
+    /// Starts the coordination with the fleet; returns `None` if the node belongs to none.
     async fn join_fleet(&self) -> Result<Option<Rc<CoordinationDriver>>, ServeError> {
         let Some(fleet) = &self.operator.fleet else {
             return Ok(None);
@@ -224,7 +223,7 @@
         Ok(Some(driver))
     }
 
-    /// Starts the task that writes and reads the learned state, where there is a folder for it.
+    /// Starts the task that writes and reads the learned state; returns `None` if the handover is disabled.
     fn start_handover(&self) -> Option<Rc<LearnedStateHandover>> {
         let folder = self.operator.handover.folder()?;
         let handover = Rc::new(LearnedStateHandover::new(
@@ -238,7 +237,6 @@
         Some(handover)
     }
 
-    /// What the connections of clients share.
     fn clients(&self, phase: watch::Receiver<NodePhase>) -> Rc<ConnectionRegistry> {
         Rc::new(ConnectionRegistry::new(
             self.site.clone(),
@@ -250,7 +248,7 @@
     }
 }
 
-/// Begins to answer operators' calls.
+/// Starts to serve admin requests.
 fn serve_admin(
     admin: &Rc<Admin>,
     listener: TcpListener,
@@ -263,7 +261,7 @@
     Ok(())
 }
 
-/// Closes connections to replicas that have been idle for too long, again and again.
+/// Periodically closes connections to replicas that have been idle for too long.
 async fn close_idle_connections(pool: ConnectionPool) {
     loop {
         tokio::time::sleep(IDLE_CONNECTION_CHECK_INTERVAL).await;
--- a/src/program/serve/reload.rs
+++ b/src/program/serve/reload.rs
@@ -1,7 +1,7 @@
-//! New settings for a running node, read again at SIGHUP.
+//! Reloads the settings of a running node at SIGHUP.
 //!
-//! All of them are checked before any is taken, and settings that are rejected change nothing: a faulty file must not take
-//! down a node that serves by the good one before it.
+//! All settings are validated before any is applied, and rejected settings change nothing: an invalid file must not take
+//! down a node that serves with the previous valid one.
 
 use super::error::ReloadError;
 use super::node::Node;
@@ -12,39 +12,40 @@
 use std::rc::Rc;
 use tokio::sync::oneshot;
 
-/// Settings that may replace those in force.
-struct AcceptedSettings {
+/// Settings that may replace the current ones.
+struct ValidatedSettings {
     settings: ServeSettings,
-    /// The site's settings, with the classes of those in force at their positions.
+    /// The site settings, in which each class of the current settings keeps its index.
     site: Rc<SiteSettings>,
 }
 
 impl Node {
-    /// Reads the settings again and takes them if they are right; logs and counts which it was.
+    /// Rereads the settings and applies them if they are valid. Logs and counts the result.
     pub(super) async fn reload(
         &mut self,
-        read_again: impl Fn() -> Result<ServeSettings, SettingsFileError>,
+        reread_settings: impl Fn() -> Result<ServeSettings, SettingsFileError>,
     ) {
         let mut reloads = self.admin.reloads.get();
-        match self.read_settings(read_again) {
-            Ok(accepted) => {
-                self.apply_settings(accepted).await;
+        match self.validate_new_settings(reread_settings) {
+            Ok(validated) => {
+                self.apply_settings(validated).await;
                 reloads.success += 1;
             }
             Err(error) => {
-                tracing::error!(why = %error, "kept as it was");
+                tracing::error!(why = %error, "settings reload failed; keeping the current settings");
                 reloads.failure += 1;
             }
         }
         self.admin.reloads.set(reloads);
     }
 
-    /// Reads the settings, checks that they may replace those in force, and passes on those of the fleet.
-    fn read_settings(
+    /// Rereads the settings and checks that they may replace the current ones. The fleet settings are checked last and are
+    /// already applied if they are valid.
+    fn validate_new_settings(
         &self,
-        read_again: impl Fn() -> Result<ServeSettings, SettingsFileError>,
-    ) -> Result<AcceptedSettings, ReloadError> {
-        let settings = read_again()?;
+        reread_settings: impl Fn() -> Result<ServeSettings, SettingsFileError>,
+    ) -> Result<ValidatedSettings, ReloadError> {
+        let settings = reread_settings()?;
         settings.node.check_replaces(&self.config)?;
         let site = self.site.updated_to(settings.node.settings.clone())?;
         match (&self.coordination, &settings.operator.fleet) {
@@ -56,16 +57,16 @@
             (None, None) => {}
             _ => return Err(ReloadError::FleetTableChanged),
         }
-        Ok(AcceptedSettings {
+        Ok(ValidatedSettings {
             settings,
             site: Rc::new(site),
         })
     }
 
-    /// Passes new settings on to all that work by them. The dispatcher comes first: a request of a new class must be known
-    /// there when it comes.
-    async fn apply_settings(&mut self, accepted: AcceptedSettings) {
-        let AcceptedSettings { settings, site } = accepted;
+    /// Passes new settings to all components that use them. The dispatcher must get them first, so that it knows a new
+    /// class before the first request of that class arrives.
+    async fn apply_settings(&mut self, validated: ValidatedSettings) {
+        let ValidatedSettings { settings, site } = validated;
         self.update_dispatcher(site.clone()).await;
         self.clients.set_site(site.clone());
         self.site = site;
@@ -73,10 +74,10 @@
             node: config,
             operator,
         } = settings;
-        tracing::info!(node = %config.name, discovery = %config.discovery, "read again");
-        // The sources come before their watchers: what a new source lists must find its settings.
+        tracing::info!(node = %config.name, discovery = %config.discovery, "settings reloaded");
+        // The dispatcher needs the settings of a new source before the source's watcher reports endpoints.
         let sources = DispatcherMessage::SetEndpointSources(operator.endpoint_source_settings());
-        // An error says that the dispatcher has ended, and the node with it.
+        // The send fails only if the dispatcher has ended, and then the node ends too.
         let _ = self.dispatcher.send(sources).await;
         self.list_watcher.set_enabled(operator.uses_endpoint_list());
         self.list_watcher.set_service_addr(config.discovery);
@@ -85,16 +86,16 @@
         self.stream_monitor.set_settings(operator.stream_settings());
     }
 
-    /// Gives the dispatcher the site's settings and waits until it works by them.
+    /// Sends the site settings to the dispatcher and waits until it has applied them.
     async fn update_dispatcher(&self, site: Rc<SiteSettings>) {
-        let (applied, is_applied) = oneshot::channel();
+        let (applied, applied_receiver) = oneshot::channel();
         let update = DispatcherMessage::UpdateSettings {
             settings: site,
             applied,
         };
         if self.dispatcher.send(update).await.is_ok() {
-            // An error says that the dispatcher has ended, and the node with it.
-            let _ = is_applied.await;
+            // An error means that the dispatcher has ended, and then the node ends too.
+            let _ = applied_receiver.await;
         }
     }
 }
--- a/src/program/serve/shutdown.rs
+++ b/src/program/serve/shutdown.rs
@@ -1,7 +1,7 @@
-//! The order in which a node ends.
+//! The graceful shutdown of a node.
 //!
-//! It drains: new requests are still admitted, and each answer is the last on its connection. Meanwhile the learned state
-//! is handed over. Then it closes, and ends once the last client has left.
+//! The node first drains: it still admits new requests, but each response is the last on its connection. Meanwhile it hands
+//! its learned state over. Then it closes, and exits once the last client has disconnected.
 
 #[cfg(test)]
 mod tests;
@@ -14,11 +14,11 @@
 use std::time::Duration;
 use tokio::sync::{oneshot, watch};
 
-/// How often a closing node checks whether the last client has left.
+/// How often a closing node checks whether the last client has disconnected.
 const OPEN_CONNECTIONS_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
 impl Node {
-    /// Shuts the node down; returns once no client is connected and the log has the summary.
+    /// Shuts the node down. Returns once no client is connected and the summary has been logged.
     pub(super) async fn shut_down(&self) {
         let node_name = &self.config.name;
         let clients = &self.clients;
@@ -35,10 +35,10 @@
         tracing::info!(node = %node_name, since_stop_ms = clients.shutdown().elapsed_ms(), "done");
     }
 
-    /// Bounds the time of the last responses and hands the learned state over.
+    /// Sets the deadline of the last responses and hands the learned state over.
     async fn hand_over(&self) {
         let deadline = DispatcherMessage::SetAnswerDeadline(FINAL_RESPONSE_TIMEOUT);
-        // An error says that the dispatcher has ended, and then there are no answers to bound.
+        // The send fails only if the dispatcher has ended, and then there are no responses left.
         let _ = self.dispatcher.send(deadline).await;
         if let Some(handover) = &self.handover {
             handover.leave().await;
@@ -53,28 +53,28 @@
     }
 
     async fn log_summary(&self) {
-        let (logged, is_logged) = oneshot::channel();
-        let message = DispatcherMessage::LogSummary(logged);
+        let (done_sender, done) = oneshot::channel();
+        let message = DispatcherMessage::LogSummary(done_sender);
         if self.dispatcher.send(message).await.is_ok() {
-            // An error says that the dispatcher has ended, and then there is no summary to wait for.
-            let _ = is_logged.await;
+            // An error means that the dispatcher has ended, and then there is no summary to wait for.
+            let _ = done.await;
         }
     }
 }
 
-/// Announces that the node drains, before all else: what is answered from then on is the last on its connection. Then hands
-/// over, for at most the time in which clients still come, and announces that the node closes.
+/// Sets the phase to draining first, so that every response from then on is the last on its connection. Then runs the
+/// handover for at most `drain_duration`, and sets the phase to closing when that time is over.
 async fn drain(
     phase: &watch::Sender<NodePhase>,
     hand_over: impl Future<Output = ()>,
-    linger: Duration,
+    drain_duration: Duration,
 ) {
-    // An error says that nobody watches the phase any more; so also below.
+    // A send fails only if no task watches the phase any more.
     let _ = phase.send(NodePhase::Draining);
-    // The handover may end early or run out of time: clients still come for the whole time.
+    // New clients are accepted for the whole time, even if the handover ends early or times out.
     let _ = tokio::join!(
-        tokio::time::timeout(linger, hand_over),
-        tokio::time::sleep(linger)
+        tokio::time::timeout(drain_duration, hand_over),
+        tokio::time::sleep(drain_duration)
     );
     let _ = phase.send(NodePhase::Closing);
 }
--- a/src/program/serve/signals.rs
+++ b/src/program/serve/signals.rs
@@ -1,30 +1,30 @@
-//! The signals that a node obeys.
+//! The signals that a node handles.
 
 use super::error::ServeError;
 use tokio::signal::unix::{signal, Signal, SignalKind};
 
-/// What a signal asks of the node.
+/// The action that a signal requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum NodeSignal {
-    /// SIGHUP: read the settings again.
+    /// SIGHUP: reload the settings.
     Reload,
     /// SIGTERM or SIGINT: shut down.
     ShutDown,
 }
 
-/// The signals, caught as long as this lives.
+/// Receives the signals as long as it exists.
 pub(super) struct NodeSignals {
     terminate: Signal,
     interrupt: Signal,
-    /// Not caught, SIGHUP would end the process; so it stays caught until the end, also while the node drains.
+    /// SIGHUP would end the process if it were not handled, so it must be handled during the shutdown too.
     hangup: Signal,
 }
 
 impl NodeSignals {
-    /// Begins to catch the signals.
+    /// Installs the signal handlers.
     ///
     /// # Errors
-    /// Where the system doesn't allow it.
+    /// If the operating system refuses.
     pub(super) fn install() -> Result<NodeSignals, ServeError> {
         let install = |kind| signal(kind).map_err(ServeError::Signals);
         Ok(NodeSignals {
@@ -34,8 +34,8 @@
         })
     }
 
-    /// Waits for the next signal. Each branch is cancel-safe: a signal that comes while another is handled is returned by
-    /// the next call.
+    /// Waits for the next signal. Each branch is cancel-safe: a signal that arrives while another one is handled is returned
+    /// by the next call.
     pub(super) async fn next(&mut self) -> NodeSignal {
         tokio::select! {
             _ = self.terminate.recv() => NodeSignal::ShutDown,
