--- a/src/program/fleet/admin_call.rs
+++ b/src/program/fleet/admin_call.rs
@@ -1,44 +1,44 @@
-//! One call at a node's operators' address.
+//! An HTTP client for requests to the admin address of a node.
 
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// A node answers its operators within a second, or not at all.
+/// A node either answers an admin request within a second or does not answer at all.
 const TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Why a call brought no answer.
+/// Why an admin request failed.
 #[derive(Debug, thiserror::Error)]
 pub enum AdminCallError {
     /// The node can't be reached, or the connection broke.
-    #[error("admin {admin}: {source}")]
+    #[error("admin address {admin}: {source}")]
     Connection {
         admin: SocketAddr,
         source: io::Error,
     },
     /// The node closed the connection without an answer.
-    #[error("admin {admin}: no answer")]
+    #[error("admin address {admin}: connection closed without a response")]
     NoAnswer { admin: SocketAddr },
-    /// The node answered with another status than 200.
-    #[error("admin {admin}: {status} {body}")]
+    /// The status of the response is not 200.
+    #[error("admin address {admin}: expected status 200, got {status}: {body}")]
     Status {
         admin: SocketAddr,
         status: String,
         body: String,
     },
-    /// The answer is not the JSON that is expected.
-    #[error("{admin}: {source}")]
+    /// The body of the response is not JSON.
+    #[error("admin address {admin}: expected a JSON body ({source})")]
     Json {
         admin: SocketAddr,
         source: serde_json::Error,
     },
 }
 
-/// Makes one call; `request` is its method and path. The body of the answer.
+/// Sends one admin request and returns the body of the response. `request` is the method and the path.
 pub(super) fn call(admin: SocketAddr, request: &str) -> Result<String, AdminCallError> {
-    let answer =
+    let response =
         exchange(admin, request).map_err(|source| AdminCallError::Connection { admin, source })?;
-    let (head, body) = answer
+    let (head, body) = response
         .split_once("\r\n\r\n")
         .ok_or(AdminCallError::NoAnswer { admin })?;
     match head.split(' ').nth(1) {
@@ -51,7 +51,7 @@
     }
 }
 
-/// Sends a request and reads the answer to the connection's end.
+/// Sends a request and reads the response until the connection ends.
 fn exchange(admin: SocketAddr, request: &str) -> io::Result<String> {
     let mut stream = TcpStream::connect_timeout(&admin, TIMEOUT)?;
     stream.set_read_timeout(Some(TIMEOUT))?;
@@ -59,7 +59,7 @@
         stream,
         "{request} HTTP/1.1\r\nHost: {admin}\r\nContent-Length: 0\r\n\r\n"
     )?;
-    let mut answer = String::new();
-    stream.read_to_string(&mut answer)?;
-    Ok(answer)
+    let mut response = String::new();
+    stream.read_to_string(&mut response)?;
+    Ok(response)
 }
--- a/src/program/fleet/mod.rs
+++ b/src/program/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! `poppykeel fleet`: what a running node says of its fleet, and the order to take all nodes out one after the other.
+//! `poppykeel fleet`: shows the state of a fleet as a running node reports it, and starts a rolling restart.
 
 mod admin_call;
 mod tables;
@@ -10,7 +10,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-// Comments of items that the command line is derived from are not doc comments where they are not to be shown in its help.
+// clap shows doc comments of these types in the help, so comments that don't belong there are ordinary ones.
 
 // The arguments of `poppykeel fleet`.
 #[derive(Args)]
@@ -21,52 +21,52 @@
 
 #[derive(Subcommand)]
 enum Action {
-    /// Show members, keepers, and who holds what for how long
+    /// Show the members, the keepers (lease servers), and the holder and remaining time of each lease
     Status(ShowArguments),
-    /// Show the fleet's budgets: whole, floors, what is given to whom, and what is free
+    /// Show the budgets: limits, floors, the share granted to each node, and what is unallocated
     Budgets(ShowArguments),
-    /// Show what crossed between zones at this node: by minute, class and tenant
+    /// Show this node's requests to other zones by minute, class and tenant
     Crossings(ShowArguments),
-    /// Take all nodes out one after the other: each lets its clients go, stays out for a while and comes back
+    /// Take all nodes out of service in turn: each drains its clients, stays out for the hold time and returns
     Roll(RollArguments),
 }
 
 #[derive(Args)]
 struct RollArguments {
-    /// The operators' address of any node of the fleet
+    /// Admin address of any node of the fleet
     #[arg(long, env = "GW_ADMIN", value_name = "ADDRESS")]
     admin: SocketAddr,
-    /// At most so many nodes are out at once
+    /// Largest number of nodes that are out of service at the same time
     #[arg(long = "out", default_value_t = 1, value_name = "OUT")]
     max_out: u32,
-    /// Each stays out for so long once its clients have gone
+    /// How long each node stays out of service after its last client has left, such as 30s
     #[arg(long = "hold", default_value = "0s", value_name = "HOLD", value_parser = humantime::parse_duration)]
     stay_out: Duration,
 }
 
 #[derive(Args)]
 struct ShowArguments {
-    /// The operators' address of any node of the fleet
+    /// Admin address of any node of the fleet
     #[arg(long, env = "GW_ADMIN", value_name = "ADDRESS")]
     admin: SocketAddr,
-    /// As the node tells it, as JSON
+    /// Print the JSON of the node's response
     #[arg(long)]
     json: bool,
 }
 
 impl FleetCommand {
-    /// Asks the node and prints what it says.
+    /// Sends the request to the node and prints its response.
     ///
     /// # Errors
-    /// Where the node can't be reached, or its answer can't be read.
+    /// If the node can't be reached or its response can't be parsed.
     pub(super) fn run(&self) -> Result<(), AdminCallError> {
         match &self.action {
             Action::Status(arguments) => {
-                let status = show(arguments, "fleet")?;
-                print_as(arguments, &status, tables::status);
+                let status = fetch(arguments, "fleet")?;
+                print_response(arguments, &status, tables::status);
             }
             Action::Budgets(arguments) => {
-                let status = show(arguments, "fleet")?;
+                let status = fetch(arguments, "fleet")?;
                 if arguments.json {
                     println!("{:#}", status["budgets"]);
                 } else {
@@ -74,23 +74,23 @@
                 }
             }
             Action::Crossings(arguments) => {
-                let rows = show(arguments, "crossings")?;
-                print_as(arguments, &rows, tables::cross_zone_traffic);
+                let rows = fetch(arguments, "crossings")?;
+                print_response(arguments, &rows, tables::cross_zone_traffic);
             }
             Action::Roll(arguments) => {
                 let max_out = arguments.max_out;
                 let stay_out_ms = arguments.stay_out.as_millis();
                 let request = format!("POST /api/fleet/roll?out={max_out}&hold_ms={stay_out_ms}");
-                let answer = call(arguments.admin, &request)?;
-                println!("{answer}\n'poppykeel fleet status' shows how far it is");
+                let response = call(arguments.admin, &request)?;
+                println!("{response}\n'poppykeel fleet status' shows the progress");
             }
         }
         Ok(())
     }
 }
 
-/// Asks the node for what is shown.
-fn show(arguments: &ShowArguments, path: &str) -> Result<Value, AdminCallError> {
+/// Gets the JSON of `/api/{path}` from the node.
+fn fetch(arguments: &ShowArguments, path: &str) -> Result<Value, AdminCallError> {
     let body = call(arguments.admin, &format!("GET /api/{path}"))?;
     serde_json::from_str(&body).map_err(|source| AdminCallError::Json {
         admin: arguments.admin,
@@ -98,11 +98,15 @@
     })
 }
 
-/// Prints an answer as JSON or as a table.
-fn print_as(arguments: &ShowArguments, answer: &Value, table: impl Fn(&Value) -> String) {
+/// Prints a response as JSON or as a table.
+fn print_response(
+    arguments: &ShowArguments,
+    response: &Value,
+    format_table: impl Fn(&Value) -> String,
+) {
     if arguments.json {
-        println!("{answer:#}");
+        println!("{response:#}");
     } else {
-        print!("{}", table(answer));
+        print!("{}", format_table(response));
     }
 }
--- a/src/program/fleet/tables.rs
+++ b/src/program/fleet/tables.rs
@@ -1,4 +1,4 @@
-//! The answers of a node as a person reads them. The keys are those of `/api/fleet` and `/api/crossings`.
+//! Formats the responses of `/api/fleet` and `/api/crossings`, whose keys it reads, as tables.
 
 use serde_json::Value;
 use std::time::{Duration, UNIX_EPOCH};
@@ -6,17 +6,17 @@
 /// The length of a date with hours and minutes, as in `2026-01-31T12:34`.
 const MINUTE_BYTES: usize = 16;
 
-/// A text, or a dash where there is none.
+/// A string value, or a dash for any other value.
 fn text(value: &Value) -> &str {
     value.as_str().unwrap_or("-")
 }
 
-/// The elements of an array; none where there is no array.
+/// The elements of an array; none for any other value.
 fn rows(value: &Value) -> impl Iterator<Item = &Value> {
     value.as_array().into_iter().flatten()
 }
 
-/// The fleet's budgets.
+/// Formats the fleet's budgets as this node has them and, if it allocates them, as it allocates them.
 pub(super) fn budgets(status: &Value) -> String {
     if status["budgets"].is_null() {
         return "this fleet has no budgets\n".into();
@@ -36,7 +36,7 @@
     let allocator = &status["budgets"]["divided"];
     if allocator.is_null() {
         table +=
-            "\nanother node divides: ask it for who has what ('poppykeel fleet status' names it)\n";
+            "\nanother node allocates the budgets and has the share of each node ('poppykeel fleet status' names it)\n";
     }
     for budget in rows(&allocator["budgets"]) {
         table += &allocated_budget(budget, &allocator["epoch"]);
@@ -44,7 +44,7 @@
     table
 }
 
-/// One budget as the node has it.
+/// Formats the node's own share of one budget.
 fn own_budget(budget: &Value) -> String {
     let name = text(&budget["budget"]);
     let limit = &budget["whole"];
@@ -56,7 +56,7 @@
     format!("{name:<20} {limit:>10} {guaranteed:>10} {granted:>12} {wanted:>10} {weight:>7} {time_left:>9}\n")
 }
 
-/// One budget as the node allocates it.
+/// Formats one budget that the node allocates, with the share of each node.
 fn allocated_budget(budget: &Value, epoch: &Value) -> String {
     let name = text(&budget["budget"]);
     let allocatable = &budget["divided"];
@@ -67,7 +67,8 @@
     );
     let lowered_in_ms = &budget["lowered_in_ms"];
     if lowered_in_ms.as_u64().is_some_and(|ms| ms > 0) {
-        table += &format!("  the whole was lowered: reached in {lowered_in_ms} ms at the latest\n");
+        table +=
+            &format!("  the limit was lowered: it takes full effect within {lowered_in_ms} ms\n");
     }
     for node in rows(&budget["nodes"]) {
         table += &format!("  {:<16} {:>10}\n", text(&node["node"]), node["share"]);
@@ -75,13 +76,13 @@
     table
 }
 
-/// What crossed between zones, by minute.
-pub(super) fn cross_zone_traffic(answer: &Value) -> String {
+/// Formats the numbers of requests to other zones, by minute.
+pub(super) fn cross_zone_traffic(response: &Value) -> String {
     let mut table = format!(
         "{:<18} {:<16} {:<16} {:>9}\n",
         "minute (UTC)", "class", "tenant", "crossings"
     );
-    for row in rows(answer) {
+    for row in rows(response) {
         let minutes = row["minute"].as_u64().unwrap_or(0);
         let time = UNIX_EPOCH + Duration::from_secs(minutes * 60);
         let time = humantime::format_rfc3339_seconds(time).to_string();
@@ -94,7 +95,7 @@
     table
 }
 
-/// Members, lease servers, leases and a rolling restart.
+/// Formats the members, lease servers, leases, the newest rolling restart and the message counters.
 pub(super) fn status(status: &Value) -> String {
     [
         members(status),
@@ -160,7 +161,7 @@
     table
 }
 
-/// This node as a lease server, if it is one.
+/// Formats the state of the lease server on this node; empty if there is none.
 fn lease_server(server: &Value) -> String {
     if !server.is_object() {
         return String::new();
@@ -176,7 +177,7 @@
     table
 }
 
-/// The newest rolling restart, if there was one.
+/// Formats the newest rolling restart; empty if there was none.
 fn rolling_restart(restart: &Value) -> String {
     if !restart.is_object() {
         return String::new();
--- a/src/program/resolve.rs
+++ b/src/program/resolve.rs
@@ -1,5 +1,5 @@
-//! `poppykeel resolve`: asks each endpoint source once, or for as long as it is watched, and shows what the sources
-//! answer and the combined list. It accepts no clients and sends nothing to any endpoint.
+//! `poppykeel resolve`: queries each endpoint source once, or continuously with `--watch`, and shows the answers of the
+//! sources and the combined endpoint list. It accepts no clients and sends nothing to any endpoint.
 
 mod report;
 
@@ -23,61 +23,61 @@
 use tokio::task::LocalSet;
 use tokio::time::Instant;
 
-/// The updates of the sources that wait to be applied. The watchers wait while the channel is full.
+/// The number of updates of the sources that can be queued. The watchers wait while the channel is full.
 const UPDATE_CHANNEL_CAPACITY: usize = 64;
 /// How long one poll of discovery waits for a newer list.
 const LONG_POLL_WAIT: Duration = Duration::from_millis(1000);
 /// How much longer the answer to a poll may take.
 const POLL_SLACK: Duration = Duration::from_millis(1500);
-/// A list that could not be had is polled again after this time.
+/// The pause after a failed poll.
 const RETRY_PAUSE: Duration = Duration::from_secs(2);
-/// How long to sleep if the registry has no timer.
+/// How long to sleep if the registry has no pending timer.
 const NO_TIMER: Duration = Duration::from_secs(3600);
-/// The longest time to wait for the sources that the command line may ask for, in seconds: one day.
+/// The longest value of `--wait`, in seconds: one day.
 const MAX_WAIT_S: f64 = 86_400.0;
 
 #[derive(clap::Args)]
 pub(super) struct ResolveCommand {
     #[command(flatten)]
     operator_file: OperatorFileArgs,
-    /// The platform's configuration, as JSON, for where discovery listens
+    /// Node configuration (JSON); only its discovery address is used
     #[arg(long, env = "GW_CONFIG", value_name = "FILE")]
     config: Option<PathBuf>,
     #[command(flatten)]
     overrides: ConfigOverrideArgs,
-    /// Print one JSON object, or one for each change
+    /// Print one JSON object, or with --watch one per change
     #[arg(long)]
     json: bool,
-    /// Go on and show each change, until interrupted
+    /// Keep running and show each change, until interrupted
     #[arg(long)]
     watch: bool,
-    /// Without --watch, wait at most so many seconds for the sources
+    /// Longest time to wait for the sources; ignored with --watch
     #[arg(long, default_value_t = 10.0, value_name = "SECONDS")]
     wait: f64,
 }
 
-/// Why the command could not do its work.
+/// Why the command failed.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum ResolveError {
-    /// A file of settings could not be read.
+    /// A settings file could not be read or is invalid.
     #[error(transparent)]
     Settings(#[from] SettingsFileError),
-    /// The address of discovery on the command line is not an address.
-    #[error("discovery: expected ADDRESS:PORT, not '{0}'")]
+    /// The address of the discovery service on the command line is invalid.
+    #[error("--discovery or GW_DISCOVERY: expected ADDRESS:PORT, not '{0}'")]
     DiscoveryAddress(String),
     /// The runtime could not be built.
-    #[error("runtime: {0}")]
+    #[error("cannot start the async runtime: {0}")]
     Runtime(#[source] std::io::Error),
     /// The report could not be written.
-    #[error("standard output: {0}")]
+    #[error("cannot write to standard output: {0}")]
     Output(#[source] std::io::Error),
 }
 
 impl ResolveCommand {
-    /// Asks the sources and shows the list. Returns whether any endpoint of it takes requests.
+    /// Queries the sources and shows the combined list. Returns whether any endpoint is usable.
     ///
     /// # Errors
-    /// Settings that cannot be read, or a standard output that cannot be written.
+    /// If the settings can't be read or standard output can't be written.
     pub(super) fn run(&self) -> Result<bool, ResolveError> {
         let operator = self.operator_file.read()?;
         let discovery = if operator.uses_endpoint_list() {
@@ -92,8 +92,8 @@
         LocalSet::new().block_on(&runtime, self.resolve(&operator, discovery))
     }
 
-    /// Where discovery listens, by the command line, the operators' file or the platform's configuration, in this
-    /// order. `None` if none of them says.
+    /// The address of the discovery service from the command line, the operator file or the node configuration, in this
+    /// order of precedence. `None` if none of them has it.
     fn discovery_addr(
         &self,
         operator: &OperatorConfig,
@@ -104,12 +104,12 @@
                 .map(Some)
                 .map_err(|_| ResolveError::DiscoveryAddress(text.clone()));
         }
-        let from_operator = operator
+        let operator_discovery = operator
             .membership
             .as_ref()
             .and_then(|membership| membership.list.discovery);
-        if from_operator.is_some() {
-            return Ok(from_operator);
+        if operator_discovery.is_some() {
+            return Ok(operator_discovery);
         }
         let Some(path) = &self.config else {
             return Ok(None);
@@ -125,16 +125,24 @@
     ) -> Result<bool, ResolveError> {
         let clock = Clock::start();
         let (update_sender, updates) = mpsc::channel(UPDATE_CHANNEL_CAPACITY);
-        // Owns the look-ups: they end when this is dropped.
+        // Owns the look-ups, which end when it is dropped.
         let mut srv_watcher = SrvWatcher::new(clock, update_sender.clone());
         srv_watcher.watch(operator.srv_lookup_settings());
         let list_watcher = discovery.map(|addr| {
-            EndpointWatcher::new(addr, Rc::new(bounds()), update_sender.clone(), clock)
+            EndpointWatcher::new(
+                addr,
+                Rc::new(watcher_limits()),
+                update_sender.clone(),
+                clock,
+            )
         });
         if let Some(watcher) = &list_watcher {
             watcher.start();
         } else if operator.uses_endpoint_list() {
-            eprintln!("poppykeel: list: where discovery listens is not told: expected --discovery, --config or membership.list.discovery");
+            eprintln!(
+                "poppykeel: the address of the discovery service is unknown and source 'list' fails: expected \
+                 --discovery, --config or the key membership.list.discovery"
+            );
         }
         let registry = EndpointRegistry::new(operator.endpoint_source_settings().registry);
         let mut session = ResolveSession {
@@ -152,7 +160,7 @@
 
     fn show(&self, report: &ResolveReport) -> Result<(), ResolveError> {
         let text = if self.json {
-            // By way of a value, whose keys are in alphabetical order.
+            // The conversion to a value sorts the keys alphabetically.
             let value = serde_json::to_value(report)
                 .map_err(|e| ResolveError::Output(std::io::Error::other(e)))?;
             format!("{value}\n")
@@ -165,7 +173,7 @@
     }
 }
 
-/// All sources are silent at first. A list of which nobody knows the address has failed.
+/// All sources are silent at first, except that the discovery service's list has failed if its address is unknown.
 fn initial_progress(
     registry: &EndpointRegistry,
     is_list_watched: bool,
@@ -190,16 +198,16 @@
     clock: Clock,
     registry: EndpointRegistry,
     list_watcher: Option<EndpointWatcher>,
-    /// How far each source has come, by name.
+    /// The progress of each source, by name.
     progress: BTreeMap<String, SourceProgress>,
     latest_lookup: LatestSrvLookup,
-    /// What was shown last.
+    /// The endpoints that were shown last.
     shown: Option<Vec<EndpointFingerprint>>,
 }
 
 impl ResolveSession<'_> {
-    /// Applies updates until every source has reported once or the time is over, and shows the list. While watching
-    /// it goes on until the process is interrupted, and shows each change.
+    /// Applies updates until every source has reported once or the wait has expired, then shows the list. With `--watch`
+    /// it shows each change until the process is interrupted.
     async fn run(
         &mut self,
         mut updates: mpsc::Receiver<DispatcherMessage>,
@@ -217,11 +225,11 @@
             let until_timer = self.registry.next_timer().map_or(NO_TIMER, |timer| {
                 Duration::from_micros(timer.saturating_sub(self.clock.now()))
             });
-            // Every branch is safe to cancel: a message stays in the channel, and timers are set anew.
+            // Every branch is cancel-safe: a message stays in the channel, and the next iteration sets the timers again.
             tokio::select! {
                 message = updates.recv() => {
-                    if let Some(DispatcherMessage::EndpointUpdate { source, update: told, .. }) = message {
-                        self.apply_update(source, told);
+                    if let Some(DispatcherMessage::EndpointUpdate { source, update, .. }) = message {
+                        self.apply_update(source, update);
                     }
                 }
                 () = tokio::time::sleep(until_timer) => {
@@ -263,7 +271,7 @@
         }
     }
 
-    /// A watcher stops after a failure; in a node the scheduler says when it starts again.
+    /// Restarts the watcher of the list after a pause. A watcher stops after a failure; in a node the scheduler restarts it.
     fn restart_list_watcher_later(&self) {
         let Some(watcher) = self.list_watcher.clone() else {
             return;
@@ -283,7 +291,7 @@
         )
     }
 
-    /// Shows the list if it is not the one shown last.
+    /// Shows the list if it differs from the one shown last.
     fn show_change(&mut self) -> Result<(), ResolveError> {
         let report = self.report();
         let fingerprint = Some(report.fingerprint());
@@ -295,8 +303,8 @@
     }
 }
 
-/// The bounds of the list's watcher; nothing else of the transport runs.
-fn bounds() -> TransportLimits {
+/// The limits for the watcher of the list, which is the only part of the transport that runs.
+fn watcher_limits() -> TransportLimits {
     let unused = Duration::ZERO;
     TransportLimits {
         max_client_connections: 0,
--- a/src/program/resolve/report.rs
+++ b/src/program/resolve/report.rs
@@ -1,6 +1,6 @@
-//! What `poppykeel resolve` shows: the answers of the sources and the combined endpoint list, as JSON or as text.
+//! The output of `poppykeel resolve`: the answers of the sources and the combined endpoint list, as JSON or text.
 //!
-//! The names of the fields are the keys of the JSON output, which scripts read; they must not change.
+//! Field names are the keys of the JSON output, which scripts read; they must not change.
 
 use crate::transport::endpoints::srv::SrvLookupResult;
 use crate::transport::messages::SRV_SOURCE;
@@ -11,7 +11,7 @@
 use std::fmt;
 use std::net::SocketAddr;
 
-/// How far a source has come.
+/// The progress of a source.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub(super) enum SourceProgress {
@@ -26,7 +26,7 @@
 /// The whole output.
 #[derive(Debug, Serialize)]
 pub(super) struct ResolveReport {
-    /// The number of endpoints that take requests.
+    /// The number of endpoints that take new requests.
     usable: usize,
     servers: Vec<EndpointReport>,
     sources: Vec<SourceReport>,
@@ -39,9 +39,9 @@
     addr: SocketAddr,
     /// The label of its status.
     state: &'static str,
-    /// The names of the sources that say something about it, in the order of the settings.
+    /// The names of the sources that have a verdict on the endpoint, in the order of the settings.
     sources: Vec<String>,
-    /// The labels of their verdicts.
+    /// The labels of these verdicts, by source.
     opinions: BTreeMap<String, &'static str>,
     reason: String,
     zone: String,
@@ -50,17 +50,16 @@
     priority: Option<u16>,
 }
 
-/// One source.
 #[derive(Debug, Serialize)]
 struct SourceReport {
     name: String,
     state: SourceProgress,
-    /// The latest look-up, if the source is DNS and one has ended.
+    /// The latest completed look-up, if the source is DNS.
     #[serde(flatten)]
     lookup: Option<LookupReport>,
 }
 
-/// One look-up of SRV records.
+/// A completed look-up of SRV records.
 #[derive(Debug, Serialize)]
 #[serde(untagged)]
 enum LookupReport {
@@ -68,7 +67,7 @@
         records: Vec<RecordReport>,
         /// The time until the first record expires.
         expires_s: f64,
-        /// Why nothing is listed, if nothing is.
+        /// Why no endpoint is listed; `None` if there are some.
         nothing: Option<String>,
         unresolved: Vec<UnresolvedTarget>,
     },
@@ -95,7 +94,8 @@
     why: String,
 }
 
-/// What of an endpoint counts as a change. Times and counts in the reason go on without one.
+/// The fields of an endpoint whose changes are shown with `--watch`. The reason is left out, because the times and counts
+/// in it change continually.
 #[derive(Debug, PartialEq)]
 pub(super) struct EndpointFingerprint {
     name: String,
@@ -105,7 +105,6 @@
 }
 
 impl ResolveReport {
-    /// The report at this moment.
     pub(super) fn new(
         registry: &EndpointRegistry,
         progress: &BTreeMap<String, SourceProgress>,
@@ -141,7 +140,7 @@
         }
     }
 
-    /// What must differ for the report to be shown again.
+    /// The report is shown again when this changes.
     pub(super) fn fingerprint(&self) -> Vec<EndpointFingerprint> {
         self.servers
             .iter()
@@ -177,7 +176,7 @@
 }
 
 impl LookupReport {
-    /// `None` if no look-up has ended yet.
+    /// Returns `None` if no look-up has completed yet.
     fn new(lookup: &SrvLookupResult, now: MonotonicMicros) -> Option<Self> {
         match lookup {
             SrvLookupResult::Pending => None,
--- a/src/program/streams/mod.rs
+++ b/src/program/streams/mod.rs
@@ -1,4 +1,4 @@
-//! `poppykeel streams`: what a node's log last said of its streams, as a table.
+//! `poppykeel streams`: shows the newest summary of streams in a node's log as a table.
 
 mod summary;
 
@@ -7,30 +7,30 @@
 use std::path::PathBuf;
 use summary::StreamsSummary;
 
-/// The name of standard input on the command line.
+/// Stands for standard input on the command line.
 const STANDARD_INPUT: &str = "-";
 
 #[derive(Args)]
 pub(super) struct StreamsCommand {
-    /// A log that `serve --log-format json` wrote; "-" reads standard input to its end
+    /// Log of `serve --log-format json`; "-" reads standard input until its end
     log: PathBuf,
 }
 
-/// Why no table can be shown.
+/// Why no summary can be shown.
 #[derive(Debug, thiserror::Error)]
 pub enum StreamsError {
     /// The log can't be read.
-    #[error("log {}: {source}", log.display())]
+    #[error("cannot read the log {}: {source}", log.display())]
     Read {
-        /// The log.
+        /// The path of the log.
         log: PathBuf,
-        /// What the system reports.
+        /// The error of the operating system.
         source: io::Error,
     },
     /// The log has no summary of streams.
     #[error("log {}: no summary of streams; expected the log of `poppykeel serve --log-format json`", log.display())]
     NoSummary {
-        /// The log.
+        /// The path of the log.
         log: PathBuf,
     },
 }
@@ -39,7 +39,7 @@
     /// Reads the log and prints the table.
     ///
     /// # Errors
-    /// Where the log can't be read or has no summary.
+    /// If the log can't be read or has no summary.
     pub(super) fn run(&self) -> Result<(), StreamsError> {
         let summary = self.read_summary().map_err(|source| StreamsError::Read {
             log: self.log.clone(),
--- a/src/program/streams/summary.rs
+++ b/src/program/streams/summary.rs
@@ -1,6 +1,6 @@
-//! The summary of streams in a node's log, and the table that shows it.
+//! Finds the newest summary of streams in a node's log and formats it as a table.
 //!
-//! A summary is one event for all streams, followed by one event for each replica.
+//! A summary is one event for all streams, followed by one event per replica.
 
 use serde_json::Value;
 
@@ -8,10 +8,10 @@
 const SUMMARY_MESSAGE: &str = "streams";
 /// The message of the event for one replica.
 const REPLICA_MESSAGE: &str = "streams of a replica";
-/// The title of the column with the replicas' names.
+/// The title of the column with the names of replicas.
 const REPLICA_TITLE: &str = "replica";
 
-/// The counts of all streams in the first line, by the names of the event's fields.
+/// The event fields whose counts are in the first line, which covers all streams.
 const COUNT_FIELDS: [&str; 8] = [
     "live",
     "whole",
@@ -23,7 +23,6 @@
     "failed",
 ];
 
-/// A column of the table.
 struct Column {
     /// The field of a replica's event.
     field: &'static str,
@@ -60,7 +59,7 @@
 }
 
 impl StreamsSummary {
-    /// Takes a line of the log. One that is no part of a summary is ignored.
+    /// Processes a line of the log. Lines that are not part of a summary are ignored.
     pub(super) fn add_line(&mut self, line: &str) {
         let Ok(event) = serde_json::from_str::<Value>(line) else {
             return;
@@ -75,7 +74,7 @@
         }
     }
 
-    /// The summary as a text; `None` where the log has none.
+    /// The formatted summary; `None` if the log has none.
     pub(super) fn table(&self) -> Option<String> {
         let mut table = totals_line(self.totals.as_ref()?);
         if self.replicas.is_empty() {
@@ -91,7 +90,7 @@
         Some(table)
     }
 
-    /// The width of the column with the replicas' names: that of the longest name.
+    /// The width of the column with the names of replicas.
     fn name_width(&self) -> usize {
         let names = self.replicas.iter().map(replica_name);
         let longest = names.map(str::len).max().unwrap_or(0);
@@ -99,7 +98,7 @@
     }
 }
 
-/// The line for all streams.
+/// Formats the first line, which covers all streams.
 fn totals_line(totals: &Value) -> String {
     let counts = COUNT_FIELDS
         .map(|field| format!("{} {field}", number(totals, field)))
@@ -109,7 +108,6 @@
     format!("{time}: {counts}, {dropped_bytes} bytes dropped\n")
 }
 
-/// A line of the table.
 fn row(name: &str, name_width: usize, cells: &[String]) -> String {
     let mut line = format!("{name:<name_width$}");
     for cell in cells {
@@ -119,7 +117,7 @@
     line
 }
 
-/// A number of an event; 0 where it is missing.
+/// A number in an event; 0 if it is missing.
 fn number(event: &Value, field: &str) -> String {
     event[field].as_u64().unwrap_or(0).to_string()
 }
