--- a/src/protocol/admin/call.rs
+++ b/src/protocol/admin/call.rs
@@ -1,4 +1,4 @@
-//! What operators can call.
+//! Parses admin requests.
 
 use crate::protocol::http::{Head, StartLine};
 use crate::protocol::request::RequestError;
@@ -6,37 +6,37 @@
 /// The longest time that a rolling restart keeps a node out, in milliseconds: a day.
 const MAX_HOLD_MS: u64 = 86_400_000;
 const MICROS_PER_MS: u64 = 1000;
-/// How many nodes a rolling restart takes out at once, where the call doesn't say.
+/// The default number of nodes that may be out of service at the same time.
 const DEFAULT_NODES_OUT: u64 = 1;
 
-/// A call of an operator.
+/// An admin request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdminCall {
-    /// Whether this process takes clients.
+    /// Returns whether this process accepts clients.
     Ready,
-    /// The metrics.
+    /// Returns the metrics.
     Telemetry,
-    /// The members of the fleet and the holders of leases.
+    /// Returns the members of the fleet and the holders of leases.
     Fleet,
-    /// Attempts that went to another zone, by minute, class and tenant.
+    /// Returns the numbers of attempts to other zones by minute, class and tenant.
     Crossings,
-    /// Restart the fleet's nodes one after the other.
+    /// Takes the nodes of the fleet out of service in turn.
     RollingRestart {
-        /// How many nodes may be out at once.
+        /// The largest number of nodes that are out of service at the same time.
         max_nodes_out: u32,
-        /// How long each node stays out once its clients have gone, in microseconds.
+        /// How long each node stays out of service after its last client has left, in microseconds.
         hold_us: u64,
     },
-    /// Take no new clients and let those there are go.
+    /// Stops accepting clients and drains the connected ones.
     Evacuate,
-    /// Take clients again.
+    /// Accepts clients again.
     Rejoin,
 }
 
-/// Reads which call a head is for.
+/// Parses the head of an admin request.
 ///
 /// # Errors
-/// Where there is no such call, its method is another, or a parameter is wrong.
+/// If the path is unknown, the method is not the expected one, or a parameter is invalid.
 pub fn parse_call(head: &Head) -> Result<AdminCall, RequestError> {
     let StartLine::Request { method, target } = &head.start_line else {
         return Err(rejection(400, "a request is expected"));
@@ -60,7 +60,7 @@
 }
 
 impl AdminCall {
-    /// The method of the call: what changes something is posted.
+    /// The expected method: `POST` for calls that change the node's state.
     fn method(self) -> &'static str {
         match self {
             AdminCall::Ready | AdminCall::Telemetry | AdminCall::Fleet | AdminCall::Crossings => {
@@ -80,7 +80,7 @@
     })
 }
 
-/// A whole number among the parameters of a call; the default where it is missing.
+/// Parses an integer parameter of the query; returns the default if it is missing.
 fn parse_parameter(query: &str, key: &str, default: u64, max: u64) -> Result<u64, RequestError> {
     let parameter = query
         .split('&')
--- a/src/protocol/admin/metrics.rs
+++ b/src/protocol/admin/metrics.rs
@@ -1,4 +1,4 @@
-//! The metrics of a node, and the response that has them a line each.
+//! The metrics of a node and the response that reports them.
 
 use super::response;
 use bytes::Bytes;
@@ -9,49 +9,49 @@
 pub struct NodeMetrics {
     /// Responses by class.
     pub responses: Vec<ClassResponses>,
-    /// Attempts that were sent to replicas whole.
+    /// Attempts whose request was sent completely to a replica.
     pub attempts_sent: u64,
     /// Requests that were received and have not ended.
     pub active_requests: usize,
     /// Replicas on the endpoint list.
     pub replica_count: usize,
-    /// Replicas on the endpoint list that get no requests now.
+    /// Replicas on the endpoint list that currently get no requests.
     pub avoided_replica_count: usize,
     /// Reloads of the settings at SIGHUP.
     pub reloads: ReloadCounts,
-    /// Attempts that were sent to replicas of other zones whole, by class and tenant.
+    /// Attempts whose request was sent completely to a replica of another zone, by class and tenant.
     pub cross_zone_attempts: Vec<CrossZoneAttempts>,
-    /// Metrics of the node's part in its fleet, where it has one.
+    /// Metrics of the coordination with the fleet; empty if the node belongs to none.
     pub fleet: Vec<FleetMetric>,
-    /// Attempts that were not complete, by outcome.
+    /// Attempts that did not complete, by outcome.
     pub attempt_ends: Vec<FailedAttempts>,
-    /// Connections of clients that were closed, by reason.
+    /// Client connections that were closed, by reason.
     pub client_closes: Vec<ClientCloses>,
 }
 
-/// How many responses the requests of a class got.
+/// The numbers of responses to the requests of a class.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ClassResponses {
     /// The class's name.
     pub class: String,
     /// Responses that were complete.
     pub completed: u64,
-    /// Rejections.
+    /// Requests that the node rejected.
     pub rejected: u64,
     /// Responses that failed.
     pub failed: u64,
 }
 
-/// How many reloads of the settings there were.
+/// The numbers of reloads of the settings.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ReloadCounts {
-    /// Settings that were taken.
+    /// Reloads that were applied.
     pub success: u64,
-    /// Settings that were rejected.
+    /// Reloads that were rejected.
     pub failure: u64,
 }
 
-/// How many attempts of a class and tenant were sent to other zones.
+/// The number of attempts of a class and tenant that were sent to other zones.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CrossZoneAttempts {
     /// The class's name.
@@ -62,16 +62,16 @@
     pub count: u64,
 }
 
-/// A metric of the node's part in its fleet.
+/// A metric of the coordination with the fleet.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FleetMetric {
-    /// The name without the prefix of all metrics.
+    /// The name without the prefix `app_`.
     pub name: String,
     /// The value.
     pub value: u64,
 }
 
-/// How many attempts had an outcome.
+/// The number of attempts with an outcome.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FailedAttempts {
     /// The outcome's name.
@@ -80,7 +80,7 @@
     pub count: u64,
 }
 
-/// How many connections of clients were closed for a reason.
+/// The number of client connections that were closed for a reason.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ClientCloses {
     /// The reason's name.
@@ -89,7 +89,7 @@
     pub count: u64,
 }
 
-/// The response with the metrics, a line each.
+/// Formats the response with the metrics, one per line.
 pub fn metrics_response(metrics: &NodeMetrics) -> Bytes {
     let mut body = String::new();
     for responses in &metrics.responses {
@@ -130,12 +130,12 @@
     }
 }
 
-/// Appends the line of one metric; the name has its labels.
+/// Appends the line of one metric. The name includes the labels.
 fn append(body: &mut String, name: &str, value: impl Display) {
     *body += &format!("app_{name} {value}\n");
 }
 
-/// The text of a label's value.
+/// Escapes the value of a label.
 fn escape_label(text: &str) -> String {
     text.replace('\\', "\\\\")
         .replace('"', "\\\"")
--- a/src/protocol/admin/mod.rs
+++ b/src/protocol/admin/mod.rs
@@ -1,6 +1,6 @@
-//! Operators' calls and the metrics that answer them: bytes to meaning and back, no sockets.
+//! Parsing of admin requests and formatting of their responses, without sockets.
 //!
-//! `transport::admin` reads calls with [`parse_call`] and answers them.
+//! `transport::admin` parses requests with [`parse_call`] and responds to them.
 
 mod call;
 mod metrics;
@@ -13,12 +13,12 @@
 
 use bytes::Bytes;
 
-/// The response with a JSON object.
+/// Formats the response with a JSON object.
 pub fn json_response(body: &str) -> Bytes {
     response("application/json", body)
 }
 
-/// A response with status 200, after which the connection is closed.
+/// Formats a response with status 200, after which the connection is closed.
 fn response(content_type: &str, body: &str) -> Bytes {
     let length = body.len();
     format!(
--- a/src/protocol/discovery.rs
+++ b/src/protocol/discovery.rs
@@ -1,25 +1,25 @@
-//! Discovery's endpoint lists, read from JSON.
+//! Parses the endpoint lists of the discovery service, which are JSON.
 //!
-//! `transport::endpoints::discovery` reads each answer of the service with this, and `program::config` the list that a
-//! node knows at its start.
+//! `transport::endpoints::discovery` parses each answer of the service with this module, and `program::config` the initial
+//! list in the node configuration.
 
 use poppykeel_endpoints::{ListedEndpoint, ListedState, SourceUpdate};
 use serde_json::Value;
 
-/// Why an answer is not an endpoint list. The text names the key and what it should hold.
+/// Why an answer is not an endpoint list. The message names the key and the expected value.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum EndpointListError {
-    /// The version is missing or not a whole number.
+    /// The version is missing or not an integer.
     #[error("version: expected a whole number")]
     Version,
-    /// The kind of list is missing or not a boolean.
+    /// `full` is missing or not a boolean.
     #[error("full: expected true or false")]
     Full,
     /// The endpoints are missing or not a list.
-    #[error("servers: expected a list")]
+    #[error("servers: expected an array")]
     Endpoints,
-    /// A text of an endpoint is missing or not a text.
-    #[error("servers: expected text for {key}")]
+    /// A key of an endpoint is missing or its value is not a string.
+    #[error("servers: expected a string for {key}")]
     MissingText {
         /// The key.
         key: &'static str,
@@ -30,15 +30,15 @@
         /// The state in the answer.
         state: String,
     },
-    /// The address of an endpoint has no address and port.
-    #[error("servers: expected an address for addr, not {addr}")]
+    /// The address of an endpoint is not an IP address with a port.
+    #[error("servers: expected ADDRESS:PORT for addr, not {addr}")]
     InvalidAddress {
         /// The address in the answer.
         addr: String,
     },
 }
 
-/// One answer of discovery.
+/// One answer of the discovery service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointListResponse {
     version: u64,
@@ -47,17 +47,18 @@
 }
 
 impl EndpointListResponse {
-    /// The version of the list with this answer applied; the next request asks for what is newer.
+    /// The version of the list after this answer; the next poll requests changes since this version.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// Whether these are changes of a list that is older than the one of this version: they do not belong on it.
+    /// Whether the answer has changes up to a version older than `known_version`, which must not be applied to the known
+    /// list.
     pub fn is_older_change(&self, known_version: u64) -> bool {
         !self.is_full_list && self.version < known_version
     }
 
-    /// The answer as the registry of endpoints takes it.
+    /// Converts the answer to an update for the endpoint registry.
     pub fn into_source_update(self) -> SourceUpdate {
         if self.is_full_list {
             SourceUpdate::FullList(self.endpoints)
@@ -67,10 +68,10 @@
     }
 }
 
-/// Reads an answer of discovery.
+/// Parses an answer of the discovery service.
 ///
 /// # Errors
-/// The first key that is missing or holds something else than it should.
+/// Names the first key that is missing or has an invalid value.
 pub fn parse_endpoint_list(answer: &Value) -> Result<EndpointListResponse, EndpointListError> {
     let version = answer["version"]
         .as_u64()
--- a/src/protocol/event_stream.rs
+++ b/src/protocol/event_stream.rs
@@ -1,28 +1,28 @@
-//! The event stream of a response, scanned while it passes: where its events end, the load report in a comment line, and
-//! how many prompt tokens the replica had cached. The bytes are not changed.
+//! Scans the event stream of a response while it is forwarded: the ends of its events, the load report in a comment line,
+//! and the number of prompt tokens that the replica had cached. The bytes are not changed.
 //!
-//! `protocol::response` feeds a scanner with the body of each response.
+//! `protocol::response` has one scanner for each response.
 
 use crate::protocol::load_report::parse_load_report;
 use poppykeel_scheduler::LoadReport;
 use poppykeel_site_settings::SiteSettings;
 use serde_json::Value;
 
-/// Of longer lines only this many bytes are kept: they are data for certain, and too long to be looked at.
+/// Only this many bytes of a line are buffered. Longer lines are always data and are not parsed in full.
 const MAX_LINE_BYTES: usize = 4096;
 /// The name of the comment with a load report.
 const LOAD_REPORT_NAME: &str = "srv-load";
 /// The field of a line with data.
 const DATA_FIELD: &[u8] = b"data:";
-/// What an event with the number of cached tokens has.
+/// An event with the number of cached tokens contains this key.
 const CACHED_TOKENS_KEY: &[u8] = b"\"cached_tokens\"";
 
 /// Scans one event stream.
 #[derive(Debug, Default)]
 pub struct EventStreamScanner {
-    /// The beginning of the line that is not complete yet.
+    /// The first bytes of the current line.
     line: Vec<u8>,
-    /// Whether the event that is not complete yet has data.
+    /// Whether the current event has data.
     has_data: bool,
     event_count: u64,
     unfinished_event_bytes: usize,
@@ -41,7 +41,7 @@
             if piece.ends_with(b"\n") {
                 let mut line = std::mem::take(&mut self.line);
                 self.scan_line(line.trim_ascii_end(), settings);
-                // The buffer is used again.
+                // Reuses the buffer for the next line.
                 line.clear();
                 self.line = line;
             }
@@ -72,12 +72,12 @@
         self.unfinished_event_bytes = 0;
     }
 
-    /// How many events with data are complete.
+    /// The number of complete events with data.
     pub fn event_count(&self) -> u64 {
         self.event_count
     }
 
-    /// Bytes since the last event was complete.
+    /// The number of bytes since the end of the last event.
     pub fn unfinished_event_bytes(&self) -> usize {
         self.unfinished_event_bytes
     }
@@ -87,7 +87,7 @@
         self.load_report.is_some()
     }
 
-    /// The newest load report, with the number of cached prompt tokens where the stream had one.
+    /// The newest load report, with the number of cached prompt tokens if the stream had one.
     pub fn load_report(&self) -> Option<LoadReport> {
         if self.cached_prompt_tokens.is_none() {
             return self.load_report;
@@ -99,7 +99,7 @@
     }
 }
 
-/// The load report in a comment line, without its colon.
+/// Parses the load report in a comment line, whose leading colon is already removed.
 fn parse_comment(comment: &[u8], settings: &SiteSettings) -> Option<LoadReport> {
     let text = std::str::from_utf8(comment).unwrap_or_default();
     let (name, value) = text.trim_start().split_once(':')?;
@@ -109,7 +109,8 @@
     parse_load_report(value, settings)
 }
 
-/// The number of cached prompt tokens in an event with the usage. Most events have none and are not parsed.
+/// The number of cached prompt tokens in the data of an event with the usage. Most events have none; they are detected
+/// without parsing.
 fn parse_cached_tokens(data: &[u8]) -> Option<f64> {
     let has_key = data
         .windows(CACHED_TOKENS_KEY.len())
--- a/src/protocol/http/codec.rs
+++ b/src/protocol/http/codec.rs
@@ -1,4 +1,4 @@
-//! The codec: bytes of a connection to parts of messages, and messages to bytes.
+//! Decodes the bytes of a connection to parts of messages, and encodes messages to bytes.
 
 use super::error::HttpParseError;
 use super::framing::{body_framing, parse_chunk_size, take_line};
@@ -6,38 +6,39 @@
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use tokio_util::codec::{Decoder, Encoder};
 
-/// The longest chunk of a response, in bytes. Bodies of replicas are short; a chunk announced with gigabytes never ends.
+/// The longest chunk of a response, in bytes. Chunks of replicas are short; a chunk size of gigabytes is an error, since its
+/// data would never end.
 const MAX_CHUNK_BYTES: u64 = 256 * 1024;
-/// The largest number of interim responses before one final response: without a bound they could come for ever.
+/// The largest number of interim responses before a final response. Without a limit they could continue forever.
 const MAX_INTERIM_RESPONSES: u32 = 16;
-/// What ends the bytes of a chunk.
+/// The end of the data of a chunk.
 const CHUNK_END: &[u8] = b"\r\n";
-/// What ends a chunked body.
+/// The last chunk and an empty trailer, which end a chunked body.
 const LAST_CHUNK: &[u8] = b"0\r\n\r\n";
 
-/// What a decoder yields.
+/// The output of the decoder.
 #[derive(Clone, Debug, PartialEq)]
 pub enum MessagePart {
-    /// A message begins.
+    /// The head of a message.
     Head(Box<Head>),
-    /// The next bytes of its body.
+    /// The next bytes of the body.
     Body(Bytes),
     /// The message is complete.
     End,
 }
 
-/// What an encoder takes.
+/// The input of the encoder.
 #[derive(Clone, Debug, PartialEq)]
 pub enum EncodedMessage {
-    /// Bytes as they are: a head, or a body of known length.
+    /// Bytes that are written unchanged: a head, or a body of known length.
     Raw(Bytes),
-    /// A piece of a chunked body.
+    /// The data of one chunk of a chunked body.
     Chunk(Bytes),
     /// The end of a chunked body.
     EndOfChunks,
 }
 
-/// Which end of a connection a codec is.
+/// The side of the connection that a codec is on.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Role {
     /// Reads requests.
@@ -46,28 +47,28 @@
     Client,
 }
 
-/// What the decoder reads next.
+/// What the decoder expects next.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum DecoderState {
     /// The head of a message.
     Head,
-    /// This many bytes of a body of known length.
+    /// This many remaining bytes of a body of known length.
     FixedLength(u64),
-    /// The line that announces a chunk.
+    /// The line with the size of a chunk.
     ChunkLine,
-    /// This many bytes of a chunk.
+    /// This many remaining bytes of a chunk.
     Chunk(u64),
-    /// What ends the bytes of a chunk.
+    /// The end of the data of a chunk.
     ChunkEnd,
     /// The trailer of a chunked body.
     Trailer,
     /// A body that ends with the connection.
     UntilClose,
-    /// Nothing: the message is complete, which has yet to be yielded.
+    /// Nothing: the message is complete, and [`MessagePart::End`] has yet to be returned.
     Ended,
 }
 
-/// What came of reading a head.
+/// The result of decoding a head.
 enum DecodedHead {
     /// More bytes are needed.
     Incomplete,
@@ -81,12 +82,12 @@
 pub struct HttpCodec {
     role: Role,
     state: DecoderState,
-    /// Interim responses since the last final one.
+    /// The number of interim responses since the last final one.
     interim_count: u32,
 }
 
 impl HttpCodec {
-    /// A codec at the start of a connection.
+    /// Creates a codec for a new connection.
     pub fn new(role: Role) -> Self {
         HttpCodec {
             role,
@@ -95,7 +96,7 @@
         }
     }
 
-    /// Whether no message has begun that is not complete.
+    /// Whether the decoder is outside a message; part of a head may be buffered.
     pub fn is_between_messages(&self) -> bool {
         self.state == DecoderState::Head
     }
@@ -116,16 +117,16 @@
         let framing = body_framing(&parsed.start_line, &parsed.headers)?;
         self.state = framing.state;
         let ends_with_connection = framing.state == DecoderState::UntilClose;
-        let asks_to_close = parsed.headers.has_token("connection", "close");
+        let has_close_token = parsed.headers.has_token("connection", "close");
         Ok(DecodedHead::Final(Box::new(Head {
             start_line: parsed.start_line,
             headers: parsed.headers,
             body_length: framing.body_length,
-            keeps_connection: !ends_with_connection && !asks_to_close,
+            keeps_connection: !ends_with_connection && !has_close_token,
         })))
     }
 
-    /// Reads the line that announces a chunk. Returns whether it was complete.
+    /// Decodes the line with the size of a chunk. Returns whether the line was complete.
     fn decode_chunk_line(&mut self, buffer: &mut BytesMut) -> Result<bool, HttpParseError> {
         let Some(line) = take_line(buffer)? else {
             return Ok(false);
@@ -142,7 +143,7 @@
         Ok(true)
     }
 
-    /// Reads a line of the trailer, which is ignored. Returns whether it was complete.
+    /// Skips a line of the trailer. Returns whether the line was complete.
     fn decode_trailer_line(&mut self, buffer: &mut BytesMut) -> Result<bool, HttpParseError> {
         let Some(line) = take_line(buffer)? else {
             return Ok(false);
@@ -153,7 +154,7 @@
         Ok(true)
     }
 
-    /// Reads what ends the bytes of a chunk. Returns whether it was complete.
+    /// Skips the end of the data of a chunk. Returns whether it was complete.
     fn decode_chunk_end(&mut self, buffer: &mut BytesMut) -> Result<bool, HttpParseError> {
         if buffer.len() < CHUNK_END.len() {
             return Ok(false);
@@ -168,36 +169,36 @@
 
     /// Takes the next bytes of a body of known length.
     fn take_fixed(&mut self, buffer: &mut BytesMut, remaining: u64) -> MessagePart {
-        let piece = take_bytes(buffer, remaining);
-        let remaining = remaining - piece.len() as u64;
+        let bytes = take_bytes(buffer, remaining);
+        let remaining = remaining - bytes.len() as u64;
         self.state = if remaining == 0 {
             DecoderState::Ended
         } else {
             DecoderState::FixedLength(remaining)
         };
-        MessagePart::Body(piece)
+        MessagePart::Body(bytes)
     }
 
     /// Takes the next bytes of a chunk.
     fn take_chunk(&mut self, buffer: &mut BytesMut, remaining: u64) -> MessagePart {
-        let piece = take_bytes(buffer, remaining);
-        let remaining = remaining - piece.len() as u64;
+        let bytes = take_bytes(buffer, remaining);
+        let remaining = remaining - bytes.len() as u64;
         self.state = if remaining == 0 {
             DecoderState::ChunkEnd
         } else {
             DecoderState::Chunk(remaining)
         };
-        MessagePart::Body(piece)
+        MessagePart::Body(bytes)
     }
 }
 
-/// Takes the bytes of the buffer, up to this many.
+/// Removes up to this many bytes from the start of the buffer and returns a copy of them.
 fn take_bytes(buffer: &mut BytesMut, max_bytes: u64) -> Bytes {
     let max_bytes = usize::try_from(max_bytes).unwrap_or(usize::MAX);
     let size = max_bytes.min(buffer.len());
-    let piece = Bytes::copy_from_slice(&buffer[..size]);
+    let bytes = Bytes::copy_from_slice(&buffer[..size]);
     buffer.advance(size);
-    piece
+    bytes
 }
 
 impl Decoder for HttpCodec {
@@ -216,7 +217,7 @@
             let has_advanced = match self.state {
                 DecoderState::Head => match self.decode_head(buffer)? {
                     DecodedHead::Incomplete => false,
-                    // What follows an interim response is read in the same call.
+                    // The same call goes on to decode the bytes that follow the interim response.
                     DecodedHead::Interim => true,
                     DecodedHead::Final(head) => return Ok(Some(MessagePart::Head(head))),
                 },
@@ -265,7 +266,7 @@
     ) -> Result<(), HttpParseError> {
         match message {
             EncodedMessage::Raw(bytes) => buffer.extend_from_slice(&bytes),
-            // A chunk of no bytes would end the body.
+            // An empty chunk would end the body.
             EncodedMessage::Chunk(bytes) if bytes.is_empty() => {}
             EncodedMessage::Chunk(bytes) => {
                 buffer.put_slice(format!("{:x}\r\n", bytes.len()).as_bytes());
--- a/src/protocol/http/framing.rs
+++ b/src/protocol/http/framing.rs
@@ -1,26 +1,27 @@
-//! How the body of a message is delimited: by its length, by chunks or by the end of the connection.
+//! Determines how the body of a message is delimited: by its length, by chunks or by the end of the connection.
 
 use super::codec::DecoderState;
 use super::error::HttpParseError;
 use super::head::{Headers, StartLine};
 use bytes::BytesMut;
 
-/// The longest line that announces a chunk, and the longest trailer line, in bytes.
+/// The longest chunk-size line and the longest trailer line, in bytes.
 const MAX_LINE_BYTES: usize = 4 * 1024;
-/// A length has fewer decimal digits than this, so that it fits 64 bits.
-const MAX_LENGTH_DIGITS: usize = 19;
-/// The size of a chunk has fewer hex digits than this, so that it fits 64 bits.
-const MAX_CHUNK_SIZE_DIGITS: usize = 16;
+/// A content length must have fewer decimal digits than this, so that it fits into 64 bits.
+const CONTENT_LENGTH_DIGIT_LIMIT: usize = 19;
+/// A chunk size must have fewer hex digits than this, so that it fits into 64 bits.
+const CHUNK_SIZE_DIGIT_LIMIT: usize = 16;
 
 /// How a body is delimited.
 pub(super) struct BodyFraming {
-    /// What the decoder reads after the head.
+    /// The state of the decoder after the head.
     pub state: DecoderState,
-    /// The length of the body in bytes, where the head says it.
+    /// The length of the body in bytes; `None` if the head does not determine it.
     pub body_length: Option<u64>,
 }
 
-/// How the body of a message is delimited. A length beside chunks is a way to smuggle requests: it is an error.
+/// Determines how the body of a message is delimited. A message with both a length and chunks is an error, because it can
+/// be used for request smuggling.
 pub(super) fn body_framing(
     start_line: &StartLine,
     headers: &Headers,
@@ -41,7 +42,7 @@
     Ok(BodyFraming { state, body_length })
 }
 
-/// The value of `Content-Length`; all its values must be the same.
+/// The value of `Content-Length`. If the field is repeated, all values must be equal.
 fn content_length(headers: &Headers) -> Result<Option<u64>, HttpParseError> {
     let mut length = None;
     for value in headers.values("content-length") {
@@ -57,7 +58,7 @@
 
 fn parse_content_length(value: &[u8]) -> Option<u64> {
     let is_number = !value.is_empty()
-        && value.len() < MAX_LENGTH_DIGITS
+        && value.len() < CONTENT_LENGTH_DIGIT_LIMIT
         && value.iter().all(u8::is_ascii_digit);
     if !is_number {
         return None;
@@ -65,7 +66,6 @@
     std::str::from_utf8(value).ok()?.parse().ok()
 }
 
-/// Whether the body is chunked.
 fn is_chunked(headers: &Headers, has_content_length: bool) -> Result<bool, HttpParseError> {
     let mut codings = headers.values("transfer-encoding");
     let Some(coding) = codings.next() else {
@@ -84,7 +84,7 @@
     Ok(true)
 }
 
-/// Takes one line without its end off the buffer; `None` where it is not complete yet.
+/// Removes one line from the buffer and returns it without its line ending; `None` if it is not complete yet.
 pub(super) fn take_line(buffer: &mut BytesMut) -> Result<Option<BytesMut>, HttpParseError> {
     let Some(end) = buffer.iter().position(|byte| *byte == b'\n') else {
         if buffer.len() > MAX_LINE_BYTES {
@@ -98,14 +98,14 @@
     Ok(Some(line))
 }
 
-/// The size in bytes that a chunk's line announces; extensions after a semicolon are ignored.
+/// Parses the size of a chunk, in bytes. Extensions after a semicolon are ignored.
 pub(super) fn parse_chunk_size(line: &[u8]) -> Result<u64, HttpParseError> {
     let digits = line
         .split(|byte| *byte == b';')
         .next()
         .unwrap_or_default()
         .trim_ascii();
-    let is_hex = (1..MAX_CHUNK_SIZE_DIGITS).contains(&digits.len())
+    let is_hex = (1..CHUNK_SIZE_DIGIT_LIMIT).contains(&digits.len())
         && digits.iter().all(u8::is_ascii_hexdigit);
     std::str::from_utf8(digits)
         .ok()
--- a/src/protocol/http/head.rs
+++ b/src/protocol/http/head.rs
@@ -1,28 +1,27 @@
-//! The head of a message: its first line and its header fields.
+//! The head of a message: its start line and its header fields.
 
 use super::codec::Role;
 use super::error::HttpParseError;
 
-/// The longest head that is read, in bytes.
+/// The longest accepted head, in bytes.
 pub const MAX_HEAD_BYTES: usize = 16 * 1024;
 /// The largest number of header fields in a head.
 pub(super) const MAX_HEADERS: usize = 64;
-/// The minor version of HTTP/1.1, the only one that is read.
+/// The minor version of HTTP/1.1, the only supported version.
 const HTTP_MINOR_VERSION: u8 = 1;
 
-/// One header field.
 #[derive(Clone, Debug, PartialEq)]
 struct HeaderField {
     name: String,
     value: Vec<u8>,
 }
 
-/// Header fields in the order in which they came. Names are compared without regard to case.
+/// Header fields in the order of the message. Names are case-insensitive.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Headers(Vec<HeaderField>);
 
 impl Headers {
-    /// The first value of a name, where it is text.
+    /// The first value of a field; `None` if the field is missing or the value is not UTF-8.
     pub fn get(&self, name: &str) -> Option<&str> {
         let (_, value) = self
             .iter()
@@ -30,21 +29,21 @@
         std::str::from_utf8(value).ok()
     }
 
-    /// All values of a name.
+    /// All values of a field.
     pub fn values<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a [u8]> {
         self.iter()
             .filter(move |(field_name, _)| field_name.eq_ignore_ascii_case(name))
             .map(|(_, value)| value)
     }
 
-    /// All fields, as names and values.
+    /// The names and values of all fields.
     pub fn iter(&self) -> impl Iterator<Item = (&str, &[u8])> {
         self.0
             .iter()
             .map(|field| (field.name.as_str(), field.value.as_slice()))
     }
 
-    /// Whether a comma-separated field has this token.
+    /// Whether a comma-separated field contains this token, which is case-insensitive.
     pub fn has_token(&self, name: &str, token: &str) -> bool {
         self.values(name)
             .map(|value| std::str::from_utf8(value).unwrap_or_default())
@@ -53,42 +52,42 @@
     }
 }
 
-/// The first line of a message.
+/// The start line of a message.
 #[derive(Clone, Debug, PartialEq)]
 pub enum StartLine {
-    /// Of a request.
+    /// The request line.
     Request {
         /// The method.
         method: String,
         /// Path and query.
         target: String,
     },
-    /// Of a response, with its status code.
+    /// The status code of a response.
     Status(u16),
 }
 
 /// The head of a message.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Head {
-    /// The first line.
+    /// The request line or status.
     pub start_line: StartLine,
     /// The header fields.
     pub headers: Headers,
-    /// The length of the body in bytes, where the head says it.
+    /// The length of the body in bytes; `None` if the head does not determine it.
     pub body_length: Option<u64>,
-    /// Whether the connection may carry another message afterwards.
+    /// Whether the connection may carry another message after this one.
     pub keeps_connection: bool,
 }
 
-/// A head as it stands at the beginning of a buffer.
+/// A head parsed at the start of a buffer.
 pub(super) struct ParsedHead {
     pub start_line: StartLine,
     pub headers: Headers,
-    /// Its length in bytes.
+    /// The length of the head in bytes.
     pub size: usize,
 }
 
-/// Parses the head at the beginning of the bytes; `None` where it is not complete yet.
+/// Parses the head at the start of the bytes; `None` if it is not complete yet.
 pub(super) fn parse_head(role: Role, bytes: &[u8]) -> Result<Option<ParsedHead>, HttpParseError> {
     match role {
         Role::Server => parse_request_head(bytes),
@@ -127,7 +126,8 @@
     }))
 }
 
-/// The length of a head in bytes by what the parser says of a buffer of this length; `None` where it is not complete yet.
+/// Converts the parser's result for a buffer of this length to the length of the head in bytes; `None` if the head is not
+/// complete yet.
 fn head_size(
     parsed: httparse::Result<usize>,
     buffered_bytes: usize,
--- a/src/protocol/http/mod.rs
+++ b/src/protocol/http/mod.rs
@@ -1,8 +1,8 @@
-//! HTTP/1.1 as a codec for `Framed`: a head, then its body in pieces, then its end.
+//! An HTTP/1.1 codec for `Framed`.
 //!
-//! [`HttpCodec`] reads messages as [`MessagePart`]s and writes [`EncodedMessage`]s. Pieces of a body are copied out of the
-//! read buffer as they come, so that one bounded buffer serves a connection for as long as it lives, whatever the size of
-//! the bodies that pass. The connections of clients, replicas, discovery and operators all use it.
+//! [`HttpCodec`] decodes each message to [`MessagePart`]s (head, pieces of the body, end) and encodes [`EncodedMessage`]s.
+//! Pieces of a body are copied out of the read buffer as they arrive, so one bounded buffer serves a connection for its
+//! whole life regardless of the size of bodies. Connections to clients, replicas, discovery and admin callers use it.
 
 mod codec;
 mod error;
--- a/src/protocol/load_report.rs
+++ b/src/protocol/load_report.rs
@@ -1,15 +1,16 @@
-//! What a replica says of itself: load reports in responses and streams, and the outcome of a probe.
+//! Load reports of replicas in responses and streams, and the outcome of a probe.
 
 use poppykeel_scheduler::{AttemptOutcome, LoadReport};
 use poppykeel_site_settings::SiteSettings;
 use serde_json::Value;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Reports that were not JSON objects, and values of named fields that were not numbers of zero or more.
+/// The number of ignored reports, which were not JSON objects, and of ignored values, which were not non-negative numbers.
 static IGNORED_VALUE_COUNT: AtomicU64 = AtomicU64::new(0);
 
-/// A load report in JSON; `None` where it can't be read, since a bad report must not cost the response. A field that is
-/// missing is left out; one whose value is not a finite number of zero or more is left out and counted.
+/// Parses a load report in JSON. Returns `None` instead of an error for an invalid one, because an invalid report must not
+/// make the response fail. Missing fields are ignored; fields that are not finite, non-negative numbers are ignored and
+/// counted.
 pub fn parse_load_report(text: &str, settings: &SiteSettings) -> Option<LoadReport> {
     let report = serde_json::from_str(text).ok().filter(Value::is_object);
     let Some(report) = report else {
@@ -36,12 +37,12 @@
     IGNORED_VALUE_COUNT.fetch_add(1, Ordering::Relaxed);
 }
 
-/// How many reports and values of reports were ignored since the start, for the log.
+/// The number of invalid reports and values that were ignored since the process started, for the log.
 pub fn ignored_value_count() -> u64 {
     IGNORED_VALUE_COUNT.load(Ordering::Relaxed)
 }
 
-/// The outcome of a probe by the status code of its response.
+/// The outcome of a probe whose response has this status code.
 pub fn probe_outcome(status: u16) -> AttemptOutcome {
     if status == 200 {
         AttemptOutcome::Completed
--- a/src/protocol/mod.rs
+++ b/src/protocol/mod.rs
@@ -1,9 +1,14 @@
-//! Bytes to messages and back: no socket and no clock.
+//! Parsing and formatting of messages, without sockets and clocks.
 //!
-//! `http` is the framing, `event_stream` the event stream inside a response. `request` turns a client's request into what the
-//! scheduler is told of it, `response` a replica's response into the outcome of an attempt, `load_report` what a replica says of its
-//! load. `discovery` reads endpoint lists and `srv` maps DNS records to endpoints. `admin` has the operators' calls. Another
-//! client protocol would stand beside `request` and end in the same `IncomingRequest`.
+//! - `http`: HTTP/1.1 framing
+//! - `event_stream`: the event stream in the body of a response
+//! - `request`: from a client's request to the scheduler's `IncomingRequest`; another client protocol would be a module
+//!   beside this one with the same result
+//! - `response`: from a replica's response to the outcome of an attempt
+//! - `load_report`: load reports of replicas
+//! - `discovery`: endpoint lists
+//! - `srv`: from DNS records to endpoints
+//! - `admin`: admin requests and metrics
 
 pub mod admin;
 pub mod discovery;
--- a/src/protocol/request/error.rs
+++ b/src/protocol/request/error.rs
@@ -1,17 +1,16 @@
-//! Why a request is rejected before the scheduler sees it.
+//! Rejections of requests before they reach the scheduler.
 
-/// A response of the node's own that rejects a request.
+/// A rejection, which the node answers itself.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{reason}")]
 pub struct RequestError {
     /// The status code of the response.
     pub status: u16,
-    /// What is wrong, for people.
+    /// The message in the body of the response.
     pub reason: String,
 }
 
 impl RequestError {
-    /// A rejection with this status code.
     pub(super) fn new(status: u16, reason: impl Into<String>) -> RequestError {
         RequestError {
             status,
@@ -19,7 +18,7 @@
         }
     }
 
-    /// The request is not as it should be.
+    /// A rejection with status 400.
     pub(super) fn bad_request(reason: impl Into<String>) -> RequestError {
         RequestError::new(400, reason)
     }
--- a/src/protocol/request/extra_fields.rs
+++ b/src/protocol/request/extra_fields.rs
@@ -1,10 +1,10 @@
-//! `Req-Extra`: what a client says of the prompt, as comma-separated fields `name=value`.
+//! Parses `Req-Extra`: properties of the prompt as comma-separated fields `name=value`.
 
 use super::error::RequestError;
 use super::headers::{parse_id, parse_tokens};
 use poppykeel_scheduler::IncomingRequest;
 
-/// Takes the fields of `Req-Extra` into a request. Unknown fields, which newer clients send, are ignored.
+/// Sets the fields of `Req-Extra` in a request. Unknown fields, which newer clients may send, are ignored.
 pub(super) fn apply_extra_fields(
     text: &str,
     request: &mut IncomingRequest,
--- a/src/protocol/request/headers.rs
+++ b/src/protocol/request/headers.rs
@@ -1,15 +1,15 @@
-//! Values of a request's header fields.
+//! Parses the values of a request's header fields.
 
 use super::error::RequestError;
 use crate::protocol::http::Headers;
 use std::str::FromStr;
 
-/// How many hex digits an id has.
+/// The number of hex digits of an id.
 const ID_DIGITS: usize = 16;
-/// Lengths in tokens count for at most this: headers may have any up to 2^63, and their sums must not overflow.
+/// Token counts are capped at this value: headers may have any 64-bit number, and sums of them must not overflow.
 const MAX_TOKENS: u64 = 1 << 40;
 
-/// The text of a header field; `None` where it is missing.
+/// The trimmed text of a header field; `None` if the field is missing.
 pub(super) fn text<'a>(headers: &'a Headers, name: &str) -> Result<Option<&'a str>, RequestError> {
     match headers.get(name).map(str::trim) {
         Some("") => Err(RequestError::bad_request(format!("{name} is empty"))),
@@ -20,7 +20,7 @@
     }
 }
 
-/// The id in a header field; `None` where it is missing.
+/// The id in a header field; `None` if the field is missing.
 pub(super) fn id(headers: &Headers, name: &str) -> Result<Option<u64>, RequestError> {
     match text(headers, name)? {
         Some(value) => parse_id(name, value).map(Some),
@@ -28,7 +28,7 @@
     }
 }
 
-/// An id of 16 hex digits.
+/// Parses an id of 16 hex digits.
 pub(super) fn parse_id(name: &str, value: &str) -> Result<u64, RequestError> {
     let is_id = value.len() == ID_DIGITS && value.bytes().all(|byte| byte.is_ascii_hexdigit());
     match u64::from_str_radix(value, 16) {
@@ -45,7 +45,7 @@
         .map_err(|_| RequestError::bad_request(format!("{name} is not a number")))
 }
 
-/// A length in tokens.
+/// Parses a number of tokens and caps it at [`MAX_TOKENS`].
 pub(super) fn parse_tokens(name: &str, value: &str) -> Result<u64, RequestError> {
     let tokens: u64 = parse_number(name, value)?;
     Ok(tokens.min(MAX_TOKENS))
--- a/src/protocol/request/mod.rs
+++ b/src/protocol/request/mod.rs
@@ -1,7 +1,7 @@
-//! A client's request: its route, what the scheduler is told of it, and the heads that the node writes.
+//! Client requests: their route, the scheduler's `IncomingRequest`, and the heads that the node writes.
 //!
-//! `transport::client` finds the [`Route`] of each request and parses it with [`parse_request`]; `transport::upstream` writes
-//! the heads of attempts. Whoever answers on the node's own behalf does so with [`local_response`].
+//! `transport::client` determines the [`Route`] of each request and parses it with [`parse_request`]; `transport::replica`
+//! writes the heads of attempts. [`local_response`] formats the responses that the node itself generates.
 
 mod error;
 mod extra_fields;
--- a/src/protocol/request/parse.rs
+++ b/src/protocol/request/parse.rs
@@ -1,4 +1,4 @@
-//! What the scheduler is told of a request, by its header fields.
+//! Parses the header fields of a request to the scheduler's `IncomingRequest`.
 
 use super::error::RequestError;
 use super::extra_fields::apply_extra_fields;
@@ -9,9 +9,9 @@
 
 /// The longest body, in bytes: 256 KiB.
 pub const MAX_BODY_BYTES: usize = 256 * 1024;
-/// The longest time that a client waits, in seconds: a day. More would not fit the clock.
+/// The cap of a request's deadline, in seconds: a day. A larger value could overflow the clock.
 const MAX_TIME_LEFT: f64 = 86_400.0;
-/// One token has this many bytes, where the client does not say the prompt's length.
+/// The assumed bytes per token if the client does not send the length of the prompt.
 const BYTES_PER_TOKEN: usize = 4;
 const MICROS_PER_SECOND: f64 = 1e6;
 
@@ -24,7 +24,7 @@
 const COST_HEADER: &str = "Req-Cost";
 const EXTRA_HEADER: &str = "Req-Extra";
 
-/// Header fields that may come only once.
+/// Header fields that must not be repeated.
 const SINGLE_HEADERS: [&str; 7] = [
     ID_HEADER,
     CLASS_HEADER,
@@ -35,10 +35,10 @@
     EXTRA_HEADER,
 ];
 
-/// Reads what the scheduler is told of a request, from its header fields and the length of its body in bytes.
+/// Builds the scheduler's description of a request from its header fields and the length of its body in bytes.
 ///
 /// # Errors
-/// Names the header field that is missing or wrong.
+/// Names the header field that is missing or invalid.
 pub fn parse_request(
     headers: &Headers,
     names: &SiteNames,
@@ -81,7 +81,7 @@
     Ok(())
 }
 
-/// The index of the request's class. Of several classes of its name the newest counts, and none that is retired.
+/// The index of the request's class: the newest class with its name that is not retired.
 fn parse_class(headers: &Headers, names: &SiteNames) -> Result<usize, RequestError> {
     let Some(name) = text(headers, CLASS_HEADER)? else {
         return Err(RequestError::bad_request("Req-Kind is missing"));
@@ -92,7 +92,7 @@
         .ok_or_else(|| RequestError::bad_request("Req-Kind names nothing known here"))
 }
 
-/// The index of the request's tenant; 0 where the site has no tenants or the request names none.
+/// The index of the request's tenant; 0 if the site has no tenants or the request names none.
 fn parse_tenant(headers: &Headers, names: &SiteNames) -> Result<usize, RequestError> {
     match text(headers, TENANT_HEADER)? {
         Some(name) if !names.tenants.is_empty() => names
@@ -104,7 +104,7 @@
     }
 }
 
-/// How long the client waits, in seconds.
+/// The time in seconds until the request's deadline.
 fn parse_time_left(headers: &Headers) -> Result<f64, RequestError> {
     let Some(value) = text(headers, DEADLINE_HEADER)? else {
         return Err(RequestError::bad_request("Req-Deadline is missing"));
@@ -128,7 +128,8 @@
     }
 }
 
-/// The client's estimate of the work, in seconds. One that can't be right must not cost the request: it counts as none.
+/// The client's estimate of the work, in seconds. An invalid estimate is ignored, because it must not make the request
+/// fail.
 fn parse_expected_work(headers: &Headers) -> Result<Option<f64>, RequestError> {
     let Some(value) = text(headers, COST_HEADER)? else {
         return Ok(None);
--- a/src/protocol/request/route.rs
+++ b/src/protocol/request/route.rs
@@ -1,4 +1,4 @@
-//! Where a request goes by its method and path.
+//! Routes a request by its method and path.
 
 use super::error::RequestError;
 use crate::protocol::http::{Head, StartLine};
@@ -6,19 +6,19 @@
 const COMPLETIONS_PATH: &str = "/v1/chat/completions";
 const HEALTH_PATH: &str = "/healthz";
 
-/// Where a request goes.
+/// The destination of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Route {
-    /// To a replica that the scheduler chooses.
+    /// Forwarded to a replica that the scheduler chooses.
     Completions,
-    /// Answered by the node: whether clients may come.
+    /// Answered by the node itself: whether it accepts clients.
     Health,
 }
 
-/// The route of a request.
+/// Returns the route of a request.
 ///
 /// # Errors
-/// Where nothing is served at the path, or not with this method.
+/// If nothing is served at the path or with this method.
 pub fn route(head: &Head) -> Result<Route, RequestError> {
     let StartLine::Request { method, target } = &head.start_line else {
         return Err(RequestError::bad_request("not a request"));
--- a/src/protocol/request/write.rs
+++ b/src/protocol/request/write.rs
@@ -1,4 +1,4 @@
-//! The heads and responses that the node writes.
+//! Formats the heads and responses that the node writes.
 
 use crate::protocol::http::{Head, StartLine};
 use bytes::Bytes;
@@ -7,7 +7,7 @@
 const MICROS_PER_SECOND: f64 = 1e6;
 const ID_HEADER: &str = "req-id";
 
-/// Header fields that belong to one connection, or that the node writes itself.
+/// Header fields that are hop-by-hop, that the node writes itself, or that only replicas send.
 const UNFORWARDED_HEADERS: [&str; 11] = [
     "connection",
     "keep-alive",
@@ -22,7 +22,8 @@
     "srv-load",
 ];
 
-/// The head of a request for a replica, without the deadline that each attempt adds. An id replaces the client's.
+/// The head of a request to a replica, without the deadline, which each attempt adds. `replacement_id` replaces the
+/// client's request id.
 pub fn replica_request_head(
     head: &Head,
     body_bytes: usize,
@@ -48,15 +49,15 @@
     bytes
 }
 
-/// Whether a header field of a client's request goes to replicas.
+/// Whether a header field of a client's request is forwarded to replicas.
 fn is_forwarded(head: &Head, name: &str) -> bool {
-    let is_own = UNFORWARDED_HEADERS
+    let is_unforwarded = UNFORWARDED_HEADERS
         .iter()
-        .any(|own| own.eq_ignore_ascii_case(name));
-    !is_own && !head.headers.has_token("connection", name)
+        .any(|unforwarded| unforwarded.eq_ignore_ascii_case(name));
+    !is_unforwarded && !head.headers.has_token("connection", name)
 }
 
-/// The whole head of an attempt that must be answered within this time, in microseconds.
+/// Completes the head of an attempt with its deadline, in microseconds from now.
 pub fn attempt_head(request_head: &[u8], timeout_us: u64) -> Bytes {
     let timeout = timeout_us as f64 / MICROS_PER_SECOND;
     let mut bytes = request_head.to_vec();
@@ -64,39 +65,39 @@
     bytes.into()
 }
 
-/// A request without a body, as probes and polls of discovery send it.
+/// A `GET` request without a body, for probes and polls of discovery.
 pub fn get_request(target: &str, host: &str) -> Bytes {
     format!("GET {target} HTTP/1.1\r\nHost: {host}\r\n\r\n").into()
 }
 
-/// The head of a streamed response for a client.
+/// The head of a streamed response to a client.
 pub fn stream_response_head(content_type: &str, closes_connection: bool) -> Bytes {
     let connection = connection_field(closes_connection);
     format!("HTTP/1.1 200 OK\r\nContent-Type: {content_type}\r\nTransfer-Encoding: chunked\r\n{connection}\r\n")
         .into()
 }
 
-/// A response of the node's own.
+/// A response that the node itself generates, with the reason in its body.
 pub fn local_response(
     status: u16,
     reason: &str,
     retry_after_us: Option<u64>,
     closes_connection: bool,
 ) -> Bytes {
-    let title = status_title(status);
+    let phrase = reason_phrase(status);
     let retry_after = retry_after_field(retry_after_us);
     let allow = allow_field(status, reason);
     let connection = connection_field(closes_connection);
     let body = response_body(status, reason);
     let length = body.len();
     format!(
-        "HTTP/1.1 {status} {title}\r\n{retry_after}{allow}{connection}\
+        "HTTP/1.1 {status} {phrase}\r\n{retry_after}{allow}{connection}\
          Content-Type: application/json\r\nContent-Length: {length}\r\n\r\n{body}"
     )
     .into()
 }
 
-fn status_title(status: u16) -> &'static str {
+fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
         400 => "Bad Request",
@@ -119,7 +120,7 @@
     }
 }
 
-/// The method that is allowed, which the reason names.
+/// The `Allow` field of a 405 response. The allowed method is taken from the reason.
 fn allow_field(status: u16, reason: &str) -> &'static str {
     if status != 405 {
         ""
--- a/src/protocol/response.rs
+++ b/src/protocol/response.rs
@@ -1,6 +1,6 @@
-//! A replica's response: fed the parts of one message, a reader says what to forward and how the attempt ended.
+//! Derives from the parts of a replica's response what to forward to the client and how the attempt ended.
 //!
-//! `transport::upstream` has one reader for each attempt.
+//! `transport::replica` has one reader for each attempt.
 
 use crate::protocol::event_stream::EventStreamScanner;
 use crate::protocol::http::{Head, MessagePart, StartLine};
@@ -10,21 +10,22 @@
 use poppykeel_site_settings::SiteSettings;
 use std::rc::Rc;
 
-/// The longest event, in bytes: a stream that goes on without completing one is broken, and would never end.
+/// The longest event, in bytes. A stream with a longer event counts as broken, because it might never end.
 const MAX_EVENT_BYTES: usize = 64 * 1024;
 /// The content type of an event stream.
 const EVENT_STREAM_TYPE: &str = "text/event-stream";
 /// The header field with a load report.
 const LOAD_REPORT_HEADER: &str = "srv-load";
-/// The header field by which a replica says that the request never ran.
+/// The header field by which a replica declares that it has not run the request.
 const DECLINED_HEADER: &str = "srv-declined";
 
-/// What follows from a part of a response.
+/// A step that follows from a part of a response.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ResponseStep {
-    /// The first event is complete: the stream begins, with this content type.
+    /// Forwarding begins, with this content type: the first event is complete, or a body of another type has ended or is
+    /// too long to be held back.
     Started(String),
-    /// Bytes for the client.
+    /// Bytes to forward to the client.
     Forward(Bytes),
     /// The attempt has ended.
     Ended(AttemptOutcome, Option<LoadReport>),
@@ -38,16 +39,16 @@
     /// The load report in the head.
     head_report: Option<LoadReport>,
     content_type: String,
-    /// Whether the body is an event stream, as its content type says; other bodies are forwarded as they are.
+    /// Whether the content type is that of an event stream. Other bodies are forwarded without requiring events.
     is_event_stream: bool,
     has_started: bool,
     has_ended: bool,
-    /// Bytes that came before the first event was complete.
+    /// Bytes that are held back until the first event is complete.
     held: BytesMut,
 }
 
 impl ResponseReader {
-    /// A reader before the head of the response.
+    /// Creates a reader that expects the head of a response.
     pub fn new(settings: Rc<SiteSettings>) -> Self {
         ResponseReader {
             settings,
@@ -61,19 +62,19 @@
         }
     }
 
-    /// Takes the next part and appends what follows from it. Parts after the end of the attempt are ignored.
+    /// Processes the next part and appends the steps that follow from it. Parts after the end of the attempt are ignored.
     pub fn feed(&mut self, part: MessagePart, steps: &mut Vec<ResponseStep>) {
         if self.has_ended {
             return;
         }
         match part {
-            MessagePart::Head(head) => self.take_head(&head, steps),
-            MessagePart::Body(bytes) => self.take_body(bytes, steps),
-            MessagePart::End => self.take_end(steps),
+            MessagePart::Head(head) => self.on_head(&head, steps),
+            MessagePart::Body(bytes) => self.on_body(bytes, steps),
+            MessagePart::End => self.on_end(steps),
         }
     }
 
-    fn take_head(&mut self, head: &Head, steps: &mut Vec<ResponseStep>) {
+    fn on_head(&mut self, head: &Head, steps: &mut Vec<ResponseStep>) {
         self.head_report = head
             .headers
             .get(LOAD_REPORT_HEADER)
@@ -87,7 +88,7 @@
         self.is_event_stream = self.content_type.starts_with(EVENT_STREAM_TYPE);
     }
 
-    fn take_body(&mut self, bytes: Bytes, steps: &mut Vec<ResponseStep>) {
+    fn on_body(&mut self, bytes: Bytes, steps: &mut Vec<ResponseStep>) {
         self.scanner.feed(&bytes, &self.settings);
         if self.is_event_stream && self.scanner.unfinished_event_bytes() > MAX_EVENT_BYTES {
             self.on_connection_lost(steps);
@@ -103,8 +104,8 @@
         }
     }
 
-    fn take_end(&mut self, steps: &mut Vec<ResponseStep>) {
-        // Bytes without an event and with a proper end are no response: none of them may reach the client as one.
+    fn on_end(&mut self, steps: &mut Vec<ResponseStep>) {
+        // An event stream that ends without a complete event is not a response and must not be forwarded as one.
         if self.is_event_stream && self.scanner.event_count() == 0 {
             self.on_connection_lost(steps);
             return;
@@ -119,7 +120,7 @@
         ));
     }
 
-    /// The connection was lost, or ended before the response did.
+    /// Ends the attempt with a reset: the connection was lost or ended before the response was complete.
     pub fn on_connection_lost(&mut self, steps: &mut Vec<ResponseStep>) {
         if self.has_ended {
             return;
@@ -131,7 +132,8 @@
         ));
     }
 
-    /// The load report in the stream, or else the one in the head; the number of cached tokens comes with either.
+    /// The load report in the stream, or the one in the head if the stream has none. Both get the number of cached tokens
+    /// from the stream.
     fn last_report(&self) -> Option<LoadReport> {
         let stream_report = self.scanner.load_report();
         match self.head_report {
@@ -143,12 +145,12 @@
         }
     }
 
-    /// Whether the first event has been forwarded.
+    /// Whether forwarding has begun.
     pub fn has_started(&self) -> bool {
         self.has_started
     }
 
-    /// Begins to forward, with the bytes held so far.
+    /// Begins to forward, with the bytes held back so far.
     fn start(&mut self, steps: &mut Vec<ResponseStep>) {
         self.has_started = true;
         let content_type = std::mem::take(&mut self.content_type);
@@ -160,8 +162,8 @@
     }
 }
 
-/// The outcome that a head alone says; `None` where a stream follows. Only the replica's own word proves that the request
-/// never ran: a 503 without it may come from one that began.
+/// The outcome if the head alone determines it; `None` if a body to forward follows. A 503 or 504 without the header
+/// [`DECLINED_HEADER`] is an error, because the replica may have started to run the request.
 fn outcome_of_head(head: &Head) -> Option<AttemptOutcome> {
     let is_declined = head
         .headers
@@ -169,7 +171,7 @@
         .is_some_and(|value| value.trim() == "1");
     match head.start_line {
         StartLine::Status(200) => None,
-        // What a bad client sends must neither be tried at replica after replica nor make them seem unhealthy.
+        // An invalid request of a client must neither be retried at other replicas nor count against their health.
         StartLine::Status(400..=407 | 409..=428 | 430..=499) => {
             Some(AttemptOutcome::InvalidRequest)
         }
--- a/src/protocol/srv.rs
+++ b/src/protocol/srv.rs
@@ -1,33 +1,33 @@
-//! DNS SRV records as listed endpoints. Zone, host type and cell of an endpoint follow from its target's name.
+//! Maps DNS SRV records to endpoints. The name of a record's target determines the zone, host type and cell.
 //!
-//! `program::config::operator` builds a [`SrvEndpointMapping`] out of the settings, and `transport::endpoints::srv` maps
-//! each answer of the resolver with it.
+//! `program::config::operator` builds a [`SrvEndpointMapping`] from the settings, and `transport::endpoints::srv` applies it
+//! to each answer of the resolver.
 
 use poppykeel_dns_resolver::Endpoint;
 use poppykeel_endpoints::{ListedEndpoint, ListedState};
 use regex_lite::{Captures, Regex};
 use std::collections::BTreeMap;
 
-/// How a target's name and its record are mapped to a listed endpoint.
+/// How a target's name and its record are mapped to an endpoint.
 #[derive(Clone, Debug)]
 pub struct SrvEndpointMapping {
     /// Matched against the target's name in lower case. Its groups `zone`, `kind` and `cell` capture the endpoint's
     /// zone, host type and cell.
     pub target_pattern: Option<Regex>,
-    /// From captured zones to the names of zones in the settings; others are taken as they are.
+    /// The zone names of the site settings, by captured zone. Other captured zones are used unchanged.
     pub zone_names: BTreeMap<String, String>,
-    /// From captured host types to the names of host types in the settings; others are taken as they are.
+    /// The host type names of the site settings, by captured host type. Other captured host types are used unchanged.
     pub host_type_names: BTreeMap<String, String>,
-    /// The zone of an endpoint whose target's name has none.
+    /// The zone of an endpoint if none is captured.
     pub default_zone: String,
-    /// The host type of an endpoint whose target's name has none.
+    /// The host type of an endpoint if none is captured.
     pub default_host_type: String,
-    /// Records of this priority mean that their endpoint is draining.
+    /// Records of this priority mark their endpoint as draining; `None` marks none.
     pub drain_priority: Option<u16>,
 }
 
 impl PartialEq for SrvEndpointMapping {
-    /// Two mappings are equal if they have the same settings; patterns are compared by their text.
+    /// Patterns are compared by their text, since `Regex` has no equality.
     fn eq(&self, other: &Self) -> bool {
         let pattern = self.target_pattern.as_ref().map(Regex::as_str);
         let other_pattern = other.target_pattern.as_ref().map(Regex::as_str);
@@ -41,7 +41,7 @@
 }
 
 impl SrvEndpointMapping {
-    /// The listed endpoint of one address that a look-up has found.
+    /// Maps one address of a look-up's result to an endpoint.
     pub fn to_listed_endpoint(&self, endpoint: &Endpoint) -> ListedEndpoint {
         let captures = self
             .target_pattern
@@ -78,7 +78,8 @@
     captures?.name(group).map(|capture| capture.as_str())
 }
 
-/// The name in the settings of what a group has captured, or the default if it has captured nothing.
+/// The configured name for the text that a group captured, that text if no name is configured, or the default if the group
+/// captured nothing.
 fn captured_name(
     captures: Option<&Captures<'_>>,
     group: &str,
