--- a/crates/endpoints/src/endpoint.rs
+++ b/crates/endpoints/src/endpoint.rs
@@ -59,7 +59,7 @@
     ) -> String {
         if self.is_standby {
             return format!(
-                "{source_name} lists it with a higher priority number than others that are in"
+                "{source_name} lists it; on standby, as usable endpoints have a lower priority number"
             );
         }
         if !is_listed {
@@ -75,19 +75,21 @@
             (_, VerdictDetail::DampedUntil(damped_until)) => {
                 let remaining = in_seconds(damped_until.saturating_sub(now));
                 format!(
-                    "its record in {source_name} comes and goes; kept out for {remaining} more"
+                    "its record in {source_name} is flapping; excluded for another {remaining}"
                 )
             }
             (SourceVerdict::Held, VerdictDetail::MissingFromAnswers(answer_count)) => format!(
-                "{source_name} lacks it since {age}, among many; {answer_count} answers said so and it is not \
-                 believed yet"
+                "{source_name} has not listed it for {age}; held because many endpoints disappeared at once \
+                 (consecutive answers without it: {answer_count})"
             ),
             (SourceVerdict::Listed, _) => format!("{source_name} lists it"),
-            (SourceVerdict::Draining, _) => format!("{source_name} drains it since {age}"),
-            (SourceVerdict::Stale, _) => {
-                format!("{source_name} listed it at last and cannot be asked since {age}")
+            (SourceVerdict::Draining, _) => {
+                format!("{source_name} has listed it as draining for {age}")
             }
-            (SourceVerdict::Removed, _) => format!("{source_name} took it away {age} ago"),
+            (SourceVerdict::Stale, _) => format!(
+                "{source_name} listed it in its last answer but has been unreachable for {age}"
+            ),
+            (SourceVerdict::Removed, _) => format!("{source_name} removed it {age} ago"),
             _ => "no source lists it".to_string(),
         }
     }
--- a/crates/endpoints/tests/damping.rs
+++ b/crates/endpoints/tests/damping.rs
@@ -24,7 +24,7 @@
         .all(|endpoint| endpoint.status == EndpointStatus::Held));
     assert!(registry
         .status_reason(&registry.endpoints()[0])
-        .contains("1 answers said so"));
+        .contains("consecutive answers without it: 1)"));
     // Lifetimes end in the middle of the hold, and look-ups fail: neither confirms anything.
     for n in 2..60 {
         registry.apply_update(n * SECOND, SRV, SourceUpdate::Failed);
--- a/crates/endpoints/tests/precedence.rs
+++ b/crates/endpoints/tests/precedence.rs
@@ -104,9 +104,7 @@
         .find(|endpoint| endpoint.listing.addr == endpoint_addr(2))
         .unwrap();
     assert!(
-        registry
-            .status_reason(&drained)
-            .contains("list took it away"),
+        registry.status_reason(&drained).contains("list removed it"),
         "{}",
         registry.status_reason(&drained)
     );
