--- a/tests/admin.rs
+++ b/tests/admin.rs
@@ -1,4 +1,5 @@
-//! The operators' address of a running node: its calls, the drain they order, the figures, a second process.
+//! The admin API of a running node: readiness, evacuation and rejoin, metrics, reloads, and a second process at the same
+//! address.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 #![expect(
@@ -16,37 +17,40 @@
 use std::time::{Duration, Instant};
 use support::{read_response, send_request, Node};
 
-/// Only a hang runs into this.
-const PATIENCE: Duration = Duration::from_secs(10);
+/// Exceeded only if the node hangs.
+const TEST_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Waits until something holds.
-fn until(what: &str, mut holds: impl FnMut() -> bool) {
+fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
     let start = Instant::now();
     while !holds() {
-        assert!(start.elapsed() < PATIENCE, "{what} never came");
+        assert!(
+            start.elapsed() < TEST_TIMEOUT,
+            "timed out waiting for {what}"
+        );
         std::thread::sleep(Duration::from_millis(10));
     }
 }
 
-fn address(node: &Node) -> SocketAddr {
-    let mut found = None;
-    until("the operators' address", || {
+fn admin_address(node: &Node) -> SocketAddr {
+    let mut address = None;
+    wait_until("the admin address", || {
         let log = node.log.lock().unwrap();
         let text = log
             .iter()
             .find_map(|l| l.split("operators call at ").nth(1).map(String::from));
-        found = text.and_then(|t| t.split('"').next().and_then(|a| a.parse().ok()));
-        found.is_some()
+        address = text.and_then(|t| t.split('"').next().and_then(|a| a.parse().ok()));
+        address.is_some()
     });
-    found.unwrap()
+    address.unwrap()
 }
 
-fn call(at: SocketAddr, line: &str) -> (u16, String) {
-    let mut stream = TcpStream::connect(at).unwrap();
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+/// Sends a request without a body and returns the status and the body of the response.
+fn call(addr: SocketAddr, request_line: &str) -> (u16, String) {
+    let mut stream = TcpStream::connect(addr).unwrap();
+    stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     write!(
         stream,
-        "{line} HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n"
+        "{request_line} HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n"
     )
     .unwrap();
     let mut text = String::new();
@@ -57,37 +61,40 @@
     )
 }
 
-fn health(node: &Node) -> u16 {
+fn health_status(node: &Node) -> u16 {
     call(node.addr, "GET /healthz").0
 }
 
-fn figure(at: SocketAddr, name: &str) -> Option<u64> {
-    let text = call(at, "GET /api/telemetry").1;
+fn metric(admin: SocketAddr, name: &str) -> Option<u64> {
+    let text = call(admin, "GET /api/telemetry").1;
     text.lines()
         .find_map(|l| l.strip_prefix(name)?.trim().parse().ok())
 }
 
 #[test]
-fn an_evacuated_node_says_no_lets_its_clients_go_and_comes_back() {
+fn evacuated_node_is_not_ready_closes_idle_connections_and_serves_again_after_rejoin() {
     let server = StubServers::start(vec![ReplyScript {
         token_count: 5,
         ..ReplyScript::default()
     }])
     .unwrap();
     let node = Node::builder("evacuate").replicas(server.addrs()).start();
-    let at = address(&node);
+    let admin = admin_address(&node);
     assert_eq!(
-        (call(at, "GET /api/ready").0, health_kept(&node).1),
+        (call(admin, "GET /api/ready").0, health_check(&node).1),
         (200, 200)
     );
-    let (mut idle, _) = health_kept(&node);
-    assert_eq!(call(at, "POST /api/evacuate").0, 200);
-    assert_eq!((call(at, "GET /api/ready").0, health(&node)), (503, 503));
-    // The connection that is kept without a request is closed by the node.
+    let (mut idle, _) = health_check(&node);
+    assert_eq!(call(admin, "POST /api/evacuate").0, 200);
+    assert_eq!(
+        (call(admin, "GET /api/ready").0, health_status(&node)),
+        (503, 503)
+    );
+    // The node closes the idle connection.
     assert_eq!(idle.read(&mut [0]).unwrap(), 0);
-    assert_eq!(call(at, "POST /api/rejoin").0, 200);
+    assert_eq!(call(admin, "POST /api/rejoin").0, 200);
     assert_eq!(
-        (call(at, "GET /api/ready").0, health_kept(&node).1),
+        (call(admin, "GET /api/ready").0, health_check(&node).1),
         (200, 200)
     );
     let (id, mut stream) = send_request(&node, "after the drain", 5);
@@ -97,10 +104,10 @@
     );
 }
 
-/// A health check on a connection that stays open.
-fn health_kept(node: &Node) -> (TcpStream, u16) {
+/// Checks the health on a new connection, and returns the open connection and the status.
+fn health_check(node: &Node) -> (TcpStream, u16) {
     let mut stream = TcpStream::connect(node.addr).unwrap();
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     stream
         .write_all(b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n")
         .unwrap();
@@ -115,16 +122,18 @@
 }
 
 #[test]
-fn the_figures_count_what_clients_got_and_bad_calls_are_told_so() {
+fn metrics_count_responses_and_invalid_calls_get_an_error_status() {
     let server = StubServers::start(vec![ReplyScript {
         token_count: 5,
         ..ReplyScript::default()
     }])
     .unwrap();
     let node = Node::builder("figures").replicas(server.addrs()).start();
-    let at = address(&node);
-    // Callers that say nothing, or half a call, hold nobody up.
-    let silent: Vec<_> = (0..40).map(|_| TcpStream::connect(at).unwrap()).collect();
+    let admin = admin_address(&node);
+    // Callers that send only part of a request do not delay others.
+    let silent: Vec<_> = (0..40)
+        .map(|_| TcpStream::connect(admin).unwrap())
+        .collect();
     silent
         .iter()
         .for_each(|mut s| s.write_all(b"GET /api/re").unwrap());
@@ -136,32 +145,34 @@
             "{n}"
         );
     }
-    until("three served", || {
-        figure(at, "app_replies{type=\"chat\",status=\"success\"}") == Some(3)
+    wait_until("three served requests", || {
+        metric(admin, "app_replies{type=\"chat\",status=\"success\"}") == Some(3)
     });
-    assert_eq!(figure(at, "app_dispatches"), Some(3));
-    assert_eq!(figure(at, "app_concurrent"), Some(0));
+    assert_eq!(metric(admin, "app_dispatches"), Some(3));
+    assert_eq!(metric(admin, "app_concurrent"), Some(0));
     assert_eq!(
         (
-            figure(at, "app_targets"),
-            figure(at, "app_targets_disabled")
+            metric(admin, "app_targets"),
+            metric(admin, "app_targets_disabled")
         ),
         (Some(1), Some(0))
     );
-    assert_eq!(call(at, "GET /api/nothing").0, 404);
-    assert_eq!(call(at, "GET /api/evacuate").0, 405);
-    assert_eq!(figure(at, "app_reload_success"), Some(0));
+    assert_eq!(call(admin, "GET /api/nothing").0, 404);
+    assert_eq!(call(admin, "GET /api/evacuate").0, 405);
+    assert_eq!(metric(admin, "app_reload_success"), Some(0));
     assert!(Command::new("kill")
         .args(["-HUP", &node.child.id().to_string()])
         .status()
         .unwrap()
         .success());
-    until("the reload", || figure(at, "app_reload_success") == Some(1));
+    wait_until("the reload", || {
+        metric(admin, "app_reload_success") == Some(1)
+    });
 }
 
-/// A new version starts beside the old one at the same address and goes on when that is told to end.
+/// An upgrade: the new process listens at the address of the old one and still serves after the old one is terminated.
 #[test]
-fn a_second_process_shares_the_address_and_takes_over() {
+fn second_process_shares_the_address_and_takes_over() {
     let server = StubServers::start(vec![ReplyScript {
         token_count: 5,
         ..ReplyScript::default()
@@ -175,7 +186,7 @@
         .listen(old.addr)
         .start();
     assert_eq!(
-        (new.addr, call(address(&new), "GET /api/ready").0),
+        (new.addr, call(admin_address(&new), "GET /api/ready").0),
         (old.addr, 200)
     );
     assert!(Command::new("kill")
@@ -191,10 +202,10 @@
     }
 }
 
-/// The answer's status to a request of this class.
+/// Status of the response to a request of this class.
 fn status_of(node: &Node, class: &str, id: u64) -> u16 {
     let mut stream = TcpStream::connect(node.addr).unwrap();
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     let body = r#"{"model":"chat","stream":true,"max_tokens":5,"messages":[{"role":"user","content":"x"}]}"#;
     write!(
         stream,
@@ -208,18 +219,18 @@
     text[9..12].parse().unwrap()
 }
 
-/// New settings in the file at SIGHUP: classes come and go, and a file that can't be meant is turned down whole.
+/// SIGHUP reloads the configuration file: classes are added and removed, and an invalid file is rejected as a whole.
 #[test]
-fn settings_read_again_change_classes_and_bad_files_change_nothing() {
+fn reload_changes_classes_and_rejects_invalid_files() {
     let server = StubServers::start(vec![ReplyScript {
         token_count: 5,
         ..ReplyScript::default()
     }])
     .unwrap();
     let node = Node::builder("settings").replicas(server.addrs()).start();
-    let at = address(&node);
-    let first = std::fs::read_to_string(&node.files[0]).unwrap();
-    let class = first
+    let admin = admin_address(&node);
+    let original = std::fs::read_to_string(&node.files[0]).unwrap();
+    let class = original
         .lines()
         .find(|l| l.starts_with("\"classes\""))
         .unwrap()
@@ -230,7 +241,7 @@
         .1
         .trim_end_matches("],")
         .to_string();
-    let put = |text: &str| {
+    let reload_with = |text: &str| {
         std::fs::write(&node.files[0], text).unwrap();
         assert!(Command::new("kill")
             .args(["-HUP", &node.child.id().to_string()])
@@ -242,56 +253,56 @@
         (status_of(&node, "chat", 1), status_of(&node, "extra", 2)),
         (200, 400)
     );
-    // A class comes, stricter than the one there was.
+    // A second class with stricter semantics is added.
     let extra = entry
         .replace("\"chat\"", "\"extra\"")
         .replace("\"safe\"", "\"unsafe\"");
-    let both = first.replace(&entry, &format!("{entry},{extra}"));
-    put(&both);
-    until("the first reload", || {
-        figure(at, "app_reload_success") == Some(1)
+    let two_classes = original.replace(&entry, &format!("{entry},{extra}"));
+    reload_with(&two_classes);
+    wait_until("the first reload", || {
+        metric(admin, "app_reload_success") == Some(1)
     });
     assert_eq!(
         (status_of(&node, "chat", 3), status_of(&node, "extra", 4)),
         (200, 200)
     );
-    // What can't be meant is turned down whole, and what was in force stays so.
-    let bad = [
+    // An invalid file is rejected as a whole, and the previous settings stay in force.
+    let invalid = [
         String::new(),
-        both[..both.len() / 2].to_string(),
-        both.replace("\"classes\"", "\"sorts\""),
-        both.replace("\"semantics\":\"safe\",", ""),
-        both.replace("\"goalTime\":15.0", "\"goalTime\":0"),
-        both.replace("\"giveUp\":30.0", "\"giveUp\":\"soon\""),
-        both.replace("\"mostTries\":3", "\"mostTries\":-1"),
-        both.replace("\"mostTries\":3,", ""),
-        both.replace("\"hostTypes\":[\"k\"]", "\"hostTypes\":[\"other\"]"),
+        two_classes[..two_classes.len() / 2].to_string(),
+        two_classes.replace("\"classes\"", "\"sorts\""),
+        two_classes.replace("\"semantics\":\"safe\",", ""),
+        two_classes.replace("\"goalTime\":15.0", "\"goalTime\":0"),
+        two_classes.replace("\"giveUp\":30.0", "\"giveUp\":\"soon\""),
+        two_classes.replace("\"mostTries\":3", "\"mostTries\":-1"),
+        two_classes.replace("\"mostTries\":3,", ""),
+        two_classes.replace("\"hostTypes\":[\"k\"]", "\"hostTypes\":[\"other\"]"),
     ];
-    for (n, text) in bad.iter().enumerate() {
-        assert_ne!(*text, both, "{n}");
-        put(text);
-        until("the file turned down", || {
-            figure(at, "app_reload_failure") == Some(n as u64 + 1)
+    for (n, text) in invalid.iter().enumerate() {
+        assert_ne!(*text, two_classes, "{n}");
+        reload_with(text);
+        wait_until("the rejection of the file", || {
+            metric(admin, "app_reload_failure") == Some(n as u64 + 1)
         });
     }
     assert_eq!(
         (status_of(&node, "chat", 5), status_of(&node, "extra", 6)),
         (200, 200)
     );
-    // The first class goes; what has been counted stays counted.
-    put(&first.replace(&entry, &extra));
-    until("the second reload", || {
-        figure(at, "app_reload_success") == Some(2)
+    // The first class is removed; its counters keep their values.
+    reload_with(&original.replace(&entry, &extra));
+    wait_until("the second reload", || {
+        metric(admin, "app_reload_success") == Some(2)
     });
     assert_eq!(
         (status_of(&node, "chat", 7), status_of(&node, "extra", 8)),
         (400, 200)
     );
-    until("three served", || {
-        figure(at, "app_replies{type=\"extra\",status=\"success\"}") == Some(3)
+    wait_until("three served requests", || {
+        metric(admin, "app_replies{type=\"extra\",status=\"success\"}") == Some(3)
     });
     assert_eq!(
-        figure(at, "app_replies{type=\"chat\",status=\"success\"}"),
+        metric(admin, "app_replies{type=\"chat\",status=\"success\"}"),
         Some(3)
     );
 }
--- a/tests/dispatcher.rs
+++ b/tests/dispatcher.rs
@@ -1,5 +1,5 @@
-//! The dispatcher around the router, fed with messages in an order that sockets bring about only now and then. Its replica is
-//! a real socket.
+//! The dispatcher with its router, driven by messages in an order that occurs only rarely with sockets. The replica is a real
+//! socket.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -27,24 +27,25 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::task::LocalSet;
 
-/// Only a hang runs into this.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Exceeded only if the dispatcher hangs.
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Messages that wait for the dispatcher.
-const CAPACITY: usize = 16;
+/// Capacity of the dispatcher's message queue.
+const QUEUE_CAPACITY: usize = 16;
 
-/// Starts a dispatcher with this replica on its endpoint list; messages to it go in here.
+/// Starts a dispatcher whose endpoint list has this replica, and returns the sender of its messages.
 fn start_dispatcher(replica: &TcpListener) -> mpsc::Sender<DispatcherMessage> {
     let config = include_str!("exchanges/config.json")
         .replace("REPLICA", &replica.local_addr().unwrap().to_string())
         .replace("DISCOVERY", "127.0.0.1:1");
     let config = NodeConfig::read(&config, Overrides::default()).unwrap();
-    let (sender, messages) = mpsc::channel(CAPACITY);
+    let (sender, messages) = mpsc::channel(QUEUE_CAPACITY);
     let clock = Clock::start();
     let bounds = Rc::new(config.bounds);
     let site = Rc::new(config.settings);
     let scheduler = Scheduler::new(site.scheduler.clone(), config.seed).unwrap();
-    let watch = EndpointWatcher::new(config.discovery, bounds.clone(), sender.clone(), clock);
+    let endpoint_watcher =
+        EndpointWatcher::new(config.discovery, bounds.clone(), sender.clone(), clock);
     let directory = EndpointDirectory::new(
         site.clone(),
         OperatorConfig::default().endpoint_source_settings(),
@@ -57,11 +58,18 @@
     let stream_monitor = Rc::new(StreamMonitor::new(clock, StreamSettings::default()));
     let replica_client =
         ReplicaClient::new(pool, sender.clone(), site, bounds, stream_monitor, clock);
-    let known = config
+    let known_endpoints = config
         .known_endpoints
         .map(EndpointListResponse::into_source_update);
     let router = RequestRouter::new(scheduler);
-    let dispatcher = Dispatcher::new(clock, router, directory, replica_client, watch, known);
+    let dispatcher = Dispatcher::new(
+        clock,
+        router,
+        directory,
+        replica_client,
+        endpoint_watcher,
+        known_endpoints,
+    );
     tokio::task::spawn_local(dispatcher.run(messages));
     sender
 }
@@ -73,7 +81,7 @@
         tenant: 0,
         session: None,
         shared_prefix: None,
-        time_left: PATIENCE.as_secs_f64(),
+        time_left: TEST_TIMEOUT.as_secs_f64(),
         expected_work: None,
         prompt_tokens: 1,
         shared_prefix_tokens: 0,
@@ -104,17 +112,17 @@
 async fn send(dispatcher: &mpsc::Sender<DispatcherMessage>, message: DispatcherMessage) {
     assert!(
         dispatcher.send(message).await.is_ok(),
-        "the dispatcher runs"
+        "the dispatcher has stopped"
     );
 }
 
-async fn next_request(replica: &TcpListener) -> TcpStream {
-    next_request_with_id(replica).await.0
+async fn accept_request(replica: &TcpListener) -> TcpStream {
+    accept_request_with_id(replica).await.0
 }
 
-/// The next request at this replica, with the id that its target ends in.
-async fn next_request_with_id(replica: &TcpListener) -> (TcpStream, RequestId) {
-    let (mut stream, _) = tokio::time::timeout(PATIENCE, replica.accept())
+/// Accepts the next request at this replica and returns the id at the end of its target.
+async fn accept_request_with_id(replica: &TcpListener) -> (TcpStream, RequestId) {
+    let (mut stream, _) = tokio::time::timeout(TEST_TIMEOUT, replica.accept())
         .await
         .unwrap()
         .unwrap();
@@ -130,16 +138,16 @@
     (stream, RequestId(id.parse().unwrap()))
 }
 
-/// Guards against a client that ends another one's request: it sends an id that is in use, and disconnects before it has
-/// heard that it is. So the dispatcher finds the disconnect right behind the request.
+/// Guards against a client that ends the request of another client: it sends an id that is in use and disconnects before it
+/// receives the rejection, so the dispatcher receives the disconnect right after the request.
 #[tokio::test]
-async fn a_disconnect_ends_the_request_of_its_own_client_and_no_other() {
+async fn disconnect_ends_only_the_request_of_its_own_client() {
     let replica = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let test = async {
         let dispatcher = start_dispatcher(&replica);
         let (first, first_response) = request(7, 1);
         send(&dispatcher, first).await;
-        let mut stream = next_request(&replica).await;
+        let mut stream = accept_request(&replica).await;
         let (second, second_response) = request(7, 2);
         send(&dispatcher, second).await;
         send(&dispatcher, disconnect(7, 2)).await;
@@ -153,7 +161,7 @@
             )
             .await
             .unwrap();
-        let response = tokio::time::timeout(PATIENCE, first_response)
+        let response = tokio::time::timeout(TEST_TIMEOUT, first_response)
             .await
             .unwrap();
         assert!(
@@ -161,12 +169,12 @@
             "the first client's request was ended"
         );
 
-        // The first one's own disconnect does end it.
+        // A disconnect of the client that owns the request ends it.
         let (first, first_response) = request(8, 3);
         send(&dispatcher, first).await;
-        let _stream = next_request(&replica).await;
+        let _stream = accept_request(&replica).await;
         send(&dispatcher, disconnect(8, 3)).await;
-        assert!(tokio::time::timeout(PATIENCE, first_response)
+        assert!(tokio::time::timeout(TEST_TIMEOUT, first_response)
             .await
             .unwrap()
             .is_err());
@@ -174,33 +182,33 @@
     LocalSet::new().run_until(test).await;
 }
 
-/// Guards against attempts that start for a client that has disconnected while the word of it waits behind other messages:
-/// the first attempt of a request, and the retry of one that was reset.
+/// Guards against attempts for a client that has disconnected while the disconnect message is still queued: the first attempt
+/// of a request, and the retry after a connection reset.
 #[tokio::test]
-async fn no_attempt_starts_for_a_client_whose_disconnect_is_still_on_its_way() {
+async fn no_attempt_starts_for_a_client_whose_disconnect_is_still_queued() {
     let replica = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let test = async {
         let dispatcher = start_dispatcher(&replica);
-        let (unsent, unsent_response) = request(7, 1);
-        drop(unsent_response);
-        send(&dispatcher, unsent).await;
+        let (abandoned, abandoned_response) = request(7, 1);
+        drop(abandoned_response);
+        send(&dispatcher, abandoned).await;
 
         let (reset, reset_response) = request(8, 2);
         send(&dispatcher, reset).await;
-        // Had the first one been sent on, its connection would come before this one.
-        let stream = next_request(&replica).await;
+        // If the first request had been dispatched, its connection would come before this one.
+        let stream = accept_request(&replica).await;
         drop(reset_response);
         stream.set_zero_linger().unwrap();
         drop(stream);
 
         let (last, _last_response) = request(9, 3);
         let (done, logged) = oneshot::channel();
-        // The reset is seen and answered before the last request is sent.
+        // The dispatcher handles the reset before the last request is sent.
         tokio::time::sleep(Duration::from_millis(300)).await;
         send(&dispatcher, DispatcherMessage::LogSummary(done)).await;
         logged.await.unwrap();
         send(&dispatcher, last).await;
-        let (_stream, id) = next_request_with_id(&replica).await;
+        let (_stream, id) = accept_request_with_id(&replica).await;
         assert_eq!(
             id,
             RequestId(9),
--- a/tests/docs.rs
+++ b/tests/docs.rs
@@ -1,4 +1,4 @@
-//! The documentation names files and items that exist, and terms that the code uses.
+//! Checks that the files, items and terms that the documentation names exist in the repository.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -10,7 +10,7 @@
 const TOP_FOLDERS: [&str; 7] = [
     "benches", "crates", "deploy", "docs", "journal", "src", "tests",
 ];
-/// Words before the name of an item where it is defined.
+/// Keywords that precede the name of an item in its definition.
 const DEFINITIONS: [&str; 8] = [
     "fn ", "struct ", "enum ", "trait ", "const ", "type ", "mod ", "static ",
 ];
@@ -32,8 +32,8 @@
     pages
 }
 
-/// The parts of a page between backticks, each with the text that follows it up to the next one. Indented blocks and
-/// fences are left out.
+/// The code spans of a page, each with the text between it and the next span. Indented blocks and fence lines are left
+/// out.
 fn code_spans(page: &str) -> Vec<(String, String)> {
     let prose: Vec<&str> = page
         .lines()
@@ -52,7 +52,7 @@
         .collect()
 }
 
-/// Whether a part of a page is a path from the root that can be looked up.
+/// Whether a code span is a literal path from the root.
 fn is_path(code: &str) -> bool {
     let is_in_top_folder = TOP_FOLDERS.iter().any(|folder| {
         code.strip_prefix(folder)
@@ -64,7 +64,7 @@
     is_in_top_folder && is_literal
 }
 
-/// The items that are named in parentheses after a file, as in "`FILE` (`item`, `item`)".
+/// The items in parentheses after a file, as in "`FILE` (`item`, `item`)".
 fn items_after(spans: &[(String, String)], file_index: usize) -> Vec<&str> {
     let mut items = Vec::new();
     let mut text = spans[file_index].1.as_str();
@@ -80,7 +80,7 @@
     items
 }
 
-fn defines(source: &str, item: &str) -> bool {
+fn source_defines(source: &str, item: &str) -> bool {
     let name = item.rsplit("::").next().unwrap();
     DEFINITIONS.iter().any(|definition| {
         let start = format!("{definition}{name}");
@@ -91,7 +91,7 @@
     })
 }
 
-/// All words of the sources, of the settings' example and of the documented keys.
+/// All words of the Rust sources under `src` and `crates`.
 fn words_of_sources() -> BTreeSet<String> {
     let mut words = BTreeSet::new();
     let mut folders = vec![root().join("src"), root().join("crates")];
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn pages_name_items_that_their_files_define() {
+fn pages_name_items_that_exist_in_their_files() {
     let mut missing = Vec::new();
     let mut checked_count = 0;
     for page in pages() {
@@ -138,7 +138,7 @@
             let source = fs::read_to_string(root().join(file)).unwrap_or_default();
             for item in items_after(&spans, index) {
                 checked_count += 1;
-                if !defines(&source, item) {
+                if !source_defines(&source, item) {
                     missing.push(format!("{}: {file} ({item})", page.display()));
                 }
             }
@@ -149,7 +149,7 @@
 }
 
 #[test]
-fn the_glossary_names_terms_of_the_code() {
+fn glossary_names_terms_of_the_code() {
     let glossary = fs::read_to_string(root().join("docs/glossary.md")).unwrap();
     let words = words_of_sources();
     let mut missing = Vec::new();
--- a/tests/exchanges.rs
+++ b/tests/exchanges.rs
@@ -1,7 +1,8 @@
-//! Recorded byte exchanges, played against the program on loopback sockets and compared. In a file, lines
-//! after a step are bytes, each with CRLF at its end unless it ends in `\`; `{*}` stands for any bytes. Where a file
-//! of the same name ends in `.toml`, it is the operators' file, with a stand-in name server at `DNS`. A file whose
-//! first line is `#= FROM => TO` plays against `config.json` with that text replaced.
+//! Replays recorded byte exchanges against a node on loopback sockets and compares the bytes.
+//!
+//! In a file, the lines after a step are bytes: each ends with CRLF unless it ends in `\`, and `{*}` matches any bytes. A
+//! `.toml` file of the same name is the operator file, in which `DNS` is the address of a stub name server. A first line
+//! `#= FROM => TO` replaces that text in `config.json`.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 #![expect(
@@ -20,27 +21,29 @@
 use std::sync::mpsc::Receiver;
 use std::time::{Duration, Instant};
 
-/// Only a hang runs into this.
-/// Longer than a process may be held up.
+/// Longer than the pause of 0.15 s that the platform allows a process.
 const SUSPENSION: Duration = Duration::from_millis(400);
-const PATIENCE: Duration = Duration::from_secs(10);
+/// Exceeded only if the node hangs.
+const TEST_TIMEOUT: Duration = Duration::from_secs(10);
 
 struct Node {
     child: Child,
     config: PathBuf,
     operator: Option<PathBuf>,
     dns: StubDnsServer,
-    lines: Receiver<String>,
+    log_lines: Receiver<String>,
     addr: String,
     listeners: HashMap<&'static str, TcpListener>,
-    open: HashMap<String, TcpStream>,
-    read: HashMap<String, Vec<u8>>,
-    /// The configuration as this file has it, with the listeners' addresses still to be put in.
-    text: String,
+    /// Open connections by party.
+    connections: HashMap<String, TcpStream>,
+    /// Bytes by party that were received but not yet matched.
+    received: HashMap<String, Vec<u8>>,
+    /// The configuration with placeholders for the listeners' addresses.
+    config_template: String,
 }
 
-/// The configuration of a file: `config.json`, with what its first line replaces.
-fn configuration(exchange: &str) -> String {
+/// The configuration of an exchange: `config.json` with the replacement in the exchange's first line.
+fn config_template(exchange: &str) -> String {
     let text = include_str!("exchanges/config.json").to_string();
     let first = exchange.lines().next().and_then(|l| l.strip_prefix("#= "));
     match first.and_then(|l| l.split_once(" => ")) {
@@ -52,7 +55,8 @@
     }
 }
 
-/// Confirms the endpoint list of the start: answers the first poll without a change, and no other.
+/// Confirms the endpoint list of the configuration: answers the first poll without a change, and leaves later polls
+/// unanswered.
 fn confirm_list(discovery: TcpListener) {
     std::thread::spawn(move || {
         let mut held = Vec::new();
@@ -68,9 +72,9 @@
 }
 
 impl Node {
-    /// Starts a node for an exchange. One without a step of `@discovery` is about something else than the list.
+    /// Starts a node for an exchange. If the exchange has no `@discovery` step, discovery confirms the endpoint list.
     fn start(name: &str, exchange: &str, operator: Option<&str>) -> Node {
-        let text = configuration(exchange);
+        let config_template = config_template(exchange);
         let listeners = ["replica", "discovery", "moved", "spare"]
             .map(|n| (n, TcpListener::bind("127.0.0.1:0").unwrap()));
         if !exchange.contains("@discovery") {
@@ -78,7 +82,7 @@
         }
         let dns = StubDnsServer::start("127.0.0.1:0".parse().unwrap(), Script::default()).unwrap();
         let addr = |n: usize| listeners[n].1.local_addr().unwrap().to_string();
-        let config = text.replace("REPLICA", &addr(0));
+        let config = config_template.replace("REPLICA", &addr(0));
         let path =
             std::env::temp_dir().join(format!("exchange-{name}-{}.json", std::process::id()));
         std::fs::write(&path, config.replace("DISCOVERY", &addr(1))).unwrap();
@@ -104,12 +108,12 @@
             .map_while(Result::ok);
         let line = log
             .find(|l| l.contains("serving on"))
-            .expect("the node serves");
-        let (tell, lines) = std::sync::mpsc::channel();
+            .expect("the node did not start to serve");
+        let (log_sender, log_lines) = std::sync::mpsc::channel();
         std::thread::spawn(move || {
             log.for_each(|line| {
                 println!("{line}");
-                let _ = tell.send(line);
+                let _ = log_sender.send(line);
             })
         });
         let addr = line
@@ -118,44 +122,48 @@
             .and_then(|l| l.split(' ').next())
             .unwrap()
             .to_string();
-        let (open, read) = Default::default();
+        let (connections, received) = Default::default();
         Node {
             child,
             config: path,
             operator,
             dns,
-            lines,
+            log_lines,
             addr,
             listeners: HashMap::from(listeners),
-            open,
-            read,
-            text,
+            connections,
+            received,
+            config_template,
         }
     }
 
-    fn party(&mut self, name: &str) -> TcpStream {
+    /// The connection of a party, which is opened or accepted on first use.
+    fn connection(&mut self, name: &str) -> TcpStream {
         let connect = || match self.listeners.get(name.trim_end_matches(char::is_numeric)) {
             Some(listener) => accept(listener),
             None => TcpStream::connect(&self.addr).unwrap(),
         };
-        let stream = self.open.entry(name.to_string()).or_insert_with(connect);
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        let stream = self
+            .connections
+            .entry(name.to_string())
+            .or_insert_with(connect);
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
         stream.try_clone().unwrap()
     }
 
-    /// Reads until what has come matches; at the end of the connection it matches or never will.
-    fn get(&mut self, party: &str, pattern: &str) {
-        let mut stream = self.party(party);
-        let mut have = self.read.remove(party).unwrap_or_default();
+    /// Reads until the received bytes match; panics if the connection ends before.
+    fn expect_bytes(&mut self, party: &str, pattern: &str) {
+        let mut stream = self.connection(party);
+        let mut received = self.received.remove(party).unwrap_or_default();
         loop {
-            let text = String::from_utf8_lossy(&have).into_owned();
+            let text = String::from_utf8_lossy(&received).into_owned();
             if matches(pattern, &text) {
                 return;
             }
-            let mut piece = [0; 65536];
-            match stream.read(&mut piece) {
-                Ok(n @ 1..) => have.extend_from_slice(&piece[..n]),
-                end => panic!("{party}: {end:?} after\n{text}\nwhere was expected\n{pattern}"),
+            let mut buffer = [0; 65536];
+            match stream.read(&mut buffer) {
+                Ok(n @ 1..) => received.extend_from_slice(&buffer[..n]),
+                end => panic!("{party}: {end:?}, received\n{text}\nexpected\n{pattern}"),
             }
         }
     }
@@ -169,27 +177,27 @@
             .success());
     }
 
-    fn play(&mut self, step: &str, bytes: &str) {
-        let (party, what) = step.split_once(' ').unwrap_or((step, ""));
-        match what {
-            "sends" => self.party(party).write_all(bytes.as_bytes()).unwrap(),
-            "gets" => self.get(party, bytes),
+    fn run_step(&mut self, step: &str, bytes: &str) {
+        let (party, action) = step.split_once(' ').unwrap_or((step, ""));
+        match action {
+            "sends" => self.connection(party).write_all(bytes.as_bytes()).unwrap(),
+            "gets" => self.expect_bytes(party, bytes),
             "closes" => self
-                .open
+                .connections
                 .remove(party)
                 .unwrap()
                 .shutdown(Shutdown::Both)
                 .unwrap(),
             "sees the end" => {
                 let mut rest = Vec::new();
-                let end = self.party(party).read_to_end(&mut rest);
+                let end = self.connection(party).read_to_end(&mut rest);
                 let timed_out = end.is_err_and(|e| e.kind() == std::io::ErrorKind::WouldBlock);
                 assert!(
                     !timed_out && rest.is_empty(),
                     "{party}: {}",
                     String::from_utf8_lossy(&rest)
                 );
-                self.open.remove(party);
+                self.connections.remove(party);
             }
             "is told to stop" => self.signal("-TERM"),
             "is suspended" => {
@@ -203,7 +211,7 @@
             }
             "is moved" => {
                 let addr = |name| self.listeners[name].local_addr().unwrap().to_string();
-                let text = self.text.replace("REPLICA", &addr("replica"));
+                let text = self.config_template.replace("REPLICA", &addr("replica"));
                 std::fs::write(&self.config, text.replace("DISCOVERY", &addr("moved"))).unwrap();
                 self.signal("-HUP");
             }
@@ -214,16 +222,16 @@
             "is silent" => self
                 .dns
                 .set_script(Script::default().with_fault(FaultyReply::NoReply)),
-            _ if what.starts_with("logs ") => {
-                let has = |line: &String| {
-                    what["logs ".len()..]
+            _ if action.starts_with("logs ") => {
+                let matches_log = |line: &String| {
+                    action["logs ".len()..]
                         .split("{*}")
                         .all(|part| line.contains(part))
                 };
-                while !has(&self.lines.recv_timeout(PATIENCE).expect(what)) {}
+                while !matches_log(&self.log_lines.recv_timeout(TEST_TIMEOUT).expect(action)) {}
             }
-            _ if what.starts_with("lists ") => {
-                let named = what["lists ".len()..]
+            _ if action.starts_with("lists ") => {
+                let named = action["lists ".len()..]
                     .split(' ')
                     .filter_map(|n| self.listeners.get(n));
                 let addrs: Vec<_> = named.map(|l| l.local_addr().unwrap()).collect();
@@ -233,10 +241,10 @@
             "is not called" => {
                 let listener = &self.listeners[party];
                 listener.set_nonblocking(true).unwrap();
-                assert!(listener.accept().is_err(), "{party} is called");
+                assert!(listener.accept().is_err(), "the node connected to {party}");
             }
             "exits with 0" => assert!(self.child.wait().unwrap().success()),
-            _ => panic!("no step '{step}'"),
+            _ => panic!("unknown step '{step}'"),
         }
     }
 }
@@ -252,18 +260,18 @@
     }
 }
 
-/// Waits no longer for a connection than for bytes.
+/// Accepts a connection within the time limit of a read.
 fn accept(listener: &TcpListener) -> TcpStream {
     listener.set_nonblocking(true).unwrap();
     let start = Instant::now();
-    while start.elapsed() < PATIENCE {
+    while start.elapsed() < TEST_TIMEOUT {
         if let Ok((stream, _)) = listener.accept() {
             stream.set_nonblocking(false).unwrap();
             return stream;
         }
         std::thread::sleep(Duration::from_millis(1));
     }
-    panic!("the node does not connect");
+    panic!("the node did not connect");
 }
 
 fn matches(pattern: &str, text: &str) -> bool {
@@ -281,8 +289,8 @@
     rest.is_empty() || last == Some("")
 }
 
-/// Plays one file. A line `@party does` begins a step; `#` begins a comment.
-fn play(name: &str, text: &str, operator: Option<&str>) {
+/// Runs one exchange file. A line `@PARTY ACTION` starts a step; a line that starts with `#` is a comment.
+fn run_exchange(name: &str, text: &str, operator: Option<&str>) {
     let mut node = Node::start(name, text, operator);
     for step in text
         .strip_suffix('\n')
@@ -298,7 +306,7 @@
                 .map_or(format!("{l}\r\n"), String::from)
         });
         let replica = node.listeners["replica"].local_addr().unwrap().to_string();
-        node.play(
+        node.run_step(
             step.trim(),
             &bytes.collect::<String>().replace("REPLICA", &replica),
         );
@@ -309,17 +317,17 @@
     ($($name:ident)*) => {$(
         #[test]
         fn $name() {
-            play(stringify!($name), include_str!(concat!("exchanges/", stringify!($name), ".txt")), None);
+            run_exchange(stringify!($name), include_str!(concat!("exchanges/", stringify!($name), ".txt")), None);
         }
     )*};
 }
 
-macro_rules! exchanges_with_operators {
+macro_rules! exchanges_with_operator_file {
     ($($name:ident)*) => {$(
         #[test]
         fn $name() {
             let operator = include_str!(concat!("exchanges/", stringify!($name), ".toml"));
-            play(stringify!($name), include_str!(concat!("exchanges/", stringify!($name), ".txt")), Some(operator));
+            run_exchange(stringify!($name), include_str!(concat!("exchanges/", stringify!($name), ".txt")), Some(operator));
         }
     )*};
 }
@@ -328,4 +336,4 @@
     served broken declined rejected gone chunked_request duplicate drained stopped pipelined reloaded spoilt at_fault
     pushed silent_agent gone_ahead garbage_behind begun_at_the_end
 }
-exchanges_with_operators! { srv srv_alone srv_moves srv_suspended }
+exchanges_with_operator_file! { srv srv_alone srv_moves srv_suspended }
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -1,4 +1,5 @@
-//! What one process of a node leaves to the next: when a record is used, and two processes side by side.
+//! Handover of learned state from one process of a node to the next: which records are accepted, and two processes at the same
+//! time.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -36,7 +37,7 @@
     }
 }
 
-fn learned() -> LearnedState {
+fn learned_state() -> LearnedState {
     let session = SessionRecord {
         session: 7,
         replica: "10.0.0.1:80".parse().unwrap(),
@@ -51,20 +52,20 @@
     }
 }
 
-/// Values that no traffic can have taught.
-fn implausible() -> [LearnedState; 4] {
+/// Learned state with values that cannot result from traffic.
+fn implausible_states() -> [LearnedState; 4] {
     [
         LearnedState {
             mean_time_to_first_token: f64::NAN,
-            ..learned()
+            ..learned_state()
         },
         LearnedState {
             concurrency_per_replica: -1.0,
-            ..learned()
+            ..learned_state()
         },
         LearnedState {
             prefill_times: vec![prefill_time(1.0, 1e6)],
-            ..learned()
+            ..learned_state()
         },
         LearnedState {
             cache_hit_rates: CacheHitRates {
@@ -72,17 +73,17 @@
                 affinity_replica: 2.0,
                 previous_turn: 2.0,
             },
-            ..learned()
+            ..learned_state()
         },
     ]
 }
 
 #[test]
-fn uses_a_record_only_while_it_is_fresh_and_of_another_process_of_the_same_site() {
+fn accepts_only_fresh_records_of_another_process_of_the_same_site() {
     let names = names();
-    let bytes = encode(WRITER, NOW_MS, &names, learned());
+    let bytes = encode(WRITER, NOW_MS, &names, learned_state());
     let read_at = |unix_ms| decode(&bytes, READER, unix_ms, &names);
-    assert_eq!(read_at(NOW_MS + 9_000), Ok(learned()));
+    assert_eq!(read_at(NOW_MS + 9_000), Ok(learned_state()));
     assert_eq!(
         decode(&bytes, WRITER, NOW_MS, &names),
         Err(LearnedStateError::WrittenByThisProcess)
@@ -103,10 +104,10 @@
         decode(&bytes, READER, NOW_MS, &other_site),
         Err(LearnedStateError::DifferentSite)
     );
-    for learned in implausible() {
+    for learned_state in implausible_states() {
         assert_eq!(
             decode(
-                &encode(WRITER, NOW_MS, &names, learned),
+                &encode(WRITER, NOW_MS, &names, learned_state),
                 READER,
                 NOW_MS,
                 &names
@@ -132,12 +133,12 @@
 
 proptest! {
     #[test]
-    fn refuses_arbitrary_bytes_as_a_record(bytes in proptest::collection::vec(any::<u8>(), 0..400)) {
+    fn rejects_arbitrary_bytes_as_a_record(bytes in proptest::collection::vec(any::<u8>(), 0..400)) {
         prop_assert!(decode(&bytes, READER, 0, &names()).is_err());
     }
 }
 
-/// Waits until a node has imported so many records, and returns its log.
+/// Waits until a node has imported `count` records, and returns its log.
 fn log_after_imports(node: &Node, count: usize) -> String {
     let started_at = Instant::now();
     loop {
@@ -159,9 +160,9 @@
     assert_eq!(served.outcome, ClientOutcome::Completed);
 }
 
-/// The new process asks, the old one leaves what it has learned, and once more when it is told to end.
+/// The old process writes its learned state when the new process requests it, and again when it is terminated.
 #[test]
-fn a_second_process_learns_from_the_first_one() {
+fn second_process_imports_the_learned_state_of_the_first() {
     let server = StubServers::start(vec![ReplyScript {
         token_count: 5,
         ..ReplyScript::default()
--- a/tests/operator.rs
+++ b/tests/operator.rs
@@ -1,4 +1,4 @@
-//! The operators' file and the commands that read it, as a person runs them.
+//! The operator file, and the commands `check` and `resolve` that read it.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 #![expect(clippy::min_ident_chars, reason = "not yet converted")]
@@ -23,23 +23,23 @@
     command.stdin(Stdio::null()).output().unwrap()
 }
 
-fn file(name: &str, text: &str) -> PathBuf {
+fn write_operator_file(name: &str, text: &str) -> PathBuf {
     let path = std::env::temp_dir().join(format!("operator-{name}-{}.toml", std::process::id()));
     std::fs::write(&path, text).unwrap();
     path
 }
 
-fn standin(script: Script) -> StubDnsServer {
+fn start_dns_server(script: Script) -> StubDnsServer {
     StubDnsServer::start(SocketAddr::from(([127, 0, 0, 1], 0)), script).unwrap()
 }
 
-fn servers(count: u16) -> Vec<SocketAddr> {
+fn server_addrs(count: u16) -> Vec<SocketAddr> {
     (0..count)
         .map(|n| SocketAddr::from(([127, 0, 0, 1], 8000 + n)))
         .collect()
 }
 
-fn settings(dns: &StubDnsServer, sources: &str) -> String {
+fn operator_text(dns: &StubDnsServer, sources: &str) -> String {
     format!(
         "[membership]\nsources = {sources}\n[membership.srv]\nname = \"{SERVICE}\"\nservers = [\"{}\"]\n\
          timeout = \"2s\"\nrounds = 1\n",
@@ -48,15 +48,15 @@
 }
 
 #[test]
-fn the_example_has_every_key_with_its_default() {
+fn example_has_every_key_with_its_default() {
     let text = include_str!("../deploy/operator.toml");
     let example = OperatorConfig::read(text).unwrap();
-    let least =
+    let required_keys_only =
         "[membership]\nsources = [\"list\", \"srv\"]\n[membership.srv]\nname = \"_llm._tcp.example.test\"\n\
                  servers = [\"127.0.0.1:5353\"]\n\
                  target = '^(?<kind>[a-z]+)-[0-9]+\\.(?<zone>[a-z]+)\\.'\nzones = { surco = \"lima-surco\" }";
-    assert_eq!(example, OperatorConfig::read(least).unwrap());
-    // Those without a default are there as comments that can be read.
+    assert_eq!(example, OperatorConfig::read(required_keys_only).unwrap());
+    // Keys without a default are commented out in the example, and are valid once uncommented.
     let all = text
         .replace("# discovery = \"", "discovery = \"")
         .replace("# drain_priority", "drain_priority");
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn a_faulty_key_is_named_with_its_path_and_line() {
+fn invalid_key_is_reported_with_its_path_and_line() {
     let cases = [
         ("[membership]\nsource = []", "line 2: membership.source: unknown field"),
         ("\n[membershop]", "line 2: membershop: unknown field"),
@@ -114,7 +114,7 @@
             "{text}\n{error}\n{expected}"
         );
     }
-    let path = file("faulty", "[membership]\nhold = \"soon\"");
+    let path = write_operator_file("faulty", "[membership]\nhold = \"soon\"");
     for command in ["check", "resolve"] {
         let out = run(&[command], &path);
         let text = String::from_utf8(out.stderr).unwrap();
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn check_says_what_the_file_comes_to() {
+fn check_prints_the_effective_settings() {
     let out = run(&["check"], &PathBuf::from("deploy/operator.toml"));
     let text = String::from_utf8(out.stdout).unwrap();
     assert!(
@@ -136,9 +136,9 @@
 }
 
 #[test]
-fn resolve_shows_the_list_with_reasons_and_says_by_its_exit_whether_there_is_one() {
-    let dns = standin(Script::service(SERVICE, 30, &servers(3)));
-    let path = file("resolve", &settings(&dns, "[\"list\", \"srv\"]"));
+fn resolve_prints_the_list_with_reasons_and_fails_without_usable_servers() {
+    let dns = start_dns_server(Script::service(SERVICE, 30, &server_addrs(3)));
+    let path = write_operator_file("resolve", &operator_text(&dns, "[\"list\", \"srv\"]"));
     let out = run(&["resolve", "--json"], &path);
     let value: Value = serde_json::from_slice(&out.stdout).unwrap();
     assert!(out.status.success(), "{value}");
@@ -152,7 +152,7 @@
         (&list[0]["sources"][0], &list[0]["reason"]),
         (&"srv".into(), &"srv lists it".into())
     );
-    // The list is a source, and nobody has said where it is.
+    // The list is a source, but no discovery address is configured.
     assert_eq!(value["sources"][0]["state"], "failed");
     assert_eq!(
         value["sources"][1]["records"][0]["target"],
@@ -164,42 +164,42 @@
         "{text}"
     );
 
-    for lie in [
+    for fault in [
         FaultyReply::Empty,
         FaultyReply::NxDomain,
         FaultyReply::ResponseCode(2),
         FaultyReply::NoReply,
     ] {
-        dns.set_script(Script::service(SERVICE, 30, &servers(3)).with_fault(lie.clone()));
+        dns.set_script(Script::service(SERVICE, 30, &server_addrs(3)).with_fault(fault.clone()));
         let out = run(&["resolve", "--json"], &path);
         let value: Value = serde_json::from_slice(&out.stdout).unwrap();
-        assert_eq!(out.status.code(), Some(1), "{lie:?}: {value}");
+        assert_eq!(out.status.code(), Some(1), "{fault:?}: {value}");
         assert_eq!(
             value["servers"].as_array().map(Vec::len),
             Some(0),
-            "{lie:?}"
+            "{fault:?}"
         );
     }
     let _ = std::fs::remove_file(path);
 }
 
 #[test]
-fn resolve_takes_truncated_answers_over_tcp_and_zones_from_names() {
+fn resolve_retries_truncated_answers_over_tcp_and_reads_zones_from_names() {
     let zone = include_str!("../crates/stub-dns-server/examples/zone.toml");
-    let dns = standin(
+    let dns = start_dns_server(
         Script::read(zone)
             .unwrap()
             .with_fault(FaultyReply::Truncate)
             .with_fault(FaultyReply::ByteByByte),
     );
     let example = include_str!("../crates/stub-dns-server/examples/operator.toml");
-    let path = file(
+    let path = write_operator_file(
         "zones",
         &example.replace("127.0.0.1:5353", &dns.addr().to_string()),
     );
     let out = run(&["resolve", "--json"], &path);
     let value: Value = serde_json::from_slice(&out.stdout).unwrap();
-    let places: Vec<String> = value["servers"]
+    let zones_and_kinds: Vec<String> = value["servers"]
         .as_array()
         .unwrap()
         .iter()
@@ -212,7 +212,7 @@
         })
         .collect();
     assert_eq!(
-        places,
+        zones_and_kinds,
         ["lima-surco chat", "lima-ate chat", "lima-ate media"]
     );
     let _ = std::fs::remove_file(path);
--- a/tests/protocol.rs
+++ b/tests/protocol.rs
@@ -1,4 +1,4 @@
-//! Bytes to messages, without a socket: pieces of any size, lists, configuration.
+//! Parsers without sockets: HTTP messages in pieces of any size, endpoint lists, configuration, responses and load reports.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 #![expect(clippy::min_ident_chars, reason = "not yet converted")]
@@ -25,7 +25,7 @@
         .replace("DISCOVERY", "127.0.0.1:2")
 }
 
-/// The body and the number of heads and ends of a connection fed in pieces of this size.
+/// Decodes the bytes of a connection in pieces of `size`. Returns the bodies and the numbers of heads and message ends.
 fn decode(bytes: &[u8], size: usize) -> (Vec<u8>, usize, usize) {
     let (mut http, mut buffer) = (HttpCodec::new(Role::Client), BytesMut::new());
     let (mut body, mut heads, mut ends) = (Vec::new(), 0, 0);
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn messages_come_out_alike_in_pieces_of_any_size() {
+fn decodes_the_same_messages_from_pieces_of_any_size() {
     let bytes = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\nA;x\r\n0123456789\r\n0\r\nT: t\r\n\r\n\
         HTTP/1.1 500 Oh\r\nContent-Length: 3\r\n\r\nxyzHTTP/1.1 204 No\r\n\r\n";
     for size in 1..=bytes.len() {
@@ -56,12 +56,12 @@
 }
 
 #[test]
-fn a_replica_keeps_its_identity_and_its_start_over_addresses_and_lists() {
-    // The module ranks by identity: one from the address would differ from node to node. A start mapped anew
-    // with each list seemed later each time, and the replica colder.
+fn replica_keeps_its_id_and_start_time_across_addresses_and_lists() {
+    // The scheduler ranks replicas by id, and an id derived from the address would differ between nodes. A start time that is
+    // converted again with each list would be later each time and make the replica look colder.
     let settings =
         serde_json::from_str::<serde_json::Value>(CONFIG).unwrap()["settings"].to_string();
-    let boot = SiteSettings::parse(&settings).unwrap();
+    let site = SiteSettings::parse(&settings).unwrap();
     let list = |addr: &str, state: &str| {
         let server = json!({"id":"s-1","addr":addr,"zone":"a","kind":"k","cell":0,"state":state,
             "weight":1.0,"started_ms":1_000_000});
@@ -70,7 +70,7 @@
             .into_source_update()
     };
     let mut directory = EndpointDirectory::new(
-        Rc::new(boot),
+        Rc::new(site),
         OperatorConfig::default().endpoint_source_settings(),
     );
     let (now, unix) = (50_000_000, 1_030_000_000);
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn a_faulty_configuration_names_its_key() {
+fn invalid_configuration_is_reported_with_its_key() {
     assert!(NodeConfig::read(&config(), Overrides::default()).is_ok());
     let cases = [
         (
@@ -144,7 +144,7 @@
     }
 }
 
-fn feed(bodies: &[&str], end: bool) -> Vec<ResponseStep> {
+fn read_response(bodies: &[&str], has_end: bool) -> Vec<ResponseStep> {
     let settings =
         serde_json::from_str::<serde_json::Value>(CONFIG).unwrap()["settings"].to_string();
     let mut answer = ResponseReader::new(Rc::new(SiteSettings::parse(&settings).unwrap()));
@@ -161,29 +161,36 @@
         .iter()
         .map(|b| MessagePart::Body(b.to_string().into()));
     bodies
-        .chain(end.then_some(MessagePart::End))
+        .chain(has_end.then_some(MessagePart::End))
         .for_each(|part| answer.feed(part, &mut steps));
     steps
 }
 
 #[test]
-fn a_stream_without_an_event_was_not_served() {
-    let spoilt = [ResponseStep::Ended(AttemptOutcome::ConnectionReset, None)];
-    assert_eq!(feed(&["what is this"], true), spoilt);
-    assert_eq!(feed(&[], true), spoilt);
-    assert_eq!(feed(&["x".repeat(100_000).as_str()], false), spoilt);
-    // Later the client has had its beginning; what never ends is cut off all the same.
-    let late = feed(&["data: 1\n\n", &"x".repeat(100_000)], false);
-    assert_eq!(late.last(), spoilt.last());
-    assert_eq!(late.len(), 3, "{late:?}");
+fn stream_without_an_event_is_not_counted_as_served() {
+    let connection_reset = [ResponseStep::Ended(AttemptOutcome::ConnectionReset, None)];
+    assert_eq!(read_response(&["what is this"], true), connection_reset);
+    assert_eq!(read_response(&[], true), connection_reset);
     assert_eq!(
-        feed(&["data: 1\n\n"], true).last(),
+        read_response(&["x".repeat(100_000).as_str()], false),
+        connection_reset
+    );
+    // An endless event is also rejected after the client has received the first event.
+    let failed_after_first_event = read_response(&["data: 1\n\n", &"x".repeat(100_000)], false);
+    assert_eq!(failed_after_first_event.last(), connection_reset.last());
+    assert_eq!(
+        failed_after_first_event.len(),
+        3,
+        "{failed_after_first_event:?}"
+    );
+    assert_eq!(
+        read_response(&["data: 1\n\n"], true).last(),
         Some(&ResponseStep::Ended(AttemptOutcome::Completed, None))
     );
 }
 
 #[test]
-fn what_never_ends_in_an_answer_is_refused_at_once() {
+fn excessive_interim_responses_and_chunk_sizes_are_rejected_at_once() {
     let interim = "HTTP/1.1 102 Processing\r\n\r\n".repeat(10);
     let good = format!("{interim}HTTP/1.1 204 No\r\n\r\n");
     assert_eq!(decode(good.repeat(3).as_bytes(), 7), (vec![], 3, 3));
@@ -204,15 +211,15 @@
     }
 }
 
-/// Guards against a report read by the wire's words only: servers may name a field by the protocol's word for it,
-/// and a site's fields need not be Lima's. Fields absent, unknown or unreadable are left out, never an error.
+/// Servers may use a field's wire name or its protocol name, and sites may configure different fields. Absent, unknown and
+/// unreadable fields are ignored and are not an error.
 #[test]
-fn load_reports_are_read_by_either_word_for_a_field() {
+fn load_report_fields_are_read_by_wire_name_or_protocol_name() {
     let mut settings =
         serde_json::from_str::<serde_json::Value>(CONFIG).unwrap()["settings"].clone();
     settings["report"]["fields"] = json!(["x0", "x1", "busy_reqs", "pending", "svc_ms"]);
-    let boot = SiteSettings::parse(&settings.to_string()).unwrap();
-    let read = |text: &str| poppykeel::protocol::report::parse_load_report(text, &boot).unwrap();
+    let site = SiteSettings::parse(&settings.to_string()).unwrap();
+    let read = |text: &str| poppykeel::protocol::report::parse_load_report(text, &site).unwrap();
     let report = read(r#"{"x0":0.5,"x1":2.0,"inflight":6,"queue":2,"extra":1}"#);
     let expected = (Some(0.5), Some(2000.0), Some(6.0), Some(2.0));
     assert_eq!(
@@ -236,11 +243,11 @@
         (None, None, None)
     );
     assert_eq!(
-        poppykeel::protocol::report::parse_load_report("[1,2]", &boot),
+        poppykeel::protocol::report::parse_load_report("[1,2]", &site),
         None
     );
     assert!(
         poppykeel::protocol::report::ignored_value_count() >= before + 3,
-        "two values and a report are counted"
+        "two values and a report must be counted"
     );
 }
--- a/tests/routing.rs
+++ b/tests/routing.rs
@@ -1,4 +1,4 @@
-//! The request router with given times: events in, commands out, no socket.
+//! The request router without sockets: events with given times, and the commands that they cause.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -24,7 +24,7 @@
     attempt: 0,
 };
 
-/// A router that knows one replica.
+/// A router whose endpoint list has one replica.
 fn router_with_one_replica() -> RequestRouter {
     let config: serde_json::Value =
         serde_json::from_str(include_str!("exchanges/config.json")).unwrap();
@@ -54,7 +54,7 @@
     commands
 }
 
-/// A request arrives after one millisecond.
+/// Handles the arrival of a request 1 ms after the start.
 fn arrive(router: &mut RequestRouter, id: RequestId, time_left: Seconds) -> Vec<RouterCommand> {
     let request = IncomingRequest {
         id,
@@ -72,7 +72,7 @@
     handle(router, 1_000, RouterEvent::RequestArrived(request))
 }
 
-/// Runs all timers that are due up to this time.
+/// Runs all timers that are due by `end`.
 fn run_timers_until(router: &mut RequestRouter, end: MonotonicMicros) -> Vec<RouterCommand> {
     let mut commands = Vec::new();
     while let Some(due_at) = router.next_timer().filter(|due_at| *due_at <= end) {
@@ -133,7 +133,7 @@
         .filter(|command| matches!(command, RouterCommand::Reject { .. }))
         .count();
     assert_eq!(rejection_count, 1, "{commands:?}");
-    // What an abandoned attempt still reports is ignored.
+    // Later reports of an abandoned attempt are ignored.
     assert!(handle(&mut router, 1_060_000, first_token(REQUEST, 0)).is_empty());
     let end = attempt_ended(0, AttemptOutcome::Completed);
     assert!(handle(&mut router, 1_060_000, end).is_empty());
@@ -174,7 +174,7 @@
 }
 
 #[test]
-fn leaves_no_timer_to_a_request_that_uses_an_id_again() {
+fn timers_of_a_completed_request_do_not_affect_a_request_with_the_same_id() {
     let mut router = router_with_one_replica();
     arrive(&mut router, REQUEST, 1.0);
     handle(&mut router, 2_000, first_token(REQUEST, 0));
@@ -185,7 +185,7 @@
     assert!(!commands.contains(&ABANDON_FIRST_ATTEMPT), "{commands:?}");
 }
 
-/// The table holds an hour of minutes by class and tenant, the totals hold everything.
+/// The table covers the last 60 minutes by class and tenant; the totals cover all traffic.
 #[test]
 fn counts_cross_zone_traffic_by_minute_and_drops_only_the_oldest_minutes() {
     const MINUTE_US: i64 = 60_000_000;
@@ -214,7 +214,7 @@
     assert_eq!(rows[..2], first_rows);
     let totals = [(class_0, 139), (class_1, 70)].map(|(group, count)| TotalCount { group, count });
     assert_eq!(traffic.totals().collect::<Vec<_>>(), totals);
-    // A clock set back by a year begins its minutes anew, and the table stays bounded.
+    // A clock that is set back adds rows for earlier minutes, and the table stays bounded.
     let group = RequestGroup {
         class: 0,
         tenant: 0,
@@ -226,7 +226,7 @@
     assert!(minutes.len() <= 60);
 }
 
-/// What the commands of one router have done to requests.
+/// Requests that a router's commands have started or answered.
 #[derive(Default)]
 struct CommandLog {
     started: Vec<RequestId>,
@@ -234,8 +234,8 @@
 }
 
 impl CommandLog {
-    /// Notes these commands; the request that streams must not be abandoned.
-    fn note(&mut self, commands: &[RouterCommand], streaming: RequestId) {
+    /// Records these commands, and asserts that the streaming request is not abandoned.
+    fn record(&mut self, commands: &[RouterCommand], streaming: RequestId) {
         for command in commands {
             match command {
                 RouterCommand::StartAttempt { request, .. } => self.started.push(*request),
@@ -249,8 +249,8 @@
     }
 }
 
-/// Whoever waits is answered once by the given time, whether sent, queued since no capacity is left, or yet to come, and a
-/// stream goes on.
+/// Each waiting request is answered once by the deadline, whether it was sent to a replica, is queued for lack of capacity or
+/// arrives later. A stream continues.
 #[test]
 fn answers_every_waiting_request_by_the_answer_deadline_of_a_shutdown() {
     const WAITING: u64 = 60;
@@ -260,14 +260,17 @@
     handle(&mut router, 2_000, first_token(streaming, 0));
     let mut log = CommandLog::default();
     for number in 1..=WAITING {
-        log.note(&arrive(&mut router, RequestId(number), 60.0), streaming);
+        log.record(&arrive(&mut router, RequestId(number), 60.0), streaming);
     }
     router.set_answer_deadline(3_500_000);
     let late = arrive(&mut router, RequestId(WAITING + 1), 60.0);
-    log.note(&late, streaming);
-    log.note(&run_timers_until(&mut router, 3_550_000), streaming);
-    assert!(log.started.len() < WAITING as usize, "some are queued");
-    // What was due later must find nothing left.
+    log.record(&late, streaming);
+    log.record(&run_timers_until(&mut router, 3_550_000), streaming);
+    assert!(
+        log.started.len() < WAITING as usize,
+        "no request was queued"
+    );
+    // Timers that are due later must not answer a request again.
     run_timers_until(&mut router, 60_000_000);
     log.answered.sort();
     assert_eq!(
--- a/tests/wall_clock.rs
+++ b/tests/wall_clock.rs
@@ -1,8 +1,8 @@
-//! A wall clock that steps under a running node must not make a replica that has just started look warm.
+//! A step of the wall clock must not make a newly started replica look warm.
 //!
-//! The story: discovery tells when a replica started in Unix time, and the node maps that to its monotonic clock by its own
-//! wall clock. Once that has stepped by an hour, a replica that started a second ago counts as an hour old, gets the share
-//! of a warm one from every node at once and falls over. Evidence: the start times that the directory gives the scheduler.
+//! Discovery reports a replica's start in Unix time, which the node converts to its monotonic clock by its own wall clock.
+//! After a step of an hour, a replica that started a second ago would count as an hour old, get the load of a warm replica from
+//! all nodes at once and be overloaded. The tests check the start times that the directory passes to the scheduler.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -17,9 +17,10 @@
 const UNIX_START_US: i64 = 1_700_000_000_000_000;
 const SECOND_US: i64 = 1_000_000;
 const HOUR_S: i64 = 3_600;
-/// The replica is told of one second after its start.
+/// Age of the new replica when the list reports it.
 const AGE_S: i64 = 1;
-const TOLD_AT_S: i64 = 10;
+/// Time of the report after the start of the process.
+const REPORTED_AT_S: i64 = 10;
 
 fn directory() -> EndpointDirectory {
     let text = include_str!("exchanges/config.json")
@@ -30,7 +31,7 @@
     EndpointDirectory::new(Rc::new(config.settings), sources.endpoint_source_settings())
 }
 
-/// A list with one replica, which started at this time.
+/// A list with one replica that started at this Unix time.
 fn list(started_us: i64) -> SourceUpdate {
     let text = format!(
         r#"{{"version":2,"full":true,"servers":[{{"id":"s-1","addr":"127.0.0.1:1","zone":"a","kind":"k","cell":0,
@@ -42,28 +43,28 @@
         .into_source_update()
 }
 
-/// A reading `seconds` after the process's start, by a wall clock that is wrong by `step_s`.
-fn reading(seconds: i64, step_s: i64) -> ClockReading {
+/// A clock reading `seconds` after the start of the process; the wall clock is off by `offset_s`.
+fn reading(seconds: i64, offset_s: i64) -> ClockReading {
     ClockReading {
         monotonic: (seconds * SECOND_US) as u64,
-        unix_us: UNIX_START_US + (seconds + step_s) * SECOND_US,
+        unix_us: UNIX_START_US + (seconds + offset_s) * SECOND_US,
     }
 }
 
-/// When a replica that is told of 10 s after the process's start counts as started, where the wall clock was wrong by
-/// `before_s` at first and by `after_s` then.
+/// The start time that the directory derives for a replica of age `age_s`. The wall clock is off by `before_s` at the start of
+/// the process and by `after_s` when the replica is reported.
 fn started_at(age_s: i64, before_s: i64, after_s: i64) -> Seconds {
     let mut directory = directory();
     let empty = SourceUpdate::FullList(Vec::new());
     directory.apply_update("list", empty, reading(0, before_s));
-    let started_us = UNIX_START_US + (TOLD_AT_S - age_s) * SECOND_US;
-    let changes = directory.apply_update("list", list(started_us), reading(TOLD_AT_S, after_s));
+    let started_us = UNIX_START_US + (REPORTED_AT_S - age_s) * SECOND_US;
+    let changes = directory.apply_update("list", list(started_us), reading(REPORTED_AT_S, after_s));
     changes[0].endpoint.started_at.unwrap()
 }
 
 #[test]
-fn replica_that_has_just_started_counts_as_new_though_the_wall_clock_steps() {
-    let expected = (TOLD_AT_S - AGE_S) as Seconds;
+fn new_replica_counts_as_new_after_a_wall_clock_step() {
+    let expected = (REPORTED_AT_S - AGE_S) as Seconds;
     for (before_s, after_s) in [
         (0, 0),
         (0, HOUR_S),
@@ -82,7 +83,7 @@
 }
 
 #[test]
-fn replica_that_runs_for_long_counts_as_old_though_the_wall_clock_steps() {
+fn old_replica_counts_as_old_after_a_wall_clock_step() {
     for (before_s, after_s) in [(0, 0), (0, HOUR_S), (0, -HOUR_S)] {
         let started_at = started_at(10 * HOUR_S, before_s, after_s);
         assert!(started_at < -(HOUR_S as Seconds), "{started_at}");
