--- a/tests/closes.rs
+++ b/tests/client_connection_close.rs
@@ -1,12 +1,12 @@
-//! The task of a client's connection, polled by hand: bytes, a close and room at the dispatcher come in one instant, and the
-//! runtime has had no turn since.
+//! Races on a client's connection: request bytes, a close and free space in the dispatcher's queue become available before
+//! the connection's task is polled again. The tests poll the task themselves.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
-#[path = "support/drivers.rs"]
-mod drivers;
+#[path = "support/client_registry.rs"]
+mod client_registry;
 
-use drivers::registry;
+use client_registry::registry;
 use poppykeel::transport::client::connection::ClientConnection;
 use poppykeel::transport::client::registry::{ConnectionRegistry, MIN_IDLE_BEFORE_EVICTION};
 use poppykeel::transport::messages::DispatcherMessage;
@@ -24,37 +24,37 @@
 const REQUEST: &[u8] =
     b"POST /v1/chat/completions HTTP/1.1\r\nReq-Id: 00000000000000aa\r\nReq-Kind: chat\r\n\
     Req-Deadline: 10\r\nContent-Length: 0\r\n\r\n";
-/// Only a hang runs into this.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Exceeded only if the connection hangs.
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 type ConnectionTask = Pin<Box<dyn Future<Output = ()>>>;
 
-/// Polls a connection's task once, with what its sockets and timers had reported by the runtime's last turn.
+/// Polls a connection's task once. It sees only the socket and timer events of the runtime's latest turn.
 async fn poll_once(task: &mut ConnectionTask) -> Poll<()> {
     std::future::poll_fn(|context| Poll::Ready(task.as_mut().poll(context))).await
 }
 
-/// Lets the runtime look at its sockets.
-async fn turn() {
+/// Lets the runtime process socket events.
+async fn process_socket_events() {
     tokio::time::sleep(Duration::from_millis(1)).await;
 }
 
-/// A client and the task of its connection.
-async fn connection(registry: Rc<ConnectionRegistry>) -> (std::net::TcpStream, ConnectionTask) {
+/// Opens a connection, and returns the client's end and the task that serves it.
+async fn connect(registry: Rc<ConnectionRegistry>) -> (std::net::TcpStream, ConnectionTask) {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
     let client = std::net::TcpStream::connect(listener.local_addr().unwrap()).unwrap();
-    client.set_read_timeout(Some(PATIENCE)).unwrap();
+    client.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     let task = ClientConnection::new(listener.accept().await.unwrap().0, registry).run();
     (client, Box::pin(task))
 }
 
-/// Runs the task until its client has a response, and then until it waits; empty where the connection was closed.
-async fn answered(client: &std::net::TcpStream, task: &mut ConnectionTask) -> String {
+/// Runs the task until its client receives a response, which is empty if the connection was closed.
+async fn run_until_response(client: &std::net::TcpStream, task: &mut ConnectionTask) -> String {
     let mut reader = client.try_clone().unwrap();
     let read = tokio::task::spawn_blocking(move || {
-        let mut piece = [0; 4096];
-        let length = reader.read(&mut piece).unwrap_or(0);
-        String::from_utf8_lossy(&piece[..length]).into_owned()
+        let mut buffer = [0; 4096];
+        let length = reader.read(&mut buffer).unwrap_or(0);
+        String::from_utf8_lossy(&buffer[..length]).into_owned()
     });
     tokio::pin!(read);
     tokio::select! {
@@ -64,18 +64,20 @@
     }
 }
 
-/// Guards against a request lost on a kept connection that the node closes: for its age, or since another one needs its
-/// place.
+/// Guards against a request lost on an idle connection that the node closes because of its idle timeout or to make room for
+/// another connection.
 #[tokio::test]
 async fn answers_request_that_arrives_as_idle_timeout_or_eviction_closes_the_connection() {
-    for by_age in [true, false] {
+    for by_idle_timeout in [true, false] {
         let (_phase, phases) = watch::channel(NodePhase::Serving);
         let (registry, _messages) = registry(phases);
-        let (mut client, mut task) = connection(registry.clone()).await;
+        let (mut client, mut task) = connect(registry.clone()).await;
         client.write_all(HEALTH).unwrap();
-        assert!(answered(&client, &mut task).await.starts_with(HEALTHY));
+        assert!(run_until_response(&client, &mut task)
+            .await
+            .starts_with(HEALTHY));
         assert!(poll_once(&mut task).await.is_pending());
-        if by_age {
+        if by_idle_timeout {
             tokio::time::pause();
             tokio::time::advance(registry.limits().client_idle_timeout * 2).await;
         } else {
@@ -88,52 +90,53 @@
         client.write_all(HEALTH).unwrap();
         assert!(
             poll_once(&mut task).await.is_pending(),
-            "closed by age: {by_age}"
+            "by idle timeout: {by_idle_timeout}"
         );
-        if by_age {
+        if by_idle_timeout {
             tokio::time::resume();
         }
-        let text = answered(&client, &mut task).await;
+        let text = run_until_response(&client, &mut task).await;
         assert!(
             text.starts_with(HEALTHY),
-            "closed by age: {by_age}, '{text}'"
+            "by idle timeout: {by_idle_timeout}, '{text}'"
         );
     }
 }
 
-/// A client whose request has come and waits, since the dispatcher has no room for it, with the task of its connection and
-/// what the dispatcher is sent.
-async fn waiting_for_room() -> (
+/// Sends a request that waits because the dispatcher's queue is full. Returns the client's end, the connection's task and the
+/// receiver of the queue.
+async fn request_waiting_for_queue_space() -> (
     std::net::TcpStream,
     ConnectionTask,
     mpsc::Receiver<DispatcherMessage>,
 ) {
     let (_phase, phases) = watch::channel(NodePhase::Serving);
     let (registry, messages) = registry(phases);
-    let (mut client, mut task) = connection(registry.clone()).await;
+    let (mut client, mut task) = connect(registry.clone()).await;
     let (done, _logged) = oneshot::channel();
     registry
         .dispatcher()
         .try_send(DispatcherMessage::LogSummary(done))
         .unwrap();
     client.write_all(REQUEST).unwrap();
-    turn().await;
+    process_socket_events().await;
     assert!(poll_once(&mut task).await.is_pending());
     (client, task, messages)
 }
 
-/// Guards against an attempt for nobody: the dispatcher is behind and has no room for a request whose client disconnects.
+/// Guards against an attempt for a disconnected client: the client disconnects while its request waits for a full dispatcher
+/// queue.
 #[tokio::test]
 async fn does_not_dispatch_request_whose_client_disconnects_while_the_dispatcher_is_full() {
-    let (client, mut task, mut messages) = waiting_for_room().await;
+    let (client, mut task, mut messages) = request_waiting_for_queue_space().await;
     drop(client);
-    turn().await;
+    process_socket_events().await;
     assert!(poll_once(&mut task).await.is_pending());
     assert!(matches!(
         messages.try_recv(),
         Ok(DispatcherMessage::LogSummary(_))
     ));
-    // The task has seen the close, and the room that there is now is not for the request any more.
+    // The task has seen the close, so it no longer sends the request although the queue has space.
     let _ = poll_once(&mut task).await;
     assert!(matches!(
         messages.try_recv(),
@@ -141,22 +144,26 @@
     ));
 }
 
-/// Where room and close come in one instant the request may be sent, and its client's disconnect follows at once.
+/// If the queue gets space and the client closes at the same time, the request may be dispatched; the disconnect then follows
+/// at once.
 #[tokio::test]
 async fn reports_disconnect_of_client_whose_request_was_dispatched_in_the_same_instant() {
-    let (client, mut task, mut messages) = waiting_for_room().await;
+    let (client, mut task, mut messages) = request_waiting_for_queue_space().await;
     drop(client);
     assert!(matches!(
         messages.try_recv(),
         Ok(DispatcherMessage::LogSummary(_))
     ));
-    turn().await;
+    process_socket_events().await;
     let _ = poll_once(&mut task).await;
     let Ok(DispatcherMessage::ClientRequest(request)) = messages.try_recv() else {
-        panic!("the room came first")
+        panic!("the queue had space before the close was seen")
     };
     let _ = poll_once(&mut task).await;
-    assert!(request.response.is_closed(), "nobody waits for this answer");
+    assert!(
+        request.response.is_closed(),
+        "the response channel is still open"
+    );
     assert!(matches!(
         messages.try_recv(),
         Ok(DispatcherMessage::ClientDisconnected { .. })
--- a/tests/endpoint_doubt.rs
+++ b/tests/endpoint_list_confirmation.rs
@@ -1,4 +1,4 @@
-//! When the watcher of discovery's endpoint list says that the list may be out of date, and how soon it is confirmed.
+//! When the endpoint watcher reports that its list is unconfirmed, and when it polls again to confirm the list.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -18,10 +18,10 @@
 use tokio::sync::mpsc;
 use tokio::task::LocalSet;
 
-/// An answer that is cut, stalls or is no list may have held a drain, which counts as delivered: the list is doubtful, and
-/// the poll is repeated at once on a new connection, without a wait at the service.
+/// An answer that is truncated, stalls or is not a list may have contained a drain, and the node counts as notified of it. So
+/// the list becomes unconfirmed, and the watcher polls again at once on a new connection with a timeout of 0.
 #[tokio::test]
-async fn incomplete_answer_makes_the_list_doubtful_and_is_polled_again_at_once() {
+async fn incomplete_answer_makes_the_list_unconfirmed_and_is_polled_again_at_once() {
     let incomplete = [
         (true, "HTTP/1.1 200 OK\r\nContent-Length: 90\r\nConnection: close\r\n\r\n{\"version\":42,\"full\""),
         (true, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nno list\r\n"),
@@ -41,7 +41,7 @@
                     next_message(&mut messages).await,
                     DispatcherMessage::EndpointListStatusChanged(_)
                 ),
-                "'{bytes}' is doubtful"
+                "'{bytes}' does not make the list unconfirmed"
             );
             let (mut repeated, text) = next_poll(&service, None).await;
             assert!(text.contains("since=41&timeout_ms=0 "), "{text}");
@@ -56,9 +56,9 @@
     LocalSet::new().run_until(test).await;
 }
 
-/// A restored list is confirmed by the first poll, which does not wait at the service.
+/// The first poll confirms a restored list. Its timeout is 0, so the service answers at once.
 #[tokio::test]
-async fn first_poll_after_a_restored_list_does_not_wait_at_the_service() {
+async fn first_poll_after_a_restored_list_has_a_zero_timeout() {
     let test = async {
         let service = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let (dispatcher, mut messages) = mpsc::channel(16);
@@ -83,10 +83,10 @@
     LocalSet::new().run_until(test).await;
 }
 
-/// A service that has lost its count answers with changes of an earlier version: they do not belong on the list that the node
-/// has, which is doubtful then. The whole list is asked for.
+/// A service that has lost its version counter answers with changes of an earlier version. They do not apply to the node's
+/// list, so the list becomes unconfirmed and the watcher requests the full list.
 #[tokio::test]
-async fn changes_of_an_earlier_version_have_the_whole_list_asked_for() {
+async fn changes_of_an_earlier_version_cause_a_poll_for_the_full_list() {
     let test = async {
         let (service, _watcher, mut messages) = start_watcher(Duration::from_secs(2), false).await;
         let (mut stream, text) = next_poll(&service, None).await;
@@ -106,9 +106,9 @@
     LocalSet::new().run_until(test).await;
 }
 
-/// A poll that waits for the fleet's budget leaves the list unwatched: it is doubtful until the poll after it is answered.
+/// While a poll waits for the fleet's budget, nothing watches the list: it is unconfirmed until the next poll is answered.
 #[tokio::test]
-async fn list_is_doubtful_while_the_next_poll_waits_for_the_budget() {
+async fn list_is_unconfirmed_while_the_next_poll_waits_for_the_budget() {
     let test = async {
         let (service, watcher, mut messages) = start_watcher(Duration::from_secs(2), false).await;
         let (mut stream, _) = next_poll(&service, None).await;
--- a/tests/endpoint_watcher.rs
+++ b/tests/endpoint_watcher.rs
@@ -1,5 +1,5 @@
-//! The watcher of discovery's endpoint list against a service on a real socket that falls silent, resets its connections
-//! or moves.
+//! The endpoint watcher against a discovery service on a real socket that stops answering, resets connections or moves to
+//! another address.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -14,10 +14,10 @@
 use tokio::net::TcpListener;
 use tokio::task::LocalSet;
 
-/// Guards against a node that sends requests to draining endpoints because it waits, after the silence itself, until the
-/// scheduler starts the watcher again.
+/// Guards against requests to draining endpoints: after a poll without an answer the watcher must poll again by itself, and not
+/// only when the scheduler starts it again.
 #[tokio::test]
-async fn silent_poll_is_repeated_on_a_new_connection_before_a_failure_is_reported() {
+async fn unanswered_poll_is_repeated_on_a_new_connection_before_a_failure_is_reported() {
     let test = async {
         for partial_answer in [
             "",
@@ -25,13 +25,16 @@
         ] {
             let (service, _watcher, mut messages) =
                 start_watcher(Duration::from_secs(2), false).await;
-            let (mut silent, text) = next_poll(&service, None).await;
+            let (mut unanswered, text) = next_poll(&service, None).await;
             assert!(
                 text.starts_with("GET /v1/servers?since=41&timeout_ms=50 "),
                 "{text}"
             );
-            // The connection stays open and silent, also in the middle of an answer.
-            silent.write_all(partial_answer.as_bytes()).await.unwrap();
+            // The connection stays open without further bytes, also after a partial answer.
+            unanswered
+                .write_all(partial_answer.as_bytes())
+                .await
+                .unwrap();
             let (mut reconnected, text) = next_poll(&service, None).await;
             assert!(
                 text.starts_with("GET /v1/servers?since=41&timeout_ms=0 "),
@@ -42,7 +45,7 @@
                 panic!("a failure was reported")
             };
             assert_eq!(changes[0].name, "s-1");
-            // The next poll is a long poll again, on the connection that answers.
+            // The next poll is a long poll again, on the connection that was answered.
             let (_reconnected, text) = next_poll(&service, Some(reconnected)).await;
             assert!(
                 text.starts_with("GET /v1/servers?since=42&timeout_ms=50 "),
@@ -53,19 +56,22 @@
     LocalSet::new().run_until(test).await;
 }
 
-/// Guards against a herd on a service that is cut off: after one more poll the scheduler decides when to poll.
+/// Guards against a thundering herd on an unreachable service: after one more poll the scheduler decides when to poll.
 #[tokio::test]
-async fn service_that_stays_silent_gets_one_more_poll_until_the_watcher_is_started_again() {
+async fn unresponsive_service_gets_one_more_poll_until_the_watcher_is_started_again() {
     let test = async {
         let (service, watcher, mut messages) =
             start_watcher(Duration::from_millis(200), false).await;
-        let _silent = next_poll(&service, None).await;
-        let (_silent_too, text) = next_poll(&service, None).await;
+        let _unanswered = next_poll(&service, None).await;
+        let (_unanswered_repeat, text) = next_poll(&service, None).await;
         assert!(text.contains("timeout_ms=0 "), "{text}");
         assert_eq!(next_update(&mut messages).await, SourceUpdate::Failed);
-        let unasked = tokio::time::timeout(Duration::from_millis(300), service.accept()).await;
-        assert!(unasked.is_err(), "polled again without a request");
-        // Started again, the watcher finds out at once whether anybody answers.
+        let early_poll = tokio::time::timeout(Duration::from_millis(300), service.accept()).await;
+        assert!(
+            early_poll.is_err(),
+            "polled again before the watcher was started"
+        );
+        // After a restart the watcher polls with a timeout of 0, which shows at once whether the service answers.
         watcher.start();
         let (mut reconnected, text) = next_poll(&service, None).await;
         assert!(text.contains("timeout_ms=0 "), "{text}");
@@ -78,7 +84,8 @@
     LocalSet::new().run_until(test).await;
 }
 
-/// Guards against a herd on a service that went down: its polls end together, and must not come back together.
+/// Guards against a thundering herd on a service that went down: the polls of all nodes fail at the same time and must not be
+/// repeated at the same time.
 #[tokio::test]
 async fn reset_poll_is_reported_as_a_failure() {
     let test = async {
@@ -91,10 +98,10 @@
     LocalSet::new().run_until(test).await;
 }
 
-/// Guards against a poll that waits in vain for a whole long poll after the service was down: a refused poll is followed
-/// by one that waits for a short time, and a silent one by one that does not wait.
+/// Guards against a whole long poll without an answer after an outage of the service: a refused poll is followed by a short
+/// poll, and an unanswered poll by a poll with a timeout of 0.
 #[tokio::test]
-async fn poll_after_a_refusal_waits_for_a_short_time_and_its_silence_shows_soon() {
+async fn poll_after_a_refusal_is_short_and_is_repeated_soon_if_unanswered() {
     let refusals = [
         "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n",
         "",
@@ -109,7 +116,7 @@
             assert_eq!(next_update(&mut messages).await, SourceUpdate::Failed);
             // The scheduler decides when to poll again.
             watcher.start();
-            let (_silent, text) = next_poll(&service, None).await;
+            let (_unanswered, text) = next_poll(&service, None).await;
             assert!(text.contains("since=41&timeout_ms=30 "), "{text}");
             let (mut reconnected, text) = next_poll(&service, None).await;
             assert!(text.contains("since=41&timeout_ms=0 "), "{text}");
@@ -124,10 +131,10 @@
     LocalSet::new().run_until(test).await;
 }
 
-/// Guards against rare forms of answers: no changes, a full list where changes were asked for, and a list of an earlier
-/// version, as a service has that has lost its count. The latest answer is what counts.
+/// Covers unusual answers: no changes, a full list in answer to a poll for changes, and a list of an earlier version from a
+/// service that has lost its version counter. The next poll continues from the version of the latest answer.
 #[tokio::test]
-async fn next_poll_asks_for_the_version_of_any_form_of_answer() {
+async fn next_poll_continues_from_the_version_of_any_form_of_answer() {
     let full_list = DRAIN.replace("false", "true");
     let older_list = full_list.replace("42", "7");
     let test = async {
@@ -155,9 +162,9 @@
     LocalSet::new().run_until(test).await;
 }
 
-/// By the node's own bounds alone, the time from a refused poll to the list is under 6 s while the list can be had.
+/// If the service answers again, the node's own timeouts allow less than 6 s from a refused poll to the next list.
 #[test]
-fn refused_silent_and_new_poll_fit_into_six_seconds() {
+fn refused_unanswered_and_repeated_poll_take_less_than_six_seconds() {
     let config = include_str!("exchanges/config.json").replace("REPLICA", "127.0.0.1:1");
     let bounds = NodeConfig::read(
         &config.replace("DISCOVERY", "127.0.0.1:2"),
@@ -172,7 +179,7 @@
     );
 }
 
-/// Guards against a new address that inherits a poll, or the pause after a failed one, from the previous service.
+/// Guards against a poll, or a pause after a failed poll, that is carried over from the previous address to the new one.
 #[tokio::test]
 async fn moved_service_is_polled_at_once_while_a_poll_waits_at_the_previous_address() {
     let test = async {
@@ -193,17 +200,17 @@
     LocalSet::new().run_until(test).await;
 }
 
-/// Guards against an agent that was silent while discovery was down: a change counts as notified from the moment in which
-/// the agent answers again, so it is polled again and again, and no poll waits for long.
+/// Guards against late changes after an agent did not answer because discovery was down: the node counts as notified of a
+/// change as soon as the agent answers again, so the watcher keeps polling, and no poll waits for long.
 #[tokio::test]
-async fn silent_agent_of_a_pushed_list_is_polled_until_it_answers() {
+async fn unresponsive_agent_of_a_pushed_list_is_polled_until_it_answers() {
     let test = async {
         let (agent, _watcher, mut messages) = start_watcher(Duration::from_millis(200), true).await;
         let mut held = vec![next_poll(&agent, None).await.0];
         for _ in 0..3 {
-            let (silent, text) = next_poll(&agent, None).await;
+            let (unanswered, text) = next_poll(&agent, None).await;
             assert!(text.contains("timeout_ms=0 "), "{text}");
-            held.push(silent);
+            held.push(unanswered);
         }
         let (mut answering, _) = next_poll(&agent, None).await;
         answer(&mut answering, DRAIN).await;
@@ -218,9 +225,9 @@
     LocalSet::new().run_until(test).await;
 }
 
-/// Guards against a drain that is heeded late because a poll hung at an agent that was silent for a moment: a change
-/// counts as notified when the agent answers again, so a poll without an answer must be over, and be repeated, well
-/// within the drain grace.
+/// Guards against a drain that takes effect late because a poll hangs at an agent that did not answer for a moment: the node
+/// counts as notified of the change once the agent answers again, so an unanswered poll must end and be repeated well within
+/// the drain grace.
 #[test]
 fn poll_of_a_pushed_list_ends_within_the_drain_grace() {
     for grace_s in [0.2, 0.35, 0.5, 0.75, 3.0, 60.0] {
@@ -239,7 +246,7 @@
         );
         assert!(
             poll_time >= Duration::from_millis(100),
-            "{poll_time:?}: the agent is polled all the time"
+            "{poll_time:?}: the agent is polled continuously"
         );
     }
 }
--- a/tests/support/drivers.rs
+++ b/tests/support/client_registry.rs
@@ -1,4 +1,4 @@
-//! What the connections of clients share in a node, for tests that drive a connection without the node round it.
+//! The connection registry that client connections share, for tests that drive a connection without a node.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -11,7 +11,7 @@
 use std::rc::Rc;
 use tokio::sync::{mpsc, watch};
 
-/// A small configuration whose replica and discovery can't be reached.
+/// A minimal configuration with an unreachable replica and discovery service.
 pub fn config() -> NodeConfig {
     let text = include_str!("../exchanges/config.json").replace("REPLICA", "127.0.0.1:1");
     NodeConfig::read(
@@ -21,7 +21,7 @@
     .unwrap()
 }
 
-/// What a connection of a client shares with the others, and the dispatcher's end of the channel, which holds one message.
+/// A registry of client connections, and the receiver of the dispatcher's queue, which has a capacity of one message.
 pub fn registry(
     phases: watch::Receiver<NodePhase>,
 ) -> (Rc<ConnectionRegistry>, mpsc::Receiver<DispatcherMessage>) {
--- a/tests/support/watcher.rs
+++ b/tests/support/watcher.rs
@@ -1,4 +1,4 @@
-//! The watcher of discovery's endpoint list, against a service that a test drives poll by poll.
+//! An endpoint watcher and a discovery service that a test drives poll by poll.
 
 use super::TEST_TIMEOUT;
 use poppykeel::program::config::{NodeConfig, Overrides};
@@ -22,7 +22,7 @@
   ]
 }"#;
 
-/// The bounds of a node, with a short long poll and `slack` for the answer.
+/// Limits of a node with a long poll of 50 ms, a short poll of 30 ms, and `slack` until the answer.
 pub fn bounds(slack: Duration) -> Rc<TransportLimits> {
     let config = include_str!("../exchanges/config.json").replace("REPLICA", "127.0.0.1:1");
     let config = NodeConfig::read(
@@ -30,18 +30,18 @@
         Overrides::default(),
     )
     .unwrap();
-    let watch = Duration::from_millis(50);
-    let retry_watch = Duration::from_millis(30);
+    let long_poll_wait = Duration::from_millis(50);
+    let short_poll_wait = Duration::from_millis(30);
     Rc::new(TransportLimits {
-        long_poll_wait: watch,
+        long_poll_wait,
         long_poll_slack: slack,
-        short_poll_wait: retry_watch,
+        short_poll_wait,
         short_poll_slack: slack,
         ..config.bounds
     })
 }
 
-/// Takes the next poll, on this connection or on a new one. Returns the connection and the head of the request.
+/// Reads the next poll, from the given connection or a new one. Returns the connection and the head of the request.
 pub async fn next_poll(
     service: &TcpListener,
     connection: Option<TcpStream>,
@@ -59,7 +59,7 @@
     };
     tokio::time::timeout(TEST_TIMEOUT, poll)
         .await
-        .expect("the watcher polls")
+        .expect("the watcher did not poll")
 }
 
 pub async fn answer(stream: &mut TcpStream, body: &str) {
@@ -67,13 +67,13 @@
     stream.write_all((head + body).as_bytes()).await.unwrap();
 }
 
-/// The next update that the watcher sends to the dispatcher; that the list is doubtful is passed over.
+/// The next list update that the watcher sends to the dispatcher; skips changes of the list's status.
 pub async fn next_update(messages: &mut mpsc::Receiver<DispatcherMessage>) -> SourceUpdate {
     loop {
         match next_message(messages).await {
-            DispatcherMessage::EndpointUpdate { update: told, .. } => return told,
+            DispatcherMessage::EndpointUpdate { update, .. } => return update,
             DispatcherMessage::EndpointListStatusChanged(_) => {}
-            _ => panic!("something else was sent"),
+            _ => panic!("the watcher sent an unexpected message"),
         }
     }
 }
@@ -81,11 +81,12 @@
 pub async fn next_message(messages: &mut mpsc::Receiver<DispatcherMessage>) -> DispatcherMessage {
     tokio::time::timeout(TEST_TIMEOUT, messages.recv())
         .await
-        .expect("a message is sent")
-        .expect("the watcher runs")
+        .expect("no message was sent in time")
+        .expect("the watcher has stopped")
 }
 
-/// A watcher of a service: the service, the watcher, and the messages that it sends to the dispatcher.
+/// Starts a watcher with version 41. Returns its discovery service, the watcher, and the receiver of its messages to the
+/// dispatcher.
 pub async fn start_watcher(
     slack: Duration,
     is_pushed: bool,
--- a/tests/transport.rs
+++ b/tests/transport.rs
@@ -1,12 +1,11 @@
-//! Connections of clients and to replicas on loopback sockets, with the runtime's clock fed: no real time passes and none is
-//! asserted.
+//! Client and replica connections on loopback sockets, with the runtime's clock paused and advanced by the tests.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
-#[path = "support/drivers.rs"]
-mod drivers;
+#[path = "support/client_registry.rs"]
+mod client_registry;
 
-use drivers::{config, registry};
+use client_registry::{config, registry};
 use futures_util::{SinkExt, StreamExt};
 use poppykeel::program::config::NodeConfig;
 use poppykeel::protocol::http::{EncodedMessage, MessagePart};
@@ -61,7 +60,7 @@
     let port = connection.http().get_ref().local_addr().unwrap();
     pool.release(address, connection, Duration::ZERO);
 
-    // A new replica at the old address starts with a connection of its own.
+    // Another replica at the same address gets a new connection.
     let other = pool
         .acquire(ReplicaAddress {
             replica: replica_id("s-2"),
@@ -75,14 +74,14 @@
     assert_eq!(connection.http().get_ref().local_addr().unwrap(), port);
     pool.release(address, connection, Duration::ZERO);
 
-    // The runtime has had no turn since these bytes came, so only the kernel knows of them.
+    // The runtime has not polled the socket since these bytes arrived, so they are only in the kernel's buffer.
     replica.write_all(ANSWER).unwrap();
     let connection = pool.acquire(address).await.ok().unwrap();
     assert_ne!(connection.http().get_ref().local_addr().unwrap(), port);
 }
 
-/// Guards against the second response of a replica that sends it twice, some milliseconds later: it would be taken for that
-/// of the next request on the connection.
+/// Guards against a replica that sends its response again some milliseconds later: the repeated response would be taken for
+/// the response to the next request on the connection.
 #[tokio::test]
 async fn pool_reuses_connection_after_its_reuse_delay_unless_bytes_have_come() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
@@ -101,7 +100,7 @@
         tokio::pin!(next);
         assert!(
             tokio::time::timeout(MINUTE / 2, &mut next).await.is_err(),
-            "the connection is used before its reuse delay is over"
+            "the connection was reused before its reuse delay ended"
         );
         if twice {
             replica.write_all(ANSWER).unwrap();
@@ -114,7 +113,8 @@
     }
 }
 
-/// Guards against new connections for clients that disconnect while theirs may not be used yet.
+/// Guards against a needless new connection: a client that disconnects during the reuse delay must not discard the pooled
+/// connection.
 #[tokio::test]
 async fn pool_keeps_connection_whose_reuse_delay_was_not_waited_out() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
@@ -148,7 +148,7 @@
     );
 }
 
-/// A node's client of replicas, which keeps a connection unused for a minute after a stream.
+/// A replica client with a reuse delay of one minute.
 fn replica_client(
     config: NodeConfig,
     dispatcher: mpsc::Sender<DispatcherMessage>,
@@ -168,7 +168,7 @@
     )
 }
 
-/// A replica that responds twice, through whole attempts: the request right after does not get the second response.
+/// The same with complete attempts: the request after a repeated response does not receive it.
 #[tokio::test]
 async fn repeated_response_is_not_taken_for_that_of_the_next_request() {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -204,7 +204,7 @@
         tokio::time::pause();
         let _second = attempt(2);
         tokio::task::yield_now().await;
-        // The clock stands still: this comes while the connection may not be used.
+        // The clock is paused, so these bytes arrive during the reuse delay.
         let mut replica = replica.into_std().unwrap();
         replica.write_all(STREAM).unwrap();
         tokio::time::advance(MINUTE).await;
@@ -212,13 +212,14 @@
         let other = tokio::time::timeout(MINUTE / 3, listener.accept()).await;
         assert!(
             other.is_ok(),
-            "the second request went out where a second answer was to come"
+            "the second request was sent on the connection with the repeated response"
         );
     };
     tokio::task::LocalSet::new().run_until(test).await;
 }
 
-/// Guards against requests lost at the end: they are in the kernel, and the runtime has had no turn since they came.
+/// Guards against requests lost at the end of a shutdown: they are in the kernel's buffers, and the runtime has not polled the
+/// sockets since they arrived.
 #[tokio::test]
 async fn answers_connections_and_requests_pending_in_the_kernel_when_the_node_closes() {
     const HEALTH: &[u8] = b"GET /healthz HTTP/1.1\r\n\r\n";
@@ -230,7 +231,7 @@
     let (phase, phases) = watch::channel(NodePhase::Serving);
     let (registry, _) = registry(phases.clone());
     let test = async {
-        // A connection that nobody has accepted yet.
+        // A connection that is not accepted yet.
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
         let at = listener.local_addr().unwrap();
         let mut new = std::net::TcpStream::connect(at).unwrap();
@@ -253,8 +254,8 @@
         let client = tokio::task::spawn_local(client.run());
         kept.write_all(HEALTH).unwrap();
         let mut kept = tokio::task::spawn_blocking(move || {
-            let mut piece = [0; 4096];
-            assert!(kept.read(&mut piece).unwrap() > 0);
+            let mut buffer = [0; 4096];
+            assert!(kept.read(&mut buffer).unwrap() > 0);
             kept
         })
         .await
@@ -276,8 +277,8 @@
 
 #[tokio::test(start_paused = true)]
 async fn closes_connection_whose_request_is_never_complete() {
-    let read = config().bounds.request_read_timeout;
-    assert!(read < Duration::from_secs(3));
+    let read_timeout = config().bounds.request_read_timeout;
+    assert!(read_timeout < Duration::from_secs(3));
     let (_phase, phases) = watch::channel(NodePhase::Serving);
     let (registry, _) = registry(phases);
     for (bytes, answer) in [
@@ -289,25 +290,25 @@
         ),
     ] {
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let mut bad = std::net::TcpStream::connect(listener.local_addr().unwrap()).unwrap();
+        let mut incomplete = std::net::TcpStream::connect(listener.local_addr().unwrap()).unwrap();
         let client = ClientConnection::new(listener.accept().await.unwrap().0, registry.clone());
-        bad.write_all(bytes.as_bytes()).unwrap();
-        // A client that trickles on gets no more time by it.
-        let mut trickle = bad.try_clone().unwrap();
-        let more = async {
+        incomplete.write_all(bytes.as_bytes()).unwrap();
+        // A client that keeps sending single bytes does not extend the time limit.
+        let mut slow_writer = incomplete.try_clone().unwrap();
+        let send_more = async {
             while !bytes.is_empty() {
-                tokio::time::sleep(read / 4).await;
-                let _ = trickle.write_all(b"x");
+                tokio::time::sleep(read_timeout / 4).await;
+                let _ = slow_writer.write_all(b"x");
             }
             std::future::pending::<()>().await;
         };
         tokio::select! {
             () = client.run() => {}
-            () = more => {}
-            () = tokio::time::sleep(read * 2) => panic!("still open after '{bytes}'"),
+            () = send_more => {}
+            () = tokio::time::sleep(read_timeout * 2) => panic!("still open after '{bytes}'"),
         }
         let mut text = String::new();
-        let _ = bad.read_to_string(&mut text);
+        let _ = incomplete.read_to_string(&mut text);
         assert!(text.starts_with(answer), "{text}");
     }
 }
