--- a/tests/rare.rs
+++ b/tests/connection_edge_cases.rs
@@ -1,5 +1,5 @@
-//! Rare moments, forced on loopback sockets: a disconnect, a drain or a close that crosses a request, with the node as a
-//! process of its own.
+//! Edge cases of connections on loopback sockets, with the node in a process of its own: disconnects and signals that coincide
+//! with requests, unread bytes, exhausted descriptors, and a discovery service that does not answer or has lost its state.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -17,12 +17,12 @@
 
 /// How long clients wait for the first token, in seconds.
 const DEADLINE_S: f64 = 10.0;
-/// A call of a client that asks for the node's health and for nothing else.
+/// A health check on a connection that closes after it.
 const HEALTH_AND_CLOSE: &[u8] = b"GET /healthz HTTP/1.1\r\nConnection: close\r\n\r\n";
 /// A replica's response of one event.
 const ONE_EVENT: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\ndata: 1\n\n";
 
-/// The text of a request; `headers` is further lines of its head.
+/// The text of a request. `headers` holds further header lines, each with its CRLF.
 fn request(id: &str, headers: &str, body: &str) -> String {
     request_text(id, headers, body, DEADLINE_S)
 }
@@ -36,14 +36,14 @@
     .unwrap()
 }
 
-/// How many descriptors the node's process holds.
+/// Number of open file descriptors of the node's process.
 fn descriptor_count(node: &Node) -> usize {
     let folder = format!("/proc/{}/fd", node.child.id());
     std::fs::read_dir(folder).unwrap().count()
 }
 
-/// Guards against a client that ends another one's request: it sends an id that is in use and disconnects before it has been
-/// told so. The node is suspended meanwhile, so it sees request and disconnect in one turn.
+/// Guards against a client that ends the request of another client: it sends an id that is in use and disconnects before it
+/// receives the rejection. The node is suspended meanwhile, so it sees the request and the disconnect at the same time.
 #[test]
 fn disconnect_of_client_with_duplicate_id_does_not_end_the_first_request() {
     let replica = TcpListener::bind("127.0.0.1:0").unwrap();
@@ -59,20 +59,20 @@
     second.write_all(request(id, "", "").as_bytes()).unwrap();
     drop(second);
     node.signal("-CONT");
-    // Both have been seen once a third client, which came later, has its response.
+    // Once a later client has its response, the node has handled both events.
     let mut third = node.connect();
     third.write_all(HEALTH_AND_CLOSE).unwrap();
     third.read_to_end(&mut Vec::new()).unwrap();
     stream.write_all(ONE_EVENT).unwrap();
     let mut text = String::new();
-    let mut piece = [0; 4096];
+    let mut buffer = [0; 4096];
     while !text.ends_with("0\r\n\r\n") {
-        let length = read_some(&mut first, &mut piece).unwrap();
+        let length = read_some(&mut first, &mut buffer).unwrap();
         assert!(
             length > 0,
             "the first client's connection ended after '{text}'"
         );
-        text.push_str(&String::from_utf8_lossy(&piece[..length]));
+        text.push_str(&String::from_utf8_lossy(&buffer[..length]));
     }
     assert!(
         text.starts_with("HTTP/1.1 200 ") && text.contains("data: 1"),
@@ -80,7 +80,7 @@
     );
 }
 
-/// Guards against a response whose end is lost with the reset of a close over unread bytes.
+/// Guards against a truncated response: closing a socket with unread request bytes resets the connection.
 #[test]
 fn last_response_arrives_complete_despite_unread_request_bytes() {
     let replica = TcpListener::bind("127.0.0.1:0").unwrap();
@@ -101,12 +101,12 @@
         stream
             .write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\ndata: 1\n\n\r\n")
             .unwrap();
-        // More than is read ahead stays in the kernel.
+        // The node's read-ahead is limited, so part of these bytes stays in the kernel.
         client
             .write_all(request("00000000000000b3", "", &"x".repeat(100_000)).as_bytes())
             .unwrap();
         if is_broken {
-            // The stream breaks: what has been forwarded arrives, and no last chunk.
+            // The stream breaks: the client receives the forwarded bytes, but no last chunk.
             drop(stream);
         } else {
             stream.write_all(b"0\r\n\r\n").unwrap();
@@ -122,7 +122,8 @@
     }
 }
 
-/// Guards against a stream that goes on for nobody: the client has closed behind more bytes than are read ahead.
+/// Guards against a stream that continues after its client has disconnected: the close follows more bytes than the node reads
+/// ahead.
 #[test]
 fn notices_disconnect_behind_more_bytes_than_are_read_ahead() {
     let replica = TcpListener::bind("127.0.0.1:0").unwrap();
@@ -130,7 +131,7 @@
         .replicas(&[replica.local_addr().unwrap()])
         .start();
     let mut client = node.connect();
-    // Its deadline is longer than the test's patience: it does not end by itself.
+    // The deadline exceeds the test's time limit, so the request does not end by itself.
     let first = request("00000000000000c1", "", "").replace("Deadline: 10", "Deadline: 60");
     client.write_all(first.as_bytes()).unwrap();
     let mut stream = accept_request(&replica);
@@ -142,19 +143,19 @@
     let reset = |e: &std::io::Error| e.kind() == ErrorKind::ConnectionReset;
     assert!(
         end.as_ref().map_or_else(reset, |length| *length == 0),
-        "{end:?}: nobody waits for this answer"
+        "{end:?}: the node did not close the attempt's connection"
     );
 }
 
-/// Many clients disconnect in one instant while their requests are queued: none is forwarded when a replica comes.
+/// Many clients disconnect at the same time while their requests are queued: no request is forwarded once there is a replica.
 #[test]
 fn does_not_forward_queued_requests_whose_clients_disconnected() {
     let discovery = TcpListener::bind("127.0.0.1:0").unwrap();
-    let service = discovery.local_addr().unwrap().to_string();
+    let discovery_addr = discovery.local_addr().unwrap().to_string();
     let replica = stub_server();
     let node = Node::builder("left")
         .replicas(&[])
-        .discovery(&service)
+        .discovery(&discovery_addr)
         .start();
     let mut poll = accept_request(&discovery);
     let mut clients: Vec<TcpStream> = (0..40).map(|_| node.connect()).collect();
@@ -180,7 +181,7 @@
     let list = entry("s-9", replica.addrs()[0], "up");
     let body = format!(r#"{{"version":42,"full":false,"servers":[{list}]}}"#);
     answer_poll(&mut poll, &body);
-    node.until_logged("s-9");
+    node.wait_for_log("s-9");
     let (id, mut client) = send_request(&node, "later", 3);
     assert_eq!(
         read_response(id, "later", 3, &mut client).outcome,
@@ -196,8 +197,7 @@
     String::from_utf8_lossy(&bytes).into_owned()
 }
 
-/// Settings that are read again and an order to stop, each twice and all at once, lose no response, and the node ends in
-/// order.
+/// Reload and stop signals that arrive together, each at least twice, lose no response, and the node exits with status 0.
 #[test]
 fn concurrent_signals_do_not_lose_a_response() {
     let replica = TcpListener::bind("127.0.0.1:0").unwrap();
@@ -214,7 +214,7 @@
     for sent in ["-HUP", "-TERM", "-HUP", "-TERM", "-INT"] {
         node.signal(sent);
     }
-    // A request that comes with the signals is admitted, too.
+    // A request that arrives together with the signals is admitted, too.
     let mut late = node.connect();
     late.write_all(request("00000000000000e2", "", "").as_bytes())
         .unwrap();
@@ -230,19 +230,21 @@
             "{text}"
         );
     }
-    wait_until("the end", || node.child.try_wait().unwrap().is_some());
+    wait_until("the end of the process", || {
+        node.child.try_wait().unwrap().is_some()
+    });
     assert_eq!(node.child.wait().unwrap().code(), Some(0));
 }
 
-/// A node is ready and serves by the endpoint list that it knows, though discovery accepts its poll and never answers.
+/// A node is ready and serves by the endpoint list of its configuration if discovery accepts its poll and never answers.
 #[test]
 fn node_with_unresponsive_discovery_serves_by_its_known_endpoint_list() {
     let discovery = TcpListener::bind("127.0.0.1:0").unwrap();
-    let service = discovery.local_addr().unwrap().to_string();
+    let discovery_addr = discovery.local_addr().unwrap().to_string();
     let replica = stub_server();
     let node = Node::builder("silent")
         .replicas(replica.addrs())
-        .discovery(&service)
+        .discovery(&discovery_addr)
         .start();
     let _poll = accept_request(&discovery);
     let mut health = node.connect();
@@ -255,8 +257,8 @@
     );
 }
 
-/// Clients that send much at once and disconnect, with complete bodies that are too long, parts of bodies, and requests one
-/// behind the other: other clients are served meanwhile, and the node gets all its descriptors back.
+/// Clients send oversized bodies, partial bodies, pipelined requests or garbage, and disconnect. Other clients are served
+/// meanwhile, and the node releases the descriptors.
 #[test]
 fn flood_of_large_abandoned_requests_leaks_no_descriptors() {
     let replica = stub_server();
@@ -272,7 +274,7 @@
             2 => request(&id, "", "no body that a model knows").repeat(50),
             _ => "\0\u{1}garbage".repeat(20_000),
         };
-        // The node may have answered and closed before all is written.
+        // The node may respond and close before all bytes are written.
         let _ = client.write_all(text.as_bytes());
         if n % 2 == 0 {
             Socket::from(client)
@@ -287,26 +289,28 @@
             );
         }
     }
-    // A few connections to the replica stay for later use.
-    wait_until("the room", || descriptor_count(&node) <= before + 16);
+    // A few pooled connections to the replica stay open.
+    wait_until("the release of descriptors", || {
+        descriptor_count(&node) <= before + 16
+    });
 }
 
-/// Guards against idle clients that take all descriptors while discovery is down: polls, replicas, operators and clients with
-/// a request keep theirs, and the process stays below its limit.
+/// Guards against idle clients that use up all descriptors while discovery is down: polls, replicas, admin calls and clients
+/// with requests still get descriptors, and the process stays below its limit.
 #[test]
-fn idle_clients_do_not_exhaust_descriptors_of_discovery_replicas_and_operators() {
+fn idle_clients_do_not_exhaust_descriptors_for_discovery_replicas_and_admin_calls() {
     const MAX_DESCRIPTORS: usize = 128;
     let discovery = TcpListener::bind("127.0.0.1:0").unwrap();
-    let service = discovery.local_addr().unwrap();
+    let discovery_addr = discovery.local_addr().unwrap();
     drop(discovery);
     let replica = stub_server();
     let node = Node::builder("idle")
         .replicas(replica.addrs())
-        .discovery(&service.to_string())
+        .discovery(&discovery_addr.to_string())
         .max_sockets(MAX_DESCRIPTORS)
         .start();
     let mut admin = None;
-    wait_until("the operators' address", || {
+    wait_until("the admin address", || {
         let log = node.log.lock().unwrap();
         let line = log
             .iter()
@@ -316,48 +320,51 @@
     });
     let admin = admin.unwrap();
     let mut idle = Vec::new();
-    let mut most_held = 0;
+    let mut max_descriptor_count = 0;
     for n in 0..4 * MAX_DESCRIPTORS {
         idle.push(node.connect());
-        // Silent operators hold descriptors, too.
+        // Idle admin connections use descriptors, too.
         if n % 4 == 0 {
             idle.push(TcpStream::connect(admin).unwrap());
         }
-        most_held = most_held.max(descriptor_count(&node));
+        max_descriptor_count = max_descriptor_count.max(descriptor_count(&node));
         if n % 64 == 63 {
-            // New connections may be closed unread while idle ones fill the node; their clients try again.
-            wait_until("an answer among idle clients", || {
+            // The node may close new connections unread while idle ones use up its limit; clients retry then.
+            wait_until("a response among idle clients", || {
                 let (id, mut client) = send_request(&node, "among idle ones", 3);
                 read_response(id, "among idle ones", 3, &mut client).outcome
                     == ClientOutcome::Completed
             });
         }
     }
-    assert!(most_held <= MAX_DESCRIPTORS, "{most_held} descriptors");
+    assert!(
+        max_descriptor_count <= MAX_DESCRIPTORS,
+        "{max_descriptor_count} descriptors"
+    );
     let mut operator = TcpStream::connect(admin).unwrap();
     operator
         .write_all(b"GET /api/ready HTTP/1.1\r\n\r\n")
         .unwrap();
     assert!(read_to_close(&mut operator).starts_with("HTTP/1.1 200 "));
-    // Discovery is back: the node's poll comes, whoever else is there.
-    let discovery = TcpListener::bind(service).unwrap();
+    // Discovery is up again: the node polls it despite the idle connections.
+    let discovery = TcpListener::bind(discovery_addr).unwrap();
     let _poll = accept_request(&discovery);
     assert!(descriptor_count(&node) <= MAX_DESCRIPTORS);
 }
 
-/// The payload of a chunked body as far as it has come.
+/// The payload of a chunked body that may be incomplete.
 fn payload(mut chunks: &str) -> String {
     let mut text = String::new();
-    while let Some((size, rest)) = chunks.split_once("\r\n") {
+    while let Some((size, after_size)) = chunks.split_once("\r\n") {
         let size = usize::from_str_radix(size, 16).unwrap();
-        text.push_str(&rest[..size.min(rest.len())]);
-        chunks = rest.get(size + 2..).unwrap_or("");
+        text.push_str(&after_size[..size.min(after_size.len())]);
+        chunks = after_size.get(size + 2..).unwrap_or("");
     }
     text
 }
 
-/// Guards against events that wait behind a flush, or in a buffer for more to come: each one has reached the client before its
-/// replica writes the next, also where it comes in two parts or in a burst that waits for the client.
+/// Guards against events that wait for a flush or for further bytes in a buffer: each event reaches the client before the
+/// replica writes the next, also if it arrives in two parts or in a burst that exceeds the socket buffers.
 #[test]
 fn forwards_each_event_before_the_next_is_written() {
     let replica = TcpListener::bind("127.0.0.1:0").unwrap();
@@ -372,18 +379,18 @@
     stream
         .write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         .unwrap();
-    let (mut text, mut piece) = (String::new(), vec![0; 65_536]);
+    let (mut text, mut buffer) = (String::new(), vec![0; 65_536]);
     let mut sent = String::new();
     for n in 0..40 {
-        // Some come in a burst that a socket's buffer does not hold, so that a flush has to wait for the client.
-        let (times, lines) = if n % 10 == 5 { (80, 15) } else { (1, 1) };
+        // Every tenth chunk is a burst that exceeds a socket buffer, so a flush has to wait for the client.
+        let (repeats, lines) = if n % 10 == 5 { (80, 15) } else { (1, 1) };
         let event = format!(
             "{}\n",
             format!("data: {n} {}\n", "x".repeat(3000)).repeat(lines)
         );
-        let chunk = format!("{:x}\r\n{event}\r\n", event.len()).repeat(times);
+        let chunk = format!("{:x}\r\n{event}\r\n", event.len()).repeat(repeats);
         let (first, second) = chunk.split_at(chunk.len() / 2);
-        sent.push_str(&event.repeat(times));
+        sent.push_str(&event.repeat(repeats));
         std::thread::scope(|scope| {
             scope.spawn(|| {
                 stream.write_all(first.as_bytes()).unwrap();
@@ -394,9 +401,9 @@
                     .map_or(0, |(_, body)| payload(body).len())
             };
             while received_length(&text) < sent.len() {
-                let length = read_some(&mut client, &mut piece).unwrap();
+                let length = read_some(&mut client, &mut buffer).unwrap();
                 assert!(length > 0, "the stream ended before event {n}");
-                text.push_str(&String::from_utf8_lossy(&piece[..length]));
+                text.push_str(&String::from_utf8_lossy(&buffer[..length]));
             }
         });
     }
@@ -405,23 +412,23 @@
     assert_eq!(payload(text.split_once("\r\n\r\n").unwrap().1), sent);
 }
 
-/// A discovery service that has lost its state sends the full endpoint list with an older version: its latest answer holds,
-/// for the whole node.
+/// A discovery service that has lost its state sends a full endpoint list with an older version: the node follows the latest
+/// answer.
 #[test]
 fn follows_full_endpoint_list_with_an_older_version() {
     let discovery = TcpListener::bind("127.0.0.1:0").unwrap();
-    let service = discovery.local_addr().unwrap().to_string();
+    let discovery_addr = discovery.local_addr().unwrap().to_string();
     let removed = stub_server();
     let remaining = stub_server();
     let node = Node::builder("older")
         .replicas(removed.addrs())
-        .discovery(&service)
+        .discovery(&discovery_addr)
         .start();
     let mut poll = accept_request(&discovery);
     let list = entry("s-9", remaining.addrs()[0], "up");
     let body = format!(r#"{{"version":7,"full":true,"servers":[{list}]}}"#);
     answer_poll(&mut poll, &body);
-    node.until_logged("s-9");
+    node.wait_for_log("s-9");
     for _ in 0..5 {
         let (id, mut client) = send_request(&node, "older", 3);
         assert_eq!(
--- a/tests/late_connections.rs
+++ b/tests/delayed_replica_connections.rs
@@ -1,9 +1,8 @@
-//! A connection to a replica that comes up late must not carry a decision that has become stale meanwhile: the time that is
-//! left, the address of the replica, and whether it may be used at all.
+//! Guards against stale decisions on a replica connection that is established late: an attempt is placed at once, but its
+//! request is written only when the connection is up, a second later. The replica then received a longer deadline than the
+//! client had left, or a request after it had begun to drain.
 //!
-//! The story: an attempt is placed at once, its connection comes up a second later, and what is written then was decided
-//! before. Replicas were told more time than their clients had left, and were sent requests after they had begun to drain.
-//! Evidence: the first bytes on a connection that is held in the state `SYN_SENT` until the decision is out of date.
+//! The tests hold a connection in the state `SYN_SENT` until the decision is out of date, and check its first bytes.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -19,7 +18,7 @@
 };
 
 const DEADLINE_S: f64 = 10.0;
-/// How much more time than its client has left a replica may be told, in seconds.
+/// Amount in seconds by which the deadline sent to a replica may exceed the client's remaining time.
 const DEADLINE_SLACK_S: f64 = 0.15;
 const NO_CHANGES: &str = r#"{"version":41,"full":false,"servers":[]}"#;
 const REQUEST_ID: &str = "00000000000000e1";
@@ -36,7 +35,7 @@
     format!(r#"{{"version":42,"full":false,"servers":[{endpoints}]}}"#)
 }
 
-/// A node whose list is confirmed, with an attempt that waits for its connection.
+/// Starts a node with a confirmed endpoint list, and a request whose attempt waits for its connection.
 fn node_with_connecting_attempt(
     test: &str,
     addr: SocketAddr,
@@ -48,24 +47,24 @@
         .discovery(&discovery.addr.to_string())
         .allows_probes(allows_probes)
         .start();
-    node.until_logged("endpoint list confirmed");
+    node.wait_for_log("endpoint list confirmed");
     let client = send(&node);
-    wait_until("the connection", || is_connecting_to(addr.port()));
+    wait_until("the connection attempt", || is_connecting_to(addr.port()));
     (node, client)
 }
 
-/// The replica is told what the client has left once the connection is up, not what it had when the attempt was placed.
+/// The deadline sent to the replica is the client's remaining time when the connection is up, not when the attempt was placed.
 #[test]
 fn deadline_passed_on_excludes_the_wait_for_the_connection() {
-    let (late, queued) = full_listener();
+    let (delayed, queued) = full_listener();
     let discovery = ScriptedDiscovery::start(&[PollAnswer::List(NO_CHANGES.into())]);
-    let addr = late.local_addr().unwrap();
+    let addr = delayed.local_addr().unwrap();
     let (_node, _client) = node_with_connecting_attempt("deadline", addr, &discovery, false);
     let placed_before = Instant::now();
     std::thread::sleep(Duration::from_millis(600));
     drop(queued);
     let waited_s = placed_before.elapsed().as_secs_f64();
-    let head = accept_head(&late);
+    let head = accept_head(&delayed);
     let deadline = head
         .lines()
         .find_map(|line| line.strip_prefix("Req-Deadline: "))
@@ -73,11 +72,11 @@
     let deadline: f64 = deadline.parse().unwrap();
     assert!(
         deadline <= DEADLINE_S - waited_s + DEADLINE_SLACK_S,
-        "told {deadline} s, {waited_s} s after the request"
+        "sent a deadline of {deadline} s, {waited_s} s after the request"
     );
 }
 
-/// The head of the first request that comes on any connection.
+/// The head of the first request on any connection.
 fn accept_head(listener: &TcpListener) -> String {
     let listener = listener.try_clone().unwrap();
     let (sender, heads) = std::sync::mpsc::channel();
@@ -100,11 +99,12 @@
     heads.recv_timeout(support::TEST_TIMEOUT).unwrap()
 }
 
-/// The list becomes doubtful while the connection is established, and the replica begins to drain: nothing is sent to it.
+/// The list becomes unconfirmed and the replica begins to drain while the connection is established: the replica gets no
+/// request.
 #[test]
-fn connection_established_after_the_list_became_doubtful_carries_no_request() {
-    let (late, queued) = full_listener();
-    let addr = late.local_addr().unwrap();
+fn connection_established_after_the_list_became_unconfirmed_carries_no_request() {
+    let (delayed, queued) = full_listener();
+    let addr = delayed.local_addr().unwrap();
     let drain = changes(&[entry("s-0", addr, "draining")]);
     let discovery = ScriptedDiscovery::start(&[
         PollAnswer::List(NO_CHANGES.into()),
@@ -112,18 +112,18 @@
     ]);
     let (_node, _client) = node_with_connecting_attempt("doubtful", addr, &discovery, true);
     discovery.release();
-    wait_until("the poll after the half answer", || {
+    wait_until("the poll after the truncated answer", || {
         discovery.poll_count() > 2
     });
     drop(queued);
-    expect_no_request(&late);
+    expect_no_request(&delayed);
 }
 
-/// The replica has another address now: the attempt goes there, and not to whatever listens at the old one.
+/// The replica moves while the connection is established. The attempt goes to the new address, and the old one gets no bytes.
 #[test]
 fn unsent_attempt_follows_its_replica_to_another_address() {
-    let (late, queued) = full_listener();
-    let addr = late.local_addr().unwrap();
+    let (delayed, queued) = full_listener();
+    let addr = delayed.local_addr().unwrap();
     let moved = DrainableReplica::start();
     let discovery = ScriptedDiscovery::start(&[
         PollAnswer::List(NO_CHANGES.into()),
@@ -135,28 +135,28 @@
         moved.requests() == [REQUEST_ID]
     });
     drop(queued);
-    expect_no_bytes(&late);
+    expect_no_bytes(&delayed);
 }
 
-/// Guards against a request that goes to a replica long after it began draining, since its connection was established late.
+/// Guards against a request to a replica that began draining long before its connection was established.
 #[test]
 fn connection_established_after_its_replica_began_draining_carries_no_request() {
-    let (late, queued) = full_listener();
+    let (delayed, queued) = full_listener();
     let discovery = TcpListener::bind("127.0.0.1:0").unwrap();
     let replica = StubServers::start(vec![ReplyScript {
         token_count: 3,
         ..ReplyScript::default()
     }])
     .unwrap();
-    let addr = late.local_addr().unwrap();
-    let service = discovery.local_addr().unwrap().to_string();
+    let addr = delayed.local_addr().unwrap();
+    let discovery_addr = discovery.local_addr().unwrap().to_string();
     let node = Node::builder("late")
         .replicas(&[addr])
         .semantics("unsafe")
-        .discovery(&service)
+        .discovery(&discovery_addr)
         .start();
     let mut poll = accept_request(&discovery);
-    // The list of the start is confirmed, so that the request goes out.
+    // The node dispatches requests only with a confirmed list.
     answer_poll(&mut poll, NO_CHANGES);
     let (id, mut client) = send_request(&node, "late", 3);
     wait_until("the connection", || is_connecting_to(addr.port()));
@@ -167,12 +167,12 @@
     .join(",");
     let body = format!(r#"{{"version":42,"full":false,"servers":[{list}]}}"#);
     answer_poll(&mut poll, &body);
-    node.until_logged("Draining");
-    // From now on the connection can be established, with the kernel's next try.
+    node.wait_for_log("Draining");
+    // The kernel's next SYN retransmission can now establish the connection.
     drop(queued);
     let response = std::thread::spawn(move || read_response(id, "late", 3, &mut client));
-    expect_no_bytes(&late);
-    // The request has never run there, so the remaining replica gets it, also where it may not be repeated.
+    expect_no_bytes(&delayed);
+    // The request has not run on the first replica, so the other one gets it even if its class does not allow repeats.
     assert_eq!(response.join().unwrap().outcome, ClientOutcome::Completed);
     assert_eq!(replica.served_requests().len(), 1);
 }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! A node with and without `[fleet]`: what the section costs where it is absent, the errors in its settings, messages that
-//! are dropped, outlier probing by one node for all, and the budget of calls to discovery.
+//! A node with and without `[fleet]`: the sockets, threads and files that it opens, errors in its settings, messages that are
+//! dropped, outlier probing by one node for the fleet, and the budget of calls to discovery.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -21,12 +21,12 @@
 use std::time::{Duration, Instant};
 use support::{read_response, send_request, Node};
 
-/// What is awaited of a node must come within this time.
-const PATIENCE: Duration = Duration::from_secs(10);
-/// The number of tokens of a stub server's answer.
+/// Time limit of each wait for a node.
+const TEST_TIMEOUT: Duration = Duration::from_secs(10);
+/// Number of tokens of a stub server's response.
 const TOKENS: usize = 3;
 
-/// An address that is free for datagrams and connections.
+/// An address whose port is free for both UDP and TCP.
 fn free_address() -> SocketAddr {
     loop {
         let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
@@ -37,7 +37,7 @@
     }
 }
 
-/// A folder for one test of this process; not made yet.
+/// Path of a folder for one test, which does not exist yet.
 fn test_folder(name: &str) -> PathBuf {
     std::env::temp_dir().join(format!("fleet-{name}-{}", std::process::id()))
 }
@@ -51,15 +51,15 @@
 }
 
 #[test]
-fn without_the_section_there_is_no_listener_no_thread_and_no_file() {
+fn node_without_fleet_section_opens_no_listener_thread_or_file() {
     let server = StubServers::start(vec![ReplyScript::default()]).unwrap();
     let node = Node::builder("no-fleet").replicas(server.addrs()).start();
-    let alone = ProcessResources {
+    let without_fleet = ProcessResources {
         datagram_sockets: 0,
         listeners: 2,
         threads: 1,
     };
-    assert_eq!(ProcessResources::of(node.child.id()), alone);
+    assert_eq!(ProcessResources::of(node.child.id()), without_fleet);
     let folder = test_folder("disk");
     let address = free_address();
     let section = fleet_section(address, address, &folder.display().to_string());
@@ -78,20 +78,20 @@
     std::fs::remove_dir_all(folder).unwrap();
 }
 
-/// A section without a fault.
+/// A section without errors.
 fn valid_section() -> String {
     fleet_section(free_address(), free_address(), "x")
 }
 
-/// A section with one budget, and how the budget is set.
+/// A section with a budget of retries; `budget` is its TOML value.
 fn section_with_budget(valid: &str, budget: &str) -> String {
     format!("{valid}[fleet.budgets]\nmost_nodes = 10\nretries = {budget}\n")
 }
 
 const VALID_BUDGET: &str = "{ rate = 20, burst = 20, floor = 1, floor_burst = 1 }";
 
-/// Sections with a fault, and how their errors begin.
-fn faulty_sections(valid: &str) -> Vec<(String, &'static str)> {
+/// Sections with an error, and the expected start of the error message.
+fn invalid_sections(valid: &str) -> Vec<(String, &'static str)> {
     vec![
         (
             valid.replace("name = \"f\"", "name = \"\""),
@@ -119,8 +119,8 @@
     ]
 }
 
-/// Sections with a fault in a budget, and how their errors begin.
-fn faulty_budgets(valid: &str) -> Vec<(String, &'static str)> {
+/// Sections with an error in a budget, and the expected start of the error message.
+fn invalid_budgets(valid: &str) -> Vec<(String, &'static str)> {
     let with_budget = |budget: &str| section_with_budget(valid, budget);
     vec![
         (
@@ -153,12 +153,12 @@
 }
 
 #[test]
-fn wrong_settings_are_errors_with_key_and_line() {
+fn invalid_settings_are_reported_with_key_and_line() {
     let valid = valid_section();
     OperatorConfig::read(&valid).unwrap();
     OperatorConfig::read(&section_with_budget(&valid, VALID_BUDGET)).unwrap();
-    let faulty = [faulty_sections(&valid), faulty_budgets(&valid)].concat();
-    for (section, expected) in faulty {
+    let invalid = [invalid_sections(&valid), invalid_budgets(&valid)].concat();
+    for (section, expected) in invalid {
         let error = OperatorConfig::read(&section)
             .err()
             .map(|error| error.to_string())
@@ -193,23 +193,26 @@
         .is_ok());
 }
 
-/// The operators' address of a node, as its log names it.
+/// The admin address of a node, read from its log.
 fn admin_address(node: &Node) -> SocketAddr {
     let started_at = Instant::now();
     loop {
-        let named = node.log.lock().unwrap().iter().find_map(|line| {
+        let logged = node.log.lock().unwrap().iter().find_map(|line| {
             let text = line.split("operators call at ").nth(1)?;
             text.split('"').next()?.parse().ok()
         });
-        if let Some(address) = named {
+        if let Some(address) = logged {
             return address;
         }
-        assert!(started_at.elapsed() < PATIENCE, "no operators' address");
+        assert!(
+            started_at.elapsed() < TEST_TIMEOUT,
+            "the node did not log its admin address"
+        );
         std::thread::sleep(Duration::from_millis(5));
     }
 }
 
-/// One call at a node's operators' address; the whole answer.
+/// Sends one request to a node's admin address and returns the whole response.
 fn call(node: &Node, request: &str) -> String {
     let mut stream = TcpStream::connect(admin_address(node)).unwrap();
     write!(
@@ -222,15 +225,20 @@
     answer
 }
 
-/// The value of a metric of coordination in an answer.
+/// The value of a coordination metric in a response.
 fn metric(answer: &str, name: &str) -> Option<u64> {
     let prefix = format!("app_fleet_{name} ");
     let value = answer.lines().find_map(|line| line.strip_prefix(&prefix));
     value.and_then(|value| value.parse().ok())
 }
 
-/// A message that names so many ejected replicas, as bytes.
-fn ejection_report(sender_address: SocketAddr, fleet: &str, to: &str, replicas: usize) -> Vec<u8> {
+/// An encoded message that reports `replicas` ejected replicas.
+fn ejection_report(
+    sender_address: SocketAddr,
+    fleet: &str,
+    recipient: &str,
+    replicas: usize,
+) -> Vec<u8> {
     let replicas = (0..replicas)
         .map(|number| format!("a server with a long name, number {number}"))
         .collect();
@@ -242,32 +250,34 @@
             incarnation: Incarnation(1),
         },
         sender_address,
-        recipient: to.into(),
+        recipient: recipient.into(),
         body: MessageBody::OutlierProbing(ProbingMessage::Ejected { replicas }),
     })
 }
 
-/// Sends three messages for others, three damaged ones and two good ones, by datagrams and connections.
-fn send_good_and_bad_messages(address: SocketAddr) {
+/// Sends three messages of another fleet or for another node, three malformed messages and two valid ones, by UDP and TCP.
+fn send_valid_and_invalid_messages(address: SocketAddr) {
     let foreign = ejection_report(address, "g", "n0", 1);
-    let good = ejection_report(address, "f", "n0", 1);
-    let long = ejection_report(address, "f", "n0", 2000);
-    assert!(long.len() > envelope::MAX_DATAGRAM_BYTES);
+    let valid_message = ejection_report(address, "f", "n0", 1);
+    let oversized = ejection_report(address, "f", "n0", 2000);
+    assert!(oversized.len() > envelope::MAX_DATAGRAM_BYTES);
     let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
     socket.send_to(&foreign, address).unwrap();
     let for_another_node = ejection_report(address, "f", "n1", 1);
     socket.send_to(&for_another_node, address).unwrap();
-    socket.send_to(&good, address).unwrap();
-    socket.send_to(&good[..good.len() - 1], address).unwrap();
+    socket.send_to(&valid_message, address).unwrap();
+    socket
+        .send_to(&valid_message[..valid_message.len() - 1], address)
+        .unwrap();
     socket.send_to(&[7; 900], address).unwrap();
-    for bytes in [&long[..], &long[..5000], &foreign] {
+    for bytes in [&oversized[..], &oversized[..5000], &foreign] {
         let mut stream = TcpStream::connect(address).unwrap();
         stream.write_all(bytes).unwrap();
     }
 }
 
 #[test]
-fn foreign_and_garbled_messages_are_dropped_and_counted_by_datagram_and_connection() {
+fn foreign_and_garbled_messages_over_udp_and_tcp_are_dropped_and_counted() {
     let server = StubServers::start(vec![ReplyScript::default()]).unwrap();
     let folder = test_folder("drop");
     let address = free_address();
@@ -277,7 +287,7 @@
         .replicas(server.addrs())
         .operator(&section)
         .start();
-    send_good_and_bad_messages(address);
+    send_valid_and_invalid_messages(address);
     let started_at = Instant::now();
     loop {
         let answer = call(&node, "GET /api/telemetry");
@@ -286,7 +296,7 @@
         if (foreign, garbled) == (Some(3), Some(3)) {
             break;
         }
-        assert!(started_at.elapsed() < PATIENCE, "{answer}");
+        assert!(started_at.elapsed() < TEST_TIMEOUT, "{answer}");
         std::thread::sleep(Duration::from_millis(20));
     }
     assert!(call(&node, "GET /api/fleet").contains("\"fleet\":\"f\""));
@@ -295,12 +305,12 @@
     std::fs::remove_dir_all(folder).unwrap();
 }
 
-/// What a server that fails for a while got of several nodes.
+/// Result of a run in which several nodes use a replica that fails for a while.
 #[derive(Debug)]
 struct ProbingRun {
-    /// Requests that it got while it failed.
+    /// Requests to the replica while it failed.
     probes: usize,
-    /// Whether all nodes use it again once it is well.
+    /// Whether the replica gets requests again after its recovery.
     is_used_again: bool,
 }
 
@@ -334,15 +344,15 @@
     nodes
 }
 
-/// All nodes serve one request after the other for a while.
-fn serve_for(nodes: &[Node], span: Duration) {
+/// Sends requests to each node, one after the other, for this duration.
+fn send_requests_for(nodes: &[Node], duration: Duration) {
     std::thread::scope(|scope| {
         for node in nodes {
             scope.spawn(move || {
-                let until = Instant::now() + span;
+                let end = Instant::now() + duration;
                 let mut number = 0;
-                while Instant::now() < until {
-                    // Sessions of their own, so that each server is some request's first choice.
+                while Instant::now() < end {
+                    // Each prompt is a new session, so each replica is the first choice of some requests.
                     let prompt = format!("{} {number}", node.addr);
                     let (id, mut stream) = send_request(node, &prompt, TOKENS);
                     let answer = read_response(id, &prompt, TOKENS, &mut stream);
@@ -355,24 +365,24 @@
     });
 }
 
-fn run_with_failing_server(name: &str, has_fleet: bool) -> ProbingRun {
+fn run_with_failing_replica(name: &str, has_fleet: bool) -> ProbingRun {
     let servers = StubServers::start(vec![healthy_script(), failing_script()]).unwrap();
     let folder = test_folder(name);
     let nodes = four_nodes(name, servers.addrs(), has_fleet.then_some(&folder));
-    let requests_at_failing = || {
+    let failing_replica_requests = || {
         let records = servers.served_requests();
         records.iter().filter(|record| record.server == 1).count()
     };
-    serve_for(&nodes, Duration::from_secs(3));
-    let before = requests_at_failing();
-    serve_for(&nodes, Duration::from_secs(6));
-    let probes = requests_at_failing() - before;
+    send_requests_for(&nodes, Duration::from_secs(3));
+    let before = failing_replica_requests();
+    send_requests_for(&nodes, Duration::from_secs(6));
+    let probes = failing_replica_requests() - before;
     servers.set_script(1, healthy_script());
-    serve_for(&nodes, Duration::from_secs(3));
-    let after_recovery = requests_at_failing();
-    serve_for(&nodes, Duration::from_secs(1));
-    let is_used_again = requests_at_failing() > after_recovery + 10;
-    // Without a fleet there is no folder.
+    send_requests_for(&nodes, Duration::from_secs(3));
+    let after_recovery = failing_replica_requests();
+    send_requests_for(&nodes, Duration::from_secs(1));
+    let is_used_again = failing_replica_requests() > after_recovery + 10;
+    // Without a fleet the folder does not exist.
     let _ = std::fs::remove_dir_all(folder);
     ProbingRun {
         probes,
@@ -381,31 +391,34 @@
 }
 
 #[test]
-fn one_node_probes_a_failing_server_for_all_and_all_use_it_again() {
-    let (together, alone) = std::thread::scope(|scope| {
-        let alone = scope.spawn(|| run_with_failing_server("alone", false));
-        let together = run_with_failing_server("together", true);
-        (together, alone.join().unwrap())
+fn one_node_probes_a_failing_replica_for_the_fleet_and_all_nodes_use_it_again() {
+    let (with_fleet, without_fleet) = std::thread::scope(|scope| {
+        let without_fleet = scope.spawn(|| run_with_failing_replica("alone", false));
+        let with_fleet = run_with_failing_replica("together", true);
+        (with_fleet, without_fleet.join().unwrap())
     });
     println!(
-        "probes of a failing server in 6 s by 4 nodes: {together:?} with a fleet, {alone:?} without"
+        "probes of a failing replica in 6 s by 4 nodes: {with_fleet:?} with a fleet, {without_fleet:?} without"
+    );
+    assert!(
+        with_fleet.is_used_again && without_fleet.is_used_again,
+        "{with_fleet:?} {without_fleet:?}"
     );
     assert!(
-        together.is_used_again && alone.is_used_again,
-        "{together:?} {alone:?}"
+        with_fleet.probes * 2 < without_fleet.probes,
+        "{with_fleet:?} {without_fleet:?}"
     );
-    assert!(together.probes * 2 < alone.probes, "{together:?} {alone:?}");
 }
 
-/// How often a node calls a discovery that closes every connection, in 20 s.
+/// Number of calls within 20 s from a node to a discovery service that closes every connection.
 fn calls_to_failing_discovery(name: &str, budget: &str) -> usize {
     let discovery = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = discovery.local_addr().unwrap().to_string();
     let calls = Arc::new(AtomicUsize::new(0));
-    let counted = calls.clone();
+    let call_counter = calls.clone();
     std::thread::spawn(move || {
         for _ in discovery.incoming().flatten() {
-            counted.fetch_add(1, Ordering::Relaxed);
+            call_counter.fetch_add(1, Ordering::Relaxed);
         }
     });
     let server = StubServers::start(vec![ReplyScript::default()]).unwrap();
@@ -423,10 +436,10 @@
     calls.load(Ordering::Relaxed)
 }
 
-/// Where the fleet allows three calls to discovery in 20 s, a node makes no more, and it goes on calling; without a budget
-/// it calls again after each pause, which is 1.84 s at most.
+/// If the budget allows three calls to discovery in 20 s, a node makes no more but does not stop calling. Without a budget it
+/// calls again after each pause of at most 1.84 s.
 #[test]
-fn calls_to_discovery_are_spent_out_of_the_fleets_budget() {
+fn discovery_calls_stay_within_the_fleet_budget() {
     let budget = "[fleet.budgets]\nmost_nodes = 1\n\
                   discovery = { rate = 0.15, burst = 1, floor = 0.1, floor_burst = 1 }\n";
     let (limited, unlimited) = std::thread::scope(|scope| {
--- a/tests/golden.rs
+++ b/tests/golden.rs
@@ -1,5 +1,5 @@
-//! Golden files of the program's stored forms: the record of what a node has learned, and the JSON log that
-//! `poppykeel streams` reads. Files that a landed version wrote must stay readable.
+//! Golden files of stored formats: the learned-state record, and the JSON log that `poppykeel streams` reads. Files that an
+//! earlier version wrote must stay readable.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -18,13 +18,13 @@
 use std::process::Command;
 use support::Node;
 
-/// The record of what a node has learned.
+/// A record of learned state.
 const LEARNED_STATE: &str = "learned-state.record";
-/// The log of a node, as `serve --log-format json` wrote it.
+/// The log of a node, written by `serve --log-format json`.
 const NODE_LOG: &str = "node-log.jsonl";
-/// What `poppykeel streams` printed of that log.
+/// Output of `poppykeel streams` for that log.
 const STREAMS_TABLE: &str = "streams-table.txt";
-/// Fields of the summary whose names have changed since the landed log, and what they are called now.
+/// Fields of the summary that were renamed after the golden log was written: the old and the present name.
 const RENAMED_FIELDS: [(&str, &str); 9] = [
     ("window", "concurrency_limit"),
     ("out", "in_flight"),
@@ -36,7 +36,7 @@
     ("sent", "attempts_started"),
     ("ends", "failed_attempts"),
 ];
-/// Messages of the log that `poppykeel streams` and the lab's view read, but for changes of the list.
+/// Log messages that `poppykeel streams` and the testbed's view read, except `list changed`.
 const SUMMARIES: [&str; 3] = ["summary", "streams", "streams of a replica"];
 /// The process that wrote the record.
 const WRITER: ProcessToken = ProcessToken(0x0123_4567_89ab_cdef);
@@ -45,14 +45,14 @@
 /// When the record was written, in milliseconds of Unix time.
 const WRITTEN_AT: i64 = 1_700_000_000_123;
 
-/// The committed file of this name.
+/// Path of a golden file.
 fn golden_path(name: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR"))
         .join("tests/golden")
         .join(name)
 }
 
-/// Asserts that what the present code has written equals the committed file.
+/// Asserts that the output of the present code equals the golden file.
 fn assert_equals_golden_file(name: &str, written: &[u8]) {
     let committed = fs::read(golden_path(name)).unwrap();
     assert!(written == committed, "{name}: the bytes differ");
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn learned_state_of_landed_version_stays_readable() {
+fn golden_learned_state_stays_readable() {
     let record = fs::read(golden_path(LEARNED_STATE)).unwrap();
     let one_second_later = WRITTEN_AT + 1_000;
     let read_back = decode(&record, READER, one_second_later, &names());
@@ -137,7 +137,7 @@
 }
 
 #[test]
-fn streams_table_of_landed_log_stays_the_same() {
+fn streams_table_of_golden_log_stays_the_same() {
     let output = Command::new(env!("CARGO_BIN_EXE_poppykeel"))
         .arg("streams")
         .arg(golden_path(NODE_LOG))
@@ -147,16 +147,16 @@
     assert_equals_golden_file(STREAMS_TABLE, &output.stdout);
 }
 
-/// The present name of a field of the landed log. Only the summary's fields have been renamed.
+/// The present name of a field of the golden log. Only fields of the summary have been renamed.
 fn present_name(message: &str, field: &str) -> String {
-    let renamed = RENAMED_FIELDS.iter().find(|(landed, _)| *landed == field);
+    let renamed = RENAMED_FIELDS.iter().find(|(golden, _)| *golden == field);
     match renamed {
         Some((_, present)) if message == "summary" => present.to_string(),
         _ => field.to_string(),
     }
 }
 
-/// The names of the fields of each message of a log in JSON.
+/// The field names of each message of a JSON log.
 fn fields_by_message(log: &str) -> BTreeMap<String, BTreeSet<String>> {
     let mut fields = BTreeMap::new();
     for line in log.lines() {
@@ -169,26 +169,26 @@
 }
 
 /// The log of a node that has served a few streams, up to its first summary.
-fn log_of_present_program() -> String {
+fn present_log() -> String {
     let servers = StubServers::start(vec![ReplyScript::default()]).unwrap();
     let node = Node::builder("golden-log")
         .replicas(servers.addrs())
         .start();
-    let answers = support::run_clients(&node, 2, 4, 12, |number| format!("prompt {number}"));
-    assert_eq!(answers.len(), 4);
-    node.until_logged("streams of a replica");
+    let observations = support::run_clients(&node, 2, 4, 12, |number| format!("prompt {number}"));
+    assert_eq!(observations.len(), 4);
+    node.wait_for_log("streams of a replica");
     let lines = node.log.lock().unwrap();
     lines.join("\n")
 }
 
 #[test]
-fn summaries_of_present_program_have_the_fields_of_the_landed_log() {
-    let landed_log = fs::read_to_string(golden_path(NODE_LOG)).unwrap();
-    let landed = fields_by_message(&landed_log);
-    let present = fields_by_message(&log_of_present_program());
+fn present_summaries_have_the_fields_of_the_golden_log() {
+    let golden_log = fs::read_to_string(golden_path(NODE_LOG)).unwrap();
+    let golden = fields_by_message(&golden_log);
+    let present = fields_by_message(&present_log());
     for message in SUMMARIES {
-        let landed_fields = landed[message].iter();
-        let expected: BTreeSet<String> = landed_fields
+        let golden_fields = golden[message].iter();
+        let expected: BTreeSet<String> = golden_fields
             .map(|field| present_name(message, field))
             .collect();
         assert_eq!(present.get(message), Some(&expected), "{message}");
--- a/tests/shutdown.rs
+++ b/tests/shutdown.rs
@@ -1,5 +1,5 @@
-//! Requests that come while a node shuts down: a node as a process of its own, real signals, and replicas that do not respond
-//! through the whole shutdown. What comes too late to be answered is rejected and reaches no replica.
+//! Requests that arrive while a node shuts down, with real signals and replicas that do not respond during the whole shutdown.
+//! A request that arrives too late to be answered is rejected and reaches no replica.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -11,11 +11,11 @@
 use std::time::Duration;
 use support::{accept_request, read_some, request_text, wait_until, Node};
 
-/// The deadline of clients that wait far longer than a node may run after its order to stop, in seconds.
+/// A deadline in seconds that far exceeds the time that a node may run after SIGTERM.
 const LONG_DEADLINE_S: f64 = 60.0;
-/// How long an unresponsive replica keeps a request, in milliseconds.
+/// Time in milliseconds until an unresponsive replica would respond.
 const UNRESPONSIVE_MS: u64 = 60_000;
-/// Longer than a node admits requests after its order to stop.
+/// Longer than a node admits requests after SIGTERM.
 const SUSPENSION: Duration = Duration::from_millis(1200);
 const STREAM_HEAD: &[u8] = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
@@ -27,7 +27,7 @@
     request_text(&id(number), "", body, LONG_DEADLINE_S)
 }
 
-/// Reads to the end of a connection; a reset ends it, too.
+/// Reads until the connection is closed or reset.
 fn read_to_close(client: &mut TcpStream) -> String {
     let (mut bytes, mut buffer) = (Vec::new(), [0; 4096]);
     while let Ok(length @ 1..) = read_some(client, &mut buffer) {
@@ -45,7 +45,7 @@
 }
 
 /// Ids of the requests that have reached a stub server.
-fn requests_reaching(servers: &StubServers) -> Vec<String> {
+fn received_request_ids(servers: &StubServers) -> Vec<String> {
     servers
         .served_requests()
         .into_iter()
@@ -53,15 +53,15 @@
         .collect()
 }
 
-fn assert_ends(mut node: Node) {
+fn assert_exits_successfully(mut node: Node) {
     wait_until("the end of the process", || {
         node.child.try_wait().unwrap().is_some()
     });
     assert_eq!(node.child.wait().unwrap().code(), Some(0));
 }
 
-/// The incident of 2 December: connections that are open and have sent nothing yet, and whose first request comes once the
-/// node has closed the others.
+/// Guards against the incident of 2 December: open connections have sent nothing yet, and their first requests arrive after the
+/// node has closed the other connections.
 #[test]
 fn rejects_first_request_on_open_connection_late_in_shutdown() {
     for semantics in ["safe", "unsafe"] {
@@ -72,9 +72,9 @@
             .start();
         let mut clients: Vec<TcpStream> = (0..8).map(|_| node.connect()).collect();
         node.signal("-TERM");
-        node.until_logged("closing");
+        node.wait_for_log("closing");
         for (number, client) in clients.iter_mut().enumerate() {
-            // The node may have closed the connection unread, so that its client would go elsewhere.
+            // The node may have closed the connection unread; a client would then use another node.
             let _ = client.write_all(request(number as u64 + 1, "").as_bytes());
         }
         for client in &mut clients {
@@ -85,20 +85,20 @@
             );
         }
         assert_eq!(
-            requests_reaching(&servers),
+            received_request_ids(&servers),
             Vec::<String>::new(),
             "{semantics}"
         );
-        assert_ends(node);
+        assert_exits_successfully(node);
     }
 }
 
-/// The same fault by other ways: a request behind a stream that outlives the close, one that trickles in across it, and one
-/// to a node that is suspended meanwhile.
+/// Guards against the same incident with other requests: one pipelined behind a stream, one whose bytes arrive before and after
+/// the end of admission, and one to a node that is suspended meanwhile.
 #[test]
 fn rejects_requests_that_cross_the_end_of_admission() {
     rejects_request_behind_a_stream();
-    rejects_request_that_trickles_in();
+    rejects_request_that_arrives_in_parts();
     rejects_requests_to_a_suspended_node();
 }
 
@@ -112,50 +112,50 @@
     let mut stream = accept_request(&server);
     stream.write_all(STREAM_HEAD).unwrap();
     stream.write_all(b"9\r\ndata: 1\n\n\r\n").unwrap();
-    let mut begun = String::new();
-    while !begun.contains("data: 1") {
+    let mut received = String::new();
+    while !received.contains("data: 1") {
         let mut buffer = [0; 4096];
         let length = read_some(&mut client, &mut buffer).unwrap();
-        assert!(length > 0, "the stream ended: '{begun}'");
-        begun.push_str(&String::from_utf8_lossy(&buffer[..length]));
+        assert!(length > 0, "the stream ended: '{received}'");
+        received.push_str(&String::from_utf8_lossy(&buffer[..length]));
     }
     node.signal("-TERM");
-    node.until_logged("closing");
+    node.wait_for_log("closing");
     client.write_all(request(2, "").as_bytes()).unwrap();
     stream.write_all(b"0\r\n\r\n").unwrap();
     drop(stream);
-    let answered = std::thread::spawn(move || read_to_close(&mut client));
-    // A request that went out would come on a new connection.
+    let reader = std::thread::spawn(move || read_to_close(&mut client));
+    // A forwarded request would arrive on a new connection.
     server.set_nonblocking(true).unwrap();
-    wait_until("the second answer", || {
-        assert!(server.accept().is_err(), "it reached a server");
-        answered.is_finished()
+    wait_until("the second response", || {
+        assert!(server.accept().is_err(), "the request reached a replica");
+        reader.is_finished()
     });
-    let text = answered.join().unwrap();
+    let text = reader.join().unwrap();
     assert!(text.starts_with("0\r\n\r\nHTTP/1.1 503 "), "'{text}'");
-    assert_ends(node);
+    assert_exits_successfully(node);
 }
 
-fn rejects_request_that_trickles_in() {
+fn rejects_request_that_arrives_in_parts() {
     let servers = unresponsive_replica();
     let node = Node::builder("trickled").replicas(servers.addrs()).start();
     let text = request(3, "the rest comes late");
     let (head, tail) = text.split_at(text.len() - 4);
     let mut client = node.connect();
     client.write_all(head.as_bytes()).unwrap();
-    // It has been read by the time of the answer to another.
+    // Once another client has its response, the node has read these bytes.
     let mut other = node.connect();
     other
         .write_all(b"GET /healthz HTTP/1.1\r\nConnection: close\r\n\r\n")
         .unwrap();
     assert!(read_to_close(&mut other).starts_with("HTTP/1.1 200 "));
     node.signal("-TERM");
-    node.until_logged("closing");
+    node.wait_for_log("closing");
     client.write_all(tail.as_bytes()).unwrap();
     let answer = read_to_close(&mut client);
     assert!(answer.starts_with("HTTP/1.1 503 "), "'{answer}'");
-    assert_eq!(requests_reaching(&servers), Vec::<String>::new());
-    assert_ends(node);
+    assert_eq!(received_request_ids(&servers), Vec::<String>::new());
+    assert_exits_successfully(node);
 }
 
 fn rejects_requests_to_a_suspended_node() {
@@ -167,7 +167,7 @@
     let length = kept.read(&mut [0; 4096]).unwrap();
     assert!(length > 0);
     node.signal("-TERM");
-    node.until_logged("draining");
+    node.wait_for_log("draining");
     node.signal("-STOP");
     std::thread::sleep(SUSPENSION);
     new.write_all(request(4, "").as_bytes()).unwrap();
@@ -177,12 +177,12 @@
         let answer = read_to_close(client);
         assert!(answer.starts_with("HTTP/1.1 503 "), "'{answer}'");
     }
-    assert_eq!(requests_reaching(&servers), Vec::<String>::new());
-    assert_ends(node);
+    assert_eq!(received_request_ids(&servers), Vec::<String>::new());
+    assert_exits_successfully(node);
 }
 
-/// Guards against clients that are still waiting when the process may be killed: replicas do not respond through the whole
-/// shutdown, or there is none, and the clients would wait for a minute.
+/// Guards against clients without a response when the platform may kill the process: replicas do not respond during the whole
+/// shutdown, and the clients would wait for a minute.
 #[test]
 fn request_on_unresponsive_replica_gets_final_response_before_the_kill_deadline() {
     for (semantics, status) in [("safe", "503"), ("unsafe", "502")] {
@@ -193,11 +193,11 @@
             .start();
         let mut sent = node.connect();
         sent.write_all(request(6, "").as_bytes()).unwrap();
-        wait_until("the server has it", || {
-            requests_reaching(&servers) == [id(6)]
+        wait_until("the request at the replica", || {
+            received_request_ids(&servers) == [id(6)]
         });
         node.signal("-TERM");
-        node.until_logged("draining");
+        node.wait_for_log("draining");
         let mut late = node.connect();
         late.write_all(request(7, "").as_bytes()).unwrap();
         for client in [&mut sent, &mut late] {
@@ -207,13 +207,13 @@
                 "{semantics}: '{text}'"
             );
         }
-        assert_ends(node);
+        assert_exits_successfully(node);
     }
 }
 
 #[test]
 fn rejects_request_without_reachable_replica_before_the_kill_deadline() {
-    // Nobody listens there: each attempt fails before it has begun.
+    // Nothing listens at this address: each attempt fails to connect.
     let closed = TcpListener::bind("127.0.0.1:0")
         .unwrap()
         .local_addr()
@@ -222,10 +222,10 @@
         .replicas(&[closed])
         .semantics("unsafe")
         .start();
-    let mut waits = node.connect();
-    waits.write_all(request(8, "").as_bytes()).unwrap();
+    let mut client = node.connect();
+    client.write_all(request(8, "").as_bytes()).unwrap();
     node.signal("-TERM");
-    let text = read_to_close(&mut waits);
+    let text = read_to_close(&mut client);
     assert!(text.starts_with("HTTP/1.1 503 "), "'{text}'");
-    assert_ends(node);
+    assert_exits_successfully(node);
 }
--- a/tests/stale_endpoints.rs
+++ b/tests/stale_endpoints.rs
@@ -1,14 +1,11 @@
-//! A node whose endpoint list may be out of date sends nothing to replicas that have begun to drain.
+//! A node with an unconfirmed endpoint list must not send requests to draining replicas.
 //!
-//! The incident behind these tests. Users saw a request go to a draining replica 0.8 s after the node counted as notified
-//! of the drain, where 0.75 s are allowed. A replica began to drain; some seconds later the node was killed and started
-//! again while the discovery service was overloaded. The new process routed by the endpoint list of its configuration,
-//! which was older than the drain, until its first poll was answered, two seconds after the start.
+//! In an incident, a draining replica got a request 0.8 s after the node counted as notified of the drain; the limit is 0.75 s.
+//! The node had been killed and restarted while the discovery service was overloaded, and routed by the endpoint list of its
+//! configuration, which was older than the drain, until its first poll was answered 2 s later. The cause: a list that was
+//! restored at the start, or whose polls had failed, was trusted as much as a confirmed list.
 //!
-//! Cause: nothing asked how old the list was. A list that was restored at the start, or whose polls had failed, counted as
-//! much as one that discovery had just confirmed. Evidence: the request fell between the process's start and the first
-//! answer that the discovery service wrote to it, and the drain was older than the process. The first test sets up just
-//! that; the others make the list stale in the other ways that were found then.
+//! The first test reproduces the incident; the others make the list stale in other ways.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -23,21 +20,21 @@
 };
 
 const DEADLINE_S: f64 = 20.0;
-/// Longer than the grace for draining of the site, which is 0.5 s.
-const LONGER_THAN_GRACE: Duration = Duration::from_millis(900);
+/// Longer than the drain grace of the site, which is 0.5 s.
+const LONGER_THAN_DRAIN_GRACE: Duration = Duration::from_millis(900);
 const NO_CHANGES: &str = r#"{"version":41,"full":false,"servers":[]}"#;
 
-/// Enough requests that a node which takes both replicas for usable sends some to each.
+/// Enough requests that a node sends some to each replica if it considers both usable.
 const REQUEST_COUNT: usize = 12;
 
-/// Changes of the list: the replica at this position drains.
-fn drain_of(index: usize, addr: SocketAddr) -> String {
+/// A list change: the replica with this index drains.
+fn drain_change(index: usize, addr: SocketAddr) -> String {
     format!(
         r#"{{"version":42,"full":false,"servers":[{{"id":"s-{index}","addr":"{addr}","zone":"a","kind":"k","cell":0,"state":"draining","weight":1.0,"started_ms":0}}]}}"#
     )
 }
 
-/// Sends requests one after the other, each on a connection of its own, and returns the status lines of the responses.
+/// Sends all requests, each on its own connection, and then reads the status lines of the responses.
 fn send_requests(node: &Node) -> Vec<String> {
     let mut clients: Vec<TcpStream> = (0..REQUEST_COUNT).map(|_| node.connect()).collect();
     for (number, client) in clients.iter_mut().enumerate() {
@@ -58,14 +55,14 @@
     text.lines().next().unwrap_or_default().to_string()
 }
 
-fn node_of(test: &str, discovery: &ScriptedDiscovery, replicas: &[SocketAddr]) -> NodeBuilder {
+fn node_builder(test: &str, discovery: &ScriptedDiscovery, replicas: &[SocketAddr]) -> NodeBuilder {
     Node::builder(test)
         .replicas(replicas)
         .discovery(&discovery.addr.to_string())
 }
 
-/// All requests are answered by the replica in service; the draining one gets none.
-fn assert_drain_is_heeded(node: &Node, draining: &DrainableReplica, case: &str) {
+/// Asserts that the serving replica answers all requests and the draining one gets none.
+fn assert_draining_replica_gets_no_request(node: &Node, draining: &DrainableReplica, case: &str) {
     let statuses = send_requests(node);
     assert_eq!(draining.requests(), Vec::<String>::new(), "{case}");
     for status in statuses {
@@ -73,7 +70,7 @@
     }
 }
 
-/// The incident: the list of the start is older than the drain, and no poll is answered.
+/// The incident: the list of the configuration is older than the drain, and no poll is answered.
 #[test]
 fn restarted_node_does_not_route_by_its_unconfirmed_list() {
     let cases: [(&str, &[PollAnswer]); 3] = [
@@ -85,88 +82,90 @@
         let (draining, serving) = (DrainableReplica::start(), DrainableReplica::start());
         draining.drain();
         let discovery = ScriptedDiscovery::start(script);
-        let node = node_of(
+        let node = node_builder(
             &format!("restart-{case}"),
             &discovery,
             &[draining.addr, serving.addr],
         )
         .allows_probes(true)
         .start();
-        assert_drain_is_heeded(&node, &draining, case);
-        // Nor later, whatever has become of the polls.
-        std::thread::sleep(LONGER_THAN_GRACE);
-        assert_drain_is_heeded(&node, &draining, case);
+        assert_draining_replica_gets_no_request(&node, &draining, case);
+        // The same holds later, after the polls have failed.
+        std::thread::sleep(LONGER_THAN_DRAIN_GRACE);
+        assert_draining_replica_gets_no_request(&node, &draining, case);
     }
 }
 
-/// The service has written a drain that arrives in part only, or the watch ends and cannot be had again: the last list
-/// that came is out of date from then on.
+/// An answer with a drain arrives in part, or a long poll ends and later polls fail: the latest list is unconfirmed from then
+/// on.
 #[test]
-fn node_whose_watch_breaks_does_not_route_by_its_last_list() {
+fn node_whose_polls_fail_does_not_route_by_its_last_list() {
     for case in ["half", "closed", "refused"] {
         let (draining, serving) = (DrainableReplica::start(), DrainableReplica::start());
         let confirmed = PollAnswer::List(NO_CHANGES.into());
         let mut script = vec![confirmed.clone(), confirmed];
         match case {
-            "half" => script.push(PollAnswer::Half(drain_of(0, draining.addr))),
+            "half" => script.push(PollAnswer::Half(drain_change(0, draining.addr))),
             "closed" => script.extend(vec![PollAnswer::Closed; 50]),
             _ => script.extend(vec![PollAnswer::Refused; 50]),
         }
         let discovery = ScriptedDiscovery::start(&script);
-        let node = node_of(
+        let node = node_builder(
             &format!("watch-{case}"),
             &discovery,
             &[draining.addr, serving.addr],
         )
         .allows_probes(true)
         .start();
-        wait_until("the broken watch", || discovery.poll_count() > 2);
+        wait_until("the failed poll", || discovery.poll_count() > 2);
         draining.drain();
-        std::thread::sleep(LONGER_THAN_GRACE);
-        assert_drain_is_heeded(&node, &draining, case);
+        std::thread::sleep(LONGER_THAN_DRAIN_GRACE);
+        assert_draining_replica_gets_no_request(&node, &draining, case);
     }
 }
-/// A site that does not allow probes: what comes before the first poll has ended waits for it.
+
+/// At a site that does not allow probes, requests wait until the first poll ends.
 #[test]
 fn restarted_node_without_probes_holds_requests_until_its_first_poll_has_ended() {
     let (draining, serving) = (DrainableReplica::start(), DrainableReplica::start());
     draining.drain();
-    let discovery = ScriptedDiscovery::start(&[PollAnswer::Held(drain_of(0, draining.addr))]);
-    let node = node_of("restart-held", &discovery, &[draining.addr, serving.addr]).start();
+    let discovery = ScriptedDiscovery::start(&[PollAnswer::Held(drain_change(0, draining.addr))]);
+    let node = node_builder("restart-held", &discovery, &[draining.addr, serving.addr]).start();
     std::thread::scope(|scope| {
-        let clients = scope.spawn(|| assert_drain_is_heeded(&node, &draining, "held"));
+        let clients =
+            scope.spawn(|| assert_draining_replica_gets_no_request(&node, &draining, "held"));
         wait_until("the first poll", || discovery.poll_count() > 0);
-        // Requests that do not wait for the poll are at a replica by then.
-        std::thread::sleep(LONGER_THAN_GRACE);
+        // Requests that do not wait for the poll would reach a replica in this time.
+        std::thread::sleep(LONGER_THAN_DRAIN_GRACE);
         discovery.release();
         clients.join().unwrap();
     });
 }
 
-/// A process that was suspended goes on with the list that it had: what has changed meanwhile may never have reached it. The
-/// list is asked for anew before a request goes out by it.
+/// A process that was suspended may have missed changes of its list. It polls the list again before it dispatches requests.
 #[test]
-fn suspended_node_does_not_route_by_the_list_from_before() {
+fn suspended_node_does_not_route_by_its_previous_list() {
     for allows_probes in [false, true] {
         let (draining, serving) = (DrainableReplica::start(), DrainableReplica::start());
         let discovery = ScriptedDiscovery::start(&[
             PollAnswer::List(NO_CHANGES.into()),
-            // The watch is never answered; the poll after it is.
+            // The long poll is never answered, but the next poll is.
             PollAnswer::Silent,
-            PollAnswer::List(drain_of(0, draining.addr)),
+            PollAnswer::List(drain_change(0, draining.addr)),
         ]);
         let case = format!("suspended-{allows_probes}");
-        let node = node_of(&case, &discovery, &[draining.addr, serving.addr])
+        let node = node_builder(&case, &discovery, &[draining.addr, serving.addr])
             .allows_probes(allows_probes)
             .start();
-        node.until_logged("endpoint list confirmed");
-        wait_until("the watch", || discovery.poll_count() > 1);
+        node.wait_for_log("endpoint list confirmed");
+        wait_until("the long poll", || discovery.poll_count() > 1);
         node.signal("-STOP");
         draining.drain();
-        std::thread::sleep(LONGER_THAN_GRACE);
+        std::thread::sleep(LONGER_THAN_DRAIN_GRACE);
         std::thread::scope(|scope| {
-            let clients = scope.spawn(|| assert_drain_is_heeded(&node, &draining, &case));
-            // The requests are there when the process goes on.
+            let clients =
+                scope.spawn(|| assert_draining_replica_gets_no_request(&node, &draining, &case));
+            // The requests arrive before the process continues.
             std::thread::sleep(Duration::from_millis(100));
             node.signal("-CONT");
             clients.join().unwrap();
@@ -174,37 +173,39 @@
     }
 }
 
-/// An answer that came while the process was suspended is read before the list is asked for anew.
+/// An answer that arrived while the process was suspended is read before the list is polled again.
 #[test]
-fn suspended_node_heeds_the_answer_that_came_meanwhile() {
+fn suspended_node_applies_the_answer_that_arrived_meanwhile() {
     let (draining, serving) = (DrainableReplica::start(), DrainableReplica::start());
     let discovery = ScriptedDiscovery::start(&[
         PollAnswer::List(NO_CHANGES.into()),
-        PollAnswer::Held(drain_of(0, draining.addr)),
+        PollAnswer::Held(drain_change(0, draining.addr)),
         PollAnswer::Refused,
     ]);
     let replicas = [draining.addr, serving.addr];
-    let node = node_of("answered-meanwhile", &discovery, &replicas).start();
-    node.until_logged("endpoint list confirmed");
-    wait_until("the watch", || discovery.poll_count() > 1);
+    let node = node_builder("answered-meanwhile", &discovery, &replicas).start();
+    node.wait_for_log("endpoint list confirmed");
+    wait_until("the long poll", || discovery.poll_count() > 1);
     node.signal("-STOP");
     draining.drain();
     discovery.release();
-    std::thread::sleep(LONGER_THAN_GRACE);
+    std::thread::sleep(LONGER_THAN_DRAIN_GRACE);
     std::thread::scope(|scope| {
-        let clients =
-            scope.spawn(|| assert_drain_is_heeded(&node, &draining, "answered meanwhile"));
+        let clients = scope.spawn(|| {
+            assert_draining_replica_gets_no_request(&node, &draining, "answered meanwhile");
+        });
         std::thread::sleep(Duration::from_millis(100));
         node.signal("-CONT");
         clients.join().unwrap();
     });
 }
 
-/// A site that does not allow probes: after a part of an answer, which may have told of a drain, requests wait for the rest.
+/// At a site that does not allow probes, requests wait for a complete answer after a partial one, which may have contained a
+/// drain.
 #[test]
-fn node_without_probes_holds_requests_after_a_part_of_an_answer() {
+fn node_without_probes_holds_requests_after_a_partial_answer() {
     let (draining, serving) = (DrainableReplica::start(), DrainableReplica::start());
-    let drain = drain_of(0, draining.addr);
+    let drain = drain_change(0, draining.addr);
     let discovery = ScriptedDiscovery::start(&[
         PollAnswer::List(NO_CHANGES.into()),
         PollAnswer::HeldHalf(drain.clone()),
@@ -212,39 +213,41 @@
         PollAnswer::List(drain),
     ]);
     let replicas = [draining.addr, serving.addr];
-    let node = node_of("part-held", &discovery, &replicas).start();
-    node.until_logged("endpoint list confirmed");
+    let node = node_builder("part-held", &discovery, &replicas).start();
+    node.wait_for_log("endpoint list confirmed");
     draining.drain();
     discovery.release();
-    wait_until("the poll after the part", || discovery.poll_count() > 2);
-    assert_drain_is_heeded(&node, &draining, "part");
+    wait_until("the poll after the partial answer", || {
+        discovery.poll_count() > 2
+    });
+    assert_draining_replica_gets_no_request(&node, &draining, "part");
 }
 
-/// The same where the answer to the first poll of a process is cut: that does not end the wait for a list.
+/// A truncated answer to the first poll of a process does not end the wait for a list either.
 #[test]
-fn restarted_node_without_probes_holds_requests_after_parts_of_answers() {
+fn restarted_node_without_probes_holds_requests_after_a_truncated_answer() {
     let (draining, serving) = (DrainableReplica::start(), DrainableReplica::start());
-    let drain = drain_of(0, draining.addr);
+    let drain = drain_change(0, draining.addr);
     draining.drain();
     let discovery =
         ScriptedDiscovery::start(&[PollAnswer::Cut(drain.clone()), PollAnswer::List(drain)]);
     let replicas = [draining.addr, serving.addr];
-    let node = node_of("parts-held", &discovery, &replicas).start();
-    assert_drain_is_heeded(&node, &draining, "parts");
+    let node = node_builder("parts-held", &discovery, &replicas).start();
+    assert_draining_replica_gets_no_request(&node, &draining, "parts");
 }
 
-/// The incident at a site that does not allow probes: discovery is crowded and refuses the first poll. Requests wait for the
-/// next one.
+/// The incident at a site that does not allow probes: discovery is overloaded and refuses the first poll. Requests wait for the
+/// next poll.
 #[test]
-fn restarted_node_without_probes_holds_requests_while_discovery_is_crowded() {
+fn restarted_node_without_probes_holds_requests_while_discovery_is_overloaded() {
     let (draining, serving) = (DrainableReplica::start(), DrainableReplica::start());
     draining.drain();
     let discovery = ScriptedDiscovery::start(&[
         PollAnswer::Refused,
-        PollAnswer::List(drain_of(0, draining.addr)),
+        PollAnswer::List(drain_change(0, draining.addr)),
     ]);
     let replicas = [draining.addr, serving.addr];
-    let node = node_of("crowded", &discovery, &replicas).start();
+    let node = node_builder("crowded", &discovery, &replicas).start();
     wait_until("the refused poll", || discovery.poll_count() > 0);
-    assert_drain_is_heeded(&node, &draining, "crowded");
+    assert_draining_replica_gets_no_request(&node, &draining, "crowded");
 }
--- a/tests/streams.rs
+++ b/tests/streams.rs
@@ -1,5 +1,5 @@
-//! Streams that stall and break, on loopback sockets: stub servers that follow scripts, the node as a process of its own, and
-//! one checker over what clients and replicas saw.
+//! Streams that stall or break: scripted stub servers, the node in a process of its own, and a checker of what clients and
+//! replicas observed.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -16,24 +16,24 @@
 use std::time::Duration;
 use support::{read_response, send_request, send_request_within, Node};
 
-/// Clients that send requests at the same time.
+/// Number of clients that send requests concurrently.
 const CLIENTS: usize = 32;
 
-/// Operators' settings that continue streams without a narrow budget and with a short limit of silence.
+/// Operator settings that continue streams with an ample budget and a stall limit of 0.2 s.
 const CONTINUE_STREAMS: &str =
     "[streams]\ncontinue = true\nshare = 1.0\nreplica_share = 1.0\nfree = 100000\n\
                      stall_least = 0.2\nstall_most = 0.2\n";
 
-/// Expects that clients and replicas saw nothing that contradicts the protocol.
-fn assert_consistent(verdict: &CheckReport) {
+/// Asserts that the checker found no protocol violations.
+fn assert_no_violations(report: &CheckReport) {
     assert!(
-        verdict.violations.is_empty(),
+        report.violations.is_empty(),
         "{:#?}",
-        &verdict.violations[..verdict.violations.len().min(5)]
+        &report.violations[..report.violations.len().min(5)]
     );
 }
 
-/// Whether something holds within this many checks, some milliseconds apart.
+/// Whether a condition holds within this many checks at intervals of 5 ms.
 fn holds_within(checks: usize, mut holds: impl FnMut() -> bool) -> bool {
     (0..checks).any(|_| {
         holds() || {
@@ -43,7 +43,7 @@
     })
 }
 
-/// Complete streams of this many tokens.
+/// A script of complete streams with this many tokens.
 fn script(tokens: usize) -> ReplyScript {
     ReplyScript {
         token_count: tokens,
@@ -51,11 +51,11 @@
     }
 }
 
-/// A fault of each first attempt, or of each continuation.
-fn rule(fault: ReplyFault, continued: bool) -> FaultRule {
+/// A fault in each first attempt, or in each continuation if `is_continuation` is set.
+fn rule(fault: ReplyFault, is_continuation: bool) -> FaultRule {
     FaultRule {
         prompt: None,
-        is_continuation: Some(continued),
+        is_continuation: Some(is_continuation),
         every: 1,
         first_of_prompt_only: false,
         max_count: None,
@@ -63,7 +63,7 @@
     }
 }
 
-/// Streams of this many tokens, with these faults.
+/// A script of streams with this many tokens and these faults.
 fn faulty_script(tokens: usize, rules: Vec<FaultRule>) -> ReplyScript {
     ReplyScript {
         rules,
@@ -87,24 +87,24 @@
             .replicas(servers.addrs())
             .operator(CONTINUE_STREAMS)
             .start();
-        // One body of four tokens is less than 1,200 bytes long; the cuts beyond it never happen.
-        let seen = support::run_clients(&node, CLIENTS, 1200, 4, |n| {
+        // A body of four tokens has less than 1,200 bytes; cuts beyond its end have no effect.
+        let observations = support::run_clients(&node, CLIENTS, 1200, 4, |n| {
             format!("any prompt {n} cut={n}")
         });
-        let verdict = check(&seen, &servers.served_requests());
-        assert_consistent(&verdict);
+        let report = check(&observations, &servers.served_requests());
+        assert_no_violations(&report);
         assert_eq!(
-            (verdict.completed, verdict.requests),
+            (report.completed, report.requests),
             (1200, 1200),
-            "{verdict:?}"
+            "{report:?}"
         );
-        assert!(verdict.continued > 300, "{verdict:?}");
+        assert!(report.continued > 300, "{report:?}");
     }
 }
 
 #[test]
 fn stream_cut_before_any_closing_event_loses_and_repeats_no_text() {
-    for (part, asked) in [
+    for (part, request_count) in [
         (AnswerPart::Finish, 2),
         (AnswerPart::Usage, 1),
         (AnswerPart::Done, 1),
@@ -117,27 +117,27 @@
             .replicas(servers.addrs())
             .operator(CONTINUE_STREAMS)
             .start();
-        // One token more than there are, so that a remainder can be requested.
-        let seen = support::run_clients(&node, CLIENTS, 1, 7, |n| format!("part {n}"));
-        let seen: Vec<ClientObservation> = seen
+        // One more token than the replicas send, so that a continuation can be requested.
+        let observations = support::run_clients(&node, CLIENTS, 1, 7, |n| format!("part {n}"));
+        let observations: Vec<ClientObservation> = observations
             .into_iter()
-            .map(|seen| ClientObservation {
+            .map(|observation| ClientObservation {
                 expected_token_count: 6,
-                ..seen
+                ..observation
             })
             .collect();
-        let verdict = check(&seen, &servers.served_requests());
-        assert_consistent(&verdict);
+        let report = check(&observations, &servers.served_requests());
+        assert_no_violations(&report);
         assert_eq!(
-            (verdict.completed, servers.served_requests().len()),
-            (1, asked),
+            (report.completed, servers.served_requests().len()),
+            (1, request_count),
             "{part:?}"
         );
     }
 }
 
 #[test]
-fn stalled_replica_that_resumes_after_a_continuation_writes_nothing_more() {
+fn stalled_replica_that_resumes_after_the_continuation_adds_no_text() {
     for ms in [190, 210, 230, 260] {
         let stall = faulty_script(8, vec![rule(ReplyFault::Stall { after: 1, ms }, false)]);
         let servers = StubServers::start(vec![stall; 3]).unwrap();
@@ -145,12 +145,12 @@
             .replicas(servers.addrs())
             .operator(CONTINUE_STREAMS)
             .start();
-        let verdict = check(
+        let report = check(
             &support::run_clients(&node, CLIENTS, 40, 8, |n| format!("recovers {n}")),
             &servers.served_requests(),
         );
-        assert_consistent(&verdict);
-        assert_eq!(verdict.completed, 40, "{verdict:?}");
+        assert_no_violations(&report);
+        assert_eq!(report.completed, 40, "{report:?}");
     }
 }
 
@@ -173,9 +173,9 @@
         .replicas(servers.addrs())
         .operator(&operator)
         .start();
-    let seen = support::run_clients(&node, CLIENTS, 60, 8, |n| format!("storm {n}"));
-    let verdict = check(&seen, &servers.served_requests());
-    assert_consistent(&verdict);
+    let observations = support::run_clients(&node, CLIENTS, 60, 8, |n| format!("storm {n}"));
+    let report = check(&observations, &servers.served_requests());
+    assert_no_violations(&report);
     let continued = servers
         .served_requests()
         .iter()
@@ -185,9 +185,9 @@
         continued <= 6 && continued > 0,
         "{continued} continuations of 60"
     );
-    assert_eq!(verdict.completed, continued);
-    assert!(seen.iter().all(|seen| matches!(
-        seen.outcome,
+    assert_eq!(report.completed, continued);
+    assert!(observations.iter().all(|observation| matches!(
+        observation.outcome,
         ClientOutcome::Completed | ClientOutcome::FailedWithError | ClientOutcome::Rejected(_)
     )));
 }
@@ -215,18 +215,18 @@
         .replicas(servers.addrs())
         .operator(CONTINUE_STREAMS)
         .start();
-    let seen = support::run_clients(&node, CLIENTS, 4, 9, |n| format!("again {n}"));
-    let verdict = check(&seen, &servers.served_requests());
-    assert_consistent(&verdict);
+    let observations = support::run_clients(&node, CLIENTS, 4, 9, |n| format!("again {n}"));
+    let report = check(&observations, &servers.served_requests());
+    assert_no_violations(&report);
     assert_eq!(
-        (verdict.failed, servers.served_requests().len()),
+        (report.failed, servers.served_requests().len()),
         (4, 12),
-        "{verdict:?}"
+        "{report:?}"
     );
     // Each replica's token was forwarded, and the client got the error event.
-    assert!(seen
+    assert!(observations
         .iter()
-        .all(|seen| seen.outcome == ClientOutcome::FailedWithError));
+        .all(|observation| observation.outcome == ClientOutcome::FailedWithError));
 }
 
 #[test]
@@ -246,9 +246,9 @@
         .replicas(servers.addrs())
         .operator(&format!("{CONTINUE_STREAMS}wait = 0.3\n"))
         .start();
-    let seen = support::run_clients(&node, CLIENTS, 1, 9, |n| format!("late {n}"));
-    assert_consistent(&check(&seen, &servers.served_requests()));
-    assert_eq!(seen[0].outcome, ClientOutcome::FailedWithError);
+    let observations = support::run_clients(&node, CLIENTS, 1, 9, |n| format!("late {n}"));
+    assert_no_violations(&check(&observations, &servers.served_requests()));
+    assert_eq!(observations[0].outcome, ClientOutcome::FailedWithError);
 }
 
 #[test]
@@ -268,11 +268,20 @@
             .operator(operator)
             .semantics(semantics)
             .start();
-        let seen = support::run_clients(&node, CLIENTS, 3, 9, |n| format!("ends {n}"));
-        let verdict = check(&seen, &servers.served_requests());
-        assert_consistent(&verdict);
-        assert!(seen.iter().all(|seen| seen.outcome == outcome), "{seen:?}");
-        assert_eq!(servers.served_requests().len(), 3, "nobody is asked twice");
+        let observations = support::run_clients(&node, CLIENTS, 3, 9, |n| format!("ends {n}"));
+        let report = check(&observations, &servers.served_requests());
+        assert_no_violations(&report);
+        assert!(
+            observations
+                .iter()
+                .all(|observation| observation.outcome == outcome),
+            "{observations:?}"
+        );
+        assert_eq!(
+            servers.served_requests().len(),
+            3,
+            "a request was sent twice"
+        );
     }
 }
 
@@ -295,30 +304,30 @@
         .operator(CONTINUE_STREAMS)
         .start();
     let before = resident_bytes(&node);
-    // The stub server plans a response of this length before its first token, for seconds where the machine is busy.
+    // The stub server prepares the whole response before its first token, which takes seconds on a busy machine.
     let (id, mut stream) = send_request_within(&node, "a flood", 150_000, 25.0);
     std::thread::sleep(Duration::from_millis(700));
     let held_bytes = resident_bytes(&node).saturating_sub(before);
     let record = servers.served_requests().remove(0);
     assert!(
         !record.is_complete,
-        "the server was read on for a reader that stopped"
+        "the node kept reading from the replica while the client did not read"
     );
     assert!(
         held_bytes < 8 << 20,
-        "{held_bytes} bytes held for a reader that stopped"
+        "{held_bytes} bytes buffered for a client that does not read"
     );
-    let seen = read_response(id, "a flood", 150_000, &mut stream);
-    let verdict = check(&[seen], &servers.served_requests());
-    assert_consistent(&verdict);
+    let observation = read_response(id, "a flood", 150_000, &mut stream);
+    let report = check(&[observation], &servers.served_requests());
+    assert_no_violations(&report);
     assert_eq!(
         (
-            verdict.completed,
-            verdict.continued,
+            report.completed,
+            report.continued,
             servers.served_requests().len()
         ),
         (1, 0, 1),
-        "{verdict:?}"
+        "{report:?}"
     );
 }
 
@@ -352,25 +361,28 @@
     let (_, stream) = send_request(&node, "leaves", 10);
     assert!(continued(1));
     drop(stream);
-    // A node that is told to stop in the middle of a continuation completes it first.
+    // A node that receives SIGTERM during a continuation completes it first.
     let (id, mut stream) = send_request(&node, "stays", 10);
     assert!(continued(2));
     node.signal("-TERM");
-    let seen = read_response(id, "stays", 10, &mut stream);
-    let verdict = check(&[seen], &servers.served_requests());
-    assert_consistent(&verdict);
-    assert_eq!(verdict.completed, 1);
+    let observation = read_response(id, "stays", 10, &mut stream);
+    let report = check(&[observation], &servers.served_requests());
+    assert_no_violations(&report);
+    assert_eq!(report.completed, 1);
     assert!(node.child.wait().unwrap().success());
     let abandoned = servers
         .served_requests()
         .into_iter()
         .find(|record| record.prompt == "leaves" && record.tokens_before > 0)
         .unwrap();
-    assert!(!abandoned.is_complete, "its replica wrote on for nobody");
+    assert!(
+        !abandoned.is_complete,
+        "the replica completed the stream of a disconnected client"
+    );
 }
 
-/// A discovery service on a free port: each poll is answered with the next text, once there is one. Sending a text waits until
-/// a poll takes it.
+/// Starts a discovery service on a free port. It answers each poll with the next body from the channel; sending a body blocks
+/// until a poll receives it.
 fn start_discovery() -> (SocketAddr, mpsc::SyncSender<String>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let (sender, answers) = mpsc::sync_channel(0);
@@ -387,7 +399,7 @@
                     return;
                 };
                 let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len());
-                // A node that has ended takes no answer any more.
+                // Fails if the node has ended.
                 let _ = writer.write_all(format!("{head}{body}").as_bytes());
             }
         }
@@ -395,10 +407,10 @@
     (addr, sender)
 }
 
-/// An answer to a poll after which the endpoint list is the same.
+/// An answer that leaves the endpoint list unchanged.
 const NO_CHANGES: &str = r#"{"version":43,"full":false,"servers":[]}"#;
 
-/// An answer to a poll that says that this server drains.
+/// An answer in which this server drains.
 fn draining_list(servers: &StubServers, server: usize) -> String {
     let addr = servers.addrs()[server];
     format!(
@@ -440,27 +452,23 @@
         .operator(CONTINUE_STREAMS)
         .discovery(&discovery.to_string())
         .start();
-    // The list of the start is confirmed, so that the request goes out.
+    // The node dispatches requests only with a confirmed list.
     let confirmed = NO_CHANGES.replace("43", "41");
     answers.send(confirmed).unwrap();
     let (id, mut stream) = send_request(&node, "drained", 10);
     let server = continuing_server(&servers);
     answers.send(draining_list(&servers, server)).unwrap();
-    // The node polls again once it has taken the list.
+    // The node polls again once it has received the list.
     answers.send(NO_CHANGES.to_string()).unwrap();
-    let seen = read_response(id, "drained", 10, &mut stream);
-    let verdict = check(&[seen], &servers.served_requests());
-    assert_consistent(&verdict);
-    assert_eq!(
-        (verdict.completed, verdict.continued),
-        (1, 1),
-        "{verdict:?}"
-    );
+    let observation = read_response(id, "drained", 10, &mut stream);
+    let report = check(&[observation], &servers.served_requests());
+    assert_no_violations(&report);
+    assert_eq!((report.completed, report.continued), (1, 1), "{report:?}");
     let before = servers.served_requests().len();
     for server in 0..servers.addrs().len() {
         servers.set_script(server, script(10));
     }
-    assert_consistent(&check(
+    assert_no_violations(&check(
         &support::run_clients(&node, CLIENTS, 40, 10, |n| format!("after it {n}")),
         &servers.served_requests(),
     ));
@@ -468,14 +476,13 @@
         servers.served_requests()[before..]
             .iter()
             .all(|record| record.server != server),
-        "work after a drain"
+        "a draining replica got a request"
     );
 }
 
 #[test]
 fn deadline_passing_after_the_first_token_does_not_end_the_stream() {
-    // By the protocol it is the deadline of the first token: half a second of text and a silence come before the remainder is
-    // requested.
+    // The deadline applies to the first token only: the tokens and the stall take longer than 0.5 s before the continuation.
     let slow = ReplyScript {
         token_gap_ms: 120,
         ..faulty_script(
@@ -495,16 +502,12 @@
         .operator(CONTINUE_STREAMS)
         .start();
     let (id, mut stream) = send_request_within(&node, "deadline", 8, 0.5);
-    let verdict = check(
+    let report = check(
         &[read_response(id, "deadline", 8, &mut stream)],
         &servers.served_requests(),
     );
-    assert_consistent(&verdict);
-    assert_eq!(
-        (verdict.completed, verdict.continued),
-        (1, 1),
-        "{verdict:?}"
-    );
+    assert_no_violations(&report);
+    assert_eq!((report.completed, report.continued), (1, 1), "{report:?}");
 }
 
 #[test]
@@ -515,8 +518,8 @@
     }])
     .unwrap();
     let node = Node::builder("twice").replicas(servers.addrs()).start();
-    // So that there are idle connections.
-    assert_consistent(&check(
+    // Leaves idle connections in the pool.
+    assert_no_violations(&check(
         &support::run_clients(&node, 8, 16, 12, |n| format!("before {n}")),
         &servers.served_requests(),
     ));
@@ -524,28 +527,28 @@
         0,
         faulty_script(12, vec![rule(ReplyFault::DuplicateOnIdleConnection, false)]),
     );
-    let twice = |n: usize| {
-        // The repeated response has come before the next request goes out.
+    let send_numbered = |n: usize| {
+        // The repeated response arrives before the next request is sent.
         std::thread::sleep(Duration::from_millis(20));
         let (id, mut stream) = send_request(&node, &format!("twice {n}"), 12);
         read_response(id, &format!("twice {n}"), 12, &mut stream)
     };
-    let verdict = check(
-        &(0..12).map(twice).collect::<Vec<_>>(),
+    let report = check(
+        &(0..12).map(send_numbered).collect::<Vec<_>>(),
         &servers.served_requests(),
     );
-    assert_consistent(&verdict);
-    assert_eq!(verdict.completed, 12, "{verdict:?}");
+    assert_no_violations(&report);
+    assert_eq!(report.completed, 12, "{report:?}");
     assert!(
         servers.unsolicited_count() > 3,
-        "{} answers came twice",
+        "{} repeated responses",
         servers.unsolicited_count()
     );
 }
 
 #[test]
-fn bytes_after_the_end_are_dropped_only_where_streams_are_continued() {
-    let node = |name: &str, fault: ReplyFault, operator: &str| {
+fn bytes_after_the_end_are_dropped_only_if_streams_are_continued() {
+    let violations = |name: &str, fault: ReplyFault, operator: &str| {
         let servers = StubServers::start(vec![faulty_script(6, vec![rule(fault, false)])]).unwrap();
         let node = Node::builder(name)
             .replicas(servers.addrs())
@@ -558,14 +561,14 @@
         .violations
     };
     assert_eq!(
-        node("followed", ReplyFault::EventsAfterEnd, CONTINUE_STREAMS),
+        violations("followed", ReplyFault::EventsAfterEnd, CONTINUE_STREAMS),
         [""; 0]
     );
-    // A replica that repeats its own events is responsible for them: the checker sees them, and the node forwards them.
-    assert!(node("unfollowed", ReplyFault::EventsAfterEnd, "")
+    // The node forwards events that a replica repeats, and the checker reports them.
+    assert!(violations("unfollowed", ReplyFault::EventsAfterEnd, "")
         .iter()
         .any(|fault| fault.contains("events after the end")));
-    assert!(node("doubled", ReplyFault::RepeatEvent(2), "")
+    assert!(violations("doubled", ReplyFault::RepeatEvent(2), "")
         .iter()
         .any(|fault| fault.contains("not the beginning")));
 }
@@ -582,7 +585,7 @@
         .replicas(servers.addrs())
         .operator(CONTINUE_STREAMS)
         .start();
-    assert_consistent(&check(
+    assert_no_violations(&check(
         &support::run_clients(&node, 1, 3, 6, |n| format!("shown {n}")),
         &servers.served_requests(),
     ));
@@ -595,23 +598,23 @@
     assert!(holds_within(400, has_ended));
     let path = std::env::temp_dir().join(format!("streams-shown-{}.log", std::process::id()));
     std::fs::write(&path, node.log.lock().unwrap().join("\n")).unwrap();
-    let shown = Command::new(env!("CARGO_BIN_EXE_poppykeel"))
+    let output = Command::new(env!("CARGO_BIN_EXE_poppykeel"))
         .arg("streams")
         .arg(&path)
         .output()
         .unwrap();
-    // A file that stays behind harms nobody.
+    // A leftover file is harmless.
     let _ = std::fs::remove_file(path);
-    let shown = String::from_utf8(shown.stdout).unwrap();
+    let output = String::from_utf8(output.stdout).unwrap();
     assert!(
-        shown.contains("0 live, 3 whole, 3 stalled, 0 broken, 3 continued, 3 saved"),
-        "{shown}"
+        output.contains("0 live, 3 whole, 3 stalled, 0 broken, 3 continued, 3 saved"),
+        "{output}"
     );
-    let row = shown
+    let row = output
         .lines()
         .find(|line| line.starts_with("s-"))
         .expect("a replica's row");
-    assert_eq!(row.split_whitespace().count(), 14, "{shown}");
+    assert_eq!(row.split_whitespace().count(), 14, "{output}");
     let without_log = Command::new(env!("CARGO_BIN_EXE_poppykeel"))
         .args(["streams", "/dev/null"])
         .output()
--- a/tests/support/client.rs
+++ b/tests/support/client.rs
@@ -6,14 +6,14 @@
 use std::net::TcpStream;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// How long clients wait for the first token if they do not say otherwise, in seconds.
+/// Default time that clients wait for the first token, in seconds.
 const DEFAULT_DEADLINE_S: f64 = 10.0;
 const STATUS_OK: u16 = 200;
 
 static NEXT_ID: AtomicU64 = AtomicU64::new(1);
 
-/// The text of a request whose client waits for the first token for `deadline_s` seconds; `headers` is further lines of its
-/// head.
+/// The text of a request whose client waits `deadline_s` seconds for the first token. `headers` holds further header lines,
+/// each with its CRLF.
 pub fn request_text(id: &str, headers: &str, body: &str, deadline_s: f64) -> String {
     let length = body.len();
     format!(
@@ -22,7 +22,7 @@
     )
 }
 
-/// Reads what has come. After a signal the read is repeated: the system does not do that for a read with a time limit.
+/// Reads available bytes. Repeats a read that a signal interrupts: the kernel does not restart reads with a timeout.
 pub fn read_some(stream: &mut TcpStream, buffer: &mut [u8]) -> std::io::Result<usize> {
     loop {
         match stream.read(buffer) {
@@ -37,7 +37,7 @@
     send_request_within(node, prompt, max_tokens, DEFAULT_DEADLINE_S)
 }
 
-/// The same for a client that waits for the first token for `deadline_s` seconds.
+/// Like [`send_request`], for a client that waits `deadline_s` seconds for the first token.
 pub fn send_request_within(
     node: &Node,
     prompt: &str,
@@ -64,8 +64,8 @@
     stream: &mut TcpStream,
 ) -> ClientObservation {
     let mut bytes = Vec::new();
-    let has_ended_in_order = stream.read_to_end(&mut bytes).is_ok();
-    let (outcome, body) = parse_response(&bytes, has_ended_in_order);
+    let has_ended_cleanly = stream.read_to_end(&mut bytes).is_ok();
+    let (outcome, body) = parse_response(&bytes, has_ended_cleanly);
     ClientObservation {
         id,
         prompt: prompt.to_string(),
@@ -76,8 +76,8 @@
     }
 }
 
-/// How a response ended, and its body without chunk framing.
-fn parse_response(bytes: &[u8], has_ended_in_order: bool) -> (ClientOutcome, Vec<u8>) {
+/// The outcome of a response and its body without chunk framing.
+fn parse_response(bytes: &[u8], has_ended_cleanly: bool) -> (ClientOutcome, Vec<u8>) {
     let Some(head_end) = bytes.windows(4).position(|window| window == b"\r\n\r\n") else {
         return (ClientOutcome::NoResponse, Vec::new());
     };
@@ -90,7 +90,7 @@
         has_last_chunk,
     } = parse_chunks(&bytes[head_end + 4..]);
     let has_error_event = String::from_utf8_lossy(&body).contains("data: {\"error\"");
-    let outcome = match (has_last_chunk, has_error_event, has_ended_in_order) {
+    let outcome = match (has_last_chunk, has_error_event, has_ended_cleanly) {
         (true, _, _) => ClientOutcome::Completed,
         (false, true, true) => ClientOutcome::FailedWithError,
         (false, false, true) => ClientOutcome::Truncated,
@@ -104,7 +104,7 @@
     has_last_chunk: bool,
 }
 
-/// Takes the chunk framing off, up to the last chunk or to a chunk that is incomplete.
+/// Removes the chunk framing, up to the last chunk or to an incomplete chunk.
 fn parse_chunks(mut unread: &[u8]) -> ChunkedBody {
     let mut body = Vec::new();
     while let Some(size_end) = unread.windows(2).position(|window| window == b"\r\n") {
@@ -129,8 +129,8 @@
     }
 }
 
-/// Sends `request_count` requests from a few threads, each after the end of the one before; prompts are made from the
-/// request's number.
+/// Sends `request_count` requests from `thread_count` threads, each of which waits for a response before its next request.
+/// `prompt` makes a prompt from a request's number.
 pub fn run_clients(
     node: &Node,
     thread_count: usize,
@@ -139,7 +139,7 @@
     prompt: impl Fn(usize) -> String + Sync,
 ) -> Vec<ClientObservation> {
     let next = AtomicU64::new(0);
-    let work = || {
+    let send_requests = || {
         let mut observations = Vec::new();
         loop {
             let number = next.fetch_add(1, Ordering::Relaxed) as usize;
@@ -152,7 +152,9 @@
         }
     };
     std::thread::scope(|scope| {
-        let threads: Vec<_> = (0..thread_count).map(|_| scope.spawn(work)).collect();
+        let threads: Vec<_> = (0..thread_count)
+            .map(|_| scope.spawn(send_requests))
+            .collect();
         threads
             .into_iter()
             .flat_map(|thread| thread.join().unwrap())
--- a/tests/support/drainable_replica.rs
+++ b/tests/support/drainable_replica.rs
@@ -1,5 +1,5 @@
-//! A replica that serves requests and probes until a test makes it drain, and a discovery service that answers polls by a
-//! script. Both run on threads of their own, which end with the test's process.
+//! A replica that a test can make drain, and a discovery service that answers polls by a script. Both run on threads of their
+//! own until the test process ends.
 
 use super::http_head::{header, read_head};
 use std::io::Write;
@@ -7,15 +7,15 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex};
 
-const SERVED: &str =
+const STREAM: &str =
     "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n\
                       9\r\ndata: 1\n\n\r\n0\r\n\r\n";
-const PROBE_ANSWERED: &str = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}";
+const PROBE_RESPONSE: &str = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}";
 const UNAVAILABLE: &str = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
 const DECLINED: &str =
     "HTTP/1.1 503 Service Unavailable\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n";
 
-/// A replica that can drain: from then on it answers probes and requests with 503.
+/// A replica that answers probes and requests with 503 once it drains.
 pub struct DrainableReplica {
     /// Where it listens.
     pub addr: SocketAddr,
@@ -25,12 +25,12 @@
 #[derive(Default)]
 struct ReplicaState {
     is_draining: AtomicBool,
-    /// Ids of the requests that have reached the replica, whatever it answered.
+    /// Ids of the requests that have reached the replica, with any response.
     requests: Mutex<Vec<String>>,
 }
 
 impl DrainableReplica {
-    /// Starts a replica that is in service.
+    /// Starts a replica that does not drain.
     pub fn start() -> DrainableReplica {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let addr = listener.local_addr().unwrap();
@@ -60,11 +60,11 @@
     while let Some(head) = read_head(&mut stream) {
         let is_draining = state.is_draining.load(Ordering::SeqCst);
         let answer = if head.starts_with("GET ") {
-            [PROBE_ANSWERED, UNAVAILABLE][usize::from(is_draining)]
+            [PROBE_RESPONSE, UNAVAILABLE][usize::from(is_draining)]
         } else {
             let id = header(&head, "Req-Id").unwrap_or_default();
             state.requests.lock().unwrap().push(id);
-            [SERVED, DECLINED][usize::from(is_draining)]
+            [STREAM, DECLINED][usize::from(is_draining)]
         };
         if stream.write_all(answer.as_bytes()).is_err() {
             return;
@@ -72,7 +72,7 @@
     }
 }
 
-/// What a scripted discovery service does with one poll.
+/// How a scripted discovery service handles one poll.
 #[derive(Clone)]
 pub enum PollAnswer {
     /// Answers with this list.
@@ -89,11 +89,11 @@
     Closed,
     /// Waits until the test calls [`ScriptedDiscovery::release`], and answers with this list.
     Held(String),
-    /// The same, with the first half of this list only.
+    /// Like [`PollAnswer::Held`], but with the first half of this list only.
     HeldHalf(String),
 }
 
-/// A discovery service whose polls are answered by a script; polls behind its end are never answered.
+/// A discovery service that answers polls by a script. Polls after the end of the script get no answer.
 pub struct ScriptedDiscovery {
     /// Where it listens.
     pub addr: SocketAddr,
@@ -127,19 +127,19 @@
         ScriptedDiscovery { addr, state }
     }
 
-    /// Lets polls be answered that the script holds.
+    /// Answers the polls that the script holds.
     pub fn release(&self) {
         self.state.is_released.store(true, Ordering::SeqCst);
     }
 
-    /// How many polls have come.
+    /// Number of polls received so far.
     pub fn poll_count(&self) -> usize {
         self.state.polls.lock().unwrap().len()
     }
 }
 
 fn answer_polls(mut stream: TcpStream, state: &DiscoveryState) {
-    // Keeps a connection open on which no answer comes, until the node closes it.
+    // An unanswered connection stays open until the node closes it.
     while let Some(head) = read_head(&mut stream) {
         state.polls.lock().unwrap().push(head);
         let answer = state.script.lock().unwrap().pop();
@@ -150,7 +150,7 @@
             Some(PollAnswer::List(list)) => list_answer(&list),
             Some(PollAnswer::Half(list)) => half_answer(&list),
             Some(PollAnswer::Cut(list)) => {
-                // The connection ends either way.
+                // The connection is closed in any case.
                 let _ = stream.write_all(half_answer(&list).as_bytes());
                 return;
             }
--- a/tests/support/late_listener.rs
+++ b/tests/support/full_listener.rs
@@ -1,4 +1,4 @@
-//! A replica whose connections come up late, as the kernel does it for a listener whose queue is full.
+//! A listener whose accept queue is full, so that connections to it are established with a delay.
 
 use super::read_some;
 use socket2::{Domain, Socket, Type};
@@ -6,14 +6,15 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::{Duration, Instant};
 
-/// An entry of the endpoint list.
+/// An entry of the endpoint list, as JSON.
 pub fn entry(id: &str, addr: SocketAddr, state: &str) -> String {
     format!(
         r#"{{"id":"{id}","addr":"{addr}","zone":"a","kind":"k","cell":0,"state":"{state}","weight":1.0,"started_ms":0}}"#
     )
 }
 
-/// A listener whose queue is full, with the connections that fill it: connecting to it hangs until one is accepted.
+/// A listener whose accept queue is full, with the connections that fill it. Further connections are not established until the
+/// queue has space.
 pub fn full_listener() -> (TcpListener, Vec<TcpStream>) {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
     socket
@@ -25,7 +26,7 @@
     let mut queued = Vec::new();
     while let Ok(stream) = TcpStream::connect_timeout(&addr, Duration::from_millis(300)) {
         queued.push(stream);
-        assert!(queued.len() < 16, "the queue is never full");
+        assert!(queued.len() < 16, "the accept queue does not fill up");
     }
     (listener, queued)
 }
@@ -33,24 +34,27 @@
 /// Whether a connection to this port is being established: it is in the state `SYN_SENT`.
 pub fn is_connecting_to(port: u16) -> bool {
     let table = std::fs::read_to_string("/proc/net/tcp").unwrap();
-    let to = format!(":{port:04X}");
+    let port_suffix = format!(":{port:04X}");
     table.lines().skip(1).any(|line| {
         let mut fields = line.split_whitespace().skip(2);
-        fields.next().is_some_and(|remote| remote.ends_with(&to)) && fields.next() == Some("02")
+        fields
+            .next()
+            .is_some_and(|remote| remote.ends_with(&port_suffix))
+            && fields.next() == Some("02")
     })
 }
 
-/// Accepts connections for some seconds, and expects that no bytes come on any of them.
+/// Accepts connections for 4 s, and expects that they carry no bytes.
 pub fn expect_no_bytes(listener: &TcpListener) {
-    expect_nothing_but(listener, |_| false);
+    expect_only(listener, |_| false);
 }
 
-/// Accepts connections for some seconds, and expects that nothing but probes comes on any of them.
+/// Accepts connections for 4 s, and expects that they carry nothing but probes.
 pub fn expect_no_request(listener: &TcpListener) {
-    expect_nothing_but(listener, |bytes| bytes.starts_with(b"GET "));
+    expect_only(listener, |bytes| bytes.starts_with(b"GET "));
 }
 
-fn expect_nothing_but(listener: &TcpListener, is_harmless: impl Fn(&[u8]) -> bool) {
+fn expect_only(listener: &TcpListener, is_allowed: impl Fn(&[u8]) -> bool) {
     listener.set_nonblocking(true).unwrap();
     let mut accepted = Vec::new();
     let start = Instant::now();
@@ -64,7 +68,7 @@
             match read_some(stream, &mut bytes) {
                 Ok(0) => {}
                 Ok(length) => assert!(
-                    is_harmless(&bytes[..length]),
+                    is_allowed(&bytes[..length]),
                     "a request came to a draining replica: '{}'",
                     String::from_utf8_lossy(&bytes[..length])
                 ),
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -1,20 +1,20 @@
-//! A node as a process with stub servers, and clients that send it requests: for tests and benches.
+//! Test support: a node in a process of its own, stub servers, and clients that send requests to the node.
 //!
-//! `node` starts the process, `client` sends requests and reads responses, `stub_replica` stands in for a replica that a test
-//! drives byte by byte, `drainable_replica` for one that drains and for a scripted discovery service,
-//! `late_listener` for one whose connections come up late.
+//! `node` starts the process, `client` sends requests and reads responses, `stub_replica` is a replica that a test drives byte
+//! by byte, `drainable_replica` has a replica that can drain and a scripted discovery service, `full_listener` delays
+//! connections, and `watcher` runs the endpoint watcher without a node.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 #![allow(
     dead_code,
     unused_imports,
-    reason = "each file of tests uses a part of this module"
+    reason = "each test file uses a part of this module"
 )]
 
 mod client;
 mod drainable_replica;
+mod full_listener;
 pub mod http_head;
-mod late_listener;
 mod node;
 mod stub_replica;
 pub mod watcher;
@@ -23,7 +23,7 @@
     read_response, read_some, request_text, run_clients, send_request, send_request_within,
 };
 pub use drainable_replica::{DrainableReplica, PollAnswer, ScriptedDiscovery};
-pub use late_listener::{
+pub use full_listener::{
     entry, expect_no_bytes, expect_no_request, full_listener, is_connecting_to,
 };
 pub use node::{Node, NodeBuilder};
@@ -31,16 +31,19 @@
 
 use std::time::{Duration, Instant};
 
-/// How long a test waits for anything. Only a hang takes this long.
+/// Time limit of each wait of a test. Exceeded only if the node hangs.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
-/// How often a test looks whether something holds.
+/// How often a test checks a condition.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Waits until something holds; `what` names it where it never does.
+/// Waits until a condition holds; `what` names it in the error.
 pub fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
     let start = Instant::now();
     while !holds() {
-        assert!(start.elapsed() < TEST_TIMEOUT, "{what} never came");
+        assert!(
+            start.elapsed() < TEST_TIMEOUT,
+            "timed out waiting for {what}"
+        );
         std::thread::sleep(POLL_INTERVAL);
     }
 }
--- a/tests/support/node.rs
+++ b/tests/support/node.rs
@@ -1,4 +1,4 @@
-//! A node as a process of its own.
+//! A node in a process of its own.
 
 use super::{wait_until, TEST_TIMEOUT};
 use std::io::{BufRead, BufReader};
@@ -7,27 +7,27 @@
 use std::process::{Child, ChildStderr, Command, Stdio};
 use std::sync::{Arc, Mutex};
 
-/// The configuration that every node starts from. It has one endpoint, the name `n0`, a class of semantics `safe` and 1,024
+/// The configuration that every node is derived from: one endpoint, the name `n0`, a class with semantics `safe` and 1,024
 /// sockets.
 const CONFIG: &str = include_str!("../exchanges/config.json");
 /// An address at which no discovery service listens.
 const NO_DISCOVERY: &str = "127.0.0.1:1";
-/// What the log says once a node accepts clients, before its address.
+/// The log message of a node that accepts clients; its address follows.
 const SERVING: &str = "serving on ";
 
-/// A running node. Dropping it kills the process and, in a test that fails, prints its log.
+/// A running node. Dropping it kills the process and, if the test fails, prints its log.
 pub struct Node {
     /// The process.
     pub child: Child,
     /// The address for clients.
     pub addr: SocketAddr,
-    /// The lines that it has logged so far, in JSON.
+    /// The JSON log lines so far.
     pub log: Arc<Mutex<Vec<String>>>,
-    /// Its configuration and the operators' file.
+    /// Paths of the configuration and the operator file.
     pub files: [PathBuf; 2],
 }
 
-/// How a node is started.
+/// Settings of a node that is to be started.
 pub struct NodeBuilder {
     test: String,
     name: String,
@@ -48,37 +48,37 @@
         self
     }
 
-    /// The replicas on the endpoint list that the node knows at its start; none by default.
+    /// The replicas on the endpoint list of the configuration; none by default.
     pub fn replicas(mut self, replicas: &[SocketAddr]) -> Self {
         self.replicas = replicas.into();
         self
     }
 
-    /// The text of the operators' file; empty by default.
+    /// The text of the operator file; empty by default.
     pub fn operator(mut self, operator: &str) -> Self {
         self.operator = operator.into();
         self
     }
 
-    /// The semantics of the class; `safe` by default.
+    /// The semantics of class `chat`; `safe` by default.
     pub fn semantics(mut self, semantics: &str) -> Self {
         self.semantics = semantics.into();
         self
     }
 
-    /// The address of the discovery service; by default one at which nothing listens.
+    /// The address of the discovery service; by default an address without a listener.
     pub fn discovery(mut self, discovery: &str) -> Self {
         self.discovery = discovery.into();
         self
     }
 
-    /// Whether the site allows probes of replicas; not by default.
+    /// Whether the site allows probes of replicas; `false` by default.
     pub fn allows_probes(mut self, allows_probes: bool) -> Self {
         self.allows_probes = allows_probes;
         self
     }
 
-    /// How many sockets the process may hold.
+    /// Limit of sockets; 1,024 by default.
     pub fn max_sockets(mut self, max_sockets: usize) -> Self {
         self.max_sockets = Some(max_sockets);
         self
@@ -90,7 +90,7 @@
         self
     }
 
-    /// Variables of the process's environment.
+    /// Environment variables of the process; none by default.
     pub fn environment(mut self, environment: Vec<(String, PathBuf)>) -> Self {
         self.environment = environment;
         self
@@ -164,19 +164,19 @@
     }
 }
 
-/// An entry of the endpoint list.
+/// An entry of the endpoint list, as JSON.
 fn endpoint(index: usize, addr: SocketAddr) -> String {
     format!(
         r#"{{"id":"s-{index}","addr":"{addr}","zone":"a","kind":"k","cell":0,"state":"up","weight":1.0,"started_ms":0}}"#
     )
 }
 
-/// Reads the log up to the line that tells the node's address, and from then on in a thread.
+/// Reads the log up to the line with the node's address. A thread collects the following lines.
 fn read_log(stderr: ChildStderr) -> (SocketAddr, Arc<Mutex<Vec<String>>>) {
     let mut lines = BufReader::new(stderr).lines().map_while(Result::ok);
     let serving = lines
         .find(|line| line.contains(SERVING))
-        .expect("the node serves");
+        .expect("the node did not start to serve");
     let addr = serving
         .split(SERVING)
         .nth(1)
@@ -189,7 +189,7 @@
 }
 
 impl Node {
-    /// A node for the test of this name, which keeps its files apart from those of other tests.
+    /// A node with default settings. `test` is part of the names of its files and has to be unique among tests.
     pub fn builder(test: &str) -> NodeBuilder {
         NodeBuilder {
             test: test.into(),
@@ -205,7 +205,7 @@
         }
     }
 
-    /// Sends the process a signal, as `kill` names it.
+    /// Sends a signal to the process; `signal` is the argument of `kill`, such as `-TERM`.
     pub fn signal(&self, signal: &str) {
         let id = self.child.id().to_string();
         let status = Command::new("kill").args([signal, &id]).status().unwrap();
@@ -213,7 +213,7 @@
     }
 
     /// Waits until a line of the log contains this text.
-    pub fn until_logged(&self, text: &str) {
+    pub fn wait_for_log(&self, text: &str) {
         wait_until(text, || {
             let log = self.log.lock().unwrap();
             log.iter().any(|line| line.contains(text))
@@ -230,7 +230,7 @@
 
 impl Drop for Node {
     fn drop(&mut self) {
-        // A process that has ended already needs no kill.
+        // Fails if the process has already ended.
         let _ = self.child.kill();
         let _ = self.child.wait();
         if std::thread::panicking() {
@@ -239,7 +239,7 @@
             }
         }
         for file in &self.files {
-            // A file that stays behind harms nobody.
+            // A leftover file is harmless.
             let _ = std::fs::remove_file(file);
         }
     }
--- a/tests/support/process_resources.rs
+++ b/tests/support/process_resources.rs
@@ -1,10 +1,11 @@
-//! What a process has open and runs, as `/proc` shows it.
+//! Sockets and threads of a process, read from `/proc`.
 
 use std::collections::BTreeSet;
 
 /// The state of a listening socket in `/proc/net/tcp`.
 const LISTENING: &str = "0A";
-/// What a process has open and runs.
+
+/// Numbers of sockets and threads of a process.
 #[derive(Debug, PartialEq)]
 pub struct ProcessResources {
     pub datagram_sockets: usize,
@@ -13,7 +14,7 @@
 }
 
 impl ProcessResources {
-    /// What the process of this id has now.
+    /// Counts the current resources of the process with this id.
     pub fn of(process: u32) -> ProcessResources {
         let threads = std::fs::read_dir(format!("/proc/{process}/task")).unwrap();
         ProcessResources {
@@ -41,7 +42,7 @@
     inodes
 }
 
-/// How many of a process's sockets a table of `/proc/net` lists, in this state where one is named.
+/// Counts a process's sockets in a table of `/proc/net`; `state` limits the count to that state.
 fn count_sockets(process: u32, table: &str, state: Option<&str>) -> usize {
     let inodes = socket_inodes(process);
     let table = std::fs::read_to_string(format!("/proc/{process}/net/{table}")).unwrap();
--- a/tests/support/stub_replica.rs
+++ b/tests/support/stub_replica.rs
@@ -1,4 +1,4 @@
-//! A replica that a test drives byte by byte.
+//! Helpers for a replica or discovery service that a test drives byte by byte.
 
 use super::{wait_until, TEST_TIMEOUT};
 use std::io::{Read, Write};
--- a/tests/faults.rs
+++ b/tests/system_call_faults.rs
@@ -1,6 +1,5 @@
-//! A node whose system calls fail as Linux documents: every request still gets its complete response, since the replicas are
-//! healthy.
-//! The faults come from a library that is preloaded into the node's process alone.
+//! Injects errors that Linux documents into a node's system calls. The replicas are healthy, so every request must still get
+//! its complete response. A library that is preloaded into the node's process injects the errors.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -12,23 +11,24 @@
 use std::time::Duration;
 use support::{request_text, run_clients, Node};
 
-/// Requests of one test, and how many clients send them.
+/// Number of requests of a test, over all clients.
 const REQUESTS: usize = 240;
 const CLIENTS: usize = 12;
+/// Number of tokens of each response.
 const TOKENS: usize = 12;
-/// A client sends its request this long after connecting.
+/// Time between a client's connect and its request.
 const REQUEST_DELAY: Duration = Duration::from_millis(60);
 
-/// The library to preload, which the build puts beside this test.
+/// Path of the library to preload, which the build places beside the test program.
 fn fault_shim() -> PathBuf {
     let program = std::env::current_exe().unwrap();
     let folder = program.parent().unwrap();
     let library = folder.join("libpoppykeel_fault_shim.so");
-    assert!(library.exists(), "the library of faults is built");
+    assert!(library.exists(), "the fault injection library is not built");
     library
 }
 
-/// A node with these faults, its replicas, and the file of its plan.
+/// Starts a node with a fault plan. Returns the node, its replicas, and the path of the plan.
 fn start_faulty_node(name: &str, plan: &str) -> (Node, StubServers, PathBuf) {
     let servers = StubServers::start(vec![
         ReplyScript {
@@ -38,13 +38,13 @@
         3
     ])
     .unwrap();
-    let file = std::env::temp_dir().join(format!("faults-{name}-{}.toml", std::process::id()));
-    std::fs::write(&file, plan).unwrap();
+    let plan_path = std::env::temp_dir().join(format!("faults-{name}-{}.toml", std::process::id()));
+    std::fs::write(&plan_path, plan).unwrap();
     let environment = vec![
         ("LD_PRELOAD".to_string(), fault_shim()),
         (
             poppykeel_fault_shim::PLAN_VARIABLE.to_string(),
-            file.clone(),
+            plan_path.clone(),
         ),
     ];
     (
@@ -54,20 +54,20 @@
             .environment(environment)
             .start(),
         servers,
-        file,
+        plan_path,
     )
 }
 
-/// Plays a load against a node with these faults; each response has to be complete.
-fn assert_complete_under(name: &str, plan: &str) {
-    let (node, servers, file) = start_faulty_node(name, plan);
-    let seen = run_clients(&node, CLIENTS, REQUESTS, TOKENS, |number| {
+/// Sends requests to a node with this fault plan and expects complete responses.
+fn assert_complete_responses_under(name: &str, plan: &str) {
+    let (node, servers, plan_path) = start_faulty_node(name, plan);
+    let observations = run_clients(&node, CLIENTS, REQUESTS, TOKENS, |number| {
         format!("request {number} under {name}")
     });
-    let incomplete: Vec<_> = seen
+    let incomplete: Vec<_> = observations
         .iter()
-        .filter(|seen| seen.outcome != ClientOutcome::Completed)
-        .map(|seen| &seen.outcome)
+        .filter(|observation| observation.outcome != ClientOutcome::Completed)
+        .map(|observation| &observation.outcome)
         .collect();
     assert!(
         incomplete.is_empty(),
@@ -76,14 +76,14 @@
     );
     assert_eq!(servers.served_requests().len(), REQUESTS);
     drop(node);
-    // A file that stays behind harms nobody.
-    let _ = std::fs::remove_file(file);
+    // A leftover file is harmless.
+    let _ = std::fs::remove_file(plan_path);
 }
 
 #[test]
 fn short_reads_and_writes_lose_no_response() {
     let rule = |call| format!("[[rule]]\ncall = \"{call}\"\none_in = 3\nfault = {{ short = 3 }}\n");
-    assert_complete_under(
+    assert_complete_responses_under(
         "short",
         &format!("seed = 1\n{}{}", rule("read"), rule("write")),
     );
@@ -92,21 +92,20 @@
 #[test]
 fn interrupted_reads_and_writes_lose_no_response() {
     let rule = |call| format!("[[rule]]\ncall = \"{call}\"\none_in = 20\nfault = \"EINTR\"\n");
-    assert_complete_under(
+    assert_complete_responses_under(
         "interrupted",
         &format!("seed = 2\n{}{}", rule("read"), rule("write")),
     );
 }
 
-/// Clients whose requests follow some milliseconds after they have connected: no failure of accept closes their connections
-/// meanwhile.
+/// Clients send their requests 60 ms after connecting. A failed accept must not close their connections in the meantime.
 #[test]
 fn failed_accepts_lose_no_request() {
     let rule = |fault| format!("[[rule]]\ncall = \"accept\"\none_in = 12\nfault = \"{fault}\"\n");
     let rules: String = ["EINTR", "EMFILE", "ENFILE", "ENOBUFS", "ENOMEM"]
         .map(rule)
         .concat();
-    let (node, servers, file) = start_faulty_node("accept", &format!("seed = 3\n{rules}"));
+    let (node, servers, plan_path) = start_faulty_node("accept", &format!("seed = 3\n{rules}"));
     let client = |client: usize| {
         for number in 0..REQUESTS / CLIENTS {
             let id = format!("{:016x}", client * REQUESTS + number + 1);
@@ -129,11 +128,11 @@
     });
     assert_eq!(servers.served_requests().len(), REQUESTS);
     drop(node);
-    // A file that stays behind harms nobody.
-    let _ = std::fs::remove_file(file);
+    // A leftover file is harmless.
+    let _ = std::fs::remove_file(plan_path);
 }
 
-/// Calls that fail before a byte was sent: the request has run nowhere and goes to a replica at once, whatever its class.
+/// A failed connect sends no bytes, so the request has not run anywhere and is retried at once, whatever its class.
 #[test]
 fn failed_connects_lose_no_response() {
     const ERRORS: [&str; 7] = [
@@ -146,7 +145,7 @@
         "ETIMEDOUT",
     ];
     let rule = |fault| format!("[[rule]]\ncall = \"connect\"\none_in = 40\nfault = \"{fault}\"\n");
-    assert_complete_under(
+    assert_complete_responses_under(
         "connect",
         &format!("seed = 4\n{}", ERRORS.map(rule).concat()),
     );
