--- a/benches/endpoints/load.rs
+++ b/benches/endpoints/load.rs
@@ -1,4 +1,4 @@
-//! Clients of the node and the times of their requests.
+//! Clients that send requests to the node, and the latencies of the requests.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -7,10 +7,10 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// A client whose answer takes longer than this ends the run.
+/// A response that takes longer than this fails the run.
 const READ_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// The id of the next request, over all clients.
+/// The id of the next request of all clients.
 static NEXT_REQUEST_ID: AtomicU64 = AtomicU64::new(1);
 
 /// Clients that send one request after the other until they are stopped.
@@ -20,7 +20,7 @@
 }
 
 impl Clients {
-    /// Starts so many clients of a node, each with a pause after every answer.
+    /// Starts `client_count` clients, each with a pause after every response.
     pub fn start(node: SocketAddr, client_count: usize, pause: Duration) -> Clients {
         let stop = Arc::new(AtomicBool::new(false));
         let threads = (0..client_count)
@@ -32,7 +32,7 @@
         Clients { stop, threads }
     }
 
-    /// Stops the clients. Returns the time of each request in milliseconds.
+    /// Stops the clients and returns the latency of each request in milliseconds.
     pub fn stop(self) -> Vec<f64> {
         self.stop.store(true, Ordering::Relaxed);
         self.threads
@@ -43,7 +43,7 @@
 }
 
 fn run_client(node: SocketAddr, stop: &AtomicBool, pause: Duration) -> Vec<f64> {
-    let mut times_ms = Vec::new();
+    let mut latencies_ms = Vec::new();
     let mut stream = TcpStream::connect(node).unwrap();
     stream.set_nodelay(true).unwrap();
     stream.set_read_timeout(Some(READ_TIMEOUT)).unwrap();
@@ -55,15 +55,15 @@
              Req-Deadline: 20\r\nContent-Length: 0\r\n\r\n"
         );
         stream.write_all(request.as_bytes()).unwrap();
-        read_answer(&mut stream);
-        times_ms.push(started_at.elapsed().as_secs_f64() * 1e3);
+        read_response(&mut stream);
+        latencies_ms.push(started_at.elapsed().as_secs_f64() * 1e3);
         thread::sleep(pause);
     }
-    times_ms
+    latencies_ms
 }
 
-/// Reads a stream to its last chunk, or the first bytes of an answer that is none.
-fn read_answer(stream: &mut TcpStream) {
+/// Reads a stream up to its last chunk, or the first bytes of a response with an error status.
+fn read_response(stream: &mut TcpStream) {
     let mut buffer = [0; 4096];
     let mut text = Vec::new();
     while !text.ends_with(b"0\r\n\r\n") {
@@ -77,10 +77,10 @@
     }
 }
 
-/// A quantile of times; NaN if there are none. Sorts them.
-pub fn quantile(times: &mut [f64], fraction: f64) -> f64 {
-    times.sort_by(f64::total_cmp);
-    let rank = (times.len() as f64 * fraction).ceil() as usize;
-    let index = rank.clamp(1, times.len().max(1)) - 1;
-    times.get(index).copied().unwrap_or(f64::NAN)
+/// A quantile of `values`, which are sorted by the call; NaN if there are none.
+pub fn quantile(values: &mut [f64], fraction: f64) -> f64 {
+    values.sort_by(f64::total_cmp);
+    let rank = (values.len() as f64 * fraction).ceil() as usize;
+    let index = rank.clamp(1, values.len().max(1)) - 1;
+    values.get(index).copied().unwrap_or(f64::NAN)
 }
--- a/benches/endpoints/main.rs
+++ b/benches/endpoints/main.rs
@@ -1,6 +1,6 @@
-//! Measurements of the endpoint sources on loopback sockets, with the node as a process of its own:
-//! `cargo bench --bench endpoints -- drains|records|latency|scale`. Nothing here is asserted; the figures of
-//! `docs/membership.md` come from it. Every measurement is bounded in number and time.
+//! Benchmarks of the endpoint sources on loopback sockets, with the node in a process of its own:
+//! `cargo bench --bench endpoints -- drains|records|latency|scale`. They assert nothing, and each is bounded in number and
+//! time. The figures in `docs/membership.md` come from them.
 
 #![allow(clippy::unwrap_used, reason = "a benchmark fails by panicking")]
 
@@ -16,17 +16,17 @@
 use std::time::{Duration, Instant};
 use stubs::{listed_endpoint, Discovery, Replica};
 
-/// The name that is looked up.
+/// The SRV name that the node looks up.
 const SERVICE: &str = "_s._t";
-/// The drains of one measurement.
+/// Number of drains to measure.
 const DRAIN_COUNT: usize = 1000;
-/// The new records of one measurement, for a lifetime of one second.
+/// Number of new records to measure with a TTL of one second; longer TTLs get fewer.
 const NEW_RECORD_COUNT: usize = 40;
-/// The records of a large zone.
+/// Number of SRV records in a large zone.
 const LARGE_ZONE_RECORD_COUNT: usize = 2000;
-/// The seconds over which processor time is measured.
+/// Number of rounds of one second over which CPU time is measured.
 const SCALE_ROUND_COUNT: usize = 20;
-/// The two sources of the node, as the operators' file has them.
+/// Values of `sources` in the operator file.
 const LIST_AND_SRV: &str = "[\"list\", \"srv\"]";
 const SRV_ALONE: &str = "[\"srv\"]";
 
@@ -53,8 +53,8 @@
     }
 }
 
-/// The operators' file with these sources and lifetimes of at least `ttl_floor`.
-fn operator_file(dns: &StubDnsServer, sources: &str, ttl_floor: &str) -> String {
+/// The text of an operator file with these sources and this minimum TTL.
+fn operator_text(dns: &StubDnsServer, sources: &str, ttl_floor: &str) -> String {
     format!(
         "[membership]\nsources = {sources}\nhold = 0\n[membership.srv]\nname = \"{SERVICE}\"\n\
          servers = [\"{}\"]\nttl_floor = \"{ttl_floor}\"\nflap_hold = 0\n",
@@ -80,19 +80,19 @@
         .collect()
 }
 
-/// From a drain in discovery's list to the last new request at the replica, while DNS lists it all along.
+/// Measures the time from a drain in discovery's list to the last new request at the replica, which DNS lists throughout.
 fn measure_drains() {
     let (replicas, addrs) = start_replicas(4);
     let (discovery, discovery_addr) = Discovery::start();
     let available = available_endpoints(&addrs);
     discovery.set_endpoints(&available);
     let dns = start_dns(Script::service(SERVICE, 0, &addrs));
-    let operator = operator_file(&dns, LIST_AND_SRV, "50ms");
+    let operator = operator_text(&dns, LIST_AND_SRV, "50ms");
     let node = Node::start(discovery_addr, Some(&operator));
     let clients = Clients::start(node.addr, 16, Duration::ZERO);
     thread::sleep(Duration::from_secs(1));
-    let mut times_ms = Vec::new();
-    let mut unused_count = 0;
+    let mut latencies_ms = Vec::new();
+    let mut without_request_count = 0;
     for round in 0..DRAIN_COUNT {
         let number = round % addrs.len();
         let replica = &replicas[number];
@@ -101,10 +101,10 @@
         thread::sleep(Duration::from_millis(40));
         let last_request_at = replica.last_request_at();
         if let Some(last) = last_request_at.filter(|last| *last > drained_at) {
-            times_ms.push((last - drained_at).as_secs_f64() * 1e3);
+            latencies_ms.push((last - drained_at).as_secs_f64() * 1e3);
         } else {
-            times_ms.push(0.0);
-            unused_count += 1;
+            latencies_ms.push(0.0);
+            without_request_count += 1;
         }
         discovery.set_endpoints(&available[number..=number]);
         thread::sleep(Duration::from_millis(10));
@@ -113,26 +113,26 @@
     let question_count: u64 = dns.question_counts().values().sum();
     println!(
         "drains: {DRAIN_COUNT} while DNS listed the server ({question_count} questions, {served_count} requests); \
-         last new send after p50 {:.2} ms, p99 {:.2} ms, most {:.2} ms ({unused_count} had none)",
-        quantile(&mut times_ms, 0.5),
-        quantile(&mut times_ms, 0.99),
-        quantile(&mut times_ms, 1.0)
+         last new send after p50 {:.2} ms, p99 {:.2} ms, most {:.2} ms ({without_request_count} had none)",
+        quantile(&mut latencies_ms, 0.5),
+        quantile(&mut latencies_ms, 0.99),
+        quantile(&mut latencies_ms, 1.0)
     );
 }
 
-/// From a new record to the first request at its replica.
+/// Measures the time from a new record to the first request at its replica.
 fn measure_new_records() {
     let (replicas, addrs) = start_replicas(2);
     let (_discovery, discovery_addr) = Discovery::start();
     for ttl_s in [1, 2] {
         let dns = start_dns(Script::service(SERVICE, ttl_s, &addrs[..1]));
-        let operator = operator_file(&dns, SRV_ALONE, "1s");
+        let operator = operator_text(&dns, SRV_ALONE, "1s");
         let node = Node::start(discovery_addr, Some(&operator));
         let clients = Clients::start(node.addr, 4, Duration::from_millis(1));
         thread::sleep(Duration::from_millis(1500));
-        let mut times_ms = Vec::new();
+        let mut latencies_ms = Vec::new();
         for round in 0..NEW_RECORD_COUNT / ttl_s as usize {
-            // Another moment of the lifetime each time.
+            // Varies the time within the TTL at which the record is added.
             thread::sleep(Duration::from_millis(37 * (round as u64 % 17)));
             let added_at = Instant::now();
             dns.set_script(Script::service(SERVICE, ttl_s, &addrs));
@@ -143,22 +143,22 @@
             {
                 thread::sleep(Duration::from_millis(1));
             }
-            times_ms.push(added_at.elapsed().as_secs_f64() * 1e3);
+            latencies_ms.push(added_at.elapsed().as_secs_f64() * 1e3);
             dns.set_script(Script::service(SERVICE, ttl_s, &addrs[..1]));
             thread::sleep(Duration::from_millis(1100 * u64::from(ttl_s)));
         }
         clients.stop();
         println!(
             "records: lifetime {ttl_s} s, first send after p50 {:.0} ms, most {:.0} ms of {} new records",
-            quantile(&mut times_ms, 0.5),
-            quantile(&mut times_ms, 1.0),
-            times_ms.len()
+            quantile(&mut latencies_ms, 0.5),
+            quantile(&mut latencies_ms, 1.0),
+            latencies_ms.len()
         );
     }
 }
 
-/// A zone of 2,000 records with short names, so that they fit into one message. In each round the first
-/// `changing_count` of them are new targets with new addresses.
+/// A zone of 2,000 records, whose short names fit into one message. In each round the first `changing_count` records have new
+/// targets with new addresses.
 fn large_zone(round: usize, changing_count: usize, addr: SocketAddr) -> Script {
     let mut script = Script {
         follows_aliases: true,
@@ -199,13 +199,13 @@
     script
 }
 
-/// Processor time and memory of a node that looks up 2,000 records each second.
+/// Measures CPU time and memory of a node that looks up 2,000 records each second.
 fn measure_scale() {
     let replica = Replica::start();
     let (_discovery, discovery_addr) = Discovery::start();
     for (label, changing_count) in [("none", None), ("0%", Some(0)), ("1%", Some(20))] {
         let dns = start_dns(large_zone(0, changing_count.unwrap_or(0), replica.addr));
-        let operator = changing_count.map(|_| operator_file(&dns, SRV_ALONE, "1s"));
+        let operator = changing_count.map(|_| operator_text(&dns, SRV_ALONE, "1s"));
         let node = Node::start(discovery_addr, operator.as_deref());
         thread::sleep(Duration::from_secs(5));
         let before = node.usage();
@@ -226,17 +226,17 @@
     }
 }
 
-/// What look-ups add to a request's time: the list alone, with 4 records and with 2,000 records, in turn.
+/// Measures the effect of look-ups on request latency: the list alone, with 4 records and with 2,000 records, in turn.
 fn measure_latency() {
     let (_replicas, addrs) = start_replicas(4);
     let (discovery, discovery_addr) = Discovery::start();
     discovery.set_endpoints(&available_endpoints(&addrs));
     let small_zone = start_dns(Script::service(SERVICE, 1, &addrs));
     let large_zone = start_dns(large_zone(0, 0, addrs[0]));
-    let small = operator_file(&small_zone, LIST_AND_SRV, "1s");
-    // Nobody listens at the addresses of the large zone: standby leaves all requests to those of the list.
+    let small = operator_text(&small_zone, LIST_AND_SRV, "1s");
+    // Nothing listens at the addresses of the large zone: with `standby`, all requests go to the endpoints of the list.
     let large =
-        operator_file(&large_zone, LIST_AND_SRV, "1s").replacen("hold", "standby = true\nhold", 1);
+        operator_text(&large_zone, LIST_AND_SRV, "1s").replacen("hold", "standby = true\nhold", 1);
     for _ in 0..2 {
         for (label, operator) in [
             ("list", None),
@@ -247,13 +247,13 @@
             thread::sleep(Duration::from_secs(3));
             let clients = Clients::start(node.addr, 4, Duration::from_millis(2));
             thread::sleep(Duration::from_secs(8));
-            let mut times_ms = clients.stop();
+            let mut latencies_ms = clients.stop();
             println!(
                 "latency: {label}: p50 {:.3} ms, p99 {:.3} ms, p99.9 {:.3} ms of {} requests",
-                quantile(&mut times_ms, 0.5),
-                quantile(&mut times_ms, 0.99),
-                quantile(&mut times_ms, 0.999),
-                times_ms.len()
+                quantile(&mut latencies_ms, 0.5),
+                quantile(&mut latencies_ms, 0.99),
+                quantile(&mut latencies_ms, 0.999),
+                latencies_ms.len()
             );
         }
     }
--- a/benches/endpoints/node.rs
+++ b/benches/endpoints/node.rs
@@ -1,4 +1,4 @@
-//! The node as a process of its own, and what it uses.
+//! The node in a process of its own, and its resource usage.
 
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
@@ -6,10 +6,10 @@
 use std::process::{Child, Command, Stdio};
 use std::thread;
 
-/// The clock ticks in which /proc counts processor time, per second.
+/// Clock ticks per second in which `/proc` counts CPU time.
 const TICKS_PER_SECOND: f64 = 100.0;
 
-/// A node that serves. Dropping it ends the process.
+/// A running node. Dropping it kills the process.
 pub struct Node {
     child: Child,
     /// Where clients connect.
@@ -17,16 +17,16 @@
     files: Vec<PathBuf>,
 }
 
-/// What a process has used so far.
+/// Resource usage of a process since its start.
 pub struct Usage {
-    /// Processor time in seconds.
+    /// CPU time in seconds.
     pub cpu_s: f64,
-    /// The most memory held at once, in MB.
+    /// Peak resident memory in MiB.
     pub peak_memory_mb: f64,
 }
 
 impl Node {
-    /// Starts a node and waits until it serves. `operator` is the text of the operators' file, if there is one.
+    /// Starts a node and waits until it serves. `operator` is the text of the operator file; `None` starts it without one.
     pub fn start(discovery: SocketAddr, operator: Option<&str>) -> Node {
         let config = include_str!("../../tests/exchanges/config.json");
         let known = config.find("\"known\"").unwrap()..config.find("\"settings\"").unwrap();
@@ -58,13 +58,13 @@
         }
     }
 
-    /// What the node has used since its start.
+    /// Reads the resource usage since the start.
     pub fn usage(&self) -> Usage {
         let read = |name: &str| {
             std::fs::read_to_string(format!("/proc/{}/{name}", self.child.id())).unwrap_or_default()
         };
         let stat = read("stat");
-        // The fields after the name, which may hold spaces: the 12th and 13th are user and system time.
+        // After the process name, which may contain spaces, the 12th and 13th fields are user and system time.
         let fields = stat.rsplit(')').next().unwrap_or_default();
         let ticks: f64 = fields
             .split_whitespace()
@@ -93,7 +93,7 @@
 
 impl Drop for Node {
     fn drop(&mut self) {
-        // The process may have ended by itself, and the files may be gone.
+        // Fails if the process has ended or the files are already removed.
         let _ = self.child.kill();
         let _ = self.child.wait();
         for file in &self.files {
--- a/benches/endpoints/stubs.rs
+++ b/benches/endpoints/stubs.rs
@@ -1,5 +1,4 @@
-//! The services around the node: a model server that notes when requests come, and a discovery whose list is set
-//! here.
+//! Stub services: a replica that records the time of its latest request, and a discovery service with a configurable list.
 
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -10,7 +9,7 @@
 /// How long a poll of the endpoint list waits for a newer version.
 const LONG_POLL_LIMIT: Duration = Duration::from_secs(15);
 
-/// Accepts connections for as long as the process lives, each served by a thread of its own.
+/// Serves each connection on a thread of its own until the process ends.
 fn serve(
     listener: TcpListener,
     serve_connection: impl Fn(TcpStream) -> std::io::Result<()> + Clone + Send + 'static,
@@ -19,14 +18,14 @@
         for stream in listener.incoming().map_while(Result::ok) {
             let serve_connection = serve_connection.clone();
             thread::spawn(move || {
-                // A connection that breaks ends with its node.
+                // An error ends the connection, for example when its node ends.
                 let _ = serve_connection(stream);
             });
         }
     });
 }
 
-/// A model server that answers each request with a stream of one event.
+/// A replica that answers each request with a stream of one event.
 pub struct Replica {
     /// Where it listens.
     pub addr: SocketAddr,
@@ -34,7 +33,7 @@
 }
 
 impl Replica {
-    /// Starts a server on a free port.
+    /// Starts a replica on a free port.
     pub fn start() -> Replica {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let addr = listener.local_addr().unwrap();
@@ -47,7 +46,7 @@
         }
     }
 
-    /// When the latest request came.
+    /// When the latest request arrived; `None` if there was none.
     pub fn last_request_at(&self) -> Option<Instant> {
         *self.last_request_at.lock().unwrap()
     }
@@ -82,7 +81,7 @@
     endpoints: String,
 }
 
-/// A discovery whose polls wait for a newer list. Clones share one list.
+/// A discovery service whose polls wait for a newer list. Clones share the list.
 #[derive(Clone)]
 pub struct Discovery {
     list: Arc<Mutex<EndpointList>>,
@@ -90,7 +89,7 @@
 }
 
 impl Discovery {
-    /// Starts a discovery with an empty list on a free port.
+    /// Starts a service with an empty list on a free port.
     pub fn start() -> (Discovery, SocketAddr) {
         let discovery = Discovery {
             list: Arc::new(Mutex::new(EndpointList {
@@ -147,7 +146,7 @@
         )
     }
 
-    /// Sets what the next answer lists and wakes the polls that wait.
+    /// Sets the endpoints of the next answer and wakes waiting polls.
     pub fn set_endpoints(&self, endpoints: &[String]) {
         let mut list = self.list.lock().unwrap();
         list.version += 1;
@@ -156,7 +155,7 @@
     }
 }
 
-/// One endpoint of discovery's list as JSON.
+/// An entry of the endpoint list, as JSON.
 pub fn listed_endpoint(number: usize, addr: SocketAddr, state: &str) -> String {
     format!(
         r#"{{"id":"s-{number}","addr":"{addr}","zone":"a","kind":"k","cell":0,"state":"{state}","weight":1.0,"started_ms":0}}"#
--- a/benches/leases.rs
+++ b/benches/leases.rs
@@ -1,5 +1,5 @@
-//! What leases cost: grants a second by how they are made durable, a fleet's messages, and a node's requests with and
-//! without `[fleet]`. `cargo bench --bench leases`; the figures of docs/leases.md are from it.
+//! Benchmarks of leases: grants per second by durability, message rates of a fleet, and request latency with and without
+//! `[fleet]`. Run with `cargo bench --bench leases`. The figures in `docs/leases.md` come from it.
 
 #[path = "../tests/support/mod.rs"]
 mod support;
@@ -17,38 +17,39 @@
 use std::time::{Duration, Instant};
 use support::{read_response, send_request, Node};
 
-/// The duration of the leases that are granted, in microseconds.
+/// Duration of granted leases, in microseconds.
 const LEASE_DURATION: u64 = 5_000_000;
-/// From one grant to the next: each finds the one before it over.
+/// Time between grants in microseconds; longer than a lease, so the previous lease has expired.
 const GRANT_INTERVAL: u64 = 6_000_000;
-/// Grants are for so many tasks in turn.
+/// Number of tasks that are granted in turn.
 const TASKS: u64 = 500;
-/// How long grants are counted.
-const GRANTS_SPAN: Duration = Duration::from_secs(3);
-/// The nodes of the fleet whose messages are counted, and the lease servers among them.
+/// Time over which grants are counted.
+const GRANTS_DURATION: Duration = Duration::from_secs(3);
+/// Number of nodes of the fleet, and of lease servers among them.
 const NODES: usize = 9;
 const LEASE_SERVERS: usize = 3;
-/// A fleet has come to rest after this time, and its messages are counted for the other.
+/// Time after which a fleet is in a steady state.
 const SETTLE_TIME: Duration = Duration::from_secs(12);
-const MESSAGES_SPAN: Duration = Duration::from_secs(10);
-/// Requests whose latency is measured in one turn, and how many turns there are.
+/// Time over which messages are counted.
+const MESSAGES_DURATION: Duration = Duration::from_secs(10);
+/// Number of requests of a round, and number of rounds.
 const REQUESTS: usize = 1500;
-const TURNS: usize = 4;
-/// The number of tokens of a stub server's answer.
+const ROUNDS: usize = 4;
+/// Number of tokens of a stub server's response.
 const TOKENS: usize = 3;
 
 /// How grants are made durable.
 #[derive(Clone, Copy)]
 enum Durability {
-    /// One sync for so many grants.
+    /// One sync per this number of grants.
     SyncEach(usize),
     /// No sync at all.
     NoSync,
 }
 
 impl Durability {
-    /// After how many grants it is looked whether the time is over.
-    fn batch(self) -> usize {
+    /// Number of grants between checks of the elapsed time.
+    fn batch_size(self) -> usize {
         match self {
             Durability::SyncEach(grants) => grants.clamp(64, 512),
             Durability::NoSync => 512,
@@ -70,7 +71,7 @@
     })
 }
 
-/// A lease server that is the only one of its fleet and grants.
+/// The only lease server of its fleet, which has recovered and grants leases.
 fn granting_server() -> LeaseServer {
     let config = LeaseServerConfig {
         server_count: 1,
@@ -84,17 +85,17 @@
     LeaseServer::new(config, Incarnation(1), &[recovered], 0)
 }
 
-/// A folder of this process; not made yet.
+/// Path of a folder of this process, which does not exist yet.
 fn bench_folder(name: &str) -> PathBuf {
     std::env::temp_dir().join(format!("bench-{name}-{}", std::process::id()))
 }
 
-/// Removes a folder; one that is not there, or can't be removed, does not matter to the figures.
+/// Removes a folder. An error does not affect the figures.
 fn remove_folder(folder: PathBuf) {
     let _ = std::fs::remove_dir_all(folder);
 }
 
-/// Grants a second of one lease server.
+/// Grants per second of one lease server.
 fn grants_per_second(durability: Durability) -> f64 {
     let mut server = granting_server();
     let folder = bench_folder("leases");
@@ -104,8 +105,8 @@
     let started_at = Instant::now();
     let mut count = 0;
     let mut now = 0;
-    while started_at.elapsed() < GRANTS_SPAN {
-        for _ in 0..durability.batch() {
+    while started_at.elapsed() < GRANTS_DURATION {
+        for _ in 0..durability.batch_size() {
             count += 1;
             now += GRANT_INTERVAL;
             let output = server.handle(now, acquire(count, count));
@@ -130,7 +131,7 @@
     count as f64 / started_at.elapsed().as_secs_f64()
 }
 
-/// An address that is free for datagrams and connections.
+/// An address whose port is free for both UDP and TCP.
 fn free_address() -> SocketAddr {
     loop {
         let address = UdpSocket::bind("127.0.0.1:0")
@@ -142,7 +143,7 @@
     }
 }
 
-/// The operators' address of a node, as its log names it.
+/// The admin address of a node, read from its log; `None` if it is not logged yet.
 fn admin_address(node: &Node) -> Option<SocketAddr> {
     let log = node.log.lock().ok()?;
     let text = log
@@ -151,7 +152,7 @@
     text.split('"').next()?.parse().ok()
 }
 
-/// What a node says of its fleet.
+/// The response of a node to `GET /api/fleet`.
 fn fleet_status(admin: SocketAddr) -> Option<Value> {
     let mut stream = TcpStream::connect(admin).ok()?;
     stream
@@ -162,7 +163,7 @@
     serde_json::from_str(text.split_once("\r\n\r\n")?.1).ok()
 }
 
-/// What a node has sent, or sends a second.
+/// Messages and bytes that a node sends: in total, or per second.
 #[derive(Clone, Copy, Default)]
 struct Traffic {
     messages: f64,
@@ -170,7 +171,7 @@
 }
 
 impl Traffic {
-    /// What a node has sent since its start.
+    /// Totals since the start of a node.
     fn sent_by(node: &Node) -> Option<Traffic> {
         let status = fleet_status(admin_address(node)?)?;
         let figure = |key: &str| status["messages"][key].as_f64().unwrap_or(0.0);
@@ -180,11 +181,11 @@
         })
     }
 
-    /// What was sent a second between two counts.
-    fn rate(before: Traffic, after: Traffic, span: Duration) -> Traffic {
+    /// Rate per second between two totals.
+    fn rate(before: Traffic, after: Traffic, duration: Duration) -> Traffic {
         Traffic {
-            messages: (after.messages - before.messages) / span.as_secs_f64(),
-            bytes: (after.bytes - before.bytes) / span.as_secs_f64(),
+            messages: (after.messages - before.messages) / duration.as_secs_f64(),
+            bytes: (after.bytes - before.bytes) / duration.as_secs_f64(),
         }
     }
 
@@ -206,8 +207,8 @@
     }
 }
 
-/// A fleet of nine nodes, three of them lease servers, with a report to a collector that is not there.
-fn fleet_of_nine(servers: &[SocketAddr], folder: &Path) -> Vec<Node> {
+/// A fleet of nine nodes with three lease servers. Its reports go to an address without a collector.
+fn start_fleet(servers: &[SocketAddr], folder: &Path) -> Vec<Node> {
     let addresses: Vec<SocketAddr> = (0..NODES).map(|_| free_address()).collect();
     let lease_servers: Vec<String> = (0..LEASE_SERVERS)
         .map(|server| format!("n{server} = \"{}\"", addresses[server]))
@@ -227,18 +228,18 @@
     addresses.iter().enumerate().map(start).collect()
 }
 
-/// Messages and bytes a second that nodes of a fleet at rest send: the mean, and the busiest lease server.
+/// Prints the messages and bytes per second that nodes of an idle fleet send: the mean, and the busiest lease server.
 fn print_message_rates(servers: &[SocketAddr]) {
     let folder = bench_folder("fleet");
-    let nodes = fleet_of_nine(servers, &folder);
+    let nodes = start_fleet(servers, &folder);
     std::thread::sleep(SETTLE_TIME);
     let sent = || -> Vec<Traffic> { nodes.iter().filter_map(Traffic::sent_by).collect() };
     let before = sent();
-    std::thread::sleep(MESSAGES_SPAN);
+    std::thread::sleep(MESSAGES_DURATION);
     let rates: Vec<Traffic> = sent()
         .into_iter()
         .zip(before)
-        .map(|(after, before)| Traffic::rate(before, after, MESSAGES_SPAN))
+        .map(|(after, before)| Traffic::rate(before, after, MESSAGES_DURATION))
         .collect();
     let mean = Traffic::mean(&rates);
     let busiest_lease_server = Traffic::max(&rates[..LEASE_SERVERS]);
@@ -258,7 +259,7 @@
     remove_folder(folder);
 }
 
-/// Milliseconds to a whole answer: the median, and what 90 and 99 of 100 answers kept.
+/// The 50th, 90th and 99th percentile of the time to a complete response, in milliseconds.
 fn latency_quantiles(node: &Node) -> [f64; 3] {
     let mut latencies: Vec<f64> = Vec::new();
     for number in 0..REQUESTS {
@@ -273,7 +274,7 @@
     [0.5, 0.9, 0.99].map(|quantile| latencies[(REQUESTS as f64 * quantile) as usize])
 }
 
-/// The latency of a node with `[fleet]` and of one without, by turns.
+/// Prints the latency of a node with `[fleet]` and of one without, in alternating rounds.
 fn print_latencies(servers: &[SocketAddr]) {
     let folder = bench_folder("node");
     let address = free_address();
@@ -289,7 +290,7 @@
         .operator(&section)
         .start();
     println!("milliseconds to a whole answer, p50 p90 p99, by turns:");
-    for _ in 0..TURNS {
+    for _ in 0..ROUNDS {
         for (name, node) in [("without", &without), ("with", &with)] {
             let [p50, p90, p99] = latency_quantiles(node);
             println!("  {name:<8} {p50:.2} {p90:.2} {p99:.2}");
--- a/benches/openai/seen.py
+++ b/benches/openai/client_outcomes.py
@@ -1,11 +1,11 @@
-"""200 streams by the public `openai` client over three stand-in model servers, one of them faulty.
+"""Sends 200 streaming requests with the public `openai` client over three stub model servers, one of them faulty.
 
     pip install -r benches/openai/requirements.txt
     cargo build --release --workspace --locked
-    python benches/openai/seen.py [--node target/release/poppykeel] [--operator FILE]
+    python benches/openai/client_outcomes.py [--node target/release/poppykeel] [--operator FILE]
 
-It says how many clients got a whole answer, half of one, or an error, and how many of them the client library saw
-as whole without their being so. Everything it starts it ends.
+It prints how many clients got a complete response, a truncated one, or an error, and how many truncated responses the client
+library reported as complete. It stops all processes that it starts.
 """
 
 import argparse, concurrent.futures, json, os, re, subprocess, tempfile, threading
@@ -16,7 +16,7 @@
     "is silent for 3 s in every stream": "{ stall = { after = 6, ms = 3050 } }",
     "is silent for 20 s in every stream": "{ stall = { after = 6, ms = 20000 } }",
 }
-HEAD = "first_ms = 5\ngap_ms = 20\ntokens = 12\n"
+SCRIPT_SETTINGS = "first_ms = 5\ngap_ms = 20\ntokens = 12\n"
 
 
 def entry(number, addr):
@@ -24,8 +24,8 @@
             "weight": 1.0, "started_ms": 0}
 
 
-def one(base, number):
-    """Whether the answer was whole, and how many pieces of text came."""
+def send_request(base, number):
+    """Returns the outcome of a request and the number of text pieces received."""
     client = openai.OpenAI(base_url=f"http://{base}/v1", api_key="none", max_retries=0, timeout=30)
     headers = {"Req-Id": f"{number:016x}", "Req-Kind": "chat", "Req-Deadline": "10"}
     pieces, finish = 0, None
@@ -40,21 +40,21 @@
         return ("whole" if pieces == 12 and finish else "half, not noticed"), pieces
     except (openai.APIError, openai.APIConnectionError):
         pass
-    except Exception as error:  # the transport's own: the connection ended early
+    except Exception as error:  # raised by the HTTP transport if the connection ends early
         if "peer closed" not in str(error) and "incomplete" not in str(error):
             raise
     return ("half, noticed" if pieces else "nothing"), pieces
 
 
 def run(args, what, fault, files):
-    scripts = [HEAD + f"[[rule]]\nfault = {fault}\n", HEAD, HEAD]
+    scripts = [SCRIPT_SETTINGS + f"[[rule]]\nfault = {fault}\n", SCRIPT_SETTINGS, SCRIPT_SETTINGS]
     paths = []
     for number, text in enumerate(scripts):
         paths.append(os.path.join(files, f"{number}.toml"))
         with open(paths[-1], "w") as file:
             file.write(text)
-    given = [word for path in paths for word in ("--script", path)]
-    servers = subprocess.Popen([args.standin, *given, "--for", "120"], stdout=subprocess.PIPE,
+    script_args = [word for path in paths for word in ("--script", path)]
+    servers = subprocess.Popen([args.standin, *script_args, "--for", "120"], stdout=subprocess.PIPE,
                                stdin=subprocess.DEVNULL, text=True)
     node = None
     try:
@@ -70,11 +70,11 @@
         node = subprocess.Popen([args.node, "serve", "--config", path, *operator], stderr=subprocess.PIPE, text=True)
         base = next(m.group(1) for m in (re.search(r"serving on (\S+)", line) for line in node.stderr) if m)
         threading.Thread(target=lambda: [None for _ in node.stderr], daemon=True).start()
-        ends = {}
+        outcomes = {}
         with concurrent.futures.ThreadPoolExecutor(8) as pool:
-            for end, _ in pool.map(lambda number: one(base, number), range(1, 201)):
-                ends[end] = ends.get(end, 0) + 1
-        print(f"one of three {what}: {ends}", flush=True)
+            for outcome, _ in pool.map(lambda number: send_request(base, number), range(1, 201)):
+                outcomes[outcome] = outcomes.get(outcome, 0) + 1
+        print(f"one of three {what}: {outcomes}", flush=True)
     finally:
         for process in filter(None, (node, servers)):
             process.kill()
--- a/benches/streams.rs
+++ b/benches/streams.rs
@@ -1,5 +1,5 @@
-//! Measurements of streams on loopback sockets and without: `cargo bench --bench streams -- seen|recovery|detection|cost`.
-//! Nothing here is asserted but the checker's rules; the figures of `docs/streams.md` come from it.
+//! Benchmarks of stream recovery, some of them without sockets: `cargo bench --bench streams -- seen|recovery|detection|cost`.
+//! They print the number of rule violations but assert nothing. The figures in `docs/streams.md` come from them.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 #![expect(
@@ -21,34 +21,35 @@
 use support::Node;
 
 fn main() {
-    let parts: Vec<String> = std::env::args()
+    let selected: Vec<String> = std::env::args()
         .skip(1)
         .filter(|a| !a.starts_with('-'))
         .collect();
-    let wanted = |name: &str| parts.is_empty() || parts.iter().any(|p| p == name);
+    let is_selected = |name: &str| selected.is_empty() || selected.iter().any(|p| p == name);
     println!(
         "machine: {} cores",
         std::thread::available_parallelism().map_or(0, usize::from)
     );
-    if wanted("seen") {
-        seen();
+    if is_selected("seen") {
+        measure_client_outcomes();
     }
-    if wanted("recovery") {
-        recovery();
+    if is_selected("recovery") {
+        measure_recovery();
     }
-    if wanted("detection") {
-        detection();
+    if is_selected("detection") {
+        measure_stall_detection();
     }
-    if wanted("cost") {
-        cost();
+    if is_selected("cost") {
+        measure_cost_per_event();
     }
 }
 
-/// A percentile, in the unit of the values.
-fn at(values: &mut [f64], part: f64) -> f64 {
+/// A quantile of `values`, which are sorted by the call; NaN if there are none.
+fn quantile(values: &mut [f64], fraction: f64) -> f64 {
     values.sort_by(f64::total_cmp);
-    let place = ((values.len() as f64 * part).ceil() as usize).clamp(1, values.len().max(1)) - 1;
-    values.get(place).copied().unwrap_or(f64::NAN)
+    let index =
+        ((values.len() as f64 * fraction).ceil() as usize).clamp(1, values.len().max(1)) - 1;
+    values.get(index).copied().unwrap_or(f64::NAN)
 }
 
 fn script(rules: Vec<FaultRule>) -> ReplyScript {
@@ -60,10 +61,10 @@
     }
 }
 
-fn rule(every: u64, continued: Option<bool>, fault: ReplyFault) -> FaultRule {
+fn rule(every: u64, is_continuation: Option<bool>, fault: ReplyFault) -> FaultRule {
     FaultRule {
         prompt: None,
-        is_continuation: continued,
+        is_continuation,
         every,
         first_of_prompt_only: false,
         max_count: None,
@@ -71,8 +72,9 @@
     }
 }
 
-/// 200 streams over three servers, one of which cuts or silences every stream of its own; platform's settings.
-fn seen() {
+/// Measures client outcomes of 200 streams over three replicas, one of which truncates or stalls each of its streams, with the
+/// platform's settings.
+fn measure_client_outcomes() {
     let faults = [
         (
             "cuts after 6 of 12 events",
@@ -97,25 +99,25 @@
         let faulty = script(vec![rule(1, None, fault)]);
         let servers = StubServers::start(vec![faulty, script(vec![]), script(vec![])]).unwrap();
         let node = Node::builder("seen").replicas(servers.addrs()).start();
-        let seen = support::run_clients(&node, 8, 200, 12, |n| format!("seen {n}"));
-        let verdict = check(&seen, &servers.served_requests());
-        let share = servers
+        let observations = support::run_clients(&node, 8, 200, 12, |n| format!("seen {n}"));
+        let report = check(&observations, &servers.served_requests());
+        let faulty_requests = servers
             .served_requests()
             .iter()
             .filter(|r| r.server == 0)
             .count();
         println!(
-            "seen: one of three {what}: {} of 200 whole, {} half, {} refused; {share} requests went to it; {} broken rules",
-            verdict.completed,
-            verdict.failed,
-            verdict.rejected,
-            verdict.violations.len()
+            "seen: one of three {what}: {} of 200 whole, {} half, {} refused; {faulty_requests} requests went to it; {} broken rules",
+            report.completed,
+            report.failed,
+            report.rejected,
+            report.violations.len()
         );
     }
 }
 
-/// 10,000 streams with one in twenty faulty: half of those cut, half silent for ever.
-fn recovery() {
+/// Measures 10,000 streams of which one in twenty is faulty: half of those are truncated, half stall without end.
+fn measure_recovery() {
     let faults = || {
         vec![
             rule(
@@ -136,8 +138,8 @@
             ),
         ]
     };
-    let on = "[streams]\ncontinue = true\nshare = 0.2\n";
-    for (what, operator) in [("off", ""), ("on", on)] {
+    let recovery_on = "[streams]\ncontinue = true\nshare = 0.2\n";
+    for (what, operator) in [("off", ""), ("on", recovery_on)] {
         let script = ReplyScript {
             token_gap_ms: 2,
             ..script(faults())
@@ -147,62 +149,67 @@
             .replicas(servers.addrs())
             .operator(operator)
             .start();
-        let times: Mutex<Vec<(ClientOutcome, f64)>> = Mutex::new(Vec::new());
+        let durations: Mutex<Vec<(ClientOutcome, f64)>> = Mutex::new(Vec::new());
         let count = 10_000;
         let next = std::sync::atomic::AtomicUsize::new(0);
         let start = Instant::now();
-        let seen: Vec<ClientObservation> = std::thread::scope(|scope| {
-            let work = || {
-                let mut seen = Vec::new();
+        let observations: Vec<ClientObservation> = std::thread::scope(|scope| {
+            let send_requests = || {
+                let mut observations = Vec::new();
                 loop {
                     let n = next.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
                     if n >= count {
-                        return seen;
+                        return observations;
                     }
-                    let (prompt, begun) = (format!("recovery {n}"), Instant::now());
+                    let (prompt, started_at) = (format!("recovery {n}"), Instant::now());
                     let (id, mut stream) = support::send_request(&node, &prompt, 12);
-                    let one = support::read_response(id, &prompt, 12, &mut stream);
-                    times
+                    let observation = support::read_response(id, &prompt, 12, &mut stream);
+                    durations
                         .lock()
                         .unwrap()
-                        .push((one.outcome, begun.elapsed().as_secs_f64()));
-                    seen.push(one);
+                        .push((observation.outcome, started_at.elapsed().as_secs_f64()));
+                    observations.push(observation);
                 }
             };
-            let threads: Vec<_> = (0..64).map(|_| scope.spawn(work)).collect();
+            let threads: Vec<_> = (0..64).map(|_| scope.spawn(send_requests)).collect();
             threads
                 .into_iter()
                 .flat_map(|t| t.join().unwrap())
                 .collect()
         });
-        let verdict = check(&seen, &servers.served_requests());
-        let times = times.into_inner().unwrap();
-        let of = |wanted: fn(&ClientOutcome) -> bool| -> Vec<f64> {
-            times.iter().filter(|t| wanted(&t.0)).map(|t| t.1).collect()
+        let report = check(&observations, &servers.served_requests());
+        let durations = durations.into_inner().unwrap();
+        let durations_of = |is_wanted: fn(&ClientOutcome) -> bool| -> Vec<f64> {
+            durations
+                .iter()
+                .filter(|t| is_wanted(&t.0))
+                .map(|t| t.1)
+                .collect()
         };
-        let mut failed =
-            of(|o| matches!(o, ClientOutcome::FailedWithError | ClientOutcome::Truncated));
-        let mut whole = of(|o| *o == ClientOutcome::Completed);
+        let mut failed = durations_of(|o| {
+            matches!(o, ClientOutcome::FailedWithError | ClientOutcome::Truncated)
+        });
+        let mut completed = durations_of(|o| *o == ClientOutcome::Completed);
         println!(
             "recovery {what}: {:.2}% whole ({} continued), {:.2}% failed, {:.2}% refused in {:.0} s; a failure known after \
              p50 {:.2} s, p99 {:.2} s; whole ones p50 {:.3} s, p99 {:.3} s; {} broken rules; extra tokens {:.2}%",
-            verdict.completed as f64 / count as f64 * 100.0,
-            verdict.continued,
-            verdict.failed as f64 / count as f64 * 100.0,
-            verdict.rejected as f64 / count as f64 * 100.0,
+            report.completed as f64 / count as f64 * 100.0,
+            report.continued,
+            report.failed as f64 / count as f64 * 100.0,
+            report.rejected as f64 / count as f64 * 100.0,
             start.elapsed().as_secs_f64(),
-            at(&mut failed, 0.5),
-            at(&mut failed, 0.99),
-            at(&mut whole, 0.5),
-            at(&mut whole, 0.99),
-            verdict.violations.len(),
-            verdict.extra_tokens as f64 / (count as f64 * 12.0) * 100.0
+            quantile(&mut failed, 0.5),
+            quantile(&mut failed, 0.99),
+            quantile(&mut completed, 0.5),
+            quantile(&mut completed, 0.99),
+            report.violations.len(),
+            report.extra_tokens as f64 / (count as f64 * 12.0) * 100.0
         );
     }
 }
 
-/// False stalls among healthy but slow streams, and the time until a dead one is noticed, in fed time.
-fn detection() {
+/// Measures false stalls of healthy but slow streams and the time until a dead stream is detected, in simulated time.
+fn measure_stall_detection() {
     let rules = [
         ("the rule", StallLimits::default()),
         (
@@ -222,54 +229,54 @@
             },
         ),
     ];
-    // Of a slow replica's streams of 100 gaps, so many long pauses of this many seconds.
-    for (what, chance, most) in [
+    // Streams of 100 gaps from a slow replica: the probability of a long pause and its maximum in seconds.
+    for (what, pause_probability, max_pause_s) in [
         ("fast", 0.0, 0.0),
         ("slow, pauses to 3.5 s", 0.02, 3.5),
         ("slow, to 4.4 s", 0.02, 4.4),
     ] {
         for (name, limits) in &rules {
-            let (mut rng, mut gaps, mut lost, mut found) =
+            let (mut rng, mut gaps, mut false_stalls, mut limits_s) =
                 (Rand64::new(7), GapHistogram::default(), 0, Vec::new());
             let streams = 2000;
             for _ in 0..streams {
                 let limit = gaps.silence_limit(None, limits);
                 for _ in 0..100 {
-                    let pause = rng.rand_float() < chance;
-                    let gap = if pause {
-                        0.5 + (most - 0.5) * rng.rand_float()
+                    let is_pause = rng.rand_float() < pause_probability;
+                    let gap = if is_pause {
+                        0.5 + (max_pause_s - 0.5) * rng.rand_float()
                     } else {
                         0.08 * rng.rand_float()
                     };
                     let gap = (gap * 1e6) as u64;
                     if gap >= limit {
                         gaps.record_abandoned(limit);
-                        lost += 1;
+                        false_stalls += 1;
                         break;
                     }
                     gaps.record(gap);
                 }
-                found.push(gaps.silence_limit(None, limits) as f64 / 1e6);
+                limits_s.push(gaps.silence_limit(None, limits) as f64 / 1e6);
             }
             println!(
                 "detection: {what}, {name}: {:.2}% of healthy streams given up; a dead one noticed after p50 {:.2} s",
-                f64::from(lost) / f64::from(streams) * 100.0,
-                at(&mut found, 0.5)
+                f64::from(false_stalls) / f64::from(streams) * 100.0,
+                quantile(&mut limits_s, 0.5)
             );
         }
     }
 }
 
-/// What is added to each event that passes.
-fn cost() {
+/// Measures the time that is added to each forwarded event.
+fn measure_cost_per_event() {
     let events = 1_000_000_u64;
-    let (mut gaps, mut health) = (
+    let (mut gaps, mut stall_detector) = (
         GapHistogram::default(),
         StallDetector::new(0, 3_000_000, None),
     );
     let start = Instant::now();
     for n in 0..events {
-        if let Some(gap) = health.record_event(n * 20_000) {
+        if let Some(gap) = stall_detector.record_event(n * 20_000) {
             gaps.record(gap);
         }
     }
@@ -278,14 +285,14 @@
         start.elapsed().as_nanos() as f64 / events as f64
     );
     let event = b"data: {\"id\":\"x\",\"choices\":[{\"index\":0,\"delta\":{\"content\":\"abc \"},\"finish_reason\":null}]}\n\n";
-    let mut story = StreamTranscript::default();
+    let mut transcript = StreamTranscript::default();
     let start = Instant::now();
-    let some = events / 40;
-    for _ in 0..some {
-        story.forward(0, event);
+    let transcript_events = events / 40;
+    for _ in 0..transcript_events {
+        transcript.forward(0, event);
     }
     println!(
         "cost: {:.0} ns an event more where streams are continued",
-        start.elapsed().as_nanos() as f64 / some as f64
+        start.elapsed().as_nanos() as f64 / transcript_events as f64
     );
 }
