--- a/tests/admin.rs
+++ b/tests/admin.rs
@@ -203,7 +203,7 @@
 }
 
 /// Status of the response to a request of this class.
-fn status_of(node: &Node, class: &str, id: u64) -> u16 {
+fn request_status(node: &Node, class: &str, id: u64) -> u16 {
     let mut stream = TcpStream::connect(node.addr).unwrap();
     stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     let body = r#"{"model":"chat","stream":true,"max_tokens":5,"messages":[{"role":"user","content":"x"}]}"#;
@@ -250,7 +250,10 @@
             .success());
     };
     assert_eq!(
-        (status_of(&node, "chat", 1), status_of(&node, "extra", 2)),
+        (
+            request_status(&node, "chat", 1),
+            request_status(&node, "extra", 2)
+        ),
         (200, 400)
     );
     // A second class with stricter semantics is added.
@@ -263,7 +266,10 @@
         metric(admin, "app_reload_success") == Some(1)
     });
     assert_eq!(
-        (status_of(&node, "chat", 3), status_of(&node, "extra", 4)),
+        (
+            request_status(&node, "chat", 3),
+            request_status(&node, "extra", 4)
+        ),
         (200, 200)
     );
     // An invalid file is rejected as a whole, and the previous settings stay in force.
@@ -286,7 +292,10 @@
         });
     }
     assert_eq!(
-        (status_of(&node, "chat", 5), status_of(&node, "extra", 6)),
+        (
+            request_status(&node, "chat", 5),
+            request_status(&node, "extra", 6)
+        ),
         (200, 200)
     );
     // The first class is removed; its counters keep their values.
@@ -295,7 +304,10 @@
         metric(admin, "app_reload_success") == Some(2)
     });
     assert_eq!(
-        (status_of(&node, "chat", 7), status_of(&node, "extra", 8)),
+        (
+            request_status(&node, "chat", 7),
+            request_status(&node, "extra", 8)
+        ),
         (400, 200)
     );
     wait_until("three served requests", || {
--- a/tests/client_connection_close.rs
+++ b/tests/client_connection_close.rs
@@ -82,10 +82,13 @@
             tokio::time::advance(registry.limits().client_idle_timeout * 2).await;
         } else {
             tokio::time::pause();
-            assert!(!registry.evict_idle(), "a request may be on its way");
+            assert!(
+                !registry.evict_idle(),
+                "a request may be under way on a connection that was just used"
+            );
             tokio::time::advance(MIN_IDLE_BEFORE_EVICTION).await;
             tokio::time::resume();
-            assert!(registry.evict_idle(), "the connection is idle");
+            assert!(registry.evict_idle(), "an idle connection must be evicted");
         }
         client.write_all(HEALTH).unwrap();
         assert!(
--- a/tests/endpoint_watcher.rs
+++ b/tests/endpoint_watcher.rs
@@ -14,7 +14,7 @@
 use tokio::net::TcpListener;
 use tokio::task::LocalSet;
 
-/// Guards against requests to draining endpoints: after a poll without an answer the watcher must poll again by itself, and not
+/// Guards against requests to draining endpoints: after a poll without an answer the watcher must poll again by itself, not
 /// only when the scheduler starts it again.
 #[tokio::test]
 async fn unanswered_poll_is_repeated_on_a_new_connection_before_a_failure_is_reported() {
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -326,7 +326,7 @@
 }
 
 /// Four nodes, each with a `[fleet]` section or without one.
-fn four_nodes(name: &str, servers: &[SocketAddr], folder: Option<&PathBuf>) -> Vec<Node> {
+fn start_four_nodes(name: &str, servers: &[SocketAddr], folder: Option<&PathBuf>) -> Vec<Node> {
     let addresses: Vec<SocketAddr> = (0..4).map(|_| free_address()).collect();
     let mut nodes = Vec::new();
     for (index, address) in addresses.iter().enumerate() {
@@ -368,7 +368,7 @@
 fn run_with_failing_replica(name: &str, has_fleet: bool) -> ProbingRun {
     let servers = StubServers::start(vec![healthy_script(), failing_script()]).unwrap();
     let folder = test_folder(name);
-    let nodes = four_nodes(name, servers.addrs(), has_fleet.then_some(&folder));
+    let nodes = start_four_nodes(name, servers.addrs(), has_fleet.then_some(&folder));
     let failing_replica_requests = || {
         let records = servers.served_requests();
         records.iter().filter(|record| record.server == 1).count()
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -154,7 +154,7 @@
     }
 }
 
-fn serve_one(node: &Node) {
+fn send_one_request(node: &Node) {
     let (id, mut stream) = send_request(node, "once more", 5);
     let served = support::read_response(id, "once more", 5, &mut stream);
     assert_eq!(served.outcome, ClientOutcome::Completed);
@@ -176,7 +176,7 @@
         .operator(&operator)
         .start();
     for _ in 0..20 {
-        serve_one(&old);
+        send_one_request(&old);
     }
     let new = Node::builder("hand-new")
         .replicas(server.addrs())
@@ -191,7 +191,7 @@
         .success());
     assert!(old.child.wait().unwrap().success());
     log_after_imports(&new, 2);
-    serve_one(&new);
+    send_one_request(&new);
     drop(new);
     std::fs::remove_dir_all(folder).unwrap();
 }
--- a/tests/soak/clients.rs
+++ b/tests/soak/clients.rs
@@ -8,7 +8,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-/// A response may arrive this long after the deadline; it then only has no value.
+/// A response may arrive this long after the deadline, although it has no value then.
 const RESPONSE_ALLOWANCE: Duration = Duration::from_millis(500);
 /// Additional wait that distinguishes a late response from a missing one.
 const LATE_RESPONSE_WAIT: Duration = Duration::from_secs(1);
--- a/tests/support/drainable_replica.rs
+++ b/tests/support/drainable_replica.rs
@@ -155,11 +155,11 @@
                 return;
             }
             Some(PollAnswer::Held(list)) => {
-                await_release(state);
+                wait_for_release(state);
                 list_answer(&list)
             }
             Some(PollAnswer::HeldHalf(list)) => {
-                await_release(state);
+                wait_for_release(state);
                 half_answer(&list)
             }
         };
@@ -169,7 +169,7 @@
     }
 }
 
-fn await_release(state: &DiscoveryState) {
+fn wait_for_release(state: &DiscoveryState) {
     super::wait_until("the release of a poll", || {
         state.is_released.load(Ordering::SeqCst)
     });
--- a/tests/transport.rs
+++ b/tests/transport.rs
@@ -168,7 +168,7 @@
     )
 }
 
-/// The same with complete attempts: the request after a repeated response does not receive it.
+/// Complete attempts to a replica that repeats its response: the next request does not receive the repeated response.
 #[tokio::test]
 async fn repeated_response_is_not_taken_for_that_of_the_next_request() {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
