--- a/tests/admin.rs
+++ b/tests/admin.rs
@@ -197,8 +197,8 @@
     assert!(old.child.wait().unwrap().success());
     for n in 0..10 {
         let (id, mut stream) = send_request(&new, "to the new one", 5);
-        let seen = read_response(id, "to the new one", 5, &mut stream);
-        assert_eq!(seen.outcome, ClientOutcome::Completed, "{n}");
+        let observation = read_response(id, "to the new one", 5, &mut stream);
+        assert_eq!(observation.outcome, ClientOutcome::Completed, "{n}");
     }
 }
 
--- a/tests/delayed_replica_connections.rs
+++ b/tests/delayed_replica_connections.rs
@@ -110,7 +110,7 @@
         PollAnswer::List(NO_CHANGES.into()),
         PollAnswer::HeldHalf(drain),
     ]);
-    let (_node, _client) = node_with_connecting_attempt("doubtful", addr, &discovery, true);
+    let (_node, _client) = node_with_connecting_attempt("unconfirmed", addr, &discovery, true);
     discovery.release();
     wait_until("the poll after the truncated answer", || {
         discovery.poll_count() > 2
--- a/tests/shutdown.rs
+++ b/tests/shutdown.rs
@@ -161,19 +161,19 @@
 fn rejects_requests_to_a_suspended_node() {
     let servers = unresponsive_replica();
     let node = Node::builder("still").replicas(servers.addrs()).start();
-    let mut new = node.connect();
-    let mut kept = node.connect();
-    kept.write_all(b"GET /healthz HTTP/1.1\r\n\r\n").unwrap();
-    let length = kept.read(&mut [0; 4096]).unwrap();
+    let mut fresh = node.connect();
+    let mut idle = node.connect();
+    idle.write_all(b"GET /healthz HTTP/1.1\r\n\r\n").unwrap();
+    let length = idle.read(&mut [0; 4096]).unwrap();
     assert!(length > 0);
     node.signal("-TERM");
     node.wait_for_log("draining");
     node.signal("-STOP");
     std::thread::sleep(SUSPENSION);
-    new.write_all(request(4, "").as_bytes()).unwrap();
-    kept.write_all(request(5, "").as_bytes()).unwrap();
+    fresh.write_all(request(4, "").as_bytes()).unwrap();
+    idle.write_all(request(5, "").as_bytes()).unwrap();
     node.signal("-CONT");
-    for client in [&mut new, &mut kept] {
+    for client in [&mut fresh, &mut idle] {
         let answer = read_to_close(client);
         assert!(answer.starts_with("HTTP/1.1 503 "), "'{answer}'");
     }
--- a/tests/soak/clients.rs
+++ b/tests/soak/clients.rs
@@ -1,4 +1,4 @@
-//! Clients that send one request after the other on kept connections and sometimes disconnect early, and idle clients.
+//! Clients that send one request after the other on persistent connections and sometimes disconnect early, and idle clients.
 
 use super::plan::Plan;
 use super::records::{ClientEnd, ClientRecord, RecordsRef};
@@ -64,9 +64,9 @@
 
 impl Client<'_> {
     /// Sends one request, on the given connection or a new one. Returns the connection if it can be reused.
-    fn send_request(&mut self, kept: Option<TcpStream>) -> Option<TcpStream> {
-        let is_first = kept.is_none();
-        let stream = kept.or_else(|| TcpStream::connect_timeout(&self.node, RETRY_PAUSE).ok());
+    fn send_request(&mut self, reused: Option<TcpStream>) -> Option<TcpStream> {
+        let is_first = reused.is_none();
+        let stream = reused.or_else(|| TcpStream::connect_timeout(&self.node, RETRY_PAUSE).ok());
         let Some(mut stream) = stream else {
             std::thread::sleep(RETRY_PAUSE);
             return None;
--- a/tests/support/full_listener.rs
+++ b/tests/support/full_listener.rs
@@ -69,7 +69,7 @@
                 Ok(0) => {}
                 Ok(length) => assert!(
                     is_allowed(&bytes[..length]),
-                    "a request came to a draining replica: '{}'",
+                    "unexpected bytes on a connection: '{}'",
                     String::from_utf8_lossy(&bytes[..length])
                 ),
                 Err(e) => assert!(matches!(
--- a/tests/transport.rs
+++ b/tests/transport.rs
@@ -249,26 +249,26 @@
         // A request on an idle connection.
         phase.send(NodePhase::Serving).unwrap();
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let mut kept = std::net::TcpStream::connect(listener.local_addr().unwrap()).unwrap();
+        let mut idle = std::net::TcpStream::connect(listener.local_addr().unwrap()).unwrap();
         let client = ClientConnection::new(listener.accept().await.unwrap().0, registry.clone());
         let client = tokio::task::spawn_local(client.run());
-        kept.write_all(HEALTH).unwrap();
-        let mut kept = tokio::task::spawn_blocking(move || {
+        idle.write_all(HEALTH).unwrap();
+        let mut idle = tokio::task::spawn_blocking(move || {
             let mut buffer = [0; 4096];
-            assert!(kept.read(&mut buffer).unwrap() > 0);
-            kept
+            assert!(idle.read(&mut buffer).unwrap() > 0);
+            idle
         })
         .await
         .unwrap();
         tokio::task::yield_now().await;
-        kept.write_all(HEALTH).unwrap();
+        idle.write_all(HEALTH).unwrap();
         phase.send(NodePhase::Closing).unwrap();
-        let kept = tokio::task::spawn_blocking(move || answer(&mut kept))
+        let idle = tokio::task::spawn_blocking(move || answer(&mut idle))
             .await
             .unwrap();
         assert!(
-            kept.starts_with("HTTP/1.1 503 "),
-            "the kept connection: '{kept}'"
+            idle.starts_with("HTTP/1.1 503 "),
+            "the idle connection: '{idle}'"
         );
         client.await.unwrap();
     };
