--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -1,11 +1,11 @@
-//! The lab: a model of what is balanced, to try designs at sizes that sockets don't reach.
+//! The testbed: emulates a fleet to evaluate designs at sizes that sockets cannot reach, and tests nodes on loopback.
 //!
-//! - [`emulator`]: one run, by discrete events, around the project's own core and module or a policy to compare with;
-//! - [`experiment`]: descriptions in TOML, sweeps, runs over the cores, results and their tables;
-//! - [`fault_injection`]: several processes of the program, and faults between them;
-//! - [`report`]: results as one page with pictures;
-//! - [`sockets`]: the same fleet and load on loopback, round the node's own program;
-//! - [`view`]: a run or a node on the terminal.
+//! - [`emulator`]: a discrete-event simulation of one run, with the project's own scheduler or a simpler policy;
+//! - [`experiment`]: experiment descriptions in TOML, parameter sweeps, parallel runs, results and their tables;
+//! - [`fault_injection`]: several node processes, with faults injected into them and the links between them;
+//! - [`report`]: an HTML report of results with charts;
+//! - [`sockets`]: the same fleet and load on loopback, with the node's own program;
+//! - [`view`]: a simulation or a running node on the terminal.
 
 pub mod emulator;
 pub mod experiment;
@@ -14,5 +14,5 @@
 pub mod sockets;
 pub mod view;
 
-/// Microseconds since a run's beginning.
+/// Microseconds since the beginning of a run.
 pub use poppykeel_coordination::Micros;
--- a/crates/testbed/src/report/mod.rs
+++ b/crates/testbed/src/report/mod.rs
@@ -1,4 +1,4 @@
-//! An experiment's report: one HTML page that holds its pictures as SVG and needs nothing else.
+//! The report of an experiment: one self-contained HTML page with tables and SVG charts.
 
 #![expect(
     clippy::min_ident_chars,
@@ -16,8 +16,8 @@
 use clap::ValueEnum;
 use std::fmt::Write;
 
-/// Points that get pictures of their own at most; tables have all.
-const MOST_POINTS: usize = 60;
+/// The maximum number of points with their own charts; the tables show all points.
+const MAX_CHARTED_POINTS: usize = 60;
 
 const STYLE: &str = "body{font:15px/1.45 system-ui,sans-serif;max-width:1180px;margin:2em auto;padding:0 1em;color:#222}\
 table{border-collapse:collapse;margin:1em 0}td,th{padding:.25em .7em;text-align:right;border-bottom:1px solid #ddd}\
@@ -32,17 +32,17 @@
         .replace('"', "&quot;")
 }
 
-/// The results of one point and policy, over seeds.
+/// The results of one point and policy, one for each seed.
 pub(crate) struct Cell<'a> {
     pub(crate) policy: Policy,
-    pub(crate) found: Vec<&'a RunResult>,
+    pub(crate) results: Vec<&'a RunResult>,
 }
 
-/// The page. `name` is the experiment's.
-pub fn page(name: &str, found: &[RunResult]) -> Result<String, String> {
-    let TableAxes { labels, policies } = TableAxes::of(found);
+/// Returns the page as HTML, with the name of the experiment as its title.
+pub fn page(name: &str, results: &[RunResult]) -> Result<String, String> {
+    let TableAxes { labels, policies } = TableAxes::of(results);
     let mut html = String::new();
-    let seeds = found
+    let seeds = results
         .iter()
         .map(|f| f.seed)
         .collect::<std::collections::BTreeSet<_>>()
@@ -52,82 +52,86 @@
         "<!doctype html><html lang=\"en\"><meta charset=\"utf-8\"><title>{0}</title><style>{STYLE}</style><h1>{0}</h1>\
          <p>{1} runs: {2} points, {3} policies, {4} seeds. Means with 95% confidence intervals over seeds.</p>",
         escape(name),
-        found.len(),
+        results.len(),
         labels.len(),
         policies.len(),
         seeds
     );
-    for figure in [
+    for metric in [
         Metric::Worth,
         Metric::FirstP50,
         Metric::FirstP99,
         Metric::Refused,
         Metric::Failed,
     ] {
-        table(&mut html, found, &labels, &policies, figure);
+        write_table(&mut html, results, &labels, &policies, metric);
     }
-    for figure in [Metric::Kept, Metric::Crossed, Metric::Attempts] {
-        table(&mut html, found, &labels, &policies, figure);
+    for metric in [Metric::Kept, Metric::Crossed, Metric::Attempts] {
+        write_table(&mut html, results, &labels, &policies, metric);
     }
-    if let Some(svg) = plots::over_points(found, &labels, &policies)? {
-        picture(
+    if let Some(svg) = plots::points_chart(results, &labels, &policies)? {
+        write_chart(
             &mut html,
             &svg,
-            "Served worth over the points, with 95% intervals over seeds.",
+            "Served worth for each point, with 95% confidence intervals over seeds.",
         );
     }
-    for label in labels.iter().take(MOST_POINTS) {
+    for label in labels.iter().take(MAX_CHARTED_POINTS) {
         let cells: Vec<Cell> = policies
             .iter()
             .map(|p| Cell {
                 policy: *p,
-                found: found
+                results: results
                     .iter()
                     .filter(|f| f.label == *label && f.policy == *p)
                     .collect(),
             })
-            .filter(|c| !c.found.is_empty())
+            .filter(|c| !c.results.is_empty())
             .collect();
         let _ = write!(html, "<h2>{}</h2>", escape(label));
-        let worth = plots::worth(&cells)?;
-        picture(
+        let worth = plots::worth_chart(&cells)?;
+        write_chart(
             &mut html,
             &worth,
-            "Served worth by the time of requests' first tries, mean over seeds; shaded: faults.",
+            "Served worth by the time at which requests were first sent; mean over seeds; faults are shaded.",
         );
         html.push_str("<div class=\"row\">");
-        picture(
+        write_chart(
             &mut html,
-            &plots::latency(&cells)?,
-            "Time to the first token by parts of answers.",
+            &plots::latency_chart(&cells)?,
+            "Time to the first token, by quantile.",
         );
-        picture(
+        write_chart(
             &mut html,
-            &plots::groups(&cells)?,
+            &plots::class_and_tenant_chart(&cells)?,
             "Served worth by class and tenant.",
         );
         html.push_str("</div><div class=\"row\">");
         for cell in &cells {
             let caption = format!(
-                "{}: requests held over slots; rows are servers, seed {}.",
-                cell.policy, cell.found[0].seed
+                "{}: requests held by each server relative to its slots; one row per server; seed {}.",
+                cell.policy, cell.results[0].seed
+            );
+            write_chart(
+                &mut html,
+                &plots::heatmap(&cell.results[0].outcome)?,
+                &caption,
             );
-            picture(&mut html, &plots::heat(&cell.found[0].outcome)?, &caption);
         }
         html.push_str("</div>");
     }
-    if labels.len() > MOST_POINTS {
+    if labels.len() > MAX_CHARTED_POINTS {
         let _ = write!(
             html,
-            "<p>{} further points have no pictures here.</p>",
-            labels.len() - MOST_POINTS
+            "<p>{} further points are shown without charts.</p>",
+            labels.len() - MAX_CHARTED_POINTS
         );
     }
     html.push_str("</html>\n");
     Ok(html)
 }
 
-fn picture(html: &mut String, svg: &str, caption: &str) {
+fn write_chart(html: &mut String, svg: &str, caption: &str) {
     let _ = write!(
         html,
         "<figure>{svg}<figcaption>{}</figcaption></figure>",
@@ -135,14 +139,14 @@
     );
 }
 
-fn table(
+fn write_table(
     html: &mut String,
-    found: &[RunResult],
+    results: &[RunResult],
     labels: &[&str],
     policies: &[Policy],
-    figure: Metric,
+    metric: Metric,
 ) {
-    let title = figure
+    let title = metric
         .to_possible_value()
         .and_then(|v| v.get_help().map(|h| h.to_string()))
         .unwrap_or_default();
@@ -155,7 +159,7 @@
         let means: Vec<Option<ConfidenceInterval>> = policies
             .iter()
             .map(|p| {
-                Some(cell_values(found, label, *p, figure))
+                Some(cell_values(results, label, *p, metric))
                     .filter(|v| !v.is_empty())
                     .map(|v| ConfidenceInterval::of(&v))
             })
@@ -168,12 +172,12 @@
         let _ = write!(html, "<tr><td>{}</td>", escape(label));
         for mean in means {
             let text = mean.map_or("-".to_string(), |m| m.to_string());
-            let top = figure == Metric::Worth
+            let is_best = metric == Metric::Worth
                 && mean.is_some_and(|m| m.mean + m.half_width.max(0.05) >= best);
             let _ = write!(
                 html,
                 "<td{}>{text}</td>",
-                if top { " class=\"best\"" } else { "" }
+                if is_best { " class=\"best\"" } else { "" }
             );
         }
         html.push_str("</tr>");
--- a/crates/testbed/src/report/plots.rs
+++ b/crates/testbed/src/report/plots.rs
@@ -1,4 +1,4 @@
-//! The pictures.
+//! The SVG charts of the report.
 
 #![expect(
     clippy::min_ident_chars,
@@ -14,15 +14,15 @@
 use crate::experiment::{ConfidenceInterval, Metric, RunResult};
 use plotters::prelude::*;
 
-/// Pieces that are drawn as one, so that a line is not all noise.
-const SMOOTH: usize = 3;
+/// The number of time slices combined into one point of a line, to reduce noise.
+const SLICES_PER_POINT: usize = 3;
 
-fn failed<E: std::fmt::Display>(e: E) -> String {
-    format!("picture: {e}")
+fn chart_error<E: std::fmt::Display>(e: E) -> String {
+    format!("cannot draw a chart: {e}")
 }
 
-/// The project's own is dark and thick; the others keep a colour each.
-fn colour(policy: Policy) -> RGBColor {
+/// The line colour of a policy; the project's own policy is dark, and its lines are thick.
+fn policy_colour(policy: Policy) -> RGBColor {
     match policy {
         Policy::Poppykeel => RGBColor(20, 20, 20),
         Policy::Random => RGBColor(200, 200, 60),
@@ -34,7 +34,7 @@
     }
 }
 
-fn width(policy: Policy) -> u32 {
+fn policy_line_width(policy: Policy) -> u32 {
     if policy == Policy::Poppykeel {
         3
     } else {
@@ -42,51 +42,51 @@
     }
 }
 
-/// A picture of this size.
+/// Draws a chart of this size, in pixels, and returns it as SVG.
 fn draw(
     size: (u32, u32),
-    what: impl FnOnce(&DrawingArea<SVGBackend, plotters::coord::Shift>) -> Result<(), String>,
+    draw_chart: impl FnOnce(&DrawingArea<SVGBackend, plotters::coord::Shift>) -> Result<(), String>,
 ) -> Result<String, String> {
     let mut svg = String::new();
     {
         let area = SVGBackend::with_string(&mut svg, size).into_drawing_area();
-        area.fill(&WHITE).map_err(failed)?;
-        what(&area)?;
-        area.present().map_err(failed)?;
+        area.fill(&WHITE).map_err(chart_error)?;
+        draw_chart(&area)?;
+        area.present().map_err(chart_error)?;
     }
     Ok(svg)
 }
 
-/// A fault's name and its time, in seconds; what has no end of its own lasts to a second.
-fn span(fault: &FaultDescription) -> (String, f64, f64) {
+/// A fault's name, beginning and end, in seconds. A cold restart has no duration and is shown for one second.
+fn fault_interval(fault: &FaultDescription) -> (String, f64, f64) {
     let name = serde_json::to_value(fault.what)
         .ok()
         .and_then(|v| v.as_str().map(String::from))
         .unwrap_or_default();
-    let lasts = if fault.what == FaultKind::ColdRestart {
+    let duration = if fault.what == FaultKind::ColdRestart {
         1.0
     } else {
         fault.for_s
     };
-    (name, fault.at_s, fault.at_s + lasts)
+    (name, fault.at_s, fault.at_s + duration)
 }
 
-/// Served worth over time, a line for each policy.
-pub(super) fn worth(cells: &[Cell]) -> Result<String, String> {
-    let piece = cells
+/// Draws the served worth over time, one line for each policy.
+pub(super) fn worth_chart(cells: &[Cell]) -> Result<String, String> {
+    let slice_s = cells
         .iter()
-        .flat_map(|c| &c.found)
+        .flat_map(|c| &c.results)
         .map(|f| f.outcome.piece_s)
         .next()
         .unwrap_or(1.0);
-    let end = piece * TIME_SLICE_COUNT as f64;
+    let end = slice_s * TIME_SLICE_COUNT as f64;
     draw((1140, 300), |area| {
         let mut chart = ChartBuilder::on(area)
             .margin(8)
             .x_label_area_size(34)
             .y_label_area_size(48)
             .build_cartesian_2d(0.0..end, 0.0..105.0)
-            .map_err(failed)?;
+            .map_err(chart_error)?;
         chart
             .configure_mesh()
             .disable_x_mesh()
@@ -94,14 +94,14 @@
             .x_desc("seconds")
             .y_desc("served worth, %")
             .draw()
-            .map_err(failed)?;
+            .map_err(chart_error)?;
         for fault in cells
             .iter()
-            .flat_map(|c| &c.found)
+            .flat_map(|c| &c.results)
             .take(1)
             .flat_map(|f| &f.outcome.faults)
         {
-            let (name, from, to) = span(fault);
+            let (name, from, to) = fault_interval(fault);
             let shade = Rectangle::new(
                 [(from, 0.0), (to.min(end), 105.0)],
                 RGBColor(200, 60, 60).mix(0.12).filled(),
@@ -111,27 +111,31 @@
                 (from, 104.0),
                 ("sans-serif", 13).into_font().color(&RGBColor(160, 40, 40)),
             );
-            chart.draw_series(std::iter::once(shade)).map_err(failed)?;
-            chart.draw_series(std::iter::once(text)).map_err(failed)?;
+            chart
+                .draw_series(std::iter::once(shade))
+                .map_err(chart_error)?;
+            chart
+                .draw_series(std::iter::once(text))
+                .map_err(chart_error)?;
         }
         for cell in cells {
-            let line = (0..TIME_SLICE_COUNT / SMOOTH).filter_map(|n| {
-                let pieces = n * SMOOTH..(n + 1) * SMOOTH;
+            let line = (0..TIME_SLICE_COUNT / SLICES_PER_POINT).filter_map(|n| {
+                let pieces = n * SLICES_PER_POINT..(n + 1) * SLICES_PER_POINT;
                 let of = |take: fn(&crate::emulator::Tally) -> f64| -> f64 {
                     let all = cell
-                        .found
+                        .results
                         .iter()
                         .flat_map(|f| f.outcome.series.get(pieces.clone()).unwrap_or_default());
                     all.map(take).sum()
                 };
                 let (offered, gained) = (of(|t| t.offered), of(|t| t.gained));
-                let at = (n as f64 + 0.5) * SMOOTH as f64 * piece;
+                let at = (n as f64 + 0.5) * SLICES_PER_POINT as f64 * slice_s;
                 (offered > 0.0).then(|| (at, gained / offered * 100.0))
             });
-            let (colour, width) = (colour(cell.policy), width(cell.policy));
+            let (colour, width) = (policy_colour(cell.policy), policy_line_width(cell.policy));
             chart
                 .draw_series(LineSeries::new(line, colour.stroke_width(width)))
-                .map_err(failed)?
+                .map_err(chart_error)?
                 .label(cell.policy.to_string())
                 .legend(move |(x, y)| {
                     PathElement::new([(x, y), (x + 18, y)], colour.stroke_width(width))
@@ -143,7 +147,7 @@
 
 fn legend<'a, X, Y>(
     chart: &mut ChartContext<'a, SVGBackend<'a>, Cartesian2d<X, Y>>,
-    place: SeriesLabelPosition,
+    position: SeriesLabelPosition,
 ) -> Result<(), String>
 where
     X: Ranged<ValueType = f64> + 'a,
@@ -152,18 +156,18 @@
     let style = WHITE.mix(0.8);
     chart
         .configure_series_labels()
-        .position(place)
+        .position(position)
         .background_style(style)
         .border_style(BLACK.mix(0.2))
         .draw()
-        .map_err(failed)
+        .map_err(chart_error)
 }
 
-/// The time to the first token at several parts of answers, on a logarithmic scale.
-pub(super) fn latency(cells: &[Cell]) -> Result<String, String> {
+/// Draws the time to the first token at each quantile, on a logarithmic scale.
+pub(super) fn latency_chart(cells: &[Cell]) -> Result<String, String> {
     let at = |cell: &Cell, n: usize| -> Option<f64> {
         let all: Vec<f64> = cell
-            .found
+            .results
             .iter()
             .filter_map(|f| f.outcome.first.at.get(n).copied())
             .collect();
@@ -183,7 +187,7 @@
             .x_label_area_size(34)
             .y_label_area_size(60)
             .build_cartesian_2d(0.0..(QUANTILES.len() - 1) as f64, (low..high).log_scale())
-            .map_err(failed)?;
+            .map_err(chart_error)?;
         let name = |x: &f64| {
             let part = QUANTILES.get(x.round() as usize).copied().unwrap_or(1.0);
             if part >= 1.0 {
@@ -199,21 +203,21 @@
             .x_label_formatter(&name)
             .y_desc("first token, ms")
             .draw()
-            .map_err(failed)?;
+            .map_err(chart_error)?;
         for cell in cells {
             let line = (0..QUANTILES.len()).filter_map(|n| at(cell, n).map(|v| (n as f64, v)));
-            let (colour, width) = (colour(cell.policy), width(cell.policy));
+            let (colour, width) = (policy_colour(cell.policy), policy_line_width(cell.policy));
             chart
                 .draw_series(LineSeries::new(line, colour.stroke_width(width)))
-                .map_err(failed)?;
+                .map_err(chart_error)?;
         }
         Ok(())
     })
 }
 
-/// Served worth of each class and tenant, a bar for each policy.
-pub(super) fn groups(cells: &[Cell]) -> Result<String, String> {
-    let names: Vec<String> = match cells.first().and_then(|c| c.found.first()) {
+/// Draws the served worth of each class and tenant, one bar for each policy.
+pub(super) fn class_and_tenant_chart(cells: &[Cell]) -> Result<String, String> {
+    let names: Vec<String> = match cells.first().and_then(|c| c.results.first()) {
         Some(f) => f
             .outcome
             .classes
@@ -225,7 +229,7 @@
     };
     let part = |cell: &Cell, n: usize| -> f64 {
         let tallies = cell
-            .found
+            .results
             .iter()
             .filter_map(|f| f.outcome.classes.iter().chain(&f.outcome.tenants).nth(n));
         let (offered, gained) =
@@ -243,7 +247,7 @@
             .x_label_area_size(34)
             .y_label_area_size(48)
             .build_cartesian_2d(0.0..count, 0.0..105.0)
-            .map_err(failed)?;
+            .map_err(chart_error)?;
         chart
             .configure_mesh()
             .disable_x_mesh()
@@ -251,38 +255,40 @@
             .light_line_style(WHITE)
             .y_desc("served worth, %")
             .draw()
-            .map_err(failed)?;
+            .map_err(chart_error)?;
         for (n, name) in names.iter().enumerate() {
             let text = Text::new(
                 name.clone(),
                 (n as f64 + 0.1, 104.0),
                 ("sans-serif", 13).into_font(),
             );
-            chart.draw_series(std::iter::once(text)).map_err(failed)?;
+            chart
+                .draw_series(std::iter::once(text))
+                .map_err(chart_error)?;
         }
         for (k, cell) in cells.iter().enumerate() {
             let bar = |n: usize| {
                 let from = n as f64 + 0.1 + k as f64 * 0.8 / bars;
                 Rectangle::new(
                     [(from, 0.0), (from + 0.7 / bars, part(cell, n))],
-                    colour(cell.policy).filled(),
+                    policy_colour(cell.policy).filled(),
                 )
             };
             chart
                 .draw_series((0..names.len()).map(bar))
-                .map_err(failed)?;
+                .map_err(chart_error)?;
         }
         Ok(())
     })
 }
 
-/// Shades for a load: a step for each eighth of the slots, up to twice as much.
-fn shade(load: f32) -> u32 {
+/// The shade of a load relative to the slots: one step for each eighth, up to twice the slots.
+fn shade_level(load: f32) -> u32 {
     (f64::from(load) * 8.0).round().min(16.0) as u32
 }
 
-/// White is idle, dark blue is all slots, red is twice as much.
-fn colour_of(level: u32) -> RGBColor {
+/// White means idle, dark blue that all slots are in use, red twice as many requests as slots.
+fn shade_colour(level: u32) -> RGBColor {
     let load = f64::from(level) / 8.0;
     if load <= 1.0 {
         let light = |to: f64| (255.0 - (255.0 - to) * load) as u8;
@@ -296,8 +302,8 @@
     )
 }
 
-/// Requests that servers held, over their slots: rows of servers, columns of time.
-pub(super) fn heat(outcome: &RunOutcome) -> Result<String, String> {
+/// Draws a heatmap of the requests held by servers relative to their slots, with one row per server over time.
+pub(super) fn heatmap(outcome: &RunOutcome) -> Result<String, String> {
     let (rows, end) = (
         outcome.heat.len() as f64,
         outcome.piece_s * TIME_SLICE_COUNT as f64,
@@ -308,49 +314,49 @@
             .x_label_area_size(30)
             .y_label_area_size(40)
             .build_cartesian_2d(0.0..end, 0.0..rows)
-            .map_err(failed)?;
+            .map_err(chart_error)?;
         chart
             .configure_mesh()
             .disable_mesh()
             .x_desc("seconds")
             .y_desc("servers")
             .draw()
-            .map_err(failed)?;
+            .map_err(chart_error)?;
         for (row, pieces) in outcome.heat.iter().enumerate() {
-            // Neighbours of one shade are one tile: a page has hundreds of such maps.
+            // Adjacent slices of the same shade are drawn as one tile, since a page has hundreds of heatmaps.
             let mut from = 0;
             let mut tiles = Vec::new();
             for n in 1..=pieces.len() {
-                if n == pieces.len() || shade(pieces[n]) != shade(pieces[from]) {
+                if n == pieces.len() || shade_level(pieces[n]) != shade_level(pieces[from]) {
                     let across = [from, n].map(|n| n as f64 * outcome.piece_s);
-                    tiles.push((across, shade(pieces[from])));
+                    tiles.push((across, shade_level(pieces[from])));
                     from = n;
                 }
             }
             let tile = |([from, to], level): ([f64; 2], u32)| {
                 Rectangle::new(
                     [(from, row as f64), (to, row as f64 + 1.0)],
-                    colour_of(level).filled(),
+                    shade_colour(level).filled(),
                 )
             };
             chart
                 .draw_series(tiles.into_iter().filter(|t| t.1 > 0).map(tile))
-                .map_err(failed)?;
+                .map_err(chart_error)?;
         }
         let marks = outcome.faults.iter().flat_map(|f| {
-            let (_, from, to) = span(f);
+            let (_, from, to) = fault_interval(f);
             [from, to.min(end)].map(|x| {
                 PathElement::new([(x, 0.0), (x, rows)], RGBColor(200, 40, 40).stroke_width(1))
             })
         });
-        chart.draw_series(marks).map_err(failed)?;
+        chart.draw_series(marks).map_err(chart_error)?;
         Ok(())
     })
 }
 
-/// Served worth over the points, in their order, with intervals; none where there is one point.
-pub(super) fn over_points(
-    found: &[RunResult],
+/// Draws the served worth of each point with confidence intervals. Returns `None` if there is only one point.
+pub(super) fn points_chart(
+    results: &[RunResult],
     labels: &[&str],
     policies: &[Policy],
 ) -> Result<Option<String>, String> {
@@ -364,7 +370,7 @@
             .x_label_area_size(150)
             .y_label_area_size(48)
             .build_cartesian_2d(-0.5..last, 0.0..105.0)
-            .map_err(failed)?;
+            .map_err(chart_error)?;
         chart
             .configure_mesh()
             .disable_x_mesh()
@@ -372,15 +378,15 @@
             .light_line_style(WHITE)
             .y_desc("served worth, %")
             .draw()
-            .map_err(failed)?;
+            .map_err(chart_error)?;
         for (k, policy) in policies.iter().enumerate() {
-            let aside = (k as f64 / policies.len() as f64 - 0.5) * 0.5;
+            let x_offset = (k as f64 / policies.len() as f64 - 0.5) * 0.5;
             let means = labels.iter().enumerate().filter_map(|(n, label)| {
-                let values = cell_values(found, label, *policy, Metric::Worth);
-                (!values.is_empty()).then(|| (n as f64 + aside, ConfidenceInterval::of(&values)))
+                let values = cell_values(results, label, *policy, Metric::Worth);
+                (!values.is_empty()).then(|| (n as f64 + x_offset, ConfidenceInterval::of(&values)))
             });
             let means: Vec<(f64, ConfidenceInterval)> = means.collect();
-            let (colour, width) = (colour(*policy), width(*policy));
+            let (colour, width) = (policy_colour(*policy), policy_line_width(*policy));
             let bars = means
                 .iter()
                 .filter(|m| m.1.half_width.is_finite())
@@ -390,14 +396,14 @@
                         colour.stroke_width(width),
                     )
                 });
-            chart.draw_series(bars).map_err(failed)?;
+            chart.draw_series(bars).map_err(chart_error)?;
             chart
                 .draw_series(
                     means
                         .iter()
                         .map(|(x, m)| Circle::new((*x, m.mean), 2 + width, colour.filled())),
                 )
-                .map_err(failed)?
+                .map_err(chart_error)?
                 .label(policy.to_string())
                 .legend(move |(x, y)| Circle::new((x + 9, y), 4, colour.filled()));
         }
@@ -408,7 +414,7 @@
                 .transform(FontTransform::Rotate90)
                 .color(&BLACK);
             area.draw_text(label, &style, (x + 6, 292))
-                .map_err(failed)?;
+                .map_err(chart_error)?;
         }
         legend(&mut chart, SeriesLabelPosition::LowerLeft)
     })?;
--- a/crates/testbed/src/view/draw.rs
+++ b/crates/testbed/src/view/draw.rs
@@ -1,4 +1,4 @@
-//! Puts the state on a terminal of any size.
+//! Renders the view's state on a terminal of any size.
 
 use super::state::{NamedCount, ServerRow, ViewState};
 use ratatui::layout::{Constraint, Layout, Rect};
@@ -7,18 +7,17 @@
 use ratatui::widgets::{Block, Cell, Paragraph, Row, Sparkline, Table};
 use ratatui::Frame;
 
-/// The longest bar of a server's requests.
+/// The maximum length of each bar of a server's requests.
 const MAX_SERVER_BAR: usize = 24;
-/// The longest bar of a tenant's queue.
+/// The maximum length of the bar of a tenant's queue.
 const MAX_QUEUE_BAR: usize = 8;
-/// The label of the latest point is left out where the line is no wider than this.
+/// The chart shows the label of its latest point only if the chart is wider than this.
 const MIN_LABELLED_WIDTH: u16 = 24;
-/// How far from the right border the label begins.
+/// The distance from the right border to the start of the label.
 const LABEL_OFFSET: u16 = 10;
-/// The width of the label.
 const LABEL_WIDTH: u16 = 8;
 
-/// Draws all of it; `skipped_rows` servers are above the first one that is shown.
+/// Draws the whole view. The table of servers is scrolled down by `skipped_rows`.
 pub fn draw(frame: &mut Frame, state: &ViewState, skipped_rows: usize) {
     let [head, middle, servers, foot] = Layout::vertical([
         Constraint::Length(1),
@@ -77,7 +76,7 @@
     Line::raw(format!("{:<9}{:>8}{rate}", count.name, count.count))
 }
 
-/// The line of the served weight over time, with the latest point as a number.
+/// Draws the served priority weight over time, with the latest point as a label.
 fn draw_served(frame: &mut Frame, state: &ViewState, area: Rect) {
     let percents: Vec<u64> = state
         .served_percent
--- a/crates/testbed/src/view/mod.rs
+++ b/crates/testbed/src/view/mod.rs
@@ -1,8 +1,7 @@
-//! The view on the terminal, of a simulation or of a running node by its log: rates, queues of tenants, servers with
-//! their states, streams.
+//! Terminal view of a simulation, or of a running node from its log: rates, tenant queues, server states and streams.
 //!
-//! [`ViewState`] is what is known, [`draw`] puts it on a terminal of any size, and [`show_simulation`] and
-//! [`follow_node_log`] are the loops of the sub-command `view`.
+//! [`ViewState`] holds the data, [`draw`] renders it on a terminal of any size, and [`show_simulation`] and
+//! [`follow_node_log`] are the main loops of the sub-command `view`.
 
 mod draw;
 mod state;
--- a/crates/testbed/src/view/state/mod.rs
+++ b/crates/testbed/src/view/state/mod.rs
@@ -1,4 +1,4 @@
-//! What the view knows: from a simulation, or line by line from a node's log in JSON ([`node_log`]).
+//! The data of the view, updated from a simulation or from the lines of a node's JSON log ([`node_log`]).
 
 mod node_log;
 
@@ -6,94 +6,95 @@
 use poppykeel_scheduler::EndpointState;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Points of the line over time.
+/// The maximum number of points of the chart over time.
 const MAX_POINTS: usize = 240;
-/// Servers that are shown; a node of thousands has them all, a terminal has no room.
+/// The maximum number of servers shown; a node may have thousands, for which a terminal has no room.
 const MAX_ROWS: usize = 512;
-/// A time slice is shown this many slices later, once most of its requests have ended.
+/// A time slice is shown with a delay of this many slices, when most of its requests have ended.
 const SLICE_DELAY: usize = 4;
 
-/// One server.
+/// A row of the table of servers.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ServerRow {
-    /// Its name.
+    /// The name of the server.
     pub name: String,
-    /// "up", "draining", "away" or "not listed".
+    /// In a simulation "up", "draining", "away" or "not listed"; from a log the state in lower case.
     pub state: String,
-    /// Running requests; of a node's log, streams that flow.
+    /// Running requests; from a log, streams that flow.
     pub running: u64,
-    /// Queued requests; of a node's log, streams that do not flow.
+    /// Queued requests; from a log, streams that do not flow.
     pub queued: u64,
-    /// More in words, in place of a bar.
+    /// Text that is shown instead of the bars; empty if there is none.
     pub details: String,
 }
 
-/// The time of what is shown.
+/// The elapsed and total time shown in the title.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(super) struct ViewTime {
     pub(super) elapsed_s: f64,
-    /// How long it lasts, where that is known.
+    /// The length of the load; `None` for a running node.
     pub(super) total_s: Option<f64>,
 }
 
-/// A count so far.
+/// A cumulative count.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NamedCount {
-    /// Its name as it is shown.
+    /// The displayed name.
     pub name: String,
-    /// The count.
+    /// The total so far.
     pub count: u64,
-    /// By how much it grew a second between the last two looks.
+    /// The increase per second between the last two updates; `None` after the first update.
     pub rate: Option<f64>,
 }
 
-/// A tenant's queued requests.
+/// The queue of a tenant.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TenantQueue {
     /// The tenant's name.
     pub tenant: String,
-    /// The requests.
+    /// The number of queued requests.
     pub queued: u64,
 }
 
-/// The in-flight limit of a node.
+/// The concurrency limit of a node and its use.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ConcurrencyUse {
-    /// Requests that may be in flight.
+    /// The maximum number of requests in flight.
     pub limit: f64,
-    /// Requests that are.
+    /// The number of requests in flight.
     pub in_flight: u64,
 }
 
-/// The counts of the look before, for rates.
+/// The counts of the previous update, from which rates are computed.
 #[derive(Clone, Debug, PartialEq)]
 struct PreviousCounts {
     at_s: f64,
     counts: BTreeMap<String, u64>,
 }
 
-/// All that is shown.
+/// The data of the view.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ViewState {
     pub(super) title: String,
     pub(super) time: ViewTime,
-    /// Counts in the order they are shown.
+    /// Counts in display order.
     pub(super) counts: Vec<NamedCount>,
-    /// The served priority weight of the last time slices, in percent; of a node, the served fraction of what ended.
+    /// The served priority weight of the last time slices, in percent; for a node, the served fraction of the requests
+    /// that ended.
     pub(super) served_percent: VecDeque<f64>,
     pub(super) queues: Vec<TenantQueue>,
     pub(super) concurrency: Option<ConcurrencyUse>,
     pub(super) rows: Vec<ServerRow>,
-    /// Streams in words.
+    /// A summary of the streams, as text.
     pub(super) streams: String,
     previous: Option<PreviousCounts>,
-    /// Time slices that are shown.
+    /// The number of time slices that have been added to the chart.
     shown_slices: usize,
     tenants: Vec<String>,
 }
 
 impl ViewState {
-    /// Nothing is known yet. Tenants are named in the order of their indexes.
+    /// Creates an empty state. `tenants` are the names in the order of the tenants' indexes.
     pub fn new(title: &str, tenants: Vec<String>) -> Self {
         ViewState {
             title: title.to_string(),
@@ -102,27 +103,27 @@
         }
     }
 
-    /// Counts so far, in the order they are shown.
+    /// The counts, in display order.
     pub fn counts(&self) -> &[NamedCount] {
         &self.counts
     }
 
-    /// The queued requests of tenants.
+    /// The queues of the tenants.
     pub fn queues(&self) -> &[TenantQueue] {
         &self.queues
     }
 
-    /// The in-flight limit of a node; `None` of a simulation.
+    /// The concurrency limit of a node and its use; `None` for a simulation.
     pub fn concurrency(&self) -> Option<ConcurrencyUse> {
         self.concurrency
     }
 
-    /// The servers.
+    /// The rows of the table of servers.
     pub fn rows(&self) -> &[ServerRow] {
         &self.rows
     }
 
-    /// Looks at a simulation; `load_seconds` is the length of its load.
+    /// Updates the state from a simulation; `load_seconds` is the length of its load.
     pub fn update_from_simulation(&mut self, simulation: &mut Simulation, load_seconds: f64) {
         let at_s = simulation.now() as f64 / 1e6;
         self.time = ViewTime {
@@ -164,7 +165,7 @@
         self.served_percent.push_back(served_percent);
     }
 
-    /// Sets the counts, with their rates since the look before. Rates stay where no time has passed.
+    /// Sets the counts, with their rates since the previous update. The rates stay unchanged if no time has passed.
     fn set_counts(&mut self, at_s: f64, counts: &[(&str, u64)]) {
         let mut named_counts = Vec::with_capacity(counts.len());
         for (name, count) in counts {
@@ -199,7 +200,7 @@
     }
 }
 
-/// The counts of a simulation, with their names as they are shown.
+/// The counts of a simulation, with their displayed names.
 fn outcome_counts(outcome: &RunOutcome) -> [(&'static str, u64); 6] {
     let count = |end: RequestEnd| outcome.all.ends[end as usize];
     let failed = count(RequestEnd::Failed) + count(RequestEnd::Broken) + count(RequestEnd::Left);
--- a/crates/testbed/src/view/state/node_log.rs
+++ b/crates/testbed/src/view/state/node_log.rs
@@ -1,13 +1,13 @@
-//! A node's log, line by line. Messages and fields are read by their names of today and of earlier versions.
+//! Parses the lines of a node's log. Fields are read by their current names and by those of earlier versions.
 
 use super::{queues, ConcurrencyUse, ServerRow, ViewState, ViewTime, MAX_ROWS};
 use serde_json::Value;
 
-/// A count of a node's summary.
+/// A count in the summary message of a node.
 struct SummaryCount {
-    /// Its name as it is shown, which is also the field's name in logs of earlier versions.
+    /// The displayed name, which is also the field's name in logs of earlier versions.
     shown_name: &'static str,
-    /// The field's name today.
+    /// The current name of the field.
     field: &'static str,
 }
 
@@ -15,7 +15,7 @@
     SummaryCount { shown_name, field }
 }
 
-/// The counts of a summary, in the order they are shown.
+/// The counts of a summary, in display order.
 const SUMMARY_COUNTS: [SummaryCount; 7] = [
     summary_count("arrived", "arrived"),
     summary_count("sent", "attempts_started"),
@@ -28,7 +28,7 @@
 /// The counts of requests that have ended.
 const ENDED_COUNTS: [&str; 5] = ["served", "refused", "failed", "broken", "gone"];
 
-/// A field by its name today or, in logs of earlier versions, by the name it had then.
+/// A field by its current name or, in logs of earlier versions, by its earlier name.
 fn field<'a>(event: &'a Value, name: &str, earlier_name: &str) -> &'a Value {
     event.get(name).unwrap_or(&event[earlier_name])
 }
@@ -38,7 +38,7 @@
 }
 
 impl ViewState {
-    /// Takes a line of a node's log; one that says nothing of interest is passed over.
+    /// Updates the state from a line of a node's log. Lines that are not JSON and other messages are ignored.
     pub fn apply_log_line(&mut self, line: &str) {
         let Ok(event) = serde_json::from_str::<Value>(line) else {
             return;
@@ -121,10 +121,10 @@
             .unwrap_or(0.0)
     }
 
-    /// The row of a server, which is added where there is none; `None` where there is no room.
+    /// The row of a server, added if it is missing. `None` if there are already [`MAX_ROWS`] others.
     fn row_mut(&mut self, name: &str) -> Option<&mut ServerRow> {
-        let known = self.rows.iter().position(|row| row.name == name);
-        if known.is_none() && self.rows.len() < MAX_ROWS {
+        let index = self.rows.iter().position(|row| row.name == name);
+        if index.is_none() && self.rows.len() < MAX_ROWS {
             self.rows.push(ServerRow {
                 name: name.to_string(),
                 state: "up".into(),
@@ -132,11 +132,11 @@
             });
             return self.rows.last_mut();
         }
-        self.rows.get_mut(known?)
+        self.rows.get_mut(index?)
     }
 }
 
-/// The numbers of a list like `[3, 0]`.
+/// Parses a list such as `[3, 0]`.
 fn queued_by_tenant(list: &str) -> Vec<u64> {
     list.trim_matches(['[', ']'])
         .split(',')
--- a/crates/testbed/src/view/terminal.rs
+++ b/crates/testbed/src/view/terminal.rs
@@ -1,4 +1,4 @@
-//! The loops of the view: time passes, keys are read, the screen is drawn.
+//! The main loops of the view: update the state, draw a frame, handle keys.
 
 use super::{draw, ViewState};
 use crate::emulator::Simulation;
@@ -9,32 +9,32 @@
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 
-/// The time from one picture to the next.
+/// The time from one frame to the next.
 const FRAME_DURATION: Duration = Duration::from_millis(100);
-/// Events of a simulation between two looks at the clock.
+/// Simulation events processed between two checks of the clock.
 const EVENTS_PER_BATCH: u64 = 64;
-/// Bytes at the end of a log that are read at the start.
+/// The maximum part of an existing log that is read at the start, from its end.
 const MAX_TAIL_BYTES: u64 = 4 << 20;
-/// Rows that a page key scrolls.
+/// The number of rows that a page key scrolls.
 const PAGE_ROWS: usize = 20;
 
-/// The view cannot be shown.
+/// An error that ends the view.
 #[derive(Debug, thiserror::Error)]
 pub enum ViewError {
     /// The terminal cannot be used.
-    #[error("terminal: {0}")]
+    #[error("terminal cannot be used: {0}")]
     Terminal(#[source] io::Error),
     /// The log cannot be read.
-    #[error("log {}: {source}", path.display())]
+    #[error("cannot read the log {}: {source}", path.display())]
     Log {
-        /// The log.
+        /// The path of the log.
         path: PathBuf,
-        /// Why.
+        /// The system's error.
         source: io::Error,
     },
 }
 
-/// What a key does.
+/// The action of a key.
 enum KeyAction {
     Quit,
     ScrollDown(usize),
@@ -42,17 +42,18 @@
     Nothing,
 }
 
-/// The screen, with the rows that are scrolled over.
+/// The terminal and the scroll position of the table of servers.
 struct Screen {
     terminal: DefaultTerminal,
     skipped_rows: usize,
 }
 
-/// Shows a simulation that runs at so many times real time, to its end and until a key ends the view.
+/// Runs a simulation at `speed` times real time and shows it until a key quits the view, also after the simulation's
+/// end.
 ///
 /// # Errors
 ///
-/// [`ViewError::Terminal`] where the terminal cannot be used.
+/// [`ViewError::Terminal`] if the terminal cannot be used.
 pub fn show_simulation(
     simulation: &mut Simulation,
     mut state: ViewState,
@@ -71,11 +72,11 @@
     })
 }
 
-/// Shows a running node by its log, which is followed as it grows.
+/// Shows a running node from its log, which is followed as it grows, until a key quits the view.
 ///
 /// # Errors
 ///
-/// [`ViewError::Log`] where the log cannot be read, [`ViewError::Terminal`] where the terminal cannot be used.
+/// [`ViewError::Log`] if the log cannot be read, [`ViewError::Terminal`] if the terminal cannot be used.
 pub fn follow_node_log(log: &Path, mut state: ViewState) -> Result<(), ViewError> {
     let log_error = |source| ViewError::Log {
         path: log.to_path_buf(),
@@ -84,7 +85,7 @@
     let mut lines = open_tail(log).map_err(log_error)?;
     let mut line = Vec::new();
     show(|screen, frame_end| {
-        // A line that is not whole yet is kept until the rest of it is there.
+        // An incomplete line stays in the buffer until its remainder has been written.
         while lines.read_until(b'\n', &mut line).map_err(log_error)? > 0 && line.ends_with(b"\n") {
             state.apply_log_line(&String::from_utf8_lossy(&line));
             line.clear();
@@ -101,7 +102,7 @@
     Ok(BufReader::new(file))
 }
 
-/// Takes the terminal, shows one frame after the other until one says that the view ends, and gives the terminal back.
+/// Initializes the terminal, shows frames until `show_frame` returns false or an error, and restores the terminal.
 fn show(
     mut show_frame: impl FnMut(&mut Screen, Instant) -> Result<bool, ViewError>,
 ) -> Result<(), ViewError> {
@@ -109,7 +110,7 @@
         terminal: ratatui::try_init().map_err(ViewError::Terminal)?,
         skipped_rows: 0,
     };
-    let shown = loop {
+    let result = loop {
         match show_frame(&mut screen, Instant::now() + FRAME_DURATION) {
             Ok(true) => {}
             Ok(false) => break Ok(()),
@@ -117,19 +118,19 @@
         }
     };
     ratatui::restore();
-    shown
+    result
 }
 
 impl Screen {
-    /// Draws a frame and handles keys until its end. Returns false where a key ends the view.
+    /// Draws a frame and handles keys until its end. Returns false if a key quits the view.
     fn draw_until(&mut self, state: &ViewState, frame_end: Instant) -> Result<bool, ViewError> {
         self.terminal
             .draw(|frame| draw(frame, state, self.skipped_rows))
             .map_err(ViewError::Terminal)?;
-        let goes_on = self.handle_keys(frame_end)?;
+        let continues = self.handle_keys(frame_end)?;
         let last_row = state.rows().len().saturating_sub(1);
         self.skipped_rows = self.skipped_rows.min(last_row);
-        Ok(goes_on)
+        Ok(continues)
     }
 
     fn handle_keys(&mut self, frame_end: Instant) -> Result<bool, ViewError> {
--- a/crates/testbed/tests/view.rs
+++ b/crates/testbed/tests/view.rs
@@ -1,4 +1,4 @@
-//! The view on ratatui's test backend.
+//! The view, rendered on ratatui's test backend.
 
 use poppykeel_testbed::emulator::description::RunDescription;
 use poppykeel_testbed::emulator::policies::Policy;
@@ -7,9 +7,11 @@
 use ratatui::backend::TestBackend;
 use ratatui::Terminal;
 
-fn screen(state: &ViewState, width: u16, height: u16, skip: usize) -> String {
+fn screen(state: &ViewState, width: u16, height: u16, skipped_rows: usize) -> String {
     let mut terminal = Terminal::new(TestBackend::new(width, height)).unwrap();
-    terminal.draw(|frame| draw(frame, state, skip)).unwrap();
+    terminal
+        .draw(|frame| draw(frame, state, skipped_rows))
+        .unwrap();
     let buffer = terminal.backend().buffer();
     let line = |y: u16| {
         (0..width)
@@ -20,14 +22,14 @@
 }
 
 #[test]
-fn a_run_shows_rates_queues_and_servers() {
+fn simulation_view_shows_rates_queues_and_servers() {
     let mut run = RunDescription::default();
     (run.fleet.servers, run.load.per_server, run.load.seconds) = (5, 30.0, 10.0);
     let run = run.check().unwrap();
-    let mut world = Simulation::new(&run, Policy::Poppykeel, 1).unwrap();
+    let mut simulation = Simulation::new(&run, Policy::Poppykeel, 1).unwrap();
     let mut state = ViewState::new("a run", vec!["all".into()]);
-    while world.now() < 6_000_000 && world.process_events(500) {
-        state.update_from_simulation(&mut world, 10.0);
+    while simulation.now() < 6_000_000 && simulation.process_events(500) {
+        state.update_from_simulation(&mut simulation, 10.0);
     }
     let text = screen(&state, 110, 24, 0);
     for wanted in [
@@ -53,7 +55,7 @@
 }
 
 #[test]
-fn any_size_of_terminal_will_do() {
+fn view_fits_terminals_of_any_size() {
     let mut state = ViewState::new("any", vec![]);
     state.apply_log_line(r#"{"message":"summary","arrived":1,"served":1}"#);
     for (width, height) in [(1, 1), (10, 3), (40, 12), (300, 80)] {
@@ -62,7 +64,7 @@
 }
 
 #[test]
-fn a_node_is_shown_by_its_log() {
+fn node_view_shows_counts_queues_and_streams_from_the_log() {
     let mut state = ViewState::new("node", vec!["acme".into(), "zeta".into()]);
     let summary = |uptime: u64, arrived: u64, served: u64| {
         format!(
@@ -93,7 +95,7 @@
 }
 
 #[test]
-fn a_summary_is_read_by_the_fields_names_of_today_and_of_earlier_versions() {
+fn summary_is_read_by_current_and_earlier_field_names() {
     let lines = [
         [
             r#"{"message":"summary","uptime_s":10,"concurrency_limit":9.5,"in_flight":2,"queued_by_tenant":"[0, 1]","arrived":100,"attempts_started":90,"completed":80,"rejected":7,"failed":3,"broken":2,"disconnected":1}"#,
@@ -104,22 +106,22 @@
             r#"{"message":"summary","uptime_s":20,"window":12.5,"out":7,"waiting":"[3, 0]","arrived":300,"sent":280,"served":200,"refused":57,"failed":13,"broken":9,"gone":4}"#,
         ],
     ];
-    let [today, earlier] = lines.map(|lines| {
+    let [current, earlier] = lines.map(|lines| {
         let mut state = ViewState::new("node", vec!["acme".into(), "zeta".into()]);
         lines.iter().for_each(|line| state.apply_log_line(line));
         state
     });
-    assert_eq!(today, earlier);
+    assert_eq!(current, earlier);
     let concurrency = ConcurrencyUse {
         limit: 12.5,
         in_flight: 7,
     };
-    assert_eq!(today.concurrency(), Some(concurrency));
-    let served = today.counts().iter().find(|count| count.name == "served");
+    assert_eq!(current.concurrency(), Some(concurrency));
+    let served = current.counts().iter().find(|count| count.name == "served");
     assert_eq!(served.map(|count| count.count), Some(200));
     let queue = TenantQueue {
         tenant: "acme".to_string(),
         queued: 3,
     };
-    assert_eq!(today.queues()[0], queue);
+    assert_eq!(current.queues()[0], queue);
 }
