--- a/crates/testbed/src/fault_injection/admin_client.rs
+++ b/crates/testbed/src/fault_injection/admin_client.rs
@@ -1,4 +1,4 @@
-//! Calls of a node's admin interface.
+//! Client of the nodes' admin interface.
 
 use serde_json::Value;
 use std::net::SocketAddr;
@@ -6,14 +6,13 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// A call that takes longer has no answer.
+/// The timeout of one call.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1500);
-/// The status of an answer to a call that was accepted, and of a node that is ready.
+/// The status of an accepted call, and of the readiness check of a ready node.
 pub(super) const STATUS_OK: u16 = 200;
-/// The status of a node that is not ready.
+/// The status of the readiness check of a node that is not ready.
 pub(super) const STATUS_UNAVAILABLE: u16 = 503;
 
-/// An answer.
 pub(super) struct AdminResponse {
     pub(super) status: u16,
     pub(super) body: String,
@@ -26,11 +25,11 @@
     pub(super) epoch: u64,
 }
 
-/// Calls a node with a request line like `GET /api/fleet`. Returns `None` where it does not answer in time; dropping the
-/// call closes the connection.
+/// Sends a request such as `GET /api/fleet`. Returns `None` if the node does not respond in time. Dropping the future
+/// closes the connection.
 pub(super) async fn call(node: SocketAddr, request_line: &str) -> Option<AdminResponse> {
-    let answer = exchange(node, request_line);
-    tokio::time::timeout(CALL_TIMEOUT, answer).await.ok()?
+    let response = exchange(node, request_line);
+    tokio::time::timeout(CALL_TIMEOUT, response).await.ok()?
 }
 
 async fn exchange(node: SocketAddr, request_line: &str) -> Option<AdminResponse> {
@@ -46,30 +45,29 @@
     })
 }
 
-/// Gets a JSON document from a node.
 pub(super) async fn get_json(node: SocketAddr, path: &str) -> Option<Value> {
     let response = call(node, &format!("GET {path}")).await?;
     serde_json::from_str(&response.body).ok()
 }
 
-/// Gets a node's view of the fleet.
+/// Returns the fleet status as this node sees it.
 pub(super) async fn get_fleet_status(node: SocketAddr) -> Option<Value> {
     get_json(node, "/api/fleet").await
 }
 
-/// Whether a node says that it is ready.
+/// Returns the response of a node's readiness check.
 pub(super) async fn get_readiness(node: SocketAddr) -> Option<AdminResponse> {
     call(node, "GET /api/ready").await
 }
 
-/// The epoch under which the node of this status holds the lease of a task.
+/// The epoch under which the node with this status holds the lease of a task, or `None` if it does not hold it.
 pub(super) fn held_epoch(fleet_status: &Value, task: &str) -> Option<u64> {
     let claims = fleet_status["claims"].as_array()?;
     let claim = claims.iter().find(|claim| claim["task"] == task)?;
     claim["held_epoch"].as_u64()
 }
 
-/// The first node that says that it holds the lease of a task.
+/// The first node that reports that it holds the lease of a task.
 pub(super) async fn find_holder(nodes: &[SocketAddr], task: &str) -> Option<LeaseHolder> {
     for (node, address) in nodes.iter().enumerate() {
         let status = get_fleet_status(*address).await;
--- a/crates/testbed/src/fault_injection/budget_verdict.rs
+++ b/crates/testbed/src/fault_injection/budget_verdict.rs
@@ -1,68 +1,69 @@
-//! The verdict on the budgets of the fleet, from the records of the stub model servers.
+//! The verdict on the budgets of the fleet, computed from the arrivals recorded by the stub model servers.
 //!
-//! A request's second arrival is a retry or a hedged attempt, a question for a server's load is a health check, and an
-//! arrival from a node of another zone is cross-zone traffic.
+//! Each further arrival of a request is a retry or a hedged attempt. A query of a server's load is a probe. An arrival
+//! from a node in another zone is cross-zone traffic.
 
 use crate::sockets::Arrival;
 use crate::Micros;
 use std::collections::BTreeSet;
 
-/// What leaves a node in time may reach a server so much later than what left before it, in seconds.
+/// Tolerance for transit times: a request may take this much longer to reach a server than the one before it, in
+/// seconds.
 const ARRIVAL_SLACK_S: f64 = 0.05;
-/// The bits of a request's id from this one on name its node, from 1.
+/// A request's id shifted right by this many bits is the number of the node that first received it, counted from 1.
 pub(super) const NODE_BITS_SHIFT: u32 = 40;
-/// Microseconds in a second.
 const SECOND: Micros = 1_000_000;
-/// The budget of health checks, as a fraction of the rate of retries.
+/// The rate of the probe budget, as a fraction of the rate of the retry budget.
 pub(super) const PROBE_RATE_FACTOR: f64 = 0.5;
-/// The budget of cross-zone traffic, as a multiple of that of retries.
+/// The budget of cross-zone traffic, as a multiple of the retry budget.
 pub(super) const CROSS_ZONE_FACTOR: f64 = 2.0;
 
 /// A budget of the whole fleet.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct BudgetWhole {
-    /// Units a second.
+pub struct FleetBudget {
+    /// Units per second.
     pub rate: f64,
-    /// Units at once.
+    /// Units that may be spent at once.
     pub burst: f64,
 }
 
-/// What the records say of one kind of work.
+/// The arrivals of one kind of budgeted work.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct WorkCount {
-    /// Arrivals.
+    /// The number of arrivals.
     pub count: usize,
-    /// The arrivals of the worst window as a fraction of what the budget allows in it.
+    /// The highest ratio over all windows of arrivals to what the budget allows; a value above 1 violates the budget.
     pub worst_window: f64,
-    /// The arrivals of the busiest second as a fraction of the rate.
+    /// The arrivals in the busiest second as a fraction of the budget's rate.
     pub busiest_second: f64,
 }
 
-/// What was found.
+/// The result of a budget scenario.
 #[derive(Clone, Debug, Default)]
 pub struct BudgetReport {
-    /// Rounds played.
+    /// The number of rounds.
     pub rounds: usize,
     /// Requests that clients sent.
     pub sent_requests: usize,
-    /// Requests that were answered completely.
+    /// Requests with a complete response.
     pub completed_requests: usize,
-    /// Requests that reached servers.
+    /// Distinct requests that reached a server.
     pub requests_at_servers: usize,
     /// Arrivals beyond a request's first.
     pub repeats: WorkCount,
-    /// Health checks.
+    /// Probes: queries of a server's load.
     pub probes: WorkCount,
     /// Arrivals from another zone.
     pub cross_zone: WorkCount,
-    /// Cross-zone traffic that the nodes report; that of processes that were killed is lost with them.
+    /// Cross-zone attempts counted by the nodes themselves; the counts of killed processes are lost.
     pub reported_cross_zone: u64,
-    /// Retries a second that were neither granted to a node nor free once all was quiet, by the nodes' reports.
+    /// The part of the retry budget, per second, that the nodes report neither as granted nor as free after the load
+    /// has ended.
     pub lost_retry_rate: f64,
 }
 
 impl BudgetReport {
-    /// The worst window of all kinds as a fraction of what its budget allows.
+    /// The highest [`WorkCount::worst_window`] of all kinds of work.
     pub fn worst_window(&self) -> f64 {
         self.kinds()
             .iter()
@@ -70,7 +71,7 @@
             .fold(0.0, f64::max)
     }
 
-    /// Windows that were checked: each from one arrival to a later one of its kind.
+    /// The number of windows that were checked. Each starts and ends with an arrival of the same kind.
     pub fn window_count(&self) -> u64 {
         let pairs = |kind: &WorkCount| kind.count as u64 * (kind.count as u64 + 1) / 2;
         self.kinds().iter().map(pairs).sum()
@@ -81,11 +82,11 @@
     }
 }
 
-/// Judges what the servers wrote down, in the order of arrival. `retries` is the budget of retries; the others follow
-/// from it.
-pub fn judge_budgets(
+/// Checks the recorded arrivals, which are in the order of arrival, against the retry budget and the other budgets,
+/// which are derived from it.
+pub fn check_budgets(
     arrivals: &[Arrival],
-    retries: BudgetWhole,
+    retries: FleetBudget,
     zone_count: usize,
 ) -> BudgetReport {
     let mut seen_ids = BTreeSet::new();
@@ -104,11 +105,11 @@
             cross_zone.push(arrival.at);
         }
     }
-    let probe_budget = BudgetWhole {
+    let probe_budget = FleetBudget {
         rate: retries.rate * PROBE_RATE_FACTOR,
         burst: retries.burst,
     };
-    let cross_zone_budget = BudgetWhole {
+    let cross_zone_budget = FleetBudget {
         rate: retries.rate * CROSS_ZONE_FACTOR,
         burst: retries.burst * CROSS_ZONE_FACTOR,
     };
@@ -121,7 +122,7 @@
     }
 }
 
-fn count_work(times: &[Micros], budget: BudgetWhole) -> WorkCount {
+fn count_work(times: &[Micros], budget: FleetBudget) -> WorkCount {
     let allowance = budget.burst + budget.rate * ARRIVAL_SLACK_S;
     let mut busiest_second = 0;
     for (index, first) in times.iter().enumerate() {
@@ -136,8 +137,8 @@
     }
 }
 
-/// The most by which arrivals in any window exceed the rate times its length: the greatest level of a bucket that
-/// arrivals fill and the rate drains.
+/// The maximum over all windows of the arrivals less the rate times the length of the window. Computed as the highest
+/// level of a leaky bucket that each arrival fills by 1.
 fn max_excess(times: &[Micros], rate: f64) -> f64 {
     let mut level = 0.0_f64;
     let mut max_level = 0.0_f64;
@@ -151,7 +152,7 @@
     max_level
 }
 
-/// The zone of the node that received a request first, by the request's id.
+/// The zone of the node that first received a request, derived from the request's id.
 fn zone_of_first_node(id: &str, zone_count: usize) -> usize {
     let node_number = u64::from_str_radix(id, 16).unwrap_or(0) >> NODE_BITS_SHIFT;
     (node_number as usize).saturating_sub(1) % zone_count
--- a/crates/testbed/src/fault_injection/budgets.rs
+++ b/crates/testbed/src/fault_injection/budgets.rs
@@ -1,11 +1,11 @@
-//! `break budgets`: nodes that share budgets, servers that fail now and then, and faults between the nodes.
+//! `break budgets`: nodes share the budgets of the fleet while faults are injected and model servers fail.
 //!
-//! Clients send requests to every node while faults are injected. The verdict is that of
-//! [`judge_budgets`] on the records of the stub model servers.
+//! Clients send requests to every node during the faults. The verdict is that of [`check_budgets`] on the records of
+//! the stub model servers.
 
 use super::admin_client::{find_holder, get_fleet_status, get_json};
 use super::budget_verdict::{
-    judge_budgets, BudgetReport, BudgetWhole, CROSS_ZONE_FACTOR, NODE_BITS_SHIFT, PROBE_RATE_FACTOR,
+    check_budgets, BudgetReport, FleetBudget, CROSS_ZONE_FACTOR, NODE_BITS_SHIFT, PROBE_RATE_FACTOR,
 };
 use super::collector::ReportCollector;
 use super::error::FaultInjectionError;
@@ -25,50 +25,51 @@
 use tokio::net::TcpStream;
 use tokio::task::spawn_local;
 
-/// The time between two requests to a node that gets the mean.
+/// The interval of requests to a node that receives the mean load.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(30);
-/// A request that takes longer is given up.
+/// The timeout of a request.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(4);
-/// Where the budget is divided equally, what clocks may gain is taken from each part.
+/// If the budget is divided equally, each part is reduced by this factor, since clocks may run fast.
 const EQUAL_RATE_FACTOR: f64 = 0.9;
-/// The rate of a node without a grant is its equal part divided by this.
+/// The rate of a node without a grant is an equal part of the fleet's rate divided by this.
 const FLOOR_DIVISOR: f64 = 10.0;
-/// The time after the start until the first grants have been made, in durations of a lease ...
+/// The first fault is injected this many lease durations plus [`START_ALLOWANCE`] after the start, so that the first
+/// grants have been made.
 const START_LEASES: u32 = 3;
-/// ... and so much more.
+/// See [`START_LEASES`].
 const START_ALLOWANCE: Duration = Duration::from_secs(2);
-/// The longest fault, in durations of a lease: budgets wait for leases, so longer ones show nothing new.
+/// The longest fault, in lease durations. Grants end with the lease, so longer faults cover no further cases.
 const MAX_FAULT_LEASES: u64 = 3;
-/// The time after a fault until servers work again, in durations of a lease.
+/// The time for which servers still fail after a fault, in lease durations.
 const FAILING_LEASES: f64 = 0.5;
-/// The time until the next fault, in durations of a lease.
-const QUIET_LEASES: f64 = 0.3;
+/// The pause before the next fault, in lease durations.
+const PAUSE_LEASES: f64 = 0.3;
 
-/// What is to be played.
+/// The parameters of a budget scenario.
 #[derive(Clone, Debug)]
 pub struct BudgetScenario {
-    /// The fleet.
+    /// The size and settings of the fleet.
     pub shape: FleetShape,
-    /// How many faults are drawn.
+    /// The number of drawn faults, one for each round.
     pub rounds: usize,
-    /// The seed from which all is drawn.
+    /// The seed of all random choices.
     pub seed: u64,
-    /// The kinds of faults that are drawn; an empty list stands for all.
+    /// The kinds of faults to draw; an empty list allows all kinds.
     pub only: Vec<InjectedFaultKind>,
-    /// The budget of retries of the whole fleet. That of cross-zone traffic is twice as much, the rate of health checks
-    /// half of it.
-    pub retries: BudgetWhole,
+    /// The retry budget of the whole fleet. The budget of cross-zone traffic is twice as large, and the rate of the
+    /// probe budget half as large.
+    pub retries: FleetBudget,
     /// How the budgets are divided between the nodes.
     pub division: BudgetDivision,
-    /// The first node gets so many times the requests of any other.
+    /// The load of the first node as a multiple of the load of each other node.
     pub first_node_load_factor: f64,
 }
 
-/// Plays a scenario; `folder` takes configurations, disks, logs and the history.
+/// Runs a scenario. Configurations, disks, logs and the history are written to `folder`.
 ///
 /// # Errors
 ///
-/// [`FaultInjectionError`] where the fleet cannot be started, or a process ends by itself.
+/// [`FaultInjectionError`] if the fleet cannot be started, or a process exits unexpectedly.
 pub async fn run_budget_scenario(
     scenario: &BudgetScenario,
     program: &Path,
@@ -95,38 +96,38 @@
     .await?;
     let clients = Rc::new(ClientCounts::default());
     start_clients(scenario, &fleet, &clients);
-    let played = play_rounds(scenario, &fleet, &history).await;
+    let results = run_rounds(scenario, &fleet, &history).await;
     clients.is_stopped.set(true);
-    // Requests in flight end; then all is quiet for as long as a grant and a lease last.
+    // Waits for requests in flight, and then until grants and leases of that time have expired.
     tokio::time::sleep(REQUEST_TIMEOUT + shape.lease_duration * 2).await;
     let reports = collect_node_reports(&fleet.admin_addresses()).await;
     fleet.kill_all().await;
-    played?;
+    results?;
     let arrivals = fleet.arrivals();
-    let judged = judge_budgets(&arrivals.borrow(), scenario.retries, shape.zones);
+    let checked = check_budgets(&arrivals.borrow(), scenario.retries, shape.zones);
     let report = BudgetReport {
         rounds: scenario.rounds,
         sent_requests: clients.sent.get(),
         completed_requests: clients.completed.get(),
         reported_cross_zone: reports.cross_zone,
         lost_retry_rate: reports.lost_retry_rate,
-        ..judged
+        ..checked
     };
     history.add("spent", &json!(format!("{report:?}")));
     Ok(report)
 }
 
-/// The budgets as operators would write them.
+/// The budgets as TOML for the operator file.
 fn budget_settings(scenario: &BudgetScenario) -> String {
     if scenario.division == BudgetDivision::None {
         return String::new();
     }
     let retries = scenario.retries;
-    let cross_zone = BudgetWhole {
+    let cross_zone = FleetBudget {
         rate: retries.rate * CROSS_ZONE_FACTOR,
         burst: retries.burst * CROSS_ZONE_FACTOR,
     };
-    let probes = BudgetWhole {
+    let probes = FleetBudget {
         rate: retries.rate * PROBE_RATE_FACTOR,
         burst: retries.burst,
     };
@@ -142,17 +143,17 @@
     )
 }
 
-fn budget_line(scenario: &BudgetScenario, name: &str, whole: BudgetWhole) -> String {
-    let BudgetWhole { rate, burst } = whole;
+fn budget_line(scenario: &BudgetScenario, name: &str, budget: FleetBudget) -> String {
+    let FleetBudget { rate, burst } = budget;
     let node_count = scenario.shape.nodes as f64;
     let equal_rate = rate / node_count;
     let floor = if scenario.division == BudgetDivision::Equal {
-        BudgetWhole {
+        FleetBudget {
             rate: equal_rate * EQUAL_RATE_FACTOR,
             burst: burst / node_count,
         }
     } else {
-        BudgetWhole {
+        FleetBudget {
             rate: equal_rate / FLOOR_DIVISOR,
             burst: 1.0,
         }
@@ -163,7 +164,7 @@
     )
 }
 
-/// What clients have sent and received.
+/// Counters that all clients share.
 #[derive(Default)]
 struct ClientCounts {
     sent: Cell<usize>,
@@ -191,7 +192,7 @@
     }
 }
 
-/// Sends requests to one node until the clients are stopped. Each is a task of its own, which ends with its request.
+/// Sends requests to one node until the clients are stopped. Each request runs in its own task.
 async fn send_requests(
     address: SocketAddr,
     node: u64,
@@ -209,9 +210,9 @@
 
 async fn send_request(address: SocketAddr, id: u64, counts: Rc<ClientCounts>) {
     counts.sent.set(counts.sent.get() + 1);
-    let answer = tokio::time::timeout(REQUEST_TIMEOUT, exchange(address, id)).await;
-    if let Ok(Some(answer)) = answer {
-        if answer.contains("[DONE]") {
+    let response = tokio::time::timeout(REQUEST_TIMEOUT, exchange(address, id)).await;
+    if let Ok(Some(response)) = response {
+        if response.contains("[DONE]") {
             counts.completed.set(counts.completed.get() + 1);
         }
     }
@@ -226,16 +227,16 @@
     );
     let mut stream = TcpStream::connect(address).await.ok()?;
     stream.write_all(request.as_bytes()).await.ok()?;
-    let mut answer = Vec::new();
-    stream.read_to_end(&mut answer).await.ok()?;
-    Some(String::from_utf8_lossy(&answer).into_owned())
+    let mut response = Vec::new();
+    stream.read_to_end(&mut response).await.ok()?;
+    Some(String::from_utf8_lossy(&response).into_owned())
 }
 
-/// What the nodes report once all is quiet.
+/// The sums of what the nodes report after the load has ended.
 struct NodeReports {
-    /// Cross-zone traffic since their starts.
+    /// Cross-zone attempts since each node's start.
     cross_zone: u64,
-    /// Retries a second of the whole fleet that are neither granted to a node nor free.
+    /// The part of the fleet's retry rate that is neither granted to a node nor free.
     lost_retry_rate: f64,
 }
 
@@ -264,7 +265,7 @@
     }
 }
 
-/// The row of the budget of retries in a list of budgets.
+/// The row of the retry budget in a list of budgets.
 fn retry_row(budgets: &Value) -> Option<&Value> {
     budgets
         .as_array()?
@@ -272,7 +273,7 @@
         .find(|row| row["budget"] == "retries")
 }
 
-async fn play_rounds(
+async fn run_rounds(
     scenario: &BudgetScenario,
     fleet: &TestFleet,
     history: &RunHistory,
@@ -293,7 +294,7 @@
         fleet.inject(&fault, holder_node).await?;
         tokio::time::sleep(lease.mul_f64(FAILING_LEASES)).await;
         fleet.set_failing(0);
-        tokio::time::sleep(lease.mul_f64(QUIET_LEASES)).await;
+        tokio::time::sleep(lease.mul_f64(PAUSE_LEASES)).await;
         let exits = fleet.take_unexpected_exits();
         if !exits.is_empty() {
             return Err(FaultInjectionError::UnexpectedExit {
--- a/crates/testbed/src/fault_injection/collector.rs
+++ b/crates/testbed/src/fault_injection/collector.rs
@@ -1,5 +1,5 @@
-//! The stub that the fleet's report task acts upon: it rejects epochs below the highest that it has seen, and writes
-//! down every action.
+//! The stub server to which the fleet's report task sends its reports. It rejects epochs below the highest one that it
+//! has received, and records every report as an action under the lease.
 
 use super::error::FaultInjectionError;
 use super::lease_verdict::{LeasedAction, ProcessName};
@@ -12,12 +12,12 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::spawn_local;
 
-/// The longest request that is read.
+/// The maximum size of a request.
 const MAX_REQUEST_BYTES: usize = 64 * 1024;
-/// Bytes read at a time.
+/// The size of the read buffer.
 const READ_BYTES: usize = 4096;
 
-/// The stub. Clones share the record.
+/// The stub. Clones share the record of actions.
 #[derive(Clone)]
 pub(super) struct ReportCollector {
     address: SocketAddr,
@@ -28,8 +28,8 @@
 }
 
 impl ReportCollector {
-    /// Starts the stub. Its task runs as long as the `LocalSet` that it is started in. Without the rejection of old
-    /// epochs it accepts whatever comes.
+    /// Starts the stub. Its task runs until the enclosing `LocalSet` is dropped. If `rejects_old_epochs` is false, only
+    /// duplicates are rejected.
     pub(super) async fn start(
         history: RunHistory,
         rejects_old_epochs: bool,
@@ -50,17 +50,14 @@
         Ok(collector)
     }
 
-    /// Where it listens.
     pub(super) fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// All actions so far, in the order of their arrival.
     pub(super) fn actions(&self) -> Ref<'_, Vec<LeasedAction>> {
         self.actions.borrow()
     }
 
-    /// The latest action that was accepted.
     pub(super) fn last_accepted(&self) -> Option<LeasedAction> {
         let actions = self.actions.borrow();
         actions
@@ -77,7 +74,7 @@
         }
     }
 
-    /// Reads one action, writes it down and answers. `None` where the connection ends before that.
+    /// Reads one report, records it and responds. Returns `None` if the connection ends before that.
     async fn serve(&self, mut stream: TcpStream) -> Option<()> {
         let report = read_report(&mut stream).await?;
         let holder = ProcessName {
@@ -95,7 +92,7 @@
         stream.write_all(response.as_bytes()).await.ok()
     }
 
-    /// Writes an action down. Returns whether it is accepted.
+    /// Records an action. Returns whether it is accepted.
     fn record(&self, epoch: u64, interval: u64, holder: ProcessName) -> bool {
         let mut actions = self.actions.borrow_mut();
         let highest_epoch = actions.iter().map(|action| action.epoch).max().unwrap_or(0);
@@ -122,7 +119,7 @@
     }
 }
 
-/// Reads one request with a JSON body.
+/// Reads the JSON body of one request.
 async fn read_report(stream: &mut TcpStream) -> Option<Value> {
     let mut request = Vec::new();
     loop {
--- a/crates/testbed/src/fault_injection/error.rs
+++ b/crates/testbed/src/fault_injection/error.rs
@@ -1,4 +1,4 @@
-//! Why a scenario could not be played to its end.
+//! Errors that stop a scenario before its end.
 
 use super::injected_fault::InjectedFault;
 use crate::emulator::description::RunDescriptionError;
@@ -6,74 +6,74 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// A scenario could not be played to its end. That a rule was violated is not an error but part of its report.
+/// A scenario could not be completed. A violated guarantee is not an error; it is part of the scenario's report.
 #[derive(Debug, thiserror::Error)]
 pub enum FaultInjectionError {
-    /// A file or folder, or a program, cannot be used.
+    /// A file, folder or program cannot be accessed.
     #[error("{}: {source}", path.display())]
     File {
-        /// Its path.
+        /// The path of the file, folder or program.
         path: PathBuf,
-        /// Why.
+        /// The system's error.
         source: io::Error,
     },
-    /// A script of faults does not hold.
+    /// A fault script is not valid.
     #[error("{}: {source}", path.display())]
     Script {
-        /// Its path.
+        /// The path of the script.
         path: PathBuf,
-        /// Why, with the line.
+        /// The parser's error, with the line.
         source: Box<toml::de::Error>,
     },
-    /// No port is free.
-    #[error("port: {0}")]
+    /// No free port was found.
+    #[error("cannot bind a port on loopback: {0}")]
     Port(#[source] io::Error),
     /// A relay between nodes cannot listen.
-    #[error("relay: {0}")]
+    #[error("relay between nodes cannot listen: {0}")]
     Relay(#[source] io::Error),
-    /// The stub that nodes report to cannot listen.
-    #[error("collector: {0}")]
+    /// The stub collector of reports cannot listen.
+    #[error("report collector cannot listen: {0}")]
     Collector(#[source] io::Error),
     /// A lease server's disk cannot be copied.
-    #[error("disk: {0}")]
+    #[error("cannot back up the disk of a lease server: {0}")]
     Disk(#[source] io::Error),
-    /// The description of the fleet cannot be played.
+    /// The description of the fleet is not valid.
     #[error(transparent)]
     Description(#[from] RunDescriptionError),
-    /// A stub server on sockets does not start.
+    /// A stub server cannot be started.
     #[error(transparent)]
     Sockets(#[from] SocketsError),
-    /// A fleet of one node has no link over which a twin could be reached.
-    #[error("a fleet of one has no twins")]
-    NoTwin,
-    /// No node has held the lease since the start.
-    #[error("nobody ever held the task")]
+    /// A fleet of one node has no link over which a duplicate node could receive messages.
+    #[error("fault name-twice: the fleet needs at least 2 nodes, but has 1")]
+    FleetTooSmall,
+    /// No node acquired the lease after the start of the fleet.
+    #[error("no node acquired the lease in time after the start of the fleet")]
     NeverHeld,
     /// The node did not accept the order of a rolling restart.
-    #[error("the roll was not taken")]
+    #[error("the node did not accept the order of a rolling restart")]
     RollingRestartNotAccepted,
-    /// Something did not happen in time.
-    #[error("{awaited}: not within {seconds} s")]
+    /// An expected state was not reached in time.
+    #[error("timed out after {seconds} s waiting for {awaited}")]
     TimedOut {
-        /// What was waited for.
+        /// The expected state.
         awaited: &'static str,
-        /// For how long.
+        /// The timeout, in seconds.
         seconds: u64,
     },
-    /// Processes have ended although no fault has ended them.
+    /// Processes exited although no injected fault ended them.
     #[error("{}", unexpected_exit_text(*round, exits, fault))]
     UnexpectedExit {
-        /// The round of faults, from 0.
+        /// The index of the round.
         round: usize,
-        /// The processes.
+        /// The processes that exited.
         exits: Vec<UnexpectedExit>,
-        /// The fault before.
+        /// The last injected fault.
         fault: InjectedFault,
     },
 }
 
 impl FaultInjectionError {
-    /// Names the file to which an error belongs.
+    /// Returns a function that adds this path to an I/O error.
     pub(super) fn file(path: &Path) -> impl Fn(io::Error) -> FaultInjectionError + '_ {
         move |source| FaultInjectionError::File {
             path: path.to_path_buf(),
@@ -82,16 +82,16 @@
     }
 }
 
-/// A process that has ended although no fault has ended it.
+/// The exit of a process that no injected fault ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UnexpectedExit {
     /// The index of the node.
     pub node: usize,
-    /// Its exit status.
+    /// The exit status, as text.
     pub status: String,
 }
 
-/// One line on processes that have ended by themselves.
+/// Describes unexpected exits in one line.
 pub(super) fn unexpected_exit_text(
     round: usize,
     exits: &[UnexpectedExit],
@@ -101,5 +101,5 @@
         .iter()
         .map(|exit| (exit.node, exit.status.as_str()))
         .collect();
-    format!("round {round}: ended by themselves: {listed:?}, after {fault:?}")
+    format!("round {round}: processes exited unexpectedly: {listed:?}, after {fault:?}")
 }
--- a/crates/testbed/src/fault_injection/injected_fault.rs
+++ b/crates/testbed/src/fault_injection/injected_fault.rs
@@ -1,6 +1,6 @@
-//! The faults that are injected between processes, drawn from a seed or read from a script.
+//! The faults that are injected, drawn from a seed or read from a script.
 //!
-//! The names of kinds and of fields are those of the command line, of scripts and of the history of a run.
+//! The names of kinds and fields are part of the command line, of scripts and of the history of a run.
 
 use super::error::FaultInjectionError;
 use rand::RngExt;
@@ -14,9 +14,9 @@
 pub enum InjectedFaultKind {
     /// SIGKILL of the holder.
     KillHolder,
-    /// SIGKILL of a node drawn.
+    /// SIGKILL of a random node.
     KillNode,
-    /// SIGKILL of a keeper drawn; it keeps its disk.
+    /// SIGKILL of a random keeper; its disk stays.
     KillKeeper,
     /// SIGKILL of the holder and a keeper.
     KillBoth,
@@ -28,39 +28,39 @@
     StopHolder,
     /// SIGSTOP of a keeper.
     StopKeeper,
-    /// SIGKILL of a keeper that comes back with its disk of the run's beginning.
+    /// SIGKILL of a keeper, which restarts with its disk as of the beginning of the run.
     OldDisk,
-    /// SIGKILL of a keeper that comes back with no disk.
+    /// SIGKILL of a keeper, which restarts with an empty disk.
     EmptyDisk,
-    /// Nothing passes from a keeper drawn to the others, but from them to it.
+    /// The links from a random keeper to all other nodes are cut; those to it work.
     CutOneWay,
-    /// Nothing passes from the holder to the keepers, but from them to it.
+    /// The links from the holder to the keepers are cut; those to it work.
     CutHolder,
-    /// Two halves, as even as can be, that don't reach each other.
+    /// A network partition into two halves, which differ by at most one node.
     Split,
-    /// All links lose, delay, repeat and reorder.
+    /// All links drop, delay, duplicate and reorder messages.
     #[serde(rename = "weather")]
     #[value(name = "weather")]
     DegradedLinks,
-    /// What the holder sends to what it acts upon arrives three leases later, and it is killed meanwhile.
+    /// An action of the holder arrives three leases late, and the holder is killed in the meantime.
     LateAct,
-    /// SIGSTOP of the holder while an act of its is under way, which arrives after it was woken.
+    /// SIGSTOP of the holder while an action is in flight, which arrives after the holder is resumed.
     StopMidAct,
-    /// Half of the nodes leave in order in the same second, and come back together.
+    /// Half of the nodes shut down gracefully at the same time and restart together.
     HalfLeave,
-    /// All nodes are ended in order and started again, one after the other.
+    /// All nodes shut down gracefully and restart, one after the other.
     Rolling,
-    /// A keeper's disk is full, and the holder is killed, so that there is something to write.
+    /// A keeper's disk is full, and the holder is killed, so that a new grant has to be written.
     FullDisk,
-    /// The same with syncs that fail.
+    /// A keeper's disk fails to sync, and the holder is killed, so that a new grant has to be written.
     FailedSync,
-    /// A second process under a node's name, with a memory and an address of its own; messages to the name reach
+    /// A second process runs under a node's name, with its own disk and addresses; each message to that name reaches
     /// one of the two.
     NameTwice,
 }
 
 impl InjectedFaultKind {
-    /// All kinds. Faults are drawn by their order here.
+    /// All kinds. A seed selects kinds by their index here, so that the order must not change.
     const ALL: [InjectedFaultKind; 21] = [
         InjectedFaultKind::KillHolder,
         InjectedFaultKind::KillNode,
@@ -90,17 +90,17 @@
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct InjectedFault {
-    /// Its kind.
+    /// The kind of fault.
     pub kind: InjectedFaultKind,
     /// How long it lasts, in milliseconds.
     pub for_ms: u64,
-    /// A number from which the node that it affects is drawn.
+    /// Selects the affected node: its index is this number modulo the number of candidates.
     pub whom: u64,
-    /// Its strength, from 0 to 1.
+    /// The severity, from 0 to 1.
     pub size: f64,
 }
 
-/// A script, as TOML: `[[fault]]` with the fields of [`InjectedFault`], as `history.jsonl` has them.
+/// A script, as TOML: a list of `[[fault]]` with the fields of [`InjectedFault`], as written to `history.jsonl`.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Script {
@@ -112,8 +112,7 @@
     ///
     /// # Errors
     ///
-    /// [`FaultInjectionError::File`] where the file cannot be read, [`FaultInjectionError::Script`] where it does not
-    /// hold.
+    /// [`FaultInjectionError::File`] if the file cannot be read, [`FaultInjectionError::Script`] if it is not valid.
     pub fn read_script(path: &Path) -> Result<Vec<InjectedFault>, FaultInjectionError> {
         let text = std::fs::read_to_string(path).map_err(FaultInjectionError::file(path))?;
         let script: Script =
@@ -124,7 +123,7 @@
         Ok(script.fault)
     }
 
-    /// Draws a fault of one of these kinds, or of any where there is none; `lease_ms` is the duration of leases.
+    /// Draws a fault of one of these kinds, or of any kind if the list is empty. `lease_ms` is the duration of leases.
     pub(super) fn draw(
         rng: &mut Pcg64Mcg,
         kinds: &[InjectedFaultKind],
@@ -136,7 +135,7 @@
             kinds
         };
         let kind = kinds[rng.random_range(0..kinds.len())];
-        // Mostly short against the lease, sometimes long, and up to ten leases for a stop.
+        // At most one lease half of the time, else up to three; a stopped holder may stay stopped for ten.
         let max_ms = match (kind, rng.random_range(0..4)) {
             (InjectedFaultKind::StopHolder, 0) => 10 * lease_ms,
             (_, 0..=1) => 3 * lease_ms,
--- a/crates/testbed/src/fault_injection/lease_verdict.rs
+++ b/crates/testbed/src/fault_injection/lease_verdict.rs
@@ -1,15 +1,15 @@
-//! The verdict on a task under a lease, from the record of what the task acted upon.
+//! The verdict on a lease, computed from the record of the actions that were executed under it.
 
 use crate::Micros;
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// A process of a node.
+/// Identifies one process of a node.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ProcessName {
     /// The name of the node.
     pub node: String,
-    /// The incarnation of its process.
+    /// The incarnation of the process.
     pub incarnation: String,
 }
 
@@ -19,74 +19,74 @@
     }
 }
 
-/// An action under a lease, as it arrived at what it acts upon.
+/// An action under a lease, as received by its target.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LeasedAction {
-    /// Microseconds since the beginning of the run.
+    /// The time of arrival, in microseconds since the beginning of the run.
     pub at: Micros,
-    /// The epoch of the lease.
+    /// The epoch of the lease under which the process acts.
     pub epoch: u64,
-    /// The process that acts.
+    /// The process that sent the action.
     pub holder: ProcessName,
-    /// The number of the interval that it acts for.
+    /// The number of the report interval that the action is for.
     pub interval: u64,
-    /// Whether it was accepted.
+    /// Whether the target accepted the action.
     pub is_accepted: bool,
-    /// Whether there had been an action for its interval; then it was not accepted.
+    /// Whether an earlier action for this interval was accepted; such a duplicate is rejected.
     pub is_duplicate: bool,
 }
 
-/// A time without an accepted action. Ordered by its length.
+/// A period without an accepted action. Gaps are ordered by duration.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ActionGap {
-    /// Its length.
+    /// The length of the gap, in microseconds.
     pub duration: Micros,
-    /// When the action before it arrived.
+    /// The arrival of the last accepted action before the gap, in microseconds since the beginning of the run.
     pub began_at: Micros,
 }
 
-/// What a record of actions says.
+/// The result of checking a record of actions.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LeaseVerdict {
-    /// How many actions arrived.
+    /// The number of actions that arrived.
     pub action_count: usize,
-    /// Actions that were rejected for their epoch.
+    /// The number of actions that were rejected because of an old epoch.
     pub fenced_count: usize,
-    /// Proofs that two processes thought they held the lease at one time.
+    /// One description for each proof that two processes held the lease at the same time.
     pub overlaps: Vec<String>,
     /// The gaps between accepted actions, longest first.
     pub gaps: Vec<ActionGap>,
 }
 
-/// Judges a record of actions in the order of their arrival.
+/// Checks a record of actions, which are in the order of their arrival.
 ///
-/// A process checks its lease before every action and sends one action at a time. So a stop between check and action
-/// leaves at most one action that comes too late; a second one of the same holding means that the check itself was
-/// wrong.
-pub fn judge_actions(actions: &[LeasedAction]) -> LeaseVerdict {
-    let mut judge = ActionJudge::default();
+/// A process checks its lease before every action and sends one action at a time. If it is stopped between the check
+/// and the action, at most one action arrives too late. A second late action under the same epoch means that the check
+/// itself failed.
+pub fn check_actions(actions: &[LeasedAction]) -> LeaseVerdict {
+    let mut checker = ActionChecker::default();
     for action in actions {
-        judge.check_epoch(action);
-        judge.record_acceptance(action);
+        checker.check_epoch(action);
+        checker.record_acceptance(action);
     }
-    let mut verdict = judge.verdict;
+    let mut verdict = checker.verdict;
     verdict.action_count = actions.len();
     verdict.gaps.sort_unstable_by(|x, y| y.cmp(x));
     verdict
 }
 
 #[derive(Default)]
-struct ActionJudge<'a> {
+struct ActionChecker<'a> {
     /// The first process that acted under each epoch.
     holders: BTreeMap<u64, &'a ProcessName>,
-    /// Actions that came after one of a higher epoch, by epoch and process.
+    /// Actions that arrived after one with a higher epoch, by epoch and process.
     late_counts: BTreeMap<(u64, &'a ProcessName), usize>,
     highest_epoch: u64,
     last_accepted_at: Option<Micros>,
     verdict: LeaseVerdict,
 }
 
-impl<'a> ActionJudge<'a> {
+impl<'a> ActionChecker<'a> {
     fn check_epoch(&mut self, action: &'a LeasedAction) {
         let LeasedAction {
             at, epoch, holder, ..
@@ -94,7 +94,7 @@
         let owner = *self.holders.entry(*epoch).or_insert(holder);
         if owner != holder {
             self.add_overlap(format!(
-                "epoch {epoch} of {owner:?} and {holder:?}, at {at}"
+                "epoch {epoch} used by {owner:?} and {holder:?}, at {at} µs"
             ));
         }
         let highest = self.highest_epoch;
@@ -103,11 +103,13 @@
             *late_count += 1;
             if *late_count == 2 {
                 self.add_overlap(format!(
-                    "{holder:?} went on under epoch {epoch} after epoch {highest} had acted, at {at}"
+                    "{holder:?} continued under epoch {epoch} after an action with epoch {highest}, at {at} µs"
                 ));
             }
             if action.is_accepted {
-                self.add_overlap(format!("epoch {epoch} taken after {highest}, at {at}"));
+                self.add_overlap(format!(
+                    "action with epoch {epoch} accepted after epoch {highest}, at {at} µs"
+                ));
             }
         }
         self.highest_epoch = highest.max(*epoch);
--- a/crates/testbed/src/fault_injection/leases.rs
+++ b/crates/testbed/src/fault_injection/leases.rs
@@ -1,14 +1,14 @@
-//! `break leases`: a fleet that makes its report under a lease, while faults are injected one after the other.
+//! `break leases`: a fleet sends its reports under a lease while faults are injected one after the other.
 //!
-//! Each round injects a fault, waits until the lease is held again, and measures how long the report was not made. The
-//! verdict is that of [`judge_actions`] on the record of the [`ReportCollector`].
+//! Each round injects a fault, waits until the lease is held again, and measures the time without a report. The verdict
+//! is that of [`check_actions`] on the record of the [`ReportCollector`].
 
 use super::collector::ReportCollector;
 use super::error::{unexpected_exit_text, FaultInjectionError};
 use super::injected_fault::{InjectedFault, InjectedFaultKind};
-use super::lease_verdict::{judge_actions, LeaseVerdict, LeasedAction};
+use super::lease_verdict::{check_actions, LeaseVerdict, LeasedAction};
 use super::run_history::RunHistory;
-use super::test_fleet::{node_of_name, FleetSetup, FleetShape, TestFleet};
+use super::test_fleet::{node_index, FleetSetup, FleetShape, TestFleet};
 use crate::Micros;
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
@@ -16,52 +16,53 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// After a fault the lease must be held again within so many durations of a lease ...
+/// After a fault, the lease must be held again within this many lease durations plus [`RECOVERY_ALLOWANCE`].
 const RECOVERY_LEASES: u32 = 4;
-/// ... and so much more.
+/// See [`RECOVERY_LEASES`].
 const RECOVERY_ALLOWANCE: Duration = Duration::from_secs(8);
-/// The time without a fault after each round, in durations of a lease.
-const QUIET_LEASES: f64 = 0.5;
-/// How often it is looked for a new action.
+/// The pause without faults after each round, in lease durations.
+const PAUSE_LEASES: f64 = 0.5;
+/// The interval at which the record is checked for a new action.
 const ACTION_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// What is to be played.
+/// The parameters of a lease scenario.
 #[derive(Clone, Debug)]
 pub struct LeaseScenario {
-    /// The fleet.
+    /// The size and settings of the fleet.
     pub shape: FleetShape,
-    /// How many faults are drawn.
+    /// The number of drawn faults, one for each round.
     pub rounds: usize,
-    /// The seed from which all is drawn.
+    /// The seed of all random choices.
     pub seed: u64,
-    /// The kinds of faults that are drawn; an empty list stands for all.
+    /// The kinds of faults to draw; an empty list allows all kinds.
     pub only: Vec<InjectedFaultKind>,
-    /// Faults that are played in their order in place of drawn ones.
+    /// Faults to inject in this order instead of drawn ones; if empty, faults are drawn.
     pub script: Vec<InjectedFault>,
-    /// Whether what is acted upon rejects old epochs.
+    /// Whether the target of the actions rejects old epochs.
     pub rejects_old_epochs: bool,
 }
 
-/// What was found.
+/// The result of a lease scenario.
 #[derive(Clone, Debug)]
 pub struct LeaseReport {
     /// The verdict on the record of actions.
     pub verdict: LeaseVerdict,
-    /// Rounds played.
+    /// The number of completed rounds.
     pub rounds: usize,
-    /// The longest time without an action of each round, from its fault to the next one.
+    /// The longest gap between accepted actions in each round, in microseconds. A round lasts from its fault to the
+    /// next one.
     pub longest_gaps: Vec<Micros>,
-    /// The most by which the number of an interval went on faster or slower than time, between one accepted action and
-    /// the next.
+    /// The maximum difference between the interval numbers of consecutive accepted actions and the intervals that
+    /// elapsed between them.
     pub max_interval_skew: u64,
-    /// Lease servers that said that their disks had failed.
+    /// The number of times that a lease server reported a failed disk.
     pub failed_disk_count: usize,
-    /// Processes that ended by themselves, and rounds after which nobody held the lease.
+    /// Unexpected exits of processes, and rounds after which no node held the lease.
     pub problems: Vec<String>,
 }
 
 impl LeaseReport {
-    /// One line that sums it up.
+    /// Summarizes the report in one line.
     pub fn summary(&self, seed: u64) -> String {
         let longest = self.verdict.gaps.first().map_or(0, |gap| gap.duration);
         format!(
@@ -74,12 +75,12 @@
         )
     }
 
-    /// Whether no rule was violated.
+    /// Whether there were neither overlaps nor problems.
     pub fn is_good(&self) -> bool {
         self.verdict.overlaps.is_empty() && self.problems.is_empty()
     }
 
-    /// A quantile of the rounds' longest times without an action.
+    /// A quantile of [`longest_gaps`](Self::longest_gaps), in microseconds; 0 if there are none.
     pub fn gap_quantile(&self, quantile: f64) -> Micros {
         let mut sorted = self.longest_gaps.clone();
         sorted.sort_unstable();
@@ -89,11 +90,11 @@
     }
 }
 
-/// Plays a scenario; `folder` takes configurations, disks, logs and the history.
+/// Runs a scenario. Configurations, disks, logs and the history are written to `folder`.
 ///
 /// # Errors
 ///
-/// [`FaultInjectionError`] where the fleet cannot be started, or never works without a fault.
+/// [`FaultInjectionError`] if the fleet cannot be started, or no node acquires the lease before the first fault.
 pub async fn run_lease_scenario(
     scenario: &LeaseScenario,
     program: &Path,
@@ -114,59 +115,59 @@
         seed: scenario.seed,
     })
     .await?;
-    let player = ScenarioPlayer {
+    let runner = ScenarioRunner {
         scenario,
         fleet: &fleet,
         collector: &collector,
         history: &history,
     };
-    let played = player.play_rounds().await;
+    let results = runner.run_rounds().await;
     fleet.kill_all().await;
-    let played = played?;
+    let results = results?;
     let actions = collector.actions();
-    let verdict = judge_actions(&actions);
+    let verdict = check_actions(&actions);
     history.add(
         "verdict",
-        &json!({"overlaps": verdict.overlaps, "wrong": played.problems}),
+        &json!({"overlaps": verdict.overlaps, "wrong": results.problems}),
     );
     Ok(LeaseReport {
         verdict,
-        rounds: played.longest_gaps.len(),
-        longest_gaps: played.longest_gaps,
+        rounds: results.longest_gaps.len(),
+        longest_gaps: results.longest_gaps,
         max_interval_skew: max_interval_skew(&actions, scenario.shape.report_interval),
         failed_disk_count: fleet.failed_disk_count(),
-        problems: played.problems,
+        problems: results.problems,
     })
 }
 
-/// How far the numbers of intervals and the time between accepted actions are apart at most.
+/// Computes [`LeaseReport::max_interval_skew`].
 fn max_interval_skew(actions: &[LeasedAction], interval: Duration) -> u64 {
     let interval_micros = (interval.as_micros() as u64).max(1);
     let accepted: Vec<&LeasedAction> = actions.iter().filter(|action| action.is_accepted).collect();
     let skews = accepted.windows(2).map(|pair| {
-        let numbered = pair[1].interval.abs_diff(pair[0].interval);
-        let passed = (pair[1].at - pair[0].at) / interval_micros;
-        numbered.abs_diff(passed)
+        let interval_difference = pair[1].interval.abs_diff(pair[0].interval);
+        let elapsed_intervals = (pair[1].at - pair[0].at) / interval_micros;
+        interval_difference.abs_diff(elapsed_intervals)
     });
     skews.max().unwrap_or(0)
 }
 
-/// What the rounds came to.
+/// The results of all rounds.
 #[derive(Default)]
-struct PlayedRounds {
+struct RoundResults {
     longest_gaps: Vec<Micros>,
     problems: Vec<String>,
 }
 
-struct ScenarioPlayer<'a> {
+struct ScenarioRunner<'a> {
     scenario: &'a LeaseScenario,
     fleet: &'a TestFleet,
     collector: &'a ReportCollector,
     history: &'a RunHistory,
 }
 
-impl ScenarioPlayer<'_> {
-    async fn play_rounds(&self) -> Result<PlayedRounds, FaultInjectionError> {
+impl ScenarioRunner<'_> {
+    async fn run_rounds(&self) -> Result<RoundResults, FaultInjectionError> {
         let mut rng = Pcg64Mcg::seed_from_u64(self.scenario.seed);
         let script = &self.scenario.script;
         let lease_ms = self.scenario.shape.lease_duration.as_millis() as u64;
@@ -179,38 +180,38 @@
             return Err(FaultInjectionError::NeverHeld);
         };
         self.fleet.back_up_disks()?;
-        let mut played = PlayedRounds::default();
+        let mut results = RoundResults::default();
         for round in 0..round_count {
             let drawn = InjectedFault::draw(&mut rng, &self.scenario.only, lease_ms);
             let fault = script.get(round).copied().unwrap_or(drawn);
             let began_at = self.history.now();
             self.fleet.inject(&fault, holder).await?;
             let Some(next_holder) = self.wait_for_holder(self.history.now()).await else {
-                let problem = format!("round {round}: nobody held the task after {fault:?}");
-                played.problems.push(problem);
+                let problem = format!("round {round}: no node held the lease after {fault:?}");
+                results.problems.push(problem);
                 break;
             };
-            tokio::time::sleep(self.scenario.shape.lease_duration.mul_f64(QUIET_LEASES)).await;
-            played.longest_gaps.push(self.longest_gap_since(began_at));
+            tokio::time::sleep(self.scenario.shape.lease_duration.mul_f64(PAUSE_LEASES)).await;
+            results.longest_gaps.push(self.longest_gap_since(began_at));
             holder = self.last_holder().unwrap_or(next_holder);
             let exits = self.fleet.take_unexpected_exits();
             if !exits.is_empty() {
                 let problem = unexpected_exit_text(round, &exits, &fault);
-                played.problems.push(problem);
+                results.problems.push(problem);
                 break;
             }
         }
-        Ok(played)
+        Ok(results)
     }
 
-    /// Waits for an accepted action since a time, and returns its node. `None` where there is none in time.
+    /// Waits for an action that was accepted at or after `since`, and returns its node. `None` after a timeout.
     async fn wait_for_holder(&self, since: Micros) -> Option<usize> {
         let timeout = self.scenario.shape.lease_duration * RECOVERY_LEASES + RECOVERY_ALLOWANCE;
         let deadline = tokio::time::Instant::now() + timeout;
         while tokio::time::Instant::now() < deadline {
             if let Some(action) = self.collector.last_accepted() {
                 if action.at >= since {
-                    return node_of_name(&action.holder.node);
+                    return node_index(&action.holder.node);
                 }
             }
             tokio::time::sleep(ACTION_POLL_INTERVAL).await;
@@ -221,10 +222,10 @@
 
     fn last_holder(&self) -> Option<usize> {
         let action = self.collector.last_accepted()?;
-        node_of_name(&action.holder.node)
+        node_index(&action.holder.node)
     }
 
-    /// The longest time between accepted actions from the one before a time on.
+    /// The longest gap between accepted actions, starting with the last action before `began_at`.
     fn longest_gap_since(&self, began_at: Micros) -> Micros {
         let actions = self.collector.actions();
         let first = actions
--- a/crates/testbed/src/fault_injection/link_relay.rs
+++ b/crates/testbed/src/fault_injection/link_relay.rs
@@ -1,7 +1,7 @@
-//! The link from one node to another: a relay of datagrams and connections that can fail in a controlled way.
+//! The link from one node to another: a relay of datagrams and connections with configurable faults.
 //!
-//! A relay owns its sockets through two tasks, which end when it is dropped. What it holds back, and connections that
-//! pass through it, are tasks of their own that end by themselves soon after.
+//! Two tasks own the relay's sockets and are aborted when the relay is dropped. Each delayed datagram and each
+//! connection has its own task, which ends soon afterwards.
 
 use super::error::FaultInjectionError;
 use super::ports::bind_any_port;
@@ -15,31 +15,31 @@
 use tokio::net::{TcpListener, TcpStream, UdpSocket};
 use tokio::task::{spawn_local, AbortHandle};
 
-/// Datagrams held back at once on one link; more are lost.
+/// The maximum number of delayed datagrams on one link; further ones are dropped.
 const MAX_DELAYED_DATAGRAMS: usize = 512;
-/// Connections at once on one link; more are closed.
+/// The maximum number of connections on one link; further ones are closed.
 const MAX_CONNECTIONS: usize = 32;
 /// Connections are closed after this time.
 const MAX_CONNECTION_DURATION: Duration = Duration::from_secs(5);
-/// The longest datagram.
+/// The receive buffer, which holds the longest UDP datagram.
 const MAX_DATAGRAM_BYTES: usize = 65_536;
 
-/// What a link does to what passes. By default everything passes at once.
+/// The faults of a link. By default everything passes without delay.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(super) struct LinkFaults {
-    /// Nothing passes.
+    /// Whether the link drops everything.
     pub(super) is_cut: bool,
-    /// The fraction of datagrams that is lost.
+    /// The fraction of datagrams that is dropped.
     pub(super) loss: f64,
-    /// The fraction of datagrams that passes twice.
+    /// The fraction of datagrams that is sent twice.
     pub(super) duplication: f64,
-    /// Datagrams are held back for up to this time, at random, so that later ones may overtake them; connections are
-    /// held back for this time.
+    /// Datagrams are delayed by a random time up to this one, so that they may be reordered; connections are delayed by
+    /// exactly this time.
     pub(super) max_delay: Duration,
 }
 
 impl LinkFaults {
-    /// Nothing passes.
+    /// Drops everything.
     pub(super) fn cut() -> Self {
         LinkFaults {
             is_cut: true,
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Everything passes, held back for up to this time.
+    /// Delays everything by up to this time.
     pub(super) fn delayed(max_delay: Duration) -> Self {
         LinkFaults {
             max_delay,
@@ -56,12 +56,12 @@
     }
 }
 
-/// What the tasks of a link read each time something passes.
+/// The state that a relay shares with its tasks, which read it for each datagram and connection.
 struct LinkState {
     target: SocketAddr,
     faults: Cell<LinkFaults>,
-    /// A second process under the name of the target, which gets every other datagram.
-    twin: Cell<Option<SocketAddr>>,
+    /// The address of a second process under the target's name, which receives half of the datagrams, at random.
+    duplicate_target: Cell<Option<SocketAddr>>,
     delayed_datagrams: Cell<usize>,
     open_connections: Cell<usize>,
 }
@@ -74,7 +74,7 @@
 }
 
 impl LinkRelay {
-    /// Starts a relay to this address; `seed` is that of its random faults.
+    /// Starts a relay to this address, whose random faults are drawn from `seed`.
     pub(super) async fn start(
         target: SocketAddr,
         seed: u64,
@@ -83,7 +83,7 @@
         let state = Rc::new(LinkState {
             target,
             faults: Cell::default(),
-            twin: Cell::default(),
+            duplicate_target: Cell::default(),
             delayed_datagrams: Cell::default(),
             open_connections: Cell::default(),
         });
@@ -99,19 +99,18 @@
         })
     }
 
-    /// The address that the sender uses.
+    /// The address to which the sending node connects.
     pub(super) fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Sets what the link does from now on.
     pub(super) fn set_faults(&self, faults: LinkFaults) {
         self.state.faults.set(faults);
     }
 
-    /// Sends every other datagram, as drawn, to a second process under the receiver's name from now on.
-    pub(super) fn set_twin(&self, twin: Option<SocketAddr>) {
-        self.state.twin.set(twin);
+    /// Sends half of the datagrams, at random, to a second process under the receiver's name; `None` ends that.
+    pub(super) fn set_duplicate(&self, duplicate_target: Option<SocketAddr>) {
+        self.state.duplicate_target.set(duplicate_target);
     }
 }
 
@@ -137,8 +136,8 @@
         } else {
             1
         };
-        let twin = state.twin.get().filter(|_| rng.random());
-        let target = twin.unwrap_or(state.target);
+        let duplicate_target = state.duplicate_target.get().filter(|_| rng.random());
+        let target = duplicate_target.unwrap_or(state.target);
         for _ in 0..copies {
             let delay = faults.max_delay.mul_f64(rng.random());
             relay_datagram(&socket, &state, &buffer[..length], target, delay);
@@ -146,7 +145,7 @@
     }
 }
 
-/// Sends a datagram after a delay. One that the socket does not take is lost, as on a network.
+/// Sends a datagram after a delay. If the socket's buffer is full the datagram is dropped, as on a network.
 fn relay_datagram(
     socket: &Rc<UdpSocket>,
     state: &Rc<LinkState>,
@@ -173,7 +172,7 @@
             .delayed_datagrams
             .set(state.delayed_datagrams.get() - 1);
         if !state.faults.get().is_cut {
-            // Lost where the socket does not take it.
+            // Dropped if the socket's buffer is full.
             let _ = socket.try_send_to(&datagram, target);
         }
     });
@@ -197,7 +196,7 @@
     tokio::time::sleep(delay).await;
     if let Ok(mut target) = TcpStream::connect(state.target).await {
         let copying = copy_bidirectional(&mut stream, &mut target);
-        // However it ends, the connection is closed on both sides.
+        // In each case both sides are closed when the streams are dropped.
         let _ = tokio::time::timeout(MAX_CONNECTION_DURATION, copying).await;
     }
     state.open_connections.set(state.open_connections.get() - 1);
--- a/crates/testbed/src/fault_injection/mod.rs
+++ b/crates/testbed/src/fault_injection/mod.rs
@@ -1,15 +1,16 @@
-//! Fault injection: several processes of the node's program on this machine, and faults between them.
+//! Fault injection: runs several node processes on this machine and injects faults into them and the links between
+//! them.
 //!
-//! Every link between two nodes goes through a relay that can cut, delay, repeat and lose what passes. What the
-//! processes act upon is a stub that writes everything down, and the verdict comes from such records alone, not from
-//! what the nodes say. One seed plays the faults of a run again. A scenario is started by a sub-command of
-//! `poppykeel-testbed break`:
+//! Every link between two nodes goes through a relay that can cut the link and delay, duplicate or drop messages. Stub
+//! servers record every request that they receive. The verdict is computed from these records and from readiness polls,
+//! not from the state that the nodes report. A run is reproducible: its faults are drawn from one seed. Each scenario
+//! is a sub-command of `poppykeel-testbed break`:
 //!
-//! - [`run_lease_scenario`]: a task under a lease never has two holders, and soon one again.
-//! - [`run_rolling_restart_scenario`]: all nodes are taken out one after the other, never more than allowed at once.
-//! - [`run_budget_scenario`]: all nodes together keep to the budgets of the fleet.
+//! - [`run_lease_scenario`]: a task never has two lease holders, and gets a new one soon after its holder is lost.
+//! - [`run_rolling_restart_scenario`]: every node is taken out, never more of them at once than allowed.
+//! - [`run_budget_scenario`]: all nodes together stay within the budgets of the fleet.
 //!
-//! Everything runs on one thread, in a `LocalSet` of tokio; only the nodes are processes of their own.
+//! Everything runs on one thread in a tokio `LocalSet`; only the nodes are separate processes.
 
 mod admin_client;
 mod budget_verdict;
@@ -26,11 +27,11 @@
 mod run_history;
 mod test_fleet;
 
-pub use budget_verdict::{judge_budgets, BudgetReport, BudgetWhole, WorkCount};
+pub use budget_verdict::{check_budgets, BudgetReport, FleetBudget, WorkCount};
 pub use budgets::{run_budget_scenario, BudgetScenario};
 pub use error::FaultInjectionError;
 pub use injected_fault::{InjectedFault, InjectedFaultKind};
-pub use lease_verdict::{judge_actions, ActionGap, LeaseVerdict, LeasedAction, ProcessName};
+pub use lease_verdict::{check_actions, ActionGap, LeaseVerdict, LeasedAction, ProcessName};
 pub use leases::{run_lease_scenario, LeaseReport, LeaseScenario};
 pub use rolling_restart::{
     run_rolling_restart_scenario, RollingRestartReport, RollingRestartScenario,
--- a/crates/testbed/src/fault_injection/node_process.rs
+++ b/crates/testbed/src/fault_injection/node_process.rs
@@ -1,7 +1,7 @@
-//! A node as a process that is stopped, continued, killed and started again.
+//! A node process that can be started, stopped, resumed, shut down and killed.
 //!
-//! It never outlives the testbed: it is killed when its [`NodeProcess`] is dropped, and the program itself ends with its
-//! parent, which it is asked for in its environment.
+//! A process never outlives the testbed: it is killed when its [`NodeProcess`] is dropped, and an environment variable
+//! makes the node exit when its parent does.
 
 use super::error::FaultInjectionError;
 use rustix::process::{kill_process, Pid, Signal};
@@ -11,37 +11,33 @@
 use std::time::Duration;
 use tokio::process::{Child, Command};
 
-/// How long a process may take for its graceful shutdown.
+/// A process that has not shut down gracefully within this time is killed.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// A process that runs, or has ended by itself.
+/// A process that is running or has exited without having been killed here.
 pub(super) struct NodeProcess {
     child: Child,
 }
 
-/// How a process is started.
+/// The program, files and settings with which a process is started.
 #[derive(Clone, Debug)]
 pub(super) struct NodeCommand {
     /// The node's program.
     pub(super) program: PathBuf,
-    /// Its configuration.
     pub(super) config: PathBuf,
-    /// Its operators' file.
     pub(super) operator_file: PathBuf,
-    /// The file that its log is appended to.
+    /// The file to which the log is appended.
     pub(super) log: PathBuf,
-    /// The address of its admin interface.
     pub(super) admin_address: String,
-    /// How wrong its clock of leases runs, in parts in a million.
+    /// The rate error of the lease clock, in parts per million.
     pub(super) clock_ppm: i64,
-    /// How wrong its wall clock is, in seconds.
+    /// The offset of the wall clock from the real time, in seconds.
     pub(super) wall_clock_offset_s: i64,
-    /// The file with the faults of its disk.
+    /// The file from which the node reads the faults of its disk.
     pub(super) disk_faults: PathBuf,
 }
 
 impl NodeProcess {
-    /// Starts a process.
     pub(super) fn start(command: &NodeCommand) -> Result<NodeProcess, FaultInjectionError> {
         let log = OpenOptions::new()
             .create(true)
@@ -60,7 +56,7 @@
                 command.wall_clock_offset_s.to_string(),
             )
             .env("POPPYKEEL_TEST_DISK", &command.disk_faults)
-            // Also where the testbed is killed, and where the process is stopped at that moment.
+            // The node exits with its parent, even if the testbed is killed while the node is stopped.
             .env("POPPYKEEL_TEST_WITH_PARENT", std::process::id().to_string())
             .env_remove("GW_LISTEN")
             .env_remove("GW_NAME")
@@ -84,13 +80,13 @@
         self.signal(Signal::CONT);
     }
 
-    /// Sends SIGKILL and waits for the end.
+    /// Sends SIGKILL and waits for the exit.
     pub(super) async fn kill(mut self) {
-        // It fails only where the process has ended already.
+        // Fails only if the process has already exited.
         let _ = self.child.kill().await;
     }
 
-    /// Sends SIGTERM and waits for the end; SIGKILL where that takes too long.
+    /// Sends SIGTERM and waits for the exit; sends SIGKILL after a timeout.
     pub(super) async fn shut_down(mut self) {
         self.signal(Signal::CONT);
         self.signal(Signal::TERM);
@@ -100,7 +96,7 @@
         }
     }
 
-    /// The exit status, if it has ended by itself.
+    /// The exit status, or `None` while the process runs.
     pub(super) fn exit_status(&mut self) -> Option<String> {
         let status = self.child.try_wait().ok()??;
         Some(status.to_string())
@@ -109,7 +105,7 @@
     fn signal(&self, signal: Signal) {
         let id = self.child.id().and_then(|id| i32::try_from(id).ok());
         if let Some(pid) = id.and_then(Pid::from_raw) {
-            // It fails only where the process has ended already.
+            // Fails only if the process has already exited.
             let _ = kill_process(pid, signal);
         }
     }
--- a/crates/testbed/src/fault_injection/ports.rs
+++ b/crates/testbed/src/fault_injection/ports.rs
@@ -1,4 +1,4 @@
-//! Ports on loopback that are free for datagrams and connections alike.
+//! Allocation of loopback ports that are free for both UDP and TCP.
 
 use rand::RngExt;
 use std::io;
@@ -7,45 +7,43 @@
 use std::sync::OnceLock;
 use tokio::net::{TcpListener, UdpSocket};
 
-/// Tries to find a port that is free for both.
-const MAX_TRIES: usize = 50;
-/// The first port of processes that start again at the same one. They are below the range from which the system takes
-/// ports by itself.
+/// The maximum number of attempts to find a port that is free for both.
+const MAX_ATTEMPTS: usize = 50;
+/// The first port for processes that restart on the same port. These ports are below the range of ephemeral ports.
 const FIRST_RESTART_PORT: u16 = 10_000;
-/// How many such ports there are.
+/// The number of ports for such processes.
 const RESTART_PORT_COUNT: u16 = 20_000;
 
-/// A port that is held as long as this lives.
+/// A port that stays bound until this value is dropped.
 pub(super) struct BoundPort {
     pub(super) socket: UdpSocket,
     pub(super) listener: TcpListener,
     pub(super) address: SocketAddr,
 }
 
-/// Binds any free port.
 pub(super) async fn bind_any_port() -> io::Result<BoundPort> {
-    bind_first_free((0..MAX_TRIES).map(|_| 0)).await
+    bind_first_free((0..MAX_ATTEMPTS).map(|_| 0)).await
 }
 
-/// Binds a port for a process, where no outgoing connection takes it while the process is down. Each is given out once
-/// in this program: a fleet lets go of its ports for the moment in which its nodes start, and another one must not take
-/// them.
+/// Binds a port outside the ephemeral range, so that no outgoing connection takes it while its process is down. Each
+/// port is allocated once per program: a fleet releases its ports just before its nodes start, and another fleet must
+/// not bind them in between.
 pub(super) async fn bind_restart_port() -> io::Result<BoundPort> {
     bind_first_free((0..RESTART_PORT_COUNT).map(|_| next_restart_port())).await
 }
 
 fn next_restart_port() -> u16 {
     static FIRST_OFFSET: OnceLock<u16> = OnceLock::new();
-    static GIVEN_OUT: AtomicU16 = AtomicU16::new(0);
-    // Two programs that play at once begin at different ports.
+    static ALLOCATED_COUNT: AtomicU16 = AtomicU16::new(0);
+    // Programs that run at the same time start at different ports.
     let first_offset =
         *FIRST_OFFSET.get_or_init(|| rand::rng().random_range(0..RESTART_PORT_COUNT));
-    let given_out = GIVEN_OUT.fetch_add(1, Ordering::Relaxed);
-    let offset = (first_offset + given_out % RESTART_PORT_COUNT) % RESTART_PORT_COUNT;
+    let allocated_count = ALLOCATED_COUNT.fetch_add(1, Ordering::Relaxed);
+    let offset = (first_offset + allocated_count % RESTART_PORT_COUNT) % RESTART_PORT_COUNT;
     FIRST_RESTART_PORT + offset
 }
 
-/// Binds the first port that is free; 0 stands for any.
+/// Binds the first of these ports that is free; 0 lets the system choose a port.
 async fn bind_first_free(ports: impl Iterator<Item = u16>) -> io::Result<BoundPort> {
     let mut last_error = io::ErrorKind::AddrInUse.into();
     for port in ports {
--- a/crates/testbed/src/fault_injection/ports/tests.rs
+++ b/crates/testbed/src/fault_injection/ports/tests.rs
@@ -1,20 +1,20 @@
-//! Ports that a fleet lets go of for the moment in which its nodes start.
+//! Tests of port allocation.
 
 use super::*;
 
-/// Far more than the fleets of one process take.
-const MANY: usize = 2_000;
+/// Far more ports than the fleets of one process use.
+const ALLOCATION_COUNT: usize = 2_000;
 
-/// Guards against a fleet whose lease server can't start: the others of one process took its port in that moment, and
-/// while one lease server of a new fleet is missing nobody ever holds a lease.
+/// Guards against a lease server that cannot start because another fleet of the same process bound its port just before
+/// the start. While one lease server of a new fleet is missing, no node acquires a lease.
 #[tokio::test]
-async fn gives_out_each_restart_port_once() {
+async fn allocates_each_restart_port_once() {
     let mut ports = std::collections::BTreeSet::new();
-    for _ in 0..MANY {
+    for _ in 0..ALLOCATION_COUNT {
         let bound = bind_restart_port().await.unwrap();
         let port = bound.socket.local_addr().unwrap().port();
         let range = FIRST_RESTART_PORT..FIRST_RESTART_PORT + RESTART_PORT_COUNT;
         assert!(range.contains(&port));
-        assert!(ports.insert(port), "{port} is given out twice");
+        assert!(ports.insert(port), "port {port} was allocated twice");
     }
 }
--- a/crates/testbed/src/fault_injection/rolling_restart.rs
+++ b/crates/testbed/src/fault_injection/rolling_restart.rs
@@ -1,6 +1,6 @@
-//! `break roll`: operators take all nodes out one after the other while the coordinator is killed, stopped and cut off.
+//! `break roll`: a rolling restart of all nodes while its coordinator is killed, stopped or cut off.
 //!
-//! The verdict comes from this module's own polls of each node's readiness: how many nodes were certainly out at once.
+//! The verdict is how many nodes were provably out of service at the same time, from polls of each node's readiness.
 
 use super::admin_client::{
     call, get_fleet_status, get_readiness, held_epoch, STATUS_OK, STATUS_UNAVAILABLE,
@@ -24,18 +24,17 @@
 use tokio::task::spawn_local;
 use tokio::time::Instant;
 
-/// The time between two polls of one node's readiness.
 const READINESS_POLL_INTERVAL: Duration = Duration::from_millis(15);
-/// The time between two looks at whether all nodes know each other.
+/// The interval of polls that wait for the fleet to be complete.
 const MEMBER_POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// The time between two looks at how far the restart is.
+/// The interval of polls of the restart's progress.
 const PROGRESS_POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// A restart that takes longer is given up.
+/// The timeout of the whole scenario.
 const SCENARIO_TIMEOUT: Duration = Duration::from_secs(90);
-/// The restart is over once no node has had a part to do in so many looks: a node that was killed may have forgotten the
-/// order until it receives it again.
-const QUIET_LOOKS: usize = 4;
-/// The task of the coordinator's lease.
+/// The restart is complete once no node has reported pending work in this many consecutive polls. A single poll is not
+/// enough: a node that was killed may have lost the order until it receives it again.
+const IDLE_POLLS: usize = 4;
+/// The name of the task whose lease the coordinator holds.
 const COORDINATOR_TASK: &str = "roll";
 /// The faults that affect the coordinator.
 const COORDINATOR_FAULTS: [InjectedFaultKind; 3] = [
@@ -44,35 +43,36 @@
     InjectedFaultKind::CutHolder,
 ];
 
-/// What is to be played.
+/// The parameters of a rolling restart scenario.
 #[derive(Clone, Debug)]
 pub struct RollingRestartScenario {
-    /// The fleet.
+    /// The size and settings of the fleet.
     pub shape: FleetShape,
     /// The seed from which faults are drawn.
     pub seed: u64,
-    /// Faults that affect the coordinator one after the other, as long as the restart lasts.
+    /// The maximum number of faults injected into the coordinator; they end with the restart.
     pub fault_count: usize,
-    /// How many nodes may be out at once.
+    /// The maximum number of nodes that may be out of service at once.
     pub max_out: usize,
 }
 
-/// What was found.
+/// The result of a rolling restart scenario.
 #[derive(Clone, Debug, Default)]
 pub struct RollingRestartReport {
-    /// The most nodes that were certainly out at one time.
+    /// The maximum number of nodes that were provably out of service at the same time.
     pub max_out_at_once: usize,
-    /// Nodes that were seen out.
+    /// The number of nodes that were observed out of service.
     pub seen_out: usize,
-    /// Nodes that are ready at the end.
+    /// The number of nodes that are ready at the end.
     pub ready_at_end: usize,
-    /// How many times a node became coordinator.
+    /// The number of times that a node became coordinator.
     pub coordinator_count: usize,
-    /// The time from the order to its end, in seconds.
+    /// The duration of the restart, in seconds.
     pub duration_s: f64,
 }
 
-/// The time in which a node was certainly out: between two answers that said so. An array of two in the history.
+/// A period in which a node was provably out of service: between two polls whose responses said so. Written to the
+/// history as an array of two numbers.
 #[derive(Clone, Copy, Debug, Serialize)]
 #[serde(into = "(Micros, Micros)")]
 struct OutInterval {
@@ -86,15 +86,15 @@
     }
 }
 
-/// The intervals of one node, which its poller adds to.
+/// The intervals of one node, which its poller extends.
 type OutIntervals = Rc<RefCell<Vec<OutInterval>>>;
 
-/// Plays a scenario; `folder` takes configurations, disks, logs and the history.
+/// Runs a scenario. Configurations, disks, logs and the history are written to `folder`.
 ///
 /// # Errors
 ///
-/// [`FaultInjectionError`] where the fleet cannot be started, does not accept the order, or does not come to its end in
-/// time.
+/// [`FaultInjectionError`] if the fleet cannot be started, does not accept the order, or does not complete the restart
+/// in time.
 pub async fn run_rolling_restart_scenario(
     scenario: &RollingRestartScenario,
     program: &Path,
@@ -111,19 +111,19 @@
         seed: scenario.seed,
     })
     .await?;
-    let player = ScenarioPlayer {
+    let runner = ScenarioRunner {
         scenario,
         fleet: &fleet,
         history: &history,
         nodes: fleet.admin_addresses(),
         deadline: Instant::now() + SCENARIO_TIMEOUT,
     };
-    let played = player.play().await;
+    let results = runner.run().await;
     fleet.kill_all().await;
-    played
+    results
 }
 
-struct ScenarioPlayer<'a> {
+struct ScenarioRunner<'a> {
     scenario: &'a RollingRestartScenario,
     fleet: &'a TestFleet,
     history: &'a RunHistory,
@@ -132,21 +132,21 @@
     deadline: Instant,
 }
 
-/// What the nodes say of the restart at one look.
+/// The progress of the restart as reported by the nodes in one poll.
 struct Progress {
     coordinator: Option<usize>,
-    /// Nodes that have a part to do.
-    open_count: usize,
+    /// The number of nodes that have not carried out the order.
+    pending_count: usize,
 }
 
-impl ScenarioPlayer<'_> {
-    async fn play(&self) -> Result<RollingRestartReport, FaultInjectionError> {
+impl ScenarioRunner<'_> {
+    async fn run(&self) -> Result<RollingRestartReport, FaultInjectionError> {
         self.wait_for_members().await?;
         let is_stopped: Rc<Cell<bool>> = Rc::default();
-        let mut pollers_intervals: Vec<OutIntervals> = Vec::new();
+        let mut intervals_by_node: Vec<OutIntervals> = Vec::new();
         for node in &self.nodes {
             let intervals = OutIntervals::default();
-            pollers_intervals.push(intervals.clone());
+            intervals_by_node.push(intervals.clone());
             let poller = ReadinessPoller {
                 node: *node,
                 history: self.history.clone(),
@@ -161,7 +161,7 @@
         is_stopped.set(true);
         let duration_s = (self.history.now() - began_at) as f64 / 1e6;
         let ready_at_end = self.count_ready().await;
-        let intervals: Vec<Vec<OutInterval>> = pollers_intervals
+        let intervals: Vec<Vec<OutInterval>> = intervals_by_node
             .iter()
             .map(|intervals| intervals.borrow().clone())
             .collect();
@@ -179,7 +179,7 @@
         Ok(report)
     }
 
-    /// Waits until the last node knows all others: the fleet must be complete before it gets the order.
+    /// Waits until the last node knows all others: the fleet must be complete before the order is sent.
     async fn wait_for_members(&self) -> Result<(), FaultInjectionError> {
         loop {
             let status = get_fleet_status(self.last_node()).await;
@@ -189,7 +189,7 @@
             if member_count == self.nodes.len() {
                 return Ok(());
             }
-            self.check_deadline("all members")?;
+            self.check_deadline("all members of the fleet")?;
             tokio::time::sleep(MEMBER_POLL_INTERVAL).await;
         }
     }
@@ -205,21 +205,21 @@
         }
     }
 
-    /// Injects faults into the coordinator until the restart is over. Returns how many epochs of its lease there were.
+    /// Injects faults into the coordinator until the restart is complete. Returns the number of epochs of its lease.
     async fn wait_for_end(&self) -> Result<usize, FaultInjectionError> {
         let mut rng = Pcg64Mcg::seed_from_u64(self.scenario.seed);
         let lease_ms = self.scenario.shape.lease_duration.as_millis() as u64;
         let mut faults_left = self.scenario.fault_count;
         let mut epochs = BTreeSet::new();
-        let mut quiet_looks = 0;
+        let mut idle_polls = 0;
         loop {
-            let progress = self.look_at_progress(&mut epochs).await;
-            if progress.open_count == 0 {
-                quiet_looks += 1;
+            let progress = self.poll_progress(&mut epochs).await;
+            if progress.pending_count == 0 {
+                idle_polls += 1;
             } else {
-                quiet_looks = 0;
+                idle_polls = 0;
             }
-            if quiet_looks >= QUIET_LOOKS {
+            if idle_polls >= IDLE_POLLS {
                 return Ok(epochs.len());
             }
             if let Some(coordinator) = progress.coordinator.filter(|_| faults_left > 0) {
@@ -227,16 +227,16 @@
                 let fault = InjectedFault::draw(&mut rng, &COORDINATOR_FAULTS, lease_ms);
                 self.fleet.inject(&fault, coordinator).await?;
             }
-            self.check_deadline("the roll's end")?;
+            self.check_deadline("the end of the rolling restart")?;
             tokio::time::sleep(PROGRESS_POLL_INTERVAL).await;
         }
     }
 
-    /// Asks all nodes, and adds the epochs of the coordinator's lease.
-    async fn look_at_progress(&self, epochs: &mut BTreeSet<u64>) -> Progress {
+    /// Polls the status of all nodes, and adds the current epoch of the coordinator's lease to `epochs`.
+    async fn poll_progress(&self, epochs: &mut BTreeSet<u64>) -> Progress {
         let mut progress = Progress {
             coordinator: None,
-            open_count: 0,
+            pending_count: 0,
         };
         for (node, address) in self.nodes.iter().enumerate() {
             let Some(status) = get_fleet_status(*address).await else {
@@ -246,8 +246,8 @@
                 epochs.insert(epoch);
                 progress.coordinator = Some(node);
             }
-            if has_open_part(&status) {
-                progress.open_count += 1;
+            if has_pending_order(&status) {
+                progress.pending_count += 1;
             }
         }
         progress
@@ -279,13 +279,13 @@
     }
 }
 
-/// Whether a node has received the order and not carried out its part.
-fn has_open_part(fleet_status: &Value) -> bool {
+/// Whether a node has received the order and not yet carried it out.
+fn has_pending_order(fleet_status: &Value) -> bool {
     let restart = &fleet_status["roll"];
     restart.is_object() && restart["part"] != "carried out"
 }
 
-/// Polls the readiness of one node until it is stopped. It is the only writer of its intervals.
+/// Polls the readiness of one node until the poller is stopped. It is the only writer of its intervals.
 struct ReadinessPoller {
     node: SocketAddr,
     history: RunHistory,
@@ -295,17 +295,17 @@
 
 impl ReadinessPoller {
     async fn run(self) {
-        // When the node first answered that it is out, since it was last ready or silent.
+        // The first response that reported the node out of service, since the last poll that failed or reported ready.
         let mut out_since: Option<Micros> = None;
         while !self.is_stopped.get() {
-            let asked_at = self.history.now();
+            let polled_at = self.history.now();
             let readiness = get_readiness(self.node).await;
-            let is_out = readiness.is_some_and(|answer| answer.status == STATUS_UNAVAILABLE);
+            let is_out = readiness.is_some_and(|response| response.status == STATUS_UNAVAILABLE);
             if !is_out {
                 out_since = None;
             } else if let Some(from) = out_since {
-                if asked_at > from {
-                    self.extend_interval(from, asked_at);
+                if polled_at > from {
+                    self.extend_interval(from, polled_at);
                 }
             } else {
                 out_since = Some(self.history.now());
@@ -323,9 +323,9 @@
     }
 }
 
-/// The most intervals that share a moment.
+/// The maximum number of intervals that overlap at one time.
 fn max_out_at_once(nodes: &[Vec<OutInterval>]) -> usize {
-    // An interval that ends at a moment does not share it with one that begins then: ends sort first.
+    // Intervals that only touch do not overlap: at the same time ends sort before beginnings.
     let mut edges: Vec<(Micros, i32)> = Vec::new();
     for interval in nodes.iter().flatten() {
         edges.push((interval.from, 1));
--- a/crates/testbed/src/fault_injection/run_history.rs
+++ b/crates/testbed/src/fault_injection/run_history.rs
@@ -1,4 +1,4 @@
-//! The history of a run, for people: what happened, in order, as one JSON object a line.
+//! The history of a run for human readers: one JSON object per line for each event, in order.
 
 use super::error::FaultInjectionError;
 use crate::Micros;
@@ -13,7 +13,7 @@
 /// The name of the file in the folder of the run.
 const FILE_NAME: &str = "history.jsonl";
 
-/// The history of a run, and its clock. Clones write to the same file.
+/// The history file of a run and the run's clock. Clones write to the same file.
 #[derive(Clone)]
 pub(super) struct RunHistory {
     started_at: Instant,
@@ -21,8 +21,8 @@
 }
 
 impl RunHistory {
-    /// Begins a history in a folder of its own. A folder that already has one is emptied: disks and logs of an earlier
-    /// run would be taken for those of this one.
+    /// Creates the history in the folder of the run. If the folder has a history already, it is emptied first: the
+    /// nodes would otherwise load the disks of the earlier run.
     pub(super) fn create(folder: &Path) -> Result<RunHistory, FaultInjectionError> {
         let path = folder.join(FILE_NAME);
         if path.exists() {
@@ -41,11 +41,11 @@
         self.started_at.elapsed().as_micros() as Micros
     }
 
-    /// Adds a line.
+    /// Appends an event.
     pub(super) fn add(&self, event: &str, details: &Value) {
         let line = json!({"t_us": self.now(), "what": event, "more": details});
         let mut file = self.file.borrow_mut();
-        // The verdict of a run does not come from its history, so a full disk does not end the run.
+        // Errors are ignored: the verdict does not depend on the history, so a full disk must not end the run.
         let _ = writeln!(file, "{line}").and_then(|()| file.flush());
     }
 }
--- a/crates/testbed/src/fault_injection/test_fleet/duplicate_node.rs
+++ b/crates/testbed/src/fault_injection/test_fleet/duplicate_node.rs
@@ -1,4 +1,4 @@
-//! A second process under a node's name, with a disk and addresses of its own.
+//! Duplicate node: a second process under a node's name, with its own disk and addresses.
 
 use super::super::error::FaultInjectionError;
 use super::super::node_process::{NodeCommand, NodeProcess};
@@ -9,91 +9,91 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// A text of a configuration and what replaces it.
+/// A text replacement in a configuration file.
 struct Replacement {
     old: String,
     new: String,
 }
 
 impl TestFleet {
-    /// Runs a second process under the name of `node` for a time. The lease holder is killed meanwhile, so that all
-    /// nodes ask for the lease.
-    pub(super) async fn run_twin(
+    /// Runs a second process under the name of `node` for `duration`. Halfway, the lease holder is killed, so that all
+    /// nodes request the lease.
+    pub(super) async fn run_duplicate(
         &self,
         node: usize,
         holder: usize,
         duration: Duration,
     ) -> Result<(), FaultInjectionError> {
-        let addresses = reserve_twin_addresses().await?;
+        let addresses = reserve_duplicate_addresses().await?;
         if self.shape.nodes < 2 {
-            return Err(FaultInjectionError::NoTwin);
+            return Err(FaultInjectionError::FleetTooSmall);
         }
-        let command = self.twin_command(node, addresses)?;
+        let command = self.duplicate_command(node, addresses)?;
         self.history.add("twin", &json!({"node": node}));
-        self.set_twin(node, Some(addresses.coordination));
-        let twin = NodeProcess::start(&command)?;
+        self.set_duplicate(node, Some(addresses.coordination));
+        let duplicate = NodeProcess::start(&command)?;
         tokio::time::sleep(duration / 2).await;
         self.kill_for(&[holder], duration / 2).await?;
-        twin.kill().await;
-        self.set_twin(node, None);
+        duplicate.kill().await;
+        self.set_duplicate(node, None);
         self.history.add("twin gone", &json!({"node": node}));
         Ok(())
     }
 
-    /// Lets messages for a node reach one of two processes, or only its own again.
-    fn set_twin(&self, node: usize, twin: Option<SocketAddr>) {
+    /// Routes half of the messages for a node to the duplicate; with `None`, all go to the node again.
+    fn set_duplicate(&self, node: usize, duplicate: Option<SocketAddr>) {
         for (link, relay) in &self.links {
             if link.to == node {
-                relay.set_twin(twin);
+                relay.set_duplicate(duplicate);
             }
         }
     }
 
-    /// Writes the files of the twin: those of the node with other addresses and another, empty disk.
-    fn twin_command(
+    /// Writes the configuration files of the duplicate: those of the node with other addresses and an empty disk.
+    fn duplicate_command(
         &self,
         node: usize,
-        twin: NodeAddresses,
+        duplicate: NodeAddresses,
     ) -> Result<NodeCommand, FaultInjectionError> {
         let own = self.addresses[node];
-        let twin_disk = self.twin_path(node, "disk");
-        // There may be one of an earlier twin, or none.
-        let _ = std::fs::remove_dir_all(&twin_disk);
+        let duplicate_disk = self.duplicate_path(node, "disk");
+        // Removes the disk of an earlier duplicate, if there is one.
+        let _ = std::fs::remove_dir_all(&duplicate_disk);
         let operator_changes = [
             Replacement {
                 old: listen_line(own.coordination),
-                new: listen_line(twin.coordination),
+                new: listen_line(duplicate.coordination),
             },
             Replacement {
                 old: folder_line(&self.disk(node)),
-                new: folder_line(&twin_disk),
+                new: folder_line(&duplicate_disk),
             },
         ];
         let config_changes = [Replacement {
             old: own.serving.to_string(),
-            new: twin.serving.to_string(),
+            new: duplicate.serving.to_string(),
         }];
         let command = &self.commands[node];
-        let operator_file = self.twin_path(node, "toml");
+        let operator_file = self.duplicate_path(node, "toml");
         rewrite(&command.operator_file, &operator_file, &operator_changes)?;
-        let config = self.twin_path(node, "json");
+        let config = self.duplicate_path(node, "json");
         rewrite(&command.config, &config, &config_changes)?;
         Ok(NodeCommand {
             config,
             operator_file,
-            log: self.twin_path(node, "log"),
-            admin_address: twin.admin.to_string(),
+            log: self.duplicate_path(node, "log"),
+            admin_address: duplicate.admin.to_string(),
             ..command.clone()
         })
     }
 
-    fn twin_path(&self, node: usize, extension: &str) -> PathBuf {
+    fn duplicate_path(&self, node: usize, extension: &str) -> PathBuf {
         self.folder.join(format!("twin-{node}.{extension}"))
     }
 }
 
-/// Finds free addresses. Their ports are free again for the twin when this returns.
-async fn reserve_twin_addresses() -> Result<NodeAddresses, FaultInjectionError> {
+/// Allocates addresses. Their ports are released when this returns, so that the duplicate can bind them.
+async fn reserve_duplicate_addresses() -> Result<NodeAddresses, FaultInjectionError> {
     let coordination = bind_restart_port()
         .await
         .map_err(FaultInjectionError::Port)?;
@@ -118,7 +118,7 @@
     format!("folder = {:?}", disk.display().to_string())
 }
 
-/// Writes a file with some of its text replaced.
+/// Copies a file with these replacements.
 fn rewrite(
     from: &Path,
     to: &Path,
--- a/crates/testbed/src/fault_injection/test_fleet/inject.rs
+++ b/crates/testbed/src/fault_injection/test_fleet/inject.rs
@@ -1,4 +1,4 @@
-//! One fault from its beginning to its end, after which the fleet is whole again.
+//! Injects one fault and heals it: afterwards all nodes and links work again.
 
 use super::super::admin_client::call;
 use super::super::error::FaultInjectionError;
@@ -11,24 +11,23 @@
 
 /// The fraction of datagrams that degraded links duplicate.
 const DEGRADED_DUPLICATION: f64 = 0.3;
-/// The figure by which a lease server says that its disk has failed.
+/// The metric line with which a lease server reports a failed disk.
 const DISK_FAILED_METRIC: &str = "app_fleet_keeper_disk_failed 1";
 
-/// A fault with the nodes that it affects.
+/// The nodes that a fault may affect, and its duration.
 #[derive(Clone, Copy)]
-struct Affected {
+struct FaultTargets {
     /// The node that holds the lease.
     holder: usize,
     /// The lease server that was drawn.
     lease_server: usize,
     /// The node that was drawn.
     node: usize,
-    /// How long the fault lasts.
     duration: Duration,
 }
 
 impl TestFleet {
-    /// Plays a fault from its beginning to its end; `holder` is the node that holds the lease.
+    /// Injects a fault, waits for its end and heals it. `holder` is the node that holds the lease.
     pub(in super::super) async fn inject(
         &self,
         fault: &InjectedFault,
@@ -36,7 +35,7 @@
     ) -> Result<(), FaultInjectionError> {
         self.history
             .add("fault", &json!({"fault": fault, "holder": holder}));
-        let affected = Affected {
+        let targets = FaultTargets {
             holder,
             lease_server: fault.whom as usize % self.shape.lease_servers,
             node: fault.whom as usize % self.shape.nodes,
@@ -52,27 +51,28 @@
             | InjectedFaultKind::StopHolder
             | InjectedFaultKind::StopKeeper
             | InjectedFaultKind::HalfLeave
-            | InjectedFaultKind::Rolling => self.inject_process_fault(fault.kind, affected).await?,
+            | InjectedFaultKind::Rolling => self.inject_process_fault(fault.kind, targets).await?,
             InjectedFaultKind::CutOneWay
             | InjectedFaultKind::CutHolder
             | InjectedFaultKind::Split
-            | InjectedFaultKind::DegradedLinks => self.inject_link_fault(fault, affected).await,
+            | InjectedFaultKind::DegradedLinks => self.inject_link_fault(fault, targets).await,
             InjectedFaultKind::OldDisk | InjectedFaultKind::EmptyDisk => {
-                self.lose_disk(fault.kind, affected).await?;
+                self.replace_disk(fault.kind, targets).await?;
             }
             InjectedFaultKind::FullDisk | InjectedFaultKind::FailedSync => {
-                self.fail_disk(fault.kind, affected).await?;
+                self.fail_disk(fault.kind, targets).await?;
             }
             InjectedFaultKind::LateAct => self.delay_report_and_kill(holder).await?,
-            InjectedFaultKind::StopMidAct => self.stop_during_report(affected).await,
+            InjectedFaultKind::StopMidAct => self.stop_during_report(targets).await,
             InjectedFaultKind::NameTwice => {
-                let twin_of = if fault.size < 0.5 {
+                let duplicated_node = if fault.size < 0.5 {
                     holder
                 } else {
-                    affected.node
+                    targets.node
                 };
-                let duration = affected.duration.max(self.shape.lease_duration * 2);
-                self.run_twin(twin_of, holder, duration).await?;
+                let duration = targets.duration.max(self.shape.lease_duration * 2);
+                self.run_duplicate(duplicated_node, holder, duration)
+                    .await?;
             }
         }
         self.set_link_faults(|_| true, LinkFaults::default());
@@ -80,18 +80,18 @@
         Ok(())
     }
 
-    /// Faults that end or stop processes.
+    /// Injects a fault that ends or stops processes.
     async fn inject_process_fault(
         &self,
         kind: InjectedFaultKind,
-        affected: Affected,
+        targets: FaultTargets,
     ) -> Result<(), FaultInjectionError> {
-        let Affected {
+        let FaultTargets {
             holder,
             lease_server,
             node,
             duration,
-        } = affected;
+        } = targets;
         match kind {
             InjectedFaultKind::KillHolder => self.kill_for(&[holder], duration).await,
             InjectedFaultKind::KillNode => self.kill_for(&[node], duration).await,
@@ -107,7 +107,7 @@
                 self.start_node(holder)
             }
             InjectedFaultKind::HalfLeave => self.shut_down_half(duration).await,
-            InjectedFaultKind::Rolling => self.restart_in_turn(duration).await,
+            InjectedFaultKind::Rolling => self.restart_sequentially(duration).await,
             InjectedFaultKind::StopKeeper => {
                 self.stop_for(lease_server, duration).await;
                 Ok(())
@@ -119,11 +119,11 @@
         }
     }
 
-    /// Faults of the links between nodes.
-    async fn inject_link_fault(&self, fault: &InjectedFault, affected: Affected) {
+    /// Injects a fault of the links between nodes.
+    async fn inject_link_fault(&self, fault: &InjectedFault, targets: FaultTargets) {
         let lease_servers = self.shape.lease_servers;
-        let lease_server = affected.lease_server;
-        let holder = affected.holder;
+        let lease_server = targets.lease_server;
+        let holder = targets.holder;
         match fault.kind {
             InjectedFaultKind::CutOneWay => self.set_link_faults(
                 |link| link.from == lease_server && link.to != lease_server,
@@ -148,10 +148,10 @@
                 self.set_link_faults(|_| true, degraded);
             }
         }
-        tokio::time::sleep(affected.duration).await;
+        tokio::time::sleep(targets.duration).await;
     }
 
-    /// Kills nodes, and starts those that are still down after a time.
+    /// Kills nodes, and starts those that are still down after `duration`.
     pub(super) async fn kill_for(
         &self,
         nodes: &[usize],
@@ -169,7 +169,7 @@
         Ok(())
     }
 
-    /// Stops a process without ending it.
+    /// Suspends a process with SIGSTOP for `duration`.
     async fn stop_for(&self, node: usize, duration: Duration) {
         if let Some(process) = &self.processes.borrow()[node] {
             process.stop();
@@ -180,7 +180,7 @@
         }
     }
 
-    /// Half of the nodes shut down in the same second and start together; a majority of the lease servers stays.
+    /// Shuts down half of the nodes at once and restarts them together; a majority of the lease servers stays up.
     async fn shut_down_half(&self, duration: Duration) -> Result<(), FaultInjectionError> {
         let first = self.shape.lease_servers / 2;
         let half: Vec<usize> = (first..self.shape.nodes).step_by(2).collect();
@@ -197,8 +197,8 @@
         Ok(())
     }
 
-    /// All nodes shut down and start one after the other.
-    async fn restart_in_turn(&self, duration: Duration) -> Result<(), FaultInjectionError> {
+    /// Shuts down and restarts all nodes, one after the other.
+    async fn restart_sequentially(&self, duration: Duration) -> Result<(), FaultInjectionError> {
         for node in 0..self.shape.nodes {
             self.shut_down_node(node).await;
             self.start_node(node)?;
@@ -207,15 +207,15 @@
         Ok(())
     }
 
-    /// A lease server is killed and comes back with an old disk, or with none.
-    async fn lose_disk(
+    /// Kills a lease server and restarts it with an old disk or an empty one.
+    async fn replace_disk(
         &self,
         kind: InjectedFaultKind,
-        affected: Affected,
+        targets: FaultTargets,
     ) -> Result<(), FaultInjectionError> {
-        let lease_server = affected.lease_server;
+        let lease_server = targets.lease_server;
         self.kill_node(lease_server).await;
-        tokio::time::sleep(affected.duration).await;
+        tokio::time::sleep(targets.duration).await;
         let disk = self.disk(lease_server);
         let replaced = if kind == InjectedFaultKind::OldDisk {
             copy_folder(&backup_of(&disk), &disk)
@@ -224,24 +224,24 @@
         };
         replaced.map_err(FaultInjectionError::file(&disk))?;
         self.start_node(lease_server)?;
-        // One memory lost at a time: until it grants again the others keep theirs.
+        // Only one lease server may have lost its state at a time: waits until this one grants again.
         tokio::time::sleep(self.shape.lease_duration * 2).await;
         Ok(())
     }
 
-    /// A lease server's disk fails while another node has to be granted something; then its disk is mended and it is
-    /// started again, as operators do.
+    /// Makes a lease server's disk fail while a new lease has to be granted. Afterwards the disk is repaired and the
+    /// lease server restarted, as an operator would do.
     async fn fail_disk(
         &self,
         kind: InjectedFaultKind,
-        affected: Affected,
+        targets: FaultTargets,
     ) -> Result<(), FaultInjectionError> {
-        let Affected {
+        let FaultTargets {
             holder,
             lease_server,
             duration,
             ..
-        } = affected;
+        } = targets;
         let lease_server = if lease_server == holder {
             (lease_server + 1) % self.shape.lease_servers
         } else {
@@ -271,23 +271,23 @@
         Ok(())
     }
 
-    /// A report of the holder arrives three leases late, and the holder is killed meanwhile.
+    /// Delays a report of the holder by three leases, and kills the holder in the meantime.
     async fn delay_report_and_kill(&self, holder: usize) -> Result<(), FaultInjectionError> {
         let delay = self.shape.lease_duration * 3;
         self.delay_next_report(holder, delay).await;
         self.kill_for(&[holder], delay).await
     }
 
-    /// The holder is stopped while its report is on the way, which arrives after it goes on.
-    async fn stop_during_report(&self, affected: Affected) {
+    /// Stops the holder while its report is in flight; the report arrives after the holder is resumed.
+    async fn stop_during_report(&self, targets: FaultTargets) {
         let lease = self.shape.lease_duration;
-        let delay = affected.duration + lease / 2;
-        self.delay_next_report(affected.holder, delay).await;
-        self.stop_for(affected.holder, affected.duration).await;
+        let delay = targets.duration + lease / 2;
+        self.delay_next_report(targets.holder, delay).await;
+        self.stop_for(targets.holder, targets.duration).await;
         tokio::time::sleep(lease).await;
     }
 
-    /// Delays the reports of a node for long enough that one is on its way, and too short for an answer to any.
+    /// Delays the reports of a node, and returns once one has been sent and before any response could arrive.
     async fn delay_next_report(&self, node: usize, delay: Duration) {
         let link = &self.report_links[node];
         link.set_faults(LinkFaults::delayed(delay));
--- a/crates/testbed/src/fault_injection/test_fleet/mod.rs
+++ b/crates/testbed/src/fault_injection/test_fleet/mod.rs
@@ -1,11 +1,11 @@
-//! The fleet under test: node processes, the links between them, discovery and stub model servers.
+//! The fleet under test: node processes, the links between them, and the discovery and model server stubs.
 //!
-//! A [`TestFleet`] owns its processes, relays and stubs; dropping it kills the processes. [`setup`] starts it,
-//! [`inject`] plays a fault from its beginning to its end, [`twin`] runs a second process under a node's name.
+//! A [`TestFleet`] owns its processes, relays and stubs; dropping it kills the processes. [`setup`] starts the fleet,
+//! [`inject`] injects and heals one fault, [`duplicate_node`] runs a second process under a node's name.
 
+mod duplicate_node;
 mod inject;
 mod setup;
-mod twin;
 
 use super::error::{FaultInjectionError, UnexpectedExit};
 use super::link_relay::{LinkFaults, LinkRelay};
@@ -21,31 +21,32 @@
 
 pub(super) use setup::FleetSetup;
 
-/// Nodes are named by this and their index.
+/// A node's name is this prefix followed by its index.
 const NODE_NAME_PREFIX: &str = "lab-";
 
-/// What the fleet looks like.
+/// The size and settings of a fleet.
 #[derive(Clone, Debug)]
 pub struct FleetShape {
-    /// How many nodes there are.
+    /// The number of nodes.
     pub nodes: usize,
-    /// How many zones there are; nodes and servers are spread over them in turn.
+    /// The number of zones, to which nodes and model servers are assigned in turn.
     pub zones: usize,
-    /// How many nodes are lease servers, from the first on.
+    /// The number of lease servers; these are the first nodes.
     pub lease_servers: usize,
     /// The duration of leases.
     pub lease_duration: Duration,
-    /// The drift of clocks that the nodes allow for, in parts in a million.
+    /// The clock drift that the nodes are configured to tolerate, in parts per million.
     pub allowed_drift_ppm: u32,
-    /// How wrong their clocks do run at most, in parts in a million.
+    /// The maximum rate error of the nodes' clocks, in parts per million.
     pub clock_skew_ppm: u32,
-    /// Clocks of lease servers are as fast as that and those of all others as slow, in place of drawn ones.
+    /// Whether the clocks of lease servers are fast by the maximum and those of all other nodes slow by it, instead of
+    /// drawn rates.
     pub has_opposed_clocks: bool,
     /// The interval of the report task.
     pub report_interval: Duration,
-    /// Whether wall clocks are wrong, some by a year.
+    /// Whether wall clocks are offset, some by a year.
     pub has_wrong_wall_clocks: bool,
-    /// More of the operators' file, as TOML.
+    /// Further settings for the operator file, as TOML.
     pub more_operator_settings: String,
 }
 
@@ -66,14 +67,14 @@
     }
 }
 
-/// A link between two nodes, by their indexes.
+/// A link from one node to another, by their indexes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Link {
     from: usize,
     to: usize,
 }
 
-/// The addresses of a node.
+/// The addresses at which a node listens.
 #[derive(Clone, Copy, Debug)]
 struct NodeAddresses {
     /// For the other nodes.
@@ -84,19 +85,18 @@
     serving: SocketAddr,
 }
 
-/// The fleet.
 pub(super) struct TestFleet {
     shape: FleetShape,
     folder: PathBuf,
     history: RunHistory,
     addresses: Vec<NodeAddresses>,
     commands: Vec<NodeCommand>,
-    /// By node; `None` while it is down.
+    /// By node; `None` while the node is down.
     processes: RefCell<Vec<Option<NodeProcess>>>,
     links: BTreeMap<Link, LinkRelay>,
-    /// By node, the link to what the report task acts upon.
+    /// By node, the link to the collector of reports.
     report_links: Vec<LinkRelay>,
-    /// Kept alive for the nodes.
+    /// Serves until it is dropped.
     _discovery: StubDiscovery,
     servers: Vec<StubModelServer>,
     arrivals: ArrivalRecord,
@@ -104,39 +104,37 @@
 }
 
 impl TestFleet {
-    /// Where clients call each node.
     pub(super) fn serving_addresses(&self) -> Vec<SocketAddr> {
         self.addresses.iter().map(|node| node.serving).collect()
     }
 
-    /// Where operators call each node.
     pub(super) fn admin_addresses(&self) -> Vec<SocketAddr> {
         self.addresses.iter().map(|node| node.admin).collect()
     }
 
-    /// What the servers write down.
+    /// The shared record of what arrives at the model servers.
     pub(super) fn arrivals(&self) -> ArrivalRecord {
         self.arrivals.clone()
     }
 
-    /// How many model servers there are.
+    /// The number of model servers.
     pub(super) fn server_count(&self) -> usize {
         self.servers.len()
     }
 
-    /// The first so many servers answer every request with an error from now on, the others none.
+    /// Makes the first `failing_count` model servers respond to every request with an error, and the others work.
     pub(super) fn set_failing(&self, failing_count: usize) {
         for (index, server) in self.servers.iter().enumerate() {
             server.set_failing(index < failing_count);
         }
     }
 
-    /// How many lease servers have said that their disks had failed.
+    /// The number of times that a lease server reported a failed disk.
     pub(super) fn failed_disk_count(&self) -> usize {
         self.failed_disk_count.get()
     }
 
-    /// Copies the disk of each lease server as it is now, for
+    /// Copies the current disk of each lease server, for
     /// [`InjectedFaultKind::OldDisk`](super::InjectedFaultKind::OldDisk).
     pub(super) fn back_up_disks(&self) -> Result<(), FaultInjectionError> {
         for node in 0..self.shape.lease_servers {
@@ -146,7 +144,7 @@
         Ok(())
     }
 
-    /// Processes that have ended although no fault has ended them.
+    /// Processes that exited although no injected fault ended them.
     pub(super) fn take_unexpected_exits(&self) -> Vec<UnexpectedExit> {
         let mut exits = Vec::new();
         for (node, process) in self.processes.borrow_mut().iter_mut().enumerate() {
@@ -158,7 +156,7 @@
         exits
     }
 
-    /// Kills all processes, and waits for their ends.
+    /// Kills all processes and waits for their exits.
     pub(super) async fn kill_all(&self) {
         for node in 0..self.shape.nodes {
             if let Some(process) = self.take_process(node) {
@@ -190,7 +188,7 @@
         }
     }
 
-    /// Takes a process out of the fleet. The borrow ends here, before anything is awaited.
+    /// Removes a process from the fleet. Its own function, so that the `RefCell` borrow ends before the caller awaits.
     fn take_process(&self, node: usize) -> Option<NodeProcess> {
         self.processes.borrow_mut()[node].take()
     }
@@ -203,7 +201,7 @@
         self.folder.join(format!("node-{node}.disk"))
     }
 
-    /// Sets the faults of the links of which this holds.
+    /// Sets the faults of all links that `affects` selects.
     fn set_link_faults(&self, affects: impl Fn(Link) -> bool, faults: LinkFaults) {
         for (link, relay) in &self.links {
             if affects(*link) {
@@ -214,18 +212,18 @@
 }
 
 /// The index of the node with this name.
-pub(super) fn node_of_name(name: &str) -> Option<usize> {
+pub(super) fn node_index(name: &str) -> Option<usize> {
     name.strip_prefix(NODE_NAME_PREFIX)?.parse().ok()
 }
 
-/// The folder of a disk's copy.
+/// The folder of a disk's backup.
 fn backup_of(disk: &Path) -> PathBuf {
     disk.with_extension("old")
 }
 
-/// Copies the files of a folder into another one, in place of what is there.
+/// Copies the files of a folder to another folder, whose content is replaced.
 fn copy_folder(from: &Path, to: &Path) -> std::io::Result<()> {
-    // There may be none.
+    // Fails if the folder does not exist yet.
     let _ = std::fs::remove_dir_all(to);
     std::fs::create_dir_all(to)?;
     for entry in std::fs::read_dir(from)? {
--- a/crates/testbed/src/fault_injection/test_fleet/setup.rs
+++ b/crates/testbed/src/fault_injection/test_fleet/setup.rs
@@ -1,4 +1,4 @@
-//! The start of the fleet: ports, relays, stubs, configurations and processes.
+//! Starts the fleet: ports, relays, stubs, configurations and processes.
 
 use super::super::error::FaultInjectionError;
 use super::super::link_relay::LinkRelay;
@@ -15,16 +15,15 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// Mixed into the seed, so that faults are not drawn from the same numbers as the fleet.
+/// Mixed into the seed, so that the fleet and the faults use different random sequences.
 const SEED_MASK: u64 = 0xf1ee7;
-/// Model servers of each zone.
+/// The number of model servers in each zone.
 const SERVERS_PER_ZONE: usize = 2;
-/// A year in seconds.
 const YEAR_S: i64 = 365 * 86_400;
-/// By how much wall clocks are wrong, in seconds; one of these is drawn for each node.
+/// The possible offsets of wall clocks, in seconds; one is drawn for each node.
 const WALL_CLOCK_OFFSETS_S: [i64; 5] = [0, 0, YEAR_S, -YEAR_S, 90];
 
-/// What a fleet is started from.
+/// The inputs for the start of a fleet.
 #[derive(Clone, Copy)]
 pub(in super::super) struct FleetSetup<'a> {
     pub(in super::super) shape: &'a FleetShape,
@@ -33,19 +32,18 @@
     /// The folder of configurations, disks and logs.
     pub(in super::super) folder: &'a Path,
     pub(in super::super) history: &'a RunHistory,
-    /// Where the report task reports to.
+    /// The address to which the report task sends its reports.
     pub(in super::super) collector: SocketAddr,
     pub(in super::super) seed: u64,
 }
 
-/// The stub model servers.
 struct ModelServers {
     models: Vec<StubModelServer>,
     entries: Vec<DiscoveryEntry>,
     arrivals: ArrivalRecord,
 }
 
-/// What the configurations of all nodes are written from.
+/// The inputs for the configuration files of all nodes.
 struct FleetConfig<'a> {
     setup: FleetSetup<'a>,
     run: RunDescription,
@@ -56,7 +54,8 @@
 }
 
 impl TestFleet {
-    /// Starts the whole fleet. The order in which random numbers are drawn here is part of what a seed means.
+    /// Starts the whole fleet. The order in which random numbers are drawn must not change, since it determines what a
+    /// seed reproduces.
     pub(in super::super) async fn start(
         setup: FleetSetup<'_>,
     ) -> Result<TestFleet, FaultInjectionError> {
@@ -75,7 +74,7 @@
         for _ in 0..shape.nodes {
             report_links.push(LinkRelay::start(setup.collector, rng.random()).await?);
         }
-        // The nodes take these ports now.
+        // Releases the ports for the nodes, which bind them at their start.
         drop(reserved_ports);
         let config = FleetConfig {
             setup,
@@ -122,9 +121,9 @@
     };
     for index in 0..run.fleet.servers {
         let mut model = StubModelServer::start(run.fleet.server.clone()).await?;
-        // Restarted, so that the listener's own copy has the record, too.
+        // Restarted, because the listener uses its own clone, which must have the recorder.
         model.stop();
-        model.record_arrivals(since, &servers.arrivals, index);
+        model.set_arrival_record(since, &servers.arrivals, index);
         model.restart().await?;
         servers
             .entries
@@ -134,7 +133,7 @@
     Ok(servers)
 }
 
-/// Finds the addresses of all nodes. Their ports are held until the second value is dropped.
+/// Allocates the addresses of all nodes. Their ports stay bound until the second value is dropped.
 async fn reserve_addresses(
     node_count: usize,
 ) -> Result<(Vec<NodeAddresses>, Vec<BoundPort>), FaultInjectionError> {
@@ -174,7 +173,7 @@
 }
 
 impl FleetConfig<'_> {
-    /// Writes the files of a node, and draws its clocks.
+    /// Writes the configuration files of a node, and draws its clock errors.
     fn write(&self, node: usize, rng: &mut Pcg64Mcg) -> Result<NodeCommand, FaultInjectionError> {
         let addresses = self.addresses[node];
         let config_file = self.path(node, "json");
@@ -205,7 +204,7 @@
         self.setup.folder.join(format!("node-{node}.{extension}"))
     }
 
-    /// The operators' file of a node, as TOML.
+    /// The operator file of a node, as TOML.
     fn operator_settings(&self, node: usize) -> String {
         let shape = self.setup.shape;
         let lease_servers: Vec<String> = (0..shape.lease_servers)
@@ -247,7 +246,7 @@
     }
 }
 
-/// A line of the operators' file: a node's name with an address.
+/// A line of the operator file: a node's name and its address.
 fn address_line(node: usize, address: SocketAddr) -> String {
     format!("{NODE_NAME_PREFIX}{node} = \"{address}\"")
 }
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -1,4 +1,4 @@
-//! The lab's command line: see `poppykeel-testbed --help`.
+//! The command line of the testbed; see `poppykeel-testbed --help`.
 
 #![expect(
     clippy::doc_markdown,
@@ -17,7 +17,7 @@
 use poppykeel_testbed::experiment::{runner, Experiment, Metric, ResultsFolder, RunResult};
 use poppykeel_testbed::fault_injection::{
     run_budget_scenario, run_lease_scenario, run_rolling_restart_scenario, BudgetScenario,
-    BudgetWhole, FleetShape, InjectedFault, InjectedFaultKind, LeaseScenario,
+    FleetBudget, FleetShape, InjectedFault, InjectedFaultKind, LeaseScenario,
     RollingRestartScenario,
 };
 use poppykeel_testbed::sockets;
@@ -29,7 +29,7 @@
 #[command(
     name = "poppykeel-testbed",
     version,
-    about = "Tries designs on an emulated fleet, and a node on sockets"
+    about = "Evaluates designs on an emulated fleet, and tests nodes on loopback sockets"
 )]
 struct TestbedCli {
     #[command(subcommand)]
@@ -38,25 +38,25 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Run an experiment, or what is missing of it, and show its table
+    /// Run the missing runs of an experiment and show its tables
     Run(Run),
-    /// Show a table of results
+    /// Show tables of results
     Table(Table),
-    /// Show by how much results have changed, seed by seed; * where the 95% interval leaves out 0
+    /// Compare two sets of results, paired by seed; * marks changes whose 95% confidence interval excludes 0
     Compare(Compare),
-    /// Make one page with pictures of results
+    /// Write an HTML report of results with charts
     Report(Report),
-    /// Start model servers, discovery and a node on loopback, to try it by hand; Ctrl-C ends all
+    /// Start model servers, discovery and nodes on loopback for manual tests; Ctrl-C stops everything
     Up(UpCommand),
-    /// Play an experiment on loopback sockets instead, and show its table
+    /// Run an experiment on loopback sockets instead of the emulator and show its tables
     Load(Load),
-    /// Show a run of the emulator, or a running node by its log, on the terminal
+    /// Show an emulated run, or a running node from its log, on the terminal
     View(View),
-    /// Start several nodes and break what is between them; exit code 1 where a guarantee did not hold
+    /// Start several nodes and inject faults; the exit code is 1 if a guarantee was violated
     Break(Break),
-    /// Read an experiment's file and say what it comes to
+    /// Check an experiment file and list its points
     Check {
-        /// The experiment, as TOML
+        /// The experiment file, in TOML
         file: PathBuf,
     },
 }
@@ -69,47 +69,47 @@
 
 #[derive(Subcommand)]
 enum Breaks {
-    /// A task held under a lease: never two holders, and soon one again
+    /// Leases: a task never has two holders, and soon has a holder again after a fault
     Leases(BreakLeases),
-    /// All nodes taken out one after the other: never more than allowed, and all in the end
+    /// Rolling restart: never more nodes are out at once than allowed, and all are ready at the end
     Roll(BreakRoll),
-    /// A budget of retries for all nodes: never more than the whole, by the servers' own records
+    /// Budgets: all nodes together never exceed the fleet's budgets, as counted by the model servers
     Budgets(BreakBudgets),
 }
 
 #[derive(Args)]
 struct BreakBudgets {
-    /// Processes
+    /// Number of nodes
     #[arg(long, default_value_t = 9)]
     nodes: usize,
-    /// Faults, one after the other
+    /// Number of faults, injected one after the other
     #[arg(long, default_value_t = 20)]
     rounds: usize,
-    /// From which all faults are drawn
+    /// Seed from which all faults are drawn
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Retries a second of the whole fleet
+    /// Retry budget of the whole fleet: retries per second
     #[arg(long, default_value_t = 20.0)]
     rate: f64,
-    /// And at once
+    /// Retry budget of the whole fleet: retries at once
     #[arg(long, default_value_t = 20.0)]
     burst: f64,
-    /// How the budgets reach the nodes
+    /// How the budgets are divided between the nodes
     #[arg(long, value_enum, default_value_t = BudgetDivision::Shares)]
     division: BudgetDivision,
-    /// The first node gets so many times the requests of any other
+    /// Load of the first node as a multiple of the load of each other node
     #[arg(long, default_value_t = 1.0)]
     hot: f64,
-    /// Zones
+    /// Number of zones
     #[arg(long, default_value_t = 2)]
     zones: usize,
-    /// Only faults of these kinds
+    /// Draw only faults of these kinds; default: all kinds
     #[arg(long, value_enum, value_delimiter = ',')]
     only: Vec<InjectedFaultKind>,
-    /// The node's program; by default this very one serves
+    /// The node's program; default: this program
     #[arg(long, value_name = "FILE")]
     node: Option<PathBuf>,
-    /// Where configurations, disks, logs and the history go
+    /// Output folder for configurations, disks, logs and the history
     #[arg(
         long,
         value_name = "FOLDER",
@@ -130,77 +130,77 @@
 
 #[derive(Args)]
 struct BreakRoll {
-    /// Processes
+    /// Number of nodes
     #[arg(long, default_value_t = 9)]
     nodes: usize,
-    /// At most so many are to be out at once
+    /// Maximum number of nodes that may be out at once
     #[arg(long, default_value_t = 2)]
     most: usize,
-    /// Faults that befall the one in charge
+    /// Maximum number of faults injected into the coordinator
     #[arg(long, default_value_t = 3)]
     faults: usize,
-    /// From which all faults are drawn
+    /// Seed from which all faults are drawn
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// The node's program; by default this very one serves
+    /// The node's program; default: this program
     #[arg(long, value_name = "FILE")]
     node: Option<PathBuf>,
-    /// Where configurations, disks, logs and the history go
+    /// Output folder for configurations, disks, logs and the history
     #[arg(long, value_name = "FOLDER", default_value = "target/lab/break-roll")]
     out: PathBuf,
 }
 
 #[derive(Args)]
 struct BreakLeases {
-    /// Processes
+    /// Number of nodes
     #[arg(long, default_value_t = 9)]
     nodes: usize,
-    /// The first so many are keepers: 1, 3, 5 or 7
+    /// Number of lease servers (keepers), which are the first nodes: 1, 3, 5 or 7
     #[arg(long, default_value_t = 3)]
     keepers: usize,
-    /// Faults, one after the other
+    /// Number of faults, injected one after the other
     #[arg(long, default_value_t = 20)]
     rounds: usize,
-    /// From which all faults are drawn
+    /// Seed from which all faults are drawn
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// The lease's length, in milliseconds
+    /// Duration of leases, in milliseconds
     #[arg(long, default_value_t = 1000)]
     lease_ms: u64,
-    /// How wrong clocks may run as the nodes are told, in parts in a million
+    /// Clock drift that the nodes are configured to tolerate, in parts per million
     #[arg(long, default_value_t = 50_000)]
     drift: u32,
-    /// How wrong clocks do run, in parts in a million
+    /// Maximum rate error of the nodes' clocks, in parts per million
     #[arg(long, default_value_t = 50_000)]
     skew: u32,
-    /// Only faults of these kinds
+    /// Draw only faults of these kinds; default: all kinds
     #[arg(long, value_enum, value_delimiter = ',')]
     only: Vec<InjectedFaultKind>,
-    /// These faults in their order, as TOML ([[fault]] with kind, for_ms, whom and size), in place of drawn ones
+    /// Faults to inject in order instead of drawn ones, in TOML ([[fault]] with kind, for_ms, whom and size)
     #[arg(long, value_name = "FILE")]
     script: Option<PathBuf>,
-    /// The node's program; by default this very one serves
+    /// The node's program; default: this program
     #[arg(long, value_name = "FILE")]
     node: Option<PathBuf>,
-    /// Where configurations, disks, logs and the history go
+    /// Output folder for configurations, disks, logs and the history
     #[arg(long, value_name = "FOLDER", default_value = "target/lab/break-leases")]
     out: PathBuf,
 }
 
 #[derive(Args)]
 struct Run {
-    /// The experiment, as TOML
+    /// The experiment file, in TOML
     file: PathBuf,
-    /// Where results go; by default target/lab and the experiment's name
+    /// Output folder for results; default: target/lab/NAME, with the experiment's name
     #[arg(long, value_name = "FOLDER")]
     out: Option<PathBuf>,
-    /// Runs at once; by default one a core
+    /// Number of parallel runs; default: one per core
     #[arg(long, value_name = "COUNT")]
     threads: Option<usize>,
-    /// Run again what is there already
+    /// Repeat runs that already have results
     #[arg(long)]
     again: bool,
-    /// Write every request's path beside each result, as compressed JSON lines
+    /// Write the path of every request next to each result, as compressed JSON lines
     #[arg(long)]
     trace: bool,
     #[command(flatten)]
@@ -209,14 +209,14 @@
 
 #[derive(Args)]
 struct Figures {
-    /// What the tables show
+    /// Metrics to show, one table each
     #[arg(long = "figure", value_enum, default_values_t = [Metric::Worth, Metric::FirstP99])]
     figures: Vec<Metric>,
 }
 
 #[derive(Args)]
 struct Table {
-    /// The folder of results
+    /// The folder with the results
     folder: PathBuf,
     #[command(flatten)]
     figures: Figures,
@@ -224,31 +224,31 @@
 
 #[derive(Args)]
 struct UpCommand {
-    /// Model servers
+    /// Number of model servers
     #[arg(long, default_value_t = 3)]
     servers: usize,
-    /// Nodes
+    /// Number of nodes
     #[arg(long, default_value_t = 1)]
     nodes: usize,
-    /// All of it ends by itself after so many seconds
+    /// Stop everything after this many seconds
     #[arg(long = "for", default_value_t = 3600, value_name = "SECONDS")]
     span: u64,
-    /// The node's program; by default this one serves
+    /// The node's program; default: this program
     #[arg(long, value_name = "FILE")]
     node: Option<PathBuf>,
-    /// Where configurations and logs go
+    /// Output folder for configurations and logs
     #[arg(long, default_value = "target/lab/up", value_name = "FOLDER")]
     out: PathBuf,
 }
 
 #[derive(Args)]
 struct Load {
-    /// The experiment, as TOML; of its policies only the project's own is played
+    /// The experiment file, in TOML; only the project's own policy is run
     file: PathBuf,
-    /// Where results go; by default target/lab and the experiment's name with -sockets
+    /// Output folder for results; default: target/lab/NAME-sockets, with the experiment's name
     #[arg(long, value_name = "FOLDER")]
     out: Option<PathBuf>,
-    /// The node's program; by default this one serves
+    /// The node's program; default: this program
     #[arg(long, value_name = "FILE")]
     node: Option<PathBuf>,
     #[command(flatten)]
@@ -257,7 +257,7 @@
 
 #[derive(Args)]
 struct View {
-    /// A node's log, as `poppykeel serve --log-format json` writes it
+    /// The log of a node, as written by `poppykeel serve --log-format json`
     #[arg(
         long,
         value_name = "FILE",
@@ -265,43 +265,43 @@
         required_unless_present = "experiment"
     )]
     log: Option<PathBuf>,
-    /// An experiment, of which one run is shown
+    /// An experiment file, of which one run is shown
     #[arg(long, value_name = "FILE")]
     experiment: Option<PathBuf>,
-    /// Which of its points, from 0
+    /// Index of the experiment's point, from 0
     #[arg(long, default_value_t = 0)]
     point: usize,
-    /// The policy
+    /// Policy of the run
     #[arg(long, default_value = "poppykeel")]
     policy: String,
-    /// The seed
+    /// Seed of the run
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// So many times as fast as real time
+    /// Speed relative to real time
     #[arg(long, default_value_t = 1.0)]
     speed: f64,
 }
 
 #[derive(Args)]
 struct Report {
-    /// The folder of results
+    /// The folder with the results
     folder: PathBuf,
-    /// The page; by default report.html in that folder
+    /// Output file; default: report.html in that folder
     #[arg(long, value_name = "FILE")]
     out: Option<PathBuf>,
 }
 
 #[derive(Args)]
 struct Compare {
-    /// The results before
+    /// The folder with the results before the change
     before: PathBuf,
-    /// The results after
+    /// The folder with the results after the change
     after: PathBuf,
     #[command(flatten)]
     figures: Figures,
 }
 
-fn title(figure: Metric) -> String {
+fn metric_title(figure: Metric) -> String {
     use clap::ValueEnum;
     let value = figure.to_possible_value();
     value
@@ -309,10 +309,10 @@
         .unwrap_or_default()
 }
 
-fn existing(folder: &Path) -> Result<Vec<RunResult>, String> {
+fn read_results(folder: &Path) -> Result<Vec<RunResult>, String> {
     if !folder.is_dir() {
         return Err(format!(
-            "results {}: there is no such folder",
+            "results folder {} does not exist",
             folder.display()
         ));
     }
@@ -333,21 +333,22 @@
             let pool = rayon::ThreadPoolBuilder::new()
                 .num_threads(threads)
                 .build_global();
-            pool.map_err(|e| format!("threads: {e}"))?;
+            pool.map_err(|e| format!("cannot start the worker threads: {e}"))?;
         }
         let style = ProgressStyle::with_template(
             "{bar:40} {pos}/{len} runs, {elapsed} of about {duration}",
         );
         let progress = ProgressBar::new(0).with_style(style.map_err(|e| e.to_string())?);
-        let how = runner::RunOptions {
+        let options = runner::RunOptions {
             repeats_existing: self.again,
             writes_traces: self.trace,
             progress: &progress,
         };
-        let made = runner::run_missing(&experiment, &results, &how).map_err(|e| e.to_string())?;
+        let run_count =
+            runner::run_missing(&experiment, &results, &options).map_err(|e| e.to_string())?;
         progress.finish_and_clear();
         println!(
-            "{}: {made} runs made, all results in {}",
+            "{}: {run_count} runs made, all results in {}",
             experiment.name,
             folder.display()
         );
@@ -356,19 +357,19 @@
     }
 }
 
-fn show(found: &[RunResult], figures: &Figures) {
+fn show(results: &[RunResult], figures: &Figures) {
     for figure in &figures.figures {
-        println!("\n{}\n{}", title(*figure), table(found, *figure));
+        println!("\n{}\n{}", metric_title(*figure), table(results, *figure));
     }
 }
 
 impl Compare {
     fn run(&self) -> Result<(), String> {
-        let (before, after) = (existing(&self.before)?, existing(&self.after)?);
+        let (before, after) = (read_results(&self.before)?, read_results(&self.after)?);
         for figure in &self.figures.figures {
             println!(
                 "\n{}: by how much it has changed\n{}",
-                title(*figure),
+                metric_title(*figure),
                 compare(&before, &after, *figure)
             );
         }
@@ -376,12 +377,15 @@
     }
 }
 
-/// Runs what the sockets need on one thread.
-fn on_sockets<T>(what: impl std::future::Future<Output = Result<T, String>>) -> Result<T, String> {
+/// Runs a future on a single-threaded runtime with a `LocalSet`, which the tasks on sockets need.
+fn on_sockets<T>(task: impl std::future::Future<Output = Result<T, String>>) -> Result<T, String> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build();
-    tokio::task::LocalSet::new().block_on(&runtime.map_err(|e| format!("runtime: {e}"))?, what)
+    tokio::task::LocalSet::new().block_on(
+        &runtime.map_err(|e| format!("cannot create the runtime: {e}"))?,
+        task,
+    )
 }
 
 impl UpCommand {
@@ -428,8 +432,8 @@
                 }
                 eprintln!("{}, seed {seed}: {} s", point.label, point.run.load.seconds);
                 let outcome = on_sockets(async {
-                    let played = sockets::play_load(&point.run, &program, &folder, *seed).await;
-                    played.map_err(|e| e.to_string())
+                    let result = sockets::run_load(&point.run, &program, &folder, *seed).await;
+                    result.map_err(|e| e.to_string())
                 })?;
                 let (label, policy, seed) = (point.label.clone(), Policy::Poppykeel, *seed);
                 results
@@ -460,7 +464,7 @@
             return view::follow_node_log(log, state).map_err(|e| e.to_string());
         }
         let Some(file) = &self.experiment else {
-            return Err("view: give --log or --experiment".into());
+            return Err("view: either --log or --experiment is required".into());
         };
         let experiment = Experiment::read(file).map_err(|e| e.to_string())?;
         let count = experiment.points.len();
@@ -482,7 +486,7 @@
                     self.policy
                 )
             })?;
-        let mut world =
+        let mut simulation =
             Simulation::new(&point.run, policy, self.seed).map_err(|e| e.to_string())?;
         let tenants = point.run.tenant.iter().map(|t| t.name.clone()).collect();
         let state = view::ViewState::new(
@@ -490,7 +494,7 @@
             tenants,
         );
         view::show_simulation(
-            &mut world,
+            &mut simulation,
             state,
             point.run.load.seconds,
             self.speed.max(0.01),
@@ -519,7 +523,7 @@
             .transpose()
             .map_err(|e| e.to_string())?
             .unwrap_or_default();
-        let wanted = LeaseScenario {
+        let scenario = LeaseScenario {
             shape,
             rounds,
             seed,
@@ -527,19 +531,19 @@
             script,
             rejects_old_epochs: true,
         };
-        let found = on_sockets(async {
-            let played = run_lease_scenario(&wanted, &program, &self.out).await;
-            played.map_err(|e| e.to_string())
+        let report = on_sockets(async {
+            let result = run_lease_scenario(&scenario, &program, &self.out).await;
+            result.map_err(|e| e.to_string())
         })?;
-        found
+        report
             .problems
             .iter()
-            .chain(&found.verdict.overlaps)
-            .for_each(|what| println!("{what}"));
-        let [p50, p99] = [0.5, 0.99].map(|part| found.gap_quantile(part) as f64 / 1e6);
+            .chain(&report.verdict.overlaps)
+            .for_each(|problem| println!("{problem}"));
+        let [p50, p99] = [0.5, 0.99].map(|quantile| report.gap_quantile(quantile) as f64 / 1e6);
         println!("each round's longest time without an act: p50 {p50:.2} s, p99 {p99:.2} s");
-        println!("{}", found.summary(seed));
-        Ok(found.is_good())
+        println!("{}", report.summary(seed));
+        Ok(report.is_good())
     }
 }
 
@@ -551,27 +555,27 @@
             report_interval: std::time::Duration::from_secs(1),
             ..FleetShape::default()
         };
-        let wanted = RollingRestartScenario {
+        let scenario = RollingRestartScenario {
             shape,
             seed: self.seed,
             fault_count: self.faults,
             max_out: self.most,
         };
-        let found = on_sockets(async {
-            let played = run_rolling_restart_scenario(&wanted, &program, &self.out).await;
-            played.map_err(|e| e.to_string())
+        let report = on_sockets(async {
+            let result = run_rolling_restart_scenario(&scenario, &program, &self.out).await;
+            result.map_err(|e| e.to_string())
         })?;
         println!(
             "nodes {}, been out {}, most out at once {} of {}, in charge {}, {:.1} s, seed {}",
             self.nodes,
-            found.seen_out,
-            found.max_out_at_once,
+            report.seen_out,
+            report.max_out_at_once,
             self.most,
-            found.coordinator_count,
-            found.duration_s,
+            report.coordinator_count,
+            report.duration_s,
             self.seed
         );
-        Ok(found.max_out_at_once <= self.most && found.ready_at_end == self.nodes)
+        Ok(report.max_out_at_once <= self.most && report.ready_at_end == self.nodes)
     }
 }
 
@@ -584,26 +588,26 @@
             report_interval: std::time::Duration::from_secs(1),
             ..FleetShape::default()
         };
-        let wanted = BudgetScenario {
+        let scenario = BudgetScenario {
             shape,
             rounds: self.rounds,
             seed: self.seed,
             only: self.only.clone(),
-            retries: BudgetWhole {
+            retries: FleetBudget {
                 rate: self.rate,
                 burst: self.burst,
             },
             division: self.division,
             first_node_load_factor: self.hot,
         };
-        let found = on_sockets(async {
-            let played = run_budget_scenario(&wanted, &program, &self.out).await;
-            played.map_err(|e| e.to_string())
+        let report = on_sockets(async {
+            let result = run_budget_scenario(&scenario, &program, &self.out).await;
+            result.map_err(|e| e.to_string())
         })?;
         for (name, c) in [
-            ("repeats", found.repeats),
-            ("probes", found.probes),
-            ("crossings", found.cross_zone),
+            ("repeats", report.repeats),
+            ("probes", report.probes),
+            ("crossings", report.cross_zone),
         ] {
             println!(
                 "{name}: {} at the servers, worst window {:.2} of its bound, busiest second {:.2} of the rate",
@@ -612,26 +616,26 @@
         }
         println!(
             "requests {} of {} answered whole; crossings {} by the servers, {} by the nodes",
-            found.completed_requests,
-            found.sent_requests,
-            found.cross_zone.count,
-            found.reported_cross_zone
+            report.completed_requests,
+            report.sent_requests,
+            report.cross_zone.count,
+            report.reported_cross_zone
         );
         println!(
             "rounds {}, windows checked {}, worst window {:.2} of its bound, units lost {:.1}, seed {}",
-            found.rounds,
-            found.window_count(),
-            found.worst_window(),
-            found.lost_retry_rate,
+            report.rounds,
+            report.window_count(),
+            report.worst_window(),
+            report.lost_retry_rate,
             self.seed
         );
-        Ok(found.worst_window() <= 1.0)
+        Ok(report.worst_window() <= 1.0)
     }
 }
 
 impl Report {
     fn run(&self) -> Result<(), String> {
-        let found = existing(&self.folder)?;
+        let results = read_results(&self.folder)?;
         let name = self
             .folder
             .file_name()
@@ -641,8 +645,9 @@
             .out
             .clone()
             .unwrap_or_else(|| self.folder.join("report.html"));
-        let page = poppykeel_testbed::report::page(&name, &found)?;
-        std::fs::write(&out, page).map_err(|e| format!("report {}: {e}", out.display()))?;
+        let page = poppykeel_testbed::report::page(&name, &results)?;
+        std::fs::write(&out, page)
+            .map_err(|e| format!("cannot write the report {}: {e}", out.display()))?;
         println!("{}", out.display());
         Ok(())
     }
@@ -670,13 +675,15 @@
 }
 
 fn main() -> ExitCode {
-    // The node, for `up` and `load`: one program is all that a new machine has to build.
+    // Runs as a node for `up`, `load` and `break`, so that a new machine has to build only one program.
     if std::env::args().nth(1).as_deref() == Some("serve") {
         return poppykeel::program::main();
     }
-    let done = match TestbedCli::parse().command {
+    let result = match TestbedCli::parse().command {
         Command::Run(run) => run.run(),
-        Command::Table(table) => existing(&table.folder).map(|found| show(&found, &table.figures)),
+        Command::Table(table) => {
+            read_results(&table.folder).map(|results| show(&results, &table.figures))
+        }
         Command::Compare(compare) => compare.run(),
         Command::Report(report) => report.run(),
         Command::Up(up) => up.run(),
@@ -684,13 +691,13 @@
         Command::View(view) => view.run(),
         Command::Break(Break { what }) => match what.run() {
             Ok(true) => Ok(()),
-            // What there is to say has been shown.
+            // The violations have been printed already.
             Ok(false) => return ExitCode::FAILURE,
             Err(e) => Err(e),
         },
         Command::Check { file } => check(&file),
     };
-    match done {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(text) => {
             eprintln!("poppykeel-testbed: {text}");
--- a/crates/testbed/src/sockets/error.rs
+++ b/crates/testbed/src/sockets/error.rs
@@ -1,4 +1,4 @@
-//! Why a fleet on sockets cannot be started.
+//! Errors of a fleet on sockets.
 
 use crate::emulator::description::FaultKind;
 use std::io;
@@ -8,28 +8,28 @@
 /// A fleet on sockets cannot be started or changed.
 #[derive(Debug, thiserror::Error)]
 pub enum SocketsError {
-    /// The path of this program is not known.
-    #[error("node: {0}")]
+    /// The path of this program is unknown.
+    #[error("node: the path of this program is unknown: {0}")]
     CurrentProgram(#[source] io::Error),
-    /// There is no such program.
-    #[error("node: there is no {}", path.display())]
+    /// The given program does not exist.
+    #[error("node: the program {} does not exist", path.display())]
     NoProgram {
         /// The path that was given.
         path: PathBuf,
     },
     /// The node's program cannot be started.
-    #[error("node {}: {source}", program.display())]
+    #[error("node: the program {} cannot be started: {source}", program.display())]
     StartNode {
         /// The program.
         program: PathBuf,
-        /// Why.
+        /// The system's error.
         source: io::Error,
     },
     /// The node's process has no standard error.
-    #[error("node: no log")]
+    #[error("node: the process has no standard error to read its log from")]
     NoNodeLog,
-    /// The node does not say in time that it serves.
-    #[error("node: does not serve; last said: {last_line}")]
+    /// The node exited, or a timeout passed, before it logged that it serves.
+    #[error("node: exited or timed out before it served; last line of its log: {last_line}")]
     NodeDoesNotServe {
         /// The last line of its log.
         last_line: String,
@@ -37,36 +37,36 @@
     /// A file cannot be written.
     #[error("{}: {source}", path.display())]
     File {
-        /// Its path.
+        /// The path of the file.
         path: PathBuf,
-        /// Why.
+        /// The system's error.
         source: io::Error,
     },
-    /// The stub of discovery cannot listen.
-    #[error("discovery: {0}")]
+    /// The discovery stub cannot listen.
+    #[error("stub discovery server cannot listen: {0}")]
     Discovery(#[source] io::Error),
     /// A stub model server cannot listen.
-    #[error("model server: {0}")]
+    #[error("stub model server cannot listen: {0}")]
     ModelServer(#[source] io::Error),
-    /// A stub model server cannot listen at its address again.
-    #[error("model server: {address} cannot be had again")]
+    /// A stub model server cannot listen at its old address after a restart.
+    #[error("stub model server cannot restart: its address {address} is in use")]
     AddressTaken {
         /// The address.
         address: SocketAddr,
     },
-    /// A kind of fault that needs an emulated network.
-    #[error("fault: {kind:?} is not to be had on loopback sockets")]
+    /// The run has a fault that needs an emulated network.
+    #[error("fault {kind:?} is not supported on loopback sockets")]
     UnsupportedFault {
         /// The kind.
         kind: FaultKind,
     },
-    /// A fleet without a node.
-    #[error("up: no node")]
+    /// The fleet has no node.
+    #[error("up: the fleet has no node")]
     NoNode,
 }
 
 impl SocketsError {
-    /// Names the file to which an error belongs.
+    /// Returns a function that adds this path to an I/O error.
     pub(super) fn file(path: &Path) -> impl Fn(io::Error) -> SocketsError + '_ {
         move |source| SocketsError::File {
             path: path.to_path_buf(),
--- a/crates/testbed/src/sockets/load/exchange.rs
+++ b/crates/testbed/src/sockets/load/exchange.rs
@@ -1,4 +1,4 @@
-//! One try of a client: a request to a node, and its answer.
+//! One submission of a request by a client to a node, and the response.
 
 use super::LoadGenerator;
 use crate::emulator::{ClientRequest, RequestEnd};
@@ -13,53 +13,60 @@
 use tokio::time::Instant;
 use tokio_util::codec::Framed;
 
-/// Idle connections kept to each node.
+/// The maximum number of idle connections kept for each node.
 const MAX_IDLE_CONNECTIONS: usize = 512;
-/// An answer that has begun is given up after this time without a byte.
+/// A response is abandoned after this time without a byte.
 const STREAM_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A connection to a node.
 pub(super) type ClientConnection = Framed<TcpStream, HttpCodec>;
 
-/// How one try ended for its client.
-pub(super) enum TryOutcome {
-    Completed { first_token_at: Micros },
-    Broken { first_token_at: Micros },
-    Rejected { retry_after: Option<Duration> },
+/// The outcome of one submission for its client.
+pub(super) enum SubmissionOutcome {
+    Completed {
+        first_token_at: Micros,
+    },
+    Broken {
+        first_token_at: Micros,
+    },
+    Rejected {
+        retry_after: Option<Duration>,
+    },
     Failed,
-    Left,
+    /// No head of a response arrived before the request's deadline.
+    DeadlineExceeded,
 }
 
-impl TryOutcome {
-    /// How a request ends whose last try this is.
+impl SubmissionOutcome {
+    /// The end of a request whose last submission this is.
     pub(super) fn end(&self) -> RequestEnd {
         match self {
-            TryOutcome::Completed { .. } => RequestEnd::Good,
-            TryOutcome::Broken { .. } => RequestEnd::Broken,
-            TryOutcome::Rejected { .. } => RequestEnd::Refused,
-            TryOutcome::Failed => RequestEnd::Failed,
-            TryOutcome::Left => RequestEnd::Left,
+            SubmissionOutcome::Completed { .. } => RequestEnd::Good,
+            SubmissionOutcome::Broken { .. } => RequestEnd::Broken,
+            SubmissionOutcome::Rejected { .. } => RequestEnd::Refused,
+            SubmissionOutcome::Failed => RequestEnd::Failed,
+            SubmissionOutcome::DeadlineExceeded => RequestEnd::Left,
         }
     }
 
     pub(super) fn first_token_at(&self) -> Option<Micros> {
         match self {
-            TryOutcome::Completed { first_token_at } | TryOutcome::Broken { first_token_at } => {
-                Some(*first_token_at)
-            }
-            TryOutcome::Rejected { .. } | TryOutcome::Failed | TryOutcome::Left => None,
+            SubmissionOutcome::Completed { first_token_at }
+            | SubmissionOutcome::Broken { first_token_at } => Some(*first_token_at),
+            SubmissionOutcome::Rejected { .. }
+            | SubmissionOutcome::Failed
+            | SubmissionOutcome::DeadlineExceeded => None,
         }
     }
 }
 
-/// A request that has been sent, with the head of its answer.
-struct BegunAnswer {
+/// A response whose head has been received.
+struct ResponseStart {
     node: usize,
     connection: ClientConnection,
     head: Box<Head>,
 }
 
-/// The body of an answer as far as it was received.
+/// The received part of a response's body.
 struct ReceivedBody {
     bytes: Vec<u8>,
     first_byte_at: Option<Micros>,
@@ -67,48 +74,58 @@
 }
 
 impl LoadGenerator {
-    /// Sends one try, which was to be sent at `sent_at`, and reads its answer.
-    pub(super) async fn send_try(&self, request: &ClientRequest, sent_at: Micros) -> TryOutcome {
+    /// Submits a request, which was due at `sent_at`, and reads the response.
+    pub(super) async fn submit(
+        &self,
+        request: &ClientRequest,
+        sent_at: Micros,
+    ) -> SubmissionOutcome {
         let id = self.last_id.get() + 1;
         self.last_id.set(id);
         let prompt = format!("lab {id}");
-        let late_s = self.now().saturating_sub(sent_at) as f64 / 1e6;
+        let delay_s = self.now().saturating_sub(sent_at) as f64 / 1e6;
         let deadline_s = self.run.class[request.class].deadline_s;
-        let time_left_s = (deadline_s - late_s).max(0.0);
-        let message = self.message(request, id, &prompt, time_left_s);
+        let time_left_s = (deadline_s - delay_s).max(0.0);
+        let message = self.encode_request(request, id, &prompt, time_left_s);
         let deadline = Instant::now() + Duration::from_secs_f64(time_left_s);
-        let beginning = self.begin_answer(message);
-        let Ok(begun) = tokio::time::timeout_at(deadline, beginning).await else {
-            return TryOutcome::Left;
+        let pending = self.await_response_head(message);
+        let Ok(response) = tokio::time::timeout_at(deadline, pending).await else {
+            return SubmissionOutcome::DeadlineExceeded;
         };
-        let Some(mut begun) = begun else {
-            return TryOutcome::Failed;
+        let Some(mut response) = response else {
+            return SubmissionOutcome::Failed;
         };
-        let body = self.read_body(&mut begun.connection).await;
-        if body.is_complete && begun.head.keeps_connection {
-            self.keep_connection(begun.node, begun.connection);
+        let body = self.read_body(&mut response.connection).await;
+        if body.is_complete && response.head.keeps_connection {
+            self.keep_idle_connection(response.node, response.connection);
         }
-        match begun.head.start_line {
+        match response.head.start_line {
             StartLine::Status(200) => {}
             StartLine::Status(429 | 503) => {
-                return TryOutcome::Rejected {
-                    retry_after: retry_after(&begun.head),
+                return SubmissionOutcome::Rejected {
+                    retry_after: retry_after(&response.head),
                 };
             }
-            _ => return TryOutcome::Failed,
+            _ => return SubmissionOutcome::Failed,
         }
         let Some(first_token_at) = body.first_byte_at else {
-            return TryOutcome::Failed;
+            return SubmissionOutcome::Failed;
         };
         if !body.is_complete {
-            return TryOutcome::Broken { first_token_at };
+            return SubmissionOutcome::Broken { first_token_at };
         }
         self.check_answer(request, &prompt, &body.bytes);
-        TryOutcome::Completed { first_token_at }
+        SubmissionOutcome::Completed { first_token_at }
     }
 
-    /// The request as bytes.
-    fn message(&self, request: &ClientRequest, id: u64, prompt: &str, time_left_s: f64) -> String {
+    /// Encodes the HTTP request.
+    fn encode_request(
+        &self,
+        request: &ClientRequest,
+        id: u64,
+        prompt: &str,
+        time_left_s: f64,
+    ) -> String {
         let class = &self.run.class[request.class];
         let body = json!({
             "model": "lab", "stream": true, "max_tokens": class.answer_limit,
@@ -142,9 +159,9 @@
         )
     }
 
-    /// Sends a request and waits for the head of its answer. `None` where the connection fails. Dropping this closes the
-    /// connection.
-    async fn begin_answer(&self, message: String) -> Option<BegunAnswer> {
+    /// Sends a request and waits for the head of the response. Returns `None` if the connection fails. Dropping the
+    /// future closes the connection.
+    async fn await_response_head(&self, message: String) -> Option<ResponseStart> {
         let (node, mut connection) = self.connect().await?;
         connection
             .send(EncodedMessage::Raw(message.into()))
@@ -152,7 +169,7 @@
             .ok()?;
         loop {
             if let MessagePart::Head(head) = connection.next().await?.ok()? {
-                return Some(BegunAnswer {
+                return Some(ResponseStart {
                     node,
                     connection,
                     head,
@@ -161,7 +178,7 @@
         }
     }
 
-    /// Connects to a random node that is up, over an idle connection where there is one.
+    /// Returns a connection to a random node that is up, an idle one if possible.
     async fn connect(&self) -> Option<(usize, ClientConnection)> {
         let nodes_up = self.fleet.nodes_up();
         if nodes_up.is_empty() {
@@ -173,19 +190,19 @@
         }
         let address = self.fleet.node_addresses()[node];
         let stream = TcpStream::connect(address).await.ok()?;
-        // It works without it, too, only later.
+        // An error is ignored: it only adds latency.
         let _ = stream.set_nodelay(true);
         Some((node, Framed::new(stream, HttpCodec::new(Role::Client))))
     }
 
-    fn keep_connection(&self, node: usize, connection: ClientConnection) {
+    fn keep_idle_connection(&self, node: usize, connection: ClientConnection) {
         let idle_connections = &mut self.idle_connections.borrow_mut()[node];
         if idle_connections.len() < MAX_IDLE_CONNECTIONS {
             idle_connections.push(connection);
         }
     }
 
-    /// Reads a body to its end, or until the connection fails or sends nothing for too long.
+    /// Reads a body to its end, or until the connection fails or is idle for [`STREAM_TIMEOUT`].
     async fn read_body(&self, connection: &mut ClientConnection) -> ReceivedBody {
         let mut body = ReceivedBody {
             bytes: Vec::new(),
@@ -208,8 +225,8 @@
         }
     }
 
-    /// Counts the cached tokens of a complete answer. One whose text is not what the server writes for this prompt
-    /// violates a rule.
+    /// Checks the text of a complete response and counts its cached tokens. A text that differs from what the servers
+    /// generate for this prompt violates an invariant.
     fn check_answer(&self, request: &ClientRequest, prompt: &str, body: &[u8]) {
         let mut recorder = self.recorder.borrow_mut();
         let outcome = recorder.outcome_mut();
@@ -223,17 +240,17 @@
     }
 }
 
-/// The advice of a rejection; `None` where there is none that holds.
+/// The `Retry-After` of a rejection; `None` if it is missing or not valid.
 fn retry_after(head: &Head) -> Option<Duration> {
     let text = head.headers.get("Retry-After")?;
     let seconds: f64 = text.trim().parse().ok()?;
     (seconds.is_finite() && seconds >= 0.0).then(|| Duration::from_secs_f64(seconds))
 }
 
-/// The cached tokens that an answer states, if its text is the right one.
+/// The cached tokens that a response reports, or `None` if its text is not the expected one.
 fn cached_tokens(body: &[u8], prompt: &str, answer_tokens: u32) -> Option<u64> {
     let stream = String::from_utf8_lossy(body);
-    let mut written = String::new();
+    let mut received_text = String::new();
     let mut cached_tokens = None;
     for event in stream.split("\n\n") {
         let Some(data) = event.strip_prefix("data: ") else {
@@ -244,10 +261,10 @@
         }
         let event: Value = serde_json::from_str(data).ok()?;
         let content = event["choices"][0]["delta"]["content"].as_str();
-        written.push_str(content.unwrap_or_default());
-        let stated = event["usage"]["prompt_tokens_details"]["cached_tokens"].as_u64();
-        cached_tokens = stated.or(cached_tokens);
+        received_text.push_str(content.unwrap_or_default());
+        let reported = event["usage"]["prompt_tokens_details"]["cached_tokens"].as_u64();
+        cached_tokens = reported.or(cached_tokens);
     }
-    let is_right = written == answer_text(prompt, answer_tokens as usize);
-    cached_tokens.filter(|_| is_right)
+    let is_expected = received_text == answer_text(prompt, answer_tokens as usize);
+    cached_tokens.filter(|_| is_expected)
 }
--- a/crates/testbed/src/sockets/load/mod.rs
+++ b/crates/testbed/src/sockets/load/mod.rs
@@ -1,7 +1,8 @@
-//! Clients on sockets, by the same description as in the emulator.
+//! The load generator: clients on sockets, with the same description as in the emulator.
 //!
-//! They are an open loop, whose times count from when a request was to be sent: a client that is late is held against
-//! the node and not left out. [`LoadGenerator`] sends requests with their retries; [`exchange`] is one try.
+//! The load is an open loop. Latencies are measured from the time at which a request was due, so that delays in sending
+//! are not omitted from the result. [`LoadGenerator`] sends requests with their retries; [`exchange`] is one
+//! submission.
 
 mod exchange;
 
@@ -12,7 +13,7 @@
     ClientPopulation, ClientRequest, OutcomeRecorder, RequestEnd, RunOutcome, ServerOccupancy,
 };
 use crate::Micros;
-use exchange::{ClientConnection, TryOutcome};
+use exchange::{ClientConnection, SubmissionOutcome};
 use rand::{RngExt, SeedableRng};
 use std::cell::{Cell, RefCell};
 use std::path::Path;
@@ -21,23 +22,23 @@
 use tokio::task::spawn_local;
 use tokio::time::Instant;
 
-/// Requests in flight at once; one beyond that fails and counts.
+/// The maximum number of requests in flight; further ones are recorded as failed.
 const MAX_OPEN_REQUESTS: usize = 20_000;
-/// Requests in flight at the end of the load may take so long.
+/// How long the generator waits for requests in flight after the end of the load.
 const MAX_TIME_AFTER_LOAD: Duration = Duration::from_secs(30);
-/// How often it is looked whether they have ended.
+/// The interval of polls for the end of requests in flight.
 const END_POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// How long a client waits after a failure, or a rejection without advice, before it tries again.
+/// The pause before a retry after a failure, or after a rejection without `Retry-After`.
 const RETRY_PAUSE: Duration = Duration::from_millis(500);
-/// Clients spread their retries over this fraction of the pause.
+/// The jitter of retries, as a fraction of the pause.
 const RETRY_SPREAD: f64 = 0.1;
 
-/// Plays a run on sockets with the node's program; `folder` takes configurations and logs.
+/// Executes a run on sockets with the node's program. Configurations and logs are written to `folder`.
 ///
 /// # Errors
 ///
-/// [`SocketsError`] where the fleet cannot be started.
-pub async fn play_load(
+/// [`SocketsError`] if the fleet cannot be started.
+pub async fn run_load(
     run: &RunDescription,
     program: &Path,
     folder: &Path,
@@ -46,14 +47,14 @@
     let fleet = LocalFleet::start(run, program, folder).await?;
     let generator = Rc::new(LoadGenerator::new(run, fleet.clone(), seed));
     for fault in run.fault.clone() {
-        spawn_local(generator.clone().play_fault(fault));
+        spawn_local(generator.clone().inject_fault(fault));
     }
     let sampler = spawn_local(generator.clone().sample_occupancy());
     let tenants: Vec<_> = (0..run.tenant.len())
         .map(|tenant| spawn_local(generator.clone().send_tenant_load(tenant)))
         .collect();
     for tenant in tenants {
-        // A tenant's task ends by itself; its panic would have been printed.
+        // Fails only if the task panicked, which has been printed already.
         let _ = tenant.await;
     }
     generator.wait_for_open_requests().await;
@@ -65,7 +66,7 @@
     Ok(recorder.finish(0))
 }
 
-/// What all clients share. Borrows end before anything is awaited.
+/// The state that all clients share. `RefCell` borrows must end before the next await.
 struct LoadGenerator {
     run: RunDescription,
     started_at: Instant,
@@ -99,11 +100,11 @@
         self.started_at.elapsed().as_micros() as Micros
     }
 
-    async fn play_fault(self: Rc<Self>, fault: FaultDescription) {
+    async fn inject_fault(self: Rc<Self>, fault: FaultDescription) {
         let begins_at = self.started_at + Duration::from_secs_f64(fault.at_s);
         tokio::time::sleep_until(begins_at).await;
         if fault.what != FaultKind::Burst {
-            return self.fleet.clone().play_fault(fault).await;
+            return self.fleet.clone().inject_fault(fault).await;
         }
         self.set_burst_factor(fault.tenant, fault.size);
         tokio::time::sleep(Duration::from_secs_f64(fault.for_s)).await;
@@ -114,7 +115,7 @@
         self.clients.borrow_mut().set_burst_factor(tenant, factor);
     }
 
-    /// Measures how busy servers are, once in each time slice, until its task is aborted.
+    /// Samples the occupancy of the servers once in each time slice, until the task is aborted.
     async fn sample_occupancy(self: Rc<Self>) {
         let slice = self.recorder.borrow().slice_duration();
         let slots = self.run.fleet.server.slots;
@@ -133,7 +134,7 @@
         }
     }
 
-    /// Sends a tenant's requests, each at its own time whatever has become of those before it.
+    /// Sends a tenant's requests, each at its scheduled time, independently of the outcome of earlier ones.
     async fn send_tenant_load(self: Rc<Self>, tenant: usize) {
         let mut at: Micros = 0;
         let end = (self.run.load.seconds * 1e6) as Micros;
@@ -161,18 +162,18 @@
         self.clients.borrow().draw_interarrival_time(tenant, rng)
     }
 
-    /// Sends a request with all its tries.
+    /// Sends a request with all its retries.
     async fn send_request(self: Rc<Self>, mut request: ClientRequest) {
         if self.open_requests.get() >= MAX_OPEN_REQUESTS {
             return self.finish_request(&request, RequestEnd::Failed, None);
         }
         self.open_requests.set(self.open_requests.get() + 1);
-        // The first try counts from when it was to be sent.
+        // The first submission is timed from when it was due.
         let mut sent_at = request.first_sent_at;
         loop {
             request.submission_count += 1;
             self.recorder.borrow_mut().outcome_mut().tries += 1;
-            let outcome = self.send_try(&request, sent_at).await;
+            let outcome = self.submit(&request, sent_at).await;
             let Some(pause) = self.retry_pause(&request, &outcome) else {
                 self.finish_request(&request, outcome.end(), outcome.first_token_at());
                 break;
@@ -184,19 +185,25 @@
         self.open_requests.set(self.open_requests.get() - 1);
     }
 
-    /// How long the client waits before it tries again; `None` where it does not.
-    fn retry_pause(&self, request: &ClientRequest, outcome: &TryOutcome) -> Option<Duration> {
+    /// The pause before the client submits the request again; `None` if it does not retry.
+    fn retry_pause(
+        &self,
+        request: &ClientRequest,
+        outcome: &SubmissionOutcome,
+    ) -> Option<Duration> {
         if request.submission_count > self.run.load.retries {
             return None;
         }
         let is_safe = self.run.class[request.class].repeats == RepeatSafety::Safe;
         match outcome {
-            TryOutcome::Rejected { retry_after } => {
+            SubmissionOutcome::Rejected { retry_after } => {
                 let pause = retry_after.unwrap_or(RETRY_PAUSE);
                 (pause.as_secs_f64() <= self.run.load.heeds_s).then_some(pause)
             }
-            TryOutcome::Failed => is_safe.then_some(RETRY_PAUSE),
-            TryOutcome::Completed { .. } | TryOutcome::Broken { .. } | TryOutcome::Left => None,
+            SubmissionOutcome::Failed => is_safe.then_some(RETRY_PAUSE),
+            SubmissionOutcome::Completed { .. }
+            | SubmissionOutcome::Broken { .. }
+            | SubmissionOutcome::DeadlineExceeded => None,
         }
     }
 
--- a/crates/testbed/src/sockets/local_deployment.rs
+++ b/crates/testbed/src/sockets/local_deployment.rs
@@ -1,4 +1,4 @@
-//! A node to try, with all that it needs, for the sub-command `up`.
+//! A complete fleet for manual tests, for the sub-command `up`.
 
 use super::error::SocketsError;
 use super::local_fleet::LocalFleet;
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A fleet that serves until it is told to end.
+/// A running fleet for manual tests.
 pub struct LocalDeployment {
     fleet: Rc<LocalFleet>,
     first_node: SocketAddr,
@@ -17,11 +17,11 @@
 }
 
 impl LocalDeployment {
-    /// Starts servers, discovery and nodes; `folder` takes configurations and logs.
+    /// Starts model servers, discovery and nodes. Configurations and logs are written to `folder`.
     ///
     /// # Errors
     ///
-    /// [`SocketsError`] where one of them does not start.
+    /// [`SocketsError`] if one of them cannot be started.
     pub async fn start(
         run: &RunDescription,
         program: &Path,
@@ -41,24 +41,24 @@
         })
     }
 
-    /// Where the first node serves.
+    /// The address at which the first node serves clients.
     pub fn first_node(&self) -> SocketAddr {
         self.first_node
     }
 
-    /// A line for a shell that gets an answer of the first node.
+    /// A shell command that sends a request to the first node.
     pub fn curl_command(&self) -> &str {
         &self.curl_command
     }
 
-    /// What has been started, for people.
+    /// A description for the user: the number of servers, the nodes' URLs and the log file.
     pub fn summary(&self) -> &str {
         &self.summary
     }
 
-    /// Serves until Ctrl-C, or for so long, and ends all that was started.
+    /// Serves until Ctrl-C, at most for `duration`, and shuts everything down.
     pub async fn serve_for(self, duration: Duration) {
-        // Both branches are cancel-safe: neither owns anything. The fleet is ended after either of them.
+        // Both branches are cancel-safe: neither holds any state. The fleet is shut down after either of them.
         tokio::select! {
             _ = tokio::signal::ctrl_c() => {}
             () = tokio::time::sleep(duration) => {}
--- a/crates/testbed/src/sockets/local_fleet/faults.rs
+++ b/crates/testbed/src/sockets/local_fleet/faults.rs
@@ -1,4 +1,4 @@
-//! The faults of a run on loopback.
+//! Injects the faults of a run into a fleet on loopback.
 
 use super::LocalFleet;
 use crate::emulator::description::{FaultDescription, FaultKind};
@@ -7,23 +7,23 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::task::spawn_local;
 
-/// A server that ends is started again after this time, where the fault does not say when.
+/// The time after which a stopped server restarts, for faults without a duration.
 const RESTART_DELAY: Duration = Duration::from_secs(1);
-/// A fault of stalls stops servers once in each such interval.
+/// A `Stall` fault stalls servers once in each interval of this length.
 const STALL_INTERVAL: Duration = Duration::from_secs(2);
-/// A server that starts is on the endpoint list after this time at most.
+/// The maximum time until a started server is on the endpoint list.
 const MAX_START_NOTICE: Duration = Duration::from_millis(50);
 
-/// The first `fraction` of so many.
-fn affected(count: usize, fraction: f64) -> Range<usize> {
+/// The indexes of the first `fraction` of `count` items, rounded up.
+fn affected_indexes(count: usize, fraction: f64) -> Range<usize> {
     0..((count as f64 * fraction).ceil() as usize).min(count)
 }
 
 impl LocalFleet {
-    /// Plays one fault from its beginning to its end; the caller has waited until it begins.
-    pub async fn play_fault(self: Rc<Self>, fault: FaultDescription) {
+    /// Injects a fault now, waits for its end and reverts it. The caller waits until the fault is due.
+    pub async fn inject_fault(self: Rc<Self>, fault: FaultDescription) {
         let duration = Duration::from_secs_f64(fault.for_s);
-        let servers = affected(self.servers.len(), fault.part);
+        let servers = affected_indexes(self.servers.len(), fault.part);
         match fault.what {
             FaultKind::Die => self.stop_servers_for(servers, duration).await,
             FaultKind::ColdRestart => self.stop_servers_for(servers, RESTART_DELAY).await,
@@ -48,14 +48,14 @@
                 self.discovery.set_silent(false);
             }
             FaultKind::NodeKill => {
-                let nodes = affected(self.node_addresses.len(), fault.part);
+                let nodes = affected_indexes(self.node_addresses.len(), fault.part);
                 self.stop_nodes_for(nodes, duration).await;
             }
             FaultKind::Deploys => {
                 let interval = Duration::from_secs_f64(fault.size);
                 self.deploy_in_waves(servers.len().max(1), interval).await;
             }
-            // The load's own, and what is rejected at the start.
+            // Bursts are injected by the load generator; the other kinds are rejected at the start.
             FaultKind::Burst | FaultKind::ZoneCut | FaultKind::LateReports => {}
         }
     }
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Kills nodes, and starts other processes at their addresses after a time.
+    /// Kills nodes, and starts new processes at their addresses after `duration`.
     async fn stop_nodes_for(&self, nodes: Range<usize>, duration: Duration) {
         for index in nodes.clone() {
             if let Some(node) = self.take_node(index) {
@@ -107,14 +107,14 @@
         tokio::time::sleep(duration).await;
         for index in nodes {
             let address = self.node_addresses[index];
-            // A node that does not start stays down: clients find the others.
+            // A node that does not start stays down; clients use the others.
             if let Ok(node) = self.start_node(index, address).await {
                 self.nodes.borrow_mut()[index] = Some(node);
             }
         }
     }
 
-    /// Drains the servers of one wave after the other, and restarts those of the wave before.
+    /// Drains the servers in waves; each wave is restarted when the next one starts draining.
     async fn deploy_in_waves(self: &Rc<Self>, wave_size: usize, interval: Duration) {
         let server_count = self.servers.len();
         let mut first_server = 0_usize;
@@ -144,7 +144,7 @@
         });
     }
 
-    /// A server's process ends; the endpoint list shows it later.
+    /// Stops a server. The endpoint list shows the removal after the run's `notice_ms`.
     fn stop_server(self: &Rc<Self>, server: usize) {
         self.servers[server].stop();
         let fleet = self.clone();
@@ -156,7 +156,7 @@
     }
 
     async fn start_server(&self, server: usize) {
-        // One that was listed as removed in the meantime is listed again by this.
+        // Also lists a server again that was removed from the list in the meantime.
         if self.servers[server].restart().await.is_ok() {
             let notice = Duration::from_millis(self.run.fleet.notice_ms);
             tokio::time::sleep(notice.min(MAX_START_NOTICE)).await;
--- a/crates/testbed/src/sockets/local_fleet/mod.rs
+++ b/crates/testbed/src/sockets/local_fleet/mod.rs
@@ -1,4 +1,4 @@
-//! The servers, discovery and nodes of one run on loopback. [`faults`] plays the faults of the run.
+//! The model servers, discovery and nodes of one run on loopback. [`faults`] injects the faults of the run.
 
 mod faults;
 
@@ -14,7 +14,7 @@
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
 
-/// The fleet. Dropping it kills the nodes.
+/// A fleet on loopback. Dropping it kills the nodes.
 pub struct LocalFleet {
     run: RunDescription,
     program: PathBuf,
@@ -27,7 +27,7 @@
 }
 
 impl LocalFleet {
-    /// Starts all of it; `folder` takes configurations and logs.
+    /// Starts the whole fleet. Configurations and logs are written to `folder`.
     pub async fn start(
         run: &RunDescription,
         program: &Path,
@@ -60,12 +60,11 @@
         Ok(Rc::new(fleet))
     }
 
-    /// The model servers.
     pub fn servers(&self) -> &[StubModelServer] {
         &self.servers
     }
 
-    /// Where nodes serve, also those that are down.
+    /// The addresses at which nodes serve clients, including nodes that are down.
     pub fn node_addresses(&self) -> &[SocketAddr] {
         &self.node_addresses
     }
@@ -81,12 +80,11 @@
         nodes_up
     }
 
-    /// The file of a node's log.
     pub fn log_path(&self, node: usize) -> PathBuf {
         self.folder.join(format!("node-{node}.log"))
     }
 
-    /// Ends all nodes by a graceful shutdown, one after the other.
+    /// Shuts all nodes down gracefully, one after the other.
     pub async fn shut_down(&self) {
         let mut nodes_up = Vec::new();
         for index in 0..self.node_addresses.len() {
@@ -97,7 +95,7 @@
         }
     }
 
-    /// Takes a node out of the fleet. The borrow ends here, before anything is awaited.
+    /// Removes a node from the fleet. Its own function, so that the `RefCell` borrow ends before the caller awaits.
     fn take_node(&self, index: usize) -> Option<ServingNode> {
         self.nodes.borrow_mut()[index].take()
     }
@@ -124,7 +122,7 @@
     }
 }
 
-/// Rejects faults that need an emulated network.
+/// Rejects runs with faults that need an emulated network.
 fn check_faults(run: &RunDescription) -> Result<(), SocketsError> {
     for fault in &run.fault {
         if matches!(fault.what, FaultKind::ZoneCut | FaultKind::LateReports) {
--- a/crates/testbed/src/sockets/mod.rs
+++ b/crates/testbed/src/sockets/mod.rs
@@ -1,11 +1,11 @@
-//! The fleet of a run on loopback sockets: stub model servers, stub discovery, the node as a process, and clients.
+//! Runs a fleet on loopback sockets: stub model servers, stub discovery, node processes and clients.
 //!
-//! Stub servers go by the emulator's own model in real time, and clients send by the same description. One thread serves
-//! all of it but the nodes, in a `LocalSet` of tokio.
+//! The stub servers run the emulator's server model in real time, and the clients follow the same run description as in
+//! the emulator. Everything but the node processes runs on one thread in a tokio `LocalSet`.
 //!
-//! - [`play_load`] plays a run to its end, for the sub-command `load`.
-//! - [`LocalDeployment`] is a node to try with all that it needs, for the sub-command `up`.
-//! - Fault injection uses the stubs and the configuration of nodes.
+//! - [`run_load`] executes a run, for the sub-command `load`.
+//! - [`LocalDeployment`] is a fleet for manual tests, for the sub-command `up`.
+//! - Fault injection uses the stubs and the node configuration.
 
 mod error;
 mod load;
@@ -17,7 +17,7 @@
 mod stub_model_server;
 
 pub use error::SocketsError;
-pub use load::play_load;
+pub use load::run_load;
 pub use local_deployment::LocalDeployment;
 pub(crate) use node_config::node_config;
 pub use serving_node::node_program;
--- a/crates/testbed/src/sockets/node_config.rs
+++ b/crates/testbed/src/sockets/node_config.rs
@@ -1,4 +1,4 @@
-//! The configuration of a node, from the description of a run.
+//! Writes the configuration of a node for the description of a run.
 
 use super::stub_discovery::StubDiscovery;
 use crate::emulator::description::{ClassDescription, RepeatSafety, RunDescription};
@@ -21,7 +21,7 @@
         "discovery": discovery.address().to_string(),
         "seed": (node + 1).to_string(),
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 4096},
-        "known": discovery.whole_list(),
+        "known": discovery.full_list(),
         "settings": site_settings(run, node, &settings),
     })
     .to_string()
@@ -83,7 +83,7 @@
     })
 }
 
-/// The tenants with their quotas; none where there is only one.
+/// The tenants with their quotas; empty if there is only one tenant.
 fn tenant_settings(run: &RunDescription, settings: &SchedulerSettings) -> Vec<Value> {
     let mut tenants = Vec::new();
     for (description, tenant) in run.tenant.iter().zip(&settings.tenants) {
--- a/crates/testbed/src/sockets/serving_node.rs
+++ b/crates/testbed/src/sockets/serving_node.rs
@@ -1,4 +1,4 @@
-//! The node as a process that serves: its start and its end.
+//! A node process: its start, log and shutdown.
 
 use super::error::SocketsError;
 use std::fs::File;
@@ -11,19 +11,19 @@
 use tokio::process::{Child, ChildStderr, Command};
 use tokio::task::{spawn_local, JoinHandle};
 
-/// A node must serve within this time of its start.
+/// The maximum time from the start of a node until it serves.
 const START_TIMEOUT: Duration = Duration::from_secs(5);
-/// How long a node may take for its graceful shutdown.
+/// A node that has not shut down gracefully within this time is killed.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(10);
-/// What stands before its address in the line by which a node says that it serves.
+/// The text before the address in the log message of a node that starts serving.
 const SERVING_MARKER: &str = "serving on ";
 
-/// The node's program: the given one, or this very one, which can serve, too.
+/// The node's program: the given one, or by default this program, which has the sub-command `serve` as well.
 ///
 /// # Errors
 ///
-/// [`SocketsError::NoProgram`] where there is no such file, [`SocketsError::CurrentProgram`] where the path of this
-/// program is not known.
+/// [`SocketsError::NoProgram`] if the given file does not exist, [`SocketsError::CurrentProgram`] if the path of this
+/// program is unknown.
 pub fn node_program(given: Option<&Path>) -> Result<PathBuf, SocketsError> {
     match given {
         None => std::env::current_exe().map_err(SocketsError::CurrentProgram),
@@ -43,7 +43,7 @@
 impl NodeLog {
     async fn next_line(&mut self) -> Option<String> {
         let line = self.lines.next_line().await.ok()??;
-        // The node goes on without its log where the disk is full.
+        // An error is ignored: the node continues without its log if the disk is full.
         let _ = writeln!(self.file, "{line}");
         Some(line)
     }
@@ -53,7 +53,7 @@
     }
 }
 
-/// A node that serves. Its process is killed when this is dropped.
+/// A serving node. Its process is killed when this value is dropped.
 pub struct ServingNode {
     child: Child,
     address: SocketAddr,
@@ -62,7 +62,7 @@
 }
 
 impl ServingNode {
-    /// Starts a node and waits until it serves. Its log goes to `log`.
+    /// Starts a node and waits until it serves. Its log is copied to `log`.
     pub async fn start(
         program: &Path,
         config: &Path,
@@ -99,15 +99,15 @@
         })
     }
 
-    /// Where it serves.
+    /// The address at which the node serves clients.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Ends it by SIGTERM, and waits for its end and that of its log. It is killed where that takes too long.
+    /// Sends SIGTERM, and waits for the exit and the end of the log. The process is killed after a timeout.
     pub async fn shut_down(mut self) {
         if let Some(id) = self.child.id() {
-            // It fails only where the process has ended already.
+            // Fails only if the process has already exited.
             let _ = Command::new("kill")
                 .args(["-TERM", &id.to_string()])
                 .status()
@@ -115,21 +115,22 @@
         }
         let ended = async {
             let _ = self.child.wait().await;
-            // Its last lines may still be on their way here.
+            // The last lines of the log may still be in the pipe.
             let _ = (&mut self.log_task).await;
         };
-        // Past the timeout the process is killed by its drop.
+        // After the timeout the process is killed when it is dropped.
         let _ = tokio::time::timeout(SHUTDOWN_TIMEOUT, ended).await;
     }
 
-    /// Ends it by SIGKILL, and waits.
+    /// Sends SIGKILL and waits for the exit.
     pub async fn kill(mut self) {
-        // It fails only where the process has ended already.
+        // Fails only if the process has already exited.
         let _ = self.child.kill().await;
     }
 }
 
-/// Reads the log until the node says where it serves. `None` where the log ends before; `last_line` has its last line.
+/// Reads the log until it has the address at which the node serves. Returns `None` if the log ends before that;
+/// `last_line` is then its last line.
 async fn wait_until_serving(log: &mut NodeLog, last_line: &mut String) -> Option<SocketAddr> {
     loop {
         let line = log.next_line().await?;
--- a/crates/testbed/src/sockets/stub_discovery.rs
+++ b/crates/testbed/src/sockets/stub_discovery.rs
@@ -1,4 +1,4 @@
-//! Stub of the discovery server: the endpoint list, and long polls of its changes.
+//! Stub discovery server: serves the endpoint list, and changes to it by long polls.
 
 use super::error::SocketsError;
 use futures_util::{SinkExt, StreamExt};
@@ -13,28 +13,28 @@
 use tokio::task::spawn_local;
 use tokio_util::codec::Framed;
 
-/// The longest long poll, in milliseconds.
+/// The maximum duration of a long poll, in milliseconds.
 const MAX_POLL_MS: u64 = 60_000;
 /// The version of the first list.
 const FIRST_VERSION: u64 = 1;
 
-/// One server on the list.
+/// An entry of the endpoint list.
 #[derive(Clone, Debug)]
 pub struct DiscoveryEntry {
-    /// Its name.
+    /// The name of the server.
     pub name: String,
-    /// Where it listens.
+    /// The address at which the server listens.
     pub address: SocketAddr,
     /// The name of its zone.
     pub zone: String,
     /// "up", "draining" or "removed".
     pub state: &'static str,
-    /// Unix time of its start in milliseconds, 0 for long ago.
+    /// The Unix time of the server's start in milliseconds; 0 means long ago.
     pub started_ms: i64,
 }
 
 impl DiscoveryEntry {
-    /// A server that has been there for long.
+    /// An available server that started long ago.
     pub fn new(index: usize, zone: usize, address: SocketAddr) -> Self {
         DiscoveryEntry {
             name: format!("m-{index}"),
@@ -51,13 +51,13 @@
     }
 }
 
-/// An entry with the version that changed it last.
+/// An entry with the list version that last changed it.
 struct VersionedEntry {
     version: u64,
     entry: DiscoveryEntry,
 }
 
-/// The stub. Clones share the list.
+/// The stub server. Clones share the list.
 #[derive(Clone)]
 pub struct StubDiscovery {
     address: SocketAddr,
@@ -69,7 +69,7 @@
 }
 
 impl StubDiscovery {
-    /// Starts the stub with this list. Its tasks run as long as the `LocalSet` that it is started in.
+    /// Starts the stub with this list. Its tasks run until the enclosing `LocalSet` is dropped.
     pub async fn start(entries: Vec<DiscoveryEntry>) -> Result<StubDiscovery, SocketsError> {
         let listener = TcpListener::bind("127.0.0.1:0")
             .await
@@ -90,13 +90,13 @@
         Ok(discovery)
     }
 
-    /// Where it listens.
+    /// The address at which the stub listens.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// The list as the configuration of a node holds it.
-    pub fn whole_list(&self) -> Value {
+    /// The full list without removed servers, in the format of discovery responses and of the node configuration.
+    pub fn full_list(&self) -> Value {
         let entries = self.entries.borrow();
         let servers: Vec<Value> = entries
             .iter()
@@ -106,7 +106,7 @@
         json!({"version": self.version.get(), "full": true, "servers": servers})
     }
 
-    /// Changes a server's state, and its start where one is given.
+    /// Changes a server's state, and its start time if one is given.
     pub fn set_state(&self, server: usize, state: &'static str, started_ms: Option<i64>) {
         self.version.set(self.version.get() + 1);
         if let Some(versioned) = self.entries.borrow_mut().get_mut(server) {
@@ -119,7 +119,7 @@
         self.changed.notify_waiters();
     }
 
-    /// Whether it tells no changes from now on.
+    /// Sets whether the stub stops responding to long polls.
     pub fn set_silent(&self, is_silent: bool) {
         self.is_silent.set(is_silent);
         self.changed.notify_waiters();
@@ -132,9 +132,9 @@
         }
     }
 
-    /// Answers the requests of a connection until it ends, or the stub falls silent.
+    /// Serves the requests of a connection until it ends or the stub becomes silent.
     async fn serve(&self, stream: TcpStream) -> Option<()> {
-        // It answers without it, too, only later.
+        // An error is ignored: it only adds latency.
         let _ = stream.set_nodelay(true);
         let mut connection = Framed::new(stream, HttpCodec::new(Role::Server));
         loop {
@@ -156,14 +156,15 @@
         }
     }
 
-    /// The whole list, or with `since` the changes after that version, for which it waits. `None` while it is silent.
+    /// Returns the full list, or, for a target with `since`, waits for changes after that version. Returns `None` if
+    /// the stub is silent.
     async fn answer(&self, target: &str) -> Option<Value> {
         let Some(since) = query_number(target, "since") else {
-            return Some(self.whole_list());
+            return Some(self.full_list());
         };
         let wait_ms = query_number(target, "timeout_ms").unwrap_or(0);
         let wait = Duration::from_millis(wait_ms.min(MAX_POLL_MS));
-        // Without a change in time there is nothing to tell but the version.
+        // After a timeout the response has only the version.
         let _ = tokio::time::timeout(wait, self.wait_for_change(since)).await;
         if self.is_silent.get() {
             return None;
--- a/crates/testbed/src/sockets/stub_model_server/answers.rs
+++ b/crates/testbed/src/sockets/stub_model_server/answers.rs
@@ -1,4 +1,4 @@
-//! The connections of a stub model server: requests in, streamed answers out.
+//! The connections of a stub model server: parses requests and streams answers.
 
 use super::{AttemptKey, ServerState, StubModelServer};
 use crate::emulator::model_server::{ServerJob, SharedPrefix};
@@ -12,18 +12,18 @@
 use tokio::sync::mpsc;
 use tokio_util::codec::Framed;
 
-/// The longest body that is read.
+/// The maximum size of a request body.
 const MAX_BODY_BYTES: usize = 512 * 1024;
-/// Tokens of an answer whose request does not say how many it wants.
+/// The length of an answer if the request does not specify one.
 const DEFAULT_ANSWER_TOKENS: u64 = 40;
-/// Tokens of an answer at most.
+/// The maximum length of an answer.
 const MAX_ANSWER_TOKENS: u64 = 100_000;
-/// Tokens of a prompt at most.
+/// The maximum length of a prompt.
 const MAX_PROMPT_TOKENS: u64 = 1 << 20;
-/// Characters of a prompt for each of its tokens, where the request does not say how many it has.
+/// Estimates the tokens of a prompt from its length if the request does not specify them.
 const CHARS_PER_TOKEN: u64 = 4;
-/// Parts of an answer beside one for each token: the last token, and the end. So the channel is never full while the
-/// connection takes anything.
+/// The parts of an answer beside one for each token: the last token and the end. The channel has room for all of them,
+/// so that it cannot become full.
 const EXTRA_PARTS: usize = 2;
 /// The head of a streamed answer.
 const STREAM_HEAD: &str =
@@ -31,11 +31,11 @@
 
 type Connection = Framed<TcpStream, HttpCodec>;
 
-/// What goes to the connection of an answer.
+/// A part of an answer, sent to the task of its connection.
 enum AnswerPart {
-    /// The tokens of these numbers.
+    /// The tokens with these numbers.
     Tokens(Range<u32>),
-    /// The last token, and the end.
+    /// The last token and the end of the stream.
     End { cached_tokens: u32 },
 }
 
@@ -47,7 +47,7 @@
 }
 
 impl AnswerSender {
-    /// Sends the tokens made since the last call. Returns false where the channel takes no more.
+    /// Sends the tokens generated since the last call. Returns false if the channel is full or closed.
     pub(super) fn send_tokens_up_to(&mut self, tokens: u32) -> bool {
         if self.sent_tokens >= tokens {
             return true;
@@ -57,20 +57,19 @@
         self.parts.try_send(AnswerPart::Tokens(new_tokens)).is_ok()
     }
 
-    /// Sends what is left; the last token goes with the end.
+    /// Sends the remaining tokens, the last one together with the end.
     pub(super) fn complete(self, cached_tokens: u32) {
         let tokens = self.sent_tokens..self.answer_tokens - 1;
-        // A connection that has ended takes nothing, and needs nothing.
+        // Errors are ignored: the connection has ended.
         let _ = self.parts.try_send(AnswerPart::Tokens(tokens));
         let _ = self.parts.try_send(AnswerPart::End { cached_tokens });
     }
 }
 
-/// A request for an answer.
 struct AnswerRequest {
-    /// The text of the prompt, from which the tokens of the answer are made.
+    /// The text of the prompt, from which the tokens of the answer are derived.
     prompt_text: String,
-    /// Tokens of the answer that the prompt has already, where it continues one.
+    /// Tokens of the answer that the prompt already contains, if the request continues an answer.
     continued_tokens: usize,
     prompt_tokens: u32,
     answer_tokens: u32,
@@ -80,7 +79,7 @@
 
 impl AnswerRequest {
     fn parse(body: &[u8]) -> Self {
-        // The stub answers whatever it is asked, also what is no JSON.
+        // A body that is not JSON is accepted, too: the defaults apply.
         let request: Value = serde_json::from_slice(body).unwrap_or(Value::Null);
         let (prompt_text, continued_tokens) = split_prompt(&request);
         let metadata = |key: &str| request["metadata"][key].as_str()?.parse::<u64>().ok();
@@ -134,7 +133,7 @@
         self.event(&json!({"content": content}), finish_reason)
     }
 
-    /// The last event, with the counts of tokens, and the load report after it.
+    /// The usage event, the end marker, and the load report as a comment after it.
     fn usage_event(&self, cached_tokens: u32, load_report: &str) -> EncodedMessage {
         let prompt_tokens = self.request.prompt_tokens;
         let answer_tokens = self.request.answer_tokens;
@@ -148,9 +147,9 @@
 }
 
 impl StubModelServer {
-    /// Serves the requests of a connection one after the other. `None` where the connection ends.
+    /// Serves the requests of a connection one after the other, until it returns `None` when the connection ends.
     pub(super) async fn serve(&self, stream: TcpStream) -> Option<()> {
-        // It answers without it, too, only later.
+        // An error is ignored: it only adds latency.
         let _ = stream.set_nodelay(true);
         let mut connection = Framed::new(stream, HttpCodec::new(Role::Server));
         loop {
@@ -162,11 +161,11 @@
             match target.split('?').next() {
                 Some("/v1/chat/completions") => {
                     let id = head.headers.get("Req-Id").unwrap_or_default();
-                    self.write_down(Some(id.to_string()));
+                    self.record_arrival(Some(id.to_string()));
                     self.answer(&mut connection, &body).await?;
                 }
                 Some("/load") => {
-                    self.write_down(None);
+                    self.record_arrival(None);
                     respond(&mut connection, 200, "", &self.load_report()).await?;
                 }
                 Some("/healthz") => respond(&mut connection, 200, "", "{}").await?,
@@ -175,9 +174,9 @@
         }
     }
 
-    fn write_down(&self, id: Option<String>) {
+    fn record_arrival(&self, id: Option<String>) {
         if let Some(recorder) = &self.recorder {
-            recorder.write_down(id);
+            recorder.record_arrival(id);
         }
     }
 
@@ -194,7 +193,7 @@
         self.stream_answer(connection, answer).await
     }
 
-    /// Hands a request to the model; `None` where its queue is full.
+    /// Passes a request to the model. Returns `None` if the model's queue is full.
     fn enqueue(&self, request: AnswerRequest) -> Option<AnswerStream> {
         let capacity = request.answer_tokens as usize + EXTRA_PARTS;
         let (sender, parts) = mpsc::channel(capacity);
@@ -226,7 +225,7 @@
         })
     }
 
-    /// Streams an answer to its end. `None` where the client leaves, or the answer is lost.
+    /// Streams an answer to its end. Returns `None` if the client disconnects or the answer is lost.
     async fn stream_answer(
         &self,
         connection: &mut Connection,
@@ -234,8 +233,8 @@
     ) -> Option<()> {
         let mut has_begun = false;
         loop {
-            // Both branches are cancel-safe: neither the channel nor the decoder loses what the other branch preempts.
-            // The connection is read only to notice that the client leaves: then the work is dropped.
+            // Both branches are cancel-safe: neither the channel nor the decoder loses data when its future is dropped.
+            // The connection is read only to detect that the client disconnects, which cancels the request.
             let part = tokio::select! {
                 biased;
                 part = answer.parts.recv() => part,
@@ -282,7 +281,7 @@
     }
 }
 
-/// Reads a body to its end; `None` where it is too long.
+/// Reads a body to its end. Returns `None` if it is too long or the connection fails.
 async fn read_body(connection: &mut Connection) -> Option<Vec<u8>> {
     let mut body = Vec::new();
     loop {
