--- a/crates/testbed/src/sockets/stub_model_server/mod.rs
+++ b/crates/testbed/src/sockets/stub_model_server/mod.rs
@@ -1,8 +1,8 @@
-//! Stub of a model server: HTTP/1.1 round the emulator's model, in real time.
+//! Stub model server: serves the emulator's server model over HTTP/1.1 in real time.
 //!
-//! One task lets the steps of the model pass and hands the tokens to the connections that stream them ([`answers`]). The
-//! listener and each connection are tasks of their own, which end when the "process" is stopped. Clones share all state
-//! but the record of arrivals.
+//! One task advances the model and passes generated tokens to the connections that stream them ([`answers`]). The
+//! listener and each connection have their own tasks, which are aborted when the simulated process is stopped. Clones
+//! share all state but the recorder of arrivals.
 
 mod answers;
 
@@ -24,13 +24,13 @@
 use tokio::task::{spawn_local, AbortHandle};
 use tokio::time::Instant;
 
-/// Arrivals that a record holds; later ones are left out.
+/// The maximum number of arrivals in a record; further ones are not recorded.
 const MAX_ARRIVALS: usize = 4_000_000;
-/// How often a restart tries to listen at its address.
+/// The maximum number of attempts to listen at the old address after a restart.
 const MAX_RESTART_TRIES: usize = 200;
-/// The time between two of these.
+/// The time between these attempts.
 const RESTART_INTERVAL: Duration = Duration::from_millis(10);
-/// The time after a connection that could not be accepted.
+/// The pause after a connection could not be accepted.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(5);
 
 struct ServerState {
@@ -39,25 +39,25 @@
     answers: HashMap<AttemptKey, AnswerSender>,
     last_request: u64,
     is_failing: bool,
-    /// The listener and all connections; empty while the "process" is stopped.
+    /// The tasks of the listener and of all connections; empty while the simulated process is stopped.
     tasks: Vec<AbortHandle>,
 }
 
-/// A request as a server wrote it down.
+/// A request recorded by a server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Arrival {
-    /// Microseconds since the record began.
+    /// The time of arrival, in microseconds since the beginning of the record.
     pub at: Micros,
     /// The index of the server.
     pub server: usize,
-    /// The id of the request; `None` for a question for the server's load.
+    /// The id of the request; `None` for a query of the server's load.
     pub id: Option<String>,
 }
 
-/// What servers wrote down, in the order of arrival.
+/// The arrivals recorded by all servers, in the order of arrival.
 pub type ArrivalRecord = Rc<RefCell<Vec<Arrival>>>;
 
-/// Where a server writes down what arrives.
+/// Records the arrivals at one server.
 #[derive(Clone)]
 struct ArrivalRecorder {
     since: Instant,
@@ -66,7 +66,7 @@
 }
 
 impl ArrivalRecorder {
-    fn write_down(&self, id: Option<String>) {
+    fn record_arrival(&self, id: Option<String>) {
         let mut record = self.record.borrow_mut();
         if record.len() < MAX_ARRIVALS {
             record.push(Arrival {
@@ -78,18 +78,18 @@
     }
 }
 
-/// The stub.
+/// A stub model server.
 #[derive(Clone)]
 pub struct StubModelServer {
     address: SocketAddr,
     state: Rc<RefCell<ServerState>>,
-    /// Wakes the task of the model when its next step has changed.
+    /// Wakes the task that advances the model when the end of the next step has changed.
     changed: Rc<Notify>,
     recorder: Option<ArrivalRecorder>,
 }
 
 impl StubModelServer {
-    /// Starts a warm server on a free port. Its tasks run as long as the `LocalSet` that it is started in.
+    /// Starts a warm server on a free port. Its tasks run until the enclosing `LocalSet` is dropped.
     pub async fn start(profile: ServerProfile) -> Result<StubModelServer, SocketsError> {
         let listener = TcpListener::bind("127.0.0.1:0")
             .await
@@ -114,13 +114,13 @@
         Ok(server)
     }
 
-    /// Where it listens, also after a restart.
+    /// The address at which the server listens, which a restart does not change.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Writes down arrivals, from the next restart on; several servers may share a record.
-    pub fn record_arrivals(&mut self, since: Instant, record: &ArrivalRecord, server: usize) {
+    /// Records arrivals from the next restart on. Several servers may share a record.
+    pub fn set_arrival_record(&mut self, since: Instant, record: &ArrivalRecord, server: usize) {
         self.recorder = Some(ArrivalRecorder {
             since,
             record: record.clone(),
@@ -128,7 +128,7 @@
         });
     }
 
-    /// Its "process" ends: nobody listens, and requests in flight are lost.
+    /// Stops the simulated process: the server no longer listens, and requests in flight are lost.
     pub fn stop(&self) {
         let mut state = self.state.borrow_mut();
         for task in state.tasks.drain(..) {
@@ -138,11 +138,11 @@
         state.answers.clear();
     }
 
-    /// Starts it again at its address, without cache and at low speed.
+    /// Restarts the server at its address, with an empty cache and at the reduced speed of a cold start.
     ///
     /// # Errors
     ///
-    /// [`SocketsError::AddressTaken`] where the address is not free in time.
+    /// [`SocketsError::AddressTaken`] if the address is not free in time.
     pub async fn restart(&self) -> Result<(), SocketsError> {
         for _ in 0..MAX_RESTART_TRIES {
             if let Ok(listener) = TcpListener::bind(self.address).await {
@@ -158,19 +158,19 @@
         })
     }
 
-    /// Whether every request is answered with an error from now on.
+    /// Sets whether the server responds to every request with an error.
     pub fn set_failing(&self, is_failing: bool) {
         self.state.borrow_mut().is_failing = is_failing;
     }
 
-    /// Its steps take so many times as long from now on.
+    /// Sets the factor by which the steps of the model take longer.
     pub fn set_slowdown(&self, factor: f64) {
         let now = self.now();
         self.state.borrow_mut().model.set_slowdown(now, factor);
         self.changed.notify_one();
     }
 
-    /// It stops working for so long.
+    /// Suspends the model for `duration`.
     pub fn stall(&self, duration: Duration) {
         let now = self.now();
         let until = now + duration.as_micros() as Micros;
@@ -178,17 +178,17 @@
         self.changed.notify_one();
     }
 
-    /// Requests running and queued.
+    /// The numbers of running and queued requests.
     pub fn request_counts(&self) -> RequestCounts {
         self.state.borrow().model.request_counts()
     }
 
-    /// The time of the model.
+    /// The time of the model, in microseconds since the start of the server.
     fn now(&self) -> Micros {
         self.state.borrow().started_at.elapsed().as_micros() as Micros
     }
 
-    /// Its load report, as nodes read it.
+    /// The load report, as JSON.
     fn load_report(&self) -> String {
         let load = self.state.borrow().model.reported_load();
         json!({"x0": load.memory_utilization, "x1": load.queued_prompt_tokens}).to_string()
@@ -213,13 +213,13 @@
         }
     }
 
-    /// Lets the steps of the model pass in real time, and sends the tokens that they make.
+    /// Advances the model in real time, and sends the generated tokens.
     async fn run_model(self) {
         loop {
             let step_end = self.next_step_end();
             match step_end {
-                // Both branches are cancel-safe: a notification that comes during the sleep ends it, one that comes
-                // before is kept by the `Notify`. The step's end is looked up anew in the next round.
+                // Both branches are cancel-safe: `Notify` stores a notification that arrives before the wait, and the
+                // end of the step is read again in the next iteration.
                 Some(step_end) => tokio::select! {
                     () = tokio::time::sleep_until(step_end) => {}
                     () = self.changed.notified() => {}
@@ -236,14 +236,14 @@
         Some(state.started_at + Duration::from_micros(step_end))
     }
 
-    /// Catches up with the model, and hands new tokens to the connections of their answers. A connection that takes
-    /// nothing loses its answer: nothing is kept for it without bound.
+    /// Advances the model to the present time, and passes new tokens to the connections of their answers. An answer
+    /// whose channel is full is cancelled, so that memory stays bounded.
     fn send_new_tokens(&self) {
         let now = self.now();
         let state = &mut *self.state.borrow_mut();
         let mut outputs = Vec::new();
         state.model.catch_up(now, &mut outputs);
-        // Gaps between tokens are measured by clients here.
+        // The gaps are discarded: on sockets, clients measure them.
         state.model.take_token_gaps().for_each(drop);
         let mut overflowing = Vec::new();
         for GeneratedTokens { key, tokens } in state.model.answers_in_progress() {
@@ -266,7 +266,7 @@
         }
     }
 
-    /// The key of a new request, which has one attempt here.
+    /// The key of a new request, which has only one attempt at this server.
     fn next_key(state: &mut ServerState) -> AttemptKey {
         state.last_request += 1;
         AttemptKey {
@@ -275,7 +275,7 @@
         }
     }
 
-    /// Drops a request whose client has left.
+    /// Cancels a request whose client has disconnected.
     fn cancel(&self, key: AttemptKey) {
         let now = self.now();
         let mut state = self.state.borrow_mut();
--- a/crates/testbed/tests/fault_injection/budgets.rs
+++ b/crates/testbed/tests/fault_injection/budgets.rs
@@ -1,17 +1,17 @@
-//! All nodes together keep to the budgets of the fleet.
+//! All nodes together stay within the budgets of the fleet.
 
 use crate::support::{block_on, folder, program};
 use poppykeel_testbed::emulator::description::BudgetDivision;
 use poppykeel_testbed::fault_injection::{
-    run_budget_scenario, BudgetReport, BudgetScenario, BudgetWhole, FleetShape, InjectedFaultKind,
+    run_budget_scenario, BudgetReport, BudgetScenario, FleetBudget, FleetShape, InjectedFaultKind,
 };
 
-fn play(name: &str, scenario: &BudgetScenario) -> BudgetReport {
+fn run(name: &str, scenario: &BudgetScenario) -> BudgetReport {
     let folder = folder(name);
-    let found = block_on(run_budget_scenario(scenario, program(), &folder));
-    println!("{name}: {found:?}");
+    let report = block_on(run_budget_scenario(scenario, program(), &folder));
+    println!("{name}: {report:?}");
     std::fs::remove_dir_all(folder).unwrap();
-    found
+    report
 }
 
 fn scenario(
@@ -29,7 +29,7 @@
         rounds,
         seed,
         only: only.to_vec(),
-        retries: BudgetWhole {
+        retries: FleetBudget {
             rate: 20.0,
             burst: 20.0,
         },
@@ -40,25 +40,25 @@
 
 #[test]
 fn retries_probes_and_cross_zone_traffic_of_all_nodes_stay_within_the_budgets() {
-    let found = play(
+    let report = run(
         "budgets-shares",
         &scenario(3, 5, &[], BudgetDivision::Shares),
     );
-    assert!(found.worst_window() <= 1.0, "{found:?}");
+    assert!(report.worst_window() <= 1.0, "{report:?}");
     assert!(
-        found.repeats.count > 0 && found.cross_zone.count > 0,
-        "{found:?}"
+        report.repeats.count > 0 && report.cross_zone.count > 0,
+        "{report:?}"
     );
-    // The record can show it: without budgets the same clients and servers go far beyond.
-    let without = play("budgets-none", &scenario(3, 2, &[], BudgetDivision::None));
+    // Checks that the verdict can fail: without budgets the same load exceeds them by far.
+    let without = run("budgets-none", &scenario(3, 2, &[], BudgetDivision::None));
     assert!(without.worst_window() > 3.0, "{without:?}");
 }
 
-/// Half of the nodes leave in the same second and come back together, and all are restarted one after the other: who
-/// is back under the same name is a new holder, and what the one before had runs out first.
+/// Guards against a burst when half of the nodes restart at once or all restart in turn. A restarted node is a new
+/// holder of grants under the same name, and must not spend before the grant of its previous process has expired.
 #[test]
 fn restarts_of_many_nodes_cause_no_burst_beyond_the_budgets() {
-    let found = play(
+    let report = run(
         "budgets-waves",
         &scenario(
             5,
@@ -68,13 +68,13 @@
         ),
     );
     assert!(
-        found.worst_window() <= 1.0 && found.repeats.count > 0,
-        "{found:?}"
+        report.worst_window() <= 1.0 && report.repeats.count > 0,
+        "{report:?}"
     );
 }
 
-/// While no process is killed, what the nodes report of cross-zone traffic is the servers' own count to the unit, and once all is
-/// quiet nothing of the whole is lost.
+/// While no process is killed, the nodes' count of cross-zone attempts equals the servers' count exactly, and after the
+/// load no part of the retry budget is lost.
 #[test]
 fn reported_cross_zone_traffic_equals_the_servers_count() {
     let only = [
@@ -83,14 +83,14 @@
         InjectedFaultKind::CutOneWay,
         InjectedFaultKind::DegradedLinks,
     ];
-    let found = play(
+    let report = run(
         "budgets-crossings",
         &scenario(7, 3, &only, BudgetDivision::Shares),
     );
     assert!(
-        found.worst_window() <= 1.0 && found.cross_zone.count > 50,
-        "{found:?}"
+        report.worst_window() <= 1.0 && report.cross_zone.count > 50,
+        "{report:?}"
     );
-    assert_eq!(found.reported_cross_zone, found.cross_zone.count as u64);
-    assert!(found.lost_retry_rate.abs() < 1.0, "{found:?}");
+    assert_eq!(report.reported_cross_zone, report.cross_zone.count as u64);
+    assert!(report.lost_retry_rate.abs() < 1.0, "{report:?}");
 }
--- a/crates/testbed/tests/fault_injection/leases.rs
+++ b/crates/testbed/tests/fault_injection/leases.rs
@@ -1,19 +1,19 @@
-//! A task under a lease never has two holders, and soon one again.
+//! A task under a lease never has two holders, and has a holder again soon after a fault.
 
 use crate::support::{block_on, folder, program};
 use poppykeel_testbed::fault_injection::{
     run_lease_scenario, FleetShape, InjectedFault, InjectedFaultKind, LeaseReport, LeaseScenario,
 };
 
-/// Plays a scenario with the testbed's own program as the node; what it leaves is kept where it was not good.
-fn play(name: &str, scenario: &LeaseScenario) -> LeaseReport {
+/// Runs a scenario with the testbed's own program as the node. Its folder is kept if a guarantee was violated.
+fn run(name: &str, scenario: &LeaseScenario) -> LeaseReport {
     let folder = folder(name);
-    let found = block_on(run_lease_scenario(scenario, program(), &folder));
-    println!("{}", found.summary(scenario.seed));
-    if found.is_good() {
+    let report = block_on(run_lease_scenario(scenario, program(), &folder));
+    println!("{}", report.summary(scenario.seed));
+    if report.is_good() {
         std::fs::remove_dir_all(folder).unwrap();
     }
-    found
+    report
 }
 
 fn scenario(seed: u64, rounds: usize, only: &[InjectedFaultKind]) -> LeaseScenario {
@@ -29,17 +29,17 @@
 
 #[test]
 fn nine_processes_under_drawn_faults_never_have_two_lease_holders() {
-    let found = play("drawn", &scenario(11, 9, &[]));
+    let report = run("drawn", &scenario(11, 9, &[]));
     assert!(
-        found.is_good(),
+        report.is_good(),
         "{:?} {:?}",
-        found.verdict.overlaps,
-        found.problems
+        report.verdict.overlaps,
+        report.problems
     );
     assert!(
-        found.verdict.action_count > 300,
+        report.verdict.action_count > 300,
         "{}",
-        found.verdict.action_count
+        report.verdict.action_count
     );
 }
 
@@ -51,36 +51,36 @@
         InjectedFaultKind::KillKeepers,
         InjectedFaultKind::KillBoth,
     ];
-    let found = play("disks", &scenario(5, 5, &only));
+    let report = run("disks", &scenario(5, 5, &only));
     assert!(
-        found.is_good(),
+        report.is_good(),
         "{:?} {:?}",
-        found.verdict.overlaps,
-        found.problems
+        report.verdict.overlaps,
+        report.problems
     );
 }
 
-/// The holder looked, and what it sent is still on its way when another holds the task: what is acted upon refuses it,
-/// and without the look at epochs there it would be taken.
+/// An action that the holder sent in time arrives when another node holds the lease. The target rejects the action by
+/// its epoch; without the check of epochs it would accept the action.
 #[test]
-fn late_action_is_rejected_by_its_epoch_alone() {
-    let late = |rejects_old_epochs| LeaseScenario {
+fn late_action_is_rejected_only_by_its_epoch() {
+    let late_action = |rejects_old_epochs| LeaseScenario {
         rejects_old_epochs,
         ..scenario(6, 2, &[InjectedFaultKind::LateAct])
     };
-    let found = play("late", &late(true));
+    let report = run("late", &late_action(true));
     assert!(
-        found.is_good() && found.verdict.fenced_count > 0,
+        report.is_good() && report.verdict.fenced_count > 0,
         "{:?} {:?}",
-        found.verdict.overlaps,
-        found.problems
+        report.verdict.overlaps,
+        report.problems
     );
-    let without = play("late-unfenced", &late(false));
+    let unfenced = run("late-unfenced", &late_action(false));
     let _ = std::fs::remove_dir_all(folder("late-unfenced"));
-    assert!(!without.verdict.overlaps.is_empty());
+    assert!(!unfenced.verdict.overlaps.is_empty());
 }
 
-/// A script of one kind of fault, for so long each, by these numbers for whom.
+/// A script of faults of one kind and duration, one for each number in `whom`.
 fn script(kind: InjectedFaultKind, for_ms: u64, whom: &[u64]) -> Vec<InjectedFault> {
     whom.iter()
         .map(|whom| InjectedFault {
@@ -92,8 +92,8 @@
         .collect()
 }
 
-/// Ten leases long, woken with an act of its own under way that comes half a lease later: refused by its epoch, and
-/// the woken one looks again before the next.
+/// The holder is stopped for ten leases while an action is in flight, which arrives half a lease after the holder is
+/// resumed. The action is rejected by its epoch, and the resumed holder checks its lease before the next one.
 #[test]
 fn holder_stopped_for_ten_leases_during_an_action_is_fenced() {
     let lease = std::time::Duration::from_millis(500);
@@ -103,7 +103,7 @@
         ..FleetShape::default()
     };
     let script = script(InjectedFaultKind::StopMidAct, 5000, &[0, 1]);
-    let found = play(
+    let report = run(
         "ten",
         &LeaseScenario {
             shape,
@@ -112,21 +112,21 @@
         },
     );
     assert!(
-        found.is_good() && found.rounds == 2,
+        report.is_good() && report.rounds == 2,
         "{:?} {:?}",
-        found.verdict.overlaps,
-        found.problems
+        report.verdict.overlaps,
+        report.problems
     );
-    assert!(found.verdict.fenced_count >= 2, "{:?}", found.verdict);
+    assert!(report.verdict.fenced_count >= 2, "{:?}", report.verdict);
 }
 
-/// A write that did not fit and a sync that failed, each at a lease server that has to grant something: it says so, answers
-/// nothing until it is started again with a sound disk, and the others go on.
+/// A write to a full disk and a failed sync, each at a lease server that has to grant a lease. The lease server reports
+/// the failure and grants nothing until it is restarted with a working disk; the others continue.
 #[test]
-fn lease_server_with_failed_disk_grants_nothing_and_the_others_go_on() {
+fn lease_server_with_failed_disk_grants_nothing_and_the_others_continue() {
     let full = script(InjectedFaultKind::FullDisk, 500, &[0]);
     let script = [full, script(InjectedFaultKind::FailedSync, 500, &[1])].concat();
-    let found = play(
+    let report = run(
         "bad-disk",
         &LeaseScenario {
             script,
@@ -134,21 +134,22 @@
         },
     );
     assert!(
-        found.is_good() && found.rounds == 2,
+        report.is_good() && report.rounds == 2,
         "{:?} {:?}",
-        found.verdict.overlaps,
-        found.problems
+        report.verdict.overlaps,
+        report.problems
     );
-    assert_eq!(found.failed_disk_count, 2);
+    assert_eq!(report.failed_disk_count, 2);
 }
 
-/// Of the holder, of a lease server and of another node: messages to the name reach one of the two processes.
+/// Duplicates of the holder, of a lease server and of another node. Each message to the name reaches one of the two
+/// processes.
 #[test]
-fn two_processes_under_one_name_never_hold_by_each_others_grants() {
+fn two_processes_under_one_name_never_use_each_others_grants() {
     let mut script = script(InjectedFaultKind::NameTwice, 3000, &[0, 1, 7]);
     script[1].size = 0.9;
     script[2].size = 0.9;
-    let found = play(
+    let report = run(
         "twice",
         &LeaseScenario {
             script,
@@ -156,15 +157,15 @@
         },
     );
     assert!(
-        found.is_good() && found.rounds == 3,
+        report.is_good() && report.rounds == 3,
         "{:?} {:?}",
-        found.verdict.overlaps,
-        found.problems
+        report.verdict.overlaps,
+        report.problems
     );
 }
 
-/// Clocks that run far more wrong than the nodes were told break the guarantee, and the stub's record shows it: the
-/// verdict can fail.
+/// Checks that the verdict can fail: clocks that drift far more than the nodes are configured to tolerate violate the
+/// guarantee, and the record shows it.
 #[test]
 fn verdict_finds_overlaps_when_clocks_exceed_the_allowed_drift() {
     let shape = FleetShape {
@@ -176,8 +177,8 @@
         ..FleetShape::default()
     };
     let only = vec![InjectedFaultKind::CutHolder];
-    let broken = (1..=6).any(|seed| {
-        let wanted = LeaseScenario {
+    let has_overlap = (1..=6).any(|seed| {
+        let scenario = LeaseScenario {
             shape: shape.clone(),
             rounds: 3,
             seed,
@@ -185,21 +186,21 @@
             script: vec![],
             rejects_old_epochs: false,
         };
-        let found = play("drift", &wanted);
+        let report = run("drift", &scenario);
         let _ = std::fs::remove_dir_all(folder("drift"));
-        !found.verdict.overlaps.is_empty()
+        !report.verdict.overlaps.is_empty()
     });
-    assert!(broken);
+    assert!(has_overlap);
 }
 
-/// Intervals of half a second, wall clocks up to a year wrong, the holder killed and stopped: each interval is reported
-/// once, and all clocks that name intervals are the fleet's.
+/// Wall clocks differ by up to a year, and the holder is killed, stopped and shut down. Each interval is reported once,
+/// and interval numbers follow the fleet's common clock and not a node's wall clock.
 #[test]
 fn each_interval_is_reported_once_despite_wrong_clocks_and_lost_holders() {
-    let every = std::time::Duration::from_millis(500);
+    let report_interval = std::time::Duration::from_millis(500);
     let shape = FleetShape {
         nodes: 5,
-        report_interval: every,
+        report_interval,
         ..FleetShape::default()
     };
     let fault = |kind, for_ms| InjectedFault {
@@ -213,7 +214,7 @@
         fault(InjectedFaultKind::StopHolder, 2500),
         fault(InjectedFaultKind::EndHolder, 300),
     ];
-    let found = play(
+    let report = run(
         "slots",
         &LeaseScenario {
             shape,
@@ -225,15 +226,15 @@
         },
     );
     assert!(
-        found.is_good(),
+        report.is_good(),
         "{:?} {:?}",
-        found.verdict.overlaps,
-        found.problems
+        report.verdict.overlaps,
+        report.problems
     );
-    assert_eq!(found.rounds, 3);
+    assert_eq!(report.rounds, 3);
     assert!(
-        found.max_interval_skew <= 3,
-        "{} intervals named between the first and last report",
-        found.max_interval_skew
+        report.max_interval_skew <= 3,
+        "interval numbers deviate from the elapsed time by {} intervals",
+        report.max_interval_skew
     );
 }
--- a/crates/testbed/tests/fault_injection/main.rs
+++ b/crates/testbed/tests/fault_injection/main.rs
@@ -1,4 +1,4 @@
-//! Several processes of the program under injected faults. The verdicts come from the records of stubs.
+//! Several node processes under injected faults. The verdicts are computed from the records of stub servers.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
--- a/crates/testbed/tests/fault_injection/processes.rs
+++ b/crates/testbed/tests/fault_injection/processes.rs
@@ -1,8 +1,8 @@
-//! What is left of a testbed that is killed.
+//! Processes after the testbed itself is killed.
 
 use crate::support::folder;
 
-/// Processes whose command line has this text.
+/// The number of processes whose command line contains this text.
 fn running(text: &str) -> usize {
     let all = std::fs::read_dir("/proc")
         .unwrap()
@@ -14,7 +14,7 @@
 #[test]
 fn killed_testbed_leaves_no_process_behind() {
     let folder = folder("killed");
-    let mut lab = std::process::Command::new(env!("CARGO_BIN_EXE_poppykeel-testbed"))
+    let mut testbed = std::process::Command::new(env!("CARGO_BIN_EXE_poppykeel-testbed"))
         .args([
             "break",
             "leases",
@@ -31,18 +31,18 @@
         .spawn()
         .unwrap();
     let config = folder.join("node-").display().to_string();
-    let until = |wanted: &dyn Fn(usize) -> bool| {
+    let wait_until = |is_expected: &dyn Fn(usize) -> bool| {
         for _ in 0..1000 {
-            if wanted(running(&config)) {
+            if is_expected(running(&config)) {
                 return;
             }
             std::thread::sleep(std::time::Duration::from_millis(10));
         }
-        panic!("{} processes", running(&config));
+        panic!("{} node processes are running", running(&config));
     };
-    until(&|count| count == 3);
-    lab.kill().unwrap();
-    lab.wait().unwrap();
-    until(&|count| count == 0);
+    wait_until(&|count| count == 3);
+    testbed.kill().unwrap();
+    testbed.wait().unwrap();
+    wait_until(&|count| count == 0);
     std::fs::remove_dir_all(folder).unwrap();
 }
--- a/crates/testbed/tests/fault_injection/rolling_restart.rs
+++ b/crates/testbed/tests/fault_injection/rolling_restart.rs
@@ -1,4 +1,4 @@
-//! Operators take all nodes out one after the other.
+//! A rolling restart of all nodes.
 
 use crate::support::{block_on, folder, program};
 use poppykeel_testbed::fault_injection::{
@@ -6,17 +6,20 @@
 };
 
 #[test]
-fn rolling_restart_takes_out_all_nodes_while_its_coordinator_is_lost() {
+fn rolling_restart_completes_despite_faults_of_its_coordinator() {
     let folder = folder("roll");
-    let wanted = RollingRestartScenario {
+    let scenario = RollingRestartScenario {
         shape: FleetShape::default(),
         seed: 4,
         fault_count: 3,
         max_out: 2,
     };
-    let found = block_on(run_rolling_restart_scenario(&wanted, program(), &folder));
-    println!("{found:?}");
-    assert!(found.max_out_at_once <= 2, "{found:?}");
-    assert!(found.ready_at_end == 9 && found.seen_out >= 6, "{found:?}");
+    let report = block_on(run_rolling_restart_scenario(&scenario, program(), &folder));
+    println!("{report:?}");
+    assert!(report.max_out_at_once <= 2, "{report:?}");
+    assert!(
+        report.ready_at_end == 9 && report.seen_out >= 6,
+        "{report:?}"
+    );
     std::fs::remove_dir_all(folder).unwrap();
 }
--- a/crates/testbed/tests/fault_injection/verdicts.rs
+++ b/crates/testbed/tests/fault_injection/verdicts.rs
@@ -1,13 +1,13 @@
-//! The verdicts on records, without any process.
+//! The verdicts on given records, without any processes.
 
 use poppykeel_testbed::fault_injection::{
-    judge_actions, judge_budgets, ActionGap, BudgetWhole, LeasedAction, ProcessName,
+    check_actions, check_budgets, ActionGap, FleetBudget, LeasedAction, ProcessName,
 };
 use poppykeel_testbed::sockets::Arrival;
 
 #[test]
-fn verdict_tells_one_late_action_from_a_second_holder() {
-    let act = |at, epoch, node: &str, taken| LeasedAction {
+fn verdict_distinguishes_one_late_action_from_a_second_holder() {
+    let action = |at, epoch, node: &str, is_accepted| LeasedAction {
         at,
         epoch,
         holder: ProcessName {
@@ -15,17 +15,17 @@
             incarnation: "1".to_string(),
         },
         interval: at,
-        is_accepted: taken,
+        is_accepted,
         is_duplicate: false,
     };
-    // Stopped between look and act: one late act, refused.
+    // A holder stopped between its check and the action: one late action, which is rejected.
     let stopped = [
-        act(1, 1, "a", true),
-        act(2, 2, "b", true),
-        act(3, 1, "a", false),
-        act(4, 2, "b", true),
+        action(1, 1, "a", true),
+        action(2, 2, "b", true),
+        action(3, 1, "a", false),
+        action(4, 2, "b", true),
     ];
-    let verdict = judge_actions(&stopped);
+    let verdict = check_actions(&stopped);
     assert_eq!(
         (
             verdict.overlaps.len(),
@@ -41,19 +41,19 @@
             }
         )
     );
-    // It looked again and went on.
-    let two = [&stopped[..], &[act(5, 1, "a", false)]].concat();
-    assert_eq!(judge_actions(&two).overlaps.len(), 1);
-    // One epoch of two nodes.
+    // A second late action under the same epoch: the holder continued after another check.
+    let two_late = [&stopped[..], &[action(5, 1, "a", false)]].concat();
+    assert_eq!(check_actions(&two_late).overlaps.len(), 1);
+    // Two nodes act under the same epoch.
     assert_eq!(
-        judge_actions(&[act(1, 1, "a", true), act(2, 1, "b", true)])
+        check_actions(&[action(1, 1, "a", true), action(2, 1, "b", true)])
             .overlaps
             .len(),
         1
     );
-    // What is acted upon did not look at the epoch.
+    // The target accepted an old epoch.
     assert_eq!(
-        judge_actions(&[act(1, 2, "a", true), act(2, 1, "b", true)])
+        check_actions(&[action(1, 2, "a", true), action(2, 1, "b", true)])
             .overlaps
             .len(),
         1
@@ -70,11 +70,11 @@
             id,
         }
     };
-    // Bound: 2 at once, 2 a second and a tenth for what comes late.
-    let judged = |arrivals: &[Arrival]| {
-        judge_budgets(
+    // Allowed: a burst of 2, 2 per second, and a tolerance of a tenth for late arrivals.
+    let checked = |arrivals: &[Arrival]| {
+        check_budgets(
             arrivals,
-            BudgetWhole {
+            FleetBudget {
                 rate: 2.0,
                 burst: 2.0,
             },
@@ -88,18 +88,18 @@
     ];
     assert_eq!(
         (
-            judged(&firsts).repeats.count,
-            judged(&firsts).cross_zone.count
+            checked(&firsts).repeats.count,
+            checked(&firsts).cross_zone.count
         ),
         (0, 0)
     );
     let again = |ms| arrival(ms, 1, 1, 0);
     let within = [&firsts[..], &[again(5), again(5), again(600)]].concat();
-    assert!(judged(&within).worst_window() <= 1.0);
+    assert!(checked(&within).worst_window() <= 1.0);
     let beyond = [&firsts[..], &[again(5), again(6), again(7)]].concat();
-    assert!(judged(&beyond).repeats.worst_window > 1.0 && judged(&beyond).cross_zone.count == 0);
+    assert!(checked(&beyond).repeats.worst_window > 1.0 && checked(&beyond).cross_zone.count == 0);
     let crossed: Vec<Arrival> = (0..6).map(|n| arrival(n, 1, n, 1)).collect();
-    assert!(judged(&crossed).cross_zone.worst_window > 1.0);
+    assert!(checked(&crossed).cross_zone.worst_window > 1.0);
     let probes: Vec<Arrival> = (0..4)
         .map(|n| Arrival {
             at: n,
@@ -107,5 +107,5 @@
             id: None,
         })
         .collect();
-    assert!(judged(&probes).probes.worst_window > 1.0);
+    assert!(checked(&probes).probes.worst_window > 1.0);
 }
--- a/crates/testbed/tests/sockets.rs
+++ b/crates/testbed/tests/sockets.rs
@@ -1,4 +1,4 @@
-//! The fleet on loopback sockets: `up` answers the line that it prints, and a load is played to its end.
+//! The fleet on loopback sockets: `up` responds to the command that it prints, and a load completes despite faults.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 #![expect(clippy::min_ident_chars, reason = "not yet converted")]
@@ -8,7 +8,7 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// The lab's own program serves as the node, too.
+/// The testbed's own program, which also runs as the node.
 fn program() -> &'static Path {
     Path::new(env!("CARGO_BIN_EXE_poppykeel-testbed"))
 }
@@ -19,12 +19,12 @@
     path
 }
 
-fn on_sockets<T>(what: impl std::future::Future<Output = T>) -> T {
+fn on_sockets<T>(task: impl std::future::Future<Output = T>) -> T {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
         .unwrap();
-    tokio::task::LocalSet::new().block_on(&runtime, what)
+    tokio::task::LocalSet::new().block_on(&runtime, task)
 }
 
 fn small(faults: Vec<FaultDescription>) -> RunDescription {
@@ -38,27 +38,31 @@
         run.load.seconds,
         run.load.per_server,
     ) = (3, 1, 3.0, 4.0);
-    // Short answers: the test says nothing of speed.
+    // Fast steps: the test does not measure speed.
     (run.fleet.server.step_us, run.load.prefixes) = (2_000, 2);
     run.check().unwrap()
 }
 
 #[test]
-fn up_streams_an_answer_to_the_line_it_prints() {
+fn up_prints_a_command_that_receives_a_streamed_answer() {
     let folder = folder("up");
     let output = on_sockets(async {
-        let up = sockets::LocalDeployment::start(&small(vec![]), program(), &folder)
+        let deployment = sockets::LocalDeployment::start(&small(vec![]), program(), &folder)
             .await
             .unwrap();
-        assert!(up.summary().contains("3 model servers"), "{}", up.summary());
+        assert!(
+            deployment.summary().contains("3 model servers"),
+            "{}",
+            deployment.summary()
+        );
         let output = tokio::process::Command::new("bash")
-            .args(["-c", up.curl_command()])
+            .args(["-c", deployment.curl_command()])
             .output()
             .await;
-        up.serve_for(Duration::ZERO).await;
+        deployment.serve_for(Duration::ZERO).await;
         output
     });
-    // A machine without curl can't take the line; the load's test asks in its own words.
+    // Skipped on machines without curl; the load's test sends requests with its own client.
     if let Ok(output) = output.map(|o| String::from_utf8_lossy(&o.stdout).into_owned()) {
         if !output.is_empty() {
             assert!(
@@ -71,7 +75,7 @@
 }
 
 #[test]
-fn a_load_on_sockets_ends_whole_and_right_through_faults() {
+fn load_completes_with_correct_answers_despite_faults() {
     let fault = |what, at_s, for_s, part| FaultDescription {
         what,
         at_s,
@@ -89,22 +93,25 @@
     ];
     let folder = folder("load");
     let run = small(faults);
-    let out = on_sockets(sockets::play_load(&run, program(), &folder, 1)).unwrap();
-    assert!(out.all.request_count() > 15, "{:?}", out.all);
-    assert_eq!(out.broken.sum(), 0, "{:?}", out.broken);
+    let outcome = on_sockets(sockets::run_load(&run, program(), &folder, 1)).unwrap();
+    assert!(outcome.all.request_count() > 15, "{:?}", outcome.all);
+    assert_eq!(outcome.broken.sum(), 0, "{:?}", outcome.broken);
     assert!(
-        out.all.served_fraction() > 0.5 && out.prompt.total > 0,
+        outcome.all.served_fraction() > 0.5 && outcome.prompt.total > 0,
         "{:?} {:?}",
-        out.all,
-        out.prompt
+        outcome.all,
+        outcome.prompt
     );
     let log = std::fs::read_to_string(folder.join("node-0.log")).unwrap();
-    assert!(log.contains("\"done\""), "the node was ended in order");
+    assert!(
+        log.contains("\"done\""),
+        "the node was shut down gracefully"
+    );
     std::fs::remove_dir_all(folder).unwrap();
 }
 
 #[test]
-fn what_sockets_cannot_do_is_refused() {
+fn faults_unsupported_on_sockets_are_rejected() {
     let run = small(vec![FaultDescription {
         what: FaultKind::ZoneCut,
         at_s: 0.0,
@@ -115,7 +122,7 @@
         tenant: 0,
     }]);
     let folder = folder("refused");
-    let error = on_sockets(sockets::play_load(&run, program(), &folder, 1))
+    let error = on_sockets(sockets::run_load(&run, program(), &folder, 1))
         .unwrap_err()
         .to_string();
     assert!(error.contains("ZoneCut"), "{error}");
