--- a/crates/testbed/benches/emulator.rs
+++ b/crates/testbed/benches/emulator.rs
@@ -1,4 +1,4 @@
-//! Speeds of the emulator and costs of decisions: `cargo bench -p poppykeel-testbed --bench emulator -- speed|decisions|large`.
+//! Speed of the emulator and cost of scheduling decisions: `cargo bench -p poppykeel-testbed --bench emulator -- speed|decisions|large`.
 
 #![expect(clippy::min_ident_chars, reason = "not yet converted")]
 
@@ -33,26 +33,26 @@
     let mut run = RunDescription::default();
     (run.fleet.servers, run.fleet.nodes) = (servers, nodes);
     run.load.seconds = requests / (run.load.per_server * servers as f64);
-    run.check().expect("the description holds")
+    run.check().expect("the description is valid")
 }
 
-/// Seconds, and requests played.
-fn play(run: &RunDescription, policy: Policy, seed: u64) -> (f64, u64, u64) {
+/// Executes a run. Returns the seconds that it took, its requests and its events.
+fn execute(run: &RunDescription, policy: Policy, seed: u64) -> (f64, u64, u64) {
     let start = Instant::now();
-    let out = Simulation::new(run, policy, seed)
+    let outcome = Simulation::new(run, policy, seed)
         .and_then(Simulation::finish)
         .expect("a run");
     (
         start.elapsed().as_secs_f64(),
-        out.all.request_count(),
-        out.events,
+        outcome.all.request_count(),
+        outcome.events,
     )
 }
 
 fn speed() {
     let run = run(24, 4, 100_000.0);
     for policy in [Policy::Poppykeel, Policy::Random] {
-        let (took, requests, events) = play(&run, policy, 1);
+        let (took, requests, events) = execute(&run, policy, 1);
         println!(
             "speed: {policy}, 24 servers, 4 nodes, one core: {:.0} requests/s, {:.0} events/s",
             requests as f64 / took,
@@ -61,7 +61,7 @@
         let start = Instant::now();
         let all: u64 = (1..=8u64)
             .into_par_iter()
-            .map(|seed| play(&run, policy, seed).1)
+            .map(|seed| execute(&run, policy, seed).1)
             .sum();
         println!(
             "speed: {policy}, eight seeds over all cores: {:.0} requests/s",
@@ -70,12 +70,12 @@
     }
 }
 
-/// What a request costs as servers grow, with the load of each server the same.
+/// Measures the cost of a request for a growing number of servers, at the same load for each server.
 fn decisions() {
     for servers in [10, 100, 1000, 5000] {
         let run = run(servers, 4, 20_000.0);
-        let (own, requests, _) = play(&run, Policy::Poppykeel, 1);
-        let (simple, _, _) = play(&run, Policy::Random, 1);
+        let (own, requests, _) = execute(&run, Policy::Poppykeel, 1);
+        let (simple, _, _) = execute(&run, Policy::Random, 1);
         println!(
             "decisions: {servers} servers: {:.1} µs a request in all, {:.1} with a random choice, {:.1} more",
             own / requests as f64 * 1e6,
@@ -87,7 +87,7 @@
 
 fn large() {
     let run = run(2000, 200, 1_000_000.0);
-    let (took, requests, events) = play(&run, Policy::Poppykeel, 1);
+    let (took, requests, events) = execute(&run, Policy::Poppykeel, 1);
     let memory = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let most = memory
         .lines()
