--- a/crates/testbed/src/fault_injection/budgets.rs
+++ b/crates/testbed/src/fault_injection/budgets.rs
@@ -38,7 +38,7 @@
 const START_LEASES: u32 = 3;
 /// See [`START_LEASES`].
 const START_ALLOWANCE: Duration = Duration::from_secs(2);
-/// The longest fault, in lease durations. Grants end with the lease, so longer faults cover no further cases.
+/// The longest fault, in lease durations. The budgets only wait for leases, so longer faults cover no further cases.
 const MAX_FAULT_LEASES: u64 = 3;
 /// The time for which servers still fail after a fault, in lease durations.
 const FAILING_LEASES: f64 = 0.5;
@@ -98,7 +98,7 @@
     start_clients(scenario, &fleet, &clients);
     let results = run_rounds(scenario, &fleet, &history).await;
     clients.is_stopped.set(true);
-    // Waits for requests in flight, and then until grants and leases of that time have expired.
+    // Waits for requests in flight, and then without load for the duration of a grant and a lease.
     tokio::time::sleep(REQUEST_TIMEOUT + shape.lease_duration * 2).await;
     let reports = collect_node_reports(&fleet.admin_addresses()).await;
     fleet.kill_all().await;
--- a/crates/testbed/src/fault_injection/link_relay.rs
+++ b/crates/testbed/src/fault_injection/link_relay.rs
@@ -21,7 +21,7 @@
 const MAX_CONNECTIONS: usize = 32;
 /// Connections are closed after this time.
 const MAX_CONNECTION_DURATION: Duration = Duration::from_secs(5);
-/// The receive buffer, which holds the longest UDP datagram.
+/// The size of the receive buffer, enough for the longest UDP datagram.
 const MAX_DATAGRAM_BYTES: usize = 65_536;
 
 /// The faults of a link. By default everything passes without delay.
--- a/crates/testbed/tests/sockets.rs
+++ b/crates/testbed/tests/sockets.rs
@@ -1,4 +1,4 @@
-//! The fleet on loopback sockets: `up` responds to the command that it prints, and a load completes despite faults.
+//! The fleet on loopback sockets: the command that `up` prints receives an answer, and a load completes despite faults.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 #![expect(clippy::min_ident_chars, reason = "not yet converted")]
