--- a/crates/coordination/src/budget/allocator/mod.rs
+++ b/crates/coordination/src/budget/allocator/mod.rs
@@ -12,18 +12,18 @@
 use node_account::{Allocation, NodeAccount};
 use std::collections::BTreeMap;
 
-/// The maximum number of nodes with an account.
+/// The maximum number of processes with an account; requests of further processes are not answered.
 const MAX_NODES: usize = 4096;
 /// The maximum number of outstanding grants of a node, which are neither expired nor superseded by a confirmed newer
 /// one. At the limit the node gets no further grant until one expires.
 const MAX_OUTSTANDING_GRANTS: usize = 8;
-/// A node keeps its rate if the target differs by less than the rate divided by this number.
+/// A node keeps its rate if the target rate differs from it by less than the rate divided by this number.
 const DAMPING: u64 = 10;
 
 /// The rate of a budget that may be in use at one node.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct NodeAllocation {
-    /// The process with the grants.
+    /// The process that holds the grants.
     pub process: ProcessId,
     /// In thousandths of a unit per second, without the guaranteed rate.
     pub rate: u64,
@@ -34,9 +34,9 @@
 pub struct BudgetAllocation {
     /// The budget's name.
     pub budget: String,
-    /// The limit less guaranteed rates and drift.
+    /// The limit less the guaranteed rates and the clock drift.
     pub allocatable: u64,
-    /// The rate that may be in use; the remainder is free.
+    /// The rate that may be in use at all nodes together; the remainder of `allocatable` is free.
     pub allocated: u64,
     /// The time until `allocated` is within a lowered limit at the latest, in microseconds; 0 if it already is.
     pub excess_expires_in: Micros,
@@ -52,7 +52,7 @@
     last_grant: u64,
     grant_duration: Micros,
     drift_ppm: u32,
-    /// Until then, unknown grants of earlier allocators may be in force.
+    /// Until then, grants of earlier allocators that this one does not know may be in force.
     predecessor_grants_end_at: Micros,
     limits: BTreeMap<String, BudgetLimit>,
     nodes: BTreeMap<ProcessId, NodeAccount>,
@@ -101,12 +101,12 @@
         self.limits = limits;
     }
 
-    /// Handles a request. Returns `None` if the request is of a newer epoch, the node table is full, or the node has
-    /// too many outstanding grants.
+    /// Handles a request and returns the response. Returns `None` if the request is of a newer epoch, the node table is
+    /// full, or the node has too many outstanding grants.
     pub fn handle_request(&mut self, request: BudgetRequest, now: Micros) -> Option<BudgetMessage> {
         if request.epoch != self.epoch {
-            // Rates that a node reports count only under the current epoch: then no earlier allocator can have granted
-            // the same rates to another node.
+            // Rates that a node reports are used only if the node knows the current epoch. It then accepts no grants of
+            // earlier allocators, so none of them can lower its rates and grant the difference to another node.
             let is_earlier = request.epoch < self.epoch;
             return is_earlier.then_some(BudgetMessage::NewEpoch(self.epoch));
         }
@@ -139,8 +139,8 @@
         Some(BudgetMessage::Grant(grant))
     }
 
-    /// The highest rate of a budget that a node may be granted: what no other node may be spending. While grants of
-    /// earlier allocators may be in force, the ceiling is the node's current rate.
+    /// The highest rate of a budget that a node may be granted: the allocatable rate less what the other nodes may be
+    /// spending. While grants of earlier allocators may be in force, also at most the node's current rate.
     fn ceiling(
         &self,
         process: &ProcessId,
@@ -268,7 +268,7 @@
     }
 }
 
-/// The number of the grant of this epoch that a node reports as its current one; 0 if it reports none.
+/// The number of the grant that a node reports as its current one, if the grant is of this epoch; otherwise 0.
 fn confirmed_grant(current_grant: Option<GrantId>, epoch: Epoch) -> u64 {
     match current_grant {
         Some(grant) if grant.epoch == epoch => grant.number,
--- a/crates/coordination/src/budget/fair_allocation.rs
+++ b/crates/coordination/src/budget/fair_allocation.rs
@@ -4,8 +4,8 @@
 use std::collections::BTreeMap;
 
 /// Allocates `total` by weighted max-min fairness: no demand is exceeded while another is unmet, and unmet demands
-/// share by weight. What remains is split equally, so that each key has headroom if its demand grows; one equal share
-/// is left unallocated for a key that is added next.
+/// share by weight. The remainder is split equally, so that each key has headroom if its demand grows; one equal share
+/// stays unallocated for the next key to be added.
 pub fn allocate_max_min<Key: Ord + Clone>(
     total: u64,
     demands: &BTreeMap<Key, Demand>,
--- a/crates/coordination/src/budget/granted_quotas.rs
+++ b/crates/coordination/src/budget/granted_quotas.rs
@@ -6,7 +6,7 @@
 use crate::{Epoch, Micros, ProcessId};
 use std::collections::{BTreeMap, VecDeque};
 
-/// The maximum number of requests that may still be answered; the oldest is dropped.
+/// The maximum number of recent requests whose send times are stored. Grants for older requests are ignored.
 const MAX_PENDING_REQUESTS: usize = 16;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -22,7 +22,7 @@
     sent_at: Micros,
 }
 
-/// The rate of a budget that the current grant allows.
+/// The rate of a budget under the current grant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct GrantedRate {
     /// In thousandths of a unit per second, in addition to the guaranteed rate.
@@ -40,7 +40,7 @@
     epoch: Epoch,
     /// The number of the last request.
     last_request: u64,
-    /// Requests that may still be answered.
+    /// The most recent requests, oldest first. The end of a grant is computed from the send time of its request.
     pending_requests: VecDeque<PendingRequest>,
     current: Option<CurrentGrant>,
 }
@@ -84,7 +84,7 @@
         })
     }
 
-    /// Handles a response of the allocator. Returns whether another request must be sent at once.
+    /// Handles a response of the allocator. Returns whether the request must be repeated at once under a newer epoch.
     pub fn handle_response(&mut self, response: &BudgetMessage, now: Micros) -> bool {
         match response {
             BudgetMessage::NewEpoch(epoch) => {
--- a/crates/coordination/src/budget/limit.rs
+++ b/crates/coordination/src/budget/limit.rs
@@ -9,9 +9,9 @@
     pub rate: u64,
     /// The burst of the whole fleet.
     pub burst: u64,
-    /// The rate of each node without a grant.
+    /// The rate that each node may always spend, with or without a grant.
     pub guaranteed_rate: u64,
-    /// The burst of each node without a grant.
+    /// The burst that each node may always spend, with or without a grant.
     pub guaranteed_burst: u64,
     /// The planned number of nodes. Their guaranteed rates are deducted from the allocatable rate.
     pub max_nodes: u32,
@@ -35,7 +35,7 @@
 }
 
 impl BudgetLimitError {
-    /// The settings key with the invalid value.
+    /// The settings key of the value that is too large.
     pub fn key(&self) -> &'static str {
         match self {
             BudgetLimitError::GuaranteedRatesExceedLimit { .. } => "floor",
--- a/crates/coordination/src/budget/messages.rs
+++ b/crates/coordination/src/budget/messages.rs
@@ -12,7 +12,8 @@
 pub struct Demand {
     /// The demanded rate, in thousandths of a unit per second.
     pub rate: u64,
-    /// The weight of a unit at this node relative to units at other nodes, above 0.
+    /// The weight of a unit at this node relative to units at other nodes, above 0. Nodes share a scarce budget in
+    /// proportion to it.
     pub weight: u32,
 }
 
@@ -39,7 +40,7 @@
     pub request_number: u64,
     /// The grant in force at the node; `None` after a start or once the grant has ended.
     pub current_grant: Option<GrantId>,
-    /// The rates of that grant.
+    /// The rates of that grant; empty without one.
     pub rates: Rates,
     /// The node's demands, by budget name.
     pub demands: BTreeMap<String, Demand>,
@@ -66,7 +67,7 @@
 pub enum BudgetMessage {
     /// To the allocator.
     Request(BudgetRequest),
-    /// From the allocator, to a node that sent a request under an earlier epoch: the node must repeat it under this
+    /// From the allocator, in response to a request with an earlier epoch: the node must repeat the request with this
     /// one.
     NewEpoch(Epoch),
     /// From the allocator.
--- a/crates/coordination/src/budget/mod.rs
+++ b/crates/coordination/src/budget/mod.rs
@@ -6,8 +6,8 @@
 //!
 //! # Invariants
 //!
-//! - The grants that may be in force never sum to more than the allocatable rate. A grant counts until its node has
-//!   confirmed a newer one, or until it has expired by the allocator's clock.
+//! - The grants that may be in force never sum to more than the allocatable rate. The allocator counts a grant until
+//!   its node has confirmed a newer one, or until it has expired by the allocator's clock.
 //! - For the node, a grant starts when the *request was sent* and lasts for its duration less the clock drift. It
 //!   therefore ends before it expires at the allocator.
 //! - A new allocator does not know the grants of its predecessor. For one grant duration it only renews rates that
@@ -41,5 +41,5 @@
     AllocatorStatus, BudgetParticipant, BudgetSettings, CumulativeDemand, Quota,
 };
 
-/// The maximum number of budgets.
+/// The maximum number of budgets in a request or grant; further ones, in the order of the names, are ignored.
 pub const MAX_BUDGETS: usize = 64;
--- a/crates/coordination/src/budget/participant.rs
+++ b/crates/coordination/src/budget/participant.rs
@@ -8,9 +8,8 @@
 
 /// The number of requests per grant duration.
 const REQUESTS_PER_GRANT: u64 = 4;
-/// The part of the previous demand that the next request retains at least, in percent. Demands include no headroom:
-/// headroom is given from the unallocated remainder, whereas demanded headroom would be taken from nodes with unmet
-/// demand.
+/// The minimum of a demand, in percent of the previous one. Demands include no headroom: the allocator gives headroom
+/// from the unallocated remainder, whereas headroom in the demands would be taken from nodes with unmet demand.
 const RETAINED_DEMAND_PERCENT: u64 = 50;
 /// The value of [`Demand::weight`] for a weight of one.
 const WEIGHT_SCALE: f64 = 100.0;
@@ -30,7 +29,7 @@
     pub limits: BTreeMap<String, BudgetLimit>,
 }
 
-/// The demand for a budget since the process started, whether met or not.
+/// The demand for a budget since the process started, including the part that was refused.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct CumulativeDemand {
     /// In thousandths of a unit.
@@ -46,7 +45,7 @@
     pub rate: u64,
     /// In thousandths of a unit.
     pub burst: u64,
-    /// When the quota ends.
+    /// When the quota ends; `rate` and `burst` are 0 from then on, until a newer grant is in force.
     pub until: Micros,
 }
 
@@ -105,7 +104,8 @@
     }
 
     /// Creates the next request, to be sent every [`BudgetParticipant::request_interval`]. `totals` is the cumulative
-    /// demand by budget name; `held_epoch` is the epoch under which this process holds the budget lease, if it does.
+    /// demand by budget name; `held_epoch` is the epoch under which this process holds the budget lease, `None` if it
+    /// does not.
     pub fn next_request(
         &mut self,
         totals: BTreeMap<String, CumulativeDemand>,
@@ -117,8 +117,8 @@
         self.quotas.next_request(self.demands.clone(), now)
     }
 
-    /// Handles a message and returns the response to its sender. `held_epoch` must be the epoch of the lease at `now`:
-    /// grants are given under that epoch, and none without it.
+    /// Handles a message and returns the response to its sender. `held_epoch` must be the epoch under which this
+    /// process holds the budget lease at `now`; it gives grants under that epoch, and none if it is `None`.
     pub fn handle_message(
         &mut self,
         message: BudgetMessage,
@@ -166,7 +166,7 @@
         })
     }
 
-    /// Starts an allocator for a new epoch of the lease, and drops it when the lease is lost.
+    /// Starts a new allocator if the epoch of the lease has changed, and drops the allocator if the lease was lost.
     fn sync_allocator(&mut self, held_epoch: Option<Epoch>, now: Micros) {
         let allocating_epoch = self.allocator.as_ref().map(BudgetAllocator::epoch);
         if allocating_epoch == held_epoch {
--- a/crates/coordination/src/budget/tests/model.rs
+++ b/crates/coordination/src/budget/tests/model.rs
@@ -26,13 +26,13 @@
 pub(super) enum Safeguard {
     /// A new allocator waits until the grants of its predecessor have expired.
     WaitForOldGrants,
-    /// A grant counts until its node has confirmed a newer one.
+    /// The allocator counts a grant until its node has confirmed a newer one.
     CountUntilConfirmed,
     /// A node reduces the duration of a grant by the drift.
     DriftMargin,
     /// A process accepts only grants for its own incarnation.
     RequesterCheck,
-    /// Grants to a node's previous process count after the node has restarted.
+    /// After a node has restarted, the allocator still counts the grants to its previous process.
     AccountOfPreviousProcess,
 }
 
--- a/crates/coordination/src/envelope.rs
+++ b/crates/coordination/src/envelope.rs
@@ -54,7 +54,7 @@
     Budget(BudgetMessage),
 }
 
-/// The number of requests of one class by outcome.
+/// The number of requests of one class, by outcome.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ClassReplies {
     /// The class's name.
@@ -78,7 +78,7 @@
     pub count: u64,
 }
 
-/// A node's counters since its start, for the fleet report.
+/// A node's counters since its start and current values, for the fleet report.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct NodeFigures {
     /// Requests by class and outcome.
--- a/crates/coordination/src/gossip/member.rs
+++ b/crates/coordination/src/gossip/member.rs
@@ -19,7 +19,7 @@
 }
 
 impl Member {
-    /// A member of which only the configured name and address are known, as the recipient of an announcement.
+    /// A member with only the configured name and address, used as the recipient of an announcement.
     pub(crate) fn from_address(name: String, address: SocketAddr) -> Member {
         Member {
             name,
--- a/crates/coordination/src/gossip/membership.rs
+++ b/crates/coordination/src/gossip/membership.rs
@@ -14,15 +14,15 @@
 
 /// The maximum number of nodes for which a node stores addresses and timers.
 pub const MAX_MEMBERS: usize = 4096;
-/// The maximum number of pending timers; the library uses a few per member.
+/// The maximum number of pending timers; the library uses a few per member. Further timers are dropped.
 const MAX_TIMERS: usize = 4 * MAX_MEMBERS;
-/// The shortest probe interval, in microseconds.
+/// The shortest probe interval, in microseconds; shorter ones are raised to it.
 const MIN_PROBE_INTERVAL: Micros = 10;
 /// The number of indirect probes of an unresponsive node, in addition to the first.
 const ADDITIONAL_INDIRECT_PROBES: usize = 2;
-/// The number of times that an update is forwarded, in addition to the first.
+/// The number of times that this node sends each membership update, in addition to the first.
 const ADDITIONAL_TRANSMISSIONS: u8 = 9;
-/// The maximum message size minus one, in bytes.
+/// The maximum size of a message minus one, in bytes. The library requires a non-zero type, built as 1 plus this.
 const MAX_MESSAGE_BYTES_LESS_ONE: usize = 1023;
 
 /// An outgoing message of the membership protocol.
@@ -46,7 +46,7 @@
 
 impl Membership {
     /// Creates a view that contains the local node only. `probe_interval` is the time between two probes, in
-    /// microseconds.
+    /// microseconds; `seed` initialises the random number generator.
     pub fn new(local: Member, probe_interval: Micros, seed: u64) -> Membership {
         let config = configuration(Duration::from_micros(
             probe_interval.max(MIN_PROBE_INTERVAL),
@@ -83,7 +83,7 @@
         self.drain_runtime(now)
     }
 
-    /// Leaves the fleet gracefully, so that other nodes need not detect the absence.
+    /// Leaves the fleet gracefully, so that other nodes remove the local node without waiting for failed probes.
     pub fn leave(&mut self, now: Micros) -> Vec<GossipMessage> {
         // An error means that the local node has already left.
         let _ = self.foca.leave_cluster(&mut self.runtime);
--- a/crates/coordination/src/identity.rs
+++ b/crates/coordination/src/identity.rs
@@ -11,7 +11,7 @@
 pub struct Epoch(pub u64);
 
 impl Epoch {
-    /// The next higher epoch.
+    /// The epoch after this one.
     pub fn next(self) -> Epoch {
         Epoch(self.0 + 1)
     }
@@ -41,6 +41,6 @@
 pub struct ProcessId {
     /// The node's name.
     pub node: String,
-    /// Chosen at random when the process starts.
+    /// A random number that the process draws when it starts.
     pub incarnation: Incarnation,
 }
--- a/crates/coordination/src/lease/client/mod.rs
+++ b/crates/coordination/src/lease/client/mod.rs
@@ -20,9 +20,10 @@
 
 /// A holder renews after the lease duration divided by this number.
 const RENEWALS_PER_LEASE: Micros = 3;
-/// The number of consecutive failed rounds beyond which the pause no longer grows.
+/// The number of consecutive failed rounds after which the pause before the next round no longer grows. The random part
+/// of the pause is less than the base pause times 2 to the power of the number of failed rounds.
 const MAX_BACKOFF_SHIFT: u32 = 5;
-/// The shift of the pause's random part if another process is known to hold the lease.
+/// Replaces the number of failed rounds in the random part of the pause if another process is known to hold the lease.
 const HELD_BACKOFF_SHIFT: u32 = 2;
 
 /// The parameters of a lease client.
@@ -44,7 +45,7 @@
 enum ClientState {
     /// Not held; the next round starts at this time.
     Idle(Micros),
-    /// The first round for an epoch.
+    /// Waits for a majority of grants in the only round under a new epoch.
     Acquiring(Round),
     Held {
         /// The end of the holding time; no action is allowed from here on.
@@ -65,15 +66,15 @@
     parameters: LeaseParameters,
     /// The epoch of the last request.
     epoch: Epoch,
-    /// The highest known epoch. It may rise during a round, but then applies to the next round only: grants of the
-    /// current round are for the epoch that it requested.
+    /// The highest known epoch of the task. If it rises during a round, only the next round uses it: the servers grant
+    /// the current round under the epoch in its request.
     highest_known_epoch: Epoch,
     rounds_started: u64,
     is_requested: bool,
     state: ClientState,
     /// The number of consecutive failed rounds.
     failed_rounds: u32,
-    /// The other process that holds the lease, as last reported.
+    /// The other process that holds the lease, as last reported by a lease server.
     other_holder: Option<ProcessId>,
 }
 
@@ -158,8 +159,8 @@
         }
     }
 
-    /// Starts, renews or abandons rounds that are due. `random` is a fresh random number for the backoff. The returned
-    /// messages must be sent to every lease server.
+    /// Starts a round, or abandons one that has timed out, if that is due. `random` is a fresh random number for the
+    /// backoff. The returned messages must be sent to every lease server.
     pub fn on_timer(&mut self, now: Micros, random: u64) -> Vec<LeaseRequest> {
         match &self.state {
             ClientState::Idle(at) if self.is_requested && now >= *at => vec![self.acquire(now)],
@@ -244,7 +245,7 @@
         }
     }
 
-    /// When a round times out.
+    /// The time at which a round times out.
     fn deadline_of(&self, round: &Round) -> Micros {
         round
             .started_at
@@ -292,8 +293,8 @@
         }
     }
 
-    /// Starts a round under a new epoch. An epoch is never reused, since grants of an earlier round must not count for
-    /// this one.
+    /// Starts a round under a new epoch. An epoch is never reused, since grants of an earlier round must not contribute
+    /// to the majority of this one.
     fn acquire(&mut self, now: Micros) -> LeaseRequest {
         self.epoch = self.highest_known_epoch.max(self.epoch).next();
         let round = self.start_round(now);
--- a/crates/coordination/src/lease/client/round.rs
+++ b/crates/coordination/src/lease/client/round.rs
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Records a server's grant, unless a newer process of that server has already granted.
+    /// Records a server's grant, unless a newer incarnation of that server has already granted in this round.
     pub(super) fn add_grant(&mut self, server: usize, grantor: Grantor) {
         let is_newest = self
             .granted
@@ -45,8 +45,9 @@
         }
     }
 
-    /// The servers whose grant does not count, because another granting server knows a newer incarnation of them; with
-    /// that incarnation. Two processes of the same name must not count for two different holders.
+    /// The servers whose grant does not count towards the majority, because another granting server knows a newer
+    /// incarnation of them; mapped to that incarnation. Otherwise two processes under the same server name could
+    /// contribute to the majorities of two different holders.
     pub(super) fn superseded(&self) -> BTreeMap<usize, Incarnation> {
         let mut superseded = BTreeMap::new();
         for grantor in self.granted.values() {
--- a/crates/coordination/src/lease/client/tests/model.rs
+++ b/crates/coordination/src/lease/client/tests/model.rs
@@ -275,7 +275,7 @@
     }
 }
 
-/// The log of a server whose recovery was completed long ago.
+/// The log of a server that has completed its recovery and granted nothing since.
 fn initial_log() -> Vec<LeaseLogRecord> {
     vec![LeaseLogRecord::RecoveryComplete {
         founders: Vec::new(),
--- a/crates/coordination/src/lease/log_record.rs
+++ b/crates/coordination/src/lease/log_record.rs
@@ -5,7 +5,8 @@
 use crate::{Epoch, Micros, ProcessId};
 use serde::{Deserialize, Serialize};
 
-/// The part of a grant that a lease server must retain after the grant has expired.
+/// A grant as written to the log. It stays in the log after the grant has expired, since a server must never grant a
+/// lower epoch.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct GrantRecord {
     /// The task's name.
@@ -21,9 +22,10 @@
 /// One record of a lease server's log.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum LeaseLogRecord {
-    /// A grant, or an epoch reported by another lease server.
+    /// A grant by this server, or an epoch reported by another lease server (without a holder).
     Grant(GrantRecord),
-    /// The log is complete from here on: enough other servers have responded, or all servers started without a log.
+    /// From here on the log is complete: the recovery after a start without a log has finished, because enough other
+    /// servers have responded or all servers of the fleet started without a log.
     RecoveryComplete {
         /// The other servers, if all servers started without a log; otherwise empty.
         founders: Vec<ServerIncarnation>,
--- a/crates/coordination/src/lease/messages.rs
+++ b/crates/coordination/src/lease/messages.rs
@@ -13,7 +13,7 @@
     pub incarnation: Incarnation,
 }
 
-/// The highest known epoch of a task.
+/// The highest epoch of a task that the sender knows.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct TaskEpoch {
     /// The task's name.
@@ -33,14 +33,15 @@
     pub responder: Incarnation,
     /// Whether the responding server started without a log and has not recovered yet.
     pub is_blank: bool,
-    /// Whether the requesting incarnation was blank when the responding server found all servers blank.
+    /// Whether the responding server has recorded the requesting incarnation as a founder: as one of the servers that
+    /// were all blank at the first start of the fleet.
     pub is_founder: bool,
-    /// The highest known epoch of each task.
+    /// The highest epoch of each task that the responding server knows.
     pub epochs: Vec<TaskEpoch>,
-    /// The newest known incarnation of the requesting server. If it is newer than `requester`, the response does not
-    /// count.
+    /// The newest incarnation of the requesting server that the responding one knows. If it is newer than `requester`,
+    /// the requesting server must ignore the response and recover again under an even newer incarnation.
     pub newest_requester: Incarnation,
-    /// The newest known incarnation of each server except the responding one.
+    /// The newest incarnation of each other server that the responding one knows.
     pub incarnations: Vec<ServerIncarnation>,
 }
 
@@ -51,7 +52,8 @@
     pub task: String,
     /// The requesting process.
     pub requester: ProcessId,
-    /// The epoch that the lease is requested under.
+    /// The epoch to grant the lease under: the held epoch for a renewal, otherwise one that is higher than all that the
+    /// client knows.
     pub epoch: Epoch,
     /// Returned in the response, to distinguish current from stale responses.
     pub round: u64,
@@ -77,8 +79,8 @@
     RequestRecovery(ServerIncarnation),
     /// The response to [`LeaseRequest::RequestRecovery`].
     Recovery(RecoveryResponse),
-    /// From a client: a newer incarnation of the lease server is known than the one that granted. Grants of the older
-    /// incarnation no longer count.
+    /// From a client, to all lease servers: the newest known incarnation of a server that has granted as an older
+    /// incarnation. The client ignores grants of the older incarnation; the older process recovers again.
     Superseded(ServerIncarnation),
 }
 
@@ -111,15 +113,16 @@
         round: u64,
         /// The highest epoch of the task that this server knows.
         epoch: Epoch,
-        /// The holder of this server's grant, if any.
+        /// The process that this server last granted the lease to, possibly expired; `None` after a release, or if this
+        /// server knows no grant of the task.
         holder: Option<ProcessId>,
-        /// The remaining time of that grant by this server's clock, in microseconds.
+        /// The remaining time of that grant by this server's clock, in microseconds; 0 if it has expired.
         remaining: Micros,
     },
 }
 
 impl LeaseResponse {
-    /// The incarnation that the response is for.
+    /// The incarnation of the client that sent the request.
     pub fn requester(&self) -> Incarnation {
         match self {
             LeaseResponse::Granted { requester, .. } | LeaseResponse::Refused { requester, .. } => {
--- a/crates/coordination/src/lease/mod.rs
+++ b/crates/coordination/src/lease/mod.rs
@@ -7,8 +7,9 @@
 //!
 //! 1. A [`LeaseClient`] sends [`LeaseRequest::Acquire`] to all lease servers, under an epoch higher than any that it
 //!    knows.
-//! 2. A [`LeaseServer`] grants it if all its grants to other processes have expired by its own clock, and if the epoch
-//!    is higher than all that it has granted for the task. The grant is durable before the response is sent.
+//! 2. A [`LeaseServer`] grants it if all its grants of the task to other processes have expired by its own clock, and if
+//!    the epoch is higher than all that it has granted for the task or is that of the grant to be renewed. The grant is
+//!    durable before the response is sent.
 //! 3. Once a majority has granted, the client holds the lease. Its holding time starts when the *request was sent* and
 //!    lasts for the lease duration less the clock drift ([`reduce_by_drift`]), by the client's clock. The client renews
 //!    after a third of the duration.
@@ -16,12 +17,14 @@
 //!
 //! # Invariants
 //!
-//! - The grants of a server never overlap, and the epochs that it grants for a task never decrease.
+//! - A server's grants of a task to different processes never overlap, and the epochs that it grants for a task never
+//!   decrease.
 //! - The holding time of a client ends before the underlying grants expire, whichever clock runs fast.
 //! - A server that may have lost grants (its disk was lost or restored to an older state) grants nothing until enough
 //!   other servers have sent their state and all grants that it may have given before have expired.
-//! - Two processes under the same server name never count for two different holders: each grant lists the newest known
-//!   incarnations of the other servers, and the client ignores grants of a superseded incarnation.
+//! - Grants of two processes under the same server name never contribute to the majorities of two different holders:
+//!   each grant lists the newest incarnations of the other servers that the granting server knows, and the client
+//!   ignores grants of an older incarnation.
 //!
 //! # Callers
 //!
@@ -50,8 +53,8 @@
 const MAX_DRIFT_PPM: u32 = 999_999;
 
 /// Reduces a duration, or an amount that accrues with time, by the worst-case drift between two clocks: each may
-/// deviate by up to `drift_ppm` parts per million, in opposite directions. A lease holder may act for this long after
-/// its request by its own clock, since the server's clock may run fast.
+/// deviate by up to `drift_ppm` parts per million, in opposite directions. A lease holder reduces the lease duration in
+/// this way, since its own clock may run slow and the server's clock fast.
 pub fn reduce_by_drift(amount: u64, drift_ppm: u32) -> u64 {
     let amount = u128::from(amount);
     let drift = u128::from(drift_ppm.min(MAX_DRIFT_PPM));
--- a/crates/coordination/src/lease/server/grant_table.rs
+++ b/crates/coordination/src/lease/server/grant_table.rs
@@ -5,8 +5,8 @@
 use crate::{Epoch, Incarnation, Micros, ProcessId};
 use std::collections::BTreeMap;
 
-/// The maximum number of tasks in the table of a lease server. The program uses a few fixed names; the limit bounds
-/// memory use in case of a bug.
+/// The maximum number of tasks in the table of a lease server; requests for further tasks are refused. The program uses
+/// a few fixed names, so the limit only bounds memory use in case of a bug.
 pub const MAX_TASKS: usize = 1024;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -24,11 +24,11 @@
 pub struct LeaseTableEntry {
     /// The task's name.
     pub task: String,
-    /// The highest known epoch.
+    /// The highest epoch of the task that this server knows.
     pub epoch: Epoch,
     /// The holder of this server's grant; `None` if it has expired or was released.
     pub holder: Option<ProcessId>,
-    /// The remaining time of the grant, in microseconds.
+    /// The remaining time of the grant, in microseconds; 0 if it has expired or was released.
     pub remaining: Micros,
 }
 
@@ -46,7 +46,7 @@
     pub(super) record: Option<GrantRecord>,
 }
 
-/// All grants of one lease server. The epochs of a task never decrease, and grants to two holders never overlap.
+/// All grants of one lease server. The epochs of a task never decrease, and its grants to two holders never overlap.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(super) struct GrantTable {
     grants: BTreeMap<String, Grant>,
@@ -99,8 +99,8 @@
         self.grants.iter().map(epoch_of).collect()
     }
 
-    /// Records an epoch reported by another server. The returned record must be durable before the epoch counts as
-    /// known.
+    /// Records an epoch reported by another server, if it is higher than the known one. The returned record must be
+    /// durable before the recovery completes.
     pub(super) fn learn_epoch(&mut self, reported: TaskEpoch) -> Option<GrantRecord> {
         let TaskEpoch { task, epoch } = reported;
         let known_epoch = self.epoch_of(&task);
@@ -123,8 +123,8 @@
         })
     }
 
-    /// Ends a grant early. A late release must not end a later grant. A release need not be durable: a server that
-    /// loses it only treats the task as granted for longer.
+    /// Ends a grant early, if it is for this holder and epoch: a delayed release message must not end a later grant. A
+    /// release is not logged: a server that restarts only treats the task as granted for longer.
     pub(super) fn release(&mut self, task: &str, holder: &ProcessId, epoch: Epoch, now: Micros) {
         if let Some(grant) = self.grants.get_mut(task) {
             if grant.epoch == epoch && grant.holder.as_ref() == Some(holder) {
--- a/crates/coordination/src/lease/server/incarnation.rs
+++ b/crates/coordination/src/lease/server/incarnation.rs
@@ -6,7 +6,7 @@
 /// The number of random low bits.
 const RANDOM_BITS: u32 = 40;
 
-/// The incarnation of the generation after `known`, with the random part of `fresh`.
+/// An incarnation that is newer than `known`: the next generation, with the random part of `fresh`.
 pub(super) fn next_incarnation(known: Incarnation, fresh: Incarnation) -> Incarnation {
     let generation = (known.0 >> RANDOM_BITS)
         .saturating_add(1)
--- a/crates/coordination/src/lease/server/mod.rs
+++ b/crates/coordination/src/lease/server/mod.rs
@@ -30,7 +30,7 @@
     pub server_count: usize,
     /// The index of this server in the list of lease servers.
     pub server_index: usize,
-    /// The longest lease duration, in microseconds.
+    /// The longest lease duration, in microseconds. Requests for a longer one are refused.
     pub max_duration: Micros,
     /// Whether the log is trusted after a restart. If not, the server recovers its grants from the other servers, since
     /// a log on a disk that was restored to an older state also looks complete.
@@ -64,9 +64,10 @@
     incarnation: Incarnation,
     /// Whether the server started without a complete log and has not recovered yet.
     is_blank: bool,
-    /// The other servers, if all servers started blank; otherwise empty.
+    /// The other servers with their incarnations, if this server found all servers blank (the first start of a fleet);
+    /// otherwise empty.
     founders: BTreeSet<ServerIncarnation>,
-    /// Whether another server found all servers blank, including this incarnation.
+    /// Whether another server has recorded this incarnation as one of its founders.
     is_founder: bool,
     /// The newest known incarnation of each other server, by index. Used to detect a second process under a server's
     /// name.
@@ -77,7 +78,7 @@
 
 impl LeaseServer {
     /// Creates a server that starts now with the records of its log. `incarnation` must differ from those of earlier
-    /// starts.
+    /// starts; if the log holds one of this server that is not older, the server uses a newer one instead.
     pub fn new(
         config: LeaseServerConfig,
         incarnation: Incarnation,
@@ -126,7 +127,7 @@
         self.is_founder = false;
     }
 
-    /// The progress of the recovery after the server's start.
+    /// The state of the recovery, which decides whether the server grants leases.
     pub fn recovery_state(&self) -> &RecoveryState {
         &self.recovery
     }
--- a/crates/coordination/src/lease/server/recovery.rs
+++ b/crates/coordination/src/lease/server/recovery.rs
@@ -1,8 +1,8 @@
 //! Recovery of a lease server after a start, and its responses to other recovering servers.
 //!
 //! A server may restart with an empty log, or with one that was restored to an older state. It then requests the known
-//! epochs from the other servers. Every majority that it was part of has a member in any majority formed by the other
-//! servers, so with that many responses it knows every epoch that it may have granted.
+//! epochs from the other servers. Once as many of them have responded as make a majority of all servers, it knows every
+//! epoch that it may have granted as part of a majority, since any two majorities have a server in common.
 
 use super::{LeaseServer, LeaseServerOutput, PeerMessage};
 use crate::lease::log_record::LeaseLogRecord;
@@ -18,10 +18,12 @@
     Recovering {
         /// The servers that responded with their state, by index.
         answered: BTreeSet<usize>,
-        /// The servers that responded that they are blank, with their incarnations.
+        /// The servers that responded that they are blank, with their incarnations. A blank server has started without
+        /// a log and has not recovered yet.
         blank: BTreeMap<usize, Incarnation>,
     },
-    /// Waits until this time of the local clock, since grants from before the start may still be held.
+    /// Waits until this time of the local clock, when all grants that this server may have given before the recovery
+    /// have expired.
     WaitingForOldGrants(Micros),
     /// Grants leases.
     Granting,
@@ -64,8 +66,8 @@
         record
     }
 
-    /// Whether enough other servers have responded. If all servers are blank, which is the first start of a fleet, the
-    /// other servers are recorded as founders.
+    /// Whether enough other servers have responded. If all servers are blank, this is the first start of the fleet, and
+    /// the other servers are recorded as founders.
     fn has_recovered(&mut self) -> bool {
         let RecoveryState::Recovering { answered, blank } = &self.recovery else {
             return false;
@@ -80,7 +82,8 @@
             };
             self.founders = blank.iter().map(founder).collect();
         }
-        // All servers that responded know this incarnation and no newer one.
+        // This incarnation was blank at the first start of the fleet, when no grants existed, and no server that
+        // responded knows a newer incarnation.
         let is_known_founder =
             self.is_founder && self.is_blank && answered.len() + blank.len() >= quorum;
         answered.len() >= quorum || is_first_start || is_known_founder
@@ -143,7 +146,8 @@
         }
     }
 
-    /// Records the state of another server.
+    /// Records the epochs and incarnations that another server has sent, and completes the recovery once enough servers
+    /// have responded.
     pub(super) fn handle_recovery_response(
         &mut self,
         response: RecoveryResponse,
@@ -155,7 +159,7 @@
             return LeaseServerOutput::default();
         }
         if response.newest_requester > self.incarnation {
-            // Another process has or had this name. This one must become the newest before it may grant.
+            // Another process has or had this name. This one may grant only once its incarnation is the newest.
             self.restart_recovery(response.newest_requester);
             return LeaseServerOutput::default();
         }
@@ -165,7 +169,7 @@
             let learned = self.grants.learn_epoch(reported);
             log_records.extend(learned.map(LeaseLogRecord::Grant));
         }
-        // Another server found all servers blank, including this incarnation, before this server did.
+        // The responding server has completed the first start of the fleet before this one.
         self.is_founder |= response.is_founder;
         log_records.extend(self.advance(now));
         if !self.recovery.is_recovering() {
@@ -192,14 +196,15 @@
         }
     }
 
-    /// Continues under an incarnation newer than `newest`. The server grants again once enough other servers know it.
+    /// Starts the recovery again under an incarnation newer than `newest`. The server grants again once enough other
+    /// servers know that incarnation.
     fn restart_recovery(&mut self, newest: Incarnation) {
         self.incarnation = next_incarnation(newest, self.incarnation);
         self.is_founder = false;
         self.recovery = RecoveryState::unanswered();
     }
 
-    /// Records the incarnations that another server knows, and its own.
+    /// Records the incarnation of another server and those that it knows.
     fn learn_incarnations(&mut self, response: &RecoveryResponse) -> Vec<LeaseLogRecord> {
         let responder = ServerIncarnation {
             server: response.server,
--- a/crates/coordination/src/node/hosted_server.rs
+++ b/crates/coordination/src/node/hosted_server.rs
@@ -1,5 +1,5 @@
-//! The lease server that this process hosts, with its log. Responses are sent only once all records written before them
-//! are durable.
+//! The lease server that this process hosts, with the writes to its log. Responses are sent only once all records
+//! written before them are durable.
 
 use super::status::LeaseServerStatus;
 use super::{NodeOutput, NodeSettings};
@@ -34,8 +34,8 @@
 }
 
 impl HostedLeaseServer {
-    /// Creates a server that starts now with the records of its log; `None` if this node is not on the list of lease
-    /// servers.
+    /// Creates a server that starts now with the records of its log. Returns `None` if this node is not on the list of
+    /// lease servers.
     pub(super) fn new(
         settings: &NodeSettings,
         incarnation: Incarnation,
--- a/crates/coordination/src/node/lease_messages.rs
+++ b/crates/coordination/src/node/lease_messages.rs
@@ -1,4 +1,4 @@
-//! Message handling between the lease clients and the lease server of this process and those of other nodes.
+//! Passes messages between the lease clients and the lease server of this process and those of other nodes.
 
 use super::{CoordinationNode, NodeOutput};
 use crate::envelope::MessageBody;
--- a/crates/coordination/src/node/mod.rs
+++ b/crates/coordination/src/node/mod.rs
@@ -35,8 +35,8 @@
 pub use settings::NodeSettings;
 pub use status::{HeldLease, LeaseServerStatus, LeaseStatus, NodeCounters, NodeStatus};
 
-/// The interval of announcements to a seed while peers are known, in probe intervals. A node with peers keeps
-/// announcing itself so that two separated parts of a fleet find each other.
+/// The interval of announcements to a seed or lease server while peers are known, in probe intervals. A node with peers
+/// continues to announce itself so that two separated parts of a fleet find each other.
 const ANNOUNCE_INTERVAL_WITH_PEERS: u64 = 20;
 /// The interval of announcements while no peer is known, in probe intervals.
 const ANNOUNCE_INTERVAL_ALONE: u64 = 1;
@@ -53,9 +53,9 @@
     },
     /// Write records to the lease server's log, and call [`CoordinationNode::on_log_written`] once they are durable.
     WriteLog {
-        /// The number of this write.
+        /// The number of this write, to be passed to [`CoordinationNode::on_log_written`].
         write: u64,
-        /// The records, in order.
+        /// The records to append, in this order.
         records: Vec<LeaseLogRecord>,
     },
 }
@@ -69,7 +69,7 @@
     server: Option<HostedLeaseServer>,
     addresses: AddressBook,
     rng: StdRng,
-    /// When the node next announces itself to a seed.
+    /// When the node next announces itself to a seed or lease server.
     announce_at: Micros,
     counters: NodeCounters,
     has_left: bool,
@@ -120,8 +120,8 @@
         self.server.is_some()
     }
 
-    /// Replaces the list of lease servers by one with a higher `number`. `log` holds the records of this process's log,
-    /// for the case that the new list makes it a lease server.
+    /// Replaces the list of lease servers by one with a higher version `number`. `log` holds the records of this
+    /// process's log, which are needed if the new list makes it a lease server; `None` if it has no log.
     pub fn set_lease_servers(
         &mut self,
         lease_servers: BTreeMap<String, SocketAddr>,
@@ -181,8 +181,8 @@
         }
     }
 
-    /// The epoch under which this process may act at `now`; `None` if it does not hold the lease. To be checked before
-    /// every action under the lease.
+    /// The epoch under which this process may act at `now`; `None` if it does not hold the lease. Callers must check
+    /// this before every action under the lease.
     pub fn held_epoch(&self, task: &str, now: Micros) -> Option<Epoch> {
         self.clients.get(task)?.held_epoch(now)
     }
@@ -198,7 +198,7 @@
         self.clients.values().filter_map(held).collect()
     }
 
-    /// The name of the other node that holds a lease, as last reported by a lease server.
+    /// The name of the other node that holds a lease, as last reported by a lease server; `None` if unknown.
     pub fn other_holder(&self, task: &str) -> Option<String> {
         let holder = self.clients.get(task)?.other_holder()?;
         Some(holder.node.clone())
@@ -217,7 +217,7 @@
         outputs
     }
 
-    /// When [`CoordinationNode::on_timer`] must be called next.
+    /// When [`CoordinationNode::on_timer`] must be called next; `None` if no timer is pending.
     pub fn next_deadline(&self) -> Option<Micros> {
         let clients = self.clients.values().filter_map(LeaseClient::next_deadline);
         let server = self
@@ -327,7 +327,8 @@
         }
     }
 
-    /// Creates the output that sends a message of the driver to a node.
+    /// Creates the output that sends a message of the driver to a node. `address_hint` is the address to use if
+    /// [`CoordinationNode::address_of`] knows none.
     pub fn message_to(
         &mut self,
         recipient: String,
--- a/crates/coordination/src/node/settings.rs
+++ b/crates/coordination/src/node/settings.rs
@@ -8,7 +8,7 @@
 /// The base of the pause between two lease rounds is the response timeout divided by this number.
 const PAUSES_PER_RESPONSE_TIMEOUT: Micros = 4;
 
-/// The settings of a node's coordination.
+/// The coordination settings of one node.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NodeSettings {
     /// The fleet's name.
@@ -21,7 +21,8 @@
     pub seeds: BTreeMap<String, SocketAddr>,
     /// The addresses of the lease servers, by name. The index of a server is its position in the order of the names.
     pub lease_servers: BTreeMap<String, SocketAddr>,
-    /// The version of the list of lease servers; a later list has a higher number.
+    /// The version of the list of lease servers; a later list has a higher number. Lease messages between nodes with
+    /// different versions are dropped.
     pub lease_servers_number: u32,
     /// The duration of leases, in microseconds.
     pub lease_duration: Micros,
@@ -29,9 +30,10 @@
     pub drift_ppm: u32,
     /// Whether a lease server trusts its log after a restart. If not, it recovers its grants from the other servers.
     pub trusts_log: bool,
-    /// The time between two probes of other nodes, in microseconds.
+    /// The time between two probes of the membership protocol, in microseconds.
     pub probe_interval: Micros,
-    /// How long to wait for responses of lease servers, in microseconds.
+    /// How long a lease client waits for the responses of a round, in microseconds. A recovering lease server repeats
+    /// its requests at this interval.
     pub response_timeout: Micros,
 }
 
--- a/crates/coordination/src/node/status.rs
+++ b/crates/coordination/src/node/status.rs
@@ -7,9 +7,9 @@
 /// Counters since the start of the process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct NodeCounters {
-    /// Messages sent.
+    /// Messages output to the driver for sending.
     pub messages_sent: u64,
-    /// Messages received.
+    /// Messages handled by this node, including those counted by `mismatched_server_list`.
     pub messages_received: u64,
     /// Messages dropped because the sender uses another version of the lease server list.
     pub mismatched_server_list: u64,
@@ -24,7 +24,7 @@
 pub struct HeldLease {
     /// The task's name.
     pub task: String,
-    /// The epoch that it is held under.
+    /// The epoch under which this process holds it.
     pub epoch: Epoch,
 }
 
@@ -33,20 +33,20 @@
 pub struct LeaseStatus {
     /// The task's name.
     pub task: String,
-    /// The epoch; `None` if this process does not hold the lease.
+    /// The epoch under which this process holds the lease; `None` if it does not.
     pub held_epoch: Option<Epoch>,
     /// The remaining holding time, in microseconds; 0 if this process does not hold the lease.
     pub remaining: Micros,
-    /// The other process that holds the lease, as last reported by a lease server.
+    /// The other process that holds the lease, as last reported by a lease server; `None` if unknown.
     pub other_holder: Option<ProcessId>,
 }
 
 /// The status of the lease server that this process hosts.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LeaseServerStatus {
-    /// The state of the recovery after the server's start.
+    /// The state of the recovery, which decides whether the server grants leases.
     pub recovery: RecoveryState,
-    /// The grant table.
+    /// The rows of the server's grant table, one per task.
     pub table: Vec<LeaseTableEntry>,
 }
 
--- a/crates/coordination/src/outlier_probing/coordinator.rs
+++ b/crates/coordination/src/outlier_probing/coordinator.rs
@@ -20,7 +20,7 @@
     last_at: Micros,
 }
 
-/// The coordinator of outlier probing, for one epoch.
+/// Collects the nodes' reports of ejected replicas and creates the verdicts, for one epoch.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ProbingCoordinator {
     epoch: Epoch,
@@ -29,7 +29,7 @@
 }
 
 impl ProbingCoordinator {
-    /// Creates a coordinator without reports.
+    /// Creates a coordinator that has no reports yet. `epoch` is that of the probing lease.
     pub fn new(epoch: Epoch) -> ProbingCoordinator {
         ProbingCoordinator {
             epoch,
@@ -42,7 +42,7 @@
         self.epoch
     }
 
-    /// Records a node's report of its ejected replicas.
+    /// Records a node's report of its ejected replicas. Replicas beyond [`MAX_REPLICAS_PER_MESSAGE`] are ignored.
     pub fn handle_report(&mut self, replicas: Vec<String>, now: Micros) {
         for replica in replicas.into_iter().take(MAX_REPLICAS_PER_MESSAGE) {
             if self.reports.len() < MAX_REPLICAS || self.reports.contains_key(&replica) {
@@ -55,9 +55,10 @@
         }
     }
 
-    /// The message to the other nodes. `health_of` returns the health of a replica at this node; reports that have not
-    /// been repeated for `report_ttl` microseconds are removed. A replica that is neither ejected here nor has answered
-    /// since the first report gets no verdict, and the other nodes rely on their own probes.
+    /// The message with the verdicts, to be sent to the other nodes. `health_of` returns the health of a replica at
+    /// this node, `None` if the replica is unknown here; reports that have not been repeated for `report_ttl`
+    /// microseconds are removed. A replica that is neither ejected here nor has answered since the first report gets no
+    /// verdict, and the other nodes rely on their own probes.
     pub fn verdicts(
         &mut self,
         health_of: impl Fn(&str) -> Option<ReplicaHealth>,
--- a/crates/coordination/src/outlier_probing/messages.rs
+++ b/crates/coordination/src/outlier_probing/messages.rs
@@ -3,7 +3,7 @@
 use crate::Epoch;
 use serde::{Deserialize, Serialize};
 
-/// The maximum number of replicas in one message; the remaining ones wait for a later message.
+/// The maximum number of replicas in one message; further ones are left out.
 pub const MAX_REPLICAS_PER_MESSAGE: usize = 64;
 
 /// The coordinator's result for a replica.
--- a/crates/coordination/src/outlier_probing/mod.rs
+++ b/crates/coordination/src/outlier_probing/mod.rs
@@ -6,9 +6,9 @@
 //!
 //! # Invariants
 //!
-//! - Verdicts are advisory. A node follows them only for replicas that it has ejected itself; a verdict never adds a
-//!   replica.
-//! - A node that ejects a replica again after following a verdict relies on its own probes for a while.
+//! - Verdicts are advisory. A node follows them only for replicas that it has ejected itself; a verdict never adds an
+//!   unknown replica.
+//! - A node that ejects a replica again after following a healthy verdict ignores verdicts on it for a while.
 //! - Verdicts of an epoch lower than the highest known are dropped.
 //! - Without a coordinator, and for replicas without a verdict, each node relies on its own probes.
 //!
@@ -25,5 +25,5 @@
 pub use messages::{ProbingMessage, Verdict, MAX_REPLICAS_PER_MESSAGE};
 pub use participant::ProbingParticipant;
 
-/// The maximum number of replicas in each table.
+/// The maximum number of replicas in each table of a coordinator or participant; further ones are not recorded.
 const MAX_REPLICAS: usize = 4096;
--- a/crates/coordination/src/outlier_probing/participant.rs
+++ b/crates/coordination/src/outlier_probing/participant.rs
@@ -5,7 +5,7 @@
 use crate::{Epoch, Micros};
 use std::collections::BTreeMap;
 
-/// A node as a participant in outlier probing.
+/// Tracks which verdicts this node has followed and which replicas failed again afterwards.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ProbingParticipant {
     /// The highest known epoch.
@@ -18,8 +18,8 @@
 
 impl ProbingParticipant {
     /// Handles verdicts and returns those to follow. `is_ejected` returns whether a replica is ejected here; it is
-    /// false for an unknown replica, so that a verdict never adds a replica. After a wrong verdict, verdicts on the
-    /// same replica are ignored for `distrust_duration` microseconds.
+    /// false for an unknown replica, so that a verdict never adds a replica. If a replica is ejected here again after a
+    /// followed healthy verdict, verdicts on it are ignored for `distrust_duration` microseconds.
     pub fn handle_verdicts(
         &mut self,
         epoch: Epoch,
--- a/crates/coordination/src/rolling_restart/coordinator.rs
+++ b/crates/coordination/src/rolling_restart/coordinator.rs
@@ -8,20 +8,22 @@
 
 /// The denominator of values in parts per million.
 const MILLION: Micros = 1_000_000;
-/// The wait for a node to return on its own is extended by this multiple of the clock drift.
+/// The multiple of the clock drift by which the coordinator extends `return_after` before it assumes that a node has
+/// returned on its own. The clocks of both may deviate in opposite directions, which makes slightly more than twice the
+/// drift.
 const DRIFT_MARGIN_FACTOR: Micros = 3;
 
 /// The last known state of a node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct NodeState {
     progress: NodeProgress,
-    /// When the node last answered or was commanded to leave; initially when the coordinator started.
+    /// When the node last answered or was commanded to leave; the start of the coordinator before the first answer.
     last_contact_at: Micros,
     /// The number of the last query sent to the node; 0 before the first.
     queried_round: u64,
     /// The number of the last query that the node has answered; 0 before the first.
     answered_round: u64,
-    /// Since when the node has been out and idle.
+    /// Since when the node has been out and idle; `None` if it is not.
     idle_since: Option<Micros>,
 }
 
@@ -66,9 +68,9 @@
 pub struct RestartProgress {
     /// Nodes that have been out and are back.
     pub done: usize,
-    /// Nodes that have not been commanded to leave yet.
+    /// Nodes that have answered a query and have not been commanded to leave yet.
     pub waiting: usize,
-    /// Nodes that do not answer, and must have returned on their own if they run.
+    /// Nodes that have not answered the last query for so long that they have returned on their own if they run.
     pub unreachable: usize,
 }
 
@@ -85,8 +87,8 @@
 }
 
 impl RestartCoordinator {
-    /// Creates a coordinator. A node counts as out until it has answered. `lease_servers` are node names; `drift_ppm`
-    /// is the largest rate error of any clock, in parts per million.
+    /// Creates a coordinator. Each node counts as out until it has answered or must have returned on its own.
+    /// `lease_servers` are node names; `drift_ppm` is the largest rate error of any clock, in parts per million.
     pub fn new(
         epoch: Epoch,
         order: RestartOrder,
@@ -124,9 +126,9 @@
         &self.order
     }
 
-    /// The next query to each node of the order. A node that has not answered its last query gets the same query again,
-    /// since a new number confirms its last answer and restarts its return timer. If every query restarted the timer, a
-    /// node whose answers are lost would stay out for longer than the coordinator counts it as out.
+    /// The next query to each node of the order. A node that has not answered its last query gets the same query again:
+    /// a new number would confirm an answer that the coordinator has not received and restart the node's return timer,
+    /// and a node whose answers are lost would stay out for longer than the coordinator counts it as out.
     pub fn next_queries(&mut self) -> Vec<NodeQuery> {
         let mut queries = Vec::new();
         for (name, node) in &mut self.nodes {
@@ -192,7 +194,8 @@
         progress
     }
 
-    /// Whether all nodes that answer are done and no other node may still be out. False before the first query.
+    /// Whether all nodes that have answered the last query are done, and no other node may still be out. False before
+    /// the first query.
     pub fn is_finished(&self, now: Micros) -> bool {
         let is_open = |node: &NodeState| {
             if node.has_answered_last_query() {
@@ -205,7 +208,7 @@
         has_queried && !self.nodes.values().any(is_open)
     }
 
-    /// The commands to send. To be called after waiting for the answers to the last queries. Each node that is
+    /// The commands to send. The caller must first wait for the answers to the last queries. Each node that is
     /// commanded to leave counts as out until it answers a later query.
     pub fn next_commands(&mut self, now: Micros) -> Vec<NodeCommand> {
         let mut commands = self.return_commands(now);
@@ -214,7 +217,7 @@
                 break;
             };
             if let Some(node) = self.nodes.get_mut(&name) {
-                // The node's answer to the current query precedes the command.
+                // The node's last report states that it is in service, since it was sent before this command.
                 node.progress = NodeProgress::Out;
                 node.last_contact_at = now;
                 node.idle_since = None;
--- a/crates/coordination/src/rolling_restart/messages.rs
+++ b/crates/coordination/src/rolling_restart/messages.rs
@@ -19,7 +19,7 @@
     pub id: OrderId,
     /// The names of the nodes to be taken out.
     pub nodes: Vec<String>,
-    /// The maximum number of nodes out at once.
+    /// The maximum number of nodes that are out of service at the same time.
     pub max_out: u32,
     /// How long a node stays out after it has drained its clients, in microseconds.
     pub stay_out: Micros,
@@ -91,10 +91,10 @@
     Query {
         /// The id of this query.
         query: QueryId,
-        /// The order in question.
+        /// The order whose progress is requested.
         order: OrderId,
     },
-    /// The answer to a query if the node does not know the order.
+    /// The answer to a query if the node does not know the order: requests the order.
     RequestOrder,
     /// The answer to a query if the node knows the order.
     Report(NodeReport),
--- a/crates/coordination/src/rolling_restart/mod.rs
+++ b/crates/coordination/src/rolling_restart/mod.rs
@@ -2,18 +2,18 @@
 //! loss of service.
 //!
 //! An operator gives a [`RestartOrder`] at any node. The holder of the restart lease is the coordinator: it queries the
-//! progress of every node of the order, and commands a node to leave only while fewer than the allowed number are out.
-//! A node that has drained its clients stays out for the ordered time and is then commanded to return.
+//! progress of every node of the order, and commands a node to leave only while fewer than `max_out` nodes are out. A
+//! node that has drained its clients stays out for `stay_out` and is then commanded to return.
 //!
 //! # Invariants
 //!
-//! - The number of nodes out never exceeds the limit of the order. A node that does not answer counts as out until it
-//!   must have returned on its own, whichever clock runs fast.
+//! - The number of nodes out never exceeds the `max_out` of the order. A node that does not answer counts as out until
+//!   it must have returned on its own, even if its clock runs slow and the coordinator's fast.
 //! - A command is executed only if it belongs to the last query that the node has answered. Late commands, and those of
 //!   a coordinator of an earlier epoch, are dropped.
 //! - A majority of the lease servers stays in service. Nodes that are lease servers leave last.
-//! - A node that is out returns on its own once its answers cannot have reached a coordinator for the time stated in
-//!   the order. Received queries do not extend that time, since a query may be late and the answer to it may be lost.
+//! - A node that is out returns on its own once `return_after` has passed since its last answer that a coordinator has
+//!   confirmed. Receiving a query does not extend that time, since the query may be late and its answer may be lost.
 //!
 //! # Callers
 //!
@@ -31,5 +31,5 @@
 };
 pub use participant::RestartParticipant;
 
-/// The maximum number of nodes in an order.
+/// The maximum number of nodes in an order. Participants ignore larger orders.
 pub const MAX_NODES: usize = 4096;
--- a/crates/coordination/src/rolling_restart/participant.rs
+++ b/crates/coordination/src/rolling_restart/participant.rs
@@ -17,7 +17,7 @@
     last_query: QueryId,
     /// When that query was first answered.
     last_query_at: Micros,
-    /// When the newest answer that the coordinator is known to have received was given.
+    /// When the newest answer was sent that the coordinator is known to have received.
     last_confirmed_answer_at: Micros,
 }
 
@@ -88,16 +88,16 @@
         Some(answer)
     }
 
-    /// Handles a command and returns whether to execute it. Since a command may be late, the time until the node
-    /// returns on its own counts from the answer before the command. A command to leave is dropped if that time is
-    /// over.
+    /// Handles a command and returns whether to execute it. The time until the node returns on its own starts at its
+    /// answer that preceded the command, not at the command, which may be late. If that time is over, a command to
+    /// leave is dropped.
     pub fn handle_command(&mut self, query: QueryId, command: RestartCommand, now: Micros) -> bool {
         let is_out = self.progress == NodeProgress::Out;
         let is_leave = command == RestartCommand::Leave;
         if query != self.last_query || is_out == is_leave {
             return false;
         }
-        // The command follows the answer, so the coordinator has received the answer.
+        // The coordinator sends commands only to nodes whose last answer it has received.
         self.last_confirmed_answer_at = self.last_query_at;
         if is_leave && self.is_contact_timed_out(now) {
             return false;
@@ -109,8 +109,8 @@
         true
     }
 
-    /// Marks the node as returned if it is out and the coordinator has been out of contact for too long. The caller
-    /// must then accept clients again if this returns true.
+    /// Marks the node as returned if it is out and its last confirmed answer is too old. If this returns true, the
+    /// caller must accept clients again.
     pub fn return_if_timed_out(&mut self, now: Micros) -> bool {
         let must_return = self.progress == NodeProgress::Out && self.is_contact_timed_out(now);
         if must_return {
--- a/crates/coordination/tests/budget_scenarios.rs
+++ b/crates/coordination/tests/budget_scenarios.rs
@@ -97,8 +97,8 @@
             units: self.demanded_units as u64,
             weight_sum: self.demanded_units / 1e3 * self.weight,
         };
-        let counted = [(BUDGET.to_string(), demand)].into();
-        Some(self.participant.next_request(counted, held_epoch, now))
+        let totals = [(BUDGET.to_string(), demand)].into();
+        Some(self.participant.next_request(totals, held_epoch, now))
     }
 }
 
@@ -323,7 +323,7 @@
 #[test]
 fn guaranteed_rates_of_unplanned_nodes_are_deducted_from_the_allocatable_rate() {
     let mut fleet = Fleet::new(12, limit(100_000, 50_000, 2_000, 8), 50_000);
-    // Until the allocator knows all nodes, the additional guaranteed rates may exceed the limit, as documented.
+    // Until the allocator knows all nodes, the guaranteed rates of the unplanned nodes may exceed the limit.
     for _ in 0..2 * GRANT_DURATION / MS {
         fleet.step();
     }
--- a/crates/coordination/tests/duplicate_lease_servers.rs
+++ b/crates/coordination/tests/duplicate_lease_servers.rs
@@ -1,5 +1,5 @@
 //! Two running processes under the same lease server name, the second with an empty log, on a simulated clock. Guards
-//! against both being counted in a majority, each for a different holder.
+//! against two holders: each could have a majority that includes the grant of one of the two processes.
 
 use poppykeel_coordination::lease::{
     LeaseClient, LeaseParameters, LeaseRequest, LeaseServer, LeaseServerConfig, PeerMessage,
@@ -279,7 +279,7 @@
     }
     assert!(
         was_held_by_second,
-        "the newest process must count in a majority"
+        "grants of the newest process must count towards a majority"
     );
     // The second process and server 2 have ended.
     let mut was_held_by_first = false;
--- a/crates/coordination/tests/golden.rs
+++ b/crates/coordination/tests/golden.rs
@@ -1,5 +1,5 @@
 //! Golden files of the wire format between nodes: one datagram of every message. Each must be decoded to the same
-//! message and encoded to the same bytes as before, so that nodes of different versions understand each other.
+//! message, and the message encoded to the same bytes, as in earlier versions, since a fleet may run several versions.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
--- a/crates/coordination/tests/lease_servers.rs
+++ b/crates/coordination/tests/lease_servers.rs
@@ -146,7 +146,8 @@
 }
 
 proptest! {
-    /// All servers of a first start finally grant, in whatever order recovery requests are delivered or lost.
+    /// At the first start of a fleet all servers must finally grant, in whatever order recovery requests are delivered
+    /// or lost.
     #[test]
     fn first_start_completes_despite_lost_messages(
         order in proptest::collection::vec((0usize..5, 0usize..5), 0..40),
@@ -172,8 +173,8 @@
         let mut servers = Servers::granting(3, false);
         let first = process("a", 1);
         let second = process("b", 2);
-        for voter in [lost, (lost + 1) % 3] {
-            prop_assert!(servers.grants(voter, LEASE_DURATION, acquire(&first, epoch, 1)));
+        for server in [lost, (lost + 1) % 3] {
+            prop_assert!(servers.grants(server, LEASE_DURATION, acquire(&first, epoch, 1)));
         }
         servers.logs[lost].clear();
         let now = LEASE_DURATION + 5;
@@ -378,8 +379,7 @@
 
 proptest! {
     /// Two processes of the same name use the same rounds and epochs, and a response to one of them may be delivered to
-    /// the other, since messages are addressed by name. They must never both hold the lease, and never by grants to the
-    /// other.
+    /// the other, since messages are addressed by name. At most one may hold the lease, and only by grants to itself.
     #[test]
     fn ignores_responses_to_another_process_of_the_same_name(
         order in proptest::collection::vec((any::<bool>(), 0usize..3, any::<bool>()), 1..40),
--- a/crates/coordination/tests/nodes.rs
+++ b/crates/coordination/tests/nodes.rs
@@ -121,7 +121,7 @@
         ..settings(node)
     };
     let all_settings = (0..3).map(settings).chain((3..6).map(other_fleet_settings));
-    let mut cluster = Cluster::stopped(all_settings);
+    let mut cluster = Cluster::with_stopped_machines(all_settings);
     for index in 0..6 {
         let machine = &mut cluster.machines[index];
         let incarnation = Incarnation(index as u64);
@@ -172,7 +172,7 @@
         response_timeout: 500 * MS,
         ..settings(node)
     });
-    let mut cluster = Cluster::started(all_settings);
+    let mut cluster = Cluster::with_running_machines(all_settings);
     cluster.run_seconds(30);
     assert_eq!(cluster.holders().len(), 1);
     let peer_counts = cluster.peer_counts(300);
--- a/crates/coordination/tests/support/budget_fleet.rs
+++ b/crates/coordination/tests/support/budget_fleet.rs
@@ -28,7 +28,8 @@
         node: usize,
         rate: u64,
     },
-    /// Delivers a message in flight, index may be kept to be delivered again.
+    /// Delivers the message with this index, modulo the number of messages in flight. If `is_kept`, it stays in flight
+    /// and can be delivered again.
     Deliver {
         index: usize,
         is_kept: bool,
@@ -72,7 +73,7 @@
     WaitForOldGrants,
     /// Durations and rates are reduced by the drift.
     DriftMargin,
-    /// A grant counts until its node has confirmed a newer one.
+    /// The allocator counts a grant until its node has confirmed a newer one.
     CountUntilConfirmed,
     /// A grant that is delivered again is ignored.
     IgnoreDuplicateGrants,
--- a/crates/coordination/tests/support/cluster.rs
+++ b/crates/coordination/tests/support/cluster.rs
@@ -96,8 +96,7 @@
 }
 
 impl Cluster {
-    /// Machines without running processes.
-    pub fn stopped(all_settings: impl IntoIterator<Item = NodeSettings>) -> Cluster {
+    pub fn with_stopped_machines(all_settings: impl IntoIterator<Item = NodeSettings>) -> Cluster {
         let machines: Vec<Machine> = all_settings.into_iter().map(Machine::new).collect();
         Cluster {
             now: 0,
@@ -111,8 +110,8 @@
         }
     }
 
-    pub fn started(all_settings: impl IntoIterator<Item = NodeSettings>) -> Cluster {
-        let mut cluster = Cluster::stopped(all_settings);
+    pub fn with_running_machines(all_settings: impl IntoIterator<Item = NodeSettings>) -> Cluster {
+        let mut cluster = Cluster::with_stopped_machines(all_settings);
         for machine in 0..cluster.machines.len() {
             cluster.start(machine);
         }
@@ -121,7 +120,7 @@
 
     /// Nine nodes that know each other and have one lease holder.
     pub fn with_nine_nodes() -> Cluster {
-        let mut cluster = Cluster::started((0..9).map(settings));
+        let mut cluster = Cluster::with_running_machines((0..9).map(settings));
         cluster.run_seconds(6);
         assert_eq!(cluster.holders().len(), 1);
         cluster.assert_peer_counts(9, 8);
