--- a/crates/durable-log/src/fault_injecting_disk.rs
+++ b/crates/durable-log/src/fault_injecting_disk.rs
@@ -1,4 +1,5 @@
-//! A folder with faults that a test injects from outside the process. Tests of whole processes cannot replace the disk.
+//! A folder with faults that a test injects from outside the process, for tests that run the node as a process of its
+//! own and so cannot pass it a [`SimulatedDisk`](crate::SimulatedDisk).
 
 use super::disk::Disk;
 use super::folder_disk::FolderDisk;
--- a/crates/stream-recovery/src/budget.rs
+++ b/crates/stream-recovery/src/budget.rs
@@ -1,9 +1,10 @@
-//! Limits how many streams are continued, so that recovery does not overload a fleet that is already failing.
+//! Limits the number of continuations, so that they do not overload a fleet that is already failing. A continuation
+//! requests the remaining text of an interrupted stream from another replica.
 
 use crate::Micros;
 use std::collections::VecDeque;
 
-/// Number of slices that the window is divided into. Counting per slice bounds the memory.
+/// Number of slices that the window is divided into. Counts are stored per slice, not per stream, to bound memory use.
 const SLICE_COUNT: u64 = 16;
 
 /// Limits on the number of continuations.
@@ -15,7 +16,7 @@
     pub share: f64,
     /// Number of continuations always allowed within the window, however few streams were started.
     pub min_allowed: u32,
-    /// Length of the sliding window.
+    /// Length of the sliding window, in microseconds.
     pub window: Micros,
 }
 
@@ -46,7 +47,7 @@
 }
 
 impl ContinuationBudget {
-    /// Drops slices that are outside the window and returns the current slice.
+    /// Removes slices that are outside the window and returns the current slice.
     fn current_slice(&mut self, now: Micros, limits: &ContinuationLimits) -> &mut Slice {
         let width = (limits.window / SLICE_COUNT).max(1);
         let start = now / width * width;
--- a/crates/stream-recovery/src/gaps.rs
+++ b/crates/stream-recovery/src/gaps.rs
@@ -1,14 +1,14 @@
-//! Learns the silence limit of a stream from the gaps between the events of each replica.
+//! Computes the silence limit of a stream from the gaps between earlier events of the replica.
 
 use crate::Micros;
 
-/// Quantile of the recorded gaps that counts as the long gap.
+/// Quantile of the recorded gaps that is used as the replica's long gap.
 const LONG_GAP_QUANTILE: f64 = 0.98;
 /// Upper bound of the first bucket, in microseconds. Shorter gaps are not distinguished.
 const MIN_GAP_US: f64 = 1000.0;
 /// Ratio of the upper bounds of adjacent buckets, and so the precision of a quantile.
 const BUCKET_RATIO: f64 = 1.15;
-/// Covers gaps from one millisecond to over 30 s.
+/// Number of buckets: they cover gaps from 1 ms to over 30 s. Longer gaps are recorded in the last one.
 const BUCKET_COUNT: usize = 76;
 /// All weights are halved when their sum exceeds this many gaps, so that recent gaps dominate.
 const MAX_TOTAL_WEIGHT: f64 = 2000.0;
@@ -18,9 +18,9 @@
 /// Settings from which the silence limit of a stream is computed.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct StallLimits {
-    /// Lower bound of the silence limit.
+    /// Lower bound of the silence limit, in microseconds.
     pub min_silence: Micros,
-    /// Upper bound of the silence limit.
+    /// Upper bound of the silence limit, in microseconds.
     pub max_silence: Micros,
     /// The limit is at least this multiple of the inter-token objective of the class, within the bounds.
     pub objective_factor: f64,
@@ -61,8 +61,9 @@
         self.add(gap, 1.0);
     }
 
-    /// Records that a stream was abandoned after a silence of this length. The full length of the gap is unknown, so it
-    /// is recorded one bucket higher. It has the weight of many short gaps, because it cost a stream.
+    /// Records that a stream was abandoned after a silence of this length. The gap would have lasted longer by an
+    /// unknown time, so it is recorded one bucket higher. Its weight is large enough to raise the long gap to that
+    /// bucket at once, because each gap that is wrongly taken for a stall costs a stream.
     pub fn record_abandoned(&mut self, gap: Micros) {
         let longer = (gap as f64 * BUCKET_RATIO) as Micros;
         let weight = 1.0 + self.total * 2.0 * (1.0 - LONG_GAP_QUANTILE);
--- a/crates/stream-recovery/src/recovery.rs
+++ b/crates/stream-recovery/src/recovery.rs
@@ -7,7 +7,7 @@
 pub struct InterruptedStream {
     /// Maximum number of continuations per stream; `None` if continuations are disabled.
     pub max_continuations: Option<u32>,
-    /// Whether requests of the class are idempotent.
+    /// Whether requests of the request's class are idempotent.
     pub is_idempotent: bool,
     /// Number of continuations of this stream so far.
     pub continuations: u32,
@@ -20,7 +20,7 @@
 /// How to end an interrupted stream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RecoveryDecision {
-    /// All of the text was forwarded. The node writes the missing framing itself.
+    /// All of the text was forwarded. The node itself sends the missing closing events.
     Complete,
     /// Request the remaining text from another replica, with this request body.
     Continue(Vec<u8>),
@@ -57,8 +57,9 @@
     Obstacle(#[from] ContinuationObstacle),
 }
 
-/// Decides how to end an interrupted stream. `request_body` is the body of the client's request. `take_from_budget` is
-/// called last, and only if everything else allows a continuation.
+/// Decides how to end an interrupted stream. `request_body` is the body of the client's request. `take_from_budget`
+/// takes one continuation from the budget and returns false if the budget is exhausted; it is called only if all other
+/// conditions of a continuation are met.
 pub fn decide_recovery(
     stream: &InterruptedStream,
     transcript: &StreamTranscript,
@@ -71,8 +72,8 @@
     if !stream.is_client_connected {
         return RecoveryDecision::Fail(RecoveryRefusal::ClientDisconnected);
     }
-    // Only framing or the usage is missing. Repeating the request for it would make a replica process the whole prompt
-    // again without changing the text; the usage is omitted, because the node must not make up token counts.
+    // Only closing events or the usage are missing. To request them, a replica would have to process the whole prompt
+    // again without changing the text. The usage is omitted, because the node must not make up token counts.
     if transcript.is_text_complete(request_body) {
         return RecoveryDecision::Complete;
     }
--- a/crates/stream-recovery/src/stall_detection.rs
+++ b/crates/stream-recovery/src/stall_detection.rs
@@ -5,7 +5,7 @@
 /// The state of a stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StreamState {
-    /// Events arrive at the usual pace.
+    /// The last and the current gap are not longer than the replica's long gap.
     Flowing,
     /// The last or the current gap is longer than the replica's long gap.
     Slow,
@@ -13,7 +13,7 @@
     Stalled,
     /// The replica closed the stream before it was complete.
     Broken,
-    /// The client does not read fast enough. The replica is not responsible for the silence.
+    /// The client does not accept data, so the replica is not responsible for the silence.
     ClientSlow,
     /// The stream ended completely.
     Completed,
@@ -34,8 +34,8 @@
 }
 
 impl StallDetector {
-    /// Starts with the first event. A silence of `silence_limit` is a stall; `long_gap` is that of the replica, if
-    /// known.
+    /// Creates a detector when the first event arrives. A silence of `silence_limit` is a stall; `long_gap` is that of
+    /// the replica, `None` if unknown.
     pub fn new(now: Micros, silence_limit: Micros, long_gap: Option<Micros>) -> Self {
         StallDetector {
             last_event_at: now,
@@ -80,7 +80,8 @@
         self.end.get_or_insert(end);
     }
 
-    /// When the stream counts as stalled if no event arrives; `None` while the client is blocked and after the end.
+    /// The time at which the stream counts as stalled if no event arrives before; `None` while the client is blocked
+    /// and after the end.
     pub fn stall_deadline(&self) -> Option<Micros> {
         let is_watched = self.end.is_none() && self.client_blocked_since.is_none();
         is_watched.then(|| self.last_event_at.saturating_add(self.silence_limit))
--- a/crates/stream-recovery/src/transcript.rs
+++ b/crates/stream-recovery/src/transcript.rs
@@ -137,7 +137,7 @@
         self.token_count
     }
 
-    /// The text forwarded so far.
+    /// The text forwarded so far, of all epochs.
     pub fn text(&self) -> &str {
         &self.text
     }
@@ -178,7 +178,8 @@
         self.epoch
     }
 
-    /// Processes bytes of a replica's response body and returns the complete events to send to the client.
+    /// Processes bytes of the response body of the replica of `epoch` and returns the complete events to send to the
+    /// client. Bytes of an earlier epoch are dropped.
     pub fn forward(&mut self, epoch: u64, bytes: &[u8]) -> ForwardedBytes {
         let mut forwarded = ForwardedBytes::default();
         if epoch != self.epoch || self.progress == StreamProgress::Done {
@@ -302,13 +303,13 @@
     fn rewrite_usage(&self, usage: &mut Map<String, Value>) {
         let number = |key: &str| usage.get(key).and_then(Value::as_u64);
         let prompt = number("prompt_tokens");
-        let answer = number("completion_tokens");
-        if let (Some(prompt), Some(answer)) = (prompt, answer) {
+        let completion = number("completion_tokens");
+        if let (Some(prompt), Some(completion)) = (prompt, completion) {
             let prompt = prompt.saturating_sub(self.earlier_epoch_tokens);
-            let answer = answer + self.earlier_epoch_tokens;
+            let completion = completion + self.earlier_epoch_tokens;
             usage.insert("prompt_tokens".into(), json!(prompt));
-            usage.insert("completion_tokens".into(), json!(answer));
-            usage.insert("total_tokens".into(), json!(prompt + answer));
+            usage.insert("completion_tokens".into(), json!(completion));
+            usage.insert("total_tokens".into(), json!(prompt + completion));
         }
     }
 
@@ -319,8 +320,8 @@
                 || (self.token_count > 0 && self.is_token_limit_reached(request_body)))
     }
 
-    /// Whether the token limit of the request is reached. Each event with text holds at least one token, so the actual
-    /// count may be higher, and no replica may write more than the limit.
+    /// Whether the token limit of the request is reached. Each event with text is counted as one token but may hold
+    /// more, so the limit is reached at the latest when this returns true.
     fn is_token_limit_reached(&self, request_body: &[u8]) -> bool {
         let Ok(request) = serde_json::from_slice::<Value>(request_body) else {
             return false;
--- a/crates/stream-recovery/tests/recovery.rs
+++ b/crates/stream-recovery/tests/recovery.rs
@@ -138,15 +138,15 @@
         window: 10 * SECOND,
     };
     let mut budget = ContinuationBudget::default();
-    let granted = |budget: &mut ContinuationBudget, now, attempts: usize| {
+    let count_allowed = |budget: &mut ContinuationBudget, now, attempts: usize| {
         (0..attempts)
             .filter(|_| budget.try_take(now, &limits))
             .count()
     };
-    assert_eq!(granted(&mut budget, 0, 9), 2);
+    assert_eq!(count_allowed(&mut budget, 0, 9), 2);
     for _ in 0..100 {
         budget.record_stream(SECOND, &limits);
     }
-    assert_eq!(granted(&mut budget, 2 * SECOND, 99), 8);
-    assert_eq!(granted(&mut budget, 30 * SECOND, 9), 2);
+    assert_eq!(count_allowed(&mut budget, 2 * SECOND, 99), 8);
+    assert_eq!(count_allowed(&mut budget, 30 * SECOND, 9), 2);
 }
