--- a/crates/fault-shim/src/lib.rs
+++ b/crates/fault-shim/src/lib.rs
@@ -1,7 +1,8 @@
 //! Injects system call failures into a node's process. Tests preload this library with `LD_PRELOAD`.
 //!
-//! It overrides four functions of the C library, which then fail in ways that Linux documents. The environment variable
-//! [`PLAN_VARIABLE`] names a TOML file with the fault plan. Without a plan, no call fails.
+//! It overrides four functions of the C library, which then fail, or transfer fewer bytes, as their Linux manual pages
+//! document. The environment variable [`PLAN_VARIABLE`] names a TOML file with the fault plan. Without a plan, no call
+//! fails.
 
 mod plan;
 
--- a/crates/fault-shim/src/plan.rs
+++ b/crates/fault-shim/src/plan.rs
@@ -4,14 +4,14 @@
 
 /// Multiplier that spreads call numbers over 64 bits before mixing: 2^64 divided by the golden ratio.
 const CALL_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
-/// Position of a rule's index within a key, in bits.
+/// Position in bits of a rule's index within the key that is hashed for a call.
 const RULE_SHIFT: u32 = 56;
 
 /// Defines which system calls fail.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields, default)]
 pub struct FaultPlan {
-    /// The same seed and the same order of calls produce the same faults.
+    /// The seed of the selection of calls: the same seed and the same order of calls produce the same faults.
     pub seed: u64,
     /// The first rule that selects a call determines its fault.
     #[serde(rename = "rule")]
@@ -109,12 +109,12 @@
             .iter()
             .enumerate()
             .filter(|(_, rule)| rule.call == call)
-            .find(|(position, rule)| self.is_due(*position, rule, call_number))?;
+            .find(|(rule_index, rule)| self.selects_call(*rule_index, rule, call_number))?;
         Some(rule.fault)
     }
 
-    fn is_due(&self, position: usize, rule: &CallFaultRule, call_number: u64) -> bool {
-        let rule_bits = (position as u64) << RULE_SHIFT;
+    fn selects_call(&self, rule_index: usize, rule: &CallFaultRule, call_number: u64) -> bool {
+        let rule_bits = (rule_index as u64) << RULE_SHIFT;
         let key = self.seed ^ call_number.wrapping_mul(CALL_MULTIPLIER) ^ rule_bits;
         mix_bits(key).is_multiple_of(rule.one_in.max(1))
     }
--- a/crates/stub-model-server/src/checker.rs
+++ b/crates/stub-model-server/src/checker.rs
@@ -47,7 +47,7 @@
     pub requests: usize,
     /// Number of complete responses.
     pub completed: usize,
-    /// Number of complete responses written by more than one server.
+    /// Number of complete responses to which more than one server has written bytes.
     pub continued: usize,
     /// Number of requests that failed with an error event or a truncated response.
     pub failed: usize,
--- a/crates/stub-model-server/src/response_plan.rs
+++ b/crates/stub-model-server/src/response_plan.rs
@@ -6,7 +6,7 @@
 use serde_json::{json, Value};
 use std::time::Duration;
 
-/// How long a connection stays open without a response.
+/// How long a connection stays open without a response under [`ReplyFault::Silent`].
 const SILENT_CONNECTION_DURATION: Duration = Duration::from_secs(600);
 const STATUS_OK: u16 = 200;
 
@@ -73,7 +73,7 @@
     pub status: u16,
     /// The steps after the head.
     pub steps: Vec<PlanStep>,
-    /// Number of tokens if the plan is not cut short.
+    /// Number of tokens of the response if the connection is not cut.
     pub token_count: usize,
 }
 
@@ -100,7 +100,8 @@
     reset: bool,
 }
 
-/// Builds the plan of one response. `id` is the response id, which distinguishes the responses to one request.
+/// Builds the plan of one response. `id` is the response id, which differs between the responses of several servers to
+/// one client request; `fault` is the fault to inject, `None` for none.
 pub fn plan_response(
     request: &ChatRequest,
     id: &str,
--- a/crates/stub-model-server/src/script.rs
+++ b/crates/stub-model-server/src/script.rs
@@ -68,7 +68,7 @@
         /// Length of the pause, in milliseconds.
         ms: u64,
     },
-    /// Time between events, in milliseconds, instead of that of the script.
+    /// The events are sent with this gap in milliseconds, instead of [`ReplyScript::token_gap_ms`].
     #[serde(rename = "trickle")]
     SlowTokens(u64),
     /// The connection is closed after a number of bytes of the body.
--- a/crates/stub-model-server/src/server/mod.rs
+++ b/crates/stub-model-server/src/server/mod.rs
@@ -22,17 +22,17 @@
 pub struct ServedRequest {
     /// Index of the server.
     pub server: usize,
-    /// The request id that the server received.
+    /// The value of the request's `req-id` header; empty if there is none.
     pub id: String,
     /// The prompt.
     pub prompt: String,
     /// Number of tokens in the partial answer that the request continued.
     pub tokens_before: usize,
-    /// Number of tokens of the planned response.
+    /// Number of tokens of the planned response if the connection is not cut.
     pub planned_token_count: usize,
     /// Number of body bytes written.
     pub written_bytes: usize,
-    /// Whether the plan was executed completely.
+    /// Whether all steps of the plan were executed, including a planned cut.
     pub is_complete: bool,
 }
 
@@ -99,7 +99,8 @@
         lock(&self.state).served.clone()
     }
 
-    /// Number of responses that were also sent on an idle connection.
+    /// Number of responses that were also sent on an idle connection because of
+    /// [`ReplyFault::DuplicateOnIdleConnection`](crate::ReplyFault::DuplicateOnIdleConnection).
     pub fn unsolicited_count(&self) -> u64 {
         lock(&self.state).unsolicited_count
     }
--- a/crates/stub-model-server/src/server/request_head.rs
+++ b/crates/stub-model-server/src/server/request_head.rs
@@ -9,7 +9,7 @@
     pub head_bytes: usize,
     /// Length of the body in bytes.
     pub body_bytes: usize,
-    /// The request id; empty if there is none.
+    /// The value of the `req-id` header; empty if there is none.
     pub id: String,
     pub path: String,
 }
