--- a/crates/coordination/src/lease/client/tests/mod.rs
+++ b/crates/coordination/src/lease/client/tests/mod.rs
@@ -16,7 +16,7 @@
 /// The maximum number of states per model in the extended run.
 const MAX_STATES_EXTENDED: usize = 40_000_000;
 
-/// A named model.
+/// The name of a model in the output, and the model.
 type Case = (&'static str, LeaseModel);
 
 fn model_with_all_safeguards() -> LeaseModel {
--- a/crates/coordination/src/lease/mod.rs
+++ b/crates/coordination/src/lease/mod.rs
@@ -7,9 +7,9 @@
 //!
 //! 1. A [`LeaseClient`] sends [`LeaseRequest::Acquire`] to all lease servers, under an epoch higher than any that it
 //!    knows.
-//! 2. A [`LeaseServer`] grants it if all its grants of the task to other processes have expired by its own clock, and if
-//!    the epoch is higher than all that it has granted for the task or is that of the grant to be renewed. The grant is
-//!    durable before the response is sent.
+//! 2. A [`LeaseServer`] grants it if all its grants of the task to other processes have expired by its own clock, and
+//!    if the epoch is higher than all that it has granted for the task or is that of the grant to be renewed. The grant
+//!    is durable before the response is sent.
 //! 3. Once a majority has granted, the client holds the lease. Its holding time starts when the *request was sent* and
 //!    lasts for the lease duration less the clock drift ([`reduce_by_drift`]), by the client's clock. The client renews
 //!    after a third of the duration.
--- a/crates/coordination/src/lease/server/grant_table.rs
+++ b/crates/coordination/src/lease/server/grant_table.rs
@@ -90,7 +90,6 @@
         durations.max().unwrap_or(0)
     }
 
-    /// The highest known epoch of each task.
     pub(super) fn epochs(&self) -> Vec<TaskEpoch> {
         let epoch_of = |(task, grant): (&String, &Grant)| TaskEpoch {
             task: task.clone(),
--- a/crates/coordination/src/node/hosted_server.rs
+++ b/crates/coordination/src/node/hosted_server.rs
@@ -19,7 +19,6 @@
     envelope: Envelope,
 }
 
-/// The lease server that this process hosts.
 pub(super) struct HostedLeaseServer {
     server: LeaseServer,
     /// The number of the last write.
@@ -58,7 +57,6 @@
         })
     }
 
-    /// Replaces the list of lease servers.
     pub(super) fn set_servers(&mut self, server_index: usize, server_count: usize) {
         self.server.set_servers(server_index, server_count);
     }
@@ -153,7 +151,6 @@
             .min()
     }
 
-    /// The status shown to operators.
     pub(super) fn status(&self, now: Micros) -> LeaseServerStatus {
         LeaseServerStatus {
             recovery: self.server.recovery_state().clone(),
--- a/crates/coordination/src/rolling_restart/participant.rs
+++ b/crates/coordination/src/rolling_restart/participant.rs
@@ -1,4 +1,4 @@
-//! A node as a participant in rolling restarts.
+//! A node as a participant in rolling restarts: answers queries, and decides which commands to execute.
 
 use super::messages::{
     NodeProgress, NodeReport, OrderId, QueryId, RestartCommand, RestartMessage, RestartOrder,
@@ -6,7 +6,7 @@
 use super::MAX_NODES;
 use crate::Micros;
 
-/// A node as a participant in rolling restarts: the newest order, and the node's progress in it.
+/// The newest restart order that this node knows, and the node's progress in it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RestartParticipant {
     /// The newest known order.
--- a/crates/coordination/tests/golden.rs
+++ b/crates/coordination/tests/golden.rs
@@ -151,7 +151,6 @@
     samples
 }
 
-/// The names of the golden files.
 fn committed_names() -> BTreeSet<String> {
     let entries = fs::read_dir(golden_path("")).unwrap();
     let names = entries.map(|entry| entry.unwrap().file_name().into_string().unwrap());
--- a/crates/coordination/tests/support/cluster.rs
+++ b/crates/coordination/tests/support/cluster.rs
@@ -61,7 +61,6 @@
     }
 }
 
-/// A scheduled event.
 enum Event {
     Message {
         machine: usize,
--- a/crates/coordination/tests/support/golden_messages.rs
+++ b/crates/coordination/tests/support/golden_messages.rs
@@ -102,7 +102,6 @@
     ]
 }
 
-/// Responses of a lease server.
 fn lease_responses() -> Vec<(&'static str, MessageBody)> {
     let granted = LeaseResponse::Granted {
         task: "budgets".into(),
@@ -147,7 +146,6 @@
     }
 }
 
-/// Messages about node figures.
 fn figures_messages() -> Vec<(&'static str, MessageBody)> {
     let figures = NodeFigures {
         replies: vec![
@@ -245,7 +243,6 @@
     }
 }
 
-/// Messages of outlier probing.
 fn probing_messages() -> Vec<(&'static str, MessageBody)> {
     let ejected = ProbingMessage::Ejected {
         replicas: vec!["s-1".into(), "s-22".into()],
@@ -283,7 +280,6 @@
     }
 }
 
-/// Messages about budgets.
 fn budget_messages() -> Vec<(&'static str, MessageBody)> {
     let request = BudgetMessage::Request(BudgetRequest {
         requester: holder(),
--- a/crates/durable-log/src/segment.rs
+++ b/crates/durable-log/src/segment.rs
@@ -10,7 +10,6 @@
 /// Number of digits of a segment number in a file name.
 const NUMBER_DIGITS: usize = 16;
 
-/// The file name of a segment.
 pub(crate) fn segment_name(number: u64) -> String {
     format!("{number:0NUMBER_DIGITS$}{SEGMENT_EXTENSION}")
 }
--- a/crates/durable-log/tests/golden.rs
+++ b/crates/durable-log/tests/golden.rs
@@ -43,7 +43,6 @@
     (0..length).map(|index| (index * 31 % 251) as u8).collect()
 }
 
-/// Path of a committed golden file.
 fn golden_path(name: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR"))
         .join("tests/golden")
--- a/crates/stream-recovery/src/budget.rs
+++ b/crates/stream-recovery/src/budget.rs
@@ -31,7 +31,6 @@
     }
 }
 
-/// Counts for one slice of the window.
 #[derive(Clone, Debug)]
 struct Slice {
     start: Micros,
--- a/crates/stub-model-server/src/main.rs
+++ b/crates/stub-model-server/src/main.rs
@@ -71,7 +71,6 @@
     }
 }
 
-/// Exits the process after `lifetime`.
 fn exit_after(lifetime: Duration) {
     std::thread::spawn(move || {
         std::thread::sleep(lifetime);
--- a/crates/stub-model-server/src/response_plan.rs
+++ b/crates/stub-model-server/src/response_plan.rs
@@ -128,7 +128,6 @@
     }
 }
 
-/// The pieces of the body, in order.
 fn body_pieces(request: &ChatRequest, id: &str, fault: Option<&ReplyFault>) -> Vec<BodyPiece> {
     let mut pieces = Vec::new();
     let mut add = |part, bytes| pieces.push(BodyPiece { part, bytes });
--- a/crates/stub-model-server/src/server/request_head.rs
+++ b/crates/stub-model-server/src/server/request_head.rs
@@ -5,9 +5,8 @@
 
 /// The parts of a request head that the server uses.
 pub(super) struct RequestHead {
-    /// Length of the head in bytes.
     pub head_bytes: usize,
-    /// Length of the body in bytes.
+    /// The value of the `content-length` header; 0 if it is missing or invalid.
     pub body_bytes: usize,
     /// The value of the `req-id` header; empty if there is none.
     pub id: String,
--- a/crates/stub-model-server/src/server/state.rs
+++ b/crates/stub-model-server/src/server/state.rs
@@ -28,7 +28,6 @@
     injected: u64,
 }
 
-/// State shared by all servers.
 pub(super) struct State {
     scripts: Vec<ReplyScript>,
     /// Counts per rule, for the script of each server.
