--- a/crates/coordination/src/node/hosted_server.rs
+++ b/crates/coordination/src/node/hosted_server.rs
@@ -1,5 +1,5 @@
-//! The lease server that this process hosts, with its log. Responses are sent only once all records written before them
-//! are durable.
+//! The lease server that this process hosts, with the writes to its log. Responses are sent only once all records
+//! written before them are durable.
 
 use super::status::LeaseServerStatus;
 use super::{NodeOutput, NodeSettings};
@@ -19,7 +19,6 @@
     envelope: Envelope,
 }
 
-/// The lease server that this process hosts.
 pub(super) struct HostedLeaseServer {
     server: LeaseServer,
     /// The number of the last write.
@@ -34,8 +33,8 @@
 }
 
 impl HostedLeaseServer {
-    /// Creates a server that starts now with the records of its log; `None` if this node is not on the list of lease
-    /// servers.
+    /// Creates a server that starts now with the records of its log. Returns `None` if this node is not on the list of
+    /// lease servers.
     pub(super) fn new(
         settings: &NodeSettings,
         incarnation: Incarnation,
@@ -58,7 +57,6 @@
         })
     }
 
-    /// Replaces the list of lease servers.
     pub(super) fn set_servers(&mut self, server_index: usize, server_count: usize) {
         self.server.set_servers(server_index, server_count);
     }
@@ -153,7 +151,6 @@
             .min()
     }
 
-    /// The status shown to operators.
     pub(super) fn status(&self, now: Micros) -> LeaseServerStatus {
         LeaseServerStatus {
             recovery: self.server.recovery_state().clone(),
--- a/crates/stub-model-server/src/server/request_head.rs
+++ b/crates/stub-model-server/src/server/request_head.rs
@@ -5,11 +5,10 @@
 
 /// The parts of a request head that the server uses.
 pub(super) struct RequestHead {
-    /// Length of the head in bytes.
     pub head_bytes: usize,
-    /// Length of the body in bytes.
+    /// The value of the `content-length` header; 0 if it is missing or invalid.
     pub body_bytes: usize,
-    /// The request id; empty if there is none.
+    /// The value of the `req-id` header; empty if there is none.
     pub id: String,
     pub path: String,
 }
