--- a/src/protocol/admin/call.rs
+++ b/src/protocol/admin/call.rs
@@ -16,20 +16,20 @@
     Ready,
     /// Returns the metrics.
     Telemetry,
-    /// Returns the members of the fleet and the holders of leases.
+    /// Returns the status of the coordination: members, leases, budgets and rolling restarts.
     Fleet,
-    /// Returns the numbers of attempts to other zones by minute, class and tenant.
+    /// Returns the number of attempts sent to other zones by minute, class and tenant.
     Crossings,
-    /// Takes the nodes of the fleet out of service in turn.
+    /// Takes the nodes of the fleet out of service and back, a limited number at a time.
     RollingRestart {
         /// The largest number of nodes that are out of service at the same time.
         max_nodes_out: u32,
         /// How long each node stays out of service after its last client has left, in microseconds.
         hold_us: u64,
     },
-    /// Stops accepting clients and drains the connected ones.
+    /// Evacuates the node: it reports that it is not ready and closes client connections after their current response.
     Evacuate,
-    /// Accepts clients again.
+    /// Ends an evacuation.
     Rejoin,
 }
 
--- a/src/protocol/admin/metrics.rs
+++ b/src/protocol/admin/metrics.rs
@@ -34,11 +34,11 @@
 pub struct ClassResponses {
     /// The class's name.
     pub class: String,
-    /// Responses that were complete.
+    /// Streams that were complete.
     pub completed: u64,
     /// Requests that the node rejected.
     pub rejected: u64,
-    /// Responses that failed.
+    /// Requests that failed, including those with a broken stream.
     pub failed: u64,
 }
 
@@ -56,7 +56,7 @@
 pub struct CrossZoneAttempts {
     /// The class's name.
     pub class: String,
-    /// The tenant's name.
+    /// The tenant's name; empty at sites without tenants.
     pub tenant: String,
     /// The number of attempts.
     pub count: u64,
@@ -65,7 +65,7 @@
 /// A metric of the coordination with the fleet.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FleetMetric {
-    /// The name without the prefix `app_`.
+    /// The name without the prefix `app_`, with the labels if there are any.
     pub name: String,
     /// The value.
     pub value: u64,
--- a/src/protocol/discovery.rs
+++ b/src/protocol/discovery.rs
@@ -6,7 +6,7 @@
 use poppykeel_endpoints::{ListedEndpoint, ListedState, SourceUpdate};
 use serde_json::Value;
 
-/// Why an answer is not an endpoint list. The message names the key and the expected value.
+/// Why an answer is not an endpoint list. The message names the key, the expected value and the endpoint's index.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum EndpointListError {
     /// The version is missing or not an integer.
@@ -19,20 +19,26 @@
     #[error("servers: expected an array")]
     Endpoints,
     /// A key of an endpoint is missing or its value is not a string.
-    #[error("servers: expected a string for {key}")]
+    #[error("servers[{index}].{key}: expected a string")]
     MissingText {
+        /// The endpoint's index in the list.
+        index: usize,
         /// The key.
         key: &'static str,
     },
     /// The state of an endpoint is unknown.
-    #[error("servers: expected up, draining or removed, not {state}")]
+    #[error("servers[{index}].state: expected up, draining or removed, not {state}")]
     UnknownState {
+        /// The endpoint's index in the list.
+        index: usize,
         /// The state in the answer.
         state: String,
     },
     /// The address of an endpoint is not an IP address with a port.
-    #[error("servers: expected ADDRESS:PORT for addr, not {addr}")]
+    #[error("servers[{index}].addr: expected ADDRESS:PORT, not {addr}")]
     InvalidAddress {
+        /// The endpoint's index in the list.
+        index: usize,
         /// The address in the answer.
         addr: String,
     },
@@ -81,7 +87,8 @@
         .as_array()
         .ok_or(EndpointListError::Endpoints)?
         .iter()
-        .map(parse_endpoint)
+        .enumerate()
+        .map(|(index, endpoint)| parse_endpoint(index, endpoint))
         .collect::<Result<_, _>>()?;
     Ok(EndpointListResponse {
         version,
@@ -90,13 +97,15 @@
     })
 }
 
-fn parse_endpoint(endpoint: &Value) -> Result<ListedEndpoint, EndpointListError> {
-    let addr = required_text(endpoint, "addr")?;
-    let state = parse_state(required_text(endpoint, "state")?)?;
-    let name = required_text(endpoint, "id")?.to_string();
+fn parse_endpoint(index: usize, endpoint: &Value) -> Result<ListedEndpoint, EndpointListError> {
+    let required_text = |key| required_text(index, endpoint, key);
+    let addr = required_text("addr")?;
+    let state = parse_state(index, required_text("state")?)?;
+    let name = required_text("id")?.to_string();
     let addr = addr
         .parse()
         .map_err(|_| EndpointListError::InvalidAddress {
+            index,
             addr: addr.to_string(),
         })?;
     Ok(ListedEndpoint {
@@ -112,21 +121,26 @@
     })
 }
 
-fn parse_state(state: &str) -> Result<ListedState, EndpointListError> {
+fn parse_state(index: usize, state: &str) -> Result<ListedState, EndpointListError> {
     match state {
         "up" => Ok(ListedState::Available),
         "draining" => Ok(ListedState::Draining),
         "removed" => Ok(ListedState::Removed),
         unknown => Err(EndpointListError::UnknownState {
+            index,
             state: unknown.to_string(),
         }),
     }
 }
 
-fn required_text<'a>(endpoint: &'a Value, key: &'static str) -> Result<&'a str, EndpointListError> {
+fn required_text<'a>(
+    index: usize,
+    endpoint: &'a Value,
+    key: &'static str,
+) -> Result<&'a str, EndpointListError> {
     endpoint[key]
         .as_str()
-        .ok_or(EndpointListError::MissingText { key })
+        .ok_or(EndpointListError::MissingText { index, key })
 }
 
 fn optional_text(endpoint: &Value, key: &str) -> String {
--- a/src/protocol/event_stream.rs
+++ b/src/protocol/event_stream.rs
@@ -8,7 +8,7 @@
 use poppykeel_site_settings::SiteSettings;
 use serde_json::Value;
 
-/// Only this many bytes of a line are buffered. Longer lines are always data and are not parsed in full.
+/// Only this many bytes of a line are buffered. Only lines of data are longer; they are not parsed in full.
 const MAX_LINE_BYTES: usize = 4096;
 /// The name of the comment with a load report.
 const LOAD_REPORT_NAME: &str = "srv-load";
@@ -17,7 +17,7 @@
 /// An event with the number of cached tokens contains this key.
 const CACHED_TOKENS_KEY: &[u8] = b"\"cached_tokens\"";
 
-/// Scans one event stream.
+/// Finds the events, load reports and cached prompt tokens of one stream, whose bytes may be passed in pieces of any size.
 #[derive(Debug, Default)]
 pub struct EventStreamScanner {
     /// The first bytes of the current line.
@@ -31,7 +31,7 @@
 }
 
 impl EventStreamScanner {
-    /// Scans the next bytes.
+    /// Scans the next bytes of the stream. They may begin and end within a line.
     pub fn feed(&mut self, bytes: &[u8], settings: &SiteSettings) {
         for piece in bytes.split_inclusive(|byte| *byte == b'\n') {
             self.unfinished_event_bytes = self.unfinished_event_bytes.saturating_add(piece.len());
@@ -82,7 +82,7 @@
         self.unfinished_event_bytes
     }
 
-    /// Whether the stream had a load report.
+    /// Whether the stream has had a load report so far.
     pub fn has_load_report(&self) -> bool {
         self.load_report.is_some()
     }
--- a/src/protocol/http/codec.rs
+++ b/src/protocol/http/codec.rs
@@ -6,8 +6,8 @@
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use tokio_util::codec::{Decoder, Encoder};
 
-/// The longest chunk of a response, in bytes. Chunks of replicas are short; a chunk size of gigabytes is an error, since its
-/// data would never end.
+/// The longest accepted chunk of a response, in bytes. Replicas send short chunks. A chunk size of gigabytes is an error:
+/// the response would practically never end.
 const MAX_CHUNK_BYTES: u64 = 256 * 1024;
 /// The largest number of interim responses before a final response. Without a limit they could continue forever.
 const MAX_INTERIM_RESPONSES: u32 = 16;
--- a/src/protocol/http/framing.rs
+++ b/src/protocol/http/framing.rs
@@ -7,16 +7,16 @@
 
 /// The longest chunk-size line and the longest trailer line, in bytes.
 const MAX_LINE_BYTES: usize = 4 * 1024;
-/// A content length must have fewer decimal digits than this, so that it fits into 64 bits.
+/// Exclusive limit of the decimal digits of a content length. Every number of 18 digits fits into 64 bits.
 const CONTENT_LENGTH_DIGIT_LIMIT: usize = 19;
-/// A chunk size must have fewer hex digits than this, so that it fits into 64 bits.
+/// Exclusive limit of the hex digits of a chunk size. Every number of 15 digits fits into 64 bits.
 const CHUNK_SIZE_DIGIT_LIMIT: usize = 16;
 
 /// How a body is delimited.
 pub(super) struct BodyFraming {
     /// The state of the decoder after the head.
     pub state: DecoderState,
-    /// The length of the body in bytes; `None` if the head does not determine it.
+    /// The length of the body in bytes; `None` if it is chunked or ends with the connection.
     pub body_length: Option<u64>,
 }
 
--- a/src/protocol/http/head.rs
+++ b/src/protocol/http/head.rs
@@ -3,7 +3,7 @@
 use super::codec::Role;
 use super::error::HttpParseError;
 
-/// The longest accepted head, in bytes.
+/// The longest accepted head, in bytes. A request with a longer one is rejected with status 431.
 pub const MAX_HEAD_BYTES: usize = 16 * 1024;
 /// The largest number of header fields in a head.
 pub(super) const MAX_HEADERS: usize = 64;
@@ -73,7 +73,7 @@
     pub start_line: StartLine,
     /// The header fields.
     pub headers: Headers,
-    /// The length of the body in bytes; `None` if the head does not determine it.
+    /// The length of the body in bytes; `None` if it is chunked or ends with the connection.
     pub body_length: Option<u64>,
     /// Whether the connection may carry another message after this one.
     pub keeps_connection: bool,
--- a/src/protocol/http/mod.rs
+++ b/src/protocol/http/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! [`HttpCodec`] decodes each message to [`MessagePart`]s (head, pieces of the body, end) and encodes [`EncodedMessage`]s.
 //! Pieces of a body are copied out of the read buffer as they arrive, so one bounded buffer serves a connection for its
-//! whole life regardless of the size of bodies. Connections to clients, replicas, discovery and admin callers use it.
+//! lifetime regardless of the size of bodies. Connections to clients, replicas, discovery and admin callers use it.
 
 mod codec;
 mod error;
--- a/src/protocol/load_report.rs
+++ b/src/protocol/load_report.rs
@@ -5,7 +5,8 @@
 use serde_json::Value;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// The number of ignored reports, which were not JSON objects, and of ignored values, which were not non-negative numbers.
+/// The number of reports ignored because they were not JSON objects, and of values ignored because they were not finite,
+/// non-negative numbers.
 static IGNORED_VALUE_COUNT: AtomicU64 = AtomicU64::new(0);
 
 /// Parses a load report in JSON. Returns `None` instead of an error for an invalid one, because an invalid report must not
--- a/src/protocol/mod.rs
+++ b/src/protocol/mod.rs
@@ -1,7 +1,7 @@
 //! Parsing and formatting of messages, without sockets and clocks.
 //!
 //! - `http`: HTTP/1.1 framing
-//! - `event_stream`: the event stream in the body of a response
+//! - `event_stream`: events and load reports in a streamed response body
 //! - `request`: from a client's request to the scheduler's `IncomingRequest`; another client protocol would be a module
 //!   beside this one with the same result
 //! - `response`: from a replica's response to the outcome of an attempt
--- a/src/protocol/request/extra_fields.rs
+++ b/src/protocol/request/extra_fields.rs
@@ -4,7 +4,8 @@
 use super::headers::{parse_id, parse_tokens};
 use poppykeel_scheduler::IncomingRequest;
 
-/// Sets the fields of `Req-Extra` in a request. Unknown fields, which newer clients may send, are ignored.
+/// Sets the fields of `Req-Extra` in a request. Unknown fields, which newer clients may send, are ignored. A prefix of 0
+/// means that there is none.
 pub(super) fn apply_extra_fields(
     text: &str,
     request: &mut IncomingRequest,
--- a/src/protocol/request/parse.rs
+++ b/src/protocol/request/parse.rs
@@ -7,9 +7,9 @@
 use poppykeel_scheduler::{IncomingRequest, RequestId};
 use poppykeel_site_settings::SiteNames;
 
-/// The longest body, in bytes: 256 KiB.
+/// The longest accepted request body, in bytes: 256 KiB. A longer one is rejected with status 413.
 pub const MAX_BODY_BYTES: usize = 256 * 1024;
-/// The cap of a request's deadline, in seconds: a day. A larger value could overflow the clock.
+/// A longer time until a request's deadline is reduced to this, in seconds: a day. A larger value could overflow the clock.
 const MAX_TIME_LEFT: f64 = 86_400.0;
 /// The assumed bytes per token if the client does not send the length of the prompt.
 const BYTES_PER_TOKEN: usize = 4;
--- a/src/protocol/request/write.rs
+++ b/src/protocol/request/write.rs
@@ -23,7 +23,7 @@
 ];
 
 /// The head of a request to a replica, without the deadline, which each attempt adds. `replacement_id` replaces the
-/// client's request id.
+/// client's request id; `None` keeps it.
 pub fn replica_request_head(
     head: &Head,
     body_bytes: usize,
@@ -77,7 +77,8 @@
         .into()
 }
 
-/// A response that the node itself generates, with the reason in its body.
+/// A response that the node itself generates, with the reason in its body. If `retry_after_us` is `None`, there is no field
+/// `Retry-After`.
 pub fn local_response(
     status: u16,
     reason: &str,
--- a/src/protocol/response.rs
+++ b/src/protocol/response.rs
@@ -36,7 +36,7 @@
 pub struct ResponseReader {
     settings: Rc<SiteSettings>,
     scanner: EventStreamScanner,
-    /// The load report in the head.
+    /// The load report in the head; `None` if there is none or it is invalid.
     head_report: Option<LoadReport>,
     content_type: String,
     /// Whether the content type is that of an event stream. Other bodies are forwarded without requiring events.
@@ -120,7 +120,8 @@
         ));
     }
 
-    /// Ends the attempt with a reset: the connection was lost or ended before the response was complete.
+    /// Ends the attempt with a reset: the connection was lost or ended before the response was complete. Also used if an
+    /// event is too long or an event stream ends without a complete event.
     pub fn on_connection_lost(&mut self, steps: &mut Vec<ResponseStep>) {
         if self.has_ended {
             return;
--- a/src/protocol/srv.rs
+++ b/src/protocol/srv.rs
@@ -12,17 +12,17 @@
 #[derive(Clone, Debug)]
 pub struct SrvEndpointMapping {
     /// Matched against the target's name in lower case. Its groups `zone`, `kind` and `cell` capture the endpoint's
-    /// zone, host type and cell.
+    /// zone, host type and cell. `None` captures nothing.
     pub target_pattern: Option<Regex>,
     /// The zone names of the site settings, by captured zone. Other captured zones are used unchanged.
     pub zone_names: BTreeMap<String, String>,
     /// The host type names of the site settings, by captured host type. Other captured host types are used unchanged.
     pub host_type_names: BTreeMap<String, String>,
-    /// The zone of an endpoint if none is captured.
+    /// The zone of an endpoint if `target_pattern` captures none in its target's name.
     pub default_zone: String,
-    /// The host type of an endpoint if none is captured.
+    /// The host type of an endpoint if `target_pattern` captures none in its target's name.
     pub default_host_type: String,
-    /// Records of this priority mark their endpoint as draining; `None` marks none.
+    /// Endpoints of records with this priority are draining; if `None`, no endpoint is.
     pub drain_priority: Option<u16>,
 }
 
