--- a/src/transport/coordination/budgets.rs
+++ b/src/transport/coordination/budgets.rs
@@ -42,7 +42,7 @@
 pub struct FleetBudgets {
     /// The limits of the budgets.
     pub settings: BudgetSettings,
-    /// The site's tenants, in the scheduler's order.
+    /// Names of the site's tenants; [`BudgetKind::Tenant`] holds an index of this list.
     pub tenants: Vec<String>,
 }
 
@@ -62,7 +62,8 @@
         Some(BudgetKind::Tenant(index))
     }
 
-    /// The scheduler's grants. `now` is the time of the participant's clock, `scheduler_now` that of the scheduler's.
+    /// Converts the participant's quotas to grants for the scheduler. `now` is the time of the participant's clock,
+    /// `scheduler_now` that of the scheduler's.
     pub fn grants(
         &self,
         participant: &BudgetParticipant,
@@ -88,7 +89,7 @@
         grants
     }
 
-    /// Converts the scheduler's demand, by budget name.
+    /// Converts the scheduler's demand to the units of coordination, by budget name.
     pub fn cumulative_demand(
         &self,
         demand_by_kind: &BTreeMap<BudgetKind, BudgetDemand>,
@@ -152,8 +153,8 @@
         }
     }
 
-    /// Replaces the limits, if the fleet has budgets. Grants stay valid until they expire, so a lower limit takes effect one
-    /// grant duration after the allocating node has applied it.
+    /// Replaces the limits, if the fleet has budgets. Grants stay valid until they expire, so a lower limit takes full
+    /// effect one grant duration after the allocating node has applied it.
     pub(super) fn set_budget_limits(&self, budgets: &FleetBudgets) {
         if let Some(participant) = &mut *self.budgets.participant.borrow_mut() {
             participant.set_limits(budgets.settings.limits.clone());
@@ -161,7 +162,6 @@
         }
     }
 
-    /// Handles a message about budgets.
     pub(super) fn handle_budget_message(self: &Rc<Self>, sender: String, message: BudgetMessage) {
         let now = self.clock.now();
         let held_epoch = self.held_epoch(LEASE_TASK);
@@ -180,7 +180,7 @@
         }
     }
 
-    /// The scheduler's grants at this time.
+    /// The grants in force, in the scheduler's form; empty if the fleet has no budgets.
     fn budget_grants(&self) -> BudgetGrants {
         let now = self.clock.now();
         let scheduler_now = self.scheduler_now();
--- a/src/transport/coordination/event_loop.rs
+++ b/src/transport/coordination/event_loop.rs
@@ -13,7 +13,7 @@
 const MAX_EXTRA_DATAGRAMS: usize = 64;
 /// Maximum time between two iterations.
 const IDLE_INTERVAL: Duration = Duration::from_secs(1);
-/// The buffer exceeds the longest valid message by this much.
+/// The buffer exceeds the longest valid message by this much, so that longer messages are recognised.
 const BUFFER_SLACK_BYTES: usize = 1024;
 
 impl CoordinationDriver {
@@ -91,7 +91,7 @@
                 NodeOutput::WriteLog { write, records } => {
                     let written = match &*self.log_writer.borrow() {
                         Some(writer) => writer.write(write, records),
-                        None => Err(LogWriteError::QueueFull),
+                        None => Err(LogWriteError::NoFolder),
                     };
                     if let Err(error) = written {
                         self.handle_log_failure(&error);
@@ -111,6 +111,10 @@
         tracing::info!(task, epoch = epoch.0, "lease acquired");
     }
     for HeldLease { task, epoch } in before.iter().filter(|lease| !now.contains(lease)) {
-        tracing::info!(task, epoch = epoch.0, "lease ended");
+        tracing::info!(
+            task,
+            epoch = epoch.0,
+            "lease no longer held: released or expired"
+        );
     }
 }
--- a/src/transport/coordination/log_writer/error.rs
+++ b/src/transport/coordination/log_writer/error.rs
@@ -50,7 +50,13 @@
     /// The log failed.
     #[error("{0}")]
     Log(#[from] LogError),
-    /// The queue is full, or the thread that writes has ended.
-    #[error("log queue full ({QUEUE_CAPACITY} writes) or log thread ended")]
+    /// [`QUEUE_CAPACITY`] writes are queued.
+    #[error("log queue full ({QUEUE_CAPACITY} writes)")]
     QueueFull,
+    /// The thread that writes the log has ended.
+    #[error("log thread ended")]
+    ThreadEnded,
+    /// The settings have no folder for the log.
+    #[error("fleet.folder is not set")]
+    NoFolder,
 }
--- a/src/transport/coordination/log_writer/mod.rs
+++ b/src/transport/coordination/log_writer/mod.rs
@@ -13,7 +13,7 @@
 use poppykeel_durable_log::{DurableLog, FaultInjectingDisk, FolderDisk, LogError, RecoveredLog};
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
-use std::sync::mpsc::{sync_channel, Receiver, SyncSender};
+use std::sync::mpsc::{sync_channel, Receiver, SyncSender, TrySendError};
 use tokio::sync::mpsc;
 
 use error::WithFolder;
@@ -36,7 +36,7 @@
 pub enum LogWriterEvent {
     /// All writes up to this number are durable.
     Durable {
-        /// The write's number.
+        /// The number passed to [`LogWriter::write`].
         write: u64,
     },
     /// The log has failed; no further write becomes durable.
@@ -57,7 +57,7 @@
 pub struct OpenedLog {
     /// The handle for writing to the log.
     pub writer: LogWriter,
-    /// The newest records that the log holds.
+    /// The newest record of each task and of each server in the log, and that of a completed recovery.
     pub records: Vec<LeaseLogRecord>,
 }
 
@@ -101,12 +101,13 @@
     /// Queues a write for the thread.
     ///
     /// # Errors
-    /// [`LogWriteError::QueueFull`] if the queue is full or the thread has ended.
+    /// [`LogWriteError::QueueFull`] if the queue is full, or [`LogWriteError::ThreadEnded`] if the thread has ended.
     pub fn write(&self, number: u64, records: Vec<LeaseLogRecord>) -> Result<(), LogWriteError> {
         let write = Write { number, records };
-        self.writes
-            .try_send(write)
-            .map_err(|_| LogWriteError::QueueFull)
+        self.writes.try_send(write).map_err(|error| match error {
+            TrySendError::Full(_) => LogWriteError::QueueFull,
+            TrySendError::Disconnected(_) => LogWriteError::ThreadEnded,
+        })
     }
 }
 
@@ -160,7 +161,7 @@
     }
 }
 
-/// Writes until the queue is closed.
+/// Writes queued records until the queue or the channel of events is closed.
 fn write_until_closed(
     mut log: DurableLog<FaultInjectingDisk>,
     mut newest: NewestRecords,
--- a/src/transport/coordination/messaging.rs
+++ b/src/transport/coordination/messaging.rs
@@ -63,7 +63,6 @@
         self.counters.set(counters);
     }
 
-    /// Sends a message to a node.
     pub(super) fn send_to(self: &Rc<Self>, recipient: String, body: MessageBody) {
         self.send_to_address(recipient, None, body);
     }
--- a/src/transport/coordination/mod.rs
+++ b/src/transport/coordination/mod.rs
@@ -8,10 +8,10 @@
 //! | `event_loop.rs` | drives [`CoordinationNode`] with datagrams, log events and timers |
 //! | `messaging.rs` | sends messages and dispatches received ones |
 //! | `log_writer/` | the log of the lease server that this process hosts |
-//! | `budgets.rs` | the fleet's budgets: sends the scheduler's demand, receives its grants |
+//! | `budgets.rs` | the fleet's budgets: sends the scheduler's demand, passes grants to the scheduler |
 //! | `report.rs` | the fleet's report to a collector, sent by the lease holder |
-//! | `rolling_restart.rs` | taking nodes out of service in turn |
-//! | `outlier_probing.rs` | probing ejected replicas by one node on behalf of all |
+//! | `rolling_restart.rs` | rolling restarts: nodes leave service and return, a limited number at a time |
+//! | `outlier_probing.rs` | probes of ejected replicas, made by one node on behalf of all |
 //! | `status.rs` | the status shown to operators, and metrics |
 //! | `boot_clock.rs` | the clock of leases |
 //!
@@ -56,13 +56,14 @@
 /// The settings of a node's coordination with other nodes.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CoordinationSettings {
-    /// Settings of the state machine.
+    /// Settings of the state machine, [`CoordinationNode`].
     pub node: NodeSettings,
     /// The address on which this node listens, for UDP and TCP.
     pub listen: SocketAddr,
     /// Addresses of nodes by name, used instead of those that the nodes advertise.
     pub address_overrides: BTreeMap<String, SocketAddr>,
-    /// The folder of the lease server's log. Without one, a lease server on this node can't write its log.
+    /// The folder of the lease server's log. If `None`, a lease server on this node can't write its log and answers no
+    /// requests.
     pub log_folder: Option<PathBuf>,
     /// The fleet's budgets; `None` if the fleet has none.
     pub budgets: Option<FleetBudgets>,
@@ -113,7 +114,7 @@
     unreachable: u64,
 }
 
-/// The driver of a node's coordination.
+/// The driver of a node's coordination, shared by its tasks.
 pub struct CoordinationDriver {
     settings: CoordinationSettings,
     node: RefCell<CoordinationNode>,
@@ -132,7 +133,6 @@
     probing: ProbingDriver,
     budgets: BudgetDriver,
     phase: Rc<watch::Sender<NodePhase>>,
-    /// The scheduler's clock.
     scheduler_clock: Clock,
 }
 
@@ -254,13 +254,12 @@
         Ok(())
     }
 
-    /// Releases all leases and leaves the fleet in an orderly way.
+    /// Releases all leases and notifies the other nodes that this one leaves the fleet.
     pub fn leave(self: &Rc<Self>) {
         let outputs = self.node.borrow_mut().leave(self.clock.now());
         self.execute_outputs(outputs);
     }
 
-    /// The time of the scheduler's clock.
     fn scheduler_now(&self) -> Micros {
         self.scheduler_clock.now()
     }
--- a/src/transport/coordination/outlier_probing.rs
+++ b/src/transport/coordination/outlier_probing.rs
@@ -1,6 +1,6 @@
-//! Outlier probing at this node: it reports the replicas ejected here, follows the coordinator's advice, and coordinates
-//! while it holds the lease. [`poppykeel_coordination::outlier_probing`] makes the decisions; the scheduler decides how to
-//! react to advice.
+//! Outlier probing at this node: it reports the replicas ejected here, follows the coordinator's verdicts on them, and is
+//! the coordinator while it holds the lease. [`poppykeel_coordination::outlier_probing`] makes the decisions; the scheduler
+//! decides how to react to a verdict.
 
 use super::CoordinationDriver;
 use crate::routing::ReplicaStatus;
@@ -24,7 +24,8 @@
 const REPORT_INTERVAL: Duration = Duration::from_millis(250);
 /// A replica that no node has reported as ejected for this time is no longer tracked, in microseconds.
 const REPORT_TTL: Micros = 1_500_000;
-/// How long wrong advice on a replica is remembered, in microseconds.
+/// After a replica that was reported healthy has failed here again, verdicts on it are ignored for this time, in
+/// microseconds.
 const DISTRUST_DURATION: Micros = 10_000_000;
 
 /// Number of verdicts followed, by kind.
@@ -46,7 +47,6 @@
 }
 
 impl ProbingDriver {
-    /// Number of verdicts followed, by kind.
     pub(super) fn advice(&self) -> AdviceCounters {
         self.advice.get()
     }
@@ -64,7 +64,7 @@
     }
 }
 
-fn health(replica: &ReplicaStatus) -> ReplicaHealth {
+fn to_health(replica: &ReplicaStatus) -> ReplicaHealth {
     ReplicaHealth {
         is_ejected: replica.is_ejected,
         last_success_at: replica.last_success_at,
@@ -82,7 +82,6 @@
         self.send_to(recipient, MessageBody::OutlierProbing(message));
     }
 
-    /// Handles a message about outlier probing.
     pub(super) fn handle_probing_message(self: &Rc<Self>, message: ProbingMessage) {
         match message {
             ProbingMessage::Ejected { replicas } => {
@@ -167,13 +166,13 @@
                 Some(coordinator) if coordinator.epoch() == epoch => coordinator,
                 other => other.insert(ProbingCoordinator::new(epoch)),
             };
-            coordinator.verdicts(|name| replicas.get(name).map(health), now, REPORT_TTL)
+            coordinator.verdicts(|name| replicas.get(name).map(to_health), now, REPORT_TTL)
         };
         let has_verdicts = matches!(
             &verdicts,
             ProbingMessage::Verdicts { verdicts, .. } if !verdicts.is_empty()
         );
-        // The lease must be checked immediately before acting.
+        // The lease must be checked immediately before acting: verdicts are sent only under this epoch.
         if has_verdicts && self.held_epoch(LEASE_TASK) == Some(epoch) {
             let peers = self.node.borrow().peers();
             for peer in peers {
--- a/src/transport/coordination/report.rs
+++ b/src/transport/coordination/report.rs
@@ -36,7 +36,6 @@
 /// Offset of the status in the response.
 const STATUS_OFFSET: usize = 9;
 
-/// Figures by node name.
 type FiguresByNode = BTreeMap<String, NodeFigures>;
 
 /// Number of this node's reports by outcome.
@@ -53,7 +52,7 @@
     outcomes: Cell<ReportOutcomes>,
     /// The number of the last report, which distinguishes figures for different reports.
     report_number: Cell<u64>,
-    /// How far this node's wall clock is behind the median of the fleet, in microseconds.
+    /// How far this node's wall clock was behind the median of all nodes' clocks at its last report, in microseconds.
     wall_clock_lag: Cell<i64>,
     figures: RefCell<FiguresByNode>,
 }
@@ -66,7 +65,6 @@
         }
     }
 
-    /// Number of this node's reports by outcome.
     pub(super) fn outcomes(&self) -> ReportOutcomes {
         self.outcomes.get()
     }
@@ -77,7 +75,7 @@
         self.outcomes.set(outcomes);
     }
 
-    /// The fleet's wall clock, in microseconds of Unix time.
+    /// This node's wall clock, corrected by its lag behind the median at the last report; in microseconds of Unix time.
     fn fleet_wall_clock(&self) -> u64 {
         wall_clock().saturating_add_signed(self.wall_clock_lag.get())
     }
@@ -159,7 +157,7 @@
                     status,
                     epoch = epoch.0,
                     slot,
-                    "collector refused the fleet's report"
+                    "the collector refused the fleet's report; the next one follows after the interval"
                 );
                 self.report.count(|outcomes| outcomes.refused += 1);
             }
@@ -167,7 +165,6 @@
         }
     }
 
-    /// The body of a report.
     fn report_body(
         &self,
         settings: &ReportSettings,
--- a/src/transport/coordination/rolling_restart.rs
+++ b/src/transport/coordination/rolling_restart.rs
@@ -1,5 +1,5 @@
-//! Rolling restarts at this node: it receives orders, leaves and returns on command, and coordinates the restart while it
-//! holds the lease. [`poppykeel_coordination::rolling_restart`] makes the decisions.
+//! Rolling restarts at this node: it receives orders, leaves service and returns on command, and coordinates the restart
+//! while it holds the lease. [`poppykeel_coordination::rolling_restart`] makes the decisions.
 
 use super::CoordinationDriver;
 use crate::transport::evacuation::{evacuate, rejoin};
@@ -20,17 +20,17 @@
 pub const LEASE_TASK: &str = "roll";
 /// Interval between a round of queries and the commands that follow from the answers, and between those and the next round.
 const ROUND_INTERVAL: Duration = Duration::from_millis(100);
-/// A node that is out of service returns on its own after this many lease durations without contact to a coordinator, but no
-/// earlier than [`MIN_RETURN_AFTER`].
+/// A node that is out of service returns on its own after this many lease durations without contact with a coordinator, but
+/// no earlier than [`MIN_RETURN_AFTER`].
 const RETURN_AFTER_LEASES: u64 = 4;
-/// Lower limit of that time, in microseconds.
+/// A node that is out of service waits at least this long for a coordinator before it returns on its own, in microseconds.
 const MIN_RETURN_AFTER: Micros = 2_000_000;
 
 /// This node's state of rolling restarts.
 #[derive(Default)]
 pub(super) struct RestartDriver {
     participant: RefCell<RestartParticipant>,
-    /// Present while this node holds the lease and an order is open.
+    /// Present while this node holds the lease and its newest order has not been completed.
     coordinator: RefCell<Option<RestartCoordinator>>,
 }
 
@@ -88,7 +88,6 @@
         self.send_to(recipient, MessageBody::RollingRestart(message));
     }
 
-    /// Handles a message about a rolling restart.
     pub(super) fn handle_restart_message(self: &Rc<Self>, sender: String, message: RestartMessage) {
         let participant = &self.restart.participant;
         match message {
@@ -151,7 +150,7 @@
         });
     }
 
-    /// Follows the newest order, and coordinates it while this node holds the lease. Runs until the process ends.
+    /// Coordinates the newest order until it is completed, while this node holds the lease. Runs until the process ends.
     pub(super) async fn run_rolling_restarts(self: Rc<Self>) {
         loop {
             tokio::time::sleep(ROUND_INTERVAL).await;
@@ -181,7 +180,7 @@
             .borrow_mut()
             .return_if_timed_out(now);
         if must_return {
-            tracing::warn!("out of service without contact to a coordinator; returning to service");
+            tracing::warn!("out of service without contact with a rolling restart coordinator; returning to service");
             rejoin(&self.phase);
         }
     }
@@ -192,7 +191,7 @@
             self.send_restart_message(query.node, query.message);
         }
         tokio::time::sleep(ROUND_INTERVAL).await;
-        // The lease must be checked immediately before acting: only under this epoch are commands sent.
+        // The lease must be checked immediately before acting: commands are sent only under this epoch.
         if self.held_epoch(LEASE_TASK) != Some(epoch) {
             return;
         }
--- a/src/transport/coordination/status.rs
+++ b/src/transport/coordination/status.rs
@@ -14,7 +14,7 @@
 const MICROS_PER_MS: Micros = 1000;
 
 impl CoordinationDriver {
-    /// The metrics of coordination, in addition to the node's own.
+    /// The metrics of coordination: names without the prefix `app_`, and values.
     pub fn metrics(&self) -> Vec<(String, u64)> {
         let node = self.node.borrow();
         let status = node.status(self.clock.now());
