--- a/src/transport/endpoints/discovery.rs
+++ b/src/transport/endpoints/discovery.rs
@@ -5,9 +5,12 @@
 //! started, one task polls the service and sends the dispatcher every list and every failure that ends the polling. The
 //! module `watcher_state` has the states and their transitions.
 //!
-//! A poll first waits for the fleet's discovery budget. From then on its time is limited by how long it waits at the service
-//! plus the slack for the response. An unavailable service is detected only after both. So the poll after a time-out does
-//! not wait at the service, and the poll after a refusal waits only for a short time.
+//! A poll first waits for a unit of the fleet's discovery budget. Its time limit then is the time for which the service may
+//! delay the answer plus a slack, so an unavailable service is detected only after both. The poll after a time-out therefore
+//! allows no delay, and the poll after a refusal only a short one.
+//!
+//! There are two kinds of lists. After a failed poll, a list polled on request is polled again once the scheduler requests
+//! it. A pushed list, which an agent on the node's own machine serves, is polled again after a short pause.
 
 mod reports;
 
@@ -31,20 +34,21 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, Notify};
 
-/// Pause after a failed poll of a pushed list: long enough not to spin on a refused connection, short compared with the time
-/// within which a drain must be heeded.
+/// Pause after a failed poll of a pushed list: long enough not to spin on a refused connection, and short compared with the
+/// drain grace, within which the node must learn of a draining replica.
 const PUSHED_RETRY_PAUSE: Duration = Duration::from_millis(100);
 
-/// A response that has begun is normally complete within this time; otherwise its transfer is disturbed.
+/// A response that is not complete this long after its first byte is delayed; the node's list counts as unconfirmed.
 const RESPONSE_TRANSFER_TIME: Duration = Duration::from_millis(150);
 
 /// How often the discovery budget is checked while it is exhausted.
 const BUDGET_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Discovery treats a poll within this time of its last answer as the same watch.
+/// If no poll begins within this time after an answer, discovery no longer considers the node to watch the list, and the
+/// node's list counts as unconfirmed.
 const MAX_WATCH_GAP: Duration = Duration::from_millis(200);
 
-/// A response that has arrived before its poll is dropped is read within this time.
+/// Time limit for reading a response that has arrived before its poll is dropped.
 const BACKLOG_READ_TIME: Duration = Duration::from_millis(10);
 
 /// Units of the budget that one poll costs.
@@ -71,7 +75,7 @@
     state: Cell<WatcherState>,
     /// Whether the list is a source of this node.
     is_enabled: Cell<bool>,
-    /// The version of the list that the node has.
+    /// The version of the list that the node has; 0 if it needs the full list.
     known_version: Cell<u64>,
     log: PollLog,
     poll_budget: RefCell<BudgetLedger>,
@@ -86,7 +90,7 @@
     ListReceived(EndpointListResponse),
     /// The connection was refused or reset, or the response has no list.
     Refused(PollError),
-    /// A response began, and the connection failed or closed before its end. The response counts as delivered.
+    /// A response began but is incomplete or not a valid list. Discovery considers the node notified of its changes.
     Incomplete(PollError),
     /// No complete response arrived in time.
     TimedOut,
@@ -118,7 +122,8 @@
         }
     }
 
-    /// Converts the watcher to one of a pushed list and starts it. It does not wait for a request after a failed poll.
+    /// Converts the watcher to one of a pushed list and starts it. After a failed poll it continues without a request of the
+    /// scheduler.
     pub fn into_pushed(self) -> Self {
         let watcher = EndpointWatcher {
             list_mode: EndpointListMode::Pushed,
@@ -128,13 +133,13 @@
         watcher
     }
 
-    /// Sets the version of the list that the node has.
+    /// Sets the version of the list that the node has; 0 requests the full list.
     pub fn set_known_version(&self, version: u64) {
         self.shared.known_version.set(version);
     }
 
-    /// Sets the version of a list that was restored from an earlier process. The first poll does not wait at the service: a
-    /// long poll of an unchanged list would confirm the list only after its full wait.
+    /// Sets the version of a list that was restored from an earlier process. The first poll allows the service no delay: a
+    /// long poll of an unchanged list would confirm the list only after the full delay.
     pub fn set_restored_version(&self, version: u64) {
         self.set_known_version(version);
         self.apply(WatcherEvent::Restored);
@@ -145,7 +150,7 @@
     pub fn set_enabled(&self, is_enabled: bool) {
         let was_enabled = self.shared.is_enabled.replace(is_enabled);
         if is_enabled && !was_enabled {
-            // The registry has dropped the source's earlier answers, so the full list is needed.
+            // The endpoint registry has dropped the source's earlier answers, so the full list is needed.
             self.shared.known_version.set(0);
             self.start();
         }
@@ -305,8 +310,8 @@
             () = self.shared.poll_dropped.notified() => {}
             outcome = &mut poll => return outcome,
         }
-        // A response that has already arrived counts as delivered, so it is read. The dropped poll then closes its
-        // connection and loses nothing: the next poll requests everything after the same version.
+        // Discovery considers the node notified by a response that has already arrived, so it is read. Closing the
+        // connection then loses nothing: the next poll requests all changes since the known version.
         match tokio::time::timeout(BACKLOG_READ_TIME, poll).await {
             Ok(PollOutcome::ListReceived(list)) => PollOutcome::Dropped(Some(list)),
             _ => PollOutcome::Dropped(None),
@@ -335,7 +340,8 @@
         }
     }
 
-    /// Waits until the discovery budget allows a poll, and spends its unit. The list is not watched in the meantime.
+    /// Waits until the discovery budget allows a poll, and spends its unit. No poll is open in the meantime, so the node
+    /// does not learn of changes.
     async fn wait_for_budget(&self) {
         let budget = &self.shared.poll_budget;
         budget
@@ -395,8 +401,8 @@
         Ok(list)
     }
 
-    /// Reads a response that has begun. Its list counts as delivered from its first byte on, so the node's own list is
-    /// unconfirmed if the remainder is delayed.
+    /// Reads a response that has begun. Discovery considers the node notified of its changes from the first byte on, so the
+    /// node's own list is reported as unconfirmed if the remainder is delayed.
     async fn read_response(
         &self,
         connection: &mut HttpConnection,
--- a/src/transport/endpoints/poll.rs
+++ b/src/transport/endpoints/poll.rs
@@ -20,8 +20,8 @@
 /// Maximum length of a response body.
 const MAX_RESPONSE_BYTES: usize = 4 * 1024 * 1024;
 
-/// A response without further bytes for this time has stalled. A drain in it counts as delivered from the response's first
-/// byte on, so the limit leaves time for another poll within the drain grace.
+/// A response without further bytes for this time has stalled. Discovery considers the node notified of a draining replica
+/// once the response has begun, so the limit leaves time for another poll within the drain grace.
 const MAX_RESPONSE_GAP: Duration = Duration::from_millis(300);
 
 /// Status of a response with a list.
@@ -33,10 +33,10 @@
     /// The connection was not established in time.
     #[error("connect timeout")]
     ConnectTimeout,
-    /// The connection could not be opened.
+    /// The connection could not be opened, or failed before the first byte of a response.
     #[error("{0}")]
     Connect(#[source] std::io::Error),
-    /// The connection failed before a response.
+    /// The request could not be sent.
     #[error("{0}")]
     Http(HttpParseError),
     /// The service closed the connection without a response.
@@ -96,14 +96,13 @@
     }
 }
 
-/// The parameters of a poll.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct PollRequest {
     /// The address of the service, for the request's `Host`.
     pub(super) service_addr: SocketAddr,
-    /// The version of the list that the node has. Only newer changes are requested.
+    /// The version of the list that the node has. Only newer changes are requested; 0 requests the full list.
     pub(super) known_version: u64,
-    /// How long the service may wait for a newer list.
+    /// How long the service may delay its answer until there is a newer list.
     pub(super) wait: Duration,
 }
 
@@ -162,7 +161,7 @@
     }
 }
 
-/// Reads a response that has begun, whatever its status.
+/// Reads a response that has begun, with any status.
 ///
 /// # Errors
 /// Fails if the connection fails, stalls or closes before the response is complete, or if the response is too long.
--- a/src/transport/endpoints/poll_log.rs
+++ b/src/transport/endpoints/poll_log.rs
@@ -9,10 +9,10 @@
 
 /// Logs only changes, since an unavailable service is polled many times.
 pub(super) struct PollLog {
-    /// Why the last poll failed, if it did.
+    /// Why the last poll failed; `None` if it did not.
     last_error: RefCell<Option<String>>,
-    /// Time since which the list is unconfirmed: the start, or the first event after a response that made it uncertain.
-    /// `None` while the list is confirmed.
+    /// Time since which the list is unconfirmed: the start of the watcher, or the first failed, delayed or dropped poll
+    /// after the last list. `None` while the list is confirmed.
     unconfirmed_since: Cell<Option<MonotonicMicros>>,
 }
 
@@ -25,7 +25,7 @@
         }
     }
 
-    /// Records that the list is unconfirmed from now on.
+    /// Records that the list is unconfirmed from now on, unless it already is.
     pub(super) fn record_unconfirmed(&self, now: MonotonicMicros) {
         if self.unconfirmed_since.get().is_none() {
             self.unconfirmed_since.set(Some(now));
--- a/src/transport/endpoints/srv.rs
+++ b/src/transport/endpoints/srv.rs
@@ -1,8 +1,8 @@
 //! The watcher of DNS: repeatedly looks up a service's SRV records and reports the endpoints found.
 //!
 //! [`SrvWatcher`] owns the task that runs the resolver. The task sends every answer and every failure to the dispatcher and
-//! stores the latest one for commands that show records and lifetimes. `program::serve` and `program::resolve` own a watcher
-//! and configure its look-ups.
+//! stores the latest one for `poppykeel resolve`, which shows records and their lifetimes. `program::serve` and
+//! `program::resolve` own a watcher and configure its look-ups.
 
 use crate::protocol::srv::SrvEndpointMapping;
 use crate::transport::clock::Clock;
@@ -75,7 +75,7 @@
         }
     }
 
-    /// The result of the latest look-up, also of services that are configured later.
+    /// The shared result of the latest look-up. It continues to be replaced after a change of settings.
     pub fn latest_lookup(&self) -> LatestSrvLookup {
         self.latest.clone()
     }
@@ -163,7 +163,8 @@
         }
     }
 
-    /// Returns an empty change list, which confirms the previous list, if the list is unchanged.
+    /// The update for a list of endpoints. For an unchanged list, it is an empty list of changes, which confirms the
+    /// previous list.
     fn list_update(&mut self, listed: Vec<ListedEndpoint>) -> SourceUpdate {
         if self.last_listed.as_ref() == Some(&listed) {
             return SourceUpdate::Changes(Vec::new());
@@ -184,7 +185,7 @@
         tracing::warn!(
             source = SRV_SOURCE,
             omitted_count = lookup.ignored_target_count,
-            "too many SRV targets; ignoring those beyond the limit"
+            "more SRV targets than most_targets allows; ignoring the others"
         );
     }
 }
--- a/src/transport/endpoints/watcher_state.rs
+++ b/src/transport/endpoints/watcher_state.rs
@@ -7,32 +7,32 @@
 //! | `Idle(_)` | `Restored` | `Idle(Immediate)` |
 //! | `Polling(_)` | `PollDropped` | `Polling(Immediate)` |
 //! | `Polling(mode)` | `Disabled` | `Idle(mode)` |
-//! | `Polling(_)` | `Refused` | on request `Idle(Short)`, pushed `Paused(Short)` |
+//! | `Polling(_)` | `Refused` | `Idle(Short)`; pushed list: `Paused(Short)` |
 //! | `Polling(Long)`, `Polling(Short)` | `TimedOut`, `ResponseIncomplete` | `Polling(Immediate)` |
-//! | `Polling(Immediate)` | `TimedOut`, `ResponseIncomplete` | on request `Idle(Immediate)`, pushed `Paused(Immediate)` |
+//! | `Polling(Immediate)` | `TimedOut`, `ResponseIncomplete` | `Idle(Immediate)`; pushed list: `Paused(Immediate)` |
 //! | `Paused(mode)` | `PauseEnded`, `PollDropped` | `Polling(mode)` |
 //! | any | `DispatcherEnded` | `Stopped` |
 //!
-//! All other events leave the state unchanged. Two rules are behind the table:
+//! All other events leave the state unchanged. The reasons for the transitions after a failed poll:
 //!
 //! * A refusal ends the polling, and the scheduler decides when to start again: nodes whose polls were reset together by
 //!   a failed service must not reconnect together. A pushed list comes from an agent on the node's own machine, which
 //!   answers at no cost, so the watcher polls it again on its own after a short pause.
 //! * A poll without a response in time is repeated at once, but only once: the service may be available and only the
-//!   connection broken. The new poll does not wait at the service, so that a second time-out is detected soon.
+//!   connection broken. The new poll allows the service no delay, so that a second time-out is detected soon.
 
 use poppykeel_scheduler::EndpointListMode;
 
-/// How long the next poll waits at the service, depending on how the previous poll ended.
+/// How long the service may delay its answer to the next poll, depending on how the previous poll ended.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) enum PollMode {
-    /// After a list: the poll waits until there is a newer one.
+    /// After a list: the service answers once there is a newer list, or after the longest delay.
     #[default]
     Long,
-    /// After a refusal: the poll waits for a short time, since a service that has just recovered must answer every node.
+    /// After a refusal: a short delay, since a service that has just recovered must answer all nodes.
     Short,
-    /// After a poll without a complete response, for a restored list and after a change of the service address: the poll
-    /// does not wait, so that an unavailable service is detected at once and the list is confirmed soon.
+    /// After a poll without a complete response, for a restored list and after a change of the service address: no delay, so
+    /// that an unavailable service is detected at once and the list is confirmed soon.
     Immediate,
 }
 
@@ -48,7 +48,6 @@
     Stopped,
 }
 
-/// An event of a watcher.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum WatcherEvent {
     /// The list was restored from an earlier process.
