--- a/src/transport/admin.rs
+++ b/src/transport/admin.rs
@@ -27,8 +27,8 @@
 use tokio::task::{spawn_local, AbortHandle};
 use tokio_util::codec::Framed;
 
-/// Maximum number of concurrent callers. For one more, the oldest is disconnected, since a caller that gets a response
-/// leaves at once.
+/// Maximum number of concurrent callers. For a further caller, the oldest is disconnected: callers leave as soon as they
+/// have their response, so the oldest one has most likely stalled.
 pub const MAX_ADMIN_CONNECTIONS: usize = 32;
 /// A call must be read completely within this time.
 const READ_TIMEOUT: Duration = Duration::from_secs(2);
@@ -131,7 +131,7 @@
         }
     }
 
-    /// The response with the metrics of the dispatcher and those collected here.
+    /// The response with the dispatcher's metrics and those of reloads, coordination and client connections.
     async fn metrics_response(&self) -> Bytes {
         let Some(dispatcher_metrics) = query(&self.dispatcher, DispatcherQuery::Metrics).await
         else {
--- a/src/transport/client/close_reason.rs
+++ b/src/transport/client/close_reason.rs
@@ -10,7 +10,7 @@
     ClientDisconnected,
     /// The client accepted no bytes within the write timeout.
     ClientStalled,
-    /// The last response announced the close.
+    /// The last response announced the close with `Connection: close`.
     LastResponse,
     /// A request was rejected without being passed to the dispatcher.
     RequestRejected,
@@ -18,7 +18,7 @@
     StreamBroken,
     /// No further request arrived within the idle timeout.
     IdleTimeout,
-    /// No request arrived within the read timeout.
+    /// No byte of a request arrived within the read timeout.
     NoRequest,
     /// The connection was closed to make room for another.
     Evicted,
--- a/src/transport/client/connection/exchange.rs
+++ b/src/transport/client/connection/exchange.rs
@@ -37,7 +37,7 @@
     }
 }
 
-/// A completion request that the dispatcher has accepted.
+/// A completion request to which the dispatcher has responded.
 struct DispatchedRequest {
     request: IncomingRequest,
     head: Head,
--- a/src/transport/client/connection/mod.rs
+++ b/src/transport/client/connection/mod.rs
@@ -76,14 +76,14 @@
 
 impl Drop for ClientConnection {
     fn drop(&mut self) {
-        self.registry.connection_closed();
+        self.registry.count_closed();
     }
 }
 
 impl ClientConnection {
     /// Creates the connection for an accepted socket.
     pub fn new(socket: TcpStream, registry: Rc<ConnectionRegistry>) -> Self {
-        let number = registry.connection_opened();
+        let number = registry.count_opened();
         let read_deadline = Instant::now() + registry.limits().request_read_timeout;
         let http = Framed::new(socket.into(), HttpCodec::new(Role::Server));
         ClientConnection {
@@ -137,8 +137,8 @@
         // If the client has already closed the connection, there is nothing to shut down.
         let _ = socket.shutdown().await;
         if reason.is_between_requests() {
-            // A request that crosses the close is not read: the subsequent reset shows that to the client. It does not
-            // matter whether the client responds to the close in time.
+            // A request that the client sent before it saw the close is not read: the reset that follows shows the client
+            // that it was not served. The result of the wait does not matter.
             let _ = tokio::time::timeout(CLOSE_TIMEOUT, socket.ready(Interest::READABLE)).await;
         } else {
             // Closing a socket with unread bytes resets the connection, and the client may lose the end of the last
@@ -147,7 +147,7 @@
         }
     }
 
-    /// Whether responses are the last on their connections now.
+    /// Whether a response sent now is the last on its connection.
     fn is_last_response(&self) -> bool {
         !self.registry.is_serving()
     }
--- a/src/transport/client/connection/requests.rs
+++ b/src/transport/client/connection/requests.rs
@@ -46,7 +46,7 @@
     Rejected {
         /// The status and reason of the rejection.
         reject: RequestError,
-        /// Delay after which the client may retry.
+        /// Delay after which the client may retry, in microseconds; `None` if the response gives none.
         retry_after: Option<DurationMicros>,
     },
     /// The connection must close.
@@ -145,7 +145,7 @@
             () = tokio::time::sleep_until(self.read_deadline) => {
                 return PartRead::TimedOut(HttpParseError::ReadTimeout);
             }
-            () = registry.reading_ended() => return PartRead::TimedOut(HttpParseError::ShuttingDown),
+            () = registry.wait_for_read_end() => return PartRead::TimedOut(HttpParseError::ShuttingDown),
         };
         match read {
             Some(Ok(part)) => PartRead::Part(part),
--- a/src/transport/client/connection/streams.rs
+++ b/src/transport/client/connection/streams.rs
@@ -70,7 +70,7 @@
                     self.send_chunk(bytes).await?;
                     continue;
                 }
-                Some(StreamChunk::End) => recovery.replica_ended(),
+                Some(StreamChunk::End) => recovery.handle_replica_end(),
                 None => false,
             };
             if is_complete {
@@ -105,7 +105,7 @@
                     recovery.set_replica(replica);
                     return Ok(RecoveryOutcome::Continued(chunks));
                 }
-                let error_event = recovery.continuation_refused();
+                let error_event = recovery.handle_refused_continuation();
                 self.send_chunk(error_event).await?;
                 Ok(RecoveryOutcome::Ended(StreamEnd::Broken))
             }
--- a/src/transport/client/registry.rs
+++ b/src/transport/client/registry.rs
@@ -39,9 +39,9 @@
     body_memory_bytes: Cell<usize>,
     open_count: Cell<usize>,
     accepted_count: Cell<u64>,
-    /// Idle connections in the order in which they became idle, which is also the order of eviction. Evicting connections
-    /// without any request first would let a flood of silent connections displace ordinary clients that are about to send
-    /// their first request, while old unused connections remain.
+    /// Idle connections in the order in which they became idle, which is also the order of eviction. Connections that have
+    /// had no request are not evicted first: a flood of silent connections would then displace new clients that are about
+    /// to send their first request, while old unused connections would remain.
     idle: RefCell<BTreeMap<u64, IdleConnection>>,
     last_idle_number: Cell<u64>,
     last_request_owner: Cell<RequestOwner>,
@@ -164,7 +164,7 @@
     }
 
     /// Waits until requests are no longer read because the node shuts down. Cancel-safe.
-    pub(super) async fn reading_ended(&self) {
+    pub(super) async fn wait_for_read_end(&self) {
         let mut phase = self.phase.clone();
         let is_closing = phase
             .wait_for(|phase| *phase == NodePhase::Closing)
@@ -178,13 +178,13 @@
     }
 
     /// Counts an opened connection and returns its number, unique within the process.
-    pub(super) fn connection_opened(&self) -> u64 {
+    pub(super) fn count_opened(&self) -> u64 {
         self.open_count.set(self.open_count.get() + 1);
         self.accepted_count.set(self.accepted_count.get() + 1);
         self.accepted_count.get()
     }
 
-    pub(super) fn connection_closed(&self) {
+    pub(super) fn count_closed(&self) {
         self.open_count.set(self.open_count.get() - 1);
     }
 
--- a/src/transport/client/shutdown.rs
+++ b/src/transport/client/shutdown.rs
@@ -1,9 +1,9 @@
 //! Shutdown of a node: the time limits for work that may still begin after the shutdown signal.
 //!
-//! After the shutdown signal a process may be killed as soon as the longest deadline of a request and a fixed allowance have
-//! passed. Every request admitted by then must have its final response before. So the time limits of admitting, reading and
-//! waiting are all counted from the signal, for new and existing connections alike, and also if the process is suspended in
-//! between.
+//! The platform is the environment that starts the process, sends the shutdown signal and may later kill the process: at
+//! the earliest when the longest deadline of a request (counted as at most 3 s) and 0.7 s have passed since the signal.
+//! Every admitted request must have its final response before that. So the time limits of admitting, reading and waiting all
+//! run from the signal, for new and existing connections alike, and also while the process is suspended.
 //!
 //! `program::serve` begins the shutdown. Client connections check here whether a request may be admitted and until when one
 //! may be read.
@@ -12,16 +12,16 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// The platform counts a request against the node if it arrives later than this after the shutdown signal and stays
-/// unanswered.
+/// The platform waits this much longer than the longest deadline before it kills the process. A request that arrives later
+/// than this after the shutdown signal and gets no response counts as an error of the node.
 const KILL_ALLOWANCE: Duration = Duration::from_millis(700);
-/// The platform waits for the longest deadline before it kills the process, but for at most this long.
+/// The platform waits for the longest deadline of a request, but for at most this long, before it kills the process.
 const MAX_COUNTED_DEADLINE: Duration = Duration::from_secs(3);
 /// The process may be suspended for 0.15 s between reading its clock and writing; the remaining 0.05 s is for its own work.
 const SAFETY_MARGIN: Duration = Duration::from_millis(200);
 
-/// Requests are admitted until this time after the shutdown signal; afterwards no connection is accepted or kept idle. New
-/// connections arrive for up to 0.4 s after the signal.
+/// Requests are admitted until this time after the shutdown signal; afterwards no connection is accepted or kept idle.
+/// Clients may open new connections for up to 0.4 s after the signal.
 pub const ADMISSION_DURATION: Duration = KILL_ALLOWANCE.saturating_sub(SAFETY_MARGIN);
 /// After the end of admission, a request that has begun to arrive must be complete within this time.
 pub const LAST_READ_DURATION: Duration = Duration::from_millis(250);
--- a/src/transport/clock.rs
+++ b/src/transport/clock.rs
@@ -27,7 +27,7 @@
         (self.started_at + Duration::from_micros(at)).into()
     }
 
-    /// Reads both clocks. Unix time before 1970 counts as 0.
+    /// Reads this clock and the machine's Unix time. Unix time before 1970 is returned as 0.
     pub fn reading(self) -> ClockReading {
         let unix_us = SystemTime::now()
             .duration_since(UNIX_EPOCH)
--- a/src/transport/dispatcher/clients.rs
+++ b/src/transport/dispatcher/clients.rs
@@ -8,13 +8,14 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
-/// Number of owners of finished requests that may be kept besides those of active requests.
+/// Owners of finished requests are removed once the number of owners exceeds twice the number of active requests by more
+/// than this.
 const MAX_STALE_OWNERS: usize = 256;
 
 /// A client whose response has not begun, with the data that its attempts need.
 pub(super) struct WaitingClient {
     pub(super) payload: Rc<RequestPayload>,
-    /// The class's objective for the time between two tokens, in microseconds.
+    /// The class's objective for the time between two tokens, in microseconds; `None` if it has none.
     pub(super) inter_token_objective: Option<DurationMicros>,
     pub(super) group: RequestGroup,
     pub(super) response: Reply<ClientResponse>,
@@ -35,7 +36,7 @@
         self.clients.get(&request)
     }
 
-    /// Removes the client of a request without a response.
+    /// Removes the client of a request without responding to it.
     pub(super) fn remove(&mut self, request: RequestId) {
         self.clients.remove(&request);
     }
@@ -68,7 +69,8 @@
         self.owners.get(&request) == Some(&owner)
     }
 
-    /// Sets the owner of a request. If owners of finished requests outnumber the others, they are removed first.
+    /// Sets the owner of a request. Removes the owners of finished requests first if there are too many (see
+    /// [`MAX_STALE_OWNERS`]).
     pub(super) fn set(
         &mut self,
         request: RequestId,
--- a/src/transport/dispatcher/endpoint_updates.rs
+++ b/src/transport/dispatcher/endpoint_updates.rs
@@ -99,10 +99,10 @@
         self.execute_commands(now);
     }
 
-    /// Withdraws attempts to draining or removed replicas that have not written anything yet: a connection established late
-    /// would send them long after the replica was to get no new requests. Such an attempt has never run, and the scheduler
-    /// finds it another replica. Probes are not withdrawn: including their connection they take at most a quarter of a
-    /// second.
+    /// Withdraws attempts to draining or removed replicas that have not written anything yet. If their connections were
+    /// established late, they would be sent long after the replica stopped accepting new requests. A withdrawn attempt has
+    /// not run, so the scheduler may choose another replica. Probes are not withdrawn: including the time to connect, they
+    /// take at most a quarter of a second.
     fn withdraw_unsent_attempts(
         &mut self,
         now: MonotonicMicros,
@@ -125,7 +125,8 @@
         }
     }
 
-    /// Passes the verdicts of the node that probes ejected replicas to the router, for the replicas this node lists.
+    /// Passes to the router the verdicts of the node that probes ejected replicas. Verdicts on replicas that this node does
+    /// not list are ignored.
     pub(super) fn handle_outlier_advice(&mut self, now: MonotonicMicros, advice: &[ReplicaAdvice]) {
         for status in self.router.replica_statuses() {
             let name = self.directory.name(status.replica);
--- a/src/transport/dispatcher/logging.rs
+++ b/src/transport/dispatcher/logging.rs
@@ -61,7 +61,7 @@
             tracing::debug!(%request, "client disconnected");
         }
         RouterEvent::FirstToken { request, attempt } => {
-            tracing::debug!(%request, attempt, "first token");
+            tracing::debug!(%request, attempt, "first token arrived");
         }
         RouterEvent::AttemptEnded {
             request,
@@ -84,15 +84,15 @@
         RouterEvent::EndpointsChanged(endpoints) => {
             tracing::debug!(endpoints = endpoints.len(), "endpoints changed");
         }
-        RouterEvent::EndpointListFailed => tracing::debug!("endpoint list failed"),
+        RouterEvent::EndpointListFailed => tracing::debug!("discovery delivered no endpoint list"),
         RouterEvent::EndpointListStatusChanged(status) => {
-            tracing::debug!(?status, "endpoint list status");
+            tracing::debug!(?status, "endpoint list status changed");
         }
         RouterEvent::OutlierAdvice {
             replica,
             is_healthy,
         } => {
-            tracing::debug!(replica = %replica.0, is_healthy, "outlier advice");
+            tracing::debug!(replica = %replica.0, is_healthy, "outlier advice received");
         }
     }
 }
@@ -111,7 +111,7 @@
             tracing::debug!(%request, attempt, "abandon attempt");
         }
         RouterCommand::BindStream { request, attempt } => {
-            tracing::debug!(%request, attempt, "bind stream");
+            tracing::debug!(%request, attempt, "bind stream to client");
         }
         RouterCommand::Reject {
             request,
@@ -123,7 +123,7 @@
         RouterCommand::Probe { replica } => {
             tracing::debug!(replica = %replica.0, "start probe");
         }
-        RouterCommand::WatchEndpoints => tracing::debug!("watch endpoints"),
+        RouterCommand::WatchEndpoints => tracing::debug!("start polling the endpoint list"),
     }
 }
 
--- a/src/transport/dispatcher/mod.rs
+++ b/src/transport/dispatcher/mod.rs
@@ -1,9 +1,9 @@
 //! The dispatcher of one node: the single task that owns the request router. It passes events from all other tasks to the
 //! router, with one clock reading per batch, and executes the router's commands.
 //!
-//! Client connections send requests and disconnects, attempts and probes their outcomes, endpoint sources their lists, and
-//! admin calls and the coordination with other nodes their queries and settings. All of it arrives over one bounded channel
-//! as [`DispatcherMessage`]; replies go back over channels carried by the messages.
+//! Messages come from client connections (requests, disconnects), attempts and probes (outcomes), endpoint sources (lists),
+//! admin calls and the coordination with other nodes (queries, settings). All arrive over one bounded channel as
+//! [`DispatcherMessage`]; replies return over channels that the messages carry.
 //!
 //! Invariants:
 //! - All commands that follow from a message are executed before the next message is handled.
@@ -11,8 +11,8 @@
 //! - A draining or removed replica gets no new work: an attempt that has not written anything yet is withdrawn.
 //!
 //! This module dispatches each [`DispatcherMessage`]. `requests` handles clients and attempts, `endpoint_updates` the
-//! endpoint list, `queries` the queries, `commands` the router's commands, `suspension` a suspended process, and `logging`
-//! writes the log. `clients` and `in_flight` own the tables of clients and attempts.
+//! endpoint list, `queries` the queries, `commands` the router's commands, `suspension` the recovery after a suspension, and
+//! `logging` writes the log. `clients` and `in_flight` own the tables of clients and attempts.
 
 mod clients;
 mod commands;
@@ -64,7 +64,8 @@
 }
 
 impl Dispatcher {
-    /// Creates a dispatcher for a new router. `restored_list` is the endpoint list saved by an earlier process of the node.
+    /// Creates a dispatcher for a new router. `restored_list` is the endpoint list saved by an earlier process of the node;
+    /// `None` if there is none.
     pub fn new(
         clock: Clock,
         router: RequestRouter,
--- a/src/transport/dispatcher/queries.rs
+++ b/src/transport/dispatcher/queries.rs
@@ -50,15 +50,15 @@
                     count: counted.count,
                 })
                 .collect(),
-            // The caller fills these in.
+            // `transport::admin` fills these in.
             reloads: ReloadCounts::default(),
             fleet: Vec::new(),
             client_closes: Vec::new(),
         }
     }
 
-    /// Counts of completed, rejected and failed responses per class name. A class whose settings have changed has had
-    /// several indices; their counts are added up.
+    /// Counts of completed, rejected and failed responses per class name. A class gets a new index when its settings change;
+    /// the counts of all its indices are added up.
     fn responses_by_class(&self) -> Vec<ClassResponses> {
         let mut rows: Vec<ClassResponses> = Vec::new();
         for (class, name) in self.replica_client.site().names.classes.iter().enumerate() {
@@ -97,7 +97,8 @@
         rows
     }
 
-    /// Totals since the start. A class whose settings have changed has had several indices; their counts are added up.
+    /// Totals since the start by class and tenant name. A class gets a new index when its settings change; the counts of all
+    /// its indices are added up.
     fn cross_zone_totals(&self) -> Vec<CrossZoneAttempts> {
         let mut sums: BTreeMap<GroupName, u64> = BTreeMap::new();
         for counted in self.replica_client.cross_zone_traffic().totals() {
--- a/src/transport/dispatcher/suspension.rs
+++ b/src/transport/dispatcher/suspension.rs
@@ -8,8 +8,9 @@
 const MICROS_PER_MILLI: u64 = 1_000;
 
 impl Dispatcher {
-    /// Applies the endpoint updates in `batch` and polls the endpoint list again before any request is placed by it: the
-    /// updates may be as old as the suspension was long. Leaves the other messages in `batch`.
+    /// Applies the endpoint updates in `batch` as unconfirmed, since they may be as old as the suspension was long, and
+    /// polls the endpoint list again. Leaves the other messages in `batch`: they are handled only after that, so no request
+    /// is routed as if the list were current.
     pub(super) fn recover_from_suspension(
         &mut self,
         now: MonotonicMicros,
--- a/src/transport/evacuation.rs
+++ b/src/transport/evacuation.rs
@@ -1,7 +1,8 @@
 //! Evacuation of a node and its return to service: the changes of [`NodePhase`] caused by admin calls and rolling restarts.
 //!
-//! An evacuated node sends its clients away but keeps running, and can serve again. The admin address and the driver of
-//! rolling restarts call this module. A shutdown is never undone: each change applies only in the phase that it starts from.
+//! An evacuated node closes its client connections but keeps running, and can serve again. The admin address and the driver
+//! of rolling restarts call this module. Each change applies only in the phase that it starts from, so that a shutdown is
+//! never undone.
 
 use super::node_phase::NodePhase;
 use std::rc::Rc;
@@ -15,10 +16,10 @@
 /// Starts an evacuation: the node reports that it is not ready, each response is the last on its connection, and idle
 /// connections close after the grace period.
 ///
-/// A separate task makes the second change of phase and ends with the process. The change has no effect if the node has
-/// rejoined before.
+/// A separate task changes the phase to `Evacuated` after the grace period, unless the node serves again or shuts down by
+/// then.
 pub(super) fn evacuate(phase: &Rc<watch::Sender<NodePhase>>) {
-    tracing::info!("evacuating the node");
+    tracing::info!("evacuating the node: client connections close after their current response");
     change_phase(phase, NodePhase::Serving, NodePhase::Evacuating);
     let phase = phase.clone();
     spawn_local(async move {
--- a/src/transport/handover.rs
+++ b/src/transport/handover.rs
@@ -23,7 +23,7 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
-/// How often a process checks for the other one's request or record.
+/// How often a process checks the folder for a request or record of the other process.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 /// A request without an answer is removed after this time: there is no other process.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
@@ -45,7 +45,8 @@
     clock: Clock,
     dispatcher: mpsc::Sender<DispatcherMessage>,
     site: Rc<SiteSettings>,
-    /// When this process last wrote a record. While it is set, no other record is read.
+    /// When this process last wrote a record; `None` before that and once the record has expired. While this is set, a record
+    /// in the folder is this process's own and is not read.
     written_at: Cell<Option<Instant>>,
 }
 
@@ -74,7 +75,7 @@
     pub async fn run(self: Rc<Self>) {
         let own_request = self.token.0.to_string();
         if let Err(e) = fs::write(self.path(REQUEST_EXTENSION), &own_request) {
-            tracing::warn!(folder = %self.folder.display(), why = %e, "request for learned state cannot be written; starting without it");
+            tracing::warn!(folder = %self.folder.display(), why = %e, "cannot write the request for learned state; starting without learned state");
             return;
         }
         let requested_at = Instant::now();
@@ -112,7 +113,7 @@
                 tracing::info!("learned state written for the next process");
             }
             Err(e) => {
-                tracing::warn!(why = %e, "learned state cannot be written for the next process");
+                tracing::warn!(why = %e, "cannot write learned state for the next process");
             }
         }
     }
@@ -163,7 +164,7 @@
                 let _ = self.dispatcher.send(message).await;
             }
             Err(e) => {
-                tracing::warn!(why = %e, "learned state of the previous process rejected; starting without it");
+                tracing::warn!(why = %e, "learned state of the previous process rejected; starting without learned state");
             }
         }
     }
--- a/src/transport/messages.rs
+++ b/src/transport/messages.rs
@@ -2,7 +2,7 @@
 //! responses.
 //!
 //! The channel to the dispatcher is bounded (`program::serve` sets its capacity). A task that finds it full waits until the
-//! dispatcher has taken a batch of messages; nothing is dropped.
+//! dispatcher has received a batch of messages. Only budget grants may be dropped instead, since they are sent repeatedly.
 
 use crate::protocol::admin::NodeMetrics;
 use crate::routing::directory::EndpointSourceSettings;
@@ -24,12 +24,12 @@
 /// Source name of the DNS SRV records.
 pub const SRV_SOURCE: &str = "srv";
 
-/// Sender of a reply of type `T`. Dropping it signals the receiver that there will be none.
+/// Sender of a reply of type `T`. Dropping it signals the receiver that there will be no reply.
 pub type Reply<T> = oneshot::Sender<T>;
 
 /// A client's request in the form sent to replicas.
 pub struct RequestPayload {
-    /// The head, without the deadline header.
+    /// The head, without the deadline header, which each attempt adds.
     pub head: Vec<u8>,
     /// The body, unchanged.
     pub body: Bytes,
@@ -37,11 +37,11 @@
 
 /// The final response to a request, for the client's connection.
 pub enum ClientResponse {
-    /// The request is rejected; the client may retry after this time, in microseconds.
+    /// The request is rejected with status 503; the client may retry after this time, in microseconds.
     Rejected(DurationMicros),
-    /// The request has failed.
+    /// The request has failed before a stream began; the client gets status 502.
     Failed,
-    /// Another request with the same id is active.
+    /// Another request with the same id is active; the client gets status 400.
     Duplicate,
     /// A replica's stream has started.
     Stream {
@@ -74,7 +74,7 @@
     pub request: IncomingRequest,
     /// The request in the form sent to replicas.
     pub payload: RequestPayload,
-    /// Receives the response. A closed channel means that the client has disconnected.
+    /// Sends the response to the client's connection. The channel is closed if the client has disconnected.
     pub response: Reply<ClientResponse>,
     /// The connection's wait for this response.
     pub owner: RequestOwner,
@@ -82,7 +82,7 @@
 
 /// The stream of an attempt whose first token has arrived.
 pub struct StartedStream {
-    /// The request.
+    /// The request that the stream answers.
     pub request: RequestId,
     /// The attempt's number within the request.
     pub attempt: usize,
@@ -148,10 +148,10 @@
         attempt: usize,
         /// How the attempt ended.
         outcome: AttemptOutcome,
-        /// The load report that came with the response.
+        /// The load report that came with the response; `None` if there was no response or no valid report in it.
         report: Option<LoadReport>,
     },
-    /// It has changed whether discovery's endpoint list is known to be current.
+    /// Discovery's endpoint list is no longer known to be current, for the reason that the status gives.
     EndpointListStatusChanged(EndpointListStatus),
     /// A probe has ended.
     ProbeEnded {
@@ -159,7 +159,7 @@
         replica: ReplicaId,
         /// How the probe ended.
         outcome: AttemptOutcome,
-        /// The load report that came with the response.
+        /// The load report that came with the response; `None` if there was no response or no valid report in it.
         report: Option<LoadReport>,
     },
     /// An endpoint source has answered or failed.
@@ -168,16 +168,17 @@
         source: &'static str,
         /// The answer, or the failure.
         update: SourceUpdate,
-        /// Whether the answer was read as soon as it arrived. Otherwise it may be out of date.
+        /// Whether the update was read as soon as it arrived. False if it may be out of date, because its poll was dropped
+        /// before the answer was read.
         is_current: bool,
     },
-    /// New settings of the endpoint sources.
+    /// Apply new settings of the endpoint sources.
     SetEndpointSources(EndpointSourceSettings),
     /// Verdicts on ejected replicas from the node that probes them on behalf of all nodes.
     OutlierAdvice(Vec<ReplicaAdvice>),
-    /// Grants of the budgets shared with other nodes, valid from now on.
+    /// Replace the grants of the budgets shared with other nodes.
     SetBudgetGrants(BudgetGrants),
-    /// Learned state of another process of this node, to be imported.
+    /// Import the learned state of the previous process of this node.
     ImportLearnedState(Box<LearnedState>),
     /// Apply new site settings.
     UpdateSettings {
@@ -196,9 +197,9 @@
 
 /// A query about the dispatcher's state, with the sender of its reply. [`query`] sends one.
 pub enum DispatcherQuery {
-    /// The node's metrics.
+    /// The metrics that the dispatcher collects. Those of reloads, coordination and client connections are 0 or empty.
     Metrics(Reply<NodeMetrics>),
-    /// Traffic to other zones by minute, class and tenant.
+    /// Number of attempts sent to other zones by minute, class and tenant.
     CrossZoneTraffic(Reply<Vec<CrossZoneMinute>>),
     /// Demand for each budget since the start, in units and priority weight.
     BudgetDemand(Reply<BTreeMap<BudgetKind, BudgetDemand>>),
--- a/src/transport/mod.rs
+++ b/src/transport/mod.rs
@@ -29,17 +29,19 @@
 /// Limits of the transport on connections, memory and time, set by `program::config`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TransportLimits {
-    /// Maximum number of open client connections.
+    /// Maximum number of open client connections. For a further one, an idle connection is evicted; if there is none, the
+    /// new one is refused with status 503.
     pub max_client_connections: usize,
-    /// Maximum number of open connections to replicas, in use or idle.
+    /// Maximum number of open connections to replicas, in use or idle. For a further one, the connection that has been idle
+    /// longest is closed; if there is none, the attempt is not sent.
     pub max_replica_connections: usize,
-    /// Maximum number of bytes of request bodies held in memory.
+    /// Maximum number of bytes of all request bodies held in memory. A request beyond it is rejected with status 503.
     pub max_body_memory_bytes: usize,
     /// A connection to a replica must be established within this time.
     pub connect_timeout: Duration,
     /// An idle connection to a replica is closed after this time.
     pub replica_idle_timeout: Duration,
-    /// After a stream, a connection to a replica is not reused for this time.
+    /// After an attempt, its connection to the replica is not reused for this time. After a probe it is reused at once.
     pub reuse_delay: Duration,
     /// A client that accepts no bytes for this time is disconnected.
     pub client_write_timeout: Duration,
@@ -56,7 +58,7 @@
     pub long_poll_slack: Duration,
     /// How long discovery may delay its answer to the poll after a refused one.
     pub short_poll_wait: Duration,
-    /// How much longer than its wait the answer to a poll after any failed one may take.
+    /// How long the answer to the poll after a failed one may take, in addition to the delay that the poll allows.
     pub short_poll_slack: Duration,
     /// How long connections are accepted and requests admitted after the shutdown signal.
     pub drain_duration: Duration,
--- a/src/transport/node_phase.rs
+++ b/src/transport/node_phase.rs
@@ -18,7 +18,7 @@
     Evacuating,
     /// Connections without a request are also closed, until the node serves again.
     Evacuated,
-    /// Clients may connect, and each response is the last on its connection.
+    /// The process shuts down. Clients may still connect, and each response is the last on its connection.
     Draining,
     /// Connections without a request are closed, and no connection is accepted.
     Closing,
--- a/src/transport/replica/attempts.rs
+++ b/src/transport/replica/attempts.rs
@@ -68,11 +68,12 @@
     pub address: ReplicaAddress,
     /// The node waits for the first token until this time. The remaining time is sent to the replica with the request.
     pub deadline: MonotonicMicros,
-    /// Unless the endpoint list is confirmed, the request must not be written after this time; `None` for no limit.
+    /// While the endpoint list is not known to be current, the request must not be written after this time; `None` for no
+    /// limit.
     pub begin_by: Option<MonotonicMicros>,
-    /// The class's objective for the time between two tokens.
+    /// The class's objective for the time between two tokens, in microseconds; `None` if it has none.
     pub inter_token_objective: Option<DurationMicros>,
-    /// The request's class and tenant if the replica is in another zone.
+    /// The request's class and tenant if the replica is in another zone; otherwise `None`.
     pub cross_zone_group: Option<RequestGroup>,
     /// The request to send.
     pub payload: Rc<RequestPayload>,
@@ -81,7 +82,6 @@
     pub has_begun: Rc<Cell<bool>>,
 }
 
-/// The result of an attempt.
 struct AttemptResult {
     outcome: AttemptOutcome,
     report: Option<LoadReport>,
@@ -227,7 +227,7 @@
         self.forward_response(&attempt, connection).await
     }
 
-    /// Whether an attempt may no longer begin: its replica may be draining without the node having been notified.
+    /// Whether an attempt may no longer begin: its replica may be draining, and the node may not have been notified yet.
     fn is_outdated(&self, attempt: &AttemptRequest, now: MonotonicMicros) -> bool {
         let is_late = attempt.begin_by.is_some_and(|begin_by| now > begin_by);
         let is_list_stale = is_late && !self.is_list_confirmed.get();
--- a/src/transport/replica/probes.rs
+++ b/src/transport/replica/probes.rs
@@ -23,7 +23,6 @@
 /// Path of a replica's health check, used at sites without load reports.
 const HEALTH_PATH: &str = "/healthz";
 
-/// The result of a probe.
 struct ProbeResult {
     outcome: AttemptOutcome,
     report: Option<LoadReport>,
--- a/src/transport/replica/stream_monitor.rs
+++ b/src/transport/replica/stream_monitor.rs
@@ -21,7 +21,7 @@
 const MAX_REPLICAS: usize = 4096;
 /// Maximum number of replicas logged one by one, those with the longest gaps first.
 const MAX_LOGGED_REPLICAS: usize = 32;
-/// The quantile of gaps by which replicas are ordered in the log.
+/// The quantile of gaps by which replicas are sorted in the log.
 const LOG_ORDER_QUANTILE: f64 = 0.98;
 
 const MICROS_PER_MILLI: u64 = 1000;
@@ -40,9 +40,9 @@
 pub struct ContinuationSettings {
     /// The continuation budget of all streams together.
     pub limits: ContinuationLimits,
-    /// Maximum share of one replica's streams that is continued elsewhere.
+    /// Maximum share of one replica's streams that is continued on other replicas.
     pub max_replica_share: f64,
-    /// A continuation must begin within this time.
+    /// The first token of a continuation must arrive within this time.
     pub max_wait: Duration,
 }
 
@@ -248,7 +248,7 @@
     }
 
     /// Begins to monitor a stream of a replica. `inter_token_objective` is its class's objective for the time between two
-    /// tokens.
+    /// tokens; `None` if it has none.
     pub fn begin_stream(
         self: &Rc<Self>,
         replica: ReplicaId,
@@ -321,7 +321,7 @@
         }
     }
 
-    /// The states of each replica's active streams.
+    /// Counts each replica's active streams by state.
     fn active_states(&self) -> BTreeMap<ReplicaId, ActiveStreamStates> {
         let now = self.now();
         let mut states: BTreeMap<ReplicaId, ActiveStreamStates> = BTreeMap::new();
--- a/src/transport/replica/stream_recovery.rs
+++ b/src/transport/replica/stream_recovery.rs
@@ -55,18 +55,19 @@
     pub payload: RequestPayload,
 }
 
-/// What the client's connection must do after a stream was interrupted.
+/// The next step of the client's connection after its stream was interrupted.
 pub enum RecoveryStep {
     /// Send these bytes, which complete the stream.
     Complete(Bytes),
-    /// Request the remainder.
+    /// Request the remainder of the stream.
     Continue(Box<ContinuationRequest>),
     /// Send these bytes, an error event, and end the stream.
     Fail(Bytes),
 }
 
 impl StreamRecovery {
-    /// Starts the transcript of a stream; `None` if the stream can't be recovered.
+    /// Starts the transcript of a stream; `None` if the stream can't be recovered, because the settings do not allow it or
+    /// the stream is no event stream.
     pub fn new(
         monitor: &Rc<StreamMonitor>,
         site: &SiteSettings,
@@ -114,7 +115,7 @@
 
     /// Handles the end of the replica's response. Returns whether the events show a complete stream; a stream whose events
     /// can't be interpreted counts as complete.
-    pub fn replica_ended(&mut self) -> bool {
+    pub fn handle_replica_end(&mut self) -> bool {
         let transcript = &self.transcript;
         let is_complete = transcript.progress() == StreamProgress::Done
             || transcript.obstacle().is_some()
@@ -173,13 +174,13 @@
         ContinuationRequest { request, payload }
     }
 
-    /// Sets the replica that sends the remainder.
+    /// Sets the replica that sends the stream from now on.
     pub fn set_replica(&mut self, replica: ReplicaId) {
         self.replica = replica;
     }
 
     /// Handles a continuation that was rejected or has failed. Returns an error event for the client.
-    pub fn continuation_refused(&mut self) -> Bytes {
+    pub fn handle_refused_continuation(&mut self) -> Bytes {
         self.fail(&RecoveryRefusal::NoReplica)
     }
 
@@ -196,7 +197,8 @@
     }
 }
 
-/// The id of a continuation: a hash of the previous request's id and the transcript's epoch.
+/// The id of a continuation: a hash of the previous request's id and the transcript's epoch, which is the number of
+/// continuations so far.
 fn continuation_id(id: u64, epoch: u64) -> u64 {
     (id ^ epoch.wrapping_mul(0x9e37_79b9_7f4a_7c15))
         .wrapping_mul(0xbf58_476d_1ce4_e5b9)
--- a/src/transport/socket.rs
+++ b/src/transport/socket.rs
@@ -47,7 +47,7 @@
 
 impl Socket {
     /// Checks without waiting whether the kernel has input: 1 means that there are bytes, 0 that the peer has closed its
-    /// end. The runtime may not have learned of either yet.
+    /// end. This queries the kernel, since the runtime may not have been notified of either yet.
     ///
     /// # Errors
     ///
@@ -129,8 +129,8 @@
     ) -> Poll<io::Result<()>> {
         let stream = &self.0;
         loop {
-            // Waits only if the kernel itself has no bytes: the runtime's own read treats a short read as the last one, and
-            // no further readiness event may follow it.
+            // The runtime's own `poll_read` waits for a new readiness event after a short read, but the kernel may not send
+            // one for bytes that have already arrived. So this waits only after a read has returned `WouldBlock`.
             ready!(stream.poll_read_ready(context))?;
             let length = buffer.remaining().min(MAX_READ_BYTES);
             match uninterrupted(|| stream.try_read(buffer.initialize_unfilled_to(length))) {
--- a/src/transport/suspension_detector.rs
+++ b/src/transport/suspension_detector.rs
@@ -2,17 +2,18 @@
 //! processor time.
 //!
 //! The dispatcher's event loop runs at least once per timer interval of the scheduler, which is some milliseconds, and
-//! records each iteration here. If much more time has passed since the last iteration, the state of the process is as old as
-//! that iteration, whatever has been written to its sockets since.
+//! records each iteration here. If much more time has passed since the last iteration, the process's state dates from that
+//! iteration: input that its sockets have received since then is still unread.
 
 use crate::routing::{DurationMicros, MonotonicMicros};
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// A longer gap between iterations counts as a suspension. The platform may hold up a process for 0.15 s.
+/// A longer gap between iterations counts as a suspension, in microseconds. The limit exceeds the 0.15 s for which the
+/// environment may delay a process in normal operation.
 const MAX_ITERATION_GAP: DurationMicros = 250_000;
 
-/// Input that queued up in the kernel during a suspension has been read within this time after it.
+/// Input that queued up in the kernel during a suspension has been read this long after it, in microseconds.
 const BACKLOG_READ_TIME: DurationMicros = 50_000;
 
 /// A suspension that the dispatcher has detected.
@@ -61,7 +62,7 @@
     /// Records an iteration of the dispatcher's event loop.
     pub fn record_iteration(&self, now: MonotonicMicros) {
         if self.was_suspended(now) {
-            // Input from the previous suspension may not have been read between the two.
+            // Input that queued up during the previous suspension may still be unread, so that one's duration is added.
             let last_iteration_at = self.last_iteration_at.get().unwrap_or(now);
             let duration =
                 self.time_since_iteration(now) + self.remaining_backlog_age(last_iteration_at);
