--- a/crates/testbed/src/emulator/clients.rs
+++ b/crates/testbed/src/emulator/clients.rs
@@ -11,7 +11,7 @@
 use rand_distr::{Distribution, Exp1, LogNormal};
 use std::collections::VecDeque;
 
-/// A request of a client, over all its submissions to nodes.
+/// A request of a client. Each client retry submits the same request again.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClientRequest {
     /// The index of its class.
@@ -44,7 +44,7 @@
 struct TenantLoad {
     /// Arrivals per second.
     arrival_rate: f64,
-    /// Multiplies the rate; 1 except during a burst.
+    /// Multiplies `arrival_rate`; 1 except during a burst.
     burst_factor: f64,
     idle_sessions: VecDeque<IdleSession>,
 }
@@ -99,7 +99,7 @@
         (rate > 0.0).then(|| (drawn / rate * 1e6) as Micros)
     }
 
-    /// Multiplies a tenant's arrival rate from now on.
+    /// Multiplies a tenant's arrival rate from now on; a factor of 1 ends a burst.
     pub fn set_burst_factor(&mut self, tenant: usize, factor: f64) {
         self.tenants[tenant].burst_factor = factor;
     }
@@ -219,7 +219,7 @@
     }
 }
 
-/// Draws from a log-normal distribution, limited to 1 to `max_tokens`.
+/// Draws a token count from a log-normal distribution and clamps it to the range from 1 to `max_tokens`.
 fn draw_token_count(rng: &mut impl Rng, median: f64, sigma: f64, max_tokens: u32) -> u32 {
     let drawn = match LogNormal::new(median.max(1.0).ln(), sigma) {
         Ok(distribution) => distribution.sample(rng),
--- a/crates/testbed/src/emulator/coordination/measurements.rs
+++ b/crates/testbed/src/emulator/coordination/measurements.rs
@@ -49,7 +49,7 @@
     overlap_count: u64,
     /// The latest check that found a holder; `None` before the first one.
     last_held_at: Option<Micros>,
-    /// The longest time without a holder after the first one.
+    /// The longest time without a holder since the lease was first held.
     longest_without: Micros,
 }
 
--- a/crates/testbed/src/emulator/coordination/mod.rs
+++ b/crates/testbed/src/emulator/coordination/mod.rs
@@ -36,7 +36,8 @@
 const MIN_PROBE_INTERVAL: Micros = 10_000;
 /// The first events of processes are spread over this time, so that they do not all occur in one microsecond.
 const START_SPREAD: Micros = 50_000;
-/// The offset between the first events of successively started processes; a prime number.
+/// The offset between the first events of successively started processes, modulo [`START_SPREAD`]. It is prime, so that
+/// no offset repeats before all others have been used.
 const START_STEP: Micros = 7_919;
 /// The address of the first node, 10.128.0.0; the others follow it.
 const FIRST_NODE_ADDRESS: u32 = 0x0a80_0000;
@@ -49,7 +50,7 @@
 /// An event for the coordination of one node.
 #[derive(Debug)]
 pub(super) enum CoordinationEvent {
-    /// A message arrives. The process that the node runs by then receives it.
+    /// A message arrives at the node. Its current process receives it.
     Message(Box<Envelope>),
     /// The records written by a lease server are on its disk.
     LogWritten {
@@ -318,7 +319,7 @@
         }
     }
 
-    /// A fixed and equal part of the budget, as nodes have without coordination.
+    /// The grant of a node under [`BudgetDivision::Equal`]: the same part of the budget for each node, without expiry.
     fn equal_grants(&self) -> BudgetGrants {
         let node_count = self.participants.len() as f64;
         let grant = BudgetGrant {
--- a/crates/testbed/src/emulator/coordination/process.rs
+++ b/crates/testbed/src/emulator/coordination/process.rs
@@ -15,12 +15,12 @@
     number: ProcessNumber,
     node: CoordinationNode,
     budget: BudgetParticipant,
-    /// When its next timer has been scheduled; `None` before the first one.
+    /// The time of the timer that was scheduled last; `None` before the first one.
     scheduled_timer: Option<Micros>,
 }
 
 impl CoordinationProcess {
-    /// Starts a process with the log of earlier ones. It requests the lease.
+    /// Starts a process with the lease log of the node's earlier processes, and requests the lease.
     pub(super) fn start(
         now: Micros,
         number: ProcessNumber,
@@ -103,7 +103,8 @@
         }
     }
 
-    /// Returns the time of the next timer, unless one is scheduled that is early enough. The caller schedules it.
+    /// Returns the time for which the caller must schedule a timer; `None` if none is needed or one that is early enough
+    /// is already scheduled.
     pub(super) fn take_unscheduled_timer(&mut self, now: Micros) -> Option<Micros> {
         let due = self.node.next_deadline()?;
         let is_scheduled = self
--- a/crates/testbed/src/emulator/description/mod.rs
+++ b/crates/testbed/src/emulator/description/mod.rs
@@ -56,13 +56,13 @@
     pub share_s: f64,
     /// How the retry budget is divided.
     pub division: BudgetDivision,
-    /// Retries per second of all nodes together.
+    /// The rate limit of all nodes together, in retries per second.
     pub retries: f64,
-    /// Burst of retries of all nodes together.
+    /// The burst limit of all nodes together, in retries.
     pub burst: f64,
-    /// Retries per second of a node without a grant.
+    /// The rate limit of a node without a grant, in retries per second.
     pub floor: f64,
-    /// Burst of retries of a node without a grant.
+    /// The burst limit of a node without a grant, in retries.
     pub floor_burst: f64,
 }
 
@@ -108,7 +108,8 @@
     pub silence_s: f64,
     /// The maximum age of servers' load reports, in milliseconds.
     pub report_ms: u64,
-    /// The error of load reports, as the sigma of a log-normal factor.
+    /// The error of load reports, as the sigma of the log-normal factor that they are multiplied by; 0 for exact
+    /// reports.
     pub report_noise: f64,
     /// The delay until nodes receive a change of the endpoint list, in milliseconds.
     pub list_ms: u64,
@@ -158,7 +159,7 @@
     pub new_sessions: f64,
     /// Maximum number of idle sessions of a tenant.
     pub sessions: usize,
-    /// Number of prompt prefixes that sessions share.
+    /// Number of prompt prefixes that sessions share; 0 if prompts have no shared prefix.
     pub prefixes: usize,
     /// Tokens of each shared prefix.
     pub prefix_tokens: u32,
@@ -167,7 +168,7 @@
     /// Maximum number of client retries after a rejection or a failure.
     pub retries: u32,
     /// The longest `Retry-After` that a client waits for, in seconds; after a longer one it does not retry. After a
-    /// failure clients retry in half a second.
+    /// failure clients wait for half a second.
     pub heeds_s: f64,
 }
 
@@ -272,7 +273,8 @@
     }
 }
 
-/// The kinds of faults.
+/// The kinds of faults. Unless stated otherwise, "servers" and "nodes" are the fraction [`FaultDescription::part`] of
+/// them.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
 pub enum FaultKind {
@@ -282,7 +284,7 @@
     Silent,
     /// Servers answer every request with an error immediately.
     FailFast,
-    /// Servers stall for `size` seconds out of every two.
+    /// Servers stall for the first `size` seconds of every two seconds.
     Stall,
     /// Servers are `size` times slower.
     Slow,
@@ -294,7 +296,7 @@
     LateReports,
     /// The tenant `tenant` sends `size` times as many requests.
     Burst,
-    /// Nodes receive no updates of the endpoint list.
+    /// All nodes receive no updates of the endpoint list.
     NoList,
     /// Nodes crash; new processes replace them at the end of the fault.
     NodeKill,
@@ -313,16 +315,16 @@
     /// How long it lasts, in seconds.
     #[serde(default = "default_fault_duration_s")]
     pub for_s: f64,
-    /// The fraction of servers or nodes affected, counted from the first.
+    /// The fraction of servers or nodes affected, 0 to 1; they are those with the lowest indexes.
     #[serde(default = "default_fault_fraction")]
     pub part: f64,
-    /// Its size; the meaning depends on the kind.
+    /// Its size, more than 0; its meaning and unit depend on the kind, and some kinds ignore it.
     #[serde(default = "default_fault_size")]
     pub size: f64,
-    /// The zone, for kinds that affect one.
+    /// The index of the zone, from 0, for kinds that affect one.
     #[serde(default)]
     pub zone: usize,
-    /// The tenant, for kinds that affect one.
+    /// The index of the tenant, from 0, for kinds that affect one.
     #[serde(default)]
     pub tenant: usize,
 }
--- a/crates/testbed/src/emulator/description/validation.rs
+++ b/crates/testbed/src/emulator/description/validation.rs
@@ -32,7 +32,7 @@
     )]
     FleetTooLarge,
     /// The number of lease servers is zero, even or greater than the number of nodes.
-    #[error("together.keepers: expected an odd number, at most that of the nodes, not {keepers}")]
+    #[error("together.keepers: expected an odd number, at most fleet.nodes, not {keepers}")]
     LeaseServerCount {
         /// The given number.
         keepers: usize,
--- a/crates/testbed/src/emulator/event_queue.rs
+++ b/crates/testbed/src/emulator/event_queue.rs
@@ -28,14 +28,14 @@
 }
 
 impl<T> Ord for ScheduledEvent<T> {
-    /// Reversed, because the heap returns its greatest element first: the earliest event, and the first scheduled of
-    /// those with the same time.
+    /// Reversed, because the heap pops its greatest element first: the greatest event is the earliest and, among events
+    /// with the same time, the one that was scheduled first.
     fn cmp(&self, other: &Self) -> Ordering {
         (other.at, other.sequence_number).cmp(&(self.at, self.sequence_number))
     }
 }
 
-/// Events ordered by time.
+/// Scheduled events, ordered by time.
 pub struct EventQueue<T> {
     heap: BinaryHeap<ScheduledEvent<T>>,
     next_sequence_number: u64,
--- a/crates/testbed/src/emulator/model_server/batching.rs
+++ b/crates/testbed/src/emulator/model_server/batching.rs
@@ -83,8 +83,8 @@
         });
     }
 
-    /// Prefills prompts and decodes answers. Returns the number of decoded answers, without those that received their
-    /// first token.
+    /// Prefills prompts and decodes answers. Returns the number of answers that were already decoding, so an answer
+    /// that receives its first token is not counted.
     fn prefill_and_decode(&mut self, step_count: u64, outputs: &mut Vec<ServerOutput>) -> u64 {
         let mut remaining_chunk = self.profile.chunk;
         let mut decoding_count = 0;
@@ -157,8 +157,8 @@
             let needed_tokens = u64::from(sequence.job.prompt_tokens + sequence.generated_tokens);
             let next_tokens = self.running.len() as u64;
             let fits = reserved_tokens + needed_tokens + next_tokens <= memory_tokens;
-            // A request that does not fit even an empty server is admitted when nothing else runs, as it would never
-            // fit.
+            // A request that exceeds the memory of an empty server is admitted when nothing else runs; otherwise it
+            // would wait forever.
             if !fits && !self.running.is_empty() {
                 break;
             }
--- a/crates/testbed/src/emulator/model_server/mod.rs
+++ b/crates/testbed/src/emulator/model_server/mod.rs
@@ -39,7 +39,7 @@
     pub answer_us: f64,
     /// The speed of a server that has just started, as a fraction of full speed.
     pub cold_from: f64,
-    /// How long a server takes to reach full speed, in seconds.
+    /// How long a server takes to reach full speed after a start, in seconds.
     pub cold_s: f64,
 }
 
@@ -257,7 +257,8 @@
         self.steps.map(|steps| steps.end())
     }
 
-    /// When the step in progress ends. Callers that stream tokens one by one must call [`Self::catch_up`] then.
+    /// When the step in progress ends; `None` while nothing runs. Callers that stream tokens one by one must call
+    /// [`Self::catch_up`] then.
     pub fn step_end(&self) -> Option<Micros> {
         self.steps
             .map(|steps| steps.started_at + steps.step_duration)
@@ -360,7 +361,7 @@
         now < self.stalled_until
     }
 
-    /// The current load.
+    /// The load that the server would report now.
     pub fn reported_load(&self) -> ReportedLoad {
         let queued_prompt_tokens = self
             .queued
--- a/crates/testbed/src/emulator/node.rs
+++ b/crates/testbed/src/emulator/node.rs
@@ -35,7 +35,7 @@
     /// Whether its process is running.
     pub is_up: bool,
     /// The number of earlier processes of this node. Events for an earlier process are dropped.
-    pub epoch: u32,
+    pub generation: u32,
     /// The earliest scheduled timer; `None` if none is scheduled.
     pub scheduled_timer: Option<Micros>,
     /// For each server, since when this node has known that it is draining; `None` if it is not.
@@ -56,7 +56,7 @@
     }
 }
 
-/// The scheduler settings of a node. The programs that run on sockets use them as well.
+/// The scheduler settings of a node. Nodes that serve on sockets are configured from them as well.
 pub fn scheduler_settings(run: &RunDescription, node: usize) -> SchedulerSettings {
     let fleet = &run.fleet;
     SchedulerSettings {
@@ -151,7 +151,7 @@
             policy,
             zone,
             is_up: true,
-            epoch: 0,
+            generation: 0,
             scheduled_timer: None,
             drain_known_since: vec![None; run.fleet.servers],
         })
@@ -201,7 +201,7 @@
         }
     }
 
-    /// When [`Self::on_timer`] must be called next.
+    /// When [`Self::on_timer`] must be called next; `None` if no timer is set.
     pub fn next_timer(&self) -> Option<Micros> {
         match &self.policy {
             PolicyState::Router(router) => router.next_timer(),
--- a/crates/testbed/src/emulator/outcome.rs
+++ b/crates/testbed/src/emulator/outcome.rs
@@ -87,11 +87,11 @@
 /// How often a run violated the invariants of all runs; all zero if the nodes work correctly.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize, PartialEq)]
 pub struct InvariantViolations {
-    /// Final outcomes in excess of one per request.
+    /// Final answers of nodes to a submission that had already received one.
     pub doubled: u64,
-    /// Requests without a final outcome at the end of the run.
+    /// Submissions that had not ended for their client at the end of the run.
     pub lost: u64,
-    /// Repeated attempts of requests that must not run twice, after an attempt that may have run.
+    /// Attempts of requests that must not run twice, sent after an earlier attempt that may have run.
     pub repeated: u64,
     /// Attempts that a node sent to a draining server after the drain grace had passed.
     pub drained: u64,
@@ -140,8 +140,8 @@
     pub overlaps: u64,
     /// The longest time without a lease holder after the lease was first acquired, in seconds.
     pub longest_without: f64,
-    /// The largest excess of repeated attempts at servers over the rate of the budget in any window, as a fraction of
-    /// the burst of the budget.
+    /// The largest number of repeated attempts by which any time window exceeded the rate of the budget, divided by the
+    /// burst of the budget (at least 1). More than 1 means that the nodes together exceeded the budget.
     pub worst_window: f64,
 }
 
@@ -207,7 +207,8 @@
     pub series: Vec<Tally>,
     /// Requests running or queued on all servers, by time slice.
     pub held: Vec<f64>,
-    /// Requests on servers divided by their slots, by row of servers and time slice.
+    /// Requests running or queued on a server divided by its slots, as the mean of the servers of a row; by row, then
+    /// by time slice.
     pub heat: Vec<Vec<f32>>,
     /// The faults of the run, for the time axis of plots.
     pub faults: Vec<FaultDescription>,
--- a/crates/testbed/src/emulator/outcome_recorder.rs
+++ b/crates/testbed/src/emulator/outcome_recorder.rs
@@ -11,7 +11,8 @@
 
 /// Maximum number of rows of the heat map; in larger fleets neighbouring servers share a row.
 const MAX_HEAT_ROWS: usize = 32;
-/// The largest value that histograms record, in microseconds, almost three hours; larger ones are counted as this.
+/// The largest value that histograms record, in microseconds: almost three hours. Larger values are recorded as this
+/// one.
 const MAX_RECORDED: Micros = 10_000_000_000;
 /// Significant decimal digits of histograms.
 const HISTOGRAM_DIGITS: u8 = 2;
@@ -133,7 +134,8 @@
         self.token_gaps.saturating_record_n(duration.max(1), count);
     }
 
-    /// Records the occupancy of all servers at one moment. `servers` yields `server_count` of them in order.
+    /// Records the occupancy of all servers at one moment. `servers` yields all `server_count` servers in the order of
+    /// their indexes.
     pub fn record_occupancy(
         &mut self,
         now: Micros,
--- a/crates/testbed/src/emulator/policies/baseline/mod.rs
+++ b/crates/testbed/src/emulator/policies/baseline/mod.rs
@@ -1,6 +1,6 @@
 //! One node that balances by a baseline policy, with the same events and commands as the project's request router.
 //!
-//! It sends each request immediately and queues nothing, retries on another replica if that is allowed, and ejects a
+//! It sends each request immediately and queues nothing, retries on another replica if the request may run again, and ejects a
 //! replica for a while after consecutive failures, as the passive health checks of common proxies do. [`replicas`]
 //! chooses the replica; this file tracks requests and their one attempt in flight.
 
@@ -69,7 +69,7 @@
         }
     }
 
-    /// When [`Self::on_timer`] must be called next.
+    /// When [`Self::on_timer`] must be called next; `None` if no attempt can time out.
     pub fn next_timer(&self) -> Option<MonotonicMicros> {
         self.timers.first().map(|(timeout_at, _)| *timeout_at)
     }
--- a/crates/testbed/src/emulator/policies/baseline/replicas.rs
+++ b/crates/testbed/src/emulator/policies/baseline/replicas.rs
@@ -18,9 +18,9 @@
 /// The maximum number of requests in flight on a replica, as a multiple of the mean (Mirrokni et al., "Consistent
 /// hashing with bounded loads", 2018).
 const LOAD_BOUND: f64 = 1.25;
-/// Eligible points of the hash ring that one choice examines, for each replica in the table.
+/// Limits how many eligible points of the hash ring one choice examines: this many for each replica in the table.
 const RING_CANDIDATES_PER_REPLICA: usize = 4;
-/// A table of fewer replicas counts as one of this many for that number of points.
+/// The number of replicas from which that limit is computed at least, if the table has fewer.
 const RING_CANDIDATES_MIN_REPLICAS: usize = 16;
 /// Random draws before all replicas are scanned.
 const QUICK_DRAWS: usize = 8;
@@ -67,7 +67,7 @@
     index_by_id: HashMap<ReplicaId, ReplicaIndex>,
     /// Points of the hash ring in ascending order, each with its replica.
     ring: Vec<(u64, ReplicaIndex)>,
-    /// Where round robin continues.
+    /// The index at which the next round-robin choice starts.
     next_in_turn: ReplicaIndex,
     rng: rand_pcg::Pcg64Mcg,
     total_in_flight: u64,
@@ -254,8 +254,8 @@
             })
     }
 
-    /// The first replica on the ring, from the position of the key on, that is below the load bound; the very first one
-    /// if none of those examined is below it.
+    /// The first replica on the ring, from the position of the key on, that is below the load bound; the first eligible
+    /// one if none of those examined is below it.
     fn choose_on_ring(&self, eligibility: Eligibility, affinity_key: u64) -> Option<ReplicaIndex> {
         let position = mix_bits(affinity_key);
         let start = self.ring.partition_point(|point| point.0 < position);
--- a/crates/testbed/src/emulator/request_trace.rs
+++ b/crates/testbed/src/emulator/request_trace.rs
@@ -35,7 +35,7 @@
     pub server: u32,
     /// When the node sent it, in microseconds since the beginning of the run.
     pub sent: Micros,
-    /// The outcome reported to the node; `None` if the submission had ended for its client before.
+    /// The outcome reported to the node; `None` if the submission ended for its client before the node received one.
     pub ended: Option<&'static str>,
 }
 
@@ -58,7 +58,7 @@
     pub node: u32,
     /// When the client sent it.
     pub sent: Micros,
-    /// When the first token reached the client.
+    /// When the first token reached the client; `None` if the submission ended without one.
     pub first: Option<Micros>,
     /// When the submission ended for the client.
     pub over: Micros,
--- a/crates/testbed/src/emulator/simulation/clients.rs
+++ b/crates/testbed/src/emulator/simulation/clients.rs
@@ -13,7 +13,7 @@
 
 /// How long a client waits after a failure before it retries.
 const RETRY_DELAY: Micros = 500_000;
-/// Retries are delayed by a random time of up to the wait divided by this.
+/// A client retry is delayed further by a random time, at most its wait divided by this.
 const RETRY_SPREAD_DIVISOR: Micros = 10;
 
 /// An ended submission, for its trace.
@@ -205,7 +205,7 @@
     fn send_to_node(&mut self, now: Micros, node: usize, request: RequestId, notice: NodeNotice) {
         let at_node = Event::AtNode {
             node,
-            epoch: self.nodes[node].epoch,
+            generation: self.nodes[node].generation,
             request,
             notice,
         };
--- a/crates/testbed/src/emulator/simulation/coordination.rs
+++ b/crates/testbed/src/emulator/simulation/coordination.rs
@@ -7,7 +7,8 @@
 use crate::Micros;
 use poppykeel_coordination::envelope::Envelope;
 
-/// The process number of messages, which any process of the node receives. No process has this number.
+/// The process number of events that carry a message, which the node's current process receives. No process has this
+/// number.
 const ANY_PROCESS: ProcessNumber = 0;
 
 impl Simulation<'_> {
--- a/crates/testbed/src/emulator/simulation/endpoints.rs
+++ b/crates/testbed/src/emulator/simulation/endpoints.rs
@@ -20,15 +20,20 @@
         }
         for (index, server) in self.servers.iter().enumerate() {
             let known_since = &mut self.nodes[node].drain_known_since[index];
-            // A drain is known from its first notice until a full list no longer contains it.
+            // A node knows of a drain from its first notice until the server is no longer listed as draining.
             *known_since = if server.listed_state == EndpointState::Draining {
                 Some(known_since.unwrap_or(now))
             } else {
                 None
             };
         }
-        let epoch = self.nodes[node].epoch;
-        self.deliver_to_node(now, node, epoch, RouterEvent::EndpointsReplaced(endpoints));
+        let generation = self.nodes[node].generation;
+        self.deliver_to_node(
+            now,
+            node,
+            generation,
+            RouterEvent::EndpointsReplaced(endpoints),
+        );
     }
 
     /// Changes the state of a server on the list. Nodes are notified after the delay of the list.
@@ -45,7 +50,7 @@
             }
             let changed = Event::EndpointChanged {
                 node,
-                epoch: process.epoch,
+                generation: process.generation,
                 server,
                 state,
                 started_at,
@@ -59,17 +64,22 @@
         &mut self,
         now: Micros,
         node: usize,
-        epoch: u32,
+        generation: u32,
         server: usize,
         state: EndpointState,
         started_at: Option<Micros>,
     ) {
-        if self.nodes[node].epoch == epoch {
+        if self.nodes[node].generation == generation {
             let is_draining = state == EndpointState::Draining;
             self.nodes[node].drain_known_since[server] = is_draining.then_some(now);
         }
         let changes = vec![self.endpoint(server, state, started_at)];
-        self.deliver_to_node(now, node, epoch, RouterEvent::EndpointsChanged(changes));
+        self.deliver_to_node(
+            now,
+            node,
+            generation,
+            RouterEvent::EndpointsChanged(changes),
+        );
     }
 
     fn endpoint(
--- a/crates/testbed/src/emulator/simulation/event.rs
+++ b/crates/testbed/src/emulator/simulation/event.rs
@@ -1,6 +1,6 @@
 //! The events of a simulation.
 //!
-//! An event describes what happens at its time and not its consequences. Events for a process of a node carry its epoch
+//! An event describes what happens at its time and not its consequences. Events for a process of a node carry its generation
 //! and are dropped once another process has replaced it. Timers of servers carry the number of the plan of steps and
 //! are dropped once there is a newer plan.
 
@@ -85,16 +85,16 @@
     /// A notice reaches a node.
     AtNode {
         node: usize,
-        epoch: u32,
+        generation: u32,
         request: RequestId,
         notice: NodeNotice,
     },
     /// The timers of a node are due.
-    NodeTimer { node: usize, epoch: u32 },
+    NodeTimer { node: usize, generation: u32 },
     /// The result of a health check reaches a node.
     ProbeEnded {
         node: usize,
-        epoch: u32,
+        generation: u32,
         server: usize,
         outcome: AttemptOutcome,
         load: Option<ReportedLoad>,
@@ -102,7 +102,7 @@
     /// A change of the endpoint list reaches a node.
     EndpointChanged {
         node: usize,
-        epoch: u32,
+        generation: u32,
         server: usize,
         state: EndpointState,
         started_at: Option<Micros>,
@@ -114,7 +114,7 @@
     /// A health check reaches a server.
     ProbeAtServer {
         node: usize,
-        epoch: u32,
+        generation: u32,
         server: usize,
     },
     /// The cancellation of an attempt reaches a server.
--- a/crates/testbed/src/emulator/simulation/faults.rs
+++ b/crates/testbed/src/emulator/simulation/faults.rs
@@ -11,7 +11,8 @@
 use poppykeel_scheduler::{AttemptOutcome, EndpointState, RequestId};
 use std::ops::Range;
 
-/// The delay of a restart, unless the fault specifies it.
+/// How long a server that is restarted stays down. Servers that crash with [`FaultKind::Die`] stay down until the end of
+/// the fault instead.
 const RESTART_DELAY: Micros = 1_000_000;
 /// The interval between the stalls of a fault that stalls servers repeatedly.
 const STALL_INTERVAL: Micros = 2_000_000;
@@ -24,7 +25,7 @@
     is_streaming: bool,
 }
 
-/// The indexes of the first `fraction` of `count`.
+/// The indexes of the first `fraction` of `count` items, rounded up.
 fn affected_range(count: usize, fraction: f64) -> Range<usize> {
     0..((count as f64 * fraction).ceil() as usize).min(count)
 }
@@ -79,7 +80,7 @@
             FaultKind::ZoneCut => self.partitioned_zone = None,
             FaultKind::NoList => {
                 self.is_endpoint_list_frozen = false;
-                // Nodes reconnect and receive all changes that they have missed.
+                // Nodes reconnect and receive the full list, with all changes that they have missed.
                 for node in 0..self.nodes.len() {
                     self.send_full_list(node);
                 }
@@ -89,7 +90,7 @@
                     self.start_node(node);
                 }
             }
-            // They end with the events that they have scheduled.
+            // Events that these faults have scheduled end them.
             FaultKind::Silent | FaultKind::Stall | FaultKind::ColdRestart | FaultKind::Deploys => {}
         }
     }
@@ -121,7 +122,7 @@
         }
     }
 
-    /// Stops a server's process: its connections are reset, and it is removed from the endpoint list later.
+    /// Stops a server's process: its connections are reset, and it is removed from the endpoint list after `notice_ms`.
     fn stop_server(&mut self, now: Micros, server: usize) {
         if !self.servers[server].is_up {
             return;
@@ -154,7 +155,7 @@
         );
     }
 
-    /// Stalls a server until a time. Nodes close its streams if the stall is longer than their timeout.
+    /// Stalls a server until a time. Nodes close its streams if the stall is longer than their stream timeout.
     fn stall_server(&mut self, now: Micros, server: usize, until: Micros) {
         self.servers[server].model.stall(now, until);
         self.schedule_server_timer(server);
@@ -167,7 +168,7 @@
         }
     }
 
-    /// Stalls servers for the size of the fault, and again after each interval until a time.
+    /// Stalls servers for the size of the fault, and again every [`STALL_INTERVAL`] until a time.
     fn stall_repeatedly(&mut self, now: Micros, index: usize, until: Micros) {
         let fault = self.fault(index);
         let stall_end = (now + micros(fault.size)).min(until);
@@ -184,7 +185,7 @@
         }
     }
 
-    /// Ends a stream on its node that has sent nothing for the timeout.
+    /// Ends a stream on its node after the stream timeout, during which the server has sent nothing.
     pub(super) fn on_stream_timeout(&mut self, now: Micros, key: AttemptKey) {
         let Some(submission) = self.submissions.get_mut(key.request) else {
             return;
@@ -197,11 +198,11 @@
             return;
         }
         let server = server_attempt.server;
-        // Notices that are still in flight no longer count.
+        // Notices from the server that are still in flight are dropped.
         server_attempt.is_disconnected = true;
         let timed_out = Event::AtNode {
             node,
-            epoch: self.nodes[node].epoch,
+            generation: self.nodes[node].generation,
             request: key.request,
             notice: NodeNotice::AttemptEnded {
                 attempt: key.attempt,
@@ -214,8 +215,8 @@
             .schedule(now, Event::CancelAtServer { server, key });
     }
 
-    /// Partitions a zone from the others. Data in flight across the partition is lost; nodes close its streams after
-    /// their timeout.
+    /// Partitions a zone from the others. Data in flight across the partition is lost; nodes close the streams
+    /// across it after the stream timeout.
     fn partition_zone(&mut self, now: Micros, zone: usize) {
         self.partitioned_zone = Some(zone);
         let times_out_at = now + micros(self.run.fleet.silence_s);
@@ -259,7 +260,7 @@
             return;
         }
         process.is_up = false;
-        process.epoch += 1;
+        process.generation += 1;
         self.stop_coordination(node);
         let is_on_node = |submission: &&Submission| submission.node == node;
         let accepted = self
@@ -304,7 +305,7 @@
             return;
         }
         if let Some(mut process) = self.new_process(node) {
-            process.epoch = self.nodes[node].epoch;
+            process.generation = self.nodes[node].generation;
             self.nodes[node] = process;
             self.send_full_list(node);
             self.start_coordination(node);
--- a/crates/testbed/src/emulator/simulation/mod.rs
+++ b/crates/testbed/src/emulator/simulation/mod.rs
@@ -91,9 +91,9 @@
     /// runs.
     idle_connections: HashMap<Route, u16>,
     recorder: OutcomeRecorder,
-    /// The zone that is partitioned from the others.
+    /// The zone that is partitioned from the others, if any.
     partitioned_zone: Option<usize>,
-    /// Nodes receive no changes of the endpoint list.
+    /// Whether changes of the endpoint list are withheld from nodes.
     is_endpoint_list_frozen: bool,
     coordination: Option<Box<Coordination>>,
     trace: Option<TraceWriter>,
@@ -169,7 +169,7 @@
         self.recorder.outcome_mut()
     }
 
-    /// Submissions for which the client or the node still waits.
+    /// The number of submissions whose client still waits for an answer or whose node has open attempts.
     pub fn open_submission_count(&self) -> usize {
         self.submissions.len()
     }
@@ -260,32 +260,32 @@
             Event::ClientTimeout { request } => self.on_client_timeout(now, request),
             Event::AtNode {
                 node,
-                epoch,
+                generation,
                 request,
                 notice,
-            } => self.on_node_notice(now, node, epoch, request, notice),
-            Event::NodeTimer { node, epoch } => self.on_node_timer(now, node, epoch),
+            } => self.on_node_notice(now, node, generation, request, notice),
+            Event::NodeTimer { node, generation } => self.on_node_timer(now, node, generation),
             Event::ProbeEnded {
                 node,
-                epoch,
+                generation,
                 server,
                 outcome,
                 load,
-            } => self.on_probe_ended(now, node, epoch, server, outcome, load),
+            } => self.on_probe_ended(now, node, generation, server, outcome, load),
             Event::EndpointChanged {
                 node,
-                epoch,
+                generation,
                 server,
                 state,
                 started_at,
-            } => self.on_endpoint_changed(now, node, epoch, server, state, started_at),
+            } => self.on_endpoint_changed(now, node, generation, server, state, started_at),
             Event::StreamTimeout { key } => self.on_stream_timeout(now, key),
             Event::AttemptAtServer { server, key } => self.on_attempt_at_server(now, server, key),
             Event::ProbeAtServer {
                 node,
-                epoch,
+                generation,
                 server,
-            } => self.on_probe_at_server(now, node, epoch, server),
+            } => self.on_probe_at_server(now, node, generation, server),
             Event::CancelAtServer { server, key } => self.on_cancel_at_server(now, server, key),
             Event::ServerTimer { server, plan } => self.on_server_timer(now, server, plan),
             Event::Fault(fault_event) => self.on_fault_event(now, fault_event),
--- a/crates/testbed/src/emulator/simulation/nodes.rs
+++ b/crates/testbed/src/emulator/simulation/nodes.rs
@@ -16,23 +16,24 @@
 const DRAIN_GRACE: Micros = 500_000;
 
 impl Simulation<'_> {
-    /// Passes an event to a process of a node and executes the resulting commands. Dropped if the process has ended.
+    /// Passes an event to a process of a node and executes the resulting commands. The event is dropped if the process
+    /// has ended.
     pub(super) fn deliver_to_node(
         &mut self,
         now: Micros,
         node: usize,
-        epoch: u32,
+        generation: u32,
         event: RouterEvent,
     ) {
-        if self.nodes[node].epoch == epoch {
+        if self.nodes[node].generation == generation {
             self.nodes[node].handle_event(now, event, &mut self.commands);
             self.execute_commands(now, node);
         }
     }
 
-    pub(super) fn on_node_timer(&mut self, now: Micros, node: usize, epoch: u32) {
+    pub(super) fn on_node_timer(&mut self, now: Micros, node: usize, generation: u32) {
         let process = &mut self.nodes[node];
-        if process.epoch == epoch && process.is_up {
+        if process.generation == generation && process.is_up {
             process.scheduled_timer = None;
             process.on_timer(now, &mut self.commands);
             self.execute_commands(now, node);
@@ -43,17 +44,22 @@
         &mut self,
         now: Micros,
         node: usize,
-        epoch: u32,
+        generation: u32,
         request: RequestId,
         notice: NodeNotice,
     ) {
-        if self.nodes[node].epoch != epoch {
+        if self.nodes[node].generation != generation {
             return;
         }
         match notice {
-            NodeNotice::Arrived => self.on_request_at_node(now, node, epoch, request),
+            NodeNotice::Arrived => self.on_request_at_node(now, node, generation, request),
             NodeNotice::ClientLeft => {
-                self.deliver_to_node(now, node, epoch, RouterEvent::ClientDisconnected(request));
+                self.deliver_to_node(
+                    now,
+                    node,
+                    generation,
+                    RouterEvent::ClientDisconnected(request),
+                );
                 self.submissions.remove_if_finished(request);
             }
             NodeNotice::FirstToken { attempt } => {
@@ -63,7 +69,7 @@
                 };
                 server_attempt.progress = AttemptProgress::Streaming;
                 let first_token = RouterEvent::FirstToken { request, attempt };
-                self.deliver_to_node(now, node, epoch, first_token);
+                self.deliver_to_node(now, node, generation, first_token);
             }
             NodeNotice::AttemptEnded {
                 attempt,
@@ -71,7 +77,7 @@
                 load,
             } => {
                 let key = AttemptKey { request, attempt };
-                self.on_attempt_ended(now, node, epoch, key, outcome, load);
+                self.on_attempt_ended(now, node, generation, key, outcome, load);
             }
         }
     }
@@ -80,7 +86,7 @@
         &mut self,
         now: Micros,
         node: usize,
-        epoch: u32,
+        generation: u32,
         server: usize,
         outcome: AttemptOutcome,
         load: Option<ReportedLoad>,
@@ -90,10 +96,10 @@
             outcome,
             report: load.map(load_report),
         };
-        self.deliver_to_node(now, node, epoch, ended);
+        self.deliver_to_node(now, node, generation, ended);
     }
 
-    fn on_request_at_node(&mut self, now: Micros, node: usize, epoch: u32, id: RequestId) {
+    fn on_request_at_node(&mut self, now: Micros, node: usize, generation: u32, id: RequestId) {
         let run = self.run;
         let Some(submission) = self.submissions.get_open(id) else {
             return;
@@ -115,14 +121,14 @@
             max_output_tokens: u64::from(class.answer_limit),
             is_client_retry: request.submission_count > 1,
         };
-        self.deliver_to_node(now, node, epoch, RouterEvent::RequestArrived(incoming));
+        self.deliver_to_node(now, node, generation, RouterEvent::RequestArrived(incoming));
     }
 
     fn on_attempt_ended(
         &mut self,
         now: Micros,
         node: usize,
-        epoch: u32,
+        generation: u32,
         key: AttemptKey,
         outcome: AttemptOutcome,
         load: Option<ReportedLoad>,
@@ -151,7 +157,7 @@
             outcome,
             report: load.map(load_report),
         };
-        self.deliver_to_node(now, node, epoch, ended);
+        self.deliver_to_node(now, node, generation, ended);
         if is_bound && was_streaming {
             let notice = if is_completed {
                 ClientNotice::Completed
@@ -179,8 +185,9 @@
             .is_none_or(|scheduled_timer| due < scheduled_timer)
         {
             process.scheduled_timer = Some(due);
-            let epoch = process.epoch;
-            self.queue.schedule(due, Event::NodeTimer { node, epoch });
+            let generation = process.generation;
+            self.queue
+                .schedule(due, Event::NodeTimer { node, generation });
         }
     }
 
@@ -246,7 +253,7 @@
         let latency = self.route_latency(Route { node, server });
         let probe = Event::ProbeAtServer {
             node,
-            epoch: self.nodes[node].epoch,
+            generation: self.nodes[node].generation,
             server,
         };
         self.queue.schedule(now + latency, probe);
@@ -320,7 +327,7 @@
     fn schedule_connect_failure(&mut self, at: Micros, node: usize, key: AttemptKey) {
         let failed = Event::AtNode {
             node,
-            epoch: self.nodes[node].epoch,
+            generation: self.nodes[node].generation,
             request: key.request,
             notice: NodeNotice::AttemptEnded {
                 attempt: key.attempt,
@@ -349,8 +356,8 @@
 
     /// Creates a new process for a node whose earlier processes have ended.
     pub(super) fn new_process(&self, node: usize) -> Option<Node> {
-        let epoch = self.nodes[node].epoch;
-        let seed = node_seed(self.seed, node) ^ u64::from(epoch);
+        let generation = self.nodes[node].generation;
+        let seed = node_seed(self.seed, node) ^ u64::from(generation);
         // `Simulation::new` has checked the settings.
         Node::new(self.run, node, self.policy, seed).ok()
     }
--- a/crates/testbed/src/emulator/simulation/servers.rs
+++ b/crates/testbed/src/emulator/simulation/servers.rs
@@ -25,7 +25,7 @@
     pub(super) is_up: bool,
     /// Whether it answers every request with an error.
     pub(super) is_failing: bool,
-    /// Whether its load reports are frozen.
+    /// Whether it keeps sending its latest load report instead of a new one.
     pub(super) has_frozen_reports: bool,
     /// When it was last started during the run; `None` if it has run from the beginning.
     pub(super) started_at: Option<Micros>,
@@ -85,7 +85,7 @@
         let latency = self.route_latency(Route { node, server });
         let at_node = Event::AtNode {
             node,
-            epoch: self.nodes[node].epoch,
+            generation: self.nodes[node].generation,
             request: key.request,
             notice,
         };
@@ -157,7 +157,7 @@
         &mut self,
         now: Micros,
         node: usize,
-        epoch: u32,
+        generation: u32,
         server: usize,
     ) {
         let route = Route { node, server };
@@ -183,7 +183,7 @@
         };
         let ended = Event::ProbeEnded {
             node,
-            epoch,
+            generation,
             server,
             outcome,
             load,
@@ -191,7 +191,7 @@
         self.queue.schedule(now + delay, ended);
     }
 
-    /// A server's load report, with the age and error allowed by the description.
+    /// Returns a server's load report, with the maximum age and the error that the description of the run specifies.
     fn report_load(&mut self, now: Micros, server: usize) -> ReportedLoad {
         let fleet = &self.run.fleet;
         let process = &mut self.servers[server];
--- a/crates/testbed/src/emulator/simulation/submissions.rs
+++ b/crates/testbed/src/emulator/simulation/submissions.rs
@@ -23,9 +23,9 @@
 pub(super) struct ServerAttempt {
     pub(super) server: usize,
     pub(super) progress: AttemptProgress,
-    /// The node has received its outcome or abandoned it.
+    /// Whether the node has received its outcome or abandoned it.
     pub(super) is_closed: bool,
-    /// Notices from the server no longer reach the node.
+    /// Whether notices from the server no longer reach the node.
     pub(super) is_disconnected: bool,
 }
 
@@ -77,7 +77,7 @@
             .filter(|attempt| attempt.is_reachable())
     }
 
-    /// Whether neither the client nor the node waits for anything.
+    /// Whether it has ended for the client and the node has no open attempt.
     fn is_finished(&self) -> bool {
         self.has_ended && self.attempts.iter().all(|attempt| attempt.is_closed)
     }
@@ -133,7 +133,7 @@
         self.get_mut(key.request)?.reachable_attempt(key.attempt)
     }
 
-    /// Removes a submission for which neither the client nor the node waits.
+    /// Removes a submission if it has ended for the client and the node has no open attempt.
     pub(super) fn remove_if_finished(&mut self, id: RequestId) {
         if self
             .get_mut(id)
