--- a/crates/testbed/src/emulator/outcome.rs
+++ b/crates/testbed/src/emulator/outcome.rs
@@ -87,7 +87,8 @@
 /// How often a run violated the invariants of all runs; all zero if the nodes work correctly.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize, PartialEq)]
 pub struct InvariantViolations {
-    /// Final answers of nodes to a submission that had already received one.
+    /// Final answers of nodes to a submission that had already received one; in runs on sockets, complete answers with
+    /// an unexpected text.
     pub doubled: u64,
     /// Submissions that had not ended for their client at the end of the run.
     pub lost: u64,
--- a/crates/testbed/src/emulator/policies/baseline/replicas.rs
+++ b/crates/testbed/src/emulator/policies/baseline/replicas.rs
@@ -20,7 +20,7 @@
 const LOAD_BOUND: f64 = 1.25;
 /// Limits how many eligible points of the hash ring one choice examines: this many for each replica in the table.
 const RING_CANDIDATES_PER_REPLICA: usize = 4;
-/// The number of replicas from which that limit is computed at least, if the table has fewer.
+/// A table with fewer replicas than this counts as having this many when that limit is computed.
 const RING_CANDIDATES_MIN_REPLICAS: usize = 16;
 /// Random draws before all replicas are scanned.
 const QUICK_DRAWS: usize = 8;
--- a/crates/testbed/src/experiment/confidence.rs
+++ b/crates/testbed/src/experiment/confidence.rs
@@ -8,7 +8,7 @@
     2.145, 2.131, 2.120, 2.110, 2.101, 2.093, 2.086, 2.080, 2.074, 2.069, 2.064, 2.060, 2.056,
     2.052, 2.048, 2.045, 2.042,
 ];
-/// The same quantile of the normal distribution, used beyond the table as its limit.
+/// The same quantile of the normal distribution, used beyond the table because Student's t approaches it.
 const NORMAL_QUANTILE: f64 = 1.96;
 
 /// A mean with its 95% confidence interval.
--- a/crates/testbed/src/experiment/description/mod.rs
+++ b/crates/testbed/src/experiment/description/mod.rs
@@ -15,7 +15,7 @@
 /// The seeds of an experiment that specifies none.
 const DEFAULT_SEEDS: std::ops::RangeInclusive<u64> = 1..=5;
 
-/// The file format. Field names are its keys.
+/// The content of an experiment file. Field names are its keys.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct ExperimentFile {
@@ -51,7 +51,7 @@
 /// One combination of the values of all sweeps.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ExperimentPoint {
-    /// Its label.
+    /// The labels of the point's values, separated by spaces; "as described" if nothing is swept.
     pub label: String,
     /// The run at this point.
     pub run: RunDescription,
@@ -66,7 +66,7 @@
     pub policies: Vec<Policy>,
     /// The seeds, which are the same for every point and policy.
     pub seeds: Vec<u64>,
-    /// The points, in sweep order.
+    /// The points; the values of the last sweep vary fastest.
     pub points: Vec<ExperimentPoint>,
 }
 
@@ -117,7 +117,7 @@
     }
 }
 
-/// Whether a name is valid as that of a folder.
+/// Whether a name can be used as the name of a folder.
 fn is_valid_name(name: &str) -> bool {
     let is_allowed =
         |character: char| character.is_ascii_alphanumeric() || character == '-' || character == '_';
--- a/crates/testbed/src/experiment/description/sweep.rs
+++ b/crates/testbed/src/experiment/description/sweep.rs
@@ -20,7 +20,7 @@
     key: String,
     /// The values.
     values: Vec<Value>,
-    /// The labels of the values; by default the last part of the key with the value.
+    /// The labels of the values; by default `part=value`, with the last part of the key.
     #[serde(default)]
     labels: Vec<String>,
 }
--- a/crates/testbed/src/experiment/metric.rs
+++ b/crates/testbed/src/experiment/metric.rs
@@ -50,7 +50,8 @@
 }
 
 impl Metric {
-    /// Its value in one run; NaN if it does not apply to the run.
+    /// Its value in one run. NaN for times to first token if no answer had one, and for [`Metric::Recovery`] in a run
+    /// without faults; 0 for metrics of the coordination in a run without it.
     pub fn value(self, outcome: &RunOutcome) -> f64 {
         let coordination = outcome.talked.unwrap_or_default();
         match self {
@@ -91,7 +92,8 @@
     ratio(count, outcome.all.request_count()) * 100.0
 }
 
-/// The time from the end of the first fault until the service has recovered, or the rest of the run if it does not.
+/// The time in seconds from the end of the first fault until the service has recovered, or until the end of the run if
+/// it does not recover; NaN without faults.
 fn recovery_s(outcome: &RunOutcome) -> f64 {
     let Some(fault) = outcome.faults.first() else {
         return f64::NAN;
--- a/crates/testbed/src/fault_injection/admin_client.rs
+++ b/crates/testbed/src/fault_injection/admin_client.rs
@@ -25,8 +25,8 @@
     pub(super) epoch: u64,
 }
 
-/// Sends a request such as `GET /api/fleet`. Returns `None` if the node does not respond in time. Dropping the future
-/// closes the connection.
+/// Sends a request such as `GET /api/fleet`. Returns `None` if the node does not send a valid response in time. Dropping
+/// the future closes the connection.
 pub(super) async fn call(node: SocketAddr, request_line: &str) -> Option<AdminResponse> {
     let response = exchange(node, request_line);
     tokio::time::timeout(CALL_TIMEOUT, response).await.ok()?
@@ -55,7 +55,6 @@
     get_json(node, "/api/fleet").await
 }
 
-/// Returns the response of a node's readiness check.
 pub(super) async fn get_readiness(node: SocketAddr) -> Option<AdminResponse> {
     call(node, "GET /api/ready").await
 }
--- a/crates/testbed/src/fault_injection/budget_verdict.rs
+++ b/crates/testbed/src/fault_injection/budget_verdict.rs
@@ -1,6 +1,6 @@
 //! The verdict on the budgets of the fleet, computed from the arrivals recorded by the stub model servers.
 //!
-//! Each further arrival of a request is a retry or a hedged attempt. A query of a server's load is a probe. An arrival
+//! An arrival of a request that has arrived before is a retry or a hedged attempt. A query of a server's load is a probe. An arrival
 //! from a node in another zone is cross-zone traffic.
 
 use crate::sockets::Arrival;
@@ -32,7 +32,8 @@
 pub struct WorkCount {
     /// The number of arrivals.
     pub count: usize,
-    /// The highest ratio over all windows of arrivals to what the budget allows; a value above 1 violates the budget.
+    /// The largest excess of arrivals over the budget's rate in any time window, divided by the budget's burst plus a
+    /// tolerance for transit times. More than 1 violates the budget.
     pub worst_window: f64,
     /// The arrivals in the busiest second as a fraction of the budget's rate.
     pub busiest_second: f64,
@@ -137,8 +138,8 @@
     }
 }
 
-/// The maximum over all windows of the arrivals less the rate times the length of the window. Computed as the highest
-/// level of a leaky bucket that each arrival fills by 1.
+/// The maximum, over all time windows, of the number of arrivals minus the rate times the length of the window.
+/// Computed as the highest level of a leaky bucket that each arrival fills by 1.
 fn max_excess(times: &[Micros], rate: f64) -> f64 {
     let mut level = 0.0_f64;
     let mut max_level = 0.0_f64;
--- a/crates/testbed/src/fault_injection/budgets.rs
+++ b/crates/testbed/src/fault_injection/budgets.rs
@@ -29,7 +29,7 @@
 const REQUEST_INTERVAL: Duration = Duration::from_millis(30);
 /// The timeout of a request.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(4);
-/// If the budget is divided equally, each part is reduced by this factor, since clocks may run fast.
+/// If the budget is divided equally, the rate of each part is multiplied by this factor, because clocks may run fast.
 const EQUAL_RATE_FACTOR: f64 = 0.9;
 /// The rate of a node without a grant is an equal part of the fleet's rate divided by this.
 const FLOOR_DIVISOR: f64 = 10.0;
@@ -38,7 +38,8 @@
 const START_LEASES: u32 = 3;
 /// See [`START_LEASES`].
 const START_ALLOWANCE: Duration = Duration::from_secs(2);
-/// The longest fault, in lease durations. The budgets only wait for leases, so longer faults cover no further cases.
+/// The longest fault, in lease durations. A fault affects budgets only by the expiry of leases, so longer faults cover
+/// no further cases.
 const MAX_FAULT_LEASES: u64 = 3;
 /// The time for which servers still fail after a fault, in lease durations.
 const FAILING_LEASES: f64 = 0.5;
@@ -98,7 +99,7 @@
     start_clients(scenario, &fleet, &clients);
     let results = run_rounds(scenario, &fleet, &history).await;
     clients.is_stopped.set(true);
-    // Waits for requests in flight, and then without load for the duration of a grant and a lease.
+    // Waits until requests in flight have ended, and then, without load, for the duration of a grant and a lease.
     tokio::time::sleep(REQUEST_TIMEOUT + shape.lease_duration * 2).await;
     let reports = collect_node_reports(&fleet.admin_addresses()).await;
     fleet.kill_all().await;
@@ -295,7 +296,7 @@
         tokio::time::sleep(lease.mul_f64(FAILING_LEASES)).await;
         fleet.set_failing(0);
         tokio::time::sleep(lease.mul_f64(PAUSE_LEASES)).await;
-        let exits = fleet.take_unexpected_exits();
+        let exits = fleet.unexpected_exits();
         if !exits.is_empty() {
             return Err(FaultInjectionError::UnexpectedExit {
                 round,
--- a/crates/testbed/src/fault_injection/error.rs
+++ b/crates/testbed/src/fault_injection/error.rs
@@ -5,6 +5,7 @@
 use crate::sockets::SocketsError;
 use std::io;
 use std::path::{Path, PathBuf};
+use std::time::Duration;
 
 /// A scenario could not be completed. A violated guarantee is not an error; it is part of the scenario's report.
 #[derive(Debug, thiserror::Error)]
@@ -47,8 +48,11 @@
     #[error("fault name-twice: the fleet needs at least 2 nodes, but has 1")]
     FleetTooSmall,
     /// No node acquired the lease after the start of the fleet.
-    #[error("no node acquired the lease in time after the start of the fleet")]
-    NeverHeld,
+    #[error("no node acquired the lease within {timeout:?} after the start of the fleet")]
+    NeverHeld {
+        /// How long the scenario waited.
+        timeout: Duration,
+    },
     /// The node did not accept the order of a rolling restart.
     #[error("the node did not accept the order of a rolling restart")]
     RollingRestartNotAccepted,
--- a/crates/testbed/src/fault_injection/injected_fault.rs
+++ b/crates/testbed/src/fault_injection/injected_fault.rs
@@ -24,7 +24,7 @@
     KillKeepers,
     /// SIGTERM of the holder.
     EndHolder,
-    /// SIGSTOP of the holder, for up to ten leases.
+    /// SIGSTOP of the holder, for up to ten lease durations.
     StopHolder,
     /// SIGSTOP of a keeper.
     StopKeeper,
@@ -42,7 +42,7 @@
     #[serde(rename = "weather")]
     #[value(name = "weather")]
     DegradedLinks,
-    /// An action of the holder arrives three leases late, and the holder is killed in the meantime.
+    /// An action of the holder arrives three lease durations late, and the holder is killed in the meantime.
     LateAct,
     /// SIGSTOP of the holder while an action is in flight, which arrives after the holder is resumed.
     StopMidAct,
@@ -96,7 +96,8 @@
     pub for_ms: u64,
     /// Selects the affected node: its index is this number modulo the number of candidates.
     pub whom: u64,
-    /// The severity, from 0 to 1.
+    /// The severity, from 0 to 1, of [`InjectedFaultKind::DegradedLinks`]. [`InjectedFaultKind::NameTwice`] affects the
+    /// holder if it is below 0.5 and the node selected by `whom` otherwise. Other kinds ignore it.
     pub size: f64,
 }
 
@@ -135,7 +136,8 @@
             kinds
         };
         let kind = kinds[rng.random_range(0..kinds.len())];
-        // At most one lease half of the time, else up to three; a stopped holder may stay stopped for ten.
+        // Half of the faults last at most one lease duration and the others at most three, except that a quarter of
+        // the faults that stop the holder last up to ten.
         let max_ms = match (kind, rng.random_range(0..4)) {
             (InjectedFaultKind::StopHolder, 0) => 10 * lease_ms,
             (_, 0..=1) => 3 * lease_ms,
--- a/crates/testbed/src/fault_injection/lease_verdict.rs
+++ b/crates/testbed/src/fault_injection/lease_verdict.rs
@@ -60,7 +60,7 @@
 
 /// Checks a record of actions, which are in the order of their arrival.
 ///
-/// A process checks its lease before every action and sends one action at a time. If it is stopped between the check
+/// A process checks its lease before every action and sends one action at a time. If it is suspended between the check
 /// and the action, at most one action arrives too late. A second late action under the same epoch means that the check
 /// itself failed.
 pub fn check_actions(actions: &[LeasedAction]) -> LeaseVerdict {
--- a/crates/testbed/src/fault_injection/leases.rs
+++ b/crates/testbed/src/fault_injection/leases.rs
@@ -30,13 +30,13 @@
 pub struct LeaseScenario {
     /// The size and settings of the fleet.
     pub shape: FleetShape,
-    /// The number of drawn faults, one for each round.
+    /// The number of drawn faults, one for each round. Ignored if there is a script.
     pub rounds: usize,
     /// The seed of all random choices.
     pub seed: u64,
     /// The kinds of faults to draw; an empty list allows all kinds.
     pub only: Vec<InjectedFaultKind>,
-    /// Faults to inject in this order instead of drawn ones; if empty, faults are drawn.
+    /// Faults to inject in this order, one for each round; if empty, faults are drawn.
     pub script: Vec<InjectedFault>,
     /// Whether the target of the actions rejects old epochs.
     pub rejects_old_epochs: bool,
@@ -52,8 +52,8 @@
     /// The longest gap between accepted actions in each round, in microseconds. A round lasts from its fault to the
     /// next one.
     pub longest_gaps: Vec<Micros>,
-    /// The maximum difference between the interval numbers of consecutive accepted actions and the intervals that
-    /// elapsed between them.
+    /// How far the report intervals deviate from the clock: the largest difference, over consecutive accepted actions,
+    /// between the increase of the interval number and the number of intervals that elapsed.
     pub max_interval_skew: u64,
     /// The number of times that a lease server reported a failed disk.
     pub failed_disk_count: usize,
@@ -177,7 +177,9 @@
             script.len()
         };
         let Some(mut holder) = self.wait_for_holder(0).await else {
-            return Err(FaultInjectionError::NeverHeld);
+            return Err(FaultInjectionError::NeverHeld {
+                timeout: self.holder_timeout(),
+            });
         };
         self.fleet.back_up_disks()?;
         let mut results = RoundResults::default();
@@ -194,7 +196,7 @@
             tokio::time::sleep(self.scenario.shape.lease_duration.mul_f64(PAUSE_LEASES)).await;
             results.longest_gaps.push(self.longest_gap_since(began_at));
             holder = self.last_holder().unwrap_or(next_holder);
-            let exits = self.fleet.take_unexpected_exits();
+            let exits = self.fleet.unexpected_exits();
             if !exits.is_empty() {
                 let problem = unexpected_exit_text(round, &exits, &fault);
                 results.problems.push(problem);
@@ -206,8 +208,7 @@
 
     /// Waits for an action that was accepted at or after `since`, and returns its node. `None` after a timeout.
     async fn wait_for_holder(&self, since: Micros) -> Option<usize> {
-        let timeout = self.scenario.shape.lease_duration * RECOVERY_LEASES + RECOVERY_ALLOWANCE;
-        let deadline = tokio::time::Instant::now() + timeout;
+        let deadline = tokio::time::Instant::now() + self.holder_timeout();
         while tokio::time::Instant::now() < deadline {
             if let Some(action) = self.collector.last_accepted() {
                 if action.at >= since {
@@ -220,6 +221,10 @@
         None
     }
 
+    fn holder_timeout(&self) -> Duration {
+        self.scenario.shape.lease_duration * RECOVERY_LEASES + RECOVERY_ALLOWANCE
+    }
+
     fn last_holder(&self) -> Option<usize> {
         let action = self.collector.last_accepted()?;
         node_index(&action.holder.node)
--- a/crates/testbed/src/fault_injection/link_relay.rs
+++ b/crates/testbed/src/fault_injection/link_relay.rs
@@ -196,7 +196,7 @@
     tokio::time::sleep(delay).await;
     if let Ok(mut target) = TcpStream::connect(state.target).await {
         let copying = copy_bidirectional(&mut stream, &mut target);
-        // In each case both sides are closed when the streams are dropped.
+        // Whether copying ended, failed or timed out, both sides are closed when the streams are dropped.
         let _ = tokio::time::timeout(MAX_CONNECTION_DURATION, copying).await;
     }
     state.open_connections.set(state.open_connections.get() - 1);
--- a/crates/testbed/src/fault_injection/node_process.rs
+++ b/crates/testbed/src/fault_injection/node_process.rs
@@ -14,7 +14,7 @@
 /// A process that has not shut down gracefully within this time is killed.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// A process that is running or has exited without having been killed here.
+/// A process that is running or has exited by itself.
 pub(super) struct NodeProcess {
     child: Child,
 }
--- a/crates/testbed/src/fault_injection/rolling_restart.rs
+++ b/crates/testbed/src/fault_injection/rolling_restart.rs
@@ -1,4 +1,4 @@
-//! `break roll`: a rolling restart of all nodes while its coordinator is killed, stopped or cut off.
+//! `break roll`: a rolling restart of all nodes while its coordinator is killed, stopped or disconnected.
 //!
 //! The verdict is how many nodes were provably out of service at the same time, from polls of each node's readiness.
 
@@ -50,7 +50,7 @@
     pub shape: FleetShape,
     /// The seed from which faults are drawn.
     pub seed: u64,
-    /// The maximum number of faults injected into the coordinator; they end with the restart.
+    /// The maximum number of faults injected into the coordinator; none are injected after the end of the restart.
     pub fault_count: usize,
     /// The maximum number of nodes that may be out of service at once.
     pub max_out: usize,
--- a/crates/testbed/src/fault_injection/test_fleet/inject.rs
+++ b/crates/testbed/src/fault_injection/test_fleet/inject.rs
@@ -224,7 +224,7 @@
         };
         replaced.map_err(FaultInjectionError::file(&disk))?;
         self.start_node(lease_server)?;
-        // Only one lease server may have lost its state at a time: waits until this one grants again.
+        // Only one lease server may have lost its state at a time: waits until this one grants leases again.
         tokio::time::sleep(self.shape.lease_duration * 2).await;
         Ok(())
     }
@@ -271,7 +271,7 @@
         Ok(())
     }
 
-    /// Delays a report of the holder by three leases, and kills the holder in the meantime.
+    /// Delays a report of the holder by three lease durations, and kills the holder in the meantime.
     async fn delay_report_and_kill(&self, holder: usize) -> Result<(), FaultInjectionError> {
         let delay = self.shape.lease_duration * 3;
         self.delay_next_report(holder, delay).await;
--- a/crates/testbed/src/fault_injection/test_fleet/mod.rs
+++ b/crates/testbed/src/fault_injection/test_fleet/mod.rs
@@ -29,7 +29,7 @@
 pub struct FleetShape {
     /// The number of nodes.
     pub nodes: usize,
-    /// The number of zones, to which nodes and model servers are assigned in turn.
+    /// The number of zones. Nodes and model servers are assigned to them round robin.
     pub zones: usize,
     /// The number of lease servers; these are the first nodes.
     pub lease_servers: usize,
@@ -144,8 +144,8 @@
         Ok(())
     }
 
-    /// Processes that exited although no injected fault ended them.
-    pub(super) fn take_unexpected_exits(&self) -> Vec<UnexpectedExit> {
+    /// Returns the processes that have exited although no injected fault ended them.
+    pub(super) fn unexpected_exits(&self) -> Vec<UnexpectedExit> {
         let mut exits = Vec::new();
         for (node, process) in self.processes.borrow_mut().iter_mut().enumerate() {
             let status = process.as_mut().and_then(NodeProcess::exit_status);
--- a/crates/testbed/src/fault_injection/test_fleet/setup.rs
+++ b/crates/testbed/src/fault_injection/test_fleet/setup.rs
@@ -121,7 +121,7 @@
     };
     for index in 0..run.fleet.servers {
         let mut model = StubModelServer::start(run.fleet.server.clone()).await?;
-        // Restarted, because the listener uses its own clone, which must have the recorder.
+        // The listener serves a clone of the stub, so it must be restarted to serve one that has the arrival record.
         model.stop();
         model.set_arrival_record(since, &servers.arrivals, index);
         model.restart().await?;
--- a/crates/testbed/tests/fault_injection/budgets.rs
+++ b/crates/testbed/tests/fault_injection/budgets.rs
@@ -54,7 +54,7 @@
     assert!(without.worst_window() > 3.0, "{without:?}");
 }
 
-/// Guards against a burst when half of the nodes restart at once or all restart in turn. A restarted node is a new
+/// Guards against a burst when half of the nodes restart at once or all restart one after the other. A restarted node is a new
 /// holder of grants under the same name, and must not spend before the grant of its previous process has expired.
 #[test]
 fn restarts_of_many_nodes_cause_no_burst_beyond_the_budgets() {
--- a/crates/testbed/tests/fault_injection/leases.rs
+++ b/crates/testbed/tests/fault_injection/leases.rs
@@ -92,8 +92,9 @@
         .collect()
 }
 
-/// The holder is stopped for ten leases while an action is in flight, which arrives half a lease after the holder is
-/// resumed. The action is rejected by its epoch, and the resumed holder checks its lease before the next one.
+/// The holder is suspended for ten lease durations while an action is in flight, which arrives half a lease duration
+/// after the holder is resumed. The target rejects the action by its epoch, and the resumed holder checks its lease
+/// before it sends another action.
 #[test]
 fn holder_stopped_for_ten_leases_during_an_action_is_fenced() {
     let lease = std::time::Duration::from_millis(500);
--- a/crates/testbed/tests/fault_injection/processes.rs
+++ b/crates/testbed/tests/fault_injection/processes.rs
@@ -1,9 +1,9 @@
-//! Processes after the testbed itself is killed.
+//! Node processes exit when the testbed is killed.
 
 use crate::support::folder;
 
 /// The number of processes whose command line contains this text.
-fn running(text: &str) -> usize {
+fn running_count(text: &str) -> usize {
     let all = std::fs::read_dir("/proc")
         .unwrap()
         .filter_map(|e| std::fs::read(e.ok()?.path().join("cmdline")).ok());
@@ -33,12 +33,12 @@
     let config = folder.join("node-").display().to_string();
     let wait_until = |is_expected: &dyn Fn(usize) -> bool| {
         for _ in 0..1000 {
-            if is_expected(running(&config)) {
+            if is_expected(running_count(&config)) {
                 return;
             }
             std::thread::sleep(std::time::Duration::from_millis(10));
         }
-        panic!("{} node processes are running", running(&config));
+        panic!("{} node processes are running", running_count(&config));
     };
     wait_until(&|count| count == 3);
     testbed.kill().unwrap();
