--- a/crates/testbed/benches/emulator.rs
+++ b/crates/testbed/benches/emulator.rs
@@ -9,22 +9,22 @@
 use std::time::Instant;
 
 fn main() {
-    let parts: Vec<String> = std::env::args()
+    let selected: Vec<String> = std::env::args()
         .skip(1)
         .filter(|a| !a.starts_with('-'))
         .collect();
-    let wanted = |name: &str| parts.is_empty() || parts.iter().any(|p| p == name);
+    let is_selected = |name: &str| selected.is_empty() || selected.iter().any(|p| p == name);
     println!(
         "machine: {} cores",
         std::thread::available_parallelism().map_or(0, usize::from)
     );
-    if wanted("speed") {
+    if is_selected("speed") {
         speed();
     }
-    if wanted("decisions") {
+    if is_selected("decisions") {
         decisions();
     }
-    if wanted("large") {
+    if is_selected("large") {
         large();
     }
 }
@@ -36,7 +36,7 @@
     run.check().expect("the description is valid")
 }
 
-/// Executes a run. Returns the seconds that it took, its requests and its events.
+/// Executes a run. Returns its duration in seconds, its requests and its events.
 fn execute(run: &RunDescription, policy: Policy, seed: u64) -> (f64, u64, u64) {
     let start = Instant::now();
     let outcome = Simulation::new(run, policy, seed)
@@ -52,11 +52,11 @@
 fn speed() {
     let run = run(24, 4, 100_000.0);
     for policy in [Policy::Poppykeel, Policy::Random] {
-        let (took, requests, events) = execute(&run, policy, 1);
+        let (duration_s, requests, events) = execute(&run, policy, 1);
         println!(
             "speed: {policy}, 24 servers, 4 nodes, one core: {:.0} requests/s, {:.0} events/s",
-            requests as f64 / took,
-            events as f64 / took
+            requests as f64 / duration_s,
+            events as f64 / duration_s
         );
         let start = Instant::now();
         let all: u64 = (1..=8u64)
@@ -87,11 +87,11 @@
 
 fn large() {
     let run = run(2000, 200, 1_000_000.0);
-    let (took, requests, events) = execute(&run, Policy::Poppykeel, 1);
-    let memory = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
-    let most = memory
+    let (duration_s, requests, events) = execute(&run, Policy::Poppykeel, 1);
+    let process_status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
+    let peak_memory = process_status
         .lines()
         .find(|l| l.starts_with("VmHWM"))
         .unwrap_or("VmHWM: unknown");
-    println!("large: 2,000 servers, 200 nodes, {requests} requests, {events} events: {took:.1} s on one core, {most}");
+    println!("large: 2,000 servers, 200 nodes, {requests} requests, {events} events: {duration_s:.1} s on one core, {peak_memory}");
 }
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -1,6 +1,6 @@
 //! The testbed: emulates a fleet to evaluate designs at sizes that sockets cannot reach, and tests nodes on loopback.
 //!
-//! - [`emulator`]: a discrete-event simulation of one run, with the project's own scheduler or a simpler policy;
+//! - [`emulator`]: a discrete-event simulation of one run, with the project's own scheduler or a baseline policy;
 //! - [`experiment`]: experiment descriptions in TOML, parameter sweeps, parallel runs, results and their tables;
 //! - [`fault_injection`]: several node processes, with faults injected into them and the links between them;
 //! - [`report`]: an HTML report of results with charts;
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -200,7 +200,7 @@
     /// Repeat runs that already have results
     #[arg(long)]
     again: bool,
-    /// Write the path of every request next to each result, as compressed JSON lines
+    /// Write a trace of all requests next to each result, as compressed JSON lines
     #[arg(long)]
     trace: bool,
     #[command(flatten)]
@@ -352,12 +352,12 @@
             experiment.name,
             folder.display()
         );
-        show(&results.all().map_err(|e| e.to_string())?, &self.figures);
+        print_tables(&results.all().map_err(|e| e.to_string())?, &self.figures);
         Ok(())
     }
 }
 
-fn show(results: &[RunResult], figures: &Figures) {
+fn print_tables(results: &[RunResult], figures: &Figures) {
     for figure in &figures.figures {
         println!("\n{}\n{}", metric_title(*figure), table(results, *figure));
     }
@@ -378,7 +378,7 @@
 }
 
 /// Runs a future on a single-threaded runtime with a `LocalSet`, which the tasks on sockets need.
-fn on_sockets<T>(task: impl std::future::Future<Output = Result<T, String>>) -> Result<T, String> {
+fn block_on<T>(task: impl std::future::Future<Output = Result<T, String>>) -> Result<T, String> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build();
@@ -394,8 +394,9 @@
         let mut run = Description::default();
         (run.fleet.servers, run.fleet.nodes, run.fleet.zones) = (self.servers, self.nodes, 1);
         let run = run.check().map_err(|e| e.to_string())?;
-        std::fs::create_dir_all(&self.out).map_err(|e| format!("{}: {e}", self.out.display()))?;
-        on_sockets(async {
+        std::fs::create_dir_all(&self.out)
+            .map_err(|e| format!("cannot create the folder {}: {e}", self.out.display()))?;
+        block_on(async {
             let deployment = sockets::LocalDeployment::start(&run, &program, &self.out)
                 .await
                 .map_err(|e| e.to_string())?;
@@ -430,8 +431,11 @@
                 if results.find(&path, &point.label, &point.run).is_some() {
                     continue;
                 }
-                eprintln!("{}, seed {seed}: {} s", point.label, point.run.load.seconds);
-                let outcome = on_sockets(async {
+                eprintln!(
+                    "{}, seed {seed}: sending load for {} s",
+                    point.label, point.run.load.seconds
+                );
+                let outcome = block_on(async {
                     let result = sockets::run_load(&point.run, &program, &folder, *seed).await;
                     result.map_err(|e| e.to_string())
                 })?;
@@ -451,7 +455,7 @@
             }
         }
         println!("{}: all results in {}", experiment.name, folder.display());
-        show(&results.all().map_err(|e| e.to_string())?, &self.figures);
+        print_tables(&results.all().map_err(|e| e.to_string())?, &self.figures);
         Ok(())
     }
 }
@@ -531,7 +535,7 @@
             script,
             rejects_old_epochs: true,
         };
-        let report = on_sockets(async {
+        let report = block_on(async {
             let result = run_lease_scenario(&scenario, &program, &self.out).await;
             result.map_err(|e| e.to_string())
         })?;
@@ -561,7 +565,7 @@
             fault_count: self.faults,
             max_out: self.most,
         };
-        let report = on_sockets(async {
+        let report = block_on(async {
             let result = run_rolling_restart_scenario(&scenario, &program, &self.out).await;
             result.map_err(|e| e.to_string())
         })?;
@@ -600,7 +604,7 @@
             division: self.division,
             first_node_load_factor: self.hot,
         };
-        let report = on_sockets(async {
+        let report = block_on(async {
             let result = run_budget_scenario(&scenario, &program, &self.out).await;
             result.map_err(|e| e.to_string())
         })?;
@@ -682,7 +686,7 @@
     let result = match TestbedCli::parse().command {
         Command::Run(run) => run.run(),
         Command::Table(table) => {
-            read_results(&table.folder).map(|results| show(&results, &table.figures))
+            read_results(&table.folder).map(|results| print_tables(&results, &table.figures))
         }
         Command::Compare(compare) => compare.run(),
         Command::Report(report) => report.run(),
--- a/crates/testbed/src/report/plots.rs
+++ b/crates/testbed/src/report/plots.rs
@@ -120,12 +120,12 @@
         }
         for cell in cells {
             let line = (0..TIME_SLICE_COUNT / SLICES_PER_POINT).filter_map(|n| {
-                let pieces = n * SLICES_PER_POINT..(n + 1) * SLICES_PER_POINT;
+                let slices = n * SLICES_PER_POINT..(n + 1) * SLICES_PER_POINT;
                 let of = |take: fn(&crate::emulator::Tally) -> f64| -> f64 {
                     let all = cell
                         .results
                         .iter()
-                        .flat_map(|f| f.outcome.series.get(pieces.clone()).unwrap_or_default());
+                        .flat_map(|f| f.outcome.series.get(slices.clone()).unwrap_or_default());
                     all.map(take).sum()
                 };
                 let (offered, gained) = (of(|t| t.offered), of(|t| t.gained));
@@ -189,11 +189,11 @@
             .build_cartesian_2d(0.0..(QUANTILES.len() - 1) as f64, (low..high).log_scale())
             .map_err(chart_error)?;
         let name = |x: &f64| {
-            let part = QUANTILES.get(x.round() as usize).copied().unwrap_or(1.0);
-            if part >= 1.0 {
+            let quantile = QUANTILES.get(x.round() as usize).copied().unwrap_or(1.0);
+            if quantile >= 1.0 {
                 "most".to_string()
             } else {
-                format!("p{}", (part * 1000.0).round() / 10.0)
+                format!("p{}", (quantile * 1000.0).round() / 10.0)
             }
         };
         chart
@@ -227,7 +227,7 @@
             .collect(),
         None => return Ok(String::new()),
     };
-    let part = |cell: &Cell, n: usize| -> f64 {
+    let served_percent = |cell: &Cell, n: usize| -> f64 {
         let tallies = cell
             .results
             .iter()
@@ -270,7 +270,7 @@
             let bar = |n: usize| {
                 let from = n as f64 + 0.1 + k as f64 * 0.8 / bars;
                 Rectangle::new(
-                    [(from, 0.0), (from + 0.7 / bars, part(cell, n))],
+                    [(from, 0.0), (from + 0.7 / bars, served_percent(cell, n))],
                     policy_colour(cell.policy).filled(),
                 )
             };
@@ -282,7 +282,7 @@
     })
 }
 
-/// The shade of a load relative to the slots: one step for each eighth, up to twice the slots.
+/// The shade of a load relative to the slots: one level for each eighth, up to level 16 for twice the slots.
 fn shade_level(load: f32) -> u32 {
     (f64::from(load) * 8.0).round().min(16.0) as u32
 }
@@ -302,7 +302,8 @@
     )
 }
 
-/// Draws a heatmap of the requests held by servers relative to their slots, with one row per server over time.
+/// Draws a heatmap of the requests held by servers relative to their slots, over time; neighbouring servers of
+/// a large fleet share a row.
 pub(super) fn heatmap(outcome: &RunOutcome) -> Result<String, String> {
     let (rows, end) = (
         outcome.heat.len() as f64,
@@ -322,14 +323,14 @@
             .y_desc("servers")
             .draw()
             .map_err(chart_error)?;
-        for (row, pieces) in outcome.heat.iter().enumerate() {
+        for (row, slices) in outcome.heat.iter().enumerate() {
             // Adjacent slices of the same shade are drawn as one tile, since a page has hundreds of heatmaps.
             let mut from = 0;
             let mut tiles = Vec::new();
-            for n in 1..=pieces.len() {
-                if n == pieces.len() || shade_level(pieces[n]) != shade_level(pieces[from]) {
+            for n in 1..=slices.len() {
+                if n == slices.len() || shade_level(slices[n]) != shade_level(slices[from]) {
                     let across = [from, n].map(|n| n as f64 * outcome.piece_s);
-                    tiles.push((across, shade_level(pieces[from])));
+                    tiles.push((across, shade_level(slices[from])));
                     from = n;
                 }
             }
--- a/crates/testbed/src/sockets/error.rs
+++ b/crates/testbed/src/sockets/error.rs
@@ -1,5 +1,6 @@
 //! Errors of a fleet on sockets.
 
+use super::serving_node::START_TIMEOUT;
 use crate::emulator::description::FaultKind;
 use std::io;
 use std::net::SocketAddr;
@@ -29,7 +30,10 @@
     #[error("node: the process has no standard error to read its log from")]
     NoNodeLog,
     /// The node exited, or a timeout passed, before it logged that it serves.
-    #[error("node: exited or timed out before it served; last line of its log: {last_line}")]
+    #[error(
+        "node: exited or did not serve within {} s; last line of its log: {last_line}",
+        START_TIMEOUT.as_secs()
+    )]
     NodeDoesNotServe {
         /// The last line of its log.
         last_line: String,
--- a/crates/testbed/src/sockets/load/exchange.rs
+++ b/crates/testbed/src/sockets/load/exchange.rs
@@ -226,7 +226,7 @@
     }
 
     /// Checks the text of a complete response and counts its cached tokens. A text that differs from what the servers
-    /// generate for this prompt violates an invariant.
+    /// generate for this prompt is counted as a violated invariant.
     fn check_answer(&self, request: &ClientRequest, prompt: &str, body: &[u8]) {
         let mut recorder = self.recorder.borrow_mut();
         let outcome = recorder.outcome_mut();
--- a/crates/testbed/src/sockets/load/mod.rs
+++ b/crates/testbed/src/sockets/load/mod.rs
@@ -30,7 +30,7 @@
 const END_POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// The pause before a retry after a failure, or after a rejection without `Retry-After`.
 const RETRY_PAUSE: Duration = Duration::from_millis(500);
-/// The jitter of retries, as a fraction of the pause.
+/// The maximum jitter of retries, as a fraction of the pause.
 const RETRY_SPREAD: f64 = 0.1;
 
 /// Executes a run on sockets with the node's program. Configurations and logs are written to `folder`.
--- a/crates/testbed/src/sockets/local_fleet/faults.rs
+++ b/crates/testbed/src/sockets/local_fleet/faults.rs
@@ -20,7 +20,7 @@
 }
 
 impl LocalFleet {
-    /// Injects a fault now, waits for its end and reverts it. The caller waits until the fault is due.
+    /// Injects a fault immediately, whatever its `at_s`, waits for its end and reverts it.
     pub async fn inject_fault(self: Rc<Self>, fault: FaultDescription) {
         let duration = Duration::from_secs_f64(fault.for_s);
         let servers = affected_indexes(self.servers.len(), fault.part);
--- a/crates/testbed/src/sockets/serving_node.rs
+++ b/crates/testbed/src/sockets/serving_node.rs
@@ -12,7 +12,7 @@
 use tokio::task::{spawn_local, JoinHandle};
 
 /// The maximum time from the start of a node until it serves.
-const START_TIMEOUT: Duration = Duration::from_secs(5);
+pub(super) const START_TIMEOUT: Duration = Duration::from_secs(5);
 /// A node that has not shut down gracefully within this time is killed.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(10);
 /// The text before the address in the log message of a node that starts serving.
--- a/crates/testbed/src/sockets/stub_model_server/answers.rs
+++ b/crates/testbed/src/sockets/stub_model_server/answers.rs
@@ -22,8 +22,8 @@
 const MAX_PROMPT_TOKENS: u64 = 1 << 20;
 /// Estimates the tokens of a prompt from its length if the request does not specify them.
 const CHARS_PER_TOKEN: u64 = 4;
-/// The parts of an answer beside one for each token: the last token and the end. The channel has room for all of them,
-/// so that it cannot become full.
+/// The room of an answer's channel beyond one part for each token: for the last tokens and the end. An answer has no
+/// more parts, so its channel cannot become full.
 const EXTRA_PARTS: usize = 2;
 /// The head of a streamed answer.
 const STREAM_HEAD: &str =
@@ -147,7 +147,7 @@
 }
 
 impl StubModelServer {
-    /// Serves the requests of a connection one after the other, until it returns `None` when the connection ends.
+    /// Serves the requests of a connection one after the other. Returns `None` when the connection ends.
     pub(super) async fn serve(&self, stream: TcpStream) -> Option<()> {
         // An error is ignored: it only adds latency.
         let _ = stream.set_nodelay(true);
--- a/crates/testbed/src/sockets/stub_model_server/mod.rs
+++ b/crates/testbed/src/sockets/stub_model_server/mod.rs
@@ -237,7 +237,7 @@
     }
 
     /// Advances the model to the present time, and passes new tokens to the connections of their answers. An answer
-    /// whose channel is full is cancelled, so that memory stays bounded.
+    /// whose channel is closed or full is cancelled.
     fn send_new_tokens(&self) {
         let now = self.now();
         let state = &mut *self.state.borrow_mut();
@@ -245,11 +245,11 @@
         state.model.catch_up(now, &mut outputs);
         // The gaps are discarded: on sockets, clients measure them.
         state.model.take_token_gaps().for_each(drop);
-        let mut overflowing = Vec::new();
+        let mut undeliverable = Vec::new();
         for GeneratedTokens { key, tokens } in state.model.answers_in_progress() {
             if let Some(answer) = state.answers.get_mut(&key) {
                 if !answer.send_tokens_up_to(tokens) {
-                    overflowing.push(key);
+                    undeliverable.push(key);
                 }
             }
         }
@@ -260,7 +260,7 @@
                 }
             }
         }
-        for key in overflowing {
+        for key in undeliverable {
             state.answers.remove(&key);
             state.model.cancel(now, key);
         }
--- a/crates/testbed/src/view/state/mod.rs
+++ b/crates/testbed/src/view/state/mod.rs
@@ -10,7 +10,7 @@
 const MAX_POINTS: usize = 240;
 /// The maximum number of servers shown; a node may have thousands, for which a terminal has no room.
 const MAX_ROWS: usize = 512;
-/// A time slice is shown with a delay of this many slices, when most of its requests have ended.
+/// A time slice is shown with a delay of this many slices, so that most of its requests have ended by then.
 const SLICE_DELAY: usize = 4;
 
 /// A row of the table of servers.
@@ -18,11 +18,12 @@
 pub struct ServerRow {
     /// The name of the server.
     pub name: String,
-    /// In a simulation "up", "draining", "away" or "not listed"; from a log the state in lower case.
+    /// In a simulation "up", "draining", "away" or "not listed"; from a log the state on the endpoint list in lower
+    /// case, "up" until a change is logged.
     pub state: String,
-    /// Running requests; from a log, streams that flow.
+    /// Running requests; from a log, streams in the state `flowing`.
     pub running: u64,
-    /// Queued requests; from a log, streams that do not flow.
+    /// Queued requests; from a log, streams that are slow, stalled or outrun.
     pub queued: u64,
     /// Text that is shown instead of the bars; empty if there is none.
     pub details: String,
@@ -113,7 +114,8 @@
         &self.queues
     }
 
-    /// The concurrency limit of a node and its use; `None` for a simulation.
+    /// The concurrency limit of a node and its use; `None` for a simulation, and until a node's log has a summary with
+    /// the limit.
     pub fn concurrency(&self) -> Option<ConcurrencyUse> {
         self.concurrency
     }
--- a/crates/testbed/tests/emulator.rs
+++ b/crates/testbed/tests/emulator.rs
@@ -211,8 +211,8 @@
     }
 }
 
-/// Guards against a server that counts as draining after a full list without the drain, which ended during an outage of
-/// the list.
+/// Guards against a server that still counts as draining on a node after the drain has ended during an outage of the
+/// list: the full list after the outage shows the server as available.
 #[test]
 fn drain_that_ends_during_a_list_outage_ends_with_the_next_list() {
     let faults = vec![
--- a/crates/testbed/tests/golden.rs
+++ b/crates/testbed/tests/golden.rs
@@ -16,8 +16,8 @@
 /// The experiment description.
 const EXPERIMENT: &str = "day.toml";
 /// The folder of results, one file for each run. The files were read and written again before they were committed: the
-/// JSON parser may be off by the last bit of a number that the emulator wrote, but reads a number that it has once read
-/// and written without change.
+/// JSON parser may read a number that the emulator wrote with a different last bit, but reads a number that it has
+/// already read and written without a change.
 const RESULTS: &str = "results";
 /// The tables of those results.
 const TABLES: &str = "tables.txt";
@@ -52,20 +52,17 @@
     Metric::Without,
 ];
 
-/// Returns the path of a golden file.
 fn golden_path(name: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR"))
         .join("tests/golden")
         .join(name)
 }
 
-/// Asserts that the given text equals the golden file.
 fn assert_equals_golden_file(name: &str, written: &str) {
     let committed = fs::read_to_string(golden_path(name)).unwrap();
     assert_eq!(written, committed, "{name}");
 }
 
-/// Creates an empty folder for one test of this process.
 fn empty_folder(name: &str) -> PathBuf {
     let folder = std::env::temp_dir().join(format!("golden-lab-{name}-{}", std::process::id()));
     let _ = fs::remove_dir_all(&folder);
@@ -73,12 +70,11 @@
     folder
 }
 
-/// Reads and decompresses a file.
 fn decompressed(path: &Path) -> Vec<u8> {
     zstd::decode_all(fs::File::open(path).unwrap()).unwrap()
 }
 
-/// Runs the experiment once for each policy, at the points of the sweep in turn. Returns the file name, the result and
+/// Runs the experiment once for each policy, cycling through the points of the sweep. Returns the file name, the result and
 /// the bytes of the trace of each run.
 fn run_experiment(folder: &Path) -> Vec<(PathBuf, RunResult, Vec<u8>)> {
     let experiment = Experiment::read(&golden_path(EXPERIMENT)).unwrap();
@@ -113,7 +109,6 @@
     text
 }
 
-/// Renders the tables of all metrics.
 fn tables(results: &[RunResult]) -> String {
     let tables = METRICS.iter().map(|metric| table(results, *metric) + "\n");
     tables.collect()
--- a/crates/testbed/tests/sockets.rs
+++ b/crates/testbed/tests/sockets.rs
@@ -19,7 +19,7 @@
     path
 }
 
-fn on_sockets<T>(task: impl std::future::Future<Output = T>) -> T {
+fn block_on<T>(task: impl std::future::Future<Output = T>) -> T {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
@@ -27,7 +27,7 @@
     tokio::task::LocalSet::new().block_on(&runtime, task)
 }
 
-fn small(faults: Vec<FaultDescription>) -> RunDescription {
+fn small_run(faults: Vec<FaultDescription>) -> RunDescription {
     let mut run = RunDescription {
         fault: faults,
         ..RunDescription::default()
@@ -46,8 +46,8 @@
 #[test]
 fn up_prints_a_command_that_receives_a_streamed_answer() {
     let folder = folder("up");
-    let output = on_sockets(async {
-        let deployment = sockets::LocalDeployment::start(&small(vec![]), program(), &folder)
+    let output = block_on(async {
+        let deployment = sockets::LocalDeployment::start(&small_run(vec![]), program(), &folder)
             .await
             .unwrap();
         assert!(
@@ -62,7 +62,7 @@
         deployment.serve_for(Duration::ZERO).await;
         output
     });
-    // Skipped on machines without curl; the load's test sends requests with its own client.
+    // Skipped on machines without curl; the test of `run_load` sends requests with its own client.
     if let Ok(output) = output.map(|o| String::from_utf8_lossy(&o.stdout).into_owned()) {
         if !output.is_empty() {
             assert!(
@@ -92,8 +92,8 @@
         fault(FaultKind::NoList, 2.0, 0.5, 1.0),
     ];
     let folder = folder("load");
-    let run = small(faults);
-    let outcome = on_sockets(sockets::run_load(&run, program(), &folder, 1)).unwrap();
+    let run = small_run(faults);
+    let outcome = block_on(sockets::run_load(&run, program(), &folder, 1)).unwrap();
     assert!(outcome.all.request_count() > 15, "{:?}", outcome.all);
     assert_eq!(outcome.broken.sum(), 0, "{:?}", outcome.broken);
     assert!(
@@ -105,14 +105,14 @@
     let log = std::fs::read_to_string(folder.join("node-0.log")).unwrap();
     assert!(
         log.contains("\"done\""),
-        "the node was shut down gracefully"
+        "the node did not shut down gracefully"
     );
     std::fs::remove_dir_all(folder).unwrap();
 }
 
 #[test]
 fn faults_unsupported_on_sockets_are_rejected() {
-    let run = small(vec![FaultDescription {
+    let run = small_run(vec![FaultDescription {
         what: FaultKind::ZoneCut,
         at_s: 0.0,
         for_s: 1.0,
@@ -122,7 +122,7 @@
         tenant: 0,
     }]);
     let folder = folder("refused");
-    let error = on_sockets(sockets::run_load(&run, program(), &folder, 1))
+    let error = block_on(sockets::run_load(&run, program(), &folder, 1))
         .unwrap_err()
         .to_string();
     assert!(error.contains("ZoneCut"), "{error}");
