--- a/crates/testbed/src/emulator/description/mod.rs
+++ b/crates/testbed/src/emulator/description/mod.rs
@@ -157,7 +157,7 @@
     pub seconds: f64,
     /// The fraction of requests that begin a session; each of the others is the next turn of an idle session.
     pub new_sessions: f64,
-    /// Maximum number of idle sessions of a tenant.
+    /// Maximum number of idle sessions of a tenant; with 0 every request begins a session.
     pub sessions: usize,
     /// Number of prompt prefixes that sessions share; 0 if prompts have no shared prefix.
     pub prefixes: usize,
--- a/crates/testbed/src/emulator/outcome_recorder.rs
+++ b/crates/testbed/src/emulator/outcome_recorder.rs
@@ -73,7 +73,6 @@
         }
     }
 
-    /// The duration of a time slice.
     pub fn slice_duration(&self) -> Micros {
         self.slice_duration
     }
--- a/crates/testbed/src/emulator/simulation/event.rs
+++ b/crates/testbed/src/emulator/simulation/event.rs
@@ -68,7 +68,6 @@
     },
 }
 
-/// An event.
 #[derive(Debug)]
 pub(super) enum Event {
     /// A tenant sends its next request.
--- a/crates/testbed/src/experiment/description/mod.rs
+++ b/crates/testbed/src/experiment/description/mod.rs
@@ -112,7 +112,7 @@
             name: file.name,
             policies: file.policies,
             seeds: file.seeds,
-            points: sweep::points(&run.check()?, &file.sweep)?,
+            points: sweep::expand_sweeps(&run.check()?, &file.sweep)?,
         })
     }
 }
--- a/crates/testbed/src/experiment/description/sweep.rs
+++ b/crates/testbed/src/experiment/description/sweep.rs
@@ -31,8 +31,8 @@
     run: Value,
 }
 
-/// Returns the points of all sweeps: every combination of their values.
-pub(super) fn points(
+/// Returns one point for each combination of the values of all sweeps.
+pub(super) fn expand_sweeps(
     run: &RunDescription,
     sweeps: &[Sweep],
 ) -> Result<Vec<ExperimentPoint>, ExperimentError> {
--- a/crates/testbed/src/experiment/runner.rs
+++ b/crates/testbed/src/experiment/runner.rs
@@ -50,7 +50,7 @@
     results: &ResultsFolder,
     options: &RunOptions,
 ) -> Result<usize, ExperimentError> {
-    let mut runs = runs(experiment);
+    let mut runs = plan_runs(experiment);
     options.progress.set_length(runs.len() as u64);
     // The largest runs start first, so that none of them runs alone on one core at the end. This affects only the order
     // of execution.
@@ -66,7 +66,7 @@
     Ok(executed_count)
 }
 
-fn runs(experiment: &Experiment) -> Vec<PlannedRun<'_>> {
+fn plan_runs(experiment: &Experiment) -> Vec<PlannedRun<'_>> {
     let mut runs = Vec::new();
     for (point_number, point) in experiment.points.iter().enumerate() {
         for policy in &experiment.policies {
--- a/crates/testbed/src/experiment/table.rs
+++ b/crates/testbed/src/experiment/table.rs
@@ -72,7 +72,7 @@
 }
 
 /// Renders the table of one metric.
-pub fn table(results: &[RunResult], metric: Metric) -> String {
+pub fn render_table(results: &[RunResult], metric: Metric) -> String {
     TableAxes::of(results).render(|label, policy| {
         let values = cell_values(results, label, policy, metric);
         if values.is_empty() {
@@ -85,7 +85,7 @@
 
 /// Renders the changes between two sets of results: the mean difference of runs with the same label, policy and seed. A
 /// change larger than its confidence interval is marked with a star.
-pub fn compare(before: &[RunResult], after: &[RunResult], metric: Metric) -> String {
+pub fn render_comparison(before: &[RunResult], after: &[RunResult], metric: Metric) -> String {
     TableAxes::of(after).render(|label, policy| {
         let mut changes = Vec::new();
         for result in cell_results(after, label, policy) {
--- a/crates/testbed/src/fault_injection/budgets.rs
+++ b/crates/testbed/src/fault_injection/budgets.rs
@@ -83,7 +83,7 @@
     );
     let collector = ReportCollector::start(history.clone(), true).await?;
     let shape = FleetShape {
-        more_operator_settings: budget_settings(scenario),
+        more_operator_settings: format_budget_settings(scenario),
         ..scenario.shape.clone()
     };
     let fleet = TestFleet::start(FleetSetup {
@@ -119,7 +119,7 @@
 }
 
 /// The budgets as TOML for the operator file.
-fn budget_settings(scenario: &BudgetScenario) -> String {
+fn format_budget_settings(scenario: &BudgetScenario) -> String {
     if scenario.division == BudgetDivision::None {
         return String::new();
     }
@@ -133,9 +133,9 @@
         burst: retries.burst,
     };
     let lines = [
-        budget_line(scenario, "retries", retries),
-        budget_line(scenario, "crossings", cross_zone),
-        budget_line(scenario, "probes", probes),
+        format_budget_line(scenario, "retries", retries),
+        format_budget_line(scenario, "crossings", cross_zone),
+        format_budget_line(scenario, "probes", probes),
     ];
     format!(
         "[fleet.budgets]\nmost_nodes = {}\nshare = \"1s\"\n{}",
@@ -144,7 +144,7 @@
     )
 }
 
-fn budget_line(scenario: &BudgetScenario, name: &str, budget: FleetBudget) -> String {
+fn format_budget_line(scenario: &BudgetScenario, name: &str, budget: FleetBudget) -> String {
     let FleetBudget { rate, burst } = budget;
     let node_count = scenario.shape.nodes as f64;
     let equal_rate = rate / node_count;
--- a/crates/testbed/src/fault_injection/error.rs
+++ b/crates/testbed/src/fault_injection/error.rs
@@ -65,7 +65,7 @@
         seconds: u64,
     },
     /// Processes exited although no injected fault ended them.
-    #[error("{}", unexpected_exit_text(*round, exits, fault))]
+    #[error("{}", describe_unexpected_exits(*round, exits, fault))]
     UnexpectedExit {
         /// The index of the round.
         round: usize,
@@ -96,7 +96,7 @@
 }
 
 /// Describes unexpected exits in one line.
-pub(super) fn unexpected_exit_text(
+pub(super) fn describe_unexpected_exits(
     round: usize,
     exits: &[UnexpectedExit],
     fault: &InjectedFault,
--- a/crates/testbed/src/fault_injection/leases.rs
+++ b/crates/testbed/src/fault_injection/leases.rs
@@ -4,7 +4,7 @@
 //! is that of [`check_actions`] on the record of the [`ReportCollector`].
 
 use super::collector::ReportCollector;
-use super::error::{unexpected_exit_text, FaultInjectionError};
+use super::error::{describe_unexpected_exits, FaultInjectionError};
 use super::injected_fault::{InjectedFault, InjectedFaultKind};
 use super::lease_verdict::{check_actions, LeaseVerdict, LeasedAction};
 use super::run_history::RunHistory;
@@ -63,7 +63,7 @@
 
 impl LeaseReport {
     /// Summarizes the report in one line.
-    pub fn summary(&self, seed: u64) -> String {
+    pub fn format_summary(&self, seed: u64) -> String {
         let longest = self.verdict.gaps.first().map_or(0, |gap| gap.duration);
         format!(
             "rounds {}, acts {}, overlaps {}, refused by fence {}, longest without a holder {:.2} s, seed {seed}",
@@ -198,7 +198,7 @@
             holder = self.last_holder().unwrap_or(next_holder);
             let exits = self.fleet.unexpected_exits();
             if !exits.is_empty() {
-                let problem = unexpected_exit_text(round, &exits, &fault);
+                let problem = describe_unexpected_exits(round, &exits, &fault);
                 results.problems.push(problem);
                 break;
             }
--- a/crates/testbed/src/fault_injection/test_fleet/duplicate_node.rs
+++ b/crates/testbed/src/fault_injection/test_fleet/duplicate_node.rs
@@ -61,12 +61,12 @@
         let _ = std::fs::remove_dir_all(&duplicate_disk);
         let operator_changes = [
             Replacement {
-                old: listen_line(own.coordination),
-                new: listen_line(duplicate.coordination),
+                old: format_listen_line(own.coordination),
+                new: format_listen_line(duplicate.coordination),
             },
             Replacement {
-                old: folder_line(&self.disk(node)),
-                new: folder_line(&duplicate_disk),
+                old: format_folder_line(&self.disk(node)),
+                new: format_folder_line(&duplicate_disk),
             },
         ];
         let config_changes = [Replacement {
@@ -110,11 +110,11 @@
     })
 }
 
-fn listen_line(address: SocketAddr) -> String {
+fn format_listen_line(address: SocketAddr) -> String {
     format!("listen = \"{address}\"")
 }
 
-fn folder_line(disk: &Path) -> String {
+fn format_folder_line(disk: &Path) -> String {
     format!("folder = {:?}", disk.display().to_string())
 }
 
--- a/crates/testbed/src/fault_injection/test_fleet/setup.rs
+++ b/crates/testbed/src/fault_injection/test_fleet/setup.rs
@@ -180,7 +180,7 @@
         let config = node_config(&self.run, node, addresses.serving, &self.discovery);
         std::fs::write(&config_file, config).map_err(FaultInjectionError::file(&config_file))?;
         let operator_file = self.path(node, "toml");
-        std::fs::write(&operator_file, self.operator_settings(node))
+        std::fs::write(&operator_file, self.format_operator_file(node))
             .map_err(FaultInjectionError::file(&operator_file))?;
         let clock_ppm = self.draw_clock_ppm(node, rng);
         let wall_clock_offset_s = if self.setup.shape.has_wrong_wall_clocks {
@@ -205,16 +205,16 @@
     }
 
     /// The operator file of a node, as TOML.
-    fn operator_settings(&self, node: usize) -> String {
+    fn format_operator_file(&self, node: usize) -> String {
         let shape = self.setup.shape;
         let lease_servers: Vec<String> = (0..shape.lease_servers)
-            .map(|server| address_line(server, self.addresses[server].coordination))
+            .map(|server| format_address_line(server, self.addresses[server].coordination))
             .collect();
         let relays: Vec<String> = self
             .links
             .iter()
             .filter(|(link, _)| link.from == node)
-            .map(|(link, relay)| address_line(link.to, relay.address()))
+            .map(|(link, relay)| format_address_line(link.to, relay.address()))
             .collect();
         format!(
             "[fleet]\nname = \"lab\"\nlisten = \"{}\"\nfolder = {:?}\nlease = \"{}ms\"\ndrift = {}\n\
@@ -247,6 +247,6 @@
 }
 
 /// A line of the operator file: a node's name and its address.
-fn address_line(node: usize, address: SocketAddr) -> String {
+fn format_address_line(node: usize, address: SocketAddr) -> String {
     format!("{NODE_NAME_PREFIX}{node} = \"{address}\"")
 }
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -13,7 +13,7 @@
 use poppykeel_testbed::emulator::description::RunDescription as Description;
 use poppykeel_testbed::emulator::policies::Policy;
 use poppykeel_testbed::emulator::Simulation;
-use poppykeel_testbed::experiment::table::{compare, table};
+use poppykeel_testbed::experiment::table::{render_comparison, render_table};
 use poppykeel_testbed::experiment::{runner, Experiment, Metric, ResultsFolder, RunResult};
 use poppykeel_testbed::fault_injection::{
     run_budget_scenario, run_lease_scenario, run_rolling_restart_scenario, BudgetScenario,
@@ -359,7 +359,11 @@
 
 fn print_tables(results: &[RunResult], figures: &Figures) {
     for figure in &figures.figures {
-        println!("\n{}\n{}", metric_title(*figure), table(results, *figure));
+        println!(
+            "\n{}\n{}",
+            metric_title(*figure),
+            render_table(results, *figure)
+        );
     }
 }
 
@@ -370,7 +374,7 @@
             println!(
                 "\n{}: by how much it has changed\n{}",
                 metric_title(*figure),
-                compare(&before, &after, *figure)
+                render_comparison(&before, &after, *figure)
             );
         }
         Ok(())
@@ -546,7 +550,7 @@
             .for_each(|problem| println!("{problem}"));
         let [p50, p99] = [0.5, 0.99].map(|quantile| report.gap_quantile(quantile) as f64 / 1e6);
         println!("each round's longest time without an act: p50 {p50:.2} s, p99 {p99:.2} s");
-        println!("{}", report.summary(seed));
+        println!("{}", report.format_summary(seed));
         Ok(report.is_good())
     }
 }
@@ -649,7 +653,7 @@
             .out
             .clone()
             .unwrap_or_else(|| self.folder.join("report.html"));
-        let page = poppykeel_testbed::report::page(&name, &results)?;
+        let page = poppykeel_testbed::report::render_page(&name, &results)?;
         std::fs::write(&out, page)
             .map_err(|e| format!("cannot write the report {}: {e}", out.display()))?;
         println!("{}", out.display());
--- a/crates/testbed/src/report/mod.rs
+++ b/crates/testbed/src/report/mod.rs
@@ -39,7 +39,7 @@
 }
 
 /// Returns the page as HTML, with the name of the experiment as its title.
-pub fn page(name: &str, results: &[RunResult]) -> Result<String, String> {
+pub fn render_page(name: &str, results: &[RunResult]) -> Result<String, String> {
     let TableAxes { labels, policies } = TableAxes::of(results);
     let mut html = String::new();
     let seeds = results
--- a/crates/testbed/src/sockets/local_deployment.rs
+++ b/crates/testbed/src/sockets/local_deployment.rs
@@ -35,8 +35,8 @@
             .ok_or(SocketsError::NoNode)?;
         Ok(LocalDeployment {
             first_node,
-            curl_command: curl_command(run, first_node),
-            summary: summary(&fleet),
+            curl_command: format_curl_command(run, first_node),
+            summary: format_summary(&fleet),
             fleet,
         })
     }
@@ -67,7 +67,7 @@
     }
 }
 
-fn curl_command(run: &RunDescription, node: SocketAddr) -> String {
+fn format_curl_command(run: &RunDescription, node: SocketAddr) -> String {
     let class = &run.class[0];
     format!(
         "curl -N http://{node}/v1/chat/completions -H \"Req-Id: $(printf '%08x%08x' $RANDOM$RANDOM $(date +%s))\" \
@@ -77,7 +77,7 @@
     )
 }
 
-fn summary(fleet: &LocalFleet) -> String {
+fn format_summary(fleet: &LocalFleet) -> String {
     let addresses = fleet.node_addresses();
     let urls: Vec<String> = addresses
         .iter()
--- a/crates/testbed/src/view/mod.rs
+++ b/crates/testbed/src/view/mod.rs
@@ -1,6 +1,6 @@
 //! Terminal view of a simulation, or of a running node from its log: rates, tenant queues, server states and streams.
 //!
-//! [`ViewState`] holds the data, [`draw`] renders it on a terminal of any size, and [`show_simulation`] and
+//! [`ViewState`] holds the data, [`draw()`] renders it on a terminal of any size, and [`show_simulation`] and
 //! [`follow_node_log`] are the main loops of the sub-command `view`.
 
 mod draw;
--- a/crates/testbed/tests/experiment.rs
+++ b/crates/testbed/tests/experiment.rs
@@ -3,7 +3,7 @@
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 #![expect(clippy::too_many_lines, reason = "not yet converted")]
 
-use poppykeel_testbed::experiment::table::{compare, table};
+use poppykeel_testbed::experiment::table::{render_comparison, render_table};
 use poppykeel_testbed::experiment::{ConfidenceInterval, Experiment, Metric, ResultsFolder};
 use poppykeel_testbed::report;
 use std::path::{Path, PathBuf};
@@ -137,13 +137,13 @@
         .status
         .success());
     let results = ResultsFolder::open(&out).unwrap().all().unwrap();
-    let text = table(&results, Metric::Worth);
+    let text = render_table(&results, Metric::Worth);
     assert_eq!(
         (text.lines().count(), text.matches('±').count()),
         (5, 8),
         "{text}"
     );
-    let same = compare(&results, &results, Metric::Worth);
+    let same = render_comparison(&results, &results, Metric::Worth);
     assert!(
         !same.contains('*') && same.matches("0.0 ±0.0").count() == 8,
         "{same}"
@@ -153,7 +153,7 @@
         // Nearly the same increase for each seed, whatever the results are.
         result.outcome.all.gained += result.outcome.all.offered * (0.2 + result.seed as f64 / 1e6);
     }
-    assert!(compare(&results, &improved, Metric::Worth).contains('*'));
+    assert!(render_comparison(&results, &improved, Metric::Worth).contains('*'));
     // The trace contains every request, so its final ends are as many as the requests of the result.
     let trace = read_trace(&out);
     let ends = trace
@@ -161,7 +161,7 @@
         .filter(|line| !line.contains("\"end\":null"))
         .count() as u64;
     assert_eq!(ends, results[0].outcome.all.request_count());
-    let page = report::page("small", &results).unwrap();
+    let page = report::render_page("small", &results).unwrap();
     assert!(
         page.matches("<svg").count() > 16
             && page.ends_with("</html>\n")
--- a/crates/testbed/tests/fault_injection/leases.rs
+++ b/crates/testbed/tests/fault_injection/leases.rs
@@ -9,7 +9,7 @@
 fn run(name: &str, scenario: &LeaseScenario) -> LeaseReport {
     let folder = folder(name);
     let report = block_on(run_lease_scenario(scenario, program(), &folder));
-    println!("{}", report.summary(scenario.seed));
+    println!("{}", report.format_summary(scenario.seed));
     if report.is_good() {
         std::fs::remove_dir_all(folder).unwrap();
     }
--- a/crates/testbed/tests/golden.rs
+++ b/crates/testbed/tests/golden.rs
@@ -4,7 +4,7 @@
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 use poppykeel_testbed::experiment::runner::execute_run;
-use poppykeel_testbed::experiment::table::table;
+use poppykeel_testbed::experiment::table::render_table;
 use poppykeel_testbed::experiment::{Experiment, Metric, ResultsFolder, RunResult};
 use poppykeel_testbed::view::{draw, ViewState};
 use ratatui::backend::TestBackend;
@@ -93,7 +93,7 @@
 
 /// Formats one line for each run: the name of its result file, and the checksums of its result and trace. The golden
 /// file calls traces "paths".
-fn digests(runs: &[(PathBuf, RunResult, Vec<u8>)]) -> String {
+fn format_digests(runs: &[(PathBuf, RunResult, Vec<u8>)]) -> String {
     let mut text = String::new();
     for (path, result, trace) in runs {
         let name = path.file_name().unwrap().to_string_lossy();
@@ -109,13 +109,15 @@
     text
 }
 
-fn tables(results: &[RunResult]) -> String {
-    let tables = METRICS.iter().map(|metric| table(results, *metric) + "\n");
+fn render_tables(results: &[RunResult]) -> String {
+    let tables = METRICS
+        .iter()
+        .map(|metric| render_table(results, *metric) + "\n");
     tables.collect()
 }
 
 /// Renders the screen of the view for a log.
-fn screen_of_log(log: &str) -> String {
+fn render_log_screen(log: &str) -> String {
     let mut state = ViewState::new("node", TENANTS.map(String::from).into());
     log.lines().for_each(|line| state.apply_log_line(line));
     let (columns, rows) = SCREEN_SIZE;
@@ -136,7 +138,7 @@
 fn experiment_gives_the_same_results_and_traces() {
     let folder = empty_folder("digest");
     let runs = run_experiment(&folder);
-    assert_equals_golden_file(DIGESTS, &digests(&runs));
+    assert_equals_golden_file(DIGESTS, &format_digests(&runs));
     fs::remove_dir_all(folder).unwrap();
 }
 
@@ -153,7 +155,7 @@
         let read_back = serde_json::to_vec(result).unwrap();
         assert!(read_back == decompressed(&path), "{}", path.display());
     }
-    assert_equals_golden_file(TABLES, &tables(&results));
+    assert_equals_golden_file(TABLES, &render_tables(&results));
 }
 
 #[test]
@@ -176,5 +178,5 @@
 #[test]
 fn log_of_an_earlier_version_is_shown_unchanged() {
     let log = fs::read_to_string(golden_path(NODE_LOG)).unwrap();
-    assert_equals_golden_file(SCREEN, &screen_of_log(&log));
+    assert_equals_golden_file(SCREEN, &render_log_screen(&log));
 }
