--- a/crates/testbed/src/experiment/description/sweep.rs
+++ b/crates/testbed/src/experiment/description/sweep.rs
@@ -20,7 +20,7 @@
     key: String,
     /// The values.
     values: Vec<Value>,
-    /// The labels of the values; by default the last part of the key with the value.
+    /// The labels of the values; by default `part=value`, with the last part of the key.
     #[serde(default)]
     labels: Vec<String>,
 }
@@ -31,8 +31,8 @@
     run: Value,
 }
 
-/// Returns the points of all sweeps: every combination of their values.
-pub(super) fn points(
+/// Returns one point for each combination of the values of all sweeps.
+pub(super) fn expand_sweeps(
     run: &RunDescription,
     sweeps: &[Sweep],
 ) -> Result<Vec<ExperimentPoint>, ExperimentError> {
--- a/crates/testbed/src/fault_injection/budgets.rs
+++ b/crates/testbed/src/fault_injection/budgets.rs
@@ -29,7 +29,7 @@
 const REQUEST_INTERVAL: Duration = Duration::from_millis(30);
 /// The timeout of a request.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(4);
-/// If the budget is divided equally, each part is reduced by this factor, since clocks may run fast.
+/// If the budget is divided equally, the rate of each part is multiplied by this factor, because clocks may run fast.
 const EQUAL_RATE_FACTOR: f64 = 0.9;
 /// The rate of a node without a grant is an equal part of the fleet's rate divided by this.
 const FLOOR_DIVISOR: f64 = 10.0;
@@ -38,7 +38,8 @@
 const START_LEASES: u32 = 3;
 /// See [`START_LEASES`].
 const START_ALLOWANCE: Duration = Duration::from_secs(2);
-/// The longest fault, in lease durations. The budgets only wait for leases, so longer faults cover no further cases.
+/// The longest fault, in lease durations. A fault affects budgets only by the expiry of leases, so longer faults cover
+/// no further cases.
 const MAX_FAULT_LEASES: u64 = 3;
 /// The time for which servers still fail after a fault, in lease durations.
 const FAILING_LEASES: f64 = 0.5;
@@ -82,7 +83,7 @@
     );
     let collector = ReportCollector::start(history.clone(), true).await?;
     let shape = FleetShape {
-        more_operator_settings: budget_settings(scenario),
+        more_operator_settings: format_budget_settings(scenario),
         ..scenario.shape.clone()
     };
     let fleet = TestFleet::start(FleetSetup {
@@ -98,7 +99,7 @@
     start_clients(scenario, &fleet, &clients);
     let results = run_rounds(scenario, &fleet, &history).await;
     clients.is_stopped.set(true);
-    // Waits for requests in flight, and then without load for the duration of a grant and a lease.
+    // Waits until requests in flight have ended, and then, without load, for the duration of a grant and a lease.
     tokio::time::sleep(REQUEST_TIMEOUT + shape.lease_duration * 2).await;
     let reports = collect_node_reports(&fleet.admin_addresses()).await;
     fleet.kill_all().await;
@@ -118,7 +119,7 @@
 }
 
 /// The budgets as TOML for the operator file.
-fn budget_settings(scenario: &BudgetScenario) -> String {
+fn format_budget_settings(scenario: &BudgetScenario) -> String {
     if scenario.division == BudgetDivision::None {
         return String::new();
     }
@@ -132,9 +133,9 @@
         burst: retries.burst,
     };
     let lines = [
-        budget_line(scenario, "retries", retries),
-        budget_line(scenario, "crossings", cross_zone),
-        budget_line(scenario, "probes", probes),
+        format_budget_line(scenario, "retries", retries),
+        format_budget_line(scenario, "crossings", cross_zone),
+        format_budget_line(scenario, "probes", probes),
     ];
     format!(
         "[fleet.budgets]\nmost_nodes = {}\nshare = \"1s\"\n{}",
@@ -143,7 +144,7 @@
     )
 }
 
-fn budget_line(scenario: &BudgetScenario, name: &str, budget: FleetBudget) -> String {
+fn format_budget_line(scenario: &BudgetScenario, name: &str, budget: FleetBudget) -> String {
     let FleetBudget { rate, burst } = budget;
     let node_count = scenario.shape.nodes as f64;
     let equal_rate = rate / node_count;
@@ -295,7 +296,7 @@
         tokio::time::sleep(lease.mul_f64(FAILING_LEASES)).await;
         fleet.set_failing(0);
         tokio::time::sleep(lease.mul_f64(PAUSE_LEASES)).await;
-        let exits = fleet.take_unexpected_exits();
+        let exits = fleet.unexpected_exits();
         if !exits.is_empty() {
             return Err(FaultInjectionError::UnexpectedExit {
                 round,
--- a/crates/testbed/tests/golden.rs
+++ b/crates/testbed/tests/golden.rs
@@ -4,7 +4,7 @@
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 use poppykeel_testbed::experiment::runner::execute_run;
-use poppykeel_testbed::experiment::table::table;
+use poppykeel_testbed::experiment::table::render_table;
 use poppykeel_testbed::experiment::{Experiment, Metric, ResultsFolder, RunResult};
 use poppykeel_testbed::view::{draw, ViewState};
 use ratatui::backend::TestBackend;
@@ -16,8 +16,8 @@
 /// The experiment description.
 const EXPERIMENT: &str = "day.toml";
 /// The folder of results, one file for each run. The files were read and written again before they were committed: the
-/// JSON parser may be off by the last bit of a number that the emulator wrote, but reads a number that it has once read
-/// and written without change.
+/// JSON parser may read a number that the emulator wrote with a different last bit, but reads a number that it has
+/// already read and written without a change.
 const RESULTS: &str = "results";
 /// The tables of those results.
 const TABLES: &str = "tables.txt";
@@ -52,20 +52,17 @@
     Metric::Without,
 ];
 
-/// Returns the path of a golden file.
 fn golden_path(name: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR"))
         .join("tests/golden")
         .join(name)
 }
 
-/// Asserts that the given text equals the golden file.
 fn assert_equals_golden_file(name: &str, written: &str) {
     let committed = fs::read_to_string(golden_path(name)).unwrap();
     assert_eq!(written, committed, "{name}");
 }
 
-/// Creates an empty folder for one test of this process.
 fn empty_folder(name: &str) -> PathBuf {
     let folder = std::env::temp_dir().join(format!("golden-lab-{name}-{}", std::process::id()));
     let _ = fs::remove_dir_all(&folder);
@@ -73,12 +70,11 @@
     folder
 }
 
-/// Reads and decompresses a file.
 fn decompressed(path: &Path) -> Vec<u8> {
     zstd::decode_all(fs::File::open(path).unwrap()).unwrap()
 }
 
-/// Runs the experiment once for each policy, at the points of the sweep in turn. Returns the file name, the result and
+/// Runs the experiment once for each policy, cycling through the points of the sweep. Returns the file name, the result and
 /// the bytes of the trace of each run.
 fn run_experiment(folder: &Path) -> Vec<(PathBuf, RunResult, Vec<u8>)> {
     let experiment = Experiment::read(&golden_path(EXPERIMENT)).unwrap();
@@ -97,7 +93,7 @@
 
 /// Formats one line for each run: the name of its result file, and the checksums of its result and trace. The golden
 /// file calls traces "paths".
-fn digests(runs: &[(PathBuf, RunResult, Vec<u8>)]) -> String {
+fn format_digests(runs: &[(PathBuf, RunResult, Vec<u8>)]) -> String {
     let mut text = String::new();
     for (path, result, trace) in runs {
         let name = path.file_name().unwrap().to_string_lossy();
@@ -113,14 +109,15 @@
     text
 }
 
-/// Renders the tables of all metrics.
-fn tables(results: &[RunResult]) -> String {
-    let tables = METRICS.iter().map(|metric| table(results, *metric) + "\n");
+fn render_tables(results: &[RunResult]) -> String {
+    let tables = METRICS
+        .iter()
+        .map(|metric| render_table(results, *metric) + "\n");
     tables.collect()
 }
 
 /// Renders the screen of the view for a log.
-fn screen_of_log(log: &str) -> String {
+fn render_log_screen(log: &str) -> String {
     let mut state = ViewState::new("node", TENANTS.map(String::from).into());
     log.lines().for_each(|line| state.apply_log_line(line));
     let (columns, rows) = SCREEN_SIZE;
@@ -141,7 +138,7 @@
 fn experiment_gives_the_same_results_and_traces() {
     let folder = empty_folder("digest");
     let runs = run_experiment(&folder);
-    assert_equals_golden_file(DIGESTS, &digests(&runs));
+    assert_equals_golden_file(DIGESTS, &format_digests(&runs));
     fs::remove_dir_all(folder).unwrap();
 }
 
@@ -158,7 +155,7 @@
         let read_back = serde_json::to_vec(result).unwrap();
         assert!(read_back == decompressed(&path), "{}", path.display());
     }
-    assert_equals_golden_file(TABLES, &tables(&results));
+    assert_equals_golden_file(TABLES, &render_tables(&results));
 }
 
 #[test]
@@ -181,5 +178,5 @@
 #[test]
 fn log_of_an_earlier_version_is_shown_unchanged() {
     let log = fs::read_to_string(golden_path(NODE_LOG)).unwrap();
-    assert_equals_golden_file(SCREEN, &screen_of_log(&log));
+    assert_equals_golden_file(SCREEN, &render_log_screen(&log));
 }
