--- a/crates/scheduler/src/admission.rs
+++ b/crates/scheduler/src/admission.rs
@@ -30,9 +30,13 @@
 
 /// The longest queue wait with which a request is admitted: its TTFT objective, or the time until its deadline if that is
 /// earlier.
-pub(crate) fn max_queue_wait(now: Seconds, time_left: Seconds, times: RequestDeadlines) -> Seconds {
-    if now + times.ttft_objective < times.deadline {
-        times.ttft_objective
+pub(crate) fn max_queue_wait(
+    now: Seconds,
+    time_left: Seconds,
+    deadlines: RequestDeadlines,
+) -> Seconds {
+    if now + deadlines.ttft_objective < deadlines.deadline {
+        deadlines.ttft_objective
     } else {
         time_left
     }
--- a/crates/scheduler/src/affinity.rs
+++ b/crates/scheduler/src/affinity.rs
@@ -20,8 +20,8 @@
     replica: ReplicaId,
 }
 
-/// The first qualifying replicas in a session's order. If crossing zones has a cost, these are the first ones in the
-/// router's own zone and one remote replica, because a zone may have more traffic than its replicas can handle.
+/// The first replicas in a session's order that satisfy `qualifies`. If crossing zones has a cost, these are the first ones
+/// in the router's own zone and one remote replica, because a zone may have more traffic than its replicas can handle.
 pub(crate) fn rendezvous_order(
     view: &FleetView<'_>,
     request: &IncomingRequest,
--- a/crates/scheduler/src/attempt.rs
+++ b/crates/scheduler/src/attempt.rs
@@ -83,7 +83,7 @@
         is_cancellable
     }
 
-    /// Records the first token; returns false if it was not awaited.
+    /// Records the first token; returns false if the attempt is already streaming or has ended.
     pub(crate) fn start_streaming(&mut self) -> bool {
         let is_awaited = self.is_awaiting_first_token();
         if is_awaited {
--- a/crates/scheduler/src/budgets.rs
+++ b/crates/scheduler/src/budgets.rs
@@ -5,7 +5,8 @@
 };
 use std::collections::BTreeMap;
 
-/// Minimum burst of a tenant's quota, which is otherwise one second's worth of requests and may be below one at one router.
+/// Minimum burst of a tenant's local quota, in requests. The burst is otherwise as many requests as the quota allows in one
+/// second, which can be less than one at a single router.
 const MIN_QUOTA_BURST: f64 = 8.0;
 /// A tenant's rate at one router is its even share times this factor, because clients are not spread evenly over routers
 /// and zones.
@@ -127,14 +128,15 @@
         for (kind, grant) in grants {
             let account = self.0.entry(*kind);
             let account = account.or_insert_with(|| BudgetAccount::new(now, *grant));
-            // Until now the account has been refilled by the previous grant.
+            // The previous grant applies to the time before `now`; the second refill limits the level to the new depth.
             account.refill(now);
             account.grant = *grant;
             account.refill(now);
         }
     }
 
-    /// Records the demand for a unit and spends one if available; returns whether it was available.
+    /// Records the demand for a unit and spends one if available; returns whether it was available. A kind without a budget
+    /// always has a unit.
     pub fn request_unit(&mut self, now: Seconds, kind: BudgetKind, priority_weight: f64) -> bool {
         self.record_demand(kind, 1.0, priority_weight);
         self.spend_unit(now, kind)
@@ -152,7 +154,8 @@
         has_unit
     }
 
-    /// Whether a unit is available while `reserved_fraction`, from 0 to 1, of the rest of the bucket's depth remains in it.
+    /// Whether a unit can be spent so that at least `reserved_fraction`, from 0 to 1, of the bucket's depth without that unit
+    /// remains. Always true for a kind without a budget.
     pub fn has_unit(&self, now: Seconds, kind: BudgetKind, reserved_fraction: f64) -> bool {
         self.0.get(&kind).is_none_or(|account| {
             let reservable = (account.depth(now) - 1.0).max(0.0);
--- a/crates/scheduler/src/concurrency.rs
+++ b/crates/scheduler/src/concurrency.rs
@@ -5,19 +5,19 @@
 
 use crate::types::Seconds;
 
-/// The initial limit per replica, divided among the routers.
+/// The initial limit of all routers together for each warm replica; each router gets an equal part.
 const INITIAL_LIMIT_PER_REPLICA: f64 = 8.0;
 /// Growth factor of the limit on an early first token, if at least half of the limit is used.
 const GROWTH_FACTOR: f64 = 1.04;
 /// Reduction factor of the limit on a late first token, a broken stream, a timeout or a replica at capacity. With stronger
 /// reductions replicas were left idle.
 const REDUCTION_FACTOR: f64 = 0.985;
-/// The limit of one replica as a multiple of the limit's even share per warm replica.
+/// The limit of one replica, as a multiple of the common limit divided by the number of warm replicas.
 const REPLICA_LIMIT_FACTOR: f64 = 4.0;
 /// The limit of one replica is at least this many requests.
 const MIN_REPLICA_LIMIT: f64 = 4.0;
-/// Best-effort requests may use only this fraction of the limit, because other routers may have queued requests of higher
-/// priority.
+/// Best-effort requests may use only this fraction of the common limit, because other routers may have queued requests of
+/// higher priority.
 const BEST_EFFORT_FRACTION: f64 = 0.4;
 /// A first token is late after this fraction of its TTFT objective: prefill delays running streams, and a first token that
 /// needs the whole objective shows overload too late.
@@ -33,8 +33,9 @@
 
 impl FirstTokenTiming {
     /// Compares a time to first token with the request's TTFT objective and with the time that the request was queued in the
-    /// router. If replicas are replaced frequently, nothing is cached and first tokens are late although replicas have
-    /// capacity. A limit reduced for that reason alone shrank until requests waited longer in the router than at replicas.
+    /// router. A first token that took less time than the request was queued is never late: if replicas are replaced
+    /// frequently, nothing is cached and first tokens take long although replicas have capacity, and a limit reduced for that
+    /// reason alone shrinks until requests wait longer in the router than at replicas.
     pub(crate) fn of(elapsed: Seconds, ttft_objective: Seconds, waited: Seconds) -> Self {
         let late = ttft_objective * LATE_FRACTION;
         if elapsed > late && elapsed > waited {
@@ -54,7 +55,7 @@
     /// The number of warm replicas for which the limit was last resized.
     warm_replica_count: usize,
     max_available_replicas: usize,
-    /// Routers per replica, at least 1. With more of them each router gets fewer answers, so each answer changes the limit
+    /// Routers per replica, at least 1. With more routers each of them gets fewer answers, so each answer changes the limit
     /// more.
     feedback_sparsity: f64,
 }
@@ -70,7 +71,6 @@
         }
     }
 
-    /// Records the number of available replicas.
     pub(crate) fn observe_available(&mut self, available: usize, router_count: usize) {
         self.max_available_replicas = self.max_available_replicas.max(available);
         let replicas = self.max_available_replicas.max(1) as f64;
@@ -132,7 +132,7 @@
         self.limit
     }
 
-    /// The limit's even share per warm replica.
+    /// The common limit divided by the number of warm replicas.
     pub(crate) fn limit_per_replica(&self) -> f64 {
         self.limit / self.warm_replica_count.max(1) as f64
     }
--- a/crates/scheduler/src/endpoint_confirmation.rs
+++ b/crates/scheduler/src/endpoint_confirmation.rs
@@ -1,21 +1,23 @@
 //! Tracks whether the endpoint list is known to be current, and the evidence that an attempt needs while it is not.
 //!
-//! A list is current while discovery answers its polls. If the list was restored from an earlier process, its polls fail or
-//! only part of an answer has arrived, it may lack drains and removals that already count as notified.
+//! The list is current while discovery answers the polls. It is not current if it was restored from an earlier process, if
+//! polls fail, or if only part of an answer has arrived. It may then lack drains and removals that discovery has announced
+//! and whose grace is already running.
 //!
-//! If replicas may be probed, an attempt is then sent only to a replica that has recently answered a probe successfully; a
-//! draining replica declines probes. If they may not be probed, requests wait for a bounded time for the first answer after
-//! a start, or for the rest of a partial answer. After that, and in all other cases, the last list is used, because
+//! While the list is not current and replicas may be probed, an attempt is sent only to a replica that has recently answered
+//! a probe successfully. This answer is the evidence that the replica is not draining, because a draining replica declines
+//! probes. If replicas may not be probed, requests wait for a bounded time: after a start for the first answer of discovery,
+//! and after a partial answer for its remaining part. In all other cases the last list is used without evidence, because
 //! otherwise an outage of discovery would stop the whole service.
 //!
-//! Invariant: while the list is not current, the first byte of each attempt is sent within the drain grace after evidence
-//! from the replica itself. Even if the replica has started to drain since then, the attempt is within the grace. Half of
+//! Invariant: if evidence is required, the first byte of each attempt is sent within the drain grace after the evidence was
+//! requested from the replica. Even if the replica has started to drain since then, the attempt is within the grace. Half of
 //! the grace is allowed for the age of the evidence at placement. The other half, less the time for which the process may
 //! stall, is allowed for the connection ([`max_write_start_delay`]).
 
 use crate::types::Seconds;
 
-/// A router process can stall for this long between reading its clock and writing an attempt.
+/// Allowance for a stall of the router process between reading its clock and writing an attempt.
 const MAX_PROCESS_STALL: Seconds = 0.15;
 /// Lower bound of the evidence lifetime and of the time for a connection. With a very short drain grace no evidence would
 /// ever be recent enough otherwise.
@@ -26,7 +28,8 @@
 const DECLINE_BACKOFF: Seconds = 0.5;
 /// Other replicas are preferred to one that has not answered its probe within this time.
 const PROBE_TIMEOUT: Seconds = 0.1;
-/// The longest time for which requests wait for a poll; after that an answer based on the old list is better for clients.
+/// The longest time for which requests wait for a poll; after that an attempt based on the old list is better for clients
+/// than further waiting.
 const MAX_POLL_WAIT: Seconds = 3.0;
 
 /// How long a replica's successful answer to a probe is valid as evidence.
@@ -34,8 +37,8 @@
     (drain_grace * EVIDENCE_AGE_FRACTION).max(MIN_LIFETIME)
 }
 
-/// If the endpoint list is not current when an attempt is placed, its first byte must be written within this time. Both
-/// times are in seconds.
+/// The time, in seconds, within which the first byte of an attempt must be written after its placement, if the endpoint list
+/// was not current at placement. `drain_grace` is in seconds as well.
 pub fn max_write_start_delay(drain_grace: Seconds) -> Seconds {
     (drain_grace * (1.0 - EVIDENCE_AGE_FRACTION) - MAX_PROCESS_STALL).max(MIN_LIFETIME)
 }
@@ -49,7 +52,7 @@
     Restored { at: Seconds },
     /// The first part of an answer, which may have announced a drain, arrived at this time.
     Incomplete { at: Seconds },
-    /// The last poll has failed or is overdue, or requests must not wait for a poll.
+    /// The last poll has failed or is overdue, or nothing listens on the discovery address. Requests do not wait for a poll.
     Unconfirmed,
 }
 
@@ -93,11 +96,11 @@
 pub(crate) struct ReplicaEvidence {
     /// Send time of the last successful probe, unless the replica has declined since.
     accepted_at: Option<Seconds>,
-    /// When a probe or an attempt last failed, unless a probe has succeeded since.
+    /// When the replica last declined a probe or an attempt or was unreachable, unless a probe has succeeded since.
     declined_at: Option<Seconds>,
     probes_in_flight: usize,
-    /// No later than the send time of any probe in flight. Answers are dated back to it, because they are not matched to
-    /// probes.
+    /// Lower bound of the send times of the probes in flight. An answer counts as evidence from this time on, because it is
+    /// unknown which of the probes it answers.
     sent_at: Seconds,
 }
 
@@ -128,7 +131,7 @@
         self.declined_at = Some(now);
     }
 
-    /// Whether the replica has accepted a probe within `lifetime`.
+    /// Whether the replica has answered a probe successfully that was sent less than `lifetime` ago.
     pub(crate) fn is_valid(&self, now: Seconds, lifetime: Seconds) -> bool {
         self.accepted_at.is_some_and(|at| now < at + lifetime)
     }
@@ -137,7 +140,7 @@
         self.probes_in_flight > 0
     }
 
-    /// Whether other replicas should be preferred, because this one has declined or its probe has timed out.
+    /// Whether the replica should not be used now, because it has recently declined or has not answered its probe in time.
     pub(crate) fn is_suspect(&self, now: Seconds) -> bool {
         let has_declined = self
             .declined_at
--- a/crates/scheduler/src/endpoint_poll.rs
+++ b/crates/scheduler/src/endpoint_poll.rs
@@ -2,7 +2,9 @@
 
 use crate::types::Seconds;
 
-/// A failed poll is retried within this time. Two such intervals and a call of 2.2 s stay below 6 s.
+/// A failed poll is retried within this time. A change counts as notified 6 s after discovery has it, even if a router has
+/// not received it; two retries and an answer from a busy discovery service, which takes up to 2.2 s, must fit into these
+/// 6 s.
 const RETRY_INTERVAL: Seconds = 1.84;
 /// The minimum delay of a retry as a fraction of [`RETRY_INTERVAL`].
 const MIN_RETRY_FRACTION: f64 = 0.1;
@@ -11,7 +13,8 @@
 /// The first polls are spread over this fraction of the poll interval, if that is shorter.
 const START_SPREAD_FRACTION: f64 = 1.0 / 4.0;
 
-/// The schedule of polls. `spread` is this router's position among all routers, from 0 to 1.
+/// The time of the next poll. The methods' parameter `spread` is this router's position among all routers, from 0 to 1, and
+/// keeps routers from polling at the same time.
 #[derive(Default)]
 pub(crate) struct EndpointPoll {
     next_poll_at: Option<Seconds>,
--- a/crates/scheduler/src/fair_queue.rs
+++ b/crates/scheduler/src/fair_queue.rs
@@ -1,8 +1,8 @@
 //! The queue of requests that wait for capacity: strict priority tiers, deficit round robin over tenants within a tier, and
 //! earliest deadline first within a tenant.
 //!
-//! Deficit round robin adds a quantum to the deficit of each tenant in its turn and dispatches the tenant's requests while
-//! the deficit covers their cost. Tenants thus get equal shares of the capacity in tokens, whatever their requests cost.
+//! Deficit round robin visits the tenants in turn, adds a quantum to the tenant's deficit and dispatches the tenant's requests
+//! while the deficit covers their cost. Tenants thus get equal shares of the capacity in tokens, whatever their requests cost.
 
 use crate::time::to_micros;
 use crate::types::{RequestId, SchedulerSettings, Seconds};
@@ -55,7 +55,7 @@
 /// All queued requests of one priority weight.
 struct Tier {
     priority_weight: f64,
-    /// The priority weight is below that of every request within its tenant's quota.
+    /// The priority weight is below that of every class, so the tier holds only requests beyond their tenants' quotas.
     is_best_effort: bool,
     queues: Vec<TenantQueue>,
     /// Tenants with queued requests, in round-robin order.
--- a/crates/scheduler/src/fleet_view.rs
+++ b/crates/scheduler/src/fleet_view.rs
@@ -11,7 +11,7 @@
 /// The fixed overhead of an attempt, in prompt tokens: connecting, a batch step and the first token.
 pub(crate) const ATTEMPT_OVERHEAD_TOKENS: f64 = 500.0;
 
-/// A consistent view for one decision.
+/// The state that one decision is based on.
 #[derive(Clone, Copy)]
 pub(crate) struct FleetView<'a> {
     pub(crate) now: Seconds,
@@ -63,8 +63,8 @@
                 .has_free_slot_at_replica(replica.in_flight())
     }
 
-    /// Whether a replica that has recently reported to be idle may be used beyond the limit, which is too coarse if there
-    /// are more routers than replicas.
+    /// Whether a replica that has recently reported to be idle may be used beyond the router's concurrency limit, which is too
+    /// coarse if there are more routers than replicas.
     fn is_idle_beyond_limit(&self, replica: &Replica) -> bool {
         self.concurrency.has_sparse_feedback()
             && replica.load.is_recent(self.now)
--- a/crates/scheduler/src/hedging.rs
+++ b/crates/scheduler/src/hedging.rs
@@ -15,7 +15,7 @@
     OVERDUE_FACTOR * estimated_ttft
 }
 
-/// Whether a request has exactly one attempt in flight and this attempt is overdue. `tolerance` is added to its limit.
+/// Whether a request has exactly one attempt in flight and this attempt has been overdue for longer than `tolerance`.
 pub(crate) fn is_overdue(request: &Request, now: Seconds, tolerance: Seconds) -> bool {
     let is_late = |attempt: &Attempt| {
         now - attempt.sent_at > overdue_after(attempt.estimated_ttft) + tolerance
--- a/crates/scheduler/src/host_types.rs
+++ b/crates/scheduler/src/host_types.rs
@@ -13,12 +13,12 @@
 const PREFILL_PRIOR_SAMPLES: f64 = PREFILL_SAMPLES / 100.0;
 /// Weight of an answer in the mean service time of its host type.
 const SERVICE_TIME_WEIGHT: f64 = LEARNING_RATE / 2.0;
-/// For the initial service time: answers are assumed to have a quarter of their maximum length and to be generated four
-/// times as fast as the inter-token objective demands.
+/// Divisor of the initial service time, which is based on the maximum answer length and the inter-token objective. Answers
+/// are assumed to have a quarter of the maximum length and to be generated four times as fast as the objective demands.
 const ANSWER_LIMIT_DIVISOR: f64 = 16.0;
-/// The batch size before any report has shown one: the smallest that is usual for model servers.
+/// The batch size until one is known from load reports: the smallest one that model servers commonly have.
 const DEFAULT_BATCH_SIZE: f64 = 16.0;
-/// Weight of one inferred batch size in their mean.
+/// Weight of a new sample in the mean of inferred batch sizes.
 const BATCH_SIZE_WEIGHT: f64 = 0.1;
 /// Lower bound of inferred batch sizes.
 const MIN_INFERRED_BATCH_SIZE: f64 = 2.0;
@@ -111,8 +111,8 @@
         self.batch_sizes.insert(host_type, requests);
     }
 
-    /// Infers a batch size from a report of queued requests without the number of requests held, which is estimated: with a
-    /// queue, the batch size is the difference; without a queue, the batch size is at least the requests held.
+    /// Infers a batch size from a report that contains the queued requests but not the requests held. `held` is therefore an
+    /// estimate. With a queue, the batch size is the difference of the two; without a queue, it is at least `held`.
     pub(crate) fn infer_batch_size(&mut self, host_type: usize, held: f64, queued: f64) {
         let known = self.batch_sizes.get(&host_type).copied();
         let has_queue = queued >= MIN_QUEUED;
--- a/crates/scheduler/src/latency_estimate.rs
+++ b/crates/scheduler/src/latency_estimate.rs
@@ -17,9 +17,9 @@
 const QUEUED_TOKENS_WEIGHT: f64 = 0.4;
 /// Weight of the reported requests of other routers. Reports arrive with the end of answers and may be outdated.
 const REPORT_WEIGHT: f64 = 0.3;
-/// Variance of the number of requests held, right after a report.
+/// Variance of the number of requests held right after a load report.
 const HELD_VARIANCE: f64 = 0.2;
-/// Lower bound of the mean number of other routers' requests in the variance.
+/// Lower bound of the mean number of other routers' requests from which the variance of the requests held is derived.
 const MIN_OTHERS_VARIANCE: f64 = 0.1;
 /// Ratio of the standard deviation of a normal distribution to the scale of the logistic distribution that approximates it.
 const LOGISTIC_SCALE: f64 = 1.7;
@@ -29,13 +29,13 @@
 const UNANSWERED_PROBE_DELAY: Seconds = 0.3;
 /// A replica with an overdue attempt is expected to remain unresponsive for this fraction of the time since that attempt.
 const UNRESPONSIVE_FRACTION: f64 = 0.5;
-/// Prefill delays all requests that run at the replica: the cost of one second for each of them.
+/// The cost of one second of prefill for each request that runs at the replica, because prefill delays all of them.
 const PREFILL_COST: f64 = 0.15;
-/// Added to the number of delayed requests if the session's previous turn is known.
+/// Added to the number of requests that a prefill delays, if the session's previous turn is known.
 const EXTRA_DELAYED_WITH_PREVIOUS_TURN: f64 = 4.0;
-/// Added to the number of delayed requests otherwise.
+/// Added to the number of requests that a prefill delays, if the session's previous turn is unknown.
 const EXTRA_DELAYED_OTHERWISE: f64 = 1.0;
-/// Batch slots and memory in use are unavailable to later requests: the cost of a full batch, or of full memory.
+/// The cost of a full batch, or of full memory, because batch slots and memory in use are unavailable to later requests.
 const OCCUPANCY_COST: f64 = 0.3;
 /// Upper bound of the batch load, in full batches.
 const MAX_BATCH_LOAD: f64 = 8.0;
@@ -49,8 +49,8 @@
     prompt_tokens: f64,
     shared_prefix_tokens: f64,
     previous_turn: Option<PreviousTurn>,
-    /// Where the session's prompts are expected to be cached; `None` if its previous turn is known or a probe there is
-    /// unanswered.
+    /// The replica expected to have the session's prompts in its cache; `None` if this router knows the replica of the
+    /// previous turn, or if a probe of the affinity replica is unanswered.
     affinity_replica: Option<ReplicaId>,
     /// Time after which a first token is worth nothing.
     time_left: Seconds,
@@ -60,9 +60,9 @@
 
 /// The parameters of estimates that follow from the scheduler's timing.
 pub(crate) struct EstimateTiming {
-    /// Lower bound of the time left.
+    /// Lower bound of [`EstimateInput::time_left`].
     pub(crate) min_time_left: Seconds,
-    /// A probe counts as unanswered after this time.
+    /// A probe that has been in flight for longer than this counts as unanswered.
     pub(crate) probe_answer_time: Seconds,
 }
 
@@ -172,14 +172,14 @@
     }
 }
 
-/// The probability that the first token is late, if the error is about as large as the estimate.
+/// The probability that the first token is late, if the error of the estimate is about as large as the estimate itself.
 fn lateness(time_to_first_token: Seconds, time_left: Seconds) -> f64 {
     let squared = time_to_first_token * time_to_first_token;
     squared / (squared + time_left * time_left)
 }
 
-/// The part of the prompt expected in a replica's cache: the previous turn if this router sent it there, otherwise according
-/// to the hit rate of affinity replicas or of shared prefixes.
+/// The part of the prompt expected in a replica's cache: the previous turn, if this router sent it there; the whole prompt, if
+/// this is the session's affinity replica; otherwise the shared prefix. Each part is multiplied by its learned hit rate.
 fn cached_prompt(view: &FleetView<'_>, input: &EstimateInput, id: ReplicaId) -> CachedPrompt {
     let hit_rate = |source| view.prompt_cache.hit_rate(source);
     let shared_prefix = input.shared_prefix_tokens * hit_rate(CacheSource::SharedPrefix);
@@ -241,8 +241,9 @@
     }
 }
 
-/// The mean number of requests in excess of a full batch, if the requests held are normally distributed (approximated by a
-/// logistic distribution). `mean_excess` may be negative.
+/// The mean number of requests in excess of a full batch, if the number of requests held is normally distributed
+/// (approximated by a logistic distribution). `mean_excess` is the mean difference to a full batch and may be negative;
+/// `others` is the mean number of other routers' requests.
 fn excess_over_batch(mean_excess: f64, others: f64, report_weight: f64) -> f64 {
     let unreported = 1.0 - report_weight * report_weight;
     let variance = others.max(MIN_OTHERS_VARIANCE) * unreported + HELD_VARIANCE;
--- a/crates/scheduler/src/outlier_detection.rs
+++ b/crates/scheduler/src/outlier_detection.rs
@@ -8,7 +8,7 @@
 
 /// Number of consecutive failures that eject a replica.
 const EJECTION_FAILURES: u32 = 3;
-/// The pause between the trials of an ejected replica, and after a replica was at capacity.
+/// The pause between the trials of an ejected replica, and after a replica has declined an attempt for lack of capacity.
 const PAUSE_DURATION: Seconds = 0.7;
 /// The pause doubles with each failed trial of a replica whose streams break, at most this many times, because each such
 /// trial costs a client its answer.
@@ -77,8 +77,8 @@
         now >= self.paused_until || (is_panic_mode && !self.is_unresponsive())
     }
 
-    /// Whether the replica may be an affinity candidate. This includes replicas ejected for broken streams whose trial is
-    /// due, because while others have capacity they get trials only as affinity replicas.
+    /// Whether the replica may be an affinity candidate. A replica that is ejected for broken streams may be one when its trial
+    /// is due, because while other replicas have capacity it gets a trial only as an affinity replica.
     pub(crate) fn is_affinity_candidate(&self, now: Seconds) -> bool {
         let is_trial_due = self.consecutive_failures < EJECTION_FAILURES
             && !self.is_unresponsive()
@@ -97,7 +97,7 @@
         self.last_response_at
     }
 
-    /// Time of the last answer, if no attempt or stream has failed since.
+    /// Time of the last response; `None` if there was none or an attempt or a stream has failed since.
     pub(crate) fn last_success_at(&self) -> Option<Seconds> {
         let has_failed = self.consecutive_failures > 0 || self.consecutive_stream_failures > 0;
         Some(self.last_response_at).filter(|at| !has_failed && *at > 0.0)
@@ -122,7 +122,7 @@
     }
 
     /// Records a response. Only an answer to a request (`is_answer`) resets the failures, because a probe shows only that
-    /// the process runs. If the replica was unresponsive, returns the time since when.
+    /// the process runs. Returns since when the replica was unresponsive; `None` if it was not.
     pub(crate) fn record_response(&mut self, now: Seconds, is_answer: bool) -> Option<Seconds> {
         self.last_response_at = now;
         if is_answer {
@@ -188,7 +188,7 @@
     }
 }
 
-/// Whether so many replicas are ejected that the cause is probably not the replicas.
+/// Whether so many of the available replicas are ejected that they probably have a common cause outside the replicas.
 pub(crate) fn is_panic_mode(ejected_count: usize, available_count: usize) -> bool {
     2 * ejected_count > available_count
 }
--- a/crates/scheduler/src/placement.rs
+++ b/crates/scheduler/src/placement.rs
@@ -37,13 +37,13 @@
     let has_free_slot = view.has_free_slot(limits.is_best_effort);
     // Other replicas would have to prefill again what the affinity replica has in its cache, so the router's concurrency
     // limit does not apply to the affinity replica.
-    let unlimited = affinity.first().copied().filter(|_| has_sparse_feedback);
-    let is_open = |id: ReplicaId, replica: &Replica| {
-        view.has_capacity(replica, has_free_slot || unlimited == Some(id))
+    let exempt_replica = affinity.first().copied().filter(|_| has_sparse_feedback);
+    let is_eligible = |id: ReplicaId, replica: &Replica| {
+        view.has_capacity(replica, has_free_slot || exempt_replica == Some(id))
             && retry::may_run_at(view, request, replica)
             && (limits.may_cross_zones || view.is_local_zone(replica))
     };
-    let is_new = |id: ReplicaId| {
+    let is_untried = |id: ReplicaId| {
         request
             .attempts()
             .iter()
@@ -57,9 +57,9 @@
         let qualified = all.filter(|(id, replica)| qualifies(*id, replica));
         qualified.map(|(id, _)| id).collect()
     };
-    let mut selected = select(&|id, replica| is_open(id, replica) && is_new(id));
+    let mut selected = select(&|id, replica| is_eligible(id, replica) && is_untried(id));
     if selected.is_empty() {
-        selected = select(&is_open);
+        selected = select(&is_eligible);
     }
     let input = EstimateInput::new(view, request, &affinity, timing);
     estimate_all(view, &input, &selected)
--- a/crates/scheduler/src/replica.rs
+++ b/crates/scheduler/src/replica.rs
@@ -13,7 +13,7 @@
 pub(crate) const PROBE_INTERVAL: Seconds = 1.0;
 /// The weight of a load report falls linearly to 0 over this time.
 const REPORT_LIFETIME: Seconds = 3.0;
-/// Reported numbers of tokens or requests from this on are impossible and ignored.
+/// Reported numbers of tokens or requests that are not below this are impossible and ignored.
 const MAX_REPORTED: f64 = 1e9;
 /// Fewer reported queued requests than this count as no queue.
 const MIN_QUEUED: f64 = 0.5;
@@ -48,7 +48,7 @@
     pub(crate) requests_queued: f64,
     /// `None` if reports do not contain it.
     pub(crate) requests_held: Option<HeldRequests>,
-    /// Batch size, derived from a report with queued requests.
+    /// Batch size, derived from a report that contains requests held and queued; `None` before the first such report.
     pub(crate) batch_size: Option<f64>,
 }
 
@@ -97,7 +97,7 @@
         now < self.reported_at + PROBE_INTERVAL
     }
 
-    /// The weight of the report, from 1 when new to 0.
+    /// The weight of the report, from 1 for a new report down to 0 at the age of [`REPORT_LIFETIME`].
     pub(crate) fn freshness(&self, now: Seconds) -> f64 {
         (1.0 - self.age(now) / REPORT_LIFETIME).max(0.0)
     }
@@ -247,7 +247,7 @@
         self.slow_start.record_attempt();
     }
 
-    /// Records a first token, after which the prompt is prefilled, and the error of its estimate.
+    /// Records a first token, which shows that the prompt has been prefilled, and the error of its estimated time.
     pub(crate) fn record_first_token(
         &mut self,
         prefill_tokens: f64,
@@ -276,8 +276,8 @@
         self.load.record(report, now, self.in_flight);
     }
 
-    /// Prompt tokens that the replica prefills before those of an attempt sent now. `mean_queued_tokens` is used as far as
-    /// there is no recent report.
+    /// Prompt tokens that the replica prefills before those of an attempt sent now. As a load report ages, its weight passes
+    /// to `mean_queued_tokens`.
     pub(crate) fn queued_tokens(&self, now: Seconds, mean_queued_tokens: f64) -> f64 {
         let weight = self.load.freshness(now);
         let reported = self.load.queued_prompt_tokens() * weight;
--- a/crates/scheduler/src/request.rs
+++ b/crates/scheduler/src/request.rs
@@ -8,9 +8,9 @@
 ///
 /// | from | event | to |
 /// |---|---|---|
-/// | `NotQueued` | it is queued: at its arrival, for a retry or for a hedged attempt | `Queued` |
-/// | `Queued` | it is dispatched, deferred or expires, or another attempt streams | `NotQueued` |
-/// | `NotQueued`, `Queued` | it has its final answer, or its client has disconnected | `Finished` |
+/// | `NotQueued` | the request is queued: at its arrival, for a retry or for a hedged attempt | `Queued` |
+/// | `Queued` | the request is dispatched, deferred or expires, or one of its attempts gets its first token | `NotQueued` |
+/// | `NotQueued`, `Queued` | the request has its final answer, or its client has disconnected | `Finished` |
 ///
 /// A request that is not queued has attempts in flight, or is deferred until load reports arrive or capacity changes. A
 /// finished request is stored until its last attempt has ended, and is never queued again.
@@ -68,7 +68,7 @@
         }
     }
 
-    /// The replica that was probed for evidence for the request's next attempt.
+    /// The replica whose evidence the request's next attempt waits for; `None` if no replica was probed for the request.
     pub(crate) fn awaited_replica(&self) -> Option<ReplicaId> {
         self.awaited_replica
     }
@@ -97,8 +97,8 @@
         self.deadlines
     }
 
-    /// Limits its deadlines to the router's answer deadline. The request must not be queued, because the queue finds it by
-    /// its deadlines.
+    /// Limits the request's deadlines to the router's answer deadline. The request must not be queued, because the queue finds
+    /// it by its deadlines.
     pub(crate) fn shorten_deadlines(&mut self, answer_deadline: Seconds) {
         debug_assert!(!self.is_queued());
         self.deadlines.deadline = self.deadlines.deadline.min(answer_deadline);
@@ -109,7 +109,7 @@
         self.position.tier
     }
 
-    /// Moves it to another tier. The request must not be queued, because the queue finds it by its tier.
+    /// Moves the request to another tier. The request must not be queued, because the queue finds it by its tier.
     pub(crate) fn set_tier(&mut self, tier: usize) {
         debug_assert!(!self.is_queued());
         self.position.tier = tier;
@@ -139,7 +139,7 @@
         self.state == RequestState::Finished
     }
 
-    /// Marks it as queued; returns false if it is already queued or finished.
+    /// Returns false if the request is already queued or finished.
     pub(crate) fn mark_queued(&mut self) -> bool {
         let is_queueable = self.state == RequestState::NotQueued;
         if is_queueable {
@@ -148,7 +148,7 @@
         is_queueable
     }
 
-    /// Marks it as not queued; returns false if it was not queued.
+    /// Returns false if the request was not queued.
     pub(crate) fn mark_dequeued(&mut self) -> bool {
         let was_queued = self.is_queued();
         if was_queued {
@@ -157,7 +157,7 @@
         was_queued
     }
 
-    /// Marks it as finished. The request must not be queued.
+    /// The request must not be queued.
     pub(crate) fn mark_finished(&mut self) {
         debug_assert!(!self.is_queued());
         self.state = RequestState::Finished;
@@ -189,7 +189,7 @@
         self.attempts.iter().any(Attempt::is_streaming)
     }
 
-    /// Whether it has neither a final answer nor a first token.
+    /// Whether the request has neither a final answer nor a first token.
     pub(crate) fn awaits_first_token(&self) -> bool {
         !self.is_finished() && !self.is_streaming()
     }
--- a/crates/scheduler/src/retry.rs
+++ b/crates/scheduler/src/retry.rs
@@ -1,4 +1,4 @@
-//! Retry rules: a request that a replica may have run is sent again only if the repeat has no second effect.
+//! Retry rules: a request that a replica may have run is sent again only if running it twice has no second effect.
 
 use crate::fleet_view::FleetView;
 use crate::replica::Replica;
--- a/crates/scheduler/src/scheduler/arrival.rs
+++ b/crates/scheduler/src/scheduler/arrival.rs
@@ -70,8 +70,8 @@
     ) -> Request {
         let ttft_objective = class.ttft_objective_for(incoming);
         let deadline = self.now + time_left;
-        let earns_when_late = class.late_weight > 0.0;
-        let useful_until = if earns_when_late {
+        let is_useful_when_late = class.late_weight > 0.0;
+        let useful_until = if is_useful_when_late {
             deadline
         } else {
             deadline.min(self.now + ttft_objective)
@@ -149,7 +149,8 @@
         !probed.is_empty()
     }
 
-    /// Whether load reports arrive only with probes, or too rarely with answers.
+    /// Whether replicas must be probed for load reports, because reports arrive only with probes or too rarely with answers;
+    /// false if replicas may not be probed.
     fn lacks_load_reports(&self) -> bool {
         let is_lacking = match self.settings.load_report_source {
             LoadReportSource::Probes => true,
--- a/crates/scheduler/src/scheduler/dispatch.rs
+++ b/crates/scheduler/src/scheduler/dispatch.rs
@@ -52,8 +52,8 @@
             placement::choose(candidates, || self.rng.rand_float())
         };
         if !has_candidates && !may_cross_zones {
-            // Placement is repeated at each timer event; counting the interval in units makes one second of waiting one
-            // unit.
+            // Placement is repeated at each timer event. Each time the timer interval in seconds is added to the demand, so
+            // a request that waits for one second demands one unit.
             let units = TIMER_INTERVAL;
             self.budgets
                 .record_demand(BudgetKind::CrossZone, units, priority_weight);
@@ -61,7 +61,8 @@
         chosen.map(|candidate| candidate.attempt)
     }
 
-    /// Whether the cross-zone budget allows an attempt. A fraction of it is reserved for the highest priority.
+    /// Whether the cross-zone budget allows an attempt of this priority weight. A fraction of the budget is reserved for the
+    /// highest priority.
     fn may_cross_zones(&self, priority_weight: f64) -> bool {
         let reserved_fraction = if priority_weight < self.queue.highest_priority_weight() {
             RESERVED_CROSS_ZONE_FRACTION
@@ -92,8 +93,8 @@
         }
     }
 
-    /// Records the demand of an attempt for the slow-start budget, namely its share for each replica, and takes a unit of
-    /// the cross-zone budget if the replica is in another zone.
+    /// Records the demand of an attempt for the slow-start budget, and takes a unit of the cross-zone budget if the replica is
+    /// in another zone. The slow-start budget applies to each replica, so the attempt is divided by the number of replicas.
     fn record_budget_use(&mut self, id: RequestId, replica: ReplicaId) {
         let priority_weight = self.priority_weight(id);
         let units_per_replica = 1.0 / self.concurrency.max_available_replicas().max(1) as f64;
--- a/crates/scheduler/src/scheduler/evidence.rs
+++ b/crates/scheduler/src/scheduler/evidence.rs
@@ -32,8 +32,8 @@
         !self.settings.limits.allows_probes && self.list_confirmation.awaits_poll(self.now)
     }
 
-    /// Chooses a candidate, preferably the one whose evidence the request waits for. If the chosen replica has no valid
-    /// evidence, it is probed, and the result is `None` until it has answered.
+    /// Chooses a candidate, preferably the one whose evidence the request waits for. If there is no valid evidence for the
+    /// chosen replica, probes the replica and returns `None`; the request is placed again when the probe has ended.
     pub(super) fn choose_with_evidence(
         &mut self,
         id: RequestId,
--- a/crates/scheduler/src/scheduler/mod.rs
+++ b/crates/scheduler/src/scheduler/mod.rs
@@ -36,11 +36,10 @@
 use oorandom::Rand64;
 use std::collections::BTreeMap;
 
-/// How often all requests are checked: short compared with any latency objective, at low CPU cost.
+/// Interval at which all requests are checked: short compared with any latency objective, at low CPU cost.
 const TIMER_INTERVAL: Seconds = 0.02;
 /// Queued requests are answered this long before they expire, so that a late timer event does not make the answer late.
 const EXPIRY_MARGIN: Seconds = 0.03;
-/// The parameters of estimates that follow from the scheduler's timing.
 const ESTIMATE_TIMING: EstimateTiming = EstimateTiming {
     min_time_left: EXPIRY_MARGIN,
     probe_answer_time: TIMER_INTERVAL / 2.0,
@@ -67,9 +66,10 @@
     traffic: TrafficStatistics,
     host_types: HostTypeStatistics,
     prompt_cache: PromptCacheModel,
-    /// Most replicas are ejected. The cause is then probably a shared one, and avoiding all of them would only stop service.
+    /// Most replicas are ejected. They probably have a common cause, and avoiding all of them would only stop the service.
     is_panic_mode: bool,
-    /// Requests that wait for their first token must have their final answer by this time, because the router shuts down.
+    /// Requests without a first token must have their final answer by this time, because the router shuts down then; infinite
+    /// unless a shutdown has started.
     answer_deadline: Seconds,
 }
 
@@ -176,8 +176,8 @@
             .schedule_first(self.now, interval, spread);
     }
 
-    /// A position from 0 to 1 that spreads simultaneous work of all routers evenly: this router's interval among them, and a
-    /// random point within it.
+    /// A position from 0 to 1 that spreads simultaneous work of all routers evenly: the range is divided into one interval
+    /// for each router, and the position is random within this router's interval.
     fn spread_position(&mut self) -> f64 {
         let position = self.settings.router_index as f64 + self.rng.rand_float();
         position / self.settings.router_count as f64
--- a/crates/scheduler/src/scheduler/status.rs
+++ b/crates/scheduler/src/scheduler/status.rs
@@ -11,11 +11,11 @@
 /// Gauges for the log and for operators.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SchedulerGauges {
-    /// Maximum number of requests in flight at all warm replicas together.
+    /// Maximum number of this router's attempts in flight at all warm replicas together.
     pub concurrency_limit: f64,
-    /// Requests in flight at all warm replicas together.
+    /// This router's attempts in flight at all warm replicas together.
     pub in_flight: usize,
-    /// Queued requests by tenant.
+    /// Numbers of queued requests by the position of their tenant; one number if no tenants are configured.
     pub queued_by_tenant: Vec<usize>,
     /// Number of listed replicas and of removed replicas with attempts in flight.
     pub replica_count: usize,
@@ -24,16 +24,16 @@
 /// The health of one listed replica, as seen by this router.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ReplicaHealthStatus {
-    /// The replica.
+    /// The replica that the status describes.
     pub replica: ReplicaId,
-    /// It gets only single attempts as trials.
+    /// True if it has failed repeatedly or does not respond and therefore gets only single attempts as trials.
     pub is_ejected: bool,
-    /// When it last answered; `None` if it has never answered or an attempt has failed since.
+    /// When it last responded; `None` if it has never responded or an attempt has failed since.
     pub last_success_at: Option<Seconds>,
 }
 
 impl Scheduler {
-    /// The current gauges.
+    /// The gauges as of the last event.
     pub fn gauges(&self) -> SchedulerGauges {
         let rules = &self.settings.lifecycle;
         SchedulerGauges {
@@ -55,7 +55,7 @@
             .count()
     }
 
-    /// The health of each listed replica.
+    /// The health of each listed replica as of the last event, in the order of their addresses.
     pub fn replica_health(&self) -> Vec<ReplicaHealthStatus> {
         let mut health = Vec::new();
         for (id, replica) in self.replicas.iter() {
@@ -70,7 +70,7 @@
         health
     }
 
-    /// Replaces the budget grants; a kind that is missing has no budget any more.
+    /// Replaces the budget grants; a kind that is missing is no longer limited by a fleet-wide budget.
     pub fn set_budget_grants(&mut self, grants: &BudgetGrants) {
         self.budgets.set_grants(self.now, grants);
     }
--- a/crates/scheduler/src/scheduler/timer.rs
+++ b/crates/scheduler/src/scheduler/timer.rs
@@ -27,7 +27,7 @@
     }
 
     /// Removes queued requests whose first token can no longer arrive in time, because they would only use up capacity. A
-    /// request is not answered yet if another attempt of it is in flight, which may still be in time.
+    /// request with an attempt in flight is not answered yet, because that attempt may still be in time.
     fn answer_expired(&mut self, actions: &mut Vec<Action>) {
         let margin = EXPIRY_MARGIN.max(self.traffic.mean_time_to_first_token());
         while let Some(id) = self.queue.first_expiring_by(self.now + margin) {
@@ -77,9 +77,9 @@
         }
     }
 
-    /// Checks a request without a first token. If it is past its deadline, it is answered. If its attempts are overdue or at
-    /// unresponsive replicas, it is hedged or, where hedging is not allowed, its attempts are cancelled so that it is
-    /// retried.
+    /// Checks a request without a first token. If its deadline has passed, the router answers it. If its attempts are overdue
+    /// or at unresponsive replicas, it gets a hedged attempt; if the site does not allow hedging, its attempts are cancelled
+    /// so that it is retried.
     fn check_for_overdue_attempts(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self
             .requests
@@ -97,8 +97,8 @@
         let Some(request) = self.requests.get(&id) else {
             return;
         };
-        let is_wanted = is_stuck || is_hedging_due;
-        if !is_wanted || self.is_panic_mode || request.is_queued() || !self.may_retry(request) {
+        let needs_attempt = is_stuck || is_hedging_due;
+        if !needs_attempt || self.is_panic_mode || request.is_queued() || !self.may_retry(request) {
             return;
         }
         let attempt_rate = self.traffic.attempt_rate(self.now);
--- a/crates/scheduler/src/slow_start.rs
+++ b/crates/scheduler/src/slow_start.rs
@@ -1,6 +1,6 @@
-//! Slow start: a newly started replica gets at most the rate that a warm replica can handle, scaled by its warm-up fraction,
-//! and never a burst. All routers are notified of a start at the same time, so each of them has its own budget, which fills
-//! with time and does not accumulate. `docs/glossary.md` explains the underlying rule.
+//! Slow start: a newly started replica gets at most the attempts per second that a warm replica can handle, multiplied by its
+//! warm-up fraction, and never a burst. All routers are notified of a start at the same time, so each of them has its own
+//! budget for the replica, which is refilled with time and does not accumulate. `docs/glossary.md` explains the underlying rule.
 
 use crate::budgets::BudgetLedger;
 use crate::types::{BudgetKind, LifecycleRules, SchedulerSettings, Seconds, UNLIMITED_RATE};
@@ -51,8 +51,8 @@
     }
 
     /// Refills the budget for `elapsed`; `rate` is the attempts per second of a warm replica. The budget does not
-    /// accumulate. The budget of an idle router expires, because all idle routers would spend it at the same time in a burst
-    /// of traffic.
+    /// accumulate. The budget of an idle router expires, because otherwise all idle routers would spend their budgets at the
+    /// same time when a burst of traffic arrives.
     pub(crate) fn refill(&mut self, fraction: f64, rate: f64, elapsed: Seconds, is_idle: bool) {
         let added = fraction * rate * elapsed;
         let expired = if is_idle && self.budget > 0.0 {
@@ -79,9 +79,9 @@
         self.attempt_rate < IDLE_ATTEMPT_RATE
     }
 
-    /// Attempts per second that one warm replica can handle from this router. Taken from the fleet-wide budget; if there is
-    /// none, from the rate limits of all tenants, because with many routers the traffic of one of them is not
-    /// representative; if they are unlimited, from this router's own traffic.
+    /// Attempts per second that one warm replica can handle from this router. They are given by the fleet-wide budget. Without
+    /// such a budget they are derived from the rate limits of all tenants, because with many routers the traffic of one of
+    /// them is not representative. If the tenants are unlimited, they are derived from this router's own traffic.
     pub(crate) fn rate_per_replica(
         &self,
         now: Seconds,
--- a/crates/scheduler/src/statistics.rs
+++ b/crates/scheduler/src/statistics.rs
@@ -110,13 +110,13 @@
         cost
     }
 
-    /// Records an attempt for a request of this cost.
+    /// Records the dispatch of a request of this cost, that is, one attempt.
     pub(crate) fn record_dispatch(&mut self, now: Seconds, cost: f64) {
         self.dispatched_cost.record(now, cost);
         self.attempts.record(now, 1.0);
     }
 
-    /// Removes a declined attempt from the rate, which is used as a measure of what replicas can handle.
+    /// Removes an attempt that its replica has declined from the attempt rate, which measures what replicas can handle.
     pub(crate) fn retract_attempt(&mut self, now: Seconds) {
         self.attempts.record(now, -1.0);
     }
--- a/crates/scheduler/src/types/action.rs
+++ b/crates/scheduler/src/types/action.rs
@@ -5,37 +5,37 @@
 /// An action for the embedding program. Actions must be carried out in the order in which they were appended.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Start an attempt. The attempts of a request are numbered from zero in the order of these actions.
+    /// Start an attempt at a replica. The attempts of a request are numbered from zero in the order of these actions.
     StartAttempt {
-        /// The request.
+        /// The request that is sent.
         request: RequestId,
         /// The replica that gets the attempt.
         replica: ReplicaId,
-        /// The attempt times out if no first token arrives within this time.
+        /// Time from now until the attempt must be ended as timed out if no first token has arrived.
         timeout: Seconds,
     },
-    /// Final answer: reject the request. The client can retry it safely.
+    /// Answer the client that the request is rejected. The client can retry it without a second effect.
     Reject {
-        /// The request.
+        /// The request, which gets no further attempts.
         request: RequestId,
-        /// Seconds after which the client should retry.
+        /// Time after which the client should retry; at most [`SiteLimits::max_retry_after`](super::SiteLimits).
         retry_after: Seconds,
     },
-    /// Final answer: the request has failed and may have had an effect.
+    /// Answer the client that the request has failed. A replica may have run it.
     Fail {
-        /// The request.
+        /// The request, which gets no further attempts.
         request: RequestId,
     },
     /// Cancel an attempt that has had no first token.
     CancelAttempt {
-        /// The request.
+        /// The request to which the attempt belongs.
         request: RequestId,
-        /// The number of the attempt.
+        /// The attempt's number within the request, from zero.
         attempt: usize,
     },
     /// Probe a replica for its health and load report.
     Probe {
-        /// The replica.
+        /// The replica, whose answer or failure to answer is returned as [`Event::ProbeEnded`](super::Event::ProbeEnded).
         replica: ReplicaId,
     },
     /// Poll the endpoint list and watch it for changes.
--- a/crates/scheduler/src/types/budget.rs
+++ b/crates/scheduler/src/types/budget.rs
@@ -6,9 +6,9 @@
 /// The kinds of fleet-wide budgets, by what they are spent on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum BudgetKind {
-    /// Attempts after a request's first.
+    /// Attempts of a request after its earlier ones have ended without an answer.
     Retries,
-    /// Hedged attempts of overdue requests.
+    /// Second attempts that are sent while the first attempt of a request is overdue.
     HedgedAttempts,
     /// Probes of replicas.
     Probes,
@@ -18,7 +18,7 @@
     SlowStart,
     /// Polls of the endpoint list.
     Discovery,
-    /// Requests of the tenant at this position that count as within its quota.
+    /// Requests that count as within the quota of the tenant at this position in the settings.
     Tenant(usize),
 }
 
@@ -33,14 +33,15 @@
     pub guaranteed_rate: f64,
     /// Units that may accumulate without a valid grant.
     pub guaranteed_burst: f64,
-    /// When the grant expires.
+    /// When the grant expires; from then on only the guaranteed rate and burst apply.
     pub expires_at: Seconds,
 }
 
-/// The grants of the fleet to a router. For a kind without a budget only the router's own limits apply.
+/// One router's grants from all fleet-wide budgets. A kind that is missing has no fleet-wide budget; only the router's own
+/// limits apply to it.
 pub type BudgetGrants = BTreeMap<BudgetKind, BudgetGrant>;
 
-/// Units requested from a budget since the start, whether or not they were available.
+/// Units that a router has requested from a budget since its first grant, whether or not they were available.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct BudgetDemand {
     /// Number of units; fractions are possible.
--- a/crates/scheduler/src/types/event.rs
+++ b/crates/scheduler/src/types/event.rs
@@ -13,46 +13,46 @@
     EndpointsChanged(Vec<Endpoint>),
     /// A poll of the endpoint list failed, or its watch broke.
     EndpointListFailed,
-    /// Whether the endpoint list is known to be current has changed. Before the first such event it counts as current.
+    /// The status of the endpoint list has changed. Before the first such event it is [`EndpointListStatus::Confirmed`].
     EndpointListStatusChanged(EndpointListStatus),
     /// A client's request has arrived.
     RequestArrived(IncomingRequest),
     /// The first token of an attempt has arrived; from now on the request has no deadline.
     FirstToken {
-        /// The request.
+        /// The request to which the attempt belongs.
         request: RequestId,
-        /// The number of the attempt.
+        /// The attempt's number within the request, from zero.
         attempt: usize,
         /// Time since the attempt was started.
         elapsed: Seconds,
     },
     /// An attempt has ended. There is exactly one such event for each attempt.
     AttemptEnded {
-        /// The request.
+        /// The request to which the attempt belongs.
         request: RequestId,
-        /// The number of the attempt.
+        /// The attempt's number within the request, from zero.
         attempt: usize,
-        /// How it ended.
+        /// How the attempt ended.
         outcome: AttemptOutcome,
-        /// The client has its final answer or has disconnected.
+        /// True if the client has its final answer or has disconnected, so that the request needs no further attempt.
         is_request_finished: bool,
-        /// The load report in the answer, if there was one.
+        /// The load report in the answer; `None` if the answer has no report or there is no answer.
         report: Option<LoadReport>,
     },
     /// The client has disconnected; the request needs no answer.
     ClientDisconnected(RequestId),
     /// A probe has ended.
     ProbeEnded {
-        /// The replica.
+        /// The replica that was probed.
         replica: ReplicaId,
-        /// How it ended.
+        /// How the probe ended; only [`AttemptOutcome::Completed`] shows that the replica accepts requests.
         outcome: AttemptOutcome,
-        /// The load report in the answer, if there was one.
+        /// The load report in the answer; `None` if the answer has no report or there is no answer.
         report: Option<LoadReport>,
     },
     /// Another router, which probes ejected replicas for the whole fleet, reports on one of them.
     OutlierAdvice {
-        /// The replica.
+        /// The ejected replica.
         replica: ReplicaId,
         /// True if the replica answered its probe successfully; false while it is still being probed.
         is_healthy: bool,
--- a/crates/scheduler/src/types/learned_state.rs
+++ b/crates/scheduler/src/types/learned_state.rs
@@ -9,7 +9,7 @@
 const MAX_PLAUSIBLE_VALUE: f64 = 1e9;
 const MAX_PLAUSIBLE_LOGARITHM: f64 = 30.0;
 
-/// A router's learned state. Host types are numbered as in its settings.
+/// A router's learned state. Host types are numbered as in the router's settings.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LearnedState {
     /// Number of requests that the state is based on.
@@ -32,7 +32,7 @@
     pub service_times: Vec<ServiceTime>,
     /// Batch sizes by host type.
     pub batch_sizes: Vec<BatchSize>,
-    /// How much of the expected cached prompt tokens was found in caches.
+    /// Fractions of the prompt tokens expected in replicas' caches that were found there.
     pub cache_hit_rates: CacheHitRates,
     /// Cost in tokens that corresponds to one second of client-declared work; `None` before any client has declared it.
     pub tokens_per_work_second: Option<f64>,
@@ -47,7 +47,7 @@
 pub struct PrefillTime {
     /// The host type.
     pub host_type: usize,
-    /// Number of first tokens in the mean, up to a maximum.
+    /// Number of first tokens that the mean is based on, up to a maximum.
     pub samples: f64,
     /// Mean natural logarithm of the time per prompt token, relative to the default prefill time.
     pub mean_logarithm: f64,
@@ -85,11 +85,11 @@
 /// The replica that served the previous turn of a session.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SessionRecord {
-    /// The session.
+    /// The session, as in [`IncomingRequest::session`](super::IncomingRequest).
     pub session: u64,
-    /// The replica.
+    /// Address of the replica that served the turn.
     pub replica: SocketAddr,
-    /// Prompt tokens of that turn.
+    /// Number of prompt tokens of the turn.
     pub prompt_tokens: f64,
 }
 
--- a/crates/scheduler/src/types/request.rs
+++ b/crates/scheduler/src/types/request.rs
@@ -15,19 +15,19 @@
 /// A client's request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct IncomingRequest {
-    /// Its id.
+    /// Unique; if the id of a request that is still in progress arrives again, the second request is ignored.
     pub id: RequestId,
-    /// The position of its class.
+    /// The position of its class in the settings; a request of an unknown class is rejected.
     pub class: usize,
-    /// The position of its tenant.
+    /// The position of its tenant in the settings; an unknown tenant is treated as the last one.
     pub tenant: usize,
-    /// The session, if any. The prompt of its next request begins with this prompt.
+    /// Identifies its session; `None` if it has none. The prompt of a session's next request begins with this prompt.
     pub session: Option<u64>,
-    /// Identifies the prompt prefix that other sessions share, if any.
+    /// Identifies the prompt prefix that other sessions share; `None` if there is no such prefix.
     pub shared_prefix: Option<u64>,
-    /// Time until the client's timeout.
+    /// Time until the client's timeout; a request with no time left is rejected.
     pub time_left: Seconds,
-    /// Expected work in seconds, if the client declares it.
+    /// Expected work in seconds; `None` if the client does not declare it.
     pub expected_work: Option<Seconds>,
     /// Prompt tokens, including the shared prefix.
     pub prompt_tokens: u64,
--- a/crates/scheduler/src/types/settings.rs
+++ b/crates/scheduler/src/types/settings.rs
@@ -13,11 +13,11 @@
     pub zone: usize,
     /// The classes of requests; at least one.
     pub classes: Vec<RequestClass>,
-    /// The tenants; may be empty.
+    /// The tenants; if empty, all requests belong to tenant 0, which has no rate limit of its own.
     pub tenants: Vec<Tenant>,
     /// The priority weight of a request beyond its tenant's quota, as a fraction of its class's weight.
     pub over_quota_weight: f64,
-    /// What the routers may do.
+    /// Restrictions that the site imposes on its routers.
     pub limits: SiteLimits,
     /// Costs that placement takes into account.
     pub costs: CostWeights,
@@ -102,7 +102,7 @@
     pub rate_limit: f64,
 }
 
-/// What the routers of a site may do.
+/// Restrictions that a site imposes on its routers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SiteLimits {
     /// Replicas may be probed.
@@ -131,15 +131,15 @@
 /// How load reports are obtained.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadReportSource {
-    /// With answers and with probes.
+    /// Replicas send load reports with answers to requests and to probes.
     Inline,
-    /// With probes only.
+    /// Replicas send load reports with answers to probes only.
     Probes,
-    /// There are none.
+    /// Replicas send no load reports.
     Off,
 }
 
-/// Parameters of draining, slow start and polling.
+/// Parameters of draining, slow start and polling, equal for all replicas of the site.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LifecycleRules {
     /// No attempt may be sent to a replica later than this after it was announced as draining.
@@ -159,7 +159,7 @@
 /// How the endpoint list reaches a router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointListMode {
-    /// Changes are pushed without a request.
+    /// Discovery pushes changes; the router does not poll.
     Pushed,
     /// The list arrives only after [`Action::WatchEndpoints`](super::Action::WatchEndpoints).
     Polled,
@@ -179,13 +179,13 @@
     /// There is no request class.
     #[error("settings: no request class")]
     NoClasses,
-    /// A number is negative or not finite.
+    /// This number, one of the settings, is negative or not finite.
     #[error("settings: {0} is not a finite number of 0 or more")]
     InvalidNumber(f64),
     /// The quotas of all tenants are 0.
     #[error("settings: the shares of all tenants are 0")]
     NoQuotas,
-    /// The limit of attempts for a request is 0.
+    /// [`SiteLimits::max_attempts`] is 0, so no request could be sent.
     #[error("settings: the maximum number of attempts is 0")]
     NoAttempts,
     /// The endpoint list is polled, but the poll interval is 0.
@@ -197,8 +197,8 @@
     /// Checks the constraints that the types do not express.
     ///
     /// # Errors
-    /// There must be at least one class, all numbers must be finite and 0 or more, and limits that are divisors or bounds
-    /// must be above 0.
+    /// The router index is not below the router count, there is no class, a number is negative or not finite, the quotas of
+    /// all tenants are 0, no attempt is allowed, or the endpoint list must be polled at an interval of 0.
     pub fn check(&self) -> Result<(), SettingsError> {
         if self.router_count == 0 || self.router_index >= self.router_count {
             return Err(SettingsError::RouterOutOfRange {
