--- a/src/routing/command.rs
+++ b/src/routing/command.rs
@@ -31,7 +31,7 @@
         /// The attempt's number within the request, from 0.
         attempt: usize,
     },
-    /// Reject the request.
+    /// Send the client a response that rejects the request and names the time for a retry.
     Reject {
         /// The request to reject.
         request: RequestId,
@@ -43,11 +43,11 @@
         /// The request that has failed.
         request: RequestId,
     },
-    /// Request the load report or the health of a replica.
+    /// Probe a replica for its health and load report.
     Probe {
         /// The replica to probe.
         replica: ReplicaId,
     },
-    /// Start watching the endpoint list.
+    /// Poll the endpoint list and watch it for changes.
     WatchEndpoints,
 }
--- a/src/routing/cross_zone.rs
+++ b/src/routing/cross_zone.rs
@@ -1,5 +1,5 @@
 //! Counts attempts that were sent completely to a replica in another zone, by minute, class and tenant. The driver counts an
-//! attempt once its last byte has been written, so that the counts equal those of the replicas.
+//! attempt once its last byte has been written, so that the counts equal the numbers of requests that the replicas receive.
 
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/src/routing/directory.rs
+++ b/src/routing/directory.rs
@@ -17,7 +17,7 @@
 
 const MICROS_PER_MILLI: i64 = 1_000;
 const MICROS_PER_SECOND: f64 = 1e6;
-/// Upper bound of the clock difference between two machines.
+/// Assumed upper bound of the clock difference between two machines. A start time further in the future is implausible.
 const MAX_CLOCK_SKEW_US: i64 = 1_000_000;
 
 const FNV_PRIME: u64 = 0x0000_0100_0000_01b3;
@@ -25,15 +25,15 @@
 const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
 /// A different basis, for the lower half of an id.
 const LOWER_HALF_BASIS: u64 = 0x9e37_79b9_7f4a_7c15;
-/// Spreads the last byte of a name over the hash.
+/// Number of bits by which a hash is rotated, to spread the effect of a name's last byte.
 const ROTATION: u32 = 29;
 
-/// The endpoint sources and the interpretation of their entries.
+/// The endpoint sources, and the meaning of the weights in their entries.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointSourceSettings {
     /// The sources and the rules for merging their lists.
     pub registry: RegistrySettings,
-    /// DNS weight of a replica with ordinary capacity. `None`: DNS weights do not state a capacity.
+    /// DNS weight that corresponds to a capacity of 1. `None` if DNS weights do not state a capacity.
     pub weight_unit: Option<f64>,
 }
 
@@ -63,7 +63,7 @@
     registry: EndpointRegistry,
     weight_unit: Option<f64>,
     listed: BTreeMap<ReplicaId, ListedReplica>,
-    /// The first reading of both clocks. The wall clock may step later.
+    /// The first reading of both clocks, to recognize later steps of the wall clock; `None` before the first update.
     first_reading: Option<ClockReading>,
 }
 
@@ -150,7 +150,7 @@
         self.apply_changes(registered, at)
     }
 
-    /// Applies new settings. Remaining sources keep the entries that they have reported.
+    /// Applies new settings. The entries of sources that remain configured are kept.
     pub fn update_settings(
         &mut self,
         sources: EndpointSourceSettings,
@@ -190,7 +190,8 @@
         let id = replica_id(&registered.name);
         let started_ms = registered.listing.started_ms;
         let known = self.listed.get(&id);
-        // Keep the time of an unchanged start: mapping it again with each list would look like a restart.
+        // The mapped time of an unchanged start is kept: mapping it again with each list would give a slightly different time,
+        // which would look like a restart.
         let started_at = match known.filter(|known| known.started_ms == started_ms) {
             Some(known) => known.endpoint.started_at,
             None => (started_ms > 0).then(|| self.start_time(started_ms, at)),
@@ -201,7 +202,7 @@
             return None;
         }
         if endpoint.state == EndpointState::Removed {
-            // The scheduler is not notified of the removal of an endpoint that it never received.
+            // No change is returned for an endpoint that the scheduler has never received.
             return self.listed.remove(&id).map(|_| endpoint);
         }
         let listed = ListedReplica {
@@ -248,7 +249,7 @@
         }
     }
 
-    /// The capacity of a replica relative to an ordinary one; `None` if the entry does not state it.
+    /// The capacity of a replica relative to other replicas; `None` if the entry does not state it.
     fn capacity_weight(&self, entry: &ListedEndpoint) -> Option<f64> {
         let is_from_dns = entry.priority.is_some();
         if !is_from_dns {
--- a/src/routing/event.rs
+++ b/src/routing/event.rs
@@ -18,7 +18,7 @@
         /// The attempt's number within the request, from 0.
         attempt: usize,
     },
-    /// An attempt has ended, other than by the router's abandoning it.
+    /// An attempt that the router has not abandoned has ended.
     AttemptEnded {
         /// The request that the attempt belongs to.
         request: RequestId,
@@ -26,25 +26,25 @@
         attempt: usize,
         /// How the attempt ended.
         outcome: AttemptOutcome,
-        /// The load report in the response, if any.
+        /// The load report in the response; `None` if the response has no report or there is no response.
         report: Option<LoadReport>,
     },
     /// A probe has ended.
     ProbeEnded {
         /// The replica that was probed.
         replica: ReplicaId,
-        /// How the probe ended.
+        /// How the probe ended; [`AttemptOutcome::Completed`] if the replica accepts requests.
         outcome: AttemptOutcome,
-        /// The load report in the response, if any.
+        /// The load report in the response; `None` if the response has no report or there is no response.
         report: Option<LoadReport>,
     },
     /// A complete endpoint list. Replicas that are not on it are removed.
     EndpointsReplaced(Vec<Endpoint>),
     /// Changed entries of the endpoint list. All other entries remain.
     EndpointsChanged(Vec<Endpoint>),
-    /// Watching the endpoint list has failed.
+    /// A poll of the endpoint list has failed, or its watch broke.
     EndpointListFailed,
-    /// The age of the endpoint list has become known or uncertain.
+    /// The status of the endpoint list, which states whether the list is known to be current, has changed.
     EndpointListStatusChanged(EndpointListStatus),
     /// A verdict on one ejected replica, from the node that probes ejected replicas for the whole fleet.
     OutlierAdvice {
--- a/src/routing/learned_state.rs
+++ b/src/routing/learned_state.rs
@@ -8,11 +8,13 @@
 use poppykeel_site_settings::SiteNames;
 use serde::{Deserialize, Serialize};
 
-/// Maximum age of a record, in milliseconds. Beyond it, the next turns of its sessions have been routed elsewhere.
+/// Maximum age of a record, in milliseconds. After this time the next turns of the recorded sessions have already been sent
+/// to other replicas.
 const MAX_AGE_MS: i64 = 10_000;
-/// How far in the future a record may be dated, in milliseconds: the wall clock may be set back between two readings.
+/// How far in the future a record may be dated, in milliseconds: the wall clock may be set back between writing and reading.
 const MAX_CLOCK_SKEW_MS: i64 = 1_000;
-/// Maximum length of a record in bytes. Sixteen thousand sessions take less than half of it.
+/// Maximum length of a record in bytes. The scheduler's session table, with up to 16,384 sessions, takes less than half of
+/// it.
 pub const MAX_RECORD_BYTES: u64 = 2 << 20;
 /// Format number that this version writes and reads.
 const FORMAT: u8 = 1;
--- a/src/routing/request.rs
+++ b/src/routing/request.rs
@@ -43,7 +43,7 @@
 /// | `AwaitingFirstToken` | its deadline passes | `Ended(TimedOut)` |
 /// | `AwaitingFirstToken` | the scheduler cancels it | `Ended(Cancelled)` |
 /// | `AwaitingFirstToken`, `Streaming` | the client disconnects | `Ended(Cancelled)` |
-/// | `AwaitingFirstToken`, `Streaming` | its driver reports its end | `Ended` with the reported outcome |
+/// | `AwaitingFirstToken`, `Streaming` | the driver reports its end | `Ended` with the reported outcome |
 ///
 /// `Ended` is final: later events of an abandoned attempt are ignored.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -72,7 +72,7 @@
 /// The effect of the end of an attempt on its request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct AttemptEnd {
-    /// The first-token deadline of the attempt.
+    /// The first-token deadline of the attempt, for which a timer is set.
     pub(super) deadline: MonotonicMicros,
     /// Whether the attempt was streaming and its end has finished the request.
     pub(super) has_finished_request: bool,
--- a/src/routing/router.rs
+++ b/src/routing/router.rs
@@ -28,7 +28,7 @@
 pub struct ReplicaStatus {
     /// The scheduler's id of the replica.
     pub replica: ReplicaId,
-    /// Whether the replica is ejected as an outlier and receives only probes.
+    /// Whether the replica is ejected as an outlier and gets only probes and single attempts as trials.
     pub is_ejected: bool,
     /// When the last response arrived; `None` if there was none or an attempt has failed since.
     pub last_success_at: Option<MonotonicMicros>,
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Whether this id is in use: an id identifies one request at a time.
+    /// Whether this id is in use by a request that has not finished or still has attempts in progress.
     pub fn is_active(&self, id: RequestId) -> bool {
         self.requests.contains_key(&id)
     }
@@ -86,12 +86,13 @@
         self.statistics.failed_attempts()
     }
 
-    /// The outcome of the most recently started attempt of a request that has ended. It is the reason for the next attempt.
+    /// The outcome of a request's most recently started attempt among those that have ended, which is the reason for the next
+    /// attempt. `None` if no attempt has ended or the request is not active.
     pub fn last_attempt_outcome(&self, request: RequestId) -> Option<AttemptOutcome> {
         self.requests.get(&request)?.last_attempt_outcome()
     }
 
-    /// Number of listed replicas that currently get no requests, or only probes.
+    /// Number of listed replicas that are draining or ejected.
     pub fn unavailable_replica_count(&self) -> usize {
         self.scheduler.unavailable_replica_count()
     }
@@ -117,17 +118,19 @@
         self.scheduler.update_settings(settings)
     }
 
-    /// Called at shutdown: each request that waits for a first token gets a final response by this time.
+    /// Starts the shutdown: each request without a first token, also one that arrives later, gets a final response by this
+    /// time.
     pub fn set_response_deadline(&mut self, deadline: MonotonicMicros) {
         self.scheduler.set_response_deadline(seconds(deadline));
     }
 
-    /// Sets the share of this node in the budgets of the fleet, with effect from now on.
+    /// Replaces this node's grants from the fleet-wide budgets.
     pub fn set_budget_grants(&mut self, grants: &BudgetGrants) {
         self.scheduler.set_budget_grants(grants);
     }
 
-    /// This node's demand on each budget since the process started, granted or not.
+    /// The units that this node has requested from each fleet-wide budget since its first grant, whether or not they were
+    /// available.
     pub fn budget_demand(&self) -> BTreeMap<BudgetKind, BudgetDemand> {
         self.scheduler.budget_demand()
     }
@@ -251,7 +254,7 @@
         }
     }
 
-    /// Binds an attempt's stream to the client, or abandons the attempt if the request already has a response.
+    /// Makes an attempt's stream the response to the client, or abandons the attempt if the request already has a response.
     fn handle_first_token(
         &mut self,
         now: MonotonicMicros,
--- a/src/routing/router/actions.rs
+++ b/src/routing/router/actions.rs
@@ -72,7 +72,7 @@
     }
 
     fn reject(&mut self, id: RequestId, retry_after: Seconds, commands: &mut Vec<RouterCommand>) {
-        if let Some(class) = self.finish_without_response(id) {
+        if let Some(class) = self.finish_with_local_response(id) {
             self.statistics.count_rejection(class);
             commands.push(RouterCommand::Reject {
                 request: id,
@@ -83,7 +83,7 @@
     }
 
     fn fail(&mut self, id: RequestId, commands: &mut Vec<RouterCommand>) {
-        if let Some(class) = self.finish_without_response(id) {
+        if let Some(class) = self.finish_with_local_response(id) {
             self.statistics.count_failure(class);
             commands.push(RouterCommand::Fail { request: id });
         }
@@ -101,9 +101,9 @@
         }
     }
 
-    /// Finishes a request that gets its response from the node itself, and returns its class. Returns `None` if the request
-    /// already has a response.
-    fn finish_without_response(&mut self, id: RequestId) -> Option<usize> {
+    /// Finishes a request that gets its response from the node and not from a replica. Returns the request's class, or `None`
+    /// if it already has a response.
+    fn finish_with_local_response(&mut self, id: RequestId) -> Option<usize> {
         let request = self.requests.get_mut(&id)?;
         if request.has_response() {
             return None;
--- a/src/routing/statistics.rs
+++ b/src/routing/statistics.rs
@@ -41,9 +41,9 @@
     pub broken: u64,
     /// Requests whose client disconnected before the end of the response.
     pub disconnected: u64,
-    /// Attempts started, without those that ended as not sent.
+    /// Attempts started, without those that were not sent because their request already had a response.
     pub attempts_started: u64,
-    /// Attempts by outcome, in the order of [`COUNTED_OUTCOMES`].
+    /// Numbers of attempts that ended with each of [`COUNTED_OUTCOMES`], in their order.
     pub failed_attempts: [u64; COUNTED_OUTCOMES.len()],
 }
 
