--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -154,7 +154,7 @@
                 let rows = self.catalogs.get(&catalog).ok_or_else(|| {
                     HostError::unexpected(message, format!("a known catalog, not {catalog}"))
                 })?;
-                let endpoints = protocol::endpoints(rows, &instance.settings)?;
+                let endpoints = protocol::rows_to_endpoints(rows, &instance.settings)?;
                 if is_full {
                     Event::EndpointsReplaced(endpoints)
                 } else {
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -18,7 +18,7 @@
 /// Errors that end the program.
 #[derive(Debug, thiserror::Error)]
 enum AdapterError {
-    #[error("line {number}: {source}")]
+    #[error("line {number}: cannot read standard input: {source}")]
     Read { number: u64, source: std::io::Error },
     #[error("line {number}: expected UTF-8 text")]
     InvalidUtf8 { number: u64 },
@@ -28,7 +28,7 @@
     /// The input ends within a batch.
     #[error("line {number}: end of input: expected eob")]
     EndOfInput { number: u64 },
-    #[error("standard output: {0}")]
+    #[error("cannot write to standard output: {0}")]
     Write(#[source] std::io::Error),
 }
 
--- a/crates/simulator-adapter/src/protocol.rs
+++ b/crates/simulator-adapter/src/protocol.rs
@@ -8,7 +8,7 @@
 mod values;
 
 pub(crate) use actions::write_action;
-pub(crate) use catalog::{endpoints, CatalogRow};
+pub(crate) use catalog::{rows_to_endpoints, CatalogRow};
 pub(crate) use events::{parse_instance_message, parse_spawn, InstanceMessage};
 pub(crate) use values::Values;
 
@@ -29,7 +29,7 @@
 /// The header of an endpoint list, whose rows follow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Catalog {
-    /// Identifies the catalog until another one has the same number.
+    /// Identifies the catalog until a later catalog has the same number.
     pub(crate) number: u64,
     pub(crate) row_count: usize,
 }
--- a/crates/simulator-adapter/src/protocol/catalog.rs
+++ b/crates/simulator-adapter/src/protocol/catalog.rs
@@ -7,7 +7,7 @@
 /// A row that has not been checked against the settings of an instance.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct CatalogRow {
-    /// The weight counts as a capacity only if the settings of the instance say so.
+    /// Its capacity weight is the weight in the row. Only the settings of the instance determine whether that is a capacity.
     endpoint: Endpoint,
 }
 
@@ -38,7 +38,7 @@
 }
 
 /// Converts rows for an instance. Fails if its settings lack the zone or the host type of a row.
-pub(crate) fn endpoints(
+pub(crate) fn rows_to_endpoints(
     rows: &[CatalogRow],
     settings: &SiteSettings,
 ) -> Result<Vec<Endpoint>, ProtocolError> {
--- a/crates/simulator-adapter/src/protocol/events.rs
+++ b/crates/simulator-adapter/src/protocol/events.rs
@@ -19,7 +19,7 @@
         /// The list is complete: endpoints that it lacks are removed.
         is_full: bool,
     },
-    /// Remove the instance: it was killed.
+    /// Remove the instance, which the simulator has killed.
     PowerOff,
     /// The message is valid but the scheduler does not use it.
     Ignored,
--- a/crates/site-settings/src/error.rs
+++ b/crates/site-settings/src/error.rs
@@ -24,7 +24,7 @@
 /// Why new settings cannot replace those in force.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SettingsUpdateError {
-    /// A key has changed that can only change with a restart.
+    /// The new settings change a key that can only change with a restart.
     #[error("settings: {key}: cannot change while the process runs; restart the process to apply the change")]
     FixedKey {
         /// Name of the key, without its path.
--- a/crates/site-settings/src/names.rs
+++ b/crates/site-settings/src/names.rs
@@ -5,17 +5,17 @@
 /// Names by scheduler index, and time limits of connections to replicas.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct SiteNames {
-    /// Request classes, including retired ones.
+    /// Request classes by index, including retired ones.
     pub classes: Vec<String>,
     /// Indices of classes that a reload has removed. Requests in flight still use them; new requests do not.
     pub retired_classes: Vec<usize>,
-    /// Tenants; empty if the site has none.
+    /// Tenants by index; empty if the site has none.
     pub tenants: Vec<String>,
-    /// Zones, by the index used in the scheduler.
+    /// Zones by index.
     pub zones: Vec<String>,
-    /// Host types, by the index used in the scheduler.
+    /// Host types by index.
     pub host_types: Vec<String>,
-    /// Names of the load report fields, in order.
+    /// Load report fields, in the order of their values in reports without names.
     pub report_fields: Vec<String>,
     /// Timeout for establishing a connection, in seconds.
     pub connect_timeout: Seconds,
--- a/crates/site-settings/src/report_fields.rs
+++ b/crates/site-settings/src/report_fields.rs
@@ -5,7 +5,7 @@
 /// Replicas report queued prompt tokens in thousands.
 const TOKENS_PER_UNIT: f64 = 1000.0;
 
-/// Some fields have two names in the protocol: one in the simulator and one on sockets.
+/// Fields that have two names in the protocol: one for the simulator and one for replicas over sockets.
 const EQUIVALENT_NAMES: [(&str, &str); 2] = [("inflight", "busy_reqs"), ("queue", "pending")];
 
 #[derive(Clone, Copy, Debug, PartialEq)]
