--- a/crates/scheduler/tests/affinity.rs
+++ b/crates/scheduler/tests/affinity.rs
@@ -14,7 +14,8 @@
     started_attempts, SchedulerHarness, StartedAttempt,
 };
 
-/// The number of attempts in the router's own zone among `n` requests of new sessions. Half of the four replicas are in it.
+/// The number of attempts in the router's own zone for `n` requests of new sessions. Two of the four replicas are in that
+/// zone.
 fn attempts_in_own_zone(cross_zone: f64, n: u64) -> usize {
     let settings = SchedulerSettings {
         costs: CostWeights {
@@ -39,8 +40,8 @@
     in_own_zone
 }
 
-/// The hit rate of affinity replicas that a router has learned from requests of new sessions, each given by its prompt
-/// tokens and the cached ones.
+/// The hit rate of affinity replicas that a router learns from requests of new sessions. Each request is given by the number
+/// of its prompt tokens and the number of those found in the cache.
 fn hit_rate_after(requests: impl IntoIterator<Item = (u64, f64)>) -> f64 {
     let mut harness = SchedulerHarness::new(settings(), 1);
     for (n, (prompt_tokens, cached_tokens)) in requests.into_iter().enumerate() {
@@ -122,15 +123,15 @@
     assert_eq!(affinity_replicas.len(), 1, "{affinity_replicas:?}");
 }
 
-/// Guards against slow replicas getting as many sessions as fast ones.
+/// A small replica must not get as many sessions as a large one.
 #[test]
-fn larger_replicas_have_more_sessions() {
+fn sessions_are_distributed_by_capacity_weight() {
     let mut harness = SchedulerHarness::new(settings(), 0);
-    let sized = |n| Endpoint {
+    let weighted = |n| Endpoint {
         capacity_weight: Some(if n < 5 { 3.0 } else { 1.0 }),
         ..endpoint(n, EndpointState::Available, None)
     };
-    harness.handle(Event::EndpointsReplaced((0..10).map(sized).collect()));
+    harness.handle(Event::EndpointsReplaced((0..10).map(weighted).collect()));
     let mut large = 0;
     for n in 0..200 {
         let to = started_attempts(&harness.arrive(incoming_request(n, 0, 0, 5.0)))[0].replica;
@@ -176,8 +177,8 @@
     assert!(with_cost > 255, "{with_cost}");
 }
 
-/// Guards against sessions being scattered over idle replicas without their cached prompts when the concurrency limit is
-/// exhausted and their affinity replica is not idle.
+/// While the router's concurrency limit is exhausted, a session must still be sent to its affinity replica. An idle replica
+/// may be used beyond the limit, but does not have the session's prompts in its cache.
 #[test]
 fn session_is_sent_to_its_affinity_replica_beyond_an_exhausted_limit() {
     let mut site = SchedulerSettings {
@@ -219,7 +220,8 @@
     }
 }
 
-/// A turn is not sent to the session's affinity replica if this router sent the previous turn elsewhere.
+/// If this router sent the previous turn of a session to another replica than the affinity replica, the next turn is sent
+/// there as well.
 #[test]
 fn turn_is_sent_to_the_replica_of_the_previous_turn() {
     let mut returned = 0;
@@ -316,7 +318,7 @@
 }
 
 /// Sends requests of other sessions to both replicas, and ends some of them so that `affinity_replica` has three requests
-/// more than the other one.
+/// more in flight than the other replica.
 fn make_affinity_replica_busier(harness: &mut SchedulerHarness, affinity_replica: ReplicaId) {
     let mut in_flight: BTreeMap<ReplicaId, Vec<u64>> = BTreeMap::new();
     for number in 100..128 {
@@ -331,7 +333,7 @@
     let at_affinity_replica = in_flight[&affinity_replica].len();
     assert!(
         at_affinity_replica >= 8,
-        "{at_affinity_replica} at affinity_replica"
+        "{at_affinity_replica} requests at the affinity replica"
     );
     for (replica, requests) in in_flight {
         let remaining = if replica == affinity_replica {
--- a/crates/scheduler/tests/budgets.rs
+++ b/crates/scheduler/tests/budgets.rs
@@ -69,13 +69,13 @@
         count_retries(&mut harness(Some(budget(0.0, 0.0, 0.0, 0.0, 1e9))), 1, 20),
         0
     );
-    // Only the guaranteed rate.
+    // An expired grant: only the guaranteed rate and burst apply.
     let retried = count_retries(&mut harness(Some(budget(0.0, 0.0, 1.0, 1.0, 0.0))), 1, 20);
     assert!((1..=2).contains(&retried), "{retried}");
-    // Two seconds at two units per second, guaranteed and granted rate together, from an empty bucket.
+    // The bucket starts empty and gets two units per second, guaranteed and granted rate together, for two seconds.
     let retried = count_retries(&mut harness(Some(budget(1.5, 1.0, 0.5, 1.0, 1e9))), 1, 20);
     assert!((3..=4).contains(&retried), "{retried}");
-    // After a grant has expired, only the guaranteed rate and burst remain.
+    // A grant that expires after one second: units accumulated during the grant must not remain.
     let mut expired = harness(Some(budget(100.0, 100.0, 0.5, 1.0, 101.0)));
     expired.advance(5.0);
     let retried = count_retries(&mut expired, 1, 20);
@@ -134,8 +134,8 @@
     assert!((3..=6).contains(&some), "{some}");
 }
 
-/// Without a cross-zone budget a request waits for its own zone and is answered in time if that has no capacity. Half of the
-/// burst is reserved for the class of the highest priority.
+/// With an empty cross-zone budget a request waits for capacity in its own zone, and is answered in time if there is none.
+/// Half of the burst is reserved for the class of the highest priority.
 #[test]
 fn half_of_the_cross_zone_burst_is_reserved_for_the_highest_priority() {
     let cross_zone_attempts = |harness: &mut SchedulerHarness, class: usize, from: u64| -> usize {
@@ -188,9 +188,9 @@
     );
 }
 
-/// If its own zone has capacity, a router without a cross-zone budget sends all requests there.
+/// If its own zone has capacity, a router with an empty cross-zone budget sends all requests there.
 #[test]
-fn own_zone_serves_without_a_cross_zone_budget() {
+fn own_zone_serves_with_an_empty_cross_zone_budget() {
     let mut harness = SchedulerHarness::new(settings(), 8);
     harness.grant([(BudgetKind::CrossZone, EMPTY_GRANT)]);
     for n in 1..=12 {
@@ -241,7 +241,7 @@
             },
         )]),
     );
-    // In the first ten of twenty seconds, from a tenth of its capacity: a third of the capacity on average.
+    // In the first ten of the twenty seconds of slow start, a replica has a third of its capacity on average.
     assert!(
         (1..=5).contains(&small) && (12..=34).contains(&large),
         "{small} {large}"
@@ -297,7 +297,7 @@
     );
 }
 
-/// Guards against the loss of grants of less than one unit per second.
+/// A grant of less than one unit per second must accumulate to whole units.
 #[test]
 fn grants_below_one_unit_per_second_accumulate() {
     let mut harness = SchedulerHarness::new(settings(), 40);
--- a/crates/scheduler/tests/concurrency.rs
+++ b/crates/scheduler/tests/concurrency.rs
@@ -70,7 +70,7 @@
     }
 }
 
-/// One late replica must not reduce the capacity of all: reductions are small, and early first tokens make up for them.
+/// One late replica must not permanently reduce the common limit: reductions are small, and early first tokens offset them.
 #[test]
 fn limit_shrinks_on_late_first_tokens_and_recovers_on_early_ones() {
     let mut harness = SchedulerHarness::new(settings(), 4);
@@ -98,7 +98,8 @@
     assert!(grown > small, "{small} then {grown}");
 }
 
-/// A router's share of a quota may be below one request per second; requests within the quota must not be rejected then.
+/// A router's share of a quota may be below one request per second. A burst of requests within the quota must not be rejected
+/// because of that.
 #[test]
 fn small_share_of_a_quota_allows_a_burst() {
     let mut site = SchedulerSettings {
@@ -157,7 +158,7 @@
 }
 
 #[test]
-fn limit_does_not_shrink_while_requests_wait_longer_in_the_router() {
+fn limit_does_not_shrink_while_requests_wait_longer_in_the_router_than_at_replicas() {
     let mut harness = SchedulerHarness::new(settings(), 1);
     let before = harness.fill_capacity();
     for n in 0..before {
@@ -181,7 +182,8 @@
     assert!(sent >= before, "{before} then {sent}");
 }
 
-/// When replicas leave, the limit must shrink immediately; a router would learn of it too late from its answers.
+/// When replicas drain, the limit must shrink immediately: a router with few requests would learn too late from its answers
+/// that there is less capacity.
 #[test]
 fn limit_follows_the_number_of_warm_replicas() {
     let mut harness = SchedulerHarness::new(settings(), 8);
@@ -208,7 +210,8 @@
     );
 }
 
-/// With many routers the limit of each is too coarse: requests must not be queued while replicas report to be idle.
+/// With many routers the limit of each router is too coarse: requests must not be queued while replicas report that they are
+/// idle.
 #[test]
 fn idle_replica_is_used_beyond_a_small_limit() {
     for (tokens, more) in [(0.0, 1), (5_000.0, 0)] {
--- a/crates/scheduler/tests/endpoint_evidence.rs
+++ b/crates/scheduler/tests/endpoint_evidence.rs
@@ -1,4 +1,5 @@
-//! Tests of attempts while the endpoint list may be outdated: each needs evidence, a recent successful probe of its replica.
+//! Tests of attempts while the endpoint list may be outdated: each attempt needs evidence, which is a recent successful probe
+//! of its replica.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
@@ -80,7 +81,7 @@
 }
 
 #[test]
-fn requests_share_one_probe_and_evidence_expires_within_the_grace() {
+fn evidence_expires_within_the_drain_grace() {
     let mut harness = unconfirmed();
     let probed = probed_replicas(&arrive(&mut harness, 1));
     end_probe(&mut harness, probed[0], AttemptOutcome::Completed);
--- a/crates/scheduler/tests/endpoint_poll.rs
+++ b/crates/scheduler/tests/endpoint_poll.rs
@@ -22,12 +22,12 @@
             ..settings()
         };
         let mut harness = SchedulerHarness::new(site, 1);
-        let mut waited = 0;
+        let mut intervals = 0;
         while !harness.advance(0.02).contains(&Action::WatchEndpoints) {
-            waited += 1;
-            assert!(waited < 200, "router {router} never polled");
+            intervals += 1;
+            assert!(intervals < 200, "router {router} never polled");
         }
-        first_polls.insert(waited);
+        first_polls.insert(intervals);
         harness.handle(Event::EndpointListFailed);
         let actions = harness.advance(10.0);
         assert_eq!(
@@ -46,11 +46,12 @@
 }
 
 /// The retry interval must not grow with the poll interval, and routers must not retry at the same time. A change counts as
-/// notified 6 s after discovery has it, even if a busy service delays and rejects the first poll after that.
+/// notified 6 s after discovery has it. A router must have polled successfully by then, even if a busy discovery service
+/// delays and rejects the first poll after the change.
 #[test]
 fn failed_poll_is_retried_within_bounds_and_spread_over_routers() {
     const NOTIFIED_AFTER: Seconds = 6.0;
-    /// The time in which a busy service answers a poll, with a margin.
+    /// The time in which a busy discovery service answers a poll, with a margin.
     const CALL_TIME: Seconds = 2.2;
     let mut delays = Vec::new();
     for router in 0..200 {
--- a/crates/scheduler/tests/histories.rs
+++ b/crates/scheduler/tests/histories.rs
@@ -28,8 +28,8 @@
 const STREAM_OUTCOMES: [AttemptOutcome; 2] =
     [AttemptOutcome::Completed, AttemptOutcome::ConnectionReset];
 
-/// One step of a sequence. Numbers are positions among the existing requests or attempts; a step whose number is too large
-/// has no effect.
+/// One step of a sequence. Requests and attempts are given by their position among the existing ones; a step with too large a
+/// position has no effect.
 #[derive(Clone, Debug)]
 enum Step {
     Arrive {
@@ -85,7 +85,7 @@
     harness: SchedulerHarness,
     allows_hedging: bool,
     max_attempts: usize,
-    /// Unanswered requests and the times by which they need an answer.
+    /// Requests without a complete answer, and the times by which each needs its first token or another answer.
     open: BTreeMap<u64, Seconds>,
     in_flight: Vec<InFlight>,
     /// Number of attempts started so far, by request.
--- a/crates/scheduler/tests/isolation.rs
+++ b/crates/scheduler/tests/isolation.rs
@@ -1,5 +1,5 @@
 //! Tests that the scheduler has no input or output, no clock and no async runtime, and that the deploy file lists every
-//! source.
+//! source file of the package.
 //!
 //! `clippy.toml` of this package forbids types and functions; these tests also cover macros and dependencies.
 
--- a/crates/scheduler/tests/learned_state.rs
+++ b/crates/scheduler/tests/learned_state.rs
@@ -43,7 +43,8 @@
     harness
 }
 
-/// The number of sessions that a new router sends to the replica of their previous turn, and its concurrency limit.
+/// The number of sessions that a new router sends to the replica of their previous turn, and the router's concurrency limit
+/// afterwards.
 fn sessions_continued(learned: &LearnedState, imports: bool) -> (usize, f64) {
     let mut harness = SchedulerHarness::new(settings(), REPLICAS);
     if imports {
--- a/crates/scheduler/tests/load_reports.rs
+++ b/crates/scheduler/tests/load_reports.rs
@@ -15,7 +15,7 @@
 /// If the affinity replica reports many queued tokens, the request is sent to the next replica in the session's order.
 #[test]
 fn probes_candidates_before_an_attempt_and_uses_their_reports() {
-    let mut away = 0;
+    let mut at_next_replica = 0;
     for session in 0..20 {
         let mut harness = SchedulerHarness::new(
             SchedulerSettings {
@@ -41,9 +41,12 @@
         let mut sent = started_attempts(&harness.report_load(probed[0], 60_000.0, 0.1));
         sent.extend(started_attempts(&harness.report_load(probed[1], 0.0, 0.1)));
         assert_eq!(sent.len(), 1);
-        away += usize::from(sent[0].replica != probed[0]);
+        at_next_replica += usize::from(sent[0].replica != probed[0]);
     }
-    assert!(away >= 18, "{away} of 20");
+    assert!(
+        at_next_replica >= 18,
+        "{at_next_replica} of 20 were sent to the next replica"
+    );
     let mut harness = SchedulerHarness::new(
         SchedulerSettings {
             load_report_source: LoadReportSource::Probes,
@@ -154,7 +157,7 @@
     }
 }
 
-/// With few routers each gets enough load reports with its answers, so probes would be unnecessary cost.
+/// With few routers, each of them gets enough load reports with its answers, so probes would be an unnecessary cost.
 #[test]
 fn sends_no_probes_if_feedback_is_dense() {
     let mut harness = SchedulerHarness::new(
@@ -174,7 +177,7 @@
 /// queued.
 #[test]
 fn avoids_replica_with_queued_requests() {
-    let mut away = 0;
+    let mut at_next_replica = 0;
     for session in 0..20 {
         let mut harness = SchedulerHarness::new(
             SchedulerSettings {
@@ -194,19 +197,19 @@
             &harness.handle(held_requests_report(probed[1], None, 0.0)),
         ));
         assert_eq!(sent.len(), 1);
-        away += usize::from(sent[0].replica != probed[0]);
+        at_next_replica += usize::from(sent[0].replica != probed[0]);
     }
     assert!(
-        away >= 18,
-        "{away} of 20 were sent to the replica without a queue"
+        at_next_replica >= 18,
+        "{at_next_replica} of 20 were sent to the replica without a queue"
     );
 }
 
-/// Two replicas with a batch size of 2 reported one request each. An attempt that this router has sent to one of them since
-/// then fills its batch.
+/// Two replicas with a batch size of 2 have reported one request each. An attempt that this router sends to one of them after
+/// the report fills that replica's batch.
 #[test]
 fn counts_own_attempts_since_the_report_against_the_batch() {
-    let mut away = 0;
+    let mut at_other_replica = 0;
     for session in 0..40 {
         let mut harness = SchedulerHarness::new(settings(), 2);
         for n in [0, 1] {
@@ -218,14 +221,17 @@
             ..incoming_request(n, 0, 0, 5.0)
         };
         let first = started_attempts(&harness.arrive(turn(1)));
-        away +=
+        at_other_replica +=
             usize::from(started_attempts(&harness.arrive(turn(2)))[0].replica != first[0].replica);
     }
-    assert!(away >= 36, "{away} of 40 avoided the full batch");
+    assert!(
+        at_other_replica >= 36,
+        "{at_other_replica} of 40 avoided the full batch"
+    );
 }
 
-/// If reports do not contain the requests held, a queue at a replica with few requests shows a small batch. Requests must
-/// then be spread evenly.
+/// If reports do not contain the requests held, a reported queue at a replica with few requests shows that its batch is small.
+/// Requests must then be spread evenly.
 #[test]
 fn infers_batch_size_from_a_reported_queue() {
     let evenly_spread = |queued: f64| {
--- a/crates/scheduler/tests/outlier_detection.rs
+++ b/crates/scheduler/tests/outlier_detection.rs
@@ -46,13 +46,13 @@
             );
             harness.advance(0.02);
         }
-        // Three attempts, then trials after pauses of 0.7, 1.4 and 2.8 s within the 8 s.
+        // Three attempts, then trials after pauses of 0.7, 1.4 and 2.8 s within the 8 s of the first half.
         assert!((5..=7).contains(&sent[0][0]), "{outcome:?}: {sent:?}");
         assert!(sent[1][0] > 50, "{outcome:?}: {sent:?}");
     }
 }
 
-/// A single fault of a replica that breaks all its streams must not count as consecutive broken streams.
+/// A single fault that breaks all streams of a replica at once must count as one broken stream.
 #[test]
 fn counts_streams_that_break_together_once() {
     let mut harness = SchedulerHarness::new(settings(), 3);
@@ -105,7 +105,7 @@
 #[test]
 fn ejects_replica_that_fails_immediately_and_retries_it_later() {
     let mut harness = SchedulerHarness::new(settings(), 3);
-    let mut bad = 0;
+    let mut at_failing_replica = 0;
     for n in 0..60 {
         let mut sent = started_attempts(&harness.arrive(incoming_request(n, 0, 0, 5.0)));
         let mut attempt = 0;
@@ -115,7 +115,7 @@
         }) = sent.pop()
         {
             if to == replica_id(0) {
-                bad += 1;
+                at_failing_replica += 1;
                 sent = started_attempts(&harness.end_attempt(
                     id,
                     attempt,
@@ -135,8 +135,8 @@
         harness.advance(0.1);
     }
     assert!(
-        (3..=12).contains(&bad),
-        "{bad} attempts at the failing replica"
+        (3..=12).contains(&at_failing_replica),
+        "{at_failing_replica} attempts at the failing replica"
     );
 }
 
@@ -185,14 +185,14 @@
     assert!(attempts >= 20, "{attempts} attempts in the second half");
 }
 
-/// A hung replica must not get its share of requests for a whole TTFT objective: once its first attempt is overdue, other
-/// replicas are preferred.
+/// A replica that has stopped responding must not get as many requests as the others until the TTFT objective has passed:
+/// once its first attempt is overdue, other replicas are preferred.
 #[test]
 fn prefers_others_to_a_replica_with_an_overdue_attempt() {
     let mut site = settings();
     site.classes[0].ttft_objective = 4.0;
     site.limits.allows_probes = false;
-    let (mut hung_gets, mut sent) = (0, 0);
+    let (mut at_hung_replica, mut sent) = (0, 0);
     for seed in 0..10 {
         let mut harness = SchedulerHarness::new(site.clone(), 4);
         harness.scheduler = Scheduler::new(site.clone(), seed).unwrap();
@@ -210,9 +210,9 @@
             };
             hung = hung.or((n >= 20).then_some(to));
             let counted = n >= 40;
-            (sent, hung_gets) = (
+            (sent, at_hung_replica) = (
                 sent + u32::from(counted),
-                hung_gets + u32::from(counted && hung == Some(to)),
+                at_hung_replica + u32::from(counted && hung == Some(to)),
             );
             if hung != Some(to) {
                 harness.complete_with_cached_tokens(id, 0.0);
@@ -221,8 +221,8 @@
         }
     }
     assert!(
-        sent >= 190 && hung_gets * 20 <= sent,
-        "{hung_gets} of {sent} to the hung replica of four"
+        sent >= 190 && at_hung_replica * 20 <= sent,
+        "{at_hung_replica} of {sent} attempts at the hung replica, one of four"
     );
 }
 
--- a/crates/scheduler/tests/slow_start.rs
+++ b/crates/scheduler/tests/slow_start.rs
@@ -73,7 +73,7 @@
     }
 
     /// Runs for this many seconds with `rate` requests per second in total, which arrive at the routers in turn.
-    /// `time_to_first_token` returns that of a replica.
+    /// `time_to_first_token` returns the time to first token of a replica.
     fn run(
         &mut self,
         seconds: Seconds,
@@ -81,17 +81,17 @@
         time_to_first_token: impl Fn(ReplicaId) -> Seconds,
     ) {
         let mut pending: BTreeMap<AttemptKey, PendingAttempt> = BTreeMap::new();
-        let mut owed_requests = 0.0;
+        let mut due_requests = 0.0;
         let start = self.harnesses[0].now;
         while self.harnesses[0].now < start + seconds {
-            owed_requests += rate * TIMER_INTERVAL;
+            due_requests += rate * TIMER_INTERVAL;
             let now = self.harnesses[0].now + TIMER_INTERVAL;
             for router in 0..ROUTERS {
                 self.harnesses[router].now = now;
                 let mut actions = self.harnesses[router].handle(Event::TimerFired);
-                while owed_requests >= 1.0 && self.last_request as usize % ROUTERS == router {
+                while due_requests >= 1.0 && self.last_request as usize % ROUTERS == router {
                     self.last_request += 1;
-                    owed_requests -= 1.0;
+                    due_requests -= 1.0;
                     let request = incoming_request(self.last_request, 0, 0, 5.0);
                     actions.extend(self.harnesses[router].arrive(request));
                 }
@@ -217,8 +217,8 @@
     );
 }
 
-/// Replicas in slow start must not stay idle because each of many routers derives too low a rate from its own traffic, nor
-/// be overloaded by many routers that send at the same time.
+/// Many routers must neither leave replicas in slow start idle, because each derives too low a rate from its own traffic, nor
+/// overload them by sending at the same time.
 #[test]
 fn many_routers_together_use_the_slow_start_budget_without_exceeding_it() {
     let mut fleet = RouterFleet::new(16);
@@ -241,10 +241,10 @@
     let max_sent = (16..26).map(|n| fleet.sent_to(n..n + 1)).max().unwrap();
     assert!(
         max_sent <= 3,
-        "{max_sent} to one of them in its first second"
+        "{max_sent} attempts at one starting replica in its first second"
     );
     fleet.run(9.0, 90.0, time_to_first_token);
-    // 2/s x (0.1 + 0.45 x t/10) over 10 s, for ten replicas: 65 in total.
+    // Each of the ten replicas may get 2/s times its warm-up fraction, which grows from 0.1 to 0.55 in 10 s: 65 in total.
     let to_starting = fleet.sent_to(16..26);
     assert!((40..=72).contains(&to_starting), "{to_starting}");
 }
--- a/crates/scheduler/tests/slow_start_budget.rs
+++ b/crates/scheduler/tests/slow_start_budget.rs
@@ -19,18 +19,18 @@
 const CAPACITY: f64 = 8.0;
 /// The fraction of the total capacity that tenants may use.
 const QUOTA: f64 = 0.8;
-/// Simulated time after the start was notified.
+/// Simulated time after the routers have been notified of the replica's start.
 const LENGTH: Seconds = 20.0;
 
 #[derive(Clone, Debug)]
 struct Case {
     routers: usize,
     seed: u64,
-    /// Time without requests after the start was notified.
+    /// Time without requests after the routers have been notified of the replica's start.
     idle: Seconds,
     /// Requests that arrive at each router at the end of the idle time.
     burst: usize,
-    /// Requests per second that arrive only at the first router afterwards.
+    /// Requests per second that arrive only at the first router after the idle time.
     uneven: usize,
 }
 
@@ -119,8 +119,8 @@
         ..ProptestConfig::default()
     })]
 
-    /// Guards against each idle router keeping one attempt in reserve, because in a burst all routers would spend it at the
-    /// same time.
+    /// Idle routers must not keep units of their slow-start budgets: in a burst of requests all routers would spend them at
+    /// the same time.
     #[test]
     fn all_routers_together_do_not_overload_a_starting_replica(case in case()) {
         let sent = attempts_at_starting_replica(&case);
--- a/crates/scheduler/tests/support/mod.rs
+++ b/crates/scheduler/tests/support/mod.rs
@@ -196,7 +196,7 @@
         self.handle(Event::RequestArrived(request))
     }
 
-    /// Advances the time, with timer events.
+    /// Advances the time in steps of the timer interval, each with a timer event; returns all actions.
     pub fn advance(&mut self, seconds: Seconds) -> Vec<Action> {
         let end = self.now + seconds;
         let mut actions = Vec::new();
@@ -223,7 +223,7 @@
         })
     }
 
-    /// Passes the first token of a request's first attempt.
+    /// Passes the first token of a request's first attempt to the scheduler.
     pub fn first_token(&mut self, request: u64, elapsed: Seconds) {
         self.handle(Event::FirstToken {
             request: RequestId(request),
@@ -248,7 +248,7 @@
         });
     }
 
-    /// Passes the answer to a probe with this load.
+    /// Passes a replica's answer to a probe, with this load, to the scheduler.
     pub fn report_load(
         &mut self,
         replica: ReplicaId,
@@ -280,7 +280,8 @@
     }
 }
 
-/// The answer to a probe by a replica without queued prompt tokens, with the requests that it holds and has queued.
+/// The answer of a replica without queued prompt tokens to a probe. The report contains the requests held (if `held` is not
+/// `None`) and the requests queued.
 pub fn held_requests_report(replica: ReplicaId, held: Option<f64>, queued: f64) -> Event {
     let report = LoadReport {
         queued_prompt_tokens: Some(0.0),
