--- a/crates/scheduler/src/admission.rs
+++ b/crates/scheduler/src/admission.rs
@@ -7,7 +7,6 @@
 use crate::statistics::TrafficStatistics;
 use crate::types::Seconds;
 
-/// Estimates how long a request will be queued.
 pub(crate) struct QueueWaitEstimator<'a> {
     pub(crate) now: Seconds,
     pub(crate) queue: &'a FairQueue,
--- a/crates/scheduler/src/affinity.rs
+++ b/crates/scheduler/src/affinity.rs
@@ -1,7 +1,7 @@
 //! Session affinity: which replicas are preferred for the requests of a session.
 //!
-//! The turns of a session can arrive at any router, so each session has an order of replicas that all routers compute alike
-//! (see [`crate::rendezvous`]). Replicas in the router's own zone come first if crossing zones has a cost. The first
+//! The turns of a session can arrive at any router, so all routers compute the same order of replicas for a session
+//! ([`crate::rendezvous`]). If crossing zones has a cost, each router puts the replicas of its own zone first. The first
 //! replicas are probed for load reports before an attempt, and the first one is expected to have the session's prompts in
 //! its cache.
 
@@ -9,7 +9,7 @@
 use crate::replica::Replica;
 use crate::types::{IncomingRequest, ReplicaId};
 
-/// Number of replicas used from a session's order.
+/// Number of replicas at the front of a session's order that are considered, not counting an additional remote one.
 const CANDIDATE_COUNT: usize = 2;
 
 /// Sort key of a replica in a session's order. The derived order compares the fields from first to last.
--- a/crates/scheduler/src/budgets.rs
+++ b/crates/scheduler/src/budgets.rs
@@ -8,14 +8,14 @@
 /// Minimum burst of a tenant's local quota, in requests. The burst is otherwise as many requests as the quota allows in one
 /// second, which can be less than one at a single router.
 const MIN_QUOTA_BURST: f64 = 8.0;
-/// A tenant's rate at one router is its even share times this factor, because clients are not spread evenly over routers
-/// and zones.
+/// A tenant's rate at one router is its rate limit, divided by the number of routers, times this factor, because clients are
+/// not spread evenly over routers and zones.
 const QUOTA_SLACK: f64 = 1.3;
 
 /// A token bucket that starts full. Rate and depth are parameters of each call because they may change.
 #[derive(Clone, Default)]
 pub(crate) struct TokenBucket {
-    /// `None` until the first call.
+    /// The tokens at `updated_at`; `None` before the first call, when the bucket is full.
     level: Option<f64>,
     updated_at: Seconds,
 }
@@ -122,7 +122,7 @@
 pub struct BudgetLedger(BTreeMap<BudgetKind, BudgetAccount>);
 
 impl BudgetLedger {
-    /// Replaces the grants; accounts without a grant are removed.
+    /// Replaces the grants at `now`. A kind that is missing is no longer limited, and its demand is forgotten.
     pub fn set_grants(&mut self, now: Seconds, grants: &BudgetGrants) {
         self.0.retain(|kind, _| grants.contains_key(kind));
         for (kind, grant) in grants {
@@ -142,7 +142,8 @@
         self.spend_unit(now, kind)
     }
 
-    /// Spends a unit if available, without recording demand; returns whether it was available.
+    /// Spends a unit if available, without recording demand; returns whether it was available. A kind without a budget
+    /// always has a unit.
     pub fn spend_unit(&mut self, now: Seconds, kind: BudgetKind) -> bool {
         let has_unit = self.has_unit(now, kind, 0.0);
         if has_unit {
@@ -154,8 +155,8 @@
         has_unit
     }
 
-    /// Whether a unit can be spent so that at least `reserved_fraction`, from 0 to 1, of the bucket's depth without that unit
-    /// remains. Always true for a kind without a budget.
+    /// Whether a unit can be spent without using the reserve, which is `reserved_fraction`, from 0 to 1, of the bucket's
+    /// depth less that unit. Always true for a kind without a budget.
     pub fn has_unit(&self, now: Seconds, kind: BudgetKind, reserved_fraction: f64) -> bool {
         self.0.get(&kind).is_none_or(|account| {
             let reservable = (account.depth(now) - 1.0).max(0.0);
@@ -163,7 +164,7 @@
         })
     }
 
-    /// Records the demand for units without spending any.
+    /// Records the demand for units without spending any. Ignored for a kind without a budget.
     pub fn record_demand(&mut self, kind: BudgetKind, units: f64, priority_weight: f64) {
         if let Some(account) = self.0.get_mut(&kind) {
             account.demand.units += units;
--- a/crates/scheduler/src/concurrency.rs
+++ b/crates/scheduler/src/concurrency.rs
@@ -9,8 +9,8 @@
 const INITIAL_LIMIT_PER_REPLICA: f64 = 8.0;
 /// Growth factor of the limit on an early first token, if at least half of the limit is used.
 const GROWTH_FACTOR: f64 = 1.04;
-/// Reduction factor of the limit on a late first token, a broken stream, a timeout or a replica at capacity. With stronger
-/// reductions replicas were left idle.
+/// Reduction factor of the limit on a late first token, a broken stream, a timeout or a replica at capacity. Stronger
+/// reductions left replicas idle.
 const REDUCTION_FACTOR: f64 = 0.985;
 /// The limit of one replica, as a multiple of the common limit divided by the number of warm replicas.
 const REPLICA_LIMIT_FACTOR: f64 = 4.0;
@@ -34,8 +34,8 @@
 impl FirstTokenTiming {
     /// Compares a time to first token with the request's TTFT objective and with the time that the request was queued in the
     /// router. A first token that took less time than the request was queued is never late: if replicas are replaced
-    /// frequently, nothing is cached and first tokens take long although replicas have capacity, and a limit reduced for that
-    /// reason alone shrinks until requests wait longer in the router than at replicas.
+    /// frequently, nothing is cached and first tokens take long although replicas have capacity, and a limit reduced for
+    /// that reason alone shrinks until requests wait longer in the router than at replicas.
     pub(crate) fn of(elapsed: Seconds, ttft_objective: Seconds, waited: Seconds) -> Self {
         let late = ttft_objective * LATE_FRACTION;
         if elapsed > late && elapsed > waited {
@@ -50,7 +50,7 @@
 
 pub(crate) struct ConcurrencyLimit {
     limit: f64,
-    /// Until its first reduction the limit grows by whole requests.
+    /// Until its first reduction the limit grows by whole requests, afterwards by [`GROWTH_FACTOR`].
     has_been_reduced: bool,
     /// The number of warm replicas for which the limit was last resized.
     warm_replica_count: usize,
--- a/crates/scheduler/src/fair_queue.rs
+++ b/crates/scheduler/src/fair_queue.rs
@@ -1,8 +1,9 @@
 //! The queue of requests that wait for capacity: strict priority tiers, deficit round robin over tenants within a tier, and
 //! earliest deadline first within a tenant.
 //!
-//! Deficit round robin visits the tenants in turn, adds a quantum to the tenant's deficit and dispatches the tenant's requests
-//! while the deficit covers their cost. Tenants thus get equal shares of the capacity in tokens, whatever their requests cost.
+//! Deficit round robin visits the tenants in turn, adds a quantum to the tenant's deficit and dispatches the tenant's
+//! requests while the deficit covers their cost. Tenants thus get equal shares of the capacity in tokens, whatever their
+//! requests cost.
 
 use crate::time::to_micros;
 use crate::types::{RequestId, SchedulerSettings, Seconds};
@@ -124,7 +125,6 @@
     }
 }
 
-/// All queued requests.
 pub(crate) struct FairQueue {
     /// In descending order of priority weight.
     tiers: Vec<Tier>,
@@ -156,7 +156,7 @@
         }
     }
 
-    /// The highest tier whose priority weight is at most this one.
+    /// The highest tier whose priority weight is at most `priority_weight`; the lowest tier if there is none.
     pub(crate) fn tier_for(&self, priority_weight: f64) -> usize {
         let position = self
             .tiers
@@ -199,7 +199,7 @@
         tier.charge_next(quantum)
     }
 
-    /// The cost, in tokens, that round robin would dispatch before a request that is queued now.
+    /// The cost, in tokens, of the queued requests that would be dispatched before `entry` if it were queued now.
     pub(crate) fn cost_ahead_of(&self, entry: &QueueEntry) -> f64 {
         let higher: f64 = self.tiers[..entry.tier].iter().map(Tier::cost).sum();
         let queues = &self.tiers[entry.tier].queues;
--- a/crates/scheduler/src/fleet_view.rs
+++ b/crates/scheduler/src/fleet_view.rs
@@ -63,8 +63,8 @@
                 .has_free_slot_at_replica(replica.in_flight())
     }
 
-    /// Whether a replica that has recently reported to be idle may be used beyond the router's concurrency limit, which is too
-    /// coarse if there are more routers than replicas.
+    /// Whether a replica that has recently reported to be idle may be used beyond the router's concurrency limit, which is
+    /// too coarse if there are more routers than replicas.
     fn is_idle_beyond_limit(&self, replica: &Replica) -> bool {
         self.concurrency.has_sparse_feedback()
             && replica.load.is_recent(self.now)
--- a/crates/scheduler/src/host_types.rs
+++ b/crates/scheduler/src/host_types.rs
@@ -6,8 +6,8 @@
 
 /// Prefill time per prompt token before the first sample.
 const DEFAULT_PREFILL_TIME: Seconds = 0.0005;
-/// The prefill time of a host type is a mean over this many first tokens. With fewer, rendezvous orders, which use it as a
-/// weight, would change too often.
+/// The prefill time of a host type is a mean over this many first tokens. Rendezvous hashing uses the prefill time as a
+/// weight; with a mean over fewer first tokens the order of replicas would change too often.
 const PREFILL_SAMPLES: f64 = 400.0;
 /// The weight of the default prefill time, in samples.
 const PREFILL_PRIOR_SAMPLES: f64 = PREFILL_SAMPLES / 100.0;
@@ -32,7 +32,6 @@
     mean_logarithm: f64,
 }
 
-/// Learned statistics by host type.
 pub(crate) struct HostTypeStatistics {
     prefill_times: BTreeMap<usize, PrefillMean>,
     /// Mean time from the start of an attempt to its end over all host types.
@@ -73,8 +72,8 @@
         mean.mean_logarithm += (logarithm - mean.mean_logarithm) / mean.samples;
     }
 
-    /// The prefill time of a host type relative to the default. Rendezvous scores use it because they are integers: with
-    /// times in seconds many scores would be equal.
+    /// The prefill time of a host type relative to the default. Rendezvous hashing uses this ratio and not seconds, because
+    /// scores are integers and with times in seconds many of them would be equal.
     pub(crate) fn relative_prefill_time(&self, host_type: usize) -> f64 {
         let mean = self.prefill_times.get(&host_type);
         mean.map_or(1.0, |mean| mean.mean_logarithm.exp())
@@ -95,7 +94,6 @@
         *mean += SERVICE_TIME_WEIGHT * (elapsed - *mean);
     }
 
-    /// The mean service time over all host types.
     pub(crate) fn mean_service_time(&self) -> Seconds {
         self.mean_service_time
     }
--- a/crates/scheduler/src/latency_estimate.rs
+++ b/crates/scheduler/src/latency_estimate.rs
@@ -23,7 +23,7 @@
 const MIN_OTHERS_VARIANCE: f64 = 0.1;
 /// Ratio of the standard deviation of a normal distribution to the scale of the logistic distribution that approximates it.
 const LOGISTIC_SCALE: f64 = 1.7;
-/// Upper bound of the exponent in the mean excess of the logistic distribution, against overflow.
+/// Upper bound of the exponent in the mean excess of the logistic distribution, which prevents an overflow.
 const MAX_EXCESS_EXPONENT: f64 = 30.0;
 /// Expected extra delay at a replica with an unanswered probe.
 const UNANSWERED_PROBE_DELAY: Seconds = 0.3;
@@ -108,18 +108,18 @@
 
 /// The requests of all routers at a replica.
 struct Occupancy {
-    /// Mean number of requests held.
+    /// Estimated number of requests that run or are queued at the replica.
     held: f64,
     batch_size: f64,
     service_time: Seconds,
-    /// Time until a new request gets a batch slot.
+    /// Estimated time until a new request gets a batch slot.
     wait: Seconds,
 }
 
-/// A candidate for placement.
 pub(crate) struct Candidate {
+    /// The attempt that is started if the candidate is chosen.
     pub(crate) attempt: Attempt,
-    /// The cost of sending the attempt to this replica.
+    /// Relative to the value of one answer of priority weight 1.
     pub(crate) cost: f64,
     /// Relative weight among candidates of equal cost.
     pub(crate) choice_weight: f64,
@@ -147,7 +147,7 @@
     let error_factor = replica.estimate_error_factor(view.now);
     let time_to_first_token = (prefill + occupancy.wait) * error_factor + probe_delay;
 
-    let late = lateness(time_to_first_token, input.time_left);
+    let late_probability = late_probability(time_to_first_token, input.time_left);
     let cross_zone_cost = if view.is_local_zone(replica) {
         0.0
     } else {
@@ -164,7 +164,7 @@
             cached.source,
             time_to_first_token,
         ),
-        cost: late
+        cost: late_probability
             + cross_zone_cost
             + prefill_cost
             + OCCUPANCY_COST * (batch_load + memory.min(1.0)),
@@ -173,13 +173,13 @@
 }
 
 /// The probability that the first token is late, if the error of the estimate is about as large as the estimate itself.
-fn lateness(time_to_first_token: Seconds, time_left: Seconds) -> f64 {
+fn late_probability(time_to_first_token: Seconds, time_left: Seconds) -> f64 {
     let squared = time_to_first_token * time_to_first_token;
     squared / (squared + time_left * time_left)
 }
 
-/// The part of the prompt expected in a replica's cache: the previous turn, if this router sent it there; the whole prompt, if
-/// this is the session's affinity replica; otherwise the shared prefix. Each part is multiplied by its learned hit rate.
+/// The part of the prompt expected in a replica's cache: the previous turn, if this router sent it there; the whole prompt,
+/// if this is the session's affinity replica; otherwise the shared prefix. Each part is multiplied by its learned hit rate.
 fn cached_prompt(view: &FleetView<'_>, input: &EstimateInput, id: ReplicaId) -> CachedPrompt {
     let hit_rate = |source| view.prompt_cache.hit_rate(source);
     let shared_prefix = input.shared_prefix_tokens * hit_rate(CacheSource::SharedPrefix);
@@ -211,19 +211,19 @@
     let load = &replica.load;
     let host_type = replica.host_type();
     let service_time = view.host_types.service_time(host_type);
-    let others = input.mean_held_by_others;
+    let held_by_others = input.mean_held_by_others;
     // As answers end, the number of other routers' requests drifts from the reported value to the mean.
     let report_weight = (-load.age(view.now) / service_time).exp();
-    let reported_others = load.requests_held.map_or(others, |held| {
+    let reported_by_others = load.requests_held.map_or(held_by_others, |held| {
         (held.reported - held.own_in_flight as f64).max(0.0)
     });
     let held = replica.in_flight() as f64
-        + others
-        + (reported_others - others) * report_weight * REPORT_WEIGHT;
+        + held_by_others
+        + (reported_by_others - held_by_others) * report_weight * REPORT_WEIGHT;
     let batch_size = load
         .batch_size
         .unwrap_or_else(|| view.host_types.batch_size(host_type));
-    let excess = excess_over_batch(held + 1.0 - batch_size, others, report_weight);
+    let excess = excess_over_batch(held + 1.0 - batch_size, held_by_others, report_weight);
     let mut wait = excess * service_time / batch_size;
     wait += if load.requests_held.is_none() {
         load.requests_queued * load.freshness(view.now) * service_time / batch_size
@@ -242,11 +242,11 @@
 }
 
 /// The mean number of requests in excess of a full batch, if the number of requests held is normally distributed
-/// (approximated by a logistic distribution). `mean_excess` is the mean difference to a full batch and may be negative;
-/// `others` is the mean number of other routers' requests.
-fn excess_over_batch(mean_excess: f64, others: f64, report_weight: f64) -> f64 {
+/// (approximated by a logistic distribution). `mean_excess` is the mean held less a full batch and may be negative;
+/// `held_by_others` is the mean number of other routers' requests at the replica.
+fn excess_over_batch(mean_excess: f64, held_by_others: f64, report_weight: f64) -> f64 {
     let unreported = 1.0 - report_weight * report_weight;
-    let variance = others.max(MIN_OTHERS_VARIANCE) * unreported + HELD_VARIANCE;
+    let variance = held_by_others.max(MIN_OTHERS_VARIANCE) * unreported + HELD_VARIANCE;
     let scale = variance.sqrt() / LOGISTIC_SCALE;
     let exponent = (mean_excess / scale).min(MAX_EXCESS_EXPONENT);
     (exponent.exp().ln_1p() * scale).max(mean_excess)
@@ -278,7 +278,7 @@
     (batches / view.host_types.mean_service_time() * weight).min(MAX_BATCH_LOAD)
 }
 
-/// Estimates all candidates, in their order.
+/// Estimates all candidates in the given order; unknown replicas are left out.
 pub(crate) fn estimate_all(
     view: &FleetView<'_>,
     input: &EstimateInput,
--- a/crates/scheduler/src/outlier_detection.rs
+++ b/crates/scheduler/src/outlier_detection.rs
@@ -77,8 +77,8 @@
         now >= self.paused_until || (is_panic_mode && !self.is_unresponsive())
     }
 
-    /// Whether the replica may be an affinity candidate. A replica that is ejected for broken streams may be one when its trial
-    /// is due, because while other replicas have capacity it gets a trial only as an affinity replica.
+    /// Whether the replica may be an affinity candidate. A replica that is ejected for broken streams may be one when its
+    /// trial is due, because while other replicas have capacity it gets a trial only as an affinity replica.
     pub(crate) fn is_affinity_candidate(&self, now: Seconds) -> bool {
         let is_trial_due = self.consecutive_failures < EJECTION_FAILURES
             && !self.is_unresponsive()
--- a/crates/scheduler/src/prompt_cache.rs
+++ b/crates/scheduler/src/prompt_cache.rs
@@ -4,7 +4,7 @@
 use crate::types::{CacheHitRates, IncomingRequest, LearnedState, ReplicaId, SessionRecord};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Maximum number of sessions in the table.
+/// Maximum number of sessions whose last turn is stored.
 const MAX_SESSIONS: usize = 16_384;
 /// Initial mean of the tokens expected in a cache.
 const DEFAULT_EXPECTED_TOKENS: f64 = 1000.0;
@@ -58,11 +58,9 @@
     }
 }
 
-/// The previous turn of a session.
 #[derive(Clone, Copy)]
 pub(crate) struct PreviousTurn {
     pub(crate) replica: ReplicaId,
-    /// Prompt tokens of that turn.
     pub(crate) prompt_tokens: f64,
 }
 
@@ -90,7 +88,6 @@
     }
 }
 
-/// The model of the replicas' prompt caches.
 pub(crate) struct PromptCacheModel {
     sessions: SessionTable,
     shared_prefix: HitRate,
--- a/crates/scheduler/src/replica.rs
+++ b/crates/scheduler/src/replica.rs
@@ -25,7 +25,7 @@
 const ESTIMATE_ERROR_LIFETIME: Seconds = 5.0;
 /// Lower bound of the time to first token in the comparison with its estimate.
 const MIN_COMPARED_TIME: Seconds = 0.005;
-/// Bounds of the natural logarithm of one sample's error.
+/// Bounds of one sample's error, which is the natural logarithm of the ratio of a time to first token to its estimate.
 const MIN_ERROR_LOGARITHM: f64 = -2.0;
 const MAX_ERROR_LOGARITHM: f64 = 3.0;
 
--- a/crates/scheduler/src/request.rs
+++ b/crates/scheduler/src/request.rs
@@ -21,7 +21,6 @@
     Finished,
 }
 
-/// The time limits of a request.
 #[derive(Clone, Copy)]
 pub(crate) struct RequestDeadlines {
     /// The target for the time to first token.
@@ -97,8 +96,8 @@
         self.deadlines
     }
 
-    /// Limits the request's deadlines to the router's answer deadline. The request must not be queued, because the queue finds
-    /// it by its deadlines.
+    /// Limits the request's deadlines to the router's answer deadline. The request must not be queued, because the queue
+    /// finds it by its deadlines.
     pub(crate) fn shorten_deadlines(&mut self, answer_deadline: Seconds) {
         debug_assert!(!self.is_queued());
         self.deadlines.deadline = self.deadlines.deadline.min(answer_deadline);
--- a/crates/scheduler/src/scheduler/arrival.rs
+++ b/crates/scheduler/src/scheduler/arrival.rs
@@ -119,7 +119,8 @@
         self.traffic.record_arrival(tokens, incoming.expected_work)
     }
 
-    /// The `Retry-After` of a request that must be rejected because no replica has capacity and it would be queued too long.
+    /// The `Retry-After` of a request that must be rejected because no replica has capacity and the request would be queued
+    /// too long; `None` if the request is admitted.
     fn early_rejection(&self, request: &Request, time_left: Seconds) -> Option<Seconds> {
         let is_best_effort = self.queue.is_best_effort(request.tier());
         if self.view().any_has_capacity(is_best_effort) {
--- a/crates/scheduler/src/scheduler/dispatch.rs
+++ b/crates/scheduler/src/scheduler/dispatch.rs
@@ -93,8 +93,9 @@
         }
     }
 
-    /// Records the demand of an attempt for the slow-start budget, and takes a unit of the cross-zone budget if the replica is
-    /// in another zone. The slow-start budget applies to each replica, so the attempt is divided by the number of replicas.
+    /// Records the demand of an attempt for the slow-start budget, and takes a unit of the cross-zone budget if the replica
+    /// is in another zone. The slow-start budget applies to each replica, so the attempt is divided by the number of
+    /// replicas.
     fn record_budget_use(&mut self, id: RequestId, replica: ReplicaId) {
         let priority_weight = self.priority_weight(id);
         let units_per_replica = 1.0 / self.concurrency.max_available_replicas().max(1) as f64;
--- a/crates/scheduler/src/scheduler/mod.rs
+++ b/crates/scheduler/src/scheduler/mod.rs
@@ -68,8 +68,8 @@
     prompt_cache: PromptCacheModel,
     /// Most replicas are ejected. They probably have a common cause, and avoiding all of them would only stop the service.
     is_panic_mode: bool,
-    /// Requests without a first token must have their final answer by this time, because the router shuts down then; infinite
-    /// unless a shutdown has started.
+    /// Requests without a first token must have their final answer by this time, because the router shuts down then;
+    /// infinite unless a shutdown has started.
     answer_deadline: Seconds,
 }
 
--- a/crates/scheduler/src/scheduler/shutdown.rs
+++ b/crates/scheduler/src/scheduler/shutdown.rs
@@ -14,8 +14,8 @@
         }
     }
 
-    /// Limits a request's deadlines to the answer deadline. The request is dequeued meanwhile because the queue finds it by
-    /// its deadlines.
+    /// Limits a request's deadlines to the answer deadline. A queued request is removed from the queue before its deadlines
+    /// change and queued again afterwards, because the queue finds it by its deadlines.
     fn shorten_deadlines(&mut self, id: RequestId) {
         let was_queued = self.requests.get(&id).is_some_and(Request::is_queued);
         self.dequeue(id);
--- a/crates/scheduler/src/scheduler/timer.rs
+++ b/crates/scheduler/src/scheduler/timer.rs
@@ -77,9 +77,9 @@
         }
     }
 
-    /// Checks a request without a first token. If its deadline has passed, the router answers it. If its attempts are overdue
-    /// or at unresponsive replicas, it gets a hedged attempt; if the site does not allow hedging, its attempts are cancelled
-    /// so that it is retried.
+    /// Checks a request without a first token. If its deadline has passed, the router answers it. If its attempts are
+    /// overdue or at unresponsive replicas, it gets a hedged attempt; if the site does not allow hedging, its attempts are
+    /// cancelled so that it is retried.
     fn check_for_overdue_attempts(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self
             .requests
--- a/crates/scheduler/src/slow_start.rs
+++ b/crates/scheduler/src/slow_start.rs
@@ -1,6 +1,7 @@
-//! Slow start: a newly started replica gets at most the attempts per second that a warm replica can handle, multiplied by its
-//! warm-up fraction, and never a burst. All routers are notified of a start at the same time, so each of them has its own
-//! budget for the replica, which is refilled with time and does not accumulate. `docs/glossary.md` explains the underlying rule.
+//! Slow start: a newly started replica gets at most the attempts per second that a warm replica can handle, multiplied by
+//! its warm-up fraction, and never a burst. All routers are notified of a start at the same time, so each of them has its
+//! own budget for the replica, which is refilled with time and does not accumulate. `docs/glossary.md` explains the
+//! underlying rule.
 
 use crate::budgets::BudgetLedger;
 use crate::types::{BudgetKind, LifecycleRules, SchedulerSettings, Seconds, UNLIMITED_RATE};
@@ -79,9 +80,9 @@
         self.attempt_rate < IDLE_ATTEMPT_RATE
     }
 
-    /// Attempts per second that one warm replica can handle from this router. They are given by the fleet-wide budget. Without
-    /// such a budget they are derived from the rate limits of all tenants, because with many routers the traffic of one of
-    /// them is not representative. If the tenants are unlimited, they are derived from this router's own traffic.
+    /// Attempts per second that one warm replica can handle from this router. They are given by the fleet-wide budget.
+    /// Without such a budget they are derived from the rate limits of all tenants, because with many routers the traffic of
+    /// one of them is not representative. If the tenants are unlimited, they are derived from this router's own traffic.
     pub(crate) fn rate_per_replica(
         &self,
         now: Seconds,
--- a/crates/scheduler/src/statistics.rs
+++ b/crates/scheduler/src/statistics.rs
@@ -61,7 +61,6 @@
     }
 }
 
-/// A router's traffic statistics.
 pub(crate) struct TrafficStatistics {
     requests_seen: u64,
     /// In tokens, adjusted by client-declared work.
--- a/crates/scheduler/src/types/endpoint.rs
+++ b/crates/scheduler/src/types/endpoint.rs
@@ -35,7 +35,8 @@
     Unconfirmed,
     /// Nothing listens on the discovery address.
     Unreachable,
-    /// Only part of a poll's answer has arrived. If it announces a drain, the grace is running, but the list lacks the drain.
+    /// Only part of a poll's answer has arrived. If it announces a drain, the grace is running, but the list lacks the
+    /// drain.
     Incomplete,
     /// The list was restored from an earlier process of this router and may be of any age.
     Restored,
--- a/crates/scheduler/src/types/event.rs
+++ b/crates/scheduler/src/types/event.rs
@@ -76,9 +76,9 @@
     ConnectFailed,
     /// The connection broke.
     ConnectionReset,
-    /// The attempt was cancelled.
+    /// The router ended the attempt before its answer was complete.
     Cancelled,
-    /// No byte of the attempt was sent.
+    /// No byte of the attempt was sent to the replica.
     NotSent,
     /// The replica rejected the request as invalid; any other replica would do the same.
     InvalidRequest,
--- a/crates/scheduler/tests/concurrency.rs
+++ b/crates/scheduler/tests/concurrency.rs
@@ -98,8 +98,8 @@
     assert!(grown > small, "{small} then {grown}");
 }
 
-/// A router's share of a quota may be below one request per second. A burst of requests within the quota must not be rejected
-/// because of that.
+/// A router's share of a quota may be below one request per second. A burst of requests within the quota must not be
+/// rejected because of that.
 #[test]
 fn small_share_of_a_quota_allows_a_burst() {
     let mut site = SchedulerSettings {
--- a/crates/scheduler/tests/endpoint_evidence.rs
+++ b/crates/scheduler/tests/endpoint_evidence.rs
@@ -1,5 +1,5 @@
-//! Tests of attempts while the endpoint list may be outdated: each attempt needs evidence, which is a recent successful probe
-//! of its replica.
+//! Tests of attempts while the endpoint list may be outdated: each attempt needs evidence, which is a recent successful
+//! probe of its replica.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
--- a/crates/scheduler/tests/histories.rs
+++ b/crates/scheduler/tests/histories.rs
@@ -28,8 +28,8 @@
 const STREAM_OUTCOMES: [AttemptOutcome; 2] =
     [AttemptOutcome::Completed, AttemptOutcome::ConnectionReset];
 
-/// One step of a sequence. Requests and attempts are given by their position among the existing ones; a step with too large a
-/// position has no effect.
+/// One step of a sequence. Requests and attempts are given by their position among the existing ones; a step with too large
+/// a position has no effect.
 #[derive(Clone, Debug)]
 enum Step {
     Arrive {
--- a/crates/scheduler/tests/load_reports.rs
+++ b/crates/scheduler/tests/load_reports.rs
@@ -205,8 +205,8 @@
     );
 }
 
-/// Two replicas with a batch size of 2 have reported one request each. An attempt that this router sends to one of them after
-/// the report fills that replica's batch.
+/// Two replicas with a batch size of 2 have reported one request each. An attempt that this router sends to one of them
+/// after the report fills that replica's batch.
 #[test]
 fn counts_own_attempts_since_the_report_against_the_batch() {
     let mut at_other_replica = 0;
@@ -230,8 +230,8 @@
     );
 }
 
-/// If reports do not contain the requests held, a reported queue at a replica with few requests shows that its batch is small.
-/// Requests must then be spread evenly.
+/// If reports do not contain the requests held, a reported queue at a replica with few requests shows that its batch is
+/// small. Requests must then be spread evenly.
 #[test]
 fn infers_batch_size_from_a_reported_queue() {
     let evenly_spread = |queued: f64| {
--- a/crates/scheduler/tests/slow_start.rs
+++ b/crates/scheduler/tests/slow_start.rs
@@ -217,8 +217,8 @@
     );
 }
 
-/// Many routers must neither leave replicas in slow start idle, because each derives too low a rate from its own traffic, nor
-/// overload them by sending at the same time.
+/// Many routers must neither leave replicas in slow start idle, because each derives too low a rate from its own traffic,
+/// nor overload them by sending at the same time.
 #[test]
 fn many_routers_together_use_the_slow_start_budget_without_exceeding_it() {
     let mut fleet = RouterFleet::new(16);
--- a/crates/site-settings/src/error.rs
+++ b/crates/site-settings/src/error.rs
@@ -33,7 +33,7 @@
     /// Each new or changed class occupies an index until the process ends, and all indices are in use.
     #[error("settings: classes: more than {limit} different classes since the start; restart the process to apply this change")]
     TooManyClasses {
-        /// Number of class indices.
+        /// Maximum number of class indices in a process.
         limit: usize,
     },
 }
--- a/crates/site-settings/src/lib.rs
+++ b/crates/site-settings/src/lib.rs
@@ -65,8 +65,8 @@
         self.report_fields.len()
     }
 
-    /// Creates a load report; `value` returns the value for a name, or `None` if it is missing. Replicas may use either of the
-    /// protocol's two names for a field.
+    /// Creates a load report; `value` returns the value for a name, or `None` if it is missing. Replicas may use either of
+    /// the protocol's two names for a field.
     pub fn load_report(&self, value: impl Fn(&str) -> Option<f64>) -> LoadReport {
         let mut report = LoadReport::default();
         for (name, field) in self.names.report_fields.iter().zip(&self.report_fields) {
--- a/src/routing/directory.rs
+++ b/src/routing/directory.rs
@@ -190,8 +190,8 @@
         let id = replica_id(&registered.name);
         let started_ms = registered.listing.started_ms;
         let known = self.listed.get(&id);
-        // The mapped time of an unchanged start is kept: mapping it again with each list would give a slightly different time,
-        // which would look like a restart.
+        // The mapped time of an unchanged start is kept: mapping it again with each list would give a slightly different
+        // time, which would look like a restart.
         let started_at = match known.filter(|known| known.started_ms == started_ms) {
             Some(known) => known.endpoint.started_at,
             None => (started_ms > 0).then(|| self.start_time(started_ms, at)),
--- a/src/routing/router.rs
+++ b/src/routing/router.rs
@@ -86,8 +86,8 @@
         self.statistics.failed_attempts()
     }
 
-    /// The outcome of a request's most recently started attempt among those that have ended, which is the reason for the next
-    /// attempt. `None` if no attempt has ended or the request is not active.
+    /// The outcome of a request's most recently started attempt among those that have ended, which is the reason for the
+    /// next attempt. `None` if no attempt has ended or the request is not active.
     pub fn last_attempt_outcome(&self, request: RequestId) -> Option<AttemptOutcome> {
         self.requests.get(&request)?.last_attempt_outcome()
     }
--- a/src/routing/router/actions.rs
+++ b/src/routing/router/actions.rs
@@ -101,8 +101,8 @@
         }
     }
 
-    /// Finishes a request that gets its response from the node and not from a replica. Returns the request's class, or `None`
-    /// if it already has a response.
+    /// Finishes a request that gets its response from the node and not from a replica. Returns the request's class, or
+    /// `None` if it already has a response.
     fn finish_with_local_response(&mut self, id: RequestId) -> Option<usize> {
         let request = self.requests.get_mut(&id)?;
         if request.has_response() {
--- a/src/routing/timers.rs
+++ b/src/routing/timers.rs
@@ -13,7 +13,6 @@
     AttemptDeadline(AttemptId),
 }
 
-/// The pending timers.
 #[derive(Debug, Default)]
 pub(super) struct TimerQueue {
     timers: BTreeSet<(MonotonicMicros, Timer)>,
