--- a/crates/scheduler/src/latency_estimate.rs
+++ b/crates/scheduler/src/latency_estimate.rs
@@ -242,8 +242,8 @@
 }
 
 /// The mean number of requests in excess of a full batch, if the number of requests held is normally distributed
-/// (approximated by a logistic distribution). `mean_excess` is the mean held less a full batch and may be negative;
-/// `held_by_others` is the mean number of other routers' requests at the replica.
+/// (approximated by a logistic distribution). `mean_excess` is the mean number of requests held minus the batch size and may
+/// be negative; `held_by_others` is the mean number of other routers' requests at the replica.
 fn excess_over_batch(mean_excess: f64, held_by_others: f64, report_weight: f64) -> f64 {
     let unreported = 1.0 - report_weight * report_weight;
     let variance = held_by_others.max(MIN_OTHERS_VARIANCE) * unreported + HELD_VARIANCE;
--- a/crates/scheduler/src/outlier_detection.rs
+++ b/crates/scheduler/src/outlier_detection.rs
@@ -2,7 +2,7 @@
 //!
 //! A replica is ejected after [`EJECTION_FAILURES`] consecutive failures, after as many consecutive streams that broke after
 //! their first token, or while it is unresponsive. An ejected replica gets one attempt as a trial after each pause. If more
-//! than half of the available replicas are ejected (panic mode), the cause is probably shared, and pauses are ignored.
+//! than half of the available replicas are ejected (panic mode), they probably have a common cause, and pauses are ignored.
 
 use crate::types::Seconds;
 
--- a/crates/scheduler/tests/histories.rs
+++ b/crates/scheduler/tests/histories.rs
@@ -302,7 +302,7 @@
 
     #[test]
     fn random_events_keep_the_invariants(steps in steps(), allows_hedging in any::<bool>()) {
-    let actions = run(&steps, allows_hedging);
-    prop_assert_eq!(actions, run(&steps, allows_hedging));
+        let actions = run(&steps, allows_hedging);
+        prop_assert_eq!(actions, run(&steps, allows_hedging));
     }
 }
