--- a/crates/scheduler/src/endpoint_confirmation.rs
+++ b/crates/scheduler/src/endpoint_confirmation.rs
@@ -26,7 +26,7 @@
 const EVIDENCE_AGE_FRACTION: f64 = 0.5;
 /// A replica that has declined a probe or an attempt is not used or probed again for this long.
 const DECLINE_BACKOFF: Seconds = 0.5;
-/// Other replicas are preferred to one that has not answered its probe within this time.
+/// A replica that has not answered its probe within this time is not used until the probe has ended.
 const PROBE_TIMEOUT: Seconds = 0.1;
 /// The longest time for which requests wait for a poll; after that an attempt based on the old list is better for clients
 /// than further waiting.
