--- a/crates/scheduler/src/host_types.rs
+++ b/crates/scheduler/src/host_types.rs
@@ -6,19 +6,19 @@
 
 /// Prefill time per prompt token before the first sample.
 const DEFAULT_PREFILL_TIME: Seconds = 0.0005;
-/// The prefill time of a host type is a mean over this many first tokens. With fewer, rendezvous orders, which use it as a
-/// weight, would change too often.
+/// The prefill time of a host type is a mean over this many first tokens. Rendezvous hashing uses the prefill time as a
+/// weight; with a mean over fewer first tokens the order of replicas would change too often.
 const PREFILL_SAMPLES: f64 = 400.0;
 /// The weight of the default prefill time, in samples.
 const PREFILL_PRIOR_SAMPLES: f64 = PREFILL_SAMPLES / 100.0;
 /// Weight of an answer in the mean service time of its host type.
 const SERVICE_TIME_WEIGHT: f64 = LEARNING_RATE / 2.0;
-/// For the initial service time: answers are assumed to have a quarter of their maximum length and to be generated four
-/// times as fast as the inter-token objective demands.
+/// Divisor of the initial service time, which is based on the maximum answer length and the inter-token objective. Answers
+/// are assumed to have a quarter of the maximum length and to be generated four times as fast as the objective demands.
 const ANSWER_LIMIT_DIVISOR: f64 = 16.0;
-/// The batch size before any report has shown one: the smallest that is usual for model servers.
+/// The batch size until one is known from load reports: the smallest one that model servers commonly have.
 const DEFAULT_BATCH_SIZE: f64 = 16.0;
-/// Weight of one inferred batch size in their mean.
+/// Weight of a new sample in the mean of inferred batch sizes.
 const BATCH_SIZE_WEIGHT: f64 = 0.1;
 /// Lower bound of inferred batch sizes.
 const MIN_INFERRED_BATCH_SIZE: f64 = 2.0;
@@ -32,7 +32,6 @@
     mean_logarithm: f64,
 }
 
-/// Learned statistics by host type.
 pub(crate) struct HostTypeStatistics {
     prefill_times: BTreeMap<usize, PrefillMean>,
     /// Mean time from the start of an attempt to its end over all host types.
@@ -73,8 +72,8 @@
         mean.mean_logarithm += (logarithm - mean.mean_logarithm) / mean.samples;
     }
 
-    /// The prefill time of a host type relative to the default. Rendezvous scores use it because they are integers: with
-    /// times in seconds many scores would be equal.
+    /// The prefill time of a host type relative to the default. Rendezvous hashing uses this ratio and not seconds, because
+    /// scores are integers and with times in seconds many of them would be equal.
     pub(crate) fn relative_prefill_time(&self, host_type: usize) -> f64 {
         let mean = self.prefill_times.get(&host_type);
         mean.map_or(1.0, |mean| mean.mean_logarithm.exp())
@@ -95,7 +94,6 @@
         *mean += SERVICE_TIME_WEIGHT * (elapsed - *mean);
     }
 
-    /// The mean service time over all host types.
     pub(crate) fn mean_service_time(&self) -> Seconds {
         self.mean_service_time
     }
@@ -111,8 +109,8 @@
         self.batch_sizes.insert(host_type, requests);
     }
 
-    /// Infers a batch size from a report of queued requests without the number of requests held, which is estimated: with a
-    /// queue, the batch size is the difference; without a queue, the batch size is at least the requests held.
+    /// Infers a batch size from a report that contains the queued requests but not the requests held. `held` is therefore an
+    /// estimate. With a queue, the batch size is the difference of the two; without a queue, it is at least `held`.
     pub(crate) fn infer_batch_size(&mut self, host_type: usize, held: f64, queued: f64) {
         let known = self.batch_sizes.get(&host_type).copied();
         let has_queue = queued >= MIN_QUEUED;
--- a/crates/scheduler/src/scheduler/arrival.rs
+++ b/crates/scheduler/src/scheduler/arrival.rs
@@ -70,8 +70,8 @@
     ) -> Request {
         let ttft_objective = class.ttft_objective_for(incoming);
         let deadline = self.now + time_left;
-        let earns_when_late = class.late_weight > 0.0;
-        let useful_until = if earns_when_late {
+        let is_useful_when_late = class.late_weight > 0.0;
+        let useful_until = if is_useful_when_late {
             deadline
         } else {
             deadline.min(self.now + ttft_objective)
@@ -119,7 +119,8 @@
         self.traffic.record_arrival(tokens, incoming.expected_work)
     }
 
-    /// The `Retry-After` of a request that must be rejected because no replica has capacity and it would be queued too long.
+    /// The `Retry-After` of a request that must be rejected because no replica has capacity and the request would be queued
+    /// too long; `None` if the request is admitted.
     fn early_rejection(&self, request: &Request, time_left: Seconds) -> Option<Seconds> {
         let is_best_effort = self.queue.is_best_effort(request.tier());
         if self.view().any_has_capacity(is_best_effort) {
@@ -149,7 +150,8 @@
         !probed.is_empty()
     }
 
-    /// Whether load reports arrive only with probes, or too rarely with answers.
+    /// Whether replicas must be probed for load reports, because reports arrive only with probes or too rarely with answers;
+    /// false if replicas may not be probed.
     fn lacks_load_reports(&self) -> bool {
         let is_lacking = match self.settings.load_report_source {
             LoadReportSource::Probes => true,
