--- a/tests/soak/checker.rs
+++ b/tests/soak/checker.rs
@@ -1,30 +1,32 @@
-//! Checks the records of a run against the rules of the platform.
+//! Checks the records of a run against the rules of the platform that runs the nodes.
 
 use super::plan::Plan;
 use super::records::{ClientEnd, ClientRecord, Drain, ProcessRecord, Records, ReplicaRecord};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// A draining replica may still get requests for this long after the node counts as notified of the drain.
+/// The drain grace: a draining replica may get requests for this long after the node counts as notified of the drain.
 const DRAIN_GRACE: Duration = Duration::from_millis(750);
-/// Tolerance of each time limit of the platform.
+/// A time limit of the platform counts as violated only if it is exceeded by more than this.
 const LIMIT_SLACK: Duration = Duration::from_millis(50);
-/// A node counts as notified of a change once discovery has had it and has been reachable for this long.
+/// A node counts as notified of a change at the latest when discovery has had the change for this long and has been reachable
+/// throughout this time.
 const NOTICE_TIME: Duration = Duration::from_secs(6);
-/// After its requested timeout, an unanswered long poll excuses the node for this long.
+/// An unanswered long poll delays the time at which a node counts as notified without an answer, until this long after the
+/// poll's requested timeout.
 const UNANSWERED_POLL_ALLOWANCE: Duration = Duration::from_secs(2);
-/// A final response may arrive this long after the deadline.
+/// A final response may arrive this long after the client's deadline.
 const RESPONSE_ALLOWANCE: Duration = Duration::from_millis(500);
-/// An attempt may start at most this long after its client has disconnected.
+/// An attempt may reach a replica at most this long after its client has disconnected.
 const DISCONNECT_ALLOWANCE: Duration = Duration::from_millis(100);
 /// The deadline sent to a replica may exceed the client's remaining time by this much.
 const DEADLINE_SLACK: Duration = Duration::from_millis(150);
 /// Requests that arrive within this time before a kill need no response.
 const KILL_MARGIN: Duration = Duration::from_millis(100);
-/// A request that arrives later than this after SIGTERM must get a response before the kill.
+/// A kill may truncate a stream after SIGTERM only if its request was sent at most this long after SIGTERM.
 const KILL_ALLOWANCE: Duration = Duration::from_millis(700);
 const MAX_READY_TIME: Duration = Duration::from_secs(10);
-/// Resolution of the search for the time at which the node counts as notified of a change.
+/// Step of the search for the time at which the node counts as notified of a change.
 const SEARCH_STEP: Duration = Duration::from_millis(10);
 
 struct Checker<'a> {
@@ -34,12 +36,12 @@
     drains: Vec<Drain>,
     processes: Vec<ProcessRecord>,
     records: &'a Records,
-    /// Tolerance of time limits: the platform's plus the scheduling delay of the test's threads.
+    /// Tolerance of time limits: [`LIMIT_SLACK`] plus the longest scheduling delay of the test's threads.
     slack: Duration,
     violations: Vec<String>,
 }
 
-/// Describes all violations of a run.
+/// Returns a description of each violation of a run; empty if there is none.
 pub fn check(plan: &Plan, records: &Records) -> Vec<String> {
     let scheduling_delay = *records.max_scheduling_delay.lock().unwrap();
     let mut checker = Checker {
@@ -66,12 +68,13 @@
                 self.violations.push(format!("crashed: {process:?}"));
             }
             if process.ready_after > MAX_READY_TIME {
-                self.violations.push(format!("not ready: {process:?}"));
+                self.violations
+                    .push(format!("not ready within {MAX_READY_TIME:?}: {process:?}"));
             }
         }
     }
 
-    /// The latest process that was started by this time.
+    /// The latest process that was started at or before this time.
     fn process_at(&self, at: Duration) -> Option<&ProcessRecord> {
         let started = |process: &&ProcessRecord| process.started_at <= at;
         self.processes.iter().rfind(started)
@@ -97,7 +100,9 @@
         let is_excused = self.is_excused_by_kill(client);
         match client.end {
             ClientEnd::Disconnected => None,
-            ClientEnd::Answered(_) => (client.ended_at > limit).then_some("late"),
+            ClientEnd::Answered(_) => {
+                (client.ended_at > limit).then_some("response after the limit")
+            }
             ClientEnd::Unanswered => {
                 let is_due = client.ended_at > limit;
                 (is_due && !is_excused).then_some("no response")
@@ -120,7 +125,7 @@
         }
     }
 
-    /// How long the process was suspended during the request: it could not respond then.
+    /// How long the process was suspended during the request. It could not respond in that time.
     fn suspended_during(&self, client: &ClientRecord) -> Duration {
         let suspensions = self.records.suspensions.lock().unwrap();
         suspensions
@@ -132,7 +137,7 @@
             .sum()
     }
 
-    /// Whether a kill excuses the missing end of a response.
+    /// Whether the kill of its process, or the end of the run, excuses that a response is missing or truncated.
     fn is_excused_by_kill(&self, client: &ClientRecord) -> bool {
         let Some(process) = self.process_at(client.sent_at) else {
             return true;
@@ -208,7 +213,9 @@
         self.violations.extend(violations);
     }
 
-    /// The time at which this process counts as notified of a drain; `None` if it does not before `until`.
+    /// When this process counted as notified of a drain; `None` if it did not before `until`. It counts as notified from its
+    /// start if its configuration contains the drain, from the first byte of an answer with the drain, and at the latest after
+    /// [`NOTICE_TIME`].
     fn notified_at(
         &self,
         drain: &Drain,
@@ -238,7 +245,8 @@
             .filter(|at| *at < until)
     }
 
-    /// Whether discovery was reachable for long enough before this time, and no unanswered long poll excuses the node.
+    /// Whether the node counts as notified at this time even without an answer: discovery was reachable for [`NOTICE_TIME`],
+    /// and no long poll that is unanswered at this time excuses the node.
     fn is_notified_by_time(&self, at: Duration) -> bool {
         let polls = self.records.unanswered_polls.lock().unwrap();
         let is_excused = polls.iter().any(|poll| {
--- a/tests/soak/discovery.rs
+++ b/tests/soak/discovery.rs
@@ -1,4 +1,4 @@
-//! The discovery service of a run. It reports drains, fails as planned, and listens at two addresses.
+//! The discovery service of a run. It reports drains, has the faults of the plan, and listens at two addresses.
 
 use super::plan::{DiscoveryFault, Plan};
 use super::records::{Drain, ListAnswer, RecordsRef, UnansweredPoll};
@@ -12,9 +12,9 @@
 const UNAVAILABLE: &str = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
 /// Interval at which a waiting poll checks for a newer version.
 const CHECK_INTERVAL: Duration = Duration::from_millis(5);
-/// Time that a poll waits at an overloaded service.
+/// Time after which an overloaded service answers a poll.
 const OVERLOAD_DELAY: Duration = Duration::from_millis(900);
-/// An overloaded service answers one poll in this many.
+/// An overloaded service answers one in this many polls with the list, and the others with 503.
 const OVERLOAD_ANSWER_INTERVAL: u64 = 3;
 /// Time between two pieces of an answer.
 const PIECE_GAP: Duration = Duration::from_millis(20);
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Answers one poll; `None` if the connection is to be closed.
+    /// Answers one poll; returns `None` if the connection is to be closed.
     fn answer_poll(&self, stream: &mut TcpStream, head: &str, poll_number: u64) -> Option<()> {
         let since: u64 = query_value(head, "since")?;
         let wait = Duration::from_millis(query_value(head, "timeout_ms")?);
@@ -106,7 +106,7 @@
             let version = self.version();
             match self.fault() {
                 Some(DiscoveryFault::Down) => {
-                    // Waiting polls end with 503, and new polls are refused.
+                    // Waiting and new polls are answered with 503.
                     let _ = stream.write_all(UNAVAILABLE.as_bytes());
                     return None;
                 }
@@ -142,6 +142,7 @@
         self.plan.fault_at(self.records.clock.now())
     }
 
+    /// The version of the list; 1 before the first drain.
     fn version(&self) -> u64 {
         let drains = self.records.all.drains.lock().unwrap();
         drains.last().map_or(1, |drain| drain.version)
@@ -182,6 +183,7 @@
         Some(())
     }
 
+    /// Records that an answer begins, and returns the index of its record.
     fn record_answer(&self, version: u64) -> usize {
         let mut answers = self.records.all.answers.lock().unwrap();
         answers.push(ListAnswer {
@@ -193,7 +195,7 @@
     }
 }
 
-/// A numeric query parameter of the request line.
+/// A numeric query parameter of the request line; `None` if it is absent or not a number.
 fn query_value(head: &str, key: &str) -> Option<u64> {
     let query = head.split(' ').nth(1)?.split_once('?')?.1;
     let value = query
--- a/tests/soak/main.rs
+++ b/tests/soak/main.rs
@@ -1,9 +1,9 @@
 //! Soak test: a node process on loopback with draining replicas, a faulty discovery service, sequences of signals, and clients
-//! that use their connections until the process is killed. A seed determines the faults of a run.
+//! that keep using a connection until the node closes it or is killed. A seed determines the faults of a run.
 //!
 //! Each run records what clients, replicas and discovery observed. `checker` then checks the rules: every request gets its
-//! final response, a draining replica gets no request after the grace, no attempt starts for a client that has disconnected,
-//! and no request that must not be repeated runs twice.
+//! final response, a draining replica gets no request after the drain grace, no attempt starts for a client that has
+//! disconnected, and no request of a class with semantics `unsafe` runs twice.
 //!
 //! `cargo test --test soak` runs a few seeds. To run others:
 //!
--- a/tests/soak/node.rs
+++ b/tests/soak/node.rs
@@ -16,20 +16,20 @@
 const HEALTH: &[u8] = b"GET /healthz HTTP/1.1\r\nConnection: close\r\n\r\n";
 const READY: &[u8] = b"HTTP/1.1 200";
 
-/// The node of a run: consecutive processes at one address.
+/// The node of a run: consecutive processes that listen at the same address.
 pub struct SoakNode {
     pub addr: SocketAddr,
     config: PathBuf,
     plan: Arc<Plan>,
     records: RecordsRef,
     child: Option<Child>,
-    /// The log of all processes, with times since the start of the run.
+    /// The log lines of all processes, each with the seconds since the start of the run.
     pub log: Arc<Mutex<Vec<String>>>,
 }
 
 impl SoakNode {
     pub fn new(plan: Arc<Plan>, records: RecordsRef) -> SoakNode {
-        // The port is free once the listener is dropped, and the kernel does not assign it again soon.
+        // Dropping the listener frees the port, and the kernel does not soon assign it to another socket.
         let addr = TcpListener::bind("127.0.0.1:0")
             .unwrap()
             .local_addr()
@@ -66,7 +66,7 @@
         std::fs::write(&self.config, config.to_string()).unwrap();
     }
 
-    /// Starts a process and waits until it is ready.
+    /// Starts a process and waits until it is ready. `known_version` is the version of the list in its configuration.
     pub fn start(&mut self, known_version: u64) {
         let started_at = self.records.clock.now();
         let mut child = Command::new(env!("CARGO_BIN_EXE_poppykeel"))
@@ -117,7 +117,7 @@
             return false;
         };
         let mut answer = Vec::new();
-        // On an error the caller checks again.
+        // On an error the answer is incomplete, and the caller checks again.
         let _ = stream.set_read_timeout(Some(Duration::from_secs(1)));
         let _ = stream.write_all(HEALTH);
         let _ = stream.read_to_end(&mut answer);
--- a/tests/soak/plan.rs
+++ b/tests/soak/plan.rs
@@ -24,9 +24,9 @@
 pub enum DiscoveryFault {
     /// Answers new and waiting polls with 503.
     Down,
-    /// Delays each poll by almost a second and answers most with 503.
+    /// Answers each poll after almost a second, and most with 503.
     Overloaded,
-    /// Leaves waiting and new polls unanswered.
+    /// Leaves waiting and new polls unanswered, with their connections open.
     Unresponsive,
     /// Truncates answers and closes the connection.
     Truncated,
@@ -49,15 +49,15 @@
 pub enum ProcessAction {
     /// SIGKILL, and a restart half a second later.
     Kill,
-    /// SIGTERM, SIGKILL at the earliest time that the platform allows, and a restart.
+    /// SIGTERM, SIGKILL as soon as the platform may send it, and a restart.
     Terminate,
     /// Like `Terminate`, but with SIGTERM, SIGHUP and SIGTERM again.
     TerminateRepeatedly,
-    /// Three SIGHUPs with discovery at its other address.
+    /// Three SIGHUPs after discovery's address in the configuration has changed to the other one.
     Reload,
-    /// SIGSTOP and SIGCONT within the pause that the platform allows a process.
+    /// A suspension that is too short to extend any time limit: SIGSTOP, and SIGCONT within 0.15 s.
     Pause,
-    /// SIGSTOP and SIGCONT after a longer time.
+    /// A longer suspension by SIGSTOP and SIGCONT, which extends the time limits of responses.
     Suspend,
 }
 
@@ -75,14 +75,14 @@
     pub allows_probes: bool,
     /// The semantics of the class, as in the settings.
     pub semantics: &'static str,
-    /// The longest deadline of a client.
+    /// The longest deadline of a request. Clients draw shorter ones, too.
     pub max_deadline: Duration,
     /// Number of idle connections.
     pub idle_client_count: usize,
     pub client_threads: usize,
-    /// When each of the first replicas begins to drain.
+    /// When the first replicas begin to drain, one time per replica.
     pub drains: Vec<Duration>,
-    /// Whether the last replica hangs.
+    /// Whether the last replica responds only after 30 s.
     pub has_hanging_replica: bool,
     pub faults: Vec<FaultWindow>,
     pub actions: Vec<PlannedAction>,
@@ -113,7 +113,7 @@
         }
     }
 
-    /// The fault of discovery at this time.
+    /// The fault of discovery at this time; `None` if it has none.
     pub fn fault_at(&self, at: Duration) -> Option<DiscoveryFault> {
         let window = self
             .faults
@@ -122,7 +122,7 @@
         window.map(|window| window.fault)
     }
 
-    /// Whether discovery was reachable during the whole `span` before `at`.
+    /// Whether discovery was not [`DiscoveryFault::Down`] at any time in the `span` before `at`.
     pub fn was_reachable(&self, at: Duration, span: Duration) -> bool {
         let from = at.saturating_sub(span);
         self.faults
@@ -132,8 +132,8 @@
     }
 }
 
-/// Draws consecutive faults. Without probes of replicas, a node has only its last list during an outage or overload of
-/// discovery, which is a known risk. So `Stalled`, `Down` and `Overloaded` are drawn only if probes are allowed.
+/// Draws consecutive faults. `Stalled`, `Down` and `Overloaded` are drawn only if probes of replicas are allowed: without
+/// probes, a node cannot detect a drain during such a fault and routes by its last list, which is a known risk.
 fn draw_faults(rng: &mut Rand64, allows_probes: bool) -> Vec<FaultWindow> {
     let mut kinds = vec![
         DiscoveryFault::Unresponsive,
--- a/tests/soak/records.rs
+++ b/tests/soak/records.rs
@@ -12,9 +12,9 @@
     Truncated,
     /// The connection ended before the first byte of a response.
     Closed,
-    /// No bytes arrived within the deadline and the allowance after it.
+    /// No bytes arrived, although the client waited beyond the deadline.
     Unanswered,
-    /// The client disconnected early.
+    /// The client disconnected before the response.
     Disconnected,
 }
 
@@ -36,13 +36,13 @@
     pub id: String,
     pub replica: usize,
     pub received_at: Duration,
-    /// The deadline that the node sent.
+    /// The deadline that the node sent with the request, as time from `received_at`.
     pub deadline: Duration,
     /// Whether the replica declined it without running it.
     pub is_declined: bool,
 }
 
-/// A change of the endpoint list: this replica drains from `at` on.
+/// A change of the endpoint list: from `at` on, this replica drains, and `version` of the list reports it.
 #[derive(Clone, Copy, Debug)]
 pub struct Drain {
     pub version: u64,
@@ -50,17 +50,17 @@
     pub at: Duration,
 }
 
-/// An answer of discovery.
+/// An answer of discovery with a list or changes.
 #[derive(Clone, Copy, Debug)]
 pub struct ListAnswer {
     pub version: u64,
-    /// When its first byte was written.
+    /// When discovery began to write it.
     pub written_at: Duration,
     /// Whether it was written completely.
     pub is_complete: bool,
 }
 
-/// A poll that was not answered.
+/// A poll that discovery left unanswered.
 #[derive(Clone, Copy, Debug)]
 pub struct UnansweredPoll {
     pub began_at: Duration,
@@ -95,9 +95,9 @@
     pub answers: Mutex<Vec<ListAnswer>>,
     pub unanswered_polls: Mutex<Vec<UnansweredPoll>>,
     pub processes: Mutex<Vec<ProcessRecord>>,
-    /// Suspensions that were longer than the platform allows.
+    /// Suspensions of the process that extend the time limits of responses.
     pub suspensions: Mutex<Vec<std::ops::Range<Duration>>>,
-    /// The longest scheduling delay of a thread of the test.
+    /// The longest scheduling delay measured in the test process.
     pub max_scheduling_delay: Mutex<Duration>,
 }
 
--- a/tests/soak/replicas.rs
+++ b/tests/soak/replicas.rs
@@ -1,4 +1,4 @@
-//! Replicas that serve requests and probes, and can drain or hang.
+//! Replicas that serve requests and probes. A replica can drain, or hang: it then responds only after 30 s.
 
 use super::records::{RecordsRef, ReplicaRecord};
 use super::support::http_head::{header, read_head};
@@ -17,7 +17,7 @@
 const DECLINED: &str =
     "HTTP/1.1 503 Service Unavailable\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n";
 const TIME_TO_FIRST_TOKEN: Duration = Duration::from_millis(20);
-/// Time after which a hanging replica responds.
+/// Time after which a hanging replica responds; longer than any deadline.
 const HANG_TIME: Duration = Duration::from_secs(30);
 
 /// A replica on threads of its own.
--- a/tests/soak/run.rs
+++ b/tests/soak/run.rs
@@ -12,18 +12,20 @@
 use std::time::Duration;
 
 const FIRST_VERSION: u64 = 1;
-/// Time from the end of a process to the next start.
+/// Time from the end of a process to the start of the next.
 const RESTART_PAUSE: Duration = Duration::from_millis(500);
-/// The platform kills a process at the earliest after the longest deadline, limited to this, plus [`KILL_ALLOWANCE`].
+/// After SIGTERM, the platform waits for the longest deadline, but at most for this, plus [`KILL_ALLOWANCE`], before it kills
+/// the process.
 const MAX_COUNTED_DEADLINE: Duration = Duration::from_secs(3);
 const KILL_ALLOWANCE: Duration = Duration::from_millis(700);
-/// Within the pause that the platform allows a process.
+/// Shorter than the 0.15 s for which the platform may hold up a process without extending any time limit.
 const PAUSE: Duration = Duration::from_millis(120);
 const SUSPENSION: Duration = Duration::from_millis(1500);
 const SIGNAL_GAP: Duration = Duration::from_millis(30);
-const TICK: Duration = Duration::from_millis(5);
+/// Interval at which the scheduling delay is measured.
+const MEASUREMENT_INTERVAL: Duration = Duration::from_millis(5);
 
-/// The result of a run.
+/// The result of a run. `log` has the plan, the drains, the processes and the node's log.
 pub struct Report {
     pub summary: String,
     pub violations: Vec<String>,
@@ -36,11 +38,11 @@
     replicas: Vec<Replica>,
     discovery: Discovery,
     node: SoakNode,
-    /// Index of discovery's address in the configuration.
+    /// Index in [`Discovery::addrs`] of the address in the node's configuration.
     discovery_index: usize,
 }
 
-/// Runs the plan of a seed.
+/// Draws the plan of a seed, carries it out, and checks the records.
 pub fn run_seed(seed: u64) -> Report {
     let plan = Arc::new(Plan::draw(seed));
     let records = RecordsRef {
@@ -78,7 +80,7 @@
     run.report()
 }
 
-/// What actions on the process need besides the node.
+/// The parts of a run, except the node, that an action on the process uses.
 struct Context<'a> {
     plan: &'a Plan,
     records: &'a RecordsRef,
@@ -87,7 +89,7 @@
 }
 
 impl Context<'_> {
-    /// Writes the configuration with the latest list that the node received completely. Returns the list's version.
+    /// Writes the configuration with the latest list that discovery wrote completely. Returns the list's version.
     fn write_config(&self, node: &SoakNode, discovery_index: usize) -> u64 {
         let answers = self.records.all.answers.lock().unwrap().clone();
         let complete = answers.iter().filter(|answer| answer.is_complete);
@@ -234,7 +236,7 @@
     node.signal("-CONT");
 }
 
-/// Makes replicas drain as planned; discovery reports each drain from the same moment on.
+/// Makes replicas drain as planned. Discovery reports each drain as soon as it is recorded.
 fn drain_replicas(plan: &Plan, records: &RecordsRef, replicas: &[Replica]) {
     for (replica, at) in plan.drains.iter().enumerate() {
         records.clock.sleep_until(*at);
@@ -248,12 +250,12 @@
     }
 }
 
-/// Measures the longest scheduling delay of a thread of the test: its records may be late by as much.
+/// Measures the longest scheduling delay of a thread of the test. The times of records may be late by as much.
 fn measure_scheduling_delay(plan: &Plan, records: &RecordsRef) {
     let mut max_delay = Duration::ZERO;
     while records.clock.now() < plan.ends {
-        let expected = records.clock.now() + TICK;
-        std::thread::sleep(TICK);
+        let expected = records.clock.now() + MEASUREMENT_INTERVAL;
+        std::thread::sleep(MEASUREMENT_INTERVAL);
         max_delay = max_delay.max(records.clock.now().saturating_sub(expected));
     }
     *records.all.max_scheduling_delay.lock().unwrap() = max_delay;
