--- a/benches/endpoints/load.rs
+++ b/benches/endpoints/load.rs
@@ -1,4 +1,4 @@
-//! Clients that send requests to the node, and the latencies of the requests.
+//! Clients that send requests to the node and measure their latencies.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -7,7 +7,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// A response that takes longer than this fails the run.
+/// A client that receives no bytes for this long fails the run.
 const READ_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// The id of the next request of all clients.
@@ -20,7 +20,7 @@
 }
 
 impl Clients {
-    /// Starts `client_count` clients, each with a pause after every response.
+    /// Starts `client_count` clients. Each waits for `pause` after every response.
     pub fn start(node: SocketAddr, client_count: usize, pause: Duration) -> Clients {
         let stop = Arc::new(AtomicBool::new(false));
         let threads = (0..client_count)
@@ -62,7 +62,7 @@
     latencies_ms
 }
 
-/// Reads a stream up to its last chunk, or the first bytes of a response with an error status.
+/// Reads a stream up to its last chunk. Of a response with an error status, reads only the first bytes.
 fn read_response(stream: &mut TcpStream) {
     let mut buffer = [0; 4096];
     let mut text = Vec::new();
@@ -77,7 +77,7 @@
     }
 }
 
-/// A quantile of `values`, which are sorted by the call; NaN if there are none.
+/// A quantile of `values`; NaN if there are none. Sorts `values`.
 pub fn quantile(values: &mut [f64], fraction: f64) -> f64 {
     values.sort_by(f64::total_cmp);
     let rank = (values.len() as f64 * fraction).ceil() as usize;
--- a/benches/endpoints/main.rs
+++ b/benches/endpoints/main.rs
@@ -1,6 +1,6 @@
-//! Benchmarks of the endpoint sources on loopback sockets, with the node in a process of its own:
-//! `cargo bench --bench endpoints -- drains|records|latency|scale`. They assert nothing, and each is bounded in number and
-//! time. The figures in `docs/membership.md` come from them.
+//! Benchmarks of the endpoint sources on loopback sockets, with the node in a process of its own. Run them with
+//! `cargo bench --bench endpoints -- drains|records|latency|scale`. They assert nothing; their numbers of rounds and their
+//! waits are limited. The figures in `docs/membership.md` come from them.
 
 #![allow(clippy::unwrap_used, reason = "a benchmark fails by panicking")]
 
@@ -20,14 +20,15 @@
 const SERVICE: &str = "_s._t";
 /// Number of drains to measure.
 const DRAIN_COUNT: usize = 1000;
-/// Number of new records to measure with a TTL of one second; longer TTLs get fewer.
+/// Number of new records to measure with a TTL of one second; divided by the TTL in seconds for longer ones.
 const NEW_RECORD_COUNT: usize = 40;
 /// Number of SRV records in a large zone.
 const LARGE_ZONE_RECORD_COUNT: usize = 2000;
 /// Number of rounds of one second over which CPU time is measured.
 const SCALE_ROUND_COUNT: usize = 20;
-/// Values of `sources` in the operator file.
+/// Value of `sources` in the operator file for the discovery service's list and SRV records.
 const LIST_AND_SRV: &str = "[\"list\", \"srv\"]";
+/// Value of `sources` in the operator file for SRV records only.
 const SRV_ALONE: &str = "[\"srv\"]";
 
 fn main() {
@@ -53,7 +54,7 @@
     }
 }
 
-/// The text of an operator file with these sources and this minimum TTL.
+/// The text of an operator file with these sources of endpoints and this minimum TTL.
 fn operator_text(dns: &StubDnsServer, sources: &str, ttl_floor: &str) -> String {
     format!(
         "[membership]\nsources = {sources}\nhold = 0\n[membership.srv]\nname = \"{SERVICE}\"\n\
@@ -80,7 +81,8 @@
         .collect()
 }
 
-/// Measures the time from a drain in discovery's list to the last new request at the replica, which DNS lists throughout.
+/// Measures the time from a drain in discovery's list to the last request that reaches the replica. DNS lists the replica
+/// throughout.
 fn measure_drains() {
     let (replicas, addrs) = start_replicas(4);
     let (discovery, discovery_addr) = Discovery::start();
@@ -112,15 +114,15 @@
     let served_count = clients.stop().len();
     let question_count: u64 = dns.question_counts().values().sum();
     println!(
-        "drains: {DRAIN_COUNT} while DNS listed the server ({question_count} questions, {served_count} requests); \
-         last new send after p50 {:.2} ms, p99 {:.2} ms, most {:.2} ms ({without_request_count} had none)",
+        "drains: {DRAIN_COUNT} while DNS listed the replica ({question_count} DNS questions, {served_count} requests); \
+         last request after p50 {:.2} ms, p99 {:.2} ms, max {:.2} ms ({without_request_count} drains without a later request)",
         quantile(&mut latencies_ms, 0.5),
         quantile(&mut latencies_ms, 0.99),
         quantile(&mut latencies_ms, 1.0)
     );
 }
 
-/// Measures the time from a new record to the first request at its replica.
+/// Measures the time from the addition of a DNS record to the first request at its replica.
 fn measure_new_records() {
     let (replicas, addrs) = start_replicas(2);
     let (_discovery, discovery_addr) = Discovery::start();
@@ -132,7 +134,7 @@
         thread::sleep(Duration::from_millis(1500));
         let mut latencies_ms = Vec::new();
         for round in 0..NEW_RECORD_COUNT / ttl_s as usize {
-            // Varies the time within the TTL at which the record is added.
+            // Varies when, within the TTL of the previous answer, the record is added.
             thread::sleep(Duration::from_millis(37 * (round as u64 % 17)));
             let added_at = Instant::now();
             dns.set_script(Script::service(SERVICE, ttl_s, &addrs));
@@ -149,7 +151,7 @@
         }
         clients.stop();
         println!(
-            "records: lifetime {ttl_s} s, first send after p50 {:.0} ms, most {:.0} ms of {} new records",
+            "records: TTL {ttl_s} s, first request after p50 {:.0} ms, max {:.0} ms of {} new records",
             quantile(&mut latencies_ms, 0.5),
             quantile(&mut latencies_ms, 1.0),
             latencies_ms.len()
@@ -157,8 +159,8 @@
     }
 }
 
-/// A zone of 2,000 records, whose short names fit into one message. In each round the first `changing_count` records have new
-/// targets with new addresses.
+/// A zone of 2,000 SRV records, whose names are so short that one DNS message holds them all. In each round the first
+/// `changing_count` records get new targets with new addresses; all have the port of `addr`.
 fn large_zone(round: usize, changing_count: usize, addr: SocketAddr) -> Script {
     let mut script = Script {
         follows_aliases: true,
@@ -199,11 +201,15 @@
     script
 }
 
-/// Measures CPU time and memory of a node that looks up 2,000 records each second.
+/// Measures CPU time and memory of a node that looks up 2,000 SRV records each second, and of one without look-ups.
 fn measure_scale() {
     let replica = Replica::start();
     let (_discovery, discovery_addr) = Discovery::start();
-    for (label, changing_count) in [("none", None), ("0%", Some(0)), ("1%", Some(20))] {
+    for (label, changing_count) in [
+        ("without look-ups", None),
+        ("0% changed per second", Some(0)),
+        ("1% changed per second", Some(20)),
+    ] {
         let dns = start_dns(large_zone(0, changing_count.unwrap_or(0), replica.addr));
         let operator = changing_count.map(|_| operator_text(&dns, SRV_ALONE, "1s"));
         let node = Node::start(discovery_addr, operator.as_deref());
@@ -218,15 +224,16 @@
         let after = node.usage();
         let question_count: u64 = dns.question_counts().values().sum();
         println!(
-            "scale: 2,000 servers, {label} of records changing a second: {:.1}% of a core, {:.1} MB at most, \
-             {question_count} questions",
+            "scale: 2,000 SRV records, {label}: {:.1}% of a core, peak memory {:.1} MB, \
+             {question_count} DNS questions",
             (after.cpu_s - before.cpu_s) / SCALE_ROUND_COUNT as f64 * 100.0,
             after.peak_memory_mb
         );
     }
 }
 
-/// Measures the effect of look-ups on request latency: the list alone, with 4 records and with 2,000 records, in turn.
+/// Measures the effect of DNS look-ups on request latency: with discovery's list only, with the list and 4 SRV records, and
+/// with the list and 2,000.
 fn measure_latency() {
     let (_replicas, addrs) = start_replicas(4);
     let (discovery, discovery_addr) = Discovery::start();
--- a/benches/endpoints/node.rs
+++ b/benches/endpoints/node.rs
@@ -6,13 +6,13 @@
 use std::process::{Child, Command, Stdio};
 use std::thread;
 
-/// Clock ticks per second in which `/proc` counts CPU time.
+/// Clock ticks per second; `/proc` counts CPU time in ticks.
 const TICKS_PER_SECOND: f64 = 100.0;
 
 /// A running node. Dropping it kills the process.
 pub struct Node {
     child: Child,
-    /// Where clients connect.
+    /// The address for clients.
     pub addr: SocketAddr,
     files: Vec<PathBuf>,
 }
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Reads the resource usage since the start.
+    /// Reads the resource usage of the process since its start.
     pub fn usage(&self) -> Usage {
         let read = |name: &str| {
             std::fs::read_to_string(format!("/proc/{}/{name}", self.child.id())).unwrap_or_default()
@@ -93,7 +93,7 @@
 
 impl Drop for Node {
     fn drop(&mut self) {
-        // Fails if the process has ended or the files are already removed.
+        // These calls fail if the process has ended or the files are already removed.
         let _ = self.child.kill();
         let _ = self.child.wait();
         for file in &self.files {
--- a/benches/endpoints/stubs.rs
+++ b/benches/endpoints/stubs.rs
@@ -6,7 +6,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How long a poll of the endpoint list waits for a newer version.
+/// How long a poll waits for a newer version of the endpoint list; the service then answers with the list it has.
 const LONG_POLL_LIMIT: Duration = Duration::from_secs(15);
 
 /// Serves each connection on a thread of its own until the process ends.
@@ -18,7 +18,7 @@
         for stream in listener.incoming().map_while(Result::ok) {
             let serve_connection = serve_connection.clone();
             thread::spawn(move || {
-                // An error ends the connection, for example when its node ends.
+                // An error, for example because the node has ended, ends only this connection.
                 let _ = serve_connection(stream);
             });
         }
@@ -27,7 +27,7 @@
 
 /// A replica that answers each request with a stream of one event.
 pub struct Replica {
-    /// Where it listens.
+    /// The address at which it listens.
     pub addr: SocketAddr,
     last_request_at: Arc<Mutex<Option<Instant>>>,
 }
@@ -81,7 +81,7 @@
     endpoints: String,
 }
 
-/// A discovery service whose polls wait for a newer list. Clones share the list.
+/// A discovery service with long polls. Clones share the list.
 #[derive(Clone)]
 pub struct Discovery {
     list: Arc<Mutex<EndpointList>>,
@@ -146,7 +146,7 @@
         )
     }
 
-    /// Sets the endpoints of the next answer and wakes waiting polls.
+    /// Sets the endpoints of the following answers, as a new version of the list, and wakes waiting polls.
     pub fn set_endpoints(&self, endpoints: &[String]) {
         let mut list = self.list.lock().unwrap();
         list.version += 1;
--- a/benches/leases.rs
+++ b/benches/leases.rs
@@ -1,5 +1,6 @@
-//! Benchmarks of leases: grants per second by durability, message rates of a fleet, and request latency with and without
-//! `[fleet]`. Run with `cargo bench --bench leases`. The figures in `docs/leases.md` come from it.
+//! Benchmarks of leases: lease grants per second with and without syncs of the log, message rates of a fleet, and request
+//! latency with and without a `[fleet]` section. Run them with `cargo bench --bench leases`. The figures in `docs/leases.md`
+//! come from them.
 
 #[path = "../tests/support/mod.rs"]
 mod support;
@@ -19,26 +20,28 @@
 
 /// Duration of granted leases, in microseconds.
 const LEASE_DURATION: u64 = 5_000_000;
-/// Time between grants in microseconds; longer than a lease, so the previous lease has expired.
+/// Simulated time between grants in microseconds; longer than a lease, so that the previous lease of a task has expired.
 const GRANT_INTERVAL: u64 = 6_000_000;
-/// Number of tasks that are granted in turn.
+/// Number of tasks whose leases are granted in round-robin order.
 const TASKS: u64 = 500;
-/// Time over which grants are counted.
+/// Real time over which grants are counted.
 const GRANTS_DURATION: Duration = Duration::from_secs(3);
-/// Number of nodes of the fleet, and of lease servers among them.
+/// Number of nodes of the fleet.
 const NODES: usize = 9;
+/// Number of nodes that are lease servers.
 const LEASE_SERVERS: usize = 3;
-/// Time after which a fleet is in a steady state.
+/// Time from the start of a fleet until its message rates are steady.
 const SETTLE_TIME: Duration = Duration::from_secs(12);
 /// Time over which messages are counted.
 const MESSAGES_DURATION: Duration = Duration::from_secs(10);
-/// Number of requests of a round, and number of rounds.
+/// Number of requests per round and node in the latency benchmark.
 const REQUESTS: usize = 1500;
+/// Number of rounds of the latency benchmark.
 const ROUNDS: usize = 4;
 /// Number of tokens of a stub server's response.
 const TOKENS: usize = 3;
 
-/// How grants are made durable.
+/// How often the log of grants is synced to disk.
 #[derive(Clone, Copy)]
 enum Durability {
     /// One sync per this number of grants.
@@ -48,7 +51,8 @@
 }
 
 impl Durability {
-    /// Number of grants between checks of the elapsed time.
+    /// Number of grants between two checks of the elapsed time; with [`Durability::SyncEach`] of 64 or more, also between
+    /// syncs.
     fn batch_size(self) -> usize {
         match self {
             Durability::SyncEach(grants) => grants.clamp(64, 512),
@@ -90,12 +94,12 @@
     std::env::temp_dir().join(format!("bench-{name}-{}", std::process::id()))
 }
 
-/// Removes a folder. An error does not affect the figures.
+/// Removes a folder. An error is ignored, because it does not affect the figures.
 fn remove_folder(folder: PathBuf) {
     let _ = std::fs::remove_dir_all(folder);
 }
 
-/// Grants per second of one lease server.
+/// Measures the lease grants per second of one lease server.
 fn grants_per_second(durability: Durability) -> f64 {
     let mut server = granting_server();
     let folder = bench_folder("leases");
@@ -152,7 +156,7 @@
     text.split('"').next()?.parse().ok()
 }
 
-/// The response of a node to `GET /api/fleet`.
+/// The body of a node's response to `GET /api/fleet`; `None` if the call fails.
 fn fleet_status(admin: SocketAddr) -> Option<Value> {
     let mut stream = TcpStream::connect(admin).ok()?;
     stream
@@ -171,7 +175,7 @@
 }
 
 impl Traffic {
-    /// Totals since the start of a node.
+    /// Totals since the start of a node; `None` if the node does not report them.
     fn sent_by(node: &Node) -> Option<Traffic> {
         let status = fleet_status(admin_address(node)?)?;
         let figure = |key: &str| status["messages"][key].as_f64().unwrap_or(0.0);
@@ -207,7 +211,7 @@
     }
 }
 
-/// A fleet of nine nodes with three lease servers. Its reports go to an address without a collector.
+/// Starts a fleet of nine nodes, three of them lease servers. Its reports go to an address without a collector.
 fn start_fleet(servers: &[SocketAddr], folder: &Path) -> Vec<Node> {
     let addresses: Vec<SocketAddr> = (0..NODES).map(|_| free_address()).collect();
     let lease_servers: Vec<String> = (0..LEASE_SERVERS)
@@ -228,7 +232,8 @@
     addresses.iter().enumerate().map(start).collect()
 }
 
-/// Prints the messages and bytes per second that nodes of an idle fleet send: the mean, and the busiest lease server.
+/// Prints the messages and bytes per second that nodes of an idle fleet send: the mean of all nodes, and those of the busiest
+/// lease server.
 fn print_message_rates(servers: &[SocketAddr]) {
     let folder = bench_folder("fleet");
     let nodes = start_fleet(servers, &folder);
@@ -244,15 +249,15 @@
     let mean = Traffic::mean(&rates);
     let busiest_lease_server = Traffic::max(&rates[..LEASE_SERVERS]);
     println!(
-        "nine nodes, three lease servers, 5 s leases, 1 s probes, {} answered:",
+        "nine nodes, three lease servers, 5 s leases, 1 s probes, {} nodes reported:",
         rates.len()
     );
     println!(
-        "  a node sends {:.1} messages and {:.0} bytes a second",
+        "  mean per node: {:.1} messages/s, {:.0} bytes/s sent",
         mean.messages, mean.bytes
     );
     println!(
-        "  the busiest lease server {:.1} messages and {:.0} bytes a second",
+        "  busiest lease server: {:.1} messages/s, {:.0} bytes/s sent",
         busiest_lease_server.messages, busiest_lease_server.bytes
     );
     drop(nodes);
@@ -289,7 +294,7 @@
         .replicas(servers)
         .operator(&section)
         .start();
-    println!("milliseconds to a whole answer, p50 p90 p99, by turns:");
+    println!("milliseconds to a complete response (p50 p90 p99) without and with [fleet], in alternating rounds:");
     for _ in 0..ROUNDS {
         for (name, node) in [("without", &without), ("with", &with)] {
             let [p50, p90, p99] = latency_quantiles(node);
@@ -300,11 +305,11 @@
 }
 
 fn main() {
-    println!("grants a second of one lease server:");
+    println!("grants per second of one lease server:");
     for (name, durability) in [
-        ("a sync each", Durability::SyncEach(1)),
-        ("a sync for 64", Durability::SyncEach(64)),
-        ("a sync for 512", Durability::SyncEach(512)),
+        ("sync per grant", Durability::SyncEach(1)),
+        ("sync per 64", Durability::SyncEach(64)),
+        ("sync per 512", Durability::SyncEach(512)),
         ("no sync", Durability::NoSync),
     ] {
         let rate = grants_per_second(durability);
--- a/benches/openai/client_outcomes.py
+++ b/benches/openai/client_outcomes.py
@@ -5,7 +5,7 @@
     python benches/openai/client_outcomes.py [--node target/release/poppykeel] [--operator FILE]
 
 It prints how many clients got a complete response, a truncated one, or an error, and how many truncated responses the client
-library reported as complete. It stops all processes that it starts.
+library reported as complete. It kills the node and the stub servers that it starts.
 """
 
 import argparse, concurrent.futures, json, os, re, subprocess, tempfile, threading
@@ -25,7 +25,7 @@
 
 
 def send_request(base, number):
-    """Returns the outcome of a request and the number of text pieces received."""
+    """Sends a request; returns its outcome and the number of content pieces received."""
     client = openai.OpenAI(base_url=f"http://{base}/v1", api_key="none", max_retries=0, timeout=30)
     headers = {"Req-Id": f"{number:016x}", "Req-Kind": "chat", "Req-Deadline": "10"}
     pieces, finish = 0, None
@@ -37,13 +37,13 @@
             for choice in chunk.choices:
                 pieces += bool(choice.delta.content)
                 finish = choice.finish_reason or finish
-        return ("whole" if pieces == 12 and finish else "half, not noticed"), pieces
+        return ("complete" if pieces == 12 and finish else "truncated, reported as complete"), pieces
     except (openai.APIError, openai.APIConnectionError):
         pass
     except Exception as error:  # raised by the HTTP transport if the connection ends early
         if "peer closed" not in str(error) and "incomplete" not in str(error):
             raise
-    return ("half, noticed" if pieces else "nothing"), pieces
+    return ("truncated, reported as an error" if pieces else "error without content"), pieces
 
 
 def run(args, what, fault, files):
--- a/benches/streams.rs
+++ b/benches/streams.rs
@@ -1,5 +1,6 @@
-//! Benchmarks of stream recovery, some of them without sockets: `cargo bench --bench streams -- seen|recovery|detection|cost`.
-//! They print the number of rule violations but assert nothing. The figures in `docs/streams.md` come from them.
+//! Benchmarks of stream recovery: `cargo bench --bench streams -- seen|recovery|detection|cost`. `seen` and `recovery` run a
+//! node and print the number of protocol violations but assert nothing; the others run without sockets. The figures in
+//! `docs/streams.md` come from them.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 #![expect(
@@ -44,7 +45,7 @@
     }
 }
 
-/// A quantile of `values`, which are sorted by the call; NaN if there are none.
+/// A quantile of `values`; NaN if there are none. Sorts `values`.
 fn quantile(values: &mut [f64], fraction: f64) -> f64 {
     values.sort_by(f64::total_cmp);
     let index =
@@ -72,8 +73,8 @@
     }
 }
 
-/// Measures client outcomes of 200 streams over three replicas, one of which truncates or stalls each of its streams, with the
-/// platform's settings.
+/// Measures the outcomes of 200 streams with three replicas, one of which truncates or stalls each of its streams. Streams are
+/// not continued: the operator file is empty.
 fn measure_client_outcomes() {
     let faults = [
         (
@@ -107,7 +108,7 @@
             .filter(|r| r.server == 0)
             .count();
         println!(
-            "seen: one of three {what}: {} of 200 whole, {} half, {} refused; {faulty_requests} requests went to it; {} broken rules",
+            "seen: one of three {what}: {} of 200 completed, {} failed, {} rejected; {faulty_requests} requests reached it; {} protocol violations",
             report.completed,
             report.failed,
             report.rejected,
@@ -116,7 +117,8 @@
     }
 }
 
-/// Measures 10,000 streams of which one in twenty is faulty: half of those are truncated, half stall without end.
+/// Measures 10,000 streams, without and with recovery. About one in twenty first attempts is faulty: half of those are
+/// truncated, the others stall for a minute.
 fn measure_recovery() {
     let faults = || {
         vec![
@@ -191,8 +193,9 @@
         });
         let mut completed = durations_of(|o| *o == ClientOutcome::Completed);
         println!(
-            "recovery {what}: {:.2}% whole ({} continued), {:.2}% failed, {:.2}% refused in {:.0} s; a failure known after \
-             p50 {:.2} s, p99 {:.2} s; whole ones p50 {:.3} s, p99 {:.3} s; {} broken rules; extra tokens {:.2}%",
+            "recovery {what}: {:.2}% completed ({} continued), {:.2}% failed, {:.2}% rejected in {:.0} s; time to failure \
+             p50 {:.2} s, p99 {:.2} s; time to completion p50 {:.3} s, p99 {:.3} s; {} protocol violations; \
+             extra tokens {:.2}%",
             report.completed as f64 / count as f64 * 100.0,
             report.continued,
             report.failed as f64 / count as f64 * 100.0,
@@ -208,10 +211,11 @@
     }
 }
 
-/// Measures false stalls of healthy but slow streams and the time until a dead stream is detected, in simulated time.
+/// Measures, in simulated time, how many healthy but slow streams are abandoned as stalled, and the silence after which a dead
+/// stream is detected.
 fn measure_stall_detection() {
-    let rules = [
-        ("the rule", StallLimits::default()),
+    let limits_by_name = [
+        ("default limits", StallLimits::default()),
         (
             "fixed 3 s",
             StallLimits {
@@ -229,13 +233,13 @@
             },
         ),
     ];
-    // Streams of 100 gaps from a slow replica: the probability of a long pause and its maximum in seconds.
+    // Kinds of streams with 100 gaps: a label, the probability that a gap is a long pause, and the longest pause in seconds.
     for (what, pause_probability, max_pause_s) in [
         ("fast", 0.0, 0.0),
         ("slow, pauses to 3.5 s", 0.02, 3.5),
-        ("slow, to 4.4 s", 0.02, 4.4),
+        ("slow, pauses to 4.4 s", 0.02, 4.4),
     ] {
-        for (name, limits) in &rules {
+        for (name, limits) in &limits_by_name {
             let (mut rng, mut gaps, mut false_stalls, mut limits_s) =
                 (Rand64::new(7), GapHistogram::default(), 0, Vec::new());
             let streams = 2000;
@@ -259,7 +263,7 @@
                 limits_s.push(gaps.silence_limit(None, limits) as f64 / 1e6);
             }
             println!(
-                "detection: {what}, {name}: {:.2}% of healthy streams given up; a dead one noticed after p50 {:.2} s",
+                "detection: {what}, {name}: {:.2}% of healthy streams abandoned; dead streams detected after p50 {:.2} s",
                 f64::from(false_stalls) / f64::from(streams) * 100.0,
                 quantile(&mut limits_s, 0.5)
             );
@@ -267,7 +271,7 @@
     }
 }
 
-/// Measures the time that is added to each forwarded event.
+/// Measures the processing time that stall detection and, for continued streams, the transcript add per forwarded event.
 fn measure_cost_per_event() {
     let events = 1_000_000_u64;
     let (mut gaps, mut stall_detector) = (
@@ -281,7 +285,7 @@
         }
     }
     println!(
-        "cost: {:.0} ns an event for its gap",
+        "cost: {:.0} ns per event for stall detection",
         start.elapsed().as_nanos() as f64 / events as f64
     );
     let event = b"data: {\"id\":\"x\",\"choices\":[{\"index\":0,\"delta\":{\"content\":\"abc \"},\"finish_reason\":null}]}\n\n";
@@ -292,7 +296,7 @@
         transcript.forward(0, event);
     }
     println!(
-        "cost: {:.0} ns an event more where streams are continued",
+        "cost: {:.0} ns more per event if streams are continued",
         start.elapsed().as_nanos() as f64 / transcript_events as f64
     );
 }
