--- a/crates/dns-resolver/src/cache.rs
+++ b/crates/dns-resolver/src/cache.rs
@@ -1,7 +1,7 @@
 //! Caches answers for their TTLs.
 //!
 //! Expired answers stay in the cache and are served as stale while they can't be refreshed (RFC 8767). There is no time
-//! limit on stale answers, because a failed lookup must never remove a server.
+//! limit on stale answers, because a failed lookup must never remove an endpoint.
 
 use crate::answer::{interpret, AnswerContent};
 use crate::config::{AddressFamily, Micros, TtlBounds};
@@ -40,7 +40,7 @@
         self.get(question).filter(|entry| entry.expires_at > now)
     }
 
-    /// Drops the answers to all other questions.
+    /// Drops all answers except those to the questions in `used`.
     pub(crate) fn retain(&mut self, used: &[Question]) {
         if self.entries.len() > used.len() {
             let used: BTreeSet<&Question> = used.iter().collect();
--- a/crates/dns-resolver/src/config.rs
+++ b/crates/dns-resolver/src/config.rs
@@ -24,23 +24,23 @@
 pub struct ResolverConfig {
     /// The name of the service's SRV records, such as `_llm._tcp.example.test`.
     pub name: String,
-    /// The name servers, queried in turn.
+    /// The name servers. Each attempt at a question goes to the next one.
     pub servers: Vec<SocketAddr>,
     /// The address families in order of preference. Only the first family in which a target has addresses is used.
     pub families: Vec<AddressFamily>,
-    /// The timeout of an attempt in the first round; doubles in each further round.
+    /// The timeout of an attempt in the first round of all name servers; doubles in each further round.
     pub timeout: Micros,
-    /// How often each name server is queried before a question fails.
+    /// The number of rounds: how often each name server is queried before a question fails.
     pub rounds: u32,
     /// The advertised size of responses over UDP, in bytes (RFC 6891).
     pub udp_payload_bytes: u16,
-    /// The limits that are applied to TTLs.
+    /// The limits within which TTLs from responses are used.
     pub ttl_bounds: TtlBounds,
     /// The pause after a failed lookup; doubles with each consecutive failure, up to `max_retry_pause`.
     pub retry_pause: Micros,
     /// The longest pause after a failed lookup.
     pub max_retry_pause: Micros,
-    /// How many questions may be in flight at a time.
+    /// How many questions may be in flight at a time; further ones wait.
     pub max_questions: usize,
     /// How many targets of the service are used; further ones are ignored.
     pub max_targets: usize,
--- a/crates/dns-resolver/src/driver.rs
+++ b/crates/dns-resolver/src/driver.rs
@@ -25,7 +25,7 @@
 /// The reason that is reported when the server closes a connection.
 const CLOSED_BY_SERVER: &str = "connection closed before a complete response";
 
-/// An event that a socket's task reports.
+/// An event that the task of a socket or connection reports to the resolver.
 enum SocketRead {
     Datagram {
         socket: SocketId,
--- a/crates/dns-resolver/src/error.rs
+++ b/crates/dns-resolver/src/error.rs
@@ -1,6 +1,7 @@
 //! Errors of the configuration, of decoding, and of lookups.
 
 use crate::answer::MAX_ALIASES;
+use crate::resolver::MAX_QUESTION_ROUNDS;
 use std::net::SocketAddr;
 
 /// A text is not a valid domain name; the message is the parser's.
@@ -42,7 +43,8 @@
 const AT_LEAST_ONE: &str = "expected at least 1";
 
 impl ResolverConfigError {
-    /// The invalid key in the operator's settings file; the first one if several are possible.
+    /// The invalid key in the operator's settings file. For [`ResolverConfigError::ZeroLimit`], the first of its two
+    /// keys.
     pub fn key(&self) -> &'static str {
         match self {
             ResolverConfigError::InvalidName(_) => "name",
@@ -146,10 +148,12 @@
 /// A service lookup has failed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum LookupError {
-    /// A required question could not be answered.
+    /// The SRV records of the service, or an alias that leads to them, could not be looked up.
     #[error(transparent)]
     Question(#[from] QuestionError),
-    /// The answers required more rounds of questions than the limit.
-    #[error("lookup abandoned: too many rounds of questions")]
+    /// The answers led to more rounds of further questions than the limit on rounds.
+    #[error(
+        "lookup abandoned: the answers led to more than {MAX_QUESTION_ROUNDS} rounds of questions"
+    )]
     TooManyRounds,
 }
--- a/crates/dns-resolver/src/exchange.rs
+++ b/crates/dns-resolver/src/exchange.rs
@@ -12,9 +12,9 @@
 use rand::RngExt as Rng;
 use std::net::SocketAddr;
 
-/// How many attempts may be open at a time; the oldest is closed to make room for a new one.
+/// How many attempts of one exchange may be open at a time; the oldest is closed to make room for a new one.
 const MAX_OPEN_ATTEMPTS: usize = 4;
-/// The timeout doubles at most this many times.
+/// The timeout of an attempt over UDP doubles at most this many times.
 const MAX_TIMEOUT_DOUBLINGS: u32 = 6;
 /// The timeout of an attempt over TCP is this many times the configured timeout: the handshake, the query and a long
 /// response take longer than one datagram each way.
@@ -81,7 +81,7 @@
     attempt_count: usize,
     /// When the newest attempt times out.
     deadline: Micros,
-    /// The index of the server that is queried first.
+    /// The index, modulo the number of servers, of the server that is queried first.
     first_server: usize,
     /// The error of the last failed attempt.
     last_error: QuestionError,
@@ -285,7 +285,7 @@
         self.handle_message(now, index, &message, context)
     }
 
-    /// Handles that a socket of this exchange has failed or a connection has closed.
+    /// Fails the attempt whose socket has failed or whose connection has closed.
     pub(crate) fn on_closed<R: Rng>(
         &mut self,
         now: Micros,
@@ -415,7 +415,8 @@
     }
 }
 
-/// Changes a duration by up to a quarter in either direction, so that nodes do not stay synchronized.
+/// Changes a duration by a random amount of up to a quarter in either direction, so that nodes do not stay
+/// synchronized.
 pub(crate) fn with_jitter<R: Rng>(duration: Micros, rng: &mut R) -> Micros {
     let max_deviation = duration / 4;
     duration - max_deviation + rng.random_range(0..=2 * max_deviation)
--- a/crates/dns-resolver/src/lookup.rs
+++ b/crates/dns-resolver/src/lookup.rs
@@ -19,18 +19,18 @@
     pub priority: u16,
     /// The endpoint's relative share of the load among endpoints of the same priority (RFC 2782).
     pub weight: u16,
-    /// When the first of the records that lead to this address expires.
+    /// When the first of the records that lead to this address (SRV, CNAME and address records) expires.
     pub expires_at: Micros,
-    /// Whether it comes from expired records that could not be refreshed.
+    /// Whether the address comes from expired records that could not be refreshed.
     pub is_stale: bool,
 }
 
 /// The result of a lookup.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ServiceLookup {
-    /// The addresses, sorted.
+    /// The known addresses of the targets, sorted by target name.
     pub endpoints: Vec<Endpoint>,
-    /// When the first of the records used expires.
+    /// When the first of the used records expires, after which the lookup must be repeated.
     pub expires_at: Micros,
     /// Why the service has no targets; `None` if it has any.
     pub empty_reason: Option<EmptyReason>,
@@ -203,7 +203,7 @@
         ChainEnd::Failed(error) => return LookupProgress::Failed(error.into()),
     };
     if entry.is_stale {
-        // The previous list stays in use, but it could not be refreshed.
+        // The caller keeps the previous lookup in use, but its records could not be refreshed.
         let first_error = failed.values().next().cloned();
         let error = first_error.unwrap_or(QuestionError::NotAsked);
         return LookupProgress::Failed(error.into());
--- a/crates/dns-resolver/src/message.rs
+++ b/crates/dns-resolver/src/message.rs
@@ -100,7 +100,7 @@
     pub data: RecordData,
 }
 
-/// The used parts of a decoded response.
+/// The parts of a decoded response that the resolver uses.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DnsResponse {
     /// The message id, which must equal that of the query.
@@ -136,7 +136,7 @@
     }
 }
 
-/// The response codes that are handled differently.
+/// The response codes that the resolver distinguishes.
 pub(crate) mod response_code {
     /// No error.
     pub(crate) const NO_ERROR: u16 = 0;
@@ -172,8 +172,8 @@
     }
 }
 
-/// Encodes a query; empty if the name is not a domain name. `payload_bytes` is the payload size advertised by EDNS (RFC
-/// 6891); `None` omits EDNS.
+/// Encodes a query; returns no bytes if the queried name is not a domain name. `payload_bytes` is the payload size
+/// advertised by EDNS (RFC 6891); `None` omits EDNS.
 pub(crate) fn encode_query(id: u16, question: &Question, payload_bytes: Option<u16>) -> Vec<u8> {
     let Ok(name) = parse_name(question.name()) else {
         return Vec::new();
--- a/crates/dns-resolver/src/resolver.rs
+++ b/crates/dns-resolver/src/resolver.rs
@@ -15,7 +15,7 @@
 use std::net::SocketAddr;
 
 /// Limit on rounds of questions in a refresh: each alias and each address family may need a further round.
-const MAX_QUESTION_ROUNDS: u32 = 64;
+pub(crate) const MAX_QUESTION_ROUNDS: u32 = 64;
 /// The pause after a failure doubles at most this many times.
 const MAX_PAUSE_DOUBLINGS: u32 = 20;
 
@@ -24,7 +24,7 @@
 pub enum ResolverEvent {
     /// The service was looked up; the result may be unchanged.
     Listed(ServiceLookup),
-    /// The service could not be looked up. The previous result stays valid.
+    /// The service could not be looked up. The result of the previous lookup stays valid.
     Failed {
         /// The cause of the failure.
         reason: LookupError,
@@ -157,7 +157,7 @@
         }
     }
 
-    /// Handles that this socket has failed or this connection has closed. `reason` becomes part of the error.
+    /// Fails the attempt whose socket has failed or whose connection has closed. `reason` becomes part of the error.
     pub fn on_closed(&mut self, now: Micros, socket: SocketId, reason: &str) {
         if let Some(question) = self.owner(socket) {
             self.update_exchange(now, &question, |exchange, context| {
@@ -263,7 +263,7 @@
         }
     }
 
-    /// Ends a successful refresh.
+    /// Ends a refresh in which the service was looked up, possibly with unresolved targets.
     fn complete(&mut self, now: Micros, lookup: ServiceLookup) {
         self.is_refreshing = false;
         if lookup.unresolved.is_empty() {
--- a/crates/dns-resolver/tests/resolver.rs
+++ b/crates/dns-resolver/tests/resolver.rs
@@ -52,12 +52,10 @@
     SECOND / 1000 + delay.as_micros() as Micros
 }
 
-/// The address of a name server.
 fn name_server(index: u16) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 5300 + index))
 }
 
-/// The address of a target of the service.
 fn target_addr(index: u16) -> SocketAddr {
     SocketAddr::from(([127, 0, 1, 1], 8000 + index))
 }
--- a/crates/endpoints/src/address_identity.rs
+++ b/crates/endpoints/src/address_identity.rs
@@ -15,7 +15,7 @@
     /// The DNS names that resolve to the address.
     names: BTreeSet<String>,
     endpoint_name: String,
-    /// The number of endpoints seen at the address, including this one.
+    /// The number of endpoints seen at the address so far, including this one.
     generation: u32,
     last_seen_at: MonotonicMicros,
 }
@@ -27,8 +27,9 @@
 }
 
 impl AddressIdentities {
-    /// The name of the endpoint at an address to which these DNS names currently resolve.
-    pub(crate) fn endpoint_name(
+    /// Returns the name of the endpoint at an address to which these DNS names currently resolve. Assigns a new name if
+    /// the address is new or none of its previous DNS names is left.
+    pub(crate) fn find_or_assign_name(
         &mut self,
         now: MonotonicMicros,
         addr: SocketAddr,
--- a/crates/endpoints/src/dated_verdict.rs
+++ b/crates/endpoints/src/dated_verdict.rs
@@ -13,7 +13,7 @@
     pub(crate) detail: VerdictDetail,
 }
 
-/// The cause of a verdict, where the verdict alone does not explain it.
+/// The cause of a verdict; `None` if the verdict alone explains it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum VerdictDetail {
     None,
@@ -35,7 +35,6 @@
 }
 
 impl DatedVerdict {
-    /// A verdict without further detail.
     pub(crate) fn new(verdict: SourceVerdict, since: MonotonicMicros) -> Self {
         DatedVerdict {
             verdict,
@@ -46,7 +45,8 @@
 }
 
 impl TrackedEndpoint {
-    /// The verdict of the source that lists this endpoint. `failing_since` is when the source became unreachable.
+    /// The verdict of the source that lists this endpoint. `failing_since` is when the source became unreachable;
+    /// `None` while it is reachable.
     pub(crate) fn verdict(&self, failing_since: Option<MonotonicMicros>) -> DatedVerdict {
         if self.listed.state == ListedState::Draining {
             return DatedVerdict::new(SourceVerdict::Draining, self.state_since);
--- a/crates/endpoints/src/endpoint.rs
+++ b/crates/endpoints/src/endpoint.rs
@@ -11,13 +11,13 @@
     /// Unique name, never reused for another endpoint: the id from a source that identifies endpoints by name,
     /// otherwise the first of its DNS names with its address.
     pub name: String,
-    /// Whether the endpoint takes requests.
+    /// Whether the endpoint takes requests; follows from the prevailing verdict and the priority standby.
     pub status: EndpointStatus,
     /// The description from the first source that lists the endpoint.
     pub listing: Arc<ListedEndpoint>,
-    /// The weight from the first source that gives one.
+    /// The weight from the first source that gives one; `None` if no source does.
     pub weight: Option<f64>,
-    /// The priority from the first source that gives one.
+    /// The priority from the first source that gives one; `None` if no source does.
     pub priority: Option<u16>,
     /// The verdict of each source, in the order of the settings.
     pub verdicts: Vec<SourceVerdict>,
@@ -35,7 +35,8 @@
 }
 
 impl RegisteredEndpoint {
-    /// Whether the change from `previous` is reported. A change of the reason or of verdicts alone is not.
+    /// Whether the registry reports the change from `previous`. It reports no change of the reason or the verdicts
+    /// alone.
     pub(crate) fn differs_from(&self, previous: &RegisteredEndpoint) -> bool {
         let has_same_listing =
             Arc::ptr_eq(&previous.listing, &self.listing) || previous.listing == self.listing;
--- a/crates/endpoints/src/flap_damping.rs
+++ b/crates/endpoints/src/flap_damping.rs
@@ -1,4 +1,5 @@
-//! Suppresses addresses whose records are flapping, for a time that doubles with each return.
+//! Suppresses addresses whose records are flapping (repeatedly withdrawn and listed again), for a time that doubles
+//! with each return.
 //!
 //! Damping is per source and per address. It is not applied if it would suppress more than half of the addresses that
 //! the source lists: a DNS server that returns a different subset of its records each time is not flapping.
@@ -34,7 +35,7 @@
 }
 
 impl FlapDamping {
-    /// Counts the return of a withdrawn address, and starts or extends its suppression beyond the tolerated returns.
+    /// Counts the return of a withdrawn address. If it exceeds the tolerated number, starts or extends the suppression.
     pub(crate) fn record_return(
         &mut self,
         now: MonotonicMicros,
@@ -93,7 +94,7 @@
         damped
     }
 
-    /// When the next suppression ends.
+    /// When the next suppression ends; `None` if no address is suppressed.
     pub(crate) fn next_release(&self, now: MonotonicMicros) -> Option<MonotonicMicros> {
         self.histories
             .values()
--- a/crates/endpoints/src/listing.rs
+++ b/crates/endpoints/src/listing.rs
@@ -65,17 +65,17 @@
 pub(crate) struct TrackedEndpoint {
     /// The latest description.
     pub(crate) listed: Arc<ListedEndpoint>,
-    /// When it was first listed in its current state.
+    /// When the source first listed the endpoint in its current state.
     pub(crate) state_since: MonotonicMicros,
-    /// When its current start was first seen; `None` if it was in the source's first answer, since it may have started
-    /// long before.
+    /// When the source first reported the current start of the endpoint; `None` if the source's first answer listed it,
+    /// since it may have started long before.
     pub(crate) start_seen_at: Option<MonotonicMicros>,
     /// The run of latest answers that lack the endpoint; `None` if the latest answer lists it.
     pub(crate) missing: Option<MissingStreak>,
 }
 
 impl TrackedEndpoint {
-    /// An endpoint that was not listed before. It counts as newly started if the source has answered before.
+    /// An endpoint that was not listed before. It counts as newly started unless this is the source's first answer.
     pub(crate) fn new(
         now: MonotonicMicros,
         listed: ListedEndpoint,
@@ -129,7 +129,7 @@
     pub(crate) draining: Vec<ListingKey>,
     /// Endpoints whose address is listed under another name.
     pub(crate) renamed: Vec<ListingKey>,
-    /// Available endpoints that the list has under no name.
+    /// Available endpoints that are neither listed nor renamed.
     pub(crate) lost: Vec<ListingKey>,
     /// The number of endpoints that were available before this list, including lost and renamed ones.
     pub(crate) available_count: usize,
--- a/crates/endpoints/src/merge.rs
+++ b/crates/endpoints/src/merge.rs
@@ -1,8 +1,8 @@
 //! Merges the verdicts of all sources into endpoints.
 //!
-//! A pass covers some or all addresses. Its only state is the names of endpoints that no source lists under an id.
-//! [`EndpointRegistry`](crate::EndpointRegistry) makes one pass per update and compares the result with the previous
-//! list.
+//! A pass covers some or all addresses. It changes only the names that are assigned to endpoints that no source lists
+//! under an id. [`EndpointRegistry`](crate::EndpointRegistry) makes one pass per update and compares the result with
+//! the previous list.
 
 use crate::address_identity::AddressIdentities;
 use crate::dated_verdict::{DatedVerdict, EndpointQuery};
@@ -41,7 +41,7 @@
 
     /// Adds the endpoints that at least one source lists under an id.
     fn merge_named(&self, endpoints: &mut BTreeMap<String, RegisteredEndpoint>) {
-        for (name, tracked) in self.tracked_by_name() {
+        for (name, tracked) in self.group_by_name() {
             let first = tracked[0];
             let query = EndpointQuery {
                 name: Some(name),
@@ -66,7 +66,8 @@
         }
     }
 
-    fn tracked_by_name(&self) -> BTreeMap<&'a str, Vec<&'a TrackedEndpoint>> {
+    /// The listings at the addresses of this pass in sources that identify endpoints by name, grouped by name.
+    fn group_by_name(&self) -> BTreeMap<&'a str, Vec<&'a TrackedEndpoint>> {
         let mut by_name: BTreeMap<&str, Vec<&TrackedEndpoint>> = BTreeMap::new();
         for source in self.sources_identifying_by_name() {
             for addr in self.addrs {
@@ -114,7 +115,7 @@
                 start_seen_at: None,
             };
             let endpoint = combine(
-                identities.endpoint_name(now, *addr, &names),
+                identities.find_or_assign_name(now, *addr, &names),
                 first.listed.clone(),
                 other_listings.iter().copied(),
                 &self.verdicts(query),
@@ -139,7 +140,8 @@
     }
 }
 
-/// Combines the verdicts by the precedence table. The first source whose verdict prevails is given as the reason.
+/// Combines the verdicts of all sources on one endpoint by the precedence table. The first source that has the
+/// prevailing verdict is recorded as the reason.
 fn combine<'a>(
     name: String,
     listing: Arc<ListedEndpoint>,
--- a/crates/endpoints/src/registry.rs
+++ b/crates/endpoints/src/registry.rs
@@ -18,13 +18,15 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// Limit on withdrawn addresses, and on withdrawn names, remembered per source.
+/// Limit on withdrawn addresses, and on withdrawn names, remembered per source. If more addresses than this have an
+/// assigned endpoint name, those that no source lists lose it.
 const MAX_WITHDRAWALS: usize = 65_536;
 /// How long an endpoint that no source lists any more is still shown, so that operators can see the reason: 10 minutes.
 const DELISTED_RETENTION: DurationMicros = 600_000_000;
-/// Limit on the number of such endpoints.
+/// Limit on the number of endpoints shown after no source lists them any more; beyond it those that are first by name
+/// are dropped.
 const MAX_DELISTED: usize = 4096;
-/// How many times within the retention of withdrawals expired ones are cleaned up.
+/// How often expired withdrawals are dropped within one `withdrawal_retention`.
 const CLEANUPS_PER_RETENTION: u64 = 16;
 
 /// An endpoint that no source lists any more.
@@ -52,7 +54,7 @@
     identities: AddressIdentities,
     endpoints: BTreeMap<String, RegisteredEndpoint>,
     delisted: BTreeMap<String, DelistedEndpoint>,
-    /// The suppressed addresses, one map per source; empty after a change of settings.
+    /// The suppressed addresses at the last merge, one map per source; empty after a change of settings.
     damped: Vec<DampedAddresses>,
     last_cleanup_at: MonotonicMicros,
     now: MonotonicMicros,
@@ -79,7 +81,7 @@
         }
     }
 
-    /// The current settings.
+    /// The current settings, whose order of sources gives the indexes for [`Self::apply_update`].
     pub fn settings(&self) -> &RegistrySettings {
         &self.settings
     }
@@ -126,7 +128,8 @@
         self.on_timer(now)
     }
 
-    /// When [`Self::on_timer`] must be called next; `None` if only an update can change the list.
+    /// When [`Self::on_timer`] must be called next, because a suppression ends; `None` if only an update can change the
+    /// list.
     pub fn next_timer(&self) -> Option<MonotonicMicros> {
         self.sources
             .iter()
@@ -155,9 +158,9 @@
         self.replace(now, previous, merged)
     }
 
-    /// The addresses to merge again. These are all addresses if several sources identify endpoints by name, because an
-    /// endpoint may also be listed at addresses that have not changed, or if priority standby is on, because it
-    /// depends on all endpoints.
+    /// The addresses to merge again. A change at one address requires all of them if several sources identify endpoints
+    /// by name, because an endpoint may also be listed at an unchanged address, and if priority standby is on, because
+    /// it depends on all endpoints.
     fn take_changed_addresses(&mut self, damped: &[DampedAddresses]) -> ChangedAddresses {
         let mut has_changed_everywhere = damped.len() != self.damped.len();
         let mut addrs = BTreeSet::new();
@@ -288,7 +291,7 @@
         self.endpoints.values().chain(delisted).cloned().collect()
     }
 
-    /// The number of endpoints that currently take requests.
+    /// The number of endpoints that currently take new requests.
     pub fn usable_count(&self) -> usize {
         self.endpoints
             .values()
--- a/crates/endpoints/src/settings.rs
+++ b/crates/endpoints/src/settings.rs
@@ -14,7 +14,7 @@
     ByAddress,
 }
 
-/// The effect when a source no longer lists an endpoint.
+/// What happens to an endpoint that a source no longer lists.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AbsencePolicy {
     /// The endpoint is removed even if other sources list it.
@@ -26,7 +26,7 @@
 /// When a sudden loss of many endpoints is accepted. Until then the endpoints are held and still take requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SuddenLossGuard {
-    /// The minimum time before a sudden loss is accepted.
+    /// The minimum time from the first answer that lacks an endpoint until its loss is accepted.
     pub hold_time: DurationMicros,
     /// The number of consecutive answers, including the first, that must lack an endpoint before its loss is accepted.
     pub confirmation_count: u32,
@@ -35,7 +35,8 @@
     pub max_loss_fraction: f64,
 }
 
-/// When a flapping record (repeatedly withdrawn and listed again) is suppressed.
+/// When the address of a flapping record (repeatedly withdrawn and listed again) is suppressed, that is, gets no
+/// requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FlapLimits {
     /// The number of returns within `window` that are tolerated; the next one suppresses the address.
@@ -57,7 +58,7 @@
     pub name: String,
     /// How the source identifies endpoints.
     pub identity: EndpointIdentity,
-    /// The effect when the source no longer lists an endpoint.
+    /// What happens to an endpoint that the source no longer lists.
     pub absence_policy: AbsencePolicy,
     /// The guard against sudden losses; `None` accepts every answer immediately.
     pub sudden_loss_guard: Option<SuddenLossGuard>,
@@ -81,7 +82,7 @@
 /// Settings of the registry.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RegistrySettings {
-    /// The sources. If several describe one endpoint, the first of them takes precedence.
+    /// The sources. If several describe one endpoint, the description of the first one is used.
     pub sources: Vec<SourceSettings>,
     /// Whether endpoints with a higher priority number are out of service while one with a lower number is usable
     /// (RFC 2782).
--- a/crates/endpoints/src/source_state.rs
+++ b/crates/endpoints/src/source_state.rs
@@ -21,7 +21,7 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-/// The addresses whose verdict may have changed.
+/// The addresses for which the verdict of a source may have changed.
 pub(crate) enum ChangedAddresses {
     All,
     Only(BTreeSet<SocketAddr>),
@@ -62,12 +62,11 @@
         &self.settings
     }
 
-    /// Replaces the settings and keeps everything else.
+    /// Replaces the settings and keeps the listing, the withdrawals and all other state.
     pub(crate) fn set_settings(&mut self, settings: SourceSettings) {
         self.settings = settings;
     }
 
-    /// Whether this source identifies endpoints by name.
     pub(crate) fn identifies_by_name(&self) -> bool {
         self.settings.identity == EndpointIdentity::ByName
     }
@@ -86,7 +85,6 @@
         ChangedAddresses::Only(std::mem::take(&mut self.changed_addrs))
     }
 
-    /// Applies one update of the source.
     pub(crate) fn apply_update(&mut self, now: MonotonicMicros, update: SourceUpdate) {
         let was_failing = self.failing_since.is_some();
         let is_failing = update == SourceUpdate::Failed;
@@ -201,7 +199,7 @@
         }
     }
 
-    /// Handles that the source no longer lists an endpoint, according to the absence policy.
+    /// Applies the absence policy to an endpoint that the source no longer lists.
     fn withdraw(&mut self, now: MonotonicMicros, key: &ListingKey) {
         if self.settings.absence_policy == AbsencePolicy::Removes {
             self.remove(now, key);
@@ -298,7 +296,7 @@
         self.flap_damping.damped_addresses(now, &self.listing)
     }
 
-    /// When the next suppression of an address ends.
+    /// When the next suppression of an address ends; `None` if none is suppressed.
     pub(crate) fn next_release(&self, now: MonotonicMicros) -> Option<MonotonicMicros> {
         self.flap_damping.next_release(now)
     }
--- a/crates/endpoints/src/sudden_loss.rs
+++ b/crates/endpoints/src/sudden_loss.rs
@@ -17,9 +17,9 @@
 /// The size of a loss: how many endpoints an answer lacks.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Loss {
-    /// The number of available endpoints that the answer lacks, without renamed ones.
+    /// The number of available endpoints that the answer lacks, not counting renamed ones.
     pub(crate) lost_count: usize,
-    /// The number of endpoints available before the answer, without renamed ones.
+    /// The number of endpoints that were available before the answer, not counting renamed ones.
     pub(crate) available_count: usize,
     /// Whether the answer lists no endpoint at all.
     pub(crate) is_empty_list: bool,
--- a/crates/endpoints/src/verdict.rs
+++ b/crates/endpoints/src/verdict.rs
@@ -90,7 +90,7 @@
     ],
 ];
 
-/// The prevailing verdict if two sources disagree, by [`PRECEDENCE`].
+/// The prevailing one of the verdicts of two sources, by [`PRECEDENCE`]. The order of the arguments has no effect.
 pub fn prevailing_verdict(one: SourceVerdict, other: SourceVerdict) -> SourceVerdict {
     PRECEDENCE[one as usize][other as usize]
 }
--- a/crates/endpoints/src/withdrawals.rs
+++ b/crates/endpoints/src/withdrawals.rs
@@ -1,7 +1,8 @@
 //! The addresses and names that one source has withdrawn, with the times of withdrawal.
 //!
-//! A withdrawal is kept after the endpoint has left the listing, so that another source with an older view does not
-//! restore the endpoint. It ends when the source lists the endpoint again, or after the registry's retention time.
+//! A withdrawal is remembered after the endpoint has left the listing, so that another source with an outdated list
+//! does not restore the endpoint. It ends when the source lists the endpoint again, or after the registry's retention
+//! time.
 
 use crate::update::MonotonicMicros;
 use std::collections::BTreeMap;
--- a/crates/endpoints/tests/damping.rs
+++ b/crates/endpoints/tests/damping.rs
@@ -1,4 +1,4 @@
-//! Example-based tests of delayed changes in simulated time: sudden losses and flapping records.
+//! Example-based tests, in simulated time, of changes that the registry delays: sudden losses and flapping records.
 
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
--- a/crates/endpoints/tests/invariants.rs
+++ b/crates/endpoints/tests/invariants.rs
@@ -3,8 +3,8 @@
 //! 1. An endpoint that a source has drained or removed explicitly takes no requests until that source lists it again
 //!    or reports a new start, regardless of other sources.
 //! 2. A failed lookup does not change which endpoints take requests.
-//! 3. No answer removes more than the configured fraction of endpoints, not counting confirmed losses: endpoints that
-//!    the configured number of answers over the configured time have lacked.
+//! 3. No answer removes more than the configured fraction of endpoints, not counting confirmed losses: endpoints that at
+//!    least the configured number of consecutive answers lack, for at least the hold time.
 //! 4. One address has at most one endpoint that takes requests.
 //! 5. The reported changes, applied in order, reproduce the list.
 //! 6. Merging all addresses again finds no change that was not reported.
@@ -173,7 +173,8 @@
 }
 
 impl RegistryUnderTest {
-    /// Whether enough consecutive answers over the hold time have lacked an address.
+    /// Whether the latest answers of DNS confirm the loss of an address: enough consecutive ones lack it, over the hold
+    /// time.
     fn is_confirmed_loss(&self, now: MonotonicMicros, addr: &SocketAddr) -> bool {
         let lacking: Vec<&DnsAnswer> = self
             .answers
--- a/crates/endpoints/tests/precedence.rs
+++ b/crates/endpoints/tests/precedence.rs
@@ -81,11 +81,11 @@
             registry.apply_update(now, LIST, SourceUpdate::Failed);
         }
         if n == 150 {
-            // A full list without it changes nothing.
+            // A full list without the removed endpoint changes nothing.
             registry.apply_update(now, LIST, listed_ids([1, 3, 4]));
         }
         if n == 200 {
-            // A new name in DNS is no evidence of a new start.
+            // A new name of the address in DNS does not count as a new start of the endpoint.
             let renamed = ListedEndpoint {
                 name: "other.example.test:8002".into(),
                 ..dns_target(2)
--- a/crates/stub-dns-server/src/responder.rs
+++ b/crates/stub-dns-server/src/responder.rs
@@ -28,7 +28,7 @@
 /// What happens to a connection after a reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AfterReply {
-    /// The server answers further queries.
+    /// The server answers further queries on the connection.
     KeepServing,
     /// The connection stays open, but the server sends nothing more.
     StopResponding,
@@ -37,7 +37,7 @@
 /// One reply, and how it is sent.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Reply {
-    /// The delay before the reply is sent.
+    /// The delay from the query until the reply is sent.
     pub delay: Duration,
     /// The message; over TCP the sender adds the length prefix.
     pub bytes: Vec<u8>,
--- a/crates/stub-dns-server/src/script.rs
+++ b/crates/stub-dns-server/src/script.rs
@@ -20,7 +20,8 @@
     /// Whether answers to SRV questions include the addresses of the targets in the additional section.
     #[serde(default = "default_true", rename = "additional")]
     pub adds_addresses: bool,
-    /// Whether answers include the complete chain of aliases; if not, only the first alias.
+    /// Whether an answer includes the complete chain of aliases and the records at its end. If not, it has only the
+    /// first alias.
     #[serde(default = "default_true", rename = "chase")]
     pub follows_aliases: bool,
     /// The TTL of negative answers in the zone's SOA record, in seconds; `None` omits the SOA record.
@@ -90,12 +91,12 @@
     Ttl(u32),
     /// The reply has no records.
     Empty,
-    /// The response code is NXDOMAIN, without records.
+    /// The reply has the response code NXDOMAIN and no records.
     NxDomain,
-    /// The response code is this one, such as 2 for SERVFAIL, without records.
+    /// The reply has this response code, such as 2 for SERVFAIL, and no records.
     #[serde(rename = "code")]
     ResponseCode(u16),
-    /// The name is an alias of another name, which is an alias of the first.
+    /// The queried name is an alias of another name, which is an alias of the queried one.
     #[serde(rename = "loop")]
     AliasLoop,
     /// Over TCP only the first half of the reply is sent, and the connection stays open.
--- a/crates/stub-dns-server/src/stub_server.rs
+++ b/crates/stub-dns-server/src/stub_server.rs
@@ -12,9 +12,9 @@
 
 /// How often threads check whether the server has shut down.
 const SHUTDOWN_CHECK_INTERVAL: Duration = Duration::from_millis(50);
-/// The pause of the accepting thread while no connection is waiting.
+/// How long the accepting thread sleeps if no connection is waiting.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(2);
-/// Limit on threads for delayed replies and connections; further ones are dropped.
+/// Limit on threads for delayed replies and connections; beyond it, replies and connections are dropped.
 const MAX_THREADS: usize = 256;
 /// The size of a read buffer, in bytes.
 const READ_BUFFER_BYTES: usize = 4096;
@@ -41,9 +41,9 @@
     /// If the address is not a loopback address, or can't be bound.
     pub fn start(listen: SocketAddr, script: Script) -> Result<StubDnsServer, io::Error> {
         if !listen.ip().is_loopback() {
-            return Err(io::Error::other(
-                "the stub server listens on loopback addresses only",
-            ));
+            return Err(io::Error::other(format!(
+                "expected a loopback address, not {listen}"
+            )));
         }
         let listener = TcpListener::bind(listen)?;
         let addr = listener.local_addr()?;
--- a/crates/stub-dns-server/src/zone.rs
+++ b/crates/stub-dns-server/src/zone.rs
@@ -8,10 +8,11 @@
 use std::collections::BTreeMap;
 use std::str::FromStr;
 
-/// Limit on the aliases in an answer.
+/// The largest number of aliases that an answer follows.
 const MAX_ALIASES: usize = 16;
-/// The number of labels in the name of the zone of an SOA record.
+/// The name of the zone in an SOA record is this many last labels of the queried name.
 const ZONE_LABELS: usize = 2;
+/// The format of the data of an SRV record.
 const SRV_DATA: &str = "PRIORITY WEIGHT PORT TARGET";
 /// The refresh, retry and expire intervals in SOA records, in seconds; resolvers don't use them.
 const SOA_INTERVAL_S: i32 = 60;
