--- a/crates/testbed/tests/sockets.rs
+++ b/crates/testbed/tests/sockets.rs
@@ -104,7 +104,7 @@
     );
     let log = std::fs::read_to_string(folder.join("node-0.log")).unwrap();
     assert!(
-        log.contains("\"done\""),
+        log.contains("\"shutdown done: no client is connected\""),
         "the node was shut down gracefully"
     );
     std::fs::remove_dir_all(folder).unwrap();
--- a/src/program/serve/shutdown.rs
+++ b/src/program/serve/shutdown.rs
@@ -1,7 +1,8 @@
 //! The graceful shutdown of a node.
 //!
 //! The node first drains: it still admits new requests, but each response is the last on its connection. Meanwhile it hands
-//! its learned state over. Then it closes, and exits once the last client has disconnected.
+//! its learned state over to the next process. Then it closes: it admits no new requests, and exits once the last client
+//! has disconnected.
 
 #[cfg(test)]
 mod tests;
@@ -14,7 +15,7 @@
 use std::time::Duration;
 use tokio::sync::{oneshot, watch};
 
-/// How often a closing node checks whether the last client has disconnected.
+/// The interval at which a closing node checks whether the last client has disconnected.
 const OPEN_CONNECTIONS_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
 impl Node {
@@ -23,19 +24,19 @@
         let node_name = &self.config.name;
         let clients = &self.clients;
         clients.shutdown().begin();
-        tracing::info!(node = %node_name, connections = clients.open_count(), "draining");
+        tracing::info!(node = %node_name, connections = clients.open_count(), "shutdown started: draining, requests are still admitted");
         if let Some(coordination) = &self.coordination {
             coordination.leave();
         }
         drain(&self.phase, self.hand_over(), self.limits.drain_duration).await;
         let since_stop_ms = clients.shutdown().elapsed_ms();
-        tracing::info!(node = %node_name, connections = clients.open_count(), since_stop_ms, "closing");
+        tracing::info!(node = %node_name, connections = clients.open_count(), since_stop_ms, "closing: requests are no longer admitted, waiting for the last client to disconnect");
         self.wait_for_last_client().await;
         self.log_summary().await;
-        tracing::info!(node = %node_name, since_stop_ms = clients.shutdown().elapsed_ms(), "done");
+        tracing::info!(node = %node_name, since_stop_ms = clients.shutdown().elapsed_ms(), "shutdown done: no client is connected");
     }
 
-    /// Sets the deadline of the last responses and hands the learned state over.
+    /// Sets the deadline for the last responses and hands the learned state over to the next process.
     async fn hand_over(&self) {
         let deadline = DispatcherMessage::SetResponseDeadline(FINAL_RESPONSE_TIMEOUT);
         // The send fails only if the dispatcher has ended, and then there are no responses left.
--- a/tests/streams.rs
+++ b/tests/streams.rs
@@ -593,7 +593,8 @@
     assert!(node.child.wait().unwrap().success());
     let has_ended = || {
         let log = node.log.lock().unwrap();
-        log.iter().any(|line| line.contains("\"done\""))
+        log.iter()
+            .any(|line| line.contains("\"shutdown done: no client is connected\""))
     };
     assert!(holds_within(400, has_ended));
     let path = std::env::temp_dir().join(format!("streams-shown-{}.log", std::process::id()));
