--- a/src/program/config/error.rs
+++ b/src/program/config/error.rs
@@ -12,15 +12,15 @@
     /// A key is missing or its value is not a string.
     #[error("{key}: expected a string")]
     NotText {
-        /// The key.
+        /// The top-level key of the node configuration.
         key: &'static str,
     },
     /// A value is not an address with a port.
     #[error("{key}: expected ADDRESS:PORT, not '{value}'")]
     NotAddress {
-        /// The key.
+        /// The top-level key of the node configuration.
         key: &'static str,
-        /// The value.
+        /// The value from the file or an override.
         value: String,
     },
     /// A machine limit is not an integer, or is too low.
@@ -28,7 +28,7 @@
     InvalidLimit {
         /// The key below `limits`.
         key: &'static str,
-        /// The lowest limit.
+        /// The lowest accepted limit.
         min: u64,
     },
     /// The site settings are missing.
@@ -40,21 +40,21 @@
     /// The initial endpoint list is invalid.
     #[error("known.{0}")]
     KnownList(#[source] EndpointListError),
-    /// A duration of the connections to replicas is out of range.
+    /// The connect timeout or the keep-alive time of connections to replicas is out of range.
     #[error("settings.limits.{key}: expected a number of seconds from 0 to 86400 (one day)")]
     InvalidTime {
         /// The key below `settings.limits`.
         key: &'static str,
     },
-    /// The seed is not a number.
-    #[error("seed: expected up to 16 hex digits")]
+    /// The seed is neither a non-negative integer nor a string of hex digits.
+    #[error("seed: expected an integer of at least 0 or a string of up to 16 hex digits")]
     InvalidSeed,
     /// A reread configuration lacks a key that the current one has, so the file was probably truncated.
     #[error(
         "{path}: expected this key, which the current configuration has; the file may be truncated"
     )]
     MissingKey {
-        /// The path of the key, with the prefix `config`.
+        /// The path of the key from the root of the document, which is called `config`.
         path: String,
     },
 }
--- a/src/program/config/node.rs
+++ b/src/program/config/node.rs
@@ -15,7 +15,8 @@
 /// The key of the initial endpoint list.
 const KNOWN_KEY: &str = "known";
 
-/// Values from the command line and the environment, which take precedence over those in the file.
+/// Values from the command line and the environment, which take precedence over those in the file. With `None` the value
+/// of the file applies.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Overrides<'a> {
     /// The node's name.
@@ -38,9 +39,9 @@
     pub discovery: SocketAddr,
     /// The address to listen on for admin requests; `None` disables them.
     pub admin: Option<SocketAddr>,
-    /// The seed of the random number generator; 0 by default.
+    /// The seed of the scheduler's random number generator; 0 if the file has none.
     pub seed: u64,
-    /// The endpoint list to start with, if the file has one.
+    /// The endpoint list to start with; `None` if the file has none.
     pub known_endpoints: Option<EndpointListResponse>,
     /// The settings that all nodes of the site share.
     pub settings: SiteSettings,
@@ -54,7 +55,7 @@
     /// Parses and validates the configuration. The overrides take precedence over its values.
     ///
     /// # Errors
-    /// Names the key and the expected value.
+    /// If the text is not JSON, or a value is missing or invalid; the error names the key and the expected value.
     pub fn read(text: &str, overrides: Overrides) -> Result<NodeConfig, NodeConfigError> {
         let document: Value = serde_json::from_str(text).map_err(NodeConfigError::Json)?;
         if !document["settings"].is_object() {
@@ -92,7 +93,7 @@
     }
 }
 
-/// Reads string values, which can be overridden.
+/// Reads string values of the document, which overrides replace.
 struct StringValues<'a> {
     document: &'a Value,
 }
@@ -181,8 +182,8 @@
     seed.ok_or(NodeConfigError::InvalidSeed)
 }
 
-/// Returns the path of the first key of the old document that the new one lacks. Each element of a new array is compared
-/// with the first element of the old one. The initial endpoint list may be removed.
+/// Returns the path of the first key of the old document that the new one lacks. Each element of a new array must have
+/// the keys of the first element of the old array. Only the initial endpoint list may be missing.
 fn find_missing_key(path: &str, old: &Value, new: &Value) -> Option<String> {
     match (old, new) {
         (Value::Object(old), Value::Object(new)) => old.iter().find_map(|(key, old_value)| {
--- a/src/program/config/operator/budgets.rs
+++ b/src/program/config/operator/budgets.rs
@@ -12,7 +12,7 @@
 const NON_TENANT_BUDGETS: usize = 8;
 /// The largest number of tenants with a budget.
 const MAX_TENANTS: usize = MAX_BUDGETS - NON_TENANT_BUDGETS;
-/// The largest fleet that a budget can be divided among.
+/// The largest number of nodes that a budget can be divided among.
 const MAX_NODES: u32 = 4096;
 const MIN_SHARE: ConfigDuration = ConfigDuration::from_micros(200_000);
 const MAX_SHARE: ConfigDuration = ConfigDuration::from_micros(600_000_000);
@@ -20,17 +20,18 @@
 const DEFAULT_SHARE: ConfigDuration = ConfigDuration::from_micros(2_000_000);
 /// The largest rate (in units per second) or burst (in units).
 const MAX_AMOUNT: f64 = 1e9;
-/// Nodes express budgets in thousandths of a unit.
+/// In messages between nodes, amounts are in thousandths of a unit.
 const THOUSANDTHS_PER_UNIT: f64 = 1e3;
 
-/// `[fleet.budgets]`. Field names are the keys, which `deploy/operator.toml` documents.
+/// `[fleet.budgets]`. Field names are the keys, which `deploy/operator.toml` documents. A budget that is `None` sets no
+/// limit on the fleet.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(
     deny_unknown_fields,
     expecting = "a table with the keys of [fleet.budgets]"
 )]
 pub struct BudgetsConfig {
-    /// The largest number of nodes that the fleet has at a time.
+    /// The largest number of nodes that are in the fleet at a time; each of them is guaranteed its floor.
     pub most_nodes: u32,
     /// How long a node may spend its share of a budget before it needs a new grant.
     #[serde(default = "default_share")]
@@ -69,7 +70,6 @@
     pub floor_burst: f64,
 }
 
-/// A budget with its names.
 struct NamedBudget {
     /// The name in messages between nodes.
     name: String,
--- a/src/program/config/operator/error.rs
+++ b/src/program/config/operator/error.rs
@@ -18,7 +18,7 @@
     Type {
         /// The line, from 1.
         line: usize,
-        /// The path of the key.
+        /// The path of the key, with dots between its parts.
         path: String,
         /// The parser's error, which has the expected type.
         source: Box<toml::de::Error>,
--- a/src/program/config/operator/fleet.rs
+++ b/src/program/config/operator/fleet.rs
@@ -30,24 +30,24 @@
 pub struct FleetConfig {
     /// The fleet's name: nodes ignore messages of other fleets.
     pub name: String,
-    /// The address where this node listens for other nodes.
+    /// The address on which this node listens for messages of other nodes.
     pub listen: SocketAddr,
     /// The address that other nodes use for this node; `None` means `listen`.
     pub advertise: Option<SocketAddr>,
-    /// The nodes, by name, from which this node learns of the other members.
+    /// The addresses, by node name, of the nodes from which this node first learns the other members.
     #[serde(default)]
     pub seeds: BTreeMap<String, SocketAddr>,
     /// Addresses of nodes, by name, that override the ones that they advertise.
     #[serde(default)]
     pub via: BTreeMap<String, SocketAddr>,
-    /// The nodes that host a lease server, by name.
+    /// The addresses of the nodes that host a lease server, by node name.
     pub keepers: BTreeMap<String, SocketAddr>,
     /// The version of the list of lease servers, which must increase whenever the list changes.
     #[serde(default = "default_keepers_number")]
     pub keepers_number: u32,
     /// The folder for the log of the lease server on this node; `None` if it hosts none.
     pub folder: Option<PathBuf>,
-    /// Whether a lease server trusts its log after a restart.
+    /// Whether a lease server trusts its log after a restart. If not, it recovers its grants from the other lease servers.
     #[serde(default)]
     pub trust_disk: bool,
     /// The duration of a lease.
@@ -59,16 +59,16 @@
     /// The interval between health checks of another node.
     #[serde(default = "default_probe")]
     pub probe: ConfigDuration,
-    /// The timeout for the response to a message.
+    /// How long to wait for a response of another node, such as a lease server.
     #[serde(default = "default_patience")]
     pub patience: ConfigDuration,
-    /// The budgets that all nodes share; `None` disables them.
+    /// The budgets that all nodes share; `None` sets no budget.
     pub budgets: Option<BudgetsConfig>,
-    /// Where the fleet's report is sent; `None` sends none.
+    /// Where the report on the whole fleet is sent; `None` sends no report.
     pub report: Option<FleetReportConfig>,
 }
 
-/// `[fleet.report]`: where the fleet's report is sent, and how often.
+/// `[fleet.report]`: where the report on the whole fleet is sent, and how often.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields, expecting = "a table with to and every")]
 pub struct FleetReportConfig {
@@ -168,7 +168,7 @@
     /// The coordination settings of the node with this name, at a site with these tenants.
     ///
     /// # Errors
-    /// Names the key that is missing or does not fit the site settings.
+    /// If a tenant with a budget is not in the site settings, or a lease server has no folder; the error names the key.
     pub fn coordination_settings(
         &self,
         node_name: &str,
--- a/src/program/config/operator/membership.rs
+++ b/src/program/config/operator/membership.rs
@@ -11,13 +11,9 @@
 use serde::Deserialize;
 use std::net::SocketAddr;
 
-/// The default of `hold`.
 const DEFAULT_HOLD: ConfigDuration = ConfigDuration::from_micros(30_000_000);
-/// The default of `confirmations`.
 const DEFAULT_CONFIRMATIONS: u32 = 3;
-/// The default of `loss_part`.
 const DEFAULT_LOSS_PART: f64 = 0.5;
-/// The default of `forget`: a day.
 const DEFAULT_FORGET: ConfigDuration = ConfigDuration::from_micros(24 * 3_600_000_000);
 
 /// `[membership]`. Field names are the keys, which `deploy/operator.toml` documents.
@@ -30,7 +26,7 @@
 pub struct MembershipConfig {
     /// The endpoint sources. If their descriptions of an endpoint differ, the earlier source takes precedence.
     pub sources: Vec<EndpointSource>,
-    /// How long a sudden loss is held at least; 0 applies every loss at once.
+    /// The shortest time for which suddenly lost endpoints stay in use; 0 applies every loss at once.
     pub hold: ConfigDuration,
     /// The number of consecutive answers that must confirm a sudden loss before it is applied.
     pub confirmations: u32,
@@ -42,7 +38,7 @@
     pub forget: ConfigDuration,
     /// The discovery service's list.
     pub list: EndpointListConfig,
-    /// SRV records; required if `sources` has `srv`.
+    /// How SRV records are looked up; must not be `None` if `sources` has `srv`.
     pub srv: Option<SrvConfig>,
 }
 
@@ -56,13 +52,13 @@
     Srv,
 }
 
-/// The effect of a source no longer listing an endpoint.
+/// What happens to an endpoint that a source no longer lists.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase", expecting = "\"removes\" or \"abstains\"")]
 pub enum AbsencePolicyConfig {
     /// The endpoint is removed, even if other sources list it.
     Removes,
-    /// The other sources decide.
+    /// The source has no further influence on the endpoint; the other sources decide.
     Abstains,
 }
 
@@ -83,9 +79,10 @@
     expecting = "a table with the keys of [membership.list]"
 )]
 pub struct EndpointListConfig {
-    /// The address of the discovery service for `resolve` without a node configuration.
+    /// The address of the discovery service for `resolve`; `None` uses the address in the node configuration. `serve`
+    /// ignores the key.
     pub discovery: Option<SocketAddr>,
-    /// The effect of the list no longer naming an endpoint.
+    /// What happens to an endpoint that the list no longer names.
     pub absence: AbsencePolicyConfig,
 }
 
@@ -200,7 +197,7 @@
         }
     }
 
-    /// When a sudden loss is applied; `None` applies it at once.
+    /// When a sudden loss is applied; `None` applies every loss at once.
     fn sudden_loss_guard(&self) -> Option<SuddenLossGuard> {
         let guard = SuddenLossGuard {
             hold_time: self.hold.as_micros(),
--- a/src/program/config/operator/mod.rs
+++ b/src/program/config/operator/mod.rs
@@ -48,7 +48,8 @@
     /// Parses and validates the file.
     ///
     /// # Errors
-    /// Names the line, the key's path and the expected value.
+    /// If the text is not TOML, or a value is missing or invalid; the error names the line, the key's path and the expected
+    /// value.
     pub fn read(text: &str) -> Result<OperatorConfig, OperatorConfigError> {
         let line_of = |error: &toml::de::Error| {
             let start = error.span().map(|span| span.start);
@@ -88,7 +89,7 @@
         Ok(())
     }
 
-    /// The settings of the node's streams.
+    /// The limits on silence in streams and on continuations, from `[streams]`.
     pub fn stream_settings(&self) -> StreamSettings {
         self.streams.settings()
     }
@@ -109,7 +110,7 @@
             .is_none_or(|membership| membership.has_source(EndpointSource::List))
     }
 
-    /// The settings of the endpoint sources.
+    /// The endpoint sources and the rules that merge their lists, from `[membership]`.
     pub fn endpoint_source_settings(&self) -> EndpointSourceSettings {
         match &self.membership {
             Some(membership) => membership.source_settings(),
@@ -166,8 +167,8 @@
     text[..end].lines().count().max(1)
 }
 
-/// The byte offset of a key. If the key is missing, that of the innermost table on its path that exists; `None` if none
-/// does.
+/// The byte offset of a key. If the key is missing, returns the offset of the innermost existing table on its path, or
+/// `None` if no table on the path exists.
 fn find_key(text: &str, path: &str) -> Option<usize> {
     let mut table = DeTable::parse(text).ok()?.into_inner();
     let mut offset = None;
--- a/src/program/config/operator/srv.rs
+++ b/src/program/config/operator/srv.rs
@@ -12,7 +12,8 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// The lowest bound of a TTL, in microseconds: with a bound of 0, look-ups would follow each other without a pause.
+/// The lowest value of `ttl_floor` and `ttl_ceiling`, in microseconds: with 0, look-ups would follow each other without a
+/// pause.
 const MIN_TTL_BOUND: u64 = 1;
 
 /// `[membership.srv]`. Field names are the keys, which `deploy/operator.toml` documents.
@@ -24,7 +25,7 @@
 pub struct SrvConfig {
     /// The name of the service, such as `_llm._tcp.example.test`.
     pub name: String,
-    /// The name servers, which are queried in turn.
+    /// The name servers. Each attempt at a question goes to the next one.
     pub servers: Vec<SocketAddr>,
     /// The address families to look up, in order of preference.
     #[serde(default = "default_families")]
@@ -38,10 +39,10 @@
     /// The upper bound of the TTL of a negative answer.
     #[serde(default = "default_ttl_negative")]
     pub ttl_negative: ConfigDuration,
-    /// The timeout of an attempt in the first round, which doubles with each further round.
+    /// The timeout of an attempt in the first round of all name servers; doubles with each further round.
     #[serde(default = "default_timeout")]
     pub timeout: ConfigDuration,
-    /// How often each name server is tried before a question fails.
+    /// The number of rounds: how often each name server is tried before a question fails.
     #[serde(default = "default_rounds")]
     pub rounds: u32,
     /// The pause after a failed look-up, which doubles with each further failure.
@@ -59,22 +60,24 @@
     /// The largest number of questions in flight.
     #[serde(default = "default_most_questions")]
     pub most_questions: usize,
-    /// The effect of the records no longer listing an endpoint.
+    /// What happens to an endpoint that the records no longer list.
     #[serde(default = "default_absence")]
     pub absence: AbsencePolicyConfig,
     /// How often an endpoint may return within `flap_window` before flap damping applies.
     #[serde(default = "default_flap_free")]
     pub flap_free: u32,
-    /// The window in which returns are counted.
+    /// Returns are counted together if each follows the previous one within this time.
     #[serde(default = "default_flap_window")]
     pub flap_window: ConfigDuration,
-    /// The initial time for which an endpoint that returns too often is excluded; 0 disables flap damping.
+    /// How long an endpoint is excluded at first if it returns too often; doubles with each further return. 0 disables flap
+    /// damping.
     #[serde(default = "default_flap_hold")]
     pub flap_hold: ConfigDuration,
     /// The longest time for which an endpoint that returns too often is excluded.
     #[serde(default = "default_flap_most")]
     pub flap_most: ConfigDuration,
-    /// A regular expression for targets, whose groups `zone`, `kind` and `cell` capture the zone, host type and cell.
+    /// A regular expression that is matched against the target's name. Its groups `zone`, `kind` and `cell` capture the
+    /// zone, host type and cell; `None` captures nothing.
     pub target: Option<String>,
     /// The zone names of the site settings, by the zone captured from a target.
     #[serde(default)]
@@ -82,15 +85,16 @@
     /// The host type names of the site settings, by the host type captured from a target.
     #[serde(default)]
     pub kinds: BTreeMap<String, String>,
-    /// The zone of targets from which none is captured.
+    /// The zone of an endpoint if `target` captures none.
     #[serde(default)]
     pub zone: String,
-    /// The host type of targets from which none is captured.
+    /// The host type of an endpoint if `target` captures none.
     #[serde(default)]
     pub kind: String,
     /// Records with this priority mark their endpoint as draining; `None` marks none.
     pub drain_priority: Option<u16>,
-    /// The weight of an endpoint of ordinary capacity; with `None` the weights of records have no effect on the capacity.
+    /// The capacity of an endpoint is the weight of its record divided by this; with `None` the weight does not state a
+    /// capacity.
     pub weight_unit: Option<f64>,
 }
 
@@ -156,7 +160,7 @@
         }
     }
 
-    /// What to look up, and how to map the records to endpoints.
+    /// The settings of the resolver, and how records are mapped to endpoints.
     pub(super) fn lookup_settings(&self) -> SrvLookupSettings {
         let endpoint_mapping = SrvEndpointMapping {
             target_pattern: self
--- a/src/program/config/operator/streams.rs
+++ b/src/program/config/operator/streams.rs
@@ -8,9 +8,7 @@
 use serde::Deserialize;
 use std::time::Duration;
 
-/// The default of `replica_share`.
 const DEFAULT_REPLICA_SHARE: f64 = 0.5;
-/// The default of `wait`.
 const DEFAULT_CONTINUATION_WAIT: ConfigDuration = ConfigDuration::from_micros(5_000_000);
 
 /// `[streams]`. Field names are the keys, which `deploy/operator.toml` documents.
@@ -21,28 +19,28 @@
     expecting = "a table with the keys of [streams]"
 )]
 pub struct StreamsConfig {
-    /// The lower bound of the silence after which a stream counts as stalled.
+    /// The lower bound of the silence limit, after which a stream counts as stalled.
     pub stall_least: ConfigDuration,
-    /// The upper bound of the silence after which a stream counts as stalled.
+    /// The upper bound of the silence limit.
     pub stall_most: ConfigDuration,
-    /// The allowed silence as a multiple of the objective for the time between tokens.
+    /// The silence limit is at least this multiple of the class's objective for the time between tokens.
     pub stall_aims: f64,
-    /// The allowed silence as a multiple of the stream's long gaps.
+    /// The silence limit is at least this multiple of the long gaps between tokens of the stream's replica.
     pub stall_gaps: f64,
     /// Whether a stalled or broken stream is continued at another replica.
     #[serde(rename = "continue")]
     pub continues: bool,
     /// The largest number of continuations of one stream.
     pub tries: u32,
-    /// The fraction of all streams that may be continued, from 0 to 1.
+    /// The largest ratio of continuations to streams started within `window`, from 0 to 1.
     pub share: f64,
     /// The fraction of one replica's streams that may be continued elsewhere, from 0 to 1.
     pub replica_share: f64,
-    /// The number of continuations per window that are allowed regardless of `share`.
+    /// The number of continuations within `window` that are allowed regardless of `share`.
     pub free: u32,
-    /// The window in which continuations are counted.
+    /// The length of the window in which streams and continuations are counted.
     pub window: ConfigDuration,
-    /// The time within which a continuation must begin.
+    /// The time within which another replica must begin the continuation.
     pub wait: ConfigDuration,
 }
 
@@ -97,7 +95,6 @@
         Ok(())
     }
 
-    /// The settings of the node's streams.
     pub(super) fn settings(&self) -> stream_monitor::StreamSettings {
         let limits = StallLimits {
             min_silence: self.stall_least.as_micros(),
--- a/src/program/config/transport_limits.rs
+++ b/src/program/config/transport_limits.rs
@@ -12,11 +12,11 @@
 
 /// The default memory limit in MiB: the memory of the smallest machine that a node runs on.
 pub(super) const DEFAULT_MEMORY_MB: u64 = 192;
-/// With less memory than this, in MiB, there is no room for connections to both clients and replicas.
+/// The lowest memory limit in MiB; with less, there is no memory for connections to both clients and replicas.
 pub(super) const MIN_MEMORY_MB: u64 = 32;
-/// The default limit of file descriptors: that of the smallest machine that a node runs on.
+/// The default limit on file descriptors: that of the smallest machine that a node runs on.
 pub(super) const DEFAULT_FILE_DESCRIPTORS: u64 = 1024;
-/// With fewer file descriptors than this there is no room for connections to both clients and replicas.
+/// The lowest limit on file descriptors; with fewer, none are left for connections to both clients and replicas.
 pub(super) const MIN_FILE_DESCRIPTORS: u64 = 128;
 
 /// File descriptors of the process itself: standard streams, runtime, signals, listeners, the file of the learned state,
@@ -28,7 +28,7 @@
     + MAX_PENDING_EVICTIONS
     + MAX_PENDING_REFUSALS
     + MAX_ADMIN_CONNECTIONS) as u64;
-/// Request bodies get the memory divided by this; the remaining memory is for connections and the program.
+/// Request bodies may use the memory limit divided by this. The remaining memory is for connections and the program.
 const BODY_MEMORY_DIVISOR: u64 = 4;
 /// A generous estimate of the memory for the buffers and tasks of one connection.
 const CONNECTION_BYTES: u64 = 64 * 1024;
@@ -43,29 +43,35 @@
 const REUSE_DELAY: Duration = Duration::from_millis(20);
 const CLIENT_WRITE_TIMEOUT: Duration = Duration::from_secs(10);
 const CLIENT_IDLE_TIMEOUT: Duration = Duration::from_secs(75);
-/// A client that never finishes its request must get an error or a close within 3 s of connecting.
+/// A client that never finishes its request must get an error, or its connection must be closed, within 3 s of
+/// connecting.
 const REQUEST_READ_TIMEOUT: Duration = Duration::from_millis(2500);
 const PROBE_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// All nodes share one slow discovery service: one long poll costs it less than many short ones.
+/// How long a poll waits at the discovery service. All nodes share this one slow service, and a long poll costs it less
+/// than many short ones.
 const SERVICE_POLL_WAIT: Duration = Duration::from_secs(20);
-/// An unanswered poll must be over within 2 s of its wait, because a replica may have been removed from the list by then.
-/// The next poll must be answered within the remaining time, and a service that handles polls sequentially may take a
-/// second for each of the two.
+/// How much longer than its wait a poll of the service may take. If a poll is not answered, a replica may have been removed
+/// from the list meanwhile, so the next poll must be answered within 2 s of the end of the wait. A service that handles
+/// polls sequentially may take a second for each of the two.
 const SERVICE_POLL_SLACK: Duration = Duration::from_millis(1000);
-/// How long the first poll after a refused one waits at the service. If the service becomes unresponsive at that time, this
-/// wait, the slack and a new poll are over before the missed update counts as delivered, 6 s after the last answer.
+/// How long the first poll after a refused one waits at the service. A node is expected to know each update at most
+/// 6 s after the service's last answer. If the service becomes unresponsive during this poll, the wait, the slack and one
+/// more poll end within that time.
 const SERVICE_RETRY_WAIT: Duration = Duration::from_millis(2000);
-/// An overloaded service takes up to 2 s to answer or refuse a poll. A shorter timeout would waste its work.
+/// How much longer than its wait the poll after a failed one may take. An overloaded service takes up to 2 s to answer or
+/// refuse a poll, and a shorter timeout would waste its work.
 const SERVICE_RETRY_SLACK: Duration = Duration::from_millis(2200);
 
-/// An agent on this machine answers at once and at no cost, and a short poll detects an unresponsive one early. Its updates
-/// count as delivered as soon as it answers again, so an unanswered poll must be over within a fraction of the drain grace.
+/// How long a poll waits at an agent on this machine. The agent answers at once and at no cost, and a short poll detects an
+/// unresponsive agent early. The drain grace of an update starts as soon as the agent responds again, so an unanswered poll
+/// must end within a fraction of the drain grace.
 const AGENT_POLL_WAIT: Duration = Duration::from_millis(1000);
+/// How much longer than its wait a poll of the agent may take.
 const AGENT_POLL_SLACK: Duration = Duration::from_millis(500);
-/// The longest wait at the agent as a fraction of the drain grace. The slack is at most half of that wait.
+/// The longest wait at the agent as a fraction of the drain grace. The slack is at most half of the longest wait.
 const AGENT_POLL_GRACE_FRACTION: f64 = 0.5;
-/// A shorter drain grace than this, in seconds, does not shorten polls of the agent any further.
+/// The shortest drain grace that is taken into account, in seconds; a shorter one shortens polls no further.
 const MIN_DRAIN_GRACE: f64 = 0.2;
 /// The longest drain grace that is taken into account, in seconds: a day.
 const MAX_DRAIN_GRACE: f64 = 86_400.0;
@@ -82,7 +88,9 @@
 struct PollTimes {
     wait: Duration,
     slack: Duration,
+    /// The wait of the poll after a refused one.
     retry_wait: Duration,
+    /// The slack of the poll after any failed one.
     retry_slack: Duration,
 }
 
@@ -90,14 +98,14 @@
     fn new(settings: &SiteSettings) -> PollTimes {
         match settings.scheduler.endpoint_list_mode {
             EndpointListMode::Pushed => {
-                PollTimes::of_agent(settings.scheduler.lifecycle.drain_grace)
+                PollTimes::for_agent(settings.scheduler.lifecycle.drain_grace)
             }
-            EndpointListMode::Polled => PollTimes::of_service(),
+            EndpointListMode::Polled => PollTimes::for_service(),
         }
     }
 
     /// The times for polls of the discovery service.
-    fn of_service() -> PollTimes {
+    fn for_service() -> PollTimes {
         PollTimes {
             wait: SERVICE_POLL_WAIT,
             slack: SERVICE_POLL_SLACK,
@@ -107,7 +115,7 @@
     }
 
     /// The times for polls of an agent on this machine, with a drain grace in seconds.
-    fn of_agent(drain_grace: f64) -> PollTimes {
+    fn for_agent(drain_grace: f64) -> PollTimes {
         let grace = drain_grace.clamp(MIN_DRAIN_GRACE, MAX_DRAIN_GRACE);
         let max_wait = Duration::from_secs_f64(grace * AGENT_POLL_GRACE_FRACTION);
         let slack = AGENT_POLL_SLACK.min(max_wait / 2);
@@ -153,8 +161,8 @@
     })
 }
 
-/// The largest number of connections to clients, which is also that to replicas. At most half of the memory is for
-/// connections on machines of every size, because the smallest ones need the other half.
+/// The largest number of connections to clients; the same number applies to replicas. Connections use at most half of the
+/// memory, because the smallest machines need the other half for request bodies and the program.
 fn connections_per_side(machine: MachineLimits) -> usize {
     let file_descriptors = machine.file_descriptors - RESERVED_FILE_DESCRIPTORS;
     let connections = file_descriptors.min(machine.memory_bytes / 2 / CONNECTION_BYTES);
--- a/src/program/files.rs
+++ b/src/program/files.rs
@@ -14,7 +14,7 @@
     /// The file of the node configuration can't be read.
     #[error("cannot read the node configuration {}: {source}", path.display())]
     ReadConfig {
-        /// The file.
+        /// The path from the flag or the environment variable.
         path: PathBuf,
         /// The error of the operating system.
         source: io::Error,
@@ -22,7 +22,7 @@
     /// The operator file can't be read.
     #[error("cannot read the operator file {}: {source}", path.display())]
     ReadOperator {
-        /// The file.
+        /// The path from the flag or the environment variable.
         path: PathBuf,
         /// The error of the operating system.
         source: io::Error,
@@ -30,7 +30,7 @@
     /// The node configuration is invalid.
     #[error("node configuration {}: {source}", path.display())]
     Config {
-        /// The file.
+        /// The path from the flag or the environment variable.
         path: PathBuf,
         /// The key and the expected value.
         source: NodeConfigError,
@@ -38,7 +38,7 @@
     /// The operator file is invalid.
     #[error("operator file {}: {source}", path.display())]
     Operator {
-        /// The file.
+        /// The path from the flag or the environment variable.
         path: PathBuf,
         /// The line, the key and the expected value.
         source: OperatorConfigError,
@@ -69,14 +69,14 @@
 }
 
 impl ConfigOverrideArgs {
-    /// Reads the node configuration.
-    pub(super) fn read(&self, path: &Path) -> Result<NodeConfig, SettingsFileError> {
+    /// Reads the node configuration and applies the overrides.
+    pub(super) fn read_config(&self, path: &Path) -> Result<NodeConfig, SettingsFileError> {
         read_node_config(path, self.overrides())
     }
 
-    /// Rereads the node configuration at SIGHUP. The override of the discovery address is ignored: it dates from the start
-    /// of the process and must not hide a new address in the replaced file.
-    pub(super) fn reread(&self, path: &Path) -> Result<NodeConfig, SettingsFileError> {
+    /// Reads the node configuration again at SIGHUP. The override of the discovery address does not apply: it was given at
+    /// the start of the process and must not hide a new address in the replaced file.
+    pub(super) fn reread_config(&self, path: &Path) -> Result<NodeConfig, SettingsFileError> {
         let overrides = Overrides {
             discovery: None,
             ..self.overrides()
--- a/src/program/fleet/admin_call.rs
+++ b/src/program/fleet/admin_call.rs
@@ -4,7 +4,8 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// A node either answers an admin request within a second or does not answer at all.
+/// The time limit for connecting and for each read. A node either answers an admin request within a second or does not
+/// answer at all.
 const TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Why an admin request failed.
@@ -16,7 +17,7 @@
         admin: SocketAddr,
         source: io::Error,
     },
-    /// The node closed the connection without an answer.
+    /// The node closed the connection without a complete response head.
     #[error("admin address {admin}: connection closed without a response")]
     NoAnswer { admin: SocketAddr },
     /// The status of the response is not 200.
--- a/src/program/fleet/mod.rs
+++ b/src/program/fleet/mod.rs
@@ -10,7 +10,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-// clap shows doc comments of these types in the help, so comments that don't belong there are ordinary ones.
+// clap prints the doc comments of these types as help texts. Comments that are not help texts use `//`.
 
 // The arguments of `poppykeel fleet`.
 #[derive(Args)]
@@ -63,19 +63,19 @@
         match &self.action {
             Action::Status(arguments) => {
                 let status = fetch(arguments, "fleet")?;
-                print_response(arguments, &status, tables::status);
+                print_response(arguments, &status, tables::format_status);
             }
             Action::Budgets(arguments) => {
                 let status = fetch(arguments, "fleet")?;
                 if arguments.json {
                     println!("{:#}", status["budgets"]);
                 } else {
-                    print!("{}", tables::budgets(&status));
+                    print!("{}", tables::format_budgets(&status));
                 }
             }
             Action::Crossings(arguments) => {
                 let rows = fetch(arguments, "crossings")?;
-                print_response(arguments, &rows, tables::cross_zone_traffic);
+                print_response(arguments, &rows, tables::format_cross_zone_traffic);
             }
             Action::Roll(arguments) => {
                 let max_out = arguments.max_out;
--- a/src/program/fleet/tables.rs
+++ b/src/program/fleet/tables.rs
@@ -3,50 +3,50 @@
 use serde_json::Value;
 use std::time::{Duration, UNIX_EPOCH};
 
-/// The length of a date with hours and minutes, as in `2026-01-31T12:34`.
+/// The length of a date with hours and minutes in bytes, as in `2026-01-31T12:34`.
 const MINUTE_BYTES: usize = 16;
 
 /// A string value, or a dash for any other value.
-fn text(value: &Value) -> &str {
+fn text_or_dash(value: &Value) -> &str {
     value.as_str().unwrap_or("-")
 }
 
 /// The elements of an array; none for any other value.
-fn rows(value: &Value) -> impl Iterator<Item = &Value> {
+fn elements(value: &Value) -> impl Iterator<Item = &Value> {
     value.as_array().into_iter().flatten()
 }
 
-/// Formats the fleet's budgets as this node has them and, if it allocates them, as it allocates them.
-pub(super) fn budgets(status: &Value) -> String {
+/// Formats the budgets as this node has them; if it allocates the budgets, also the share of each node.
+pub(super) fn format_budgets(status: &Value) -> String {
     if status["budgets"].is_null() {
         return "this fleet has no budgets\n".into();
     }
     let mut table = format!(
         "budgets of fleet {}, as {} sees them\n\n",
-        text(&status["fleet"]),
-        text(&status["node"])
+        text_or_dash(&status["fleet"]),
+        text_or_dash(&status["node"])
     );
     table += &format!(
         "{:<20} {:>10} {:>10} {:>12} {:>10} {:>7} {:>9}\n",
         "budget", "whole/s", "floor/s", "own share/s", "wanted/s", "worth", "left ms"
     );
-    for budget in rows(&status["budgets"]["own"]) {
-        table += &own_budget(budget);
+    for budget in elements(&status["budgets"]["own"]) {
+        table += &format_own_budget(budget);
     }
     let allocator = &status["budgets"]["divided"];
     if allocator.is_null() {
         table +=
             "\nanother node allocates the budgets and has the share of each node ('poppykeel fleet status' names it)\n";
     }
-    for budget in rows(&allocator["budgets"]) {
-        table += &allocated_budget(budget, &allocator["epoch"]);
+    for budget in elements(&allocator["budgets"]) {
+        table += &format_allocated_budget(budget, &allocator["epoch"]);
     }
     table
 }
 
 /// Formats the node's own share of one budget.
-fn own_budget(budget: &Value) -> String {
-    let name = text(&budget["budget"]);
+fn format_own_budget(budget: &Value) -> String {
+    let name = text_or_dash(&budget["budget"]);
     let limit = &budget["whole"];
     let guaranteed = &budget["floor"];
     let granted = &budget["share"];
@@ -57,8 +57,8 @@
 }
 
 /// Formats one budget that the node allocates, with the share of each node.
-fn allocated_budget(budget: &Value, epoch: &Value) -> String {
-    let name = text(&budget["budget"]);
+fn format_allocated_budget(budget: &Value, epoch: &Value) -> String {
+    let name = text_or_dash(&budget["budget"]);
     let allocatable = &budget["divided"];
     let allocated = &budget["given"];
     let free = &budget["free"];
@@ -70,25 +70,29 @@
         table +=
             &format!("  the limit was lowered: it takes full effect within {lowered_in_ms} ms\n");
     }
-    for node in rows(&budget["nodes"]) {
-        table += &format!("  {:<16} {:>10}\n", text(&node["node"]), node["share"]);
+    for node in elements(&budget["nodes"]) {
+        table += &format!(
+            "  {:<16} {:>10}\n",
+            text_or_dash(&node["node"]),
+            node["share"]
+        );
     }
     table
 }
 
 /// Formats the numbers of requests to other zones, by minute.
-pub(super) fn cross_zone_traffic(response: &Value) -> String {
+pub(super) fn format_cross_zone_traffic(response: &Value) -> String {
     let mut table = format!(
         "{:<18} {:<16} {:<16} {:>9}\n",
         "minute (UTC)", "class", "tenant", "crossings"
     );
-    for row in rows(response) {
+    for row in elements(response) {
         let minutes = row["minute"].as_u64().unwrap_or(0);
         let time = UNIX_EPOCH + Duration::from_secs(minutes * 60);
         let time = humantime::format_rfc3339_seconds(time).to_string();
         let minute = time.get(..MINUTE_BYTES).unwrap_or(&time).replace('T', " ");
-        let class = text(&row["class"]);
-        let tenant = text(&row["tenant"]);
+        let class = text_or_dash(&row["class"]);
+        let tenant = text_or_dash(&row["tenant"]);
         let count = &row["count"];
         table += &format!("{minute:<18} {class:<16} {tenant:<16} {count:>9}\n");
     }
@@ -96,43 +100,44 @@
 }
 
 /// Formats the members, lease servers, leases, the newest rolling restart and the message counters.
-pub(super) fn status(status: &Value) -> String {
+pub(super) fn format_status(status: &Value) -> String {
     [
-        members(status),
-        missing_lease_servers(status),
-        leases(status),
-        lease_server(&status["keeper"]),
-        rolling_restart(&status["roll"]),
-        messages(&status["messages"]),
+        format_members(status),
+        format_missing_lease_servers(status),
+        format_leases(status),
+        format_lease_server(&status["keeper"]),
+        format_rolling_restart(&status["roll"]),
+        format_messages(&status["messages"]),
     ]
     .concat()
 }
 
-fn members(status: &Value) -> String {
+fn format_members(status: &Value) -> String {
     let mut table = format!(
         "fleet {}, as {} sees it\n\n",
-        text(&status["fleet"]),
-        text(&status["node"])
+        text_or_dash(&status["fleet"]),
+        text_or_dash(&status["node"])
     );
     table += &format!(
         "{:<16} {:<22} {:<17} keeper\n",
         "member", "address", "incarnation"
     );
-    for member in rows(&status["members"]) {
-        let name = text(&member["name"]);
-        let address = text(&member["addr"]);
-        let incarnation = text(&member["incarnation"]);
+    for member in elements(&status["members"]) {
+        let name = text_or_dash(&member["name"]);
+        let address = text_or_dash(&member["addr"]);
+        let incarnation = text_or_dash(&member["incarnation"]);
         let keeper = if member["keeper"] == true { "yes" } else { "" };
         table += &format!("{name:<16} {address:<22} {incarnation:<17} {keeper}\n");
     }
     table
 }
 
-fn missing_lease_servers(status: &Value) -> String {
-    let is_member =
-        |name: &str| rows(&status["members"]).any(|member| text(&member["name"]) == name);
-    let missing: Vec<&str> = rows(&status["keepers"])
-        .map(text)
+fn format_missing_lease_servers(status: &Value) -> String {
+    let is_member = |name: &str| {
+        elements(&status["members"]).any(|member| text_or_dash(&member["name"]) == name)
+    };
+    let missing: Vec<&str> = elements(&status["keepers"])
+        .map(text_or_dash)
         .filter(|name| !is_member(name))
         .collect();
     if missing.is_empty() {
@@ -141,20 +146,23 @@
     format!("keepers that are not there: {}\n", missing.join(", "))
 }
 
-fn leases(status: &Value) -> String {
+fn format_leases(status: &Value) -> String {
     let mut table = format!(
         "\n{:<16} {:<8} {:<24} {:>9}\n",
         "task", "epoch", "held by", "left ms"
     );
-    for lease in rows(&status["claims"]) {
-        let task = text(&lease["task"]);
+    for lease in elements(&status["claims"]) {
+        let task = text_or_dash(&lease["task"]);
         let held_epoch = lease["held_epoch"].as_u64();
         let epoch = held_epoch.map_or("-".into(), |epoch| epoch.to_string());
         let (holder, time_left) = if held_epoch.is_some() {
-            let holder = format!("{} (this node)", text(&status["node"]));
+            let holder = format!("{} (this node)", text_or_dash(&status["node"]));
             (holder, lease["left_ms"].to_string())
         } else {
-            (text(&lease["other"]["node"]).to_string(), "-".into())
+            (
+                text_or_dash(&lease["other"]["node"]).to_string(),
+                "-".into(),
+            )
         };
         table += &format!("{task:<16} {epoch:<8} {holder:<24} {time_left:>9}\n");
     }
@@ -162,15 +170,18 @@
 }
 
 /// Formats the state of the lease server on this node; empty if there is none.
-fn lease_server(server: &Value) -> String {
+fn format_lease_server(server: &Value) -> String {
     if !server.is_object() {
         return String::new();
     }
-    let mut table = format!("\nthis node is a keeper: {}\n", text(&server["standing"]));
-    for row in rows(&server["table"]) {
-        let task = text(&row["task"]);
+    let mut table = format!(
+        "\nthis node is a keeper: {}\n",
+        text_or_dash(&server["standing"])
+    );
+    for row in elements(&server["table"]) {
+        let task = text_or_dash(&row["task"]);
         let epoch = &row["epoch"];
-        let holder = text(&row["holder"]["node"]);
+        let holder = text_or_dash(&row["holder"]["node"]);
         let time_left = &row["left_ms"];
         table += &format!("{task:<16} {epoch:<8} {holder:<24} {time_left:>9}\n");
     }
@@ -178,17 +189,17 @@
 }
 
 /// Formats the newest rolling restart; empty if there was none.
-fn rolling_restart(restart: &Value) -> String {
+fn format_rolling_restart(restart: &Value) -> String {
     if !restart.is_object() {
         return String::new();
     }
     let mut table = format!(
         "\nroll {} ordered at {}: {} nodes, at most {} out; this node: {}\n",
         restart["number"],
-        text(&restart["by"]),
+        text_or_dash(&restart["by"]),
         restart["nodes"],
         restart["out"],
-        text(&restart["part"])
+        text_or_dash(&restart["part"])
     );
     let coordinator = &restart["charge"];
     if coordinator.is_object() {
@@ -200,7 +211,7 @@
     table
 }
 
-fn messages(messages: &Value) -> String {
+fn format_messages(messages: &Value) -> String {
     format!(
         "\nmessages: {} sent, {} taken; dropped: {} garbled, {} foreign, {} of another list of keepers\n",
         messages["sent"],
--- a/src/program/mod.rs
+++ b/src/program/mod.rs
@@ -95,13 +95,13 @@
 impl ServeCommand {
     fn run(&self) -> Result<(), CommandError> {
         let settings = ServeSettings {
-            node: self.overrides.read(&self.config)?,
+            node: self.overrides.read_config(&self.config)?,
             operator: self.operator_file.read()?,
         };
         log::start(self.verbose, self.log_format);
         let reread_settings = || {
             Ok(ServeSettings {
-                node: self.overrides.reread(&self.config)?,
+                node: self.overrides.reread_config(&self.config)?,
                 operator: self.operator_file.read()?,
             })
         };
@@ -112,7 +112,7 @@
 impl CheckCommand {
     fn run(&self) -> Result<(), CommandError> {
         if let Some(path) = &self.config {
-            println!("{}", self.overrides.read(path)?);
+            println!("{}", self.overrides.read_config(path)?);
         }
         if self.operator_file.operator.is_some() {
             println!("{}", self.operator_file.read()?);
@@ -140,7 +140,7 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// Runs the command line. An error is printed as one line on standard error.
+/// Parses the command line and runs its command. An error is printed as one line on standard error.
 pub fn main() -> ExitCode {
     match run(&Cli::parse().command) {
         Ok(code) => code,
--- a/src/program/resolve.rs
+++ b/src/program/resolve.rs
@@ -23,16 +23,16 @@
 use tokio::task::LocalSet;
 use tokio::time::Instant;
 
-/// The number of updates of the sources that can be queued. The watchers wait while the channel is full.
+/// The number of source updates that can be queued. The watchers wait while the channel is full.
 const UPDATE_CHANNEL_CAPACITY: usize = 64;
 /// How long one poll of discovery waits for a newer list.
 const LONG_POLL_WAIT: Duration = Duration::from_millis(1000);
-/// How much longer the answer to a poll may take.
+/// How much longer than [`LONG_POLL_WAIT`] the answer to a poll may take.
 const POLL_SLACK: Duration = Duration::from_millis(1500);
-/// The pause after a failed poll.
+/// The pause before polls of the list resume after a failed one.
 const RETRY_PAUSE: Duration = Duration::from_secs(2);
-/// How long to sleep if the registry has no pending timer.
-const NO_TIMER: Duration = Duration::from_secs(3600);
+/// How long to sleep if the registry has no pending timer; an update ends the sleep early.
+const SLEEP_WITHOUT_TIMER: Duration = Duration::from_secs(3600);
 /// The longest value of `--wait`, in seconds: one day.
 const MAX_WAIT_S: f64 = 86_400.0;
 
@@ -59,16 +59,16 @@
 /// Why the command failed.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum ResolveError {
-    /// A settings file could not be read or is invalid.
+    /// A settings file can't be read or is invalid.
     #[error(transparent)]
     Settings(#[from] SettingsFileError),
     /// The address of the discovery service on the command line is invalid.
     #[error("--discovery or GW_DISCOVERY: expected ADDRESS:PORT, not '{0}'")]
     DiscoveryAddress(String),
-    /// The runtime could not be built.
+    /// The async runtime can't be built.
     #[error("cannot start the async runtime: {0}")]
     Runtime(#[source] std::io::Error),
-    /// The report could not be written.
+    /// The report can't be written to standard output.
     #[error("cannot write to standard output: {0}")]
     Output(#[source] std::io::Error),
 }
@@ -114,7 +114,7 @@
         let Some(path) = &self.config else {
             return Ok(None);
         };
-        let config: NodeConfig = self.overrides.read(path)?;
+        let config: NodeConfig = self.overrides.read_config(path)?;
         Ok(Some(config.discovery))
     }
 
@@ -140,8 +140,8 @@
             watcher.start();
         } else if operator.uses_endpoint_list() {
             eprintln!(
-                "poppykeel: the address of the discovery service is unknown and source 'list' fails: expected \
-                 --discovery, --config or the key membership.list.discovery"
+                "poppykeel: source 'list' fails because the address of the discovery service is unknown; set --discovery, \
+                 --config or the key membership.list.discovery"
             );
         }
         let registry = EndpointRegistry::new(operator.endpoint_source_settings().registry);
@@ -152,13 +152,13 @@
             registry,
             list_watcher,
             latest_lookup: srv_watcher.latest_lookup(),
-            shown: None,
+            last_printed: None,
         };
         session.run(updates).await?;
         Ok(session.registry.usable_count() > 0)
     }
 
-    fn show(&self, report: &ResolveReport) -> Result<(), ResolveError> {
+    fn print(&self, report: &ResolveReport) -> Result<(), ResolveError> {
         let text = if self.json {
             // The conversion to a value sorts the keys alphabetically.
             let value = serde_json::to_value(report)
@@ -192,7 +192,7 @@
         .collect()
 }
 
-/// One run of the command.
+/// The state of one run of the command.
 struct ResolveSession<'a> {
     command: &'a ResolveCommand,
     clock: Clock,
@@ -201,13 +201,13 @@
     /// The progress of each source, by name.
     progress: BTreeMap<String, SourceProgress>,
     latest_lookup: LatestSrvLookup,
-    /// The endpoints that were shown last.
-    shown: Option<Vec<EndpointFingerprint>>,
+    /// The fingerprint of the last printed report; `None` before the first one.
+    last_printed: Option<Vec<EndpointFingerprint>>,
 }
 
 impl ResolveSession<'_> {
-    /// Applies updates until every source has reported once or the wait has expired, then shows the list. With `--watch`
-    /// it shows each change until the process is interrupted.
+    /// Applies updates until every source has reported once or `--wait` has passed, then prints the report. With `--watch`,
+    /// prints each change until the process is interrupted.
     async fn run(
         &mut self,
         mut updates: mpsc::Receiver<DispatcherMessage>,
@@ -220,11 +220,14 @@
                 if !is_watching {
                     break;
                 }
-                self.show_change()?;
+                self.print_if_changed()?;
             }
-            let until_timer = self.registry.next_timer().map_or(NO_TIMER, |timer| {
-                Duration::from_micros(timer.saturating_sub(self.clock.now()))
-            });
+            let until_timer = self
+                .registry
+                .next_timer()
+                .map_or(SLEEP_WITHOUT_TIMER, |timer| {
+                    Duration::from_micros(timer.saturating_sub(self.clock.now()))
+                });
             // Every branch is cancel-safe: a message stays in the channel, and the next iteration sets the timers again.
             tokio::select! {
                 message = updates.recv() => {
@@ -238,7 +241,7 @@
                 () = tokio::time::sleep_until(deadline), if !is_watching => break,
             }
         }
-        self.command.show(&self.report())
+        self.command.print(&self.report())
     }
 
     fn has_every_source_reported(&self) -> bool {
@@ -271,7 +274,8 @@
         }
     }
 
-    /// Restarts the watcher of the list after a pause. A watcher stops after a failure; in a node the scheduler restarts it.
+    /// Restarts the watcher of the list after a pause. The watcher stops after a failure; in a node the scheduler restarts
+    /// it, but `resolve` has no scheduler.
     fn restart_list_watcher_later(&self) {
         let Some(watcher) = self.list_watcher.clone() else {
             return;
@@ -291,19 +295,19 @@
         )
     }
 
-    /// Shows the list if it differs from the one shown last.
-    fn show_change(&mut self) -> Result<(), ResolveError> {
+    /// Prints the report if it differs from the last printed one in any field of the fingerprint.
+    fn print_if_changed(&mut self) -> Result<(), ResolveError> {
         let report = self.report();
         let fingerprint = Some(report.fingerprint());
-        if fingerprint != self.shown {
-            self.command.show(&report)?;
-            self.shown = fingerprint;
+        if fingerprint != self.last_printed {
+            self.command.print(&report)?;
+            self.last_printed = fingerprint;
         }
         Ok(())
     }
 }
 
-/// The limits for the watcher of the list, which is the only part of the transport that runs.
+/// The limits for the watcher of the list. No other part of the transport that reads limits runs in this command.
 fn watcher_limits() -> TransportLimits {
     let unused = Duration::ZERO;
     TransportLimits {
--- a/src/program/resolve/report.rs
+++ b/src/program/resolve/report.rs
@@ -11,19 +11,19 @@
 use std::fmt;
 use std::net::SocketAddr;
 
-/// The progress of a source.
+/// Whether a source has reported to `resolve`, and the kind of its latest report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub(super) enum SourceProgress {
-    /// It has reported nothing yet.
+    /// The source has reported nothing yet.
     Silent,
-    /// Its latest report is an answer.
+    /// The latest report of the source is an answer.
     Answered,
-    /// Its latest report is a failure.
+    /// The latest report of the source is a failure.
     Failed,
 }
 
-/// The whole output.
+/// The complete output.
 #[derive(Debug, Serialize)]
 pub(super) struct ResolveReport {
     /// The number of endpoints that take new requests.
@@ -37,7 +37,7 @@
 struct EndpointReport {
     name: String,
     addr: SocketAddr,
-    /// The label of its status.
+    /// The label of the endpoint's status.
     state: &'static str,
     /// The names of the sources that have a verdict on the endpoint, in the order of the settings.
     sources: Vec<String>,
@@ -54,7 +54,7 @@
 struct SourceReport {
     name: String,
     state: SourceProgress,
-    /// The latest completed look-up, if the source is DNS.
+    /// The latest completed look-up; `None` if there is none yet, or if the source is not DNS.
     #[serde(flatten)]
     lookup: Option<LookupReport>,
 }
@@ -67,7 +67,7 @@
         records: Vec<RecordReport>,
         /// The time until the first record expires.
         expires_s: f64,
-        /// Why no endpoint is listed; `None` if there are some.
+        /// Why the service has no targets; `None` if it has any.
         nothing: Option<String>,
         unresolved: Vec<UnresolvedTarget>,
     },
@@ -76,7 +76,7 @@
     },
 }
 
-/// One address of one target.
+/// One address of one SRV target.
 #[derive(Debug, Serialize)]
 struct RecordReport {
     target: String,
@@ -140,7 +140,7 @@
         }
     }
 
-    /// The report is shown again when this changes.
+    /// The fields whose change makes `--watch` print the report again.
     pub(super) fn fingerprint(&self) -> Vec<EndpointFingerprint> {
         self.servers
             .iter()
@@ -180,14 +180,14 @@
     fn new(lookup: &SrvLookupResult, now: MonotonicMicros) -> Option<Self> {
         match lookup {
             SrvLookupResult::Pending => None,
-            SrvLookupResult::Found(lookup) => Some(LookupReport::found(lookup, now)),
+            SrvLookupResult::Found(lookup) => Some(LookupReport::from_lookup(lookup, now)),
             SrvLookupResult::Failed(reason) => Some(LookupReport::Failed {
                 why: reason.to_string(),
             }),
         }
     }
 
-    fn found(lookup: &ServiceLookup, now: MonotonicMicros) -> Self {
+    fn from_lookup(lookup: &ServiceLookup, now: MonotonicMicros) -> Self {
         LookupReport::Found {
             records: lookup
                 .endpoints
--- a/src/program/serve/error.rs
+++ b/src/program/serve/error.rs
@@ -12,15 +12,15 @@
 /// Why a node can't start. Each message is one line and names the invalid key, if there is one.
 #[derive(Debug, thiserror::Error)]
 pub enum ServeError {
-    /// The signal at the death of the parent process can't be set.
+    /// The signal that the kernel sends when the parent process ends can't be set.
     #[error("{variable}: cannot set the parent death signal: {source}")]
     ParentDeathSignal {
-        /// The environment variable that requires it.
+        /// The environment variable that requests the signal.
         variable: &'static str,
         /// The error of the operating system.
         source: io::Error,
     },
-    /// The runtime can't be built.
+    /// The async runtime can't be built.
     #[error("cannot start the async runtime: {0}")]
     Runtime(#[source] io::Error),
     /// Signal handlers can't be installed.
@@ -63,16 +63,16 @@
     /// A file can't be read or is invalid.
     #[error(transparent)]
     SettingsFile(#[from] SettingsFileError),
-    /// The node configuration must not replace the current one.
+    /// The node configuration lacks a key of the current one and must not replace it.
     #[error(transparent)]
     Config(#[from] NodeConfigError),
-    /// The site settings must not replace the current ones.
+    /// The site settings can't replace the current ones while the node runs.
     #[error(transparent)]
     SiteSettings(#[from] SettingsUpdateError),
     /// The table `[fleet]` does not fit the node or the site settings.
     #[error(transparent)]
     Fleet(#[from] FleetConfigError),
-    /// The fleet settings must not replace the current ones.
+    /// The fleet settings can't replace the current ones while the node runs.
     #[error(transparent)]
     Coordination(#[from] CoordinationError),
     /// The table `[fleet]` was added to or removed from the operator file.
--- a/src/program/serve/listeners.rs
+++ b/src/program/serve/listeners.rs
@@ -12,7 +12,7 @@
 /// The number of connections that the kernel queues until they are accepted.
 const ACCEPT_BACKLOG: u32 = 1024;
 
-/// A listening socket with its local address.
+/// A listening socket with its local address, which has the port that the kernel chose for port 0.
 pub(super) struct BoundListener {
     pub listener: TcpListener,
     pub address: SocketAddr,
@@ -21,7 +21,7 @@
 /// The sockets on which a node listens.
 pub(super) struct Listeners {
     pub client: BoundListener,
-    /// For admin requests; `None` if they are disabled.
+    /// The listener for admin requests; `None` if they are disabled.
     pub admin: Option<TcpListener>,
 }
 
--- a/src/program/serve/mod.rs
+++ b/src/program/serve/mod.rs
@@ -25,11 +25,11 @@
 /// The exit code after a panic: the one that Rust uses for a panic in the main thread.
 const PANIC_EXIT_CODE: i32 = 101;
 
-/// The settings of a node.
+/// All settings that a node starts with or reloads.
 pub struct ServeSettings {
     /// The node configuration.
     pub node: NodeConfig,
-    /// The operator file, or its defaults.
+    /// The operator file; its defaults if none is given.
     pub operator: OperatorConfig,
 }
 
@@ -50,7 +50,7 @@
                 source: error.into(),
             }
         })?;
-        // If the parent ended before the signal was set, the signal is never delivered.
+        // If the parent ended before the signal was set, the signal is never delivered, so the node does not start.
         let current = rustix::process::getppid().map(rustix::process::Pid::as_raw_pid);
         if current.map(|id| id.to_string()) != Some(parent) {
             return Ok(());
--- a/src/program/serve/node.rs
+++ b/src/program/serve/node.rs
@@ -80,7 +80,8 @@
     /// not serve.
     ///
     /// # Errors
-    /// If the node can't listen, or the settings conflict.
+    /// If the node can't listen at a configured address, the settings conflict, or the coordination with the fleet can't
+    /// start.
     pub(super) async fn start(settings: ServeSettings) -> Result<Node, ServeError> {
         let listeners = Listeners::bind(&settings.node)?;
         let scheduler =
@@ -88,15 +89,15 @@
         let (dispatcher, messages) = mpsc::channel(DISPATCHER_CHANNEL_CAPACITY);
         let (phase_sender, phase) = watch::channel(NodePhase::Serving);
         let context = NodeContext::new(settings, dispatcher, phase_sender);
-        let list_watcher = context.list_watcher();
-        let dispatcher_task = context.dispatcher_task(scheduler, list_watcher.clone());
+        let list_watcher = context.create_list_watcher();
+        let dispatcher_task = context.create_dispatcher(scheduler, list_watcher.clone());
         let mut srv_watcher = SrvWatcher::new(context.clock, context.dispatcher.clone());
         srv_watcher.watch(context.operator.srv_lookup_settings());
         spawn_local(dispatcher_task.run(messages));
         spawn_local(close_idle_connections(context.pool.clone()));
         let coordination = context.join_fleet().await?;
         let handover = context.start_handover();
-        let clients = context.clients(phase.clone());
+        let clients = context.create_client_registry(phase.clone());
         let client = listeners.client;
         spawn_local(accept_connections(client.listener, clients.clone(), phase));
         let bound = client.address;
@@ -160,7 +161,7 @@
 
     /// Creates the watcher of the discovery service's list. A pushed list is watched from the start, because the scheduler
     /// never requests it.
-    fn list_watcher(&self) -> EndpointWatcher {
+    fn create_list_watcher(&self) -> EndpointWatcher {
         let watcher = EndpointWatcher::new(
             self.config.discovery,
             self.limits.clone(),
@@ -177,8 +178,9 @@
         }
     }
 
-    /// The endpoint list to start with, if the configuration has one and the list is an endpoint source.
-    fn known_endpoints(&self) -> Option<SourceUpdate> {
+    /// Returns and logs the endpoint list to start with; `None` if the configuration has none or the list is no endpoint
+    /// source.
+    fn restore_known_endpoints(&self) -> Option<SourceUpdate> {
         if !self.operator.uses_endpoint_list() {
             return None;
         }
@@ -191,7 +193,7 @@
         Some(known.into_source_update())
     }
 
-    fn dispatcher_task(&self, scheduler: Scheduler, list_watcher: EndpointWatcher) -> Dispatcher {
+    fn create_dispatcher(&self, scheduler: Scheduler, list_watcher: EndpointWatcher) -> Dispatcher {
         let replica_client = ReplicaClient::new(
             self.pool.clone(),
             self.dispatcher.clone(),
@@ -207,7 +209,7 @@
             EndpointDirectory::new(self.site.clone(), sources),
             replica_client,
             list_watcher,
-            self.known_endpoints(),
+            self.restore_known_endpoints(),
         )
     }
 
@@ -237,7 +239,7 @@
         Some(handover)
     }
 
-    fn clients(&self, phase: watch::Receiver<NodePhase>) -> Rc<ConnectionRegistry> {
+    fn create_client_registry(&self, phase: watch::Receiver<NodePhase>) -> Rc<ConnectionRegistry> {
         Rc::new(ConnectionRegistry::new(
             self.site.clone(),
             self.limits.clone(),
@@ -248,7 +250,7 @@
     }
 }
 
-/// Starts to serve admin requests.
+/// Starts the task that serves admin requests, and logs their address.
 fn serve_admin(
     admin: &Rc<AdminServer>,
     listener: TcpListener,
--- a/src/program/serve/reload.rs
+++ b/src/program/serve/reload.rs
@@ -15,7 +15,7 @@
 /// Settings that may replace the current ones.
 struct ValidatedSettings {
     settings: ServeSettings,
-    /// The site settings, in which each class of the current settings keeps its index.
+    /// The new site settings, in which each class of the current settings keeps its index.
     site: Rc<SiteSettings>,
 }
 
@@ -39,8 +39,8 @@
         self.admin.reloads.set(reloads);
     }
 
-    /// Rereads the settings and checks that they may replace the current ones. The fleet settings are checked last and are
-    /// already applied if they are valid.
+    /// Rereads the settings and checks that they may replace the current ones. The fleet settings are checked last, and
+    /// valid ones are applied here already.
     fn validate_new_settings(
         &self,
         reread_settings: impl Fn() -> Result<ServeSettings, SettingsFileError>,
@@ -63,8 +63,8 @@
         })
     }
 
-    /// Passes new settings to all components that use them. The dispatcher must get them first, so that it knows a new
-    /// class before the first request of that class arrives.
+    /// Passes new settings to all components that use them, first to the dispatcher: it must know a new class before the
+    /// first request of that class arrives.
     async fn apply_settings(&mut self, validated: ValidatedSettings) {
         let ValidatedSettings { settings, site } = validated;
         self.update_dispatcher(site.clone()).await;
--- a/src/program/serve/signals.rs
+++ b/src/program/serve/signals.rs
@@ -24,7 +24,7 @@
     /// Installs the signal handlers.
     ///
     /// # Errors
-    /// If the operating system refuses.
+    /// If the operating system refuses a handler.
     pub(super) fn install() -> Result<NodeSignals, ServeError> {
         let install = |kind| signal(kind).map_err(ServeError::Signals);
         Ok(NodeSignals {
--- a/src/program/streams/mod.rs
+++ b/src/program/streams/mod.rs
@@ -45,9 +45,11 @@
             log: self.log.clone(),
             source,
         })?;
-        let table = summary.table().ok_or_else(|| StreamsError::NoSummary {
-            log: self.log.clone(),
-        })?;
+        let table = summary
+            .format_table()
+            .ok_or_else(|| StreamsError::NoSummary {
+                log: self.log.clone(),
+            })?;
         print!("{table}");
         Ok(())
     }
--- a/src/program/streams/summary.rs
+++ b/src/program/streams/summary.rs
@@ -74,18 +74,18 @@
         }
     }
 
-    /// The formatted summary; `None` if the log has none.
-    pub(super) fn table(&self) -> Option<String> {
-        let mut table = totals_line(self.totals.as_ref()?);
+    /// Formats the newest summary; `None` if the log has none.
+    pub(super) fn format_table(&self) -> Option<String> {
+        let mut table = format_totals(self.totals.as_ref()?);
         if self.replicas.is_empty() {
             return Some(table);
         }
         let name_width = self.name_width();
         let titles = COLUMNS.map(|column| column.title.to_string());
-        table += &row(REPLICA_TITLE, name_width, &titles);
+        table += &format_row(REPLICA_TITLE, name_width, &titles);
         for replica in &self.replicas {
-            let cells = COLUMNS.map(|column| number(replica, column.field));
-            table += &row(replica_name(replica), name_width, &cells);
+            let cells = COLUMNS.map(|column| format_count(replica, column.field));
+            table += &format_row(replica_name(replica), name_width, &cells);
         }
         Some(table)
     }
@@ -99,16 +99,16 @@
 }
 
 /// Formats the first line, which covers all streams.
-fn totals_line(totals: &Value) -> String {
+fn format_totals(totals: &Value) -> String {
     let counts = COUNT_FIELDS
-        .map(|field| format!("{} {field}", number(totals, field)))
+        .map(|field| format!("{} {field}", format_count(totals, field)))
         .join(", ");
     let time = totals["timestamp"].as_str().unwrap_or("no time");
-    let dropped_bytes = number(totals, "dropped");
+    let dropped_bytes = format_count(totals, "dropped");
     format!("{time}: {counts}, {dropped_bytes} bytes dropped\n")
 }
 
-fn row(name: &str, name_width: usize, cells: &[String]) -> String {
+fn format_row(name: &str, name_width: usize, cells: &[String]) -> String {
     let mut line = format!("{name:<name_width$}");
     for cell in cells {
         line += &format!("{cell:>9}");
@@ -117,8 +117,8 @@
     line
 }
 
-/// A number in an event; 0 if it is missing.
-fn number(event: &Value, field: &str) -> String {
+/// Formats a count in an event; "0" if the event lacks it.
+fn format_count(event: &Value, field: &str) -> String {
     event[field].as_u64().unwrap_or(0).to_string()
 }
 
