--- a/crates/scheduler/src/admission.rs
+++ b/crates/scheduler/src/admission.rs
@@ -17,7 +17,7 @@
 
 impl QueueWaitEstimator<'_> {
     /// The estimated time until round robin dispatches this request: the cost ahead of it divided by the dispatch rate. The
-    /// rate is at least the one that the concurrency limit can sustain.
+    /// dispatch rate is at least the rate that the concurrency limit can sustain.
     pub(crate) fn wait_for(&self, request: &Request) -> Seconds {
         let cost_ahead = self.queue.cost_ahead_of(&request.queue_entry());
         let sustainable_rate = self.concurrency.limit() * self.traffic.mean_request_cost()
--- a/crates/scheduler/src/attempt/tests.rs
+++ b/crates/scheduler/src/attempt/tests.rs
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn only_unsent_declined_or_invalid_attempts_cannot_have_run() {
+fn attempt_may_have_run_unless_unsent_declined_or_invalid() {
     let cannot_have_run = [
         AttemptOutcome::AtCapacity,
         AttemptOutcome::ConnectFailed,
--- a/crates/scheduler/src/budgets.rs
+++ b/crates/scheduler/src/budgets.rs
@@ -108,10 +108,11 @@
         let granted_time = (now.min(grant.expires_at) - self.updated_at).max(0.0);
         let guaranteed = grant.guaranteed_rate * (now - self.updated_at);
         let level = self.level + guaranteed + grant.rate * granted_time;
-        level.min(self.depth(now))
+        level.min(self.depth_at(now))
     }
 
-    fn depth(&self, now: Seconds) -> f64 {
+    /// The maximum level of the bucket at this time, in units.
+    fn depth_at(&self, now: Seconds) -> f64 {
         let is_granted = now < self.grant.expires_at;
         self.grant.guaranteed_burst + if is_granted { self.grant.burst } else { 0.0 }
     }
@@ -159,7 +160,7 @@
     /// depth less that unit. Always true for a kind without a budget.
     pub fn has_unit(&self, now: Seconds, kind: BudgetKind, reserved_fraction: f64) -> bool {
         self.0.get(&kind).is_none_or(|account| {
-            let reservable = (account.depth(now) - 1.0).max(0.0);
+            let reservable = (account.depth_at(now) - 1.0).max(0.0);
             account.level_at(now) >= 1.0 + reserved_fraction * reservable
         })
     }
--- a/crates/scheduler/src/concurrency.rs
+++ b/crates/scheduler/src/concurrency.rs
@@ -36,7 +36,7 @@
     /// router. A first token that took less time than the request was queued is never late: if replicas are replaced
     /// frequently, nothing is cached and first tokens take long although replicas have capacity, and a limit reduced for
     /// that reason alone shrinks until requests wait longer in the router than at replicas.
-    pub(crate) fn of(elapsed: Seconds, ttft_objective: Seconds, waited: Seconds) -> Self {
+    pub(crate) fn classify(elapsed: Seconds, ttft_objective: Seconds, waited: Seconds) -> Self {
         let late = ttft_objective * LATE_FRACTION;
         if elapsed > late && elapsed > waited {
             FirstTokenTiming::Late
--- a/crates/scheduler/src/concurrency/tests.rs
+++ b/crates/scheduler/src/concurrency/tests.rs
@@ -54,13 +54,16 @@
 
 #[test]
 fn first_token_is_late_only_if_it_took_longer_than_the_request_was_queued() {
-    assert_eq!(FirstTokenTiming::of(0.4, 1.0, 0.1), FirstTokenTiming::Late);
     assert_eq!(
-        FirstTokenTiming::of(0.4, 1.0, 0.5),
+        FirstTokenTiming::classify(0.4, 1.0, 0.1),
+        FirstTokenTiming::Late
+    );
+    assert_eq!(
+        FirstTokenTiming::classify(0.4, 1.0, 0.5),
         FirstTokenTiming::OnTime
     );
     assert_eq!(
-        FirstTokenTiming::of(0.15, 1.0, 0.0),
+        FirstTokenTiming::classify(0.15, 1.0, 0.0),
         FirstTokenTiming::Early
     );
 }
--- a/crates/scheduler/src/endpoint_confirmation.rs
+++ b/crates/scheduler/src/endpoint_confirmation.rs
@@ -99,8 +99,8 @@
     /// When the replica last declined a probe or an attempt or was unreachable, unless a probe has succeeded since.
     declined_at: Option<Seconds>,
     probes_in_flight: usize,
-    /// Lower bound of the send times of the probes in flight. An answer counts as evidence from this time on, because it is
-    /// unknown which of the probes it answers.
+    /// Lower bound of the send times of the probes in flight. A successful answer counts as evidence of this time, because
+    /// it is unknown which of the probes it answers.
     sent_at: Seconds,
 }
 
--- a/crates/scheduler/src/endpoint_poll.rs
+++ b/crates/scheduler/src/endpoint_poll.rs
@@ -2,9 +2,9 @@
 
 use crate::types::Seconds;
 
-/// A failed poll is retried within this time. A change counts as notified 6 s after discovery has it, even if a router has
-/// not received it; two retries and an answer from a busy discovery service, which takes up to 2.2 s, must fit into that
-/// time.
+/// A failed poll is retried within this time. A change counts as known to all routers 6 s after discovery has it, even if a
+/// router has not received it; two retries and an answer from a busy discovery service, which takes up to 2.2 s, must fit
+/// into that time.
 const RETRY_INTERVAL: Seconds = 1.84;
 /// The minimum delay of a retry as a fraction of [`RETRY_INTERVAL`].
 const MIN_RETRY_FRACTION: f64 = 0.1;
--- a/crates/scheduler/src/fair_queue.rs
+++ b/crates/scheduler/src/fair_queue.rs
@@ -25,7 +25,7 @@
     pub(crate) key: QueueKey,
     /// In tokens.
     pub(crate) cost: f64,
-    /// An answer after this time is worth nothing.
+    /// An answer after this time has no value.
     pub(crate) useful_until: Seconds,
 }
 
--- a/crates/scheduler/src/fleet_view.rs
+++ b/crates/scheduler/src/fleet_view.rs
@@ -23,7 +23,8 @@
     pub(crate) prompt_cache: &'a PromptCacheModel,
     /// Most replicas are ejected, so their pauses are ignored.
     pub(crate) is_panic_mode: bool,
-    /// The endpoint list may be outdated, so an attempt needs evidence from its replica.
+    /// The endpoint list may be outdated, so an attempt is sent only to a replica that has recently answered a probe
+    /// successfully.
     pub(crate) requires_evidence: bool,
 }
 
--- a/crates/scheduler/src/hedging.rs
+++ b/crates/scheduler/src/hedging.rs
@@ -11,14 +11,14 @@
 const HEDGED_FRACTION: f64 = 0.1;
 
 /// The time after its start at which an attempt is overdue.
-pub(crate) fn overdue_after(estimated_ttft: Seconds) -> Seconds {
+pub(crate) fn overdue_delay(estimated_ttft: Seconds) -> Seconds {
     OVERDUE_FACTOR * estimated_ttft
 }
 
 /// Whether a request has exactly one attempt in flight and this attempt has been overdue for longer than `tolerance`.
 pub(crate) fn is_overdue(request: &Request, now: Seconds, tolerance: Seconds) -> bool {
     let is_late = |attempt: &Attempt| {
-        now - attempt.sent_at > overdue_after(attempt.estimated_ttft) + tolerance
+        now - attempt.sent_at > overdue_delay(attempt.estimated_ttft) + tolerance
     };
     request.in_flight().count() == 1 && request.in_flight().all(is_late)
 }
--- a/crates/scheduler/src/host_types.rs
+++ b/crates/scheduler/src/host_types.rs
@@ -22,7 +22,7 @@
 const BATCH_SIZE_WEIGHT: f64 = 0.1;
 /// Lower bound of inferred batch sizes.
 const MIN_INFERRED_BATCH_SIZE: f64 = 2.0;
-/// Fewer reported queued requests than this count as no queue.
+/// If a replica reports fewer queued requests than this, its queue is treated as empty.
 const MIN_QUEUED: f64 = 0.5;
 
 /// The geometric mean of a host type's prefill time per token.
--- a/crates/scheduler/src/latency_estimate.rs
+++ b/crates/scheduler/src/latency_estimate.rs
@@ -1,7 +1,7 @@
 //! Estimates the time to first token (TTFT) of an attempt at a replica, and the cost of sending it there.
 //!
 //! One estimate in seconds is used instead of weights for tokens, queue lengths and zones, whose effect would differ from
-//! site to site. `docs/design.md` lists the figures of each term. Costs are relative to the value of one answer of priority
+//! site to site. `docs/design.md` lists the numbers behind each term. Costs are relative to the value of one answer of priority
 //! weight 1.
 
 use crate::attempt::Attempt;
@@ -31,9 +31,9 @@
 const UNRESPONSIVE_FRACTION: f64 = 0.5;
 /// The cost of one second of prefill for each request that runs at the replica, because prefill delays all of them.
 const PREFILL_COST: f64 = 0.15;
-/// Added to the number of requests that a prefill delays, if the session's previous turn is known.
+/// Assumed number of requests that a prefill delays besides those at the replica, if the session's previous turn is known.
 const EXTRA_DELAYED_WITH_PREVIOUS_TURN: f64 = 4.0;
-/// Added to the number of requests that a prefill delays, if the session's previous turn is unknown.
+/// Assumed number of requests that a prefill delays besides those at the replica, if the session's previous turn is unknown.
 const EXTRA_DELAYED_OTHERWISE: f64 = 1.0;
 /// The cost of a full batch, or of full memory, because batch slots and memory in use are unavailable to later requests.
 const OCCUPANCY_COST: f64 = 0.3;
@@ -52,7 +52,7 @@
     /// The replica expected to have the session's prompts in its cache; `None` if this router knows the replica of the
     /// previous turn, or if a probe of the affinity replica is unanswered.
     affinity_replica: Option<ReplicaId>,
-    /// Time after which a first token is worth nothing.
+    /// Time after which a first token has no value.
     time_left: Seconds,
     /// Mean number of other routers' requests at a replica.
     mean_held_by_others: f64,
--- a/crates/scheduler/src/outlier_detection.rs
+++ b/crates/scheduler/src/outlier_detection.rs
@@ -103,13 +103,13 @@
         Some(self.last_response_at).filter(|at| !has_failed && *at > 0.0)
     }
 
-    /// Records an attempt that becomes overdue after `overdue_after`. If the replica is ejected, the attempt is a trial, and
+    /// Records an attempt that becomes overdue after `overdue_delay`. If the replica is ejected, the attempt is a trial, and
     /// the next pause begins, which is longer after more consecutive broken streams.
-    pub(crate) fn record_attempt(&mut self, now: Seconds, overdue_after: Seconds) {
+    pub(crate) fn record_attempt(&mut self, now: Seconds, overdue_delay: Seconds) {
         if self.unanswered.sent_at <= self.last_response_at {
             self.unanswered = UnansweredAttempt {
                 sent_at: now,
-                overdue_at: now + overdue_after,
+                overdue_at: now + overdue_delay,
             };
         }
         if self.is_ejected() {
--- a/crates/scheduler/src/replica.rs
+++ b/crates/scheduler/src/replica.rs
@@ -13,9 +13,9 @@
 pub(crate) const PROBE_INTERVAL: Seconds = 1.0;
 /// The weight of a load report falls linearly to 0 over this time.
 const REPORT_LIFETIME: Seconds = 3.0;
-/// Reported numbers of tokens or requests that are not below this are impossible and ignored.
+/// Reported numbers of tokens or requests from this value on are impossible and are ignored.
 const MAX_REPORTED: f64 = 1e9;
-/// Fewer reported queued requests than this count as no queue.
+/// If a replica reports fewer queued requests than this, its queue is treated as empty.
 const MIN_QUEUED: f64 = 0.5;
 /// Number of first tokens in the mean error of estimates.
 const ESTIMATE_ERROR_SAMPLES: f64 = 4.0;
@@ -234,14 +234,14 @@
         !self.slow_start.is_warming_up(rules, now)
     }
 
-    /// Records an attempt that becomes overdue after `overdue_after`.
+    /// Records an attempt that becomes overdue after `overdue_delay`.
     pub(crate) fn record_attempt(
         &mut self,
         prefill_tokens: f64,
         now: Seconds,
-        overdue_after: Seconds,
+        overdue_delay: Seconds,
     ) {
-        self.health.record_attempt(now, overdue_after);
+        self.health.record_attempt(now, overdue_delay);
         self.in_flight += 1;
         self.pending_prefill_tokens += prefill_tokens;
         self.slow_start.record_attempt();
--- a/crates/scheduler/src/request.rs
+++ b/crates/scheduler/src/request.rs
@@ -27,7 +27,7 @@
     pub(crate) ttft_objective: Seconds,
     /// When the client's timeout ends.
     pub(crate) deadline: Seconds,
-    /// An answer after this time is worth nothing.
+    /// An answer after this time has no value.
     pub(crate) useful_until: Seconds,
 }
 
--- a/crates/scheduler/src/scheduler/attempt_events.rs
+++ b/crates/scheduler/src/scheduler/attempt_events.rs
@@ -64,7 +64,7 @@
             elapsed.max(MIN_PREFILL_SAMPLE) / (prefill_tokens + ATTEMPT_OVERHEAD_TOKENS);
         self.host_types
             .record_prefill_time(replica.host_type(), per_token);
-        let timing = FirstTokenTiming::of(elapsed, ttft_objective, waited);
+        let timing = FirstTokenTiming::classify(elapsed, ttft_objective, waited);
         let rules = &self.settings.lifecycle;
         let in_flight = || self.replicas.in_flight_at_warm(rules, self.now);
         self.concurrency.record_first_token(timing, in_flight);
--- a/crates/scheduler/src/scheduler/dispatch.rs
+++ b/crates/scheduler/src/scheduler/dispatch.rs
@@ -79,7 +79,7 @@
         };
         let replica_id = attempt.replica;
         let prefill_tokens = attempt.prefill_tokens;
-        let overdue_after = hedging::overdue_after(attempt.estimated_ttft);
+        let overdue_delay = hedging::overdue_delay(attempt.estimated_ttft);
         request.add_attempt(attempt);
         actions.push(Action::StartAttempt {
             request: id,
@@ -89,7 +89,7 @@
         self.traffic.record_dispatch(self.now, request.cost());
         self.record_budget_use(id, replica_id);
         if let Some(replica) = self.replicas.get_mut(replica_id) {
-            replica.record_attempt(prefill_tokens, self.now, overdue_after);
+            replica.record_attempt(prefill_tokens, self.now, overdue_delay);
         }
     }
 
--- a/crates/scheduler/src/scheduler/endpoint_events.rs
+++ b/crates/scheduler/src/scheduler/endpoint_events.rs
@@ -1,4 +1,4 @@
-//! Handles endpoint list changes, the end of probes, and outlier advice from another router.
+//! Handles endpoint list changes, the end of probes, and verdicts of another router on ejected replicas.
 
 use super::Scheduler;
 use crate::types::{AttemptOutcome, Endpoint, LoadReport, ReplicaId};
--- a/crates/scheduler/src/scheduler/evidence.rs
+++ b/crates/scheduler/src/scheduler/evidence.rs
@@ -22,7 +22,8 @@
         }
     }
 
-    /// Whether attempts need evidence: the endpoint list may be outdated, and replicas may be probed.
+    /// Whether attempts need evidence, that is, a recent successful probe of the replica: the endpoint list may be outdated,
+    /// and replicas may be probed.
     pub(super) fn requires_evidence(&self) -> bool {
         !self.list_confirmation.is_confirmed() && self.settings.limits.allows_probes
     }
@@ -32,7 +33,7 @@
         !self.settings.limits.allows_probes && self.list_confirmation.awaits_poll(self.now)
     }
 
-    /// Chooses a candidate, preferably the one whose evidence the request waits for. If there is no valid evidence for the
+    /// Chooses a candidate, preferably the replica whose probe the request waits for. If there is no valid evidence for the
     /// chosen replica, probes the replica and returns `None`; the request is placed again when the probe has ended.
     pub(super) fn choose_with_evidence(
         &mut self,
--- a/crates/scheduler/src/statistics.rs
+++ b/crates/scheduler/src/statistics.rs
@@ -89,7 +89,7 @@
 
     /// Records the arrival of a request; returns its cost, which is its tokens adjusted by the client-declared work.
     pub(crate) fn record_arrival(&mut self, tokens: f64, expected_work: Option<Seconds>) -> f64 {
-        let cost = self.cost_with_hint(tokens, expected_work);
+        let cost = self.estimate_cost_and_update_rate(tokens, expected_work);
         if self.requests_seen == 0 {
             self.mean_request_cost = cost;
         }
@@ -98,8 +98,13 @@
         cost
     }
 
-    /// Converts client-declared work to a cost in tokens at the mean ratio and updates that ratio.
-    fn cost_with_hint(&mut self, tokens: f64, expected_work: Option<Seconds>) -> f64 {
+    /// Converts client-declared work to a cost in tokens, at the mean number of tokens per second of declared work, and
+    /// updates that mean. Without declared work, the cost is `tokens`.
+    fn estimate_cost_and_update_rate(
+        &mut self,
+        tokens: f64,
+        expected_work: Option<Seconds>,
+    ) -> f64 {
         let Some(work) = expected_work.filter(|work| work.is_finite() && *work > 0.0) else {
             return tokens;
         };
--- a/crates/scheduler/src/types/endpoint.rs
+++ b/crates/scheduler/src/types/endpoint.rs
@@ -29,7 +29,7 @@
 /// Whether a router's endpoint list is known to be current.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointListStatus {
-    /// The list is current: the last poll was answered completely, and the next one has started or is about to start.
+    /// The list is current: the last poll was answered completely, and the next poll has started or is about to start.
     Confirmed,
     /// A poll has failed or is overdue. The list may lack drains that discovery has announced and whose grace is running.
     Unconfirmed,
--- a/crates/scheduler/src/types/settings.rs
+++ b/crates/scheduler/src/types/settings.rs
@@ -34,7 +34,7 @@
 pub struct RequestClass {
     /// The value of an answer within the latency objective.
     pub priority_weight: f64,
-    /// The fraction of the priority weight that an answer after the objective is still worth.
+    /// The value of an answer after the latency objective, as a fraction of the priority weight.
     pub late_weight: f64,
     /// Target for the time to first token (TTFT) of an empty prompt.
     pub ttft_objective: Seconds,
@@ -90,7 +90,7 @@
     Cell,
 }
 
-/// The rate limit, in requests per second, of tenants without a configured one.
+/// The rate limit of tenants for which no limit is configured, in requests per second.
 pub const UNLIMITED_RATE: f64 = 1e9;
 
 /// One tenant.
--- a/crates/scheduler/tests/affinity.rs
+++ b/crates/scheduler/tests/affinity.rs
@@ -258,7 +258,7 @@
 
 /// If most sessions have a single turn, caches hold nothing for them, so affinity replicas must not be preferred.
 #[test]
-fn affinity_replicas_without_cache_hits_lose_their_preference() {
+fn affinity_replicas_without_cache_hits_are_no_longer_preferred() {
     let replicas_used = |cached_tokens: f64| {
         let mut harness = SchedulerHarness::new(settings(), 8);
         for n in 0..150 {
--- a/crates/scheduler/tests/budgets.rs
+++ b/crates/scheduler/tests/budgets.rs
@@ -36,7 +36,7 @@
     }
 }
 
-/// The number of retries of `count` requests, one each tenth of a second, whose first attempts are declined.
+/// Submits `count` requests, one each tenth of a second, and declines their first attempts. Returns the number of retries.
 fn count_retries(harness: &mut SchedulerHarness, first: u64, count: u64) -> usize {
     let mut retries = 0;
     for n in first..first + count {
--- a/crates/scheduler/tests/isolation.rs
+++ b/crates/scheduler/tests/isolation.rs
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn sources_use_no_input_output_or_clock() {
+fn source_files_use_no_input_output_or_clock() {
     for file in source_files() {
         let text = read(&file);
         for forbidden in FORBIDDEN {
--- a/crates/simulator-adapter/src/protocol/events.rs
+++ b/crates/simulator-adapter/src/protocol/events.rs
@@ -12,7 +12,7 @@
 pub(crate) enum InstanceMessage {
     /// Pass this event to the scheduler.
     Event(Event),
-    /// Pass the endpoints of a catalog to the scheduler.
+    /// Pass the endpoints of a catalog, a numbered endpoint list earlier in the input, to the scheduler.
     EndpointList {
         /// Number of the catalog.
         catalog: u64,
--- a/src/protocol/discovery.rs
+++ b/src/protocol/discovery.rs
@@ -10,7 +10,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum EndpointListError {
     /// The version is missing or not an integer.
-    #[error("version: expected a whole number")]
+    #[error("version: expected an integer")]
     Version,
     /// `full` is missing or not a boolean.
     #[error("full: expected true or false")]
--- a/src/protocol/request/headers.rs
+++ b/src/protocol/request/headers.rs
@@ -6,7 +6,8 @@
 
 /// The number of hex digits of an id.
 const ID_DIGITS: usize = 16;
-/// Token counts are capped at this value: headers may have any 64-bit number, and sums of them must not overflow.
+/// Token counts are capped at this value: headers may have any count up to 2^63, and sums of counts must
+/// not overflow.
 const MAX_TOKENS: u64 = 1 << 40;
 
 /// The trimmed text of a header field; `None` if the field is missing.
--- a/src/protocol/response.rs
+++ b/src/protocol/response.rs
@@ -133,8 +133,8 @@
         ));
     }
 
-    /// The load report in the stream, or the one in the head if the stream has none. Both get the number of cached tokens
-    /// from the stream.
+    /// The load report in the stream, or the load report in the head if the stream has none. Its number of cached tokens
+    /// always comes from the stream.
     fn last_report(&self) -> Option<LoadReport> {
         let stream_report = self.scanner.load_report();
         match self.head_report {
--- a/src/routing/learned_state.rs
+++ b/src/routing/learned_state.rs
@@ -28,7 +28,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum LearnedStateError {
     /// The bytes are not a record, or only a part of one.
-    #[error("not a learned-state record, or a truncated one")]
+    #[error("not a learned-state record, or truncated")]
     Malformed,
     /// The record has this format number.
     #[error("record format {0}, expected {FORMAT}")]
@@ -43,7 +43,7 @@
     #[error("host types, classes or zones differ from this site's")]
     DifferentSite,
     /// The record contains a value that cannot result from traffic.
-    #[error("learned state contains an implausible value")]
+    #[error("learned state contains a value that cannot result from traffic")]
     Implausible,
 }
 
@@ -56,7 +56,7 @@
 }
 
 impl SiteIdentity {
-    fn of(names: &SiteNames) -> Self {
+    fn from_names(names: &SiteNames) -> Self {
         SiteIdentity {
             host_types: names.host_types.clone(),
             classes: names.classes.clone(),
@@ -86,7 +86,7 @@
         format: FORMAT,
         writer,
         unix_ms,
-        site: SiteIdentity::of(names),
+        site: SiteIdentity::from_names(names),
         learned,
     };
     let bytes = postcard::to_stdvec(&record).unwrap_or_default();
@@ -112,7 +112,7 @@
     if !(-MAX_CLOCK_SKEW_MS..=MAX_AGE_MS).contains(&age_ms) {
         return Err(LearnedStateError::AgeOutOfRange(age_ms));
     }
-    if record.site != SiteIdentity::of(names) {
+    if record.site != SiteIdentity::from_names(names) {
         return Err(LearnedStateError::DifferentSite);
     }
     if !record.learned.is_plausible() {
