--- a/crates/scheduler/src/latency_estimate.rs
+++ b/crates/scheduler/src/latency_estimate.rs
@@ -1,8 +1,8 @@
 //! Estimates the time to first token (TTFT) of an attempt at a replica, and the cost of sending it there.
 //!
 //! One estimate in seconds is used instead of weights for tokens, queue lengths and zones, whose effect would differ from
-//! site to site. `docs/design.md` lists the numbers behind each term. Costs are relative to the value of one answer of priority
-//! weight 1.
+//! site to site. `docs/design.md` lists the numbers behind each term. Costs are relative to the value of one answer of
+//! priority weight 1.
 
 use crate::attempt::Attempt;
 use crate::fleet_view::{FleetView, ATTEMPT_OVERHEAD_TOKENS};
--- a/crates/scheduler/tests/endpoint_poll.rs
+++ b/crates/scheduler/tests/endpoint_poll.rs
@@ -46,8 +46,8 @@
 }
 
 /// The retry interval must not grow with the poll interval, and routers must not retry at the same time. A change counts as
-/// known to all routers 6 s after discovery has it. A router must have polled successfully by then, even if a busy discovery service
-/// delays and rejects the first poll after the change.
+/// known to all routers 6 s after discovery has it. A router must have polled successfully by then, even if a busy
+/// discovery service delays and rejects the first poll after the change.
 #[test]
 fn failed_poll_is_retried_within_bounds_and_spread_over_routers() {
     const NOTIFIED_AFTER: Seconds = 6.0;
