--- a/src/program/config/error.rs
+++ b/src/program/config/error.rs
@@ -28,7 +28,7 @@
     InvalidLimit {
         /// The key below `limits`.
         key: &'static str,
-        /// The lowest accepted limit.
+        /// The smallest accepted value.
         min: u64,
     },
     /// The site settings are missing.
--- a/src/program/config/operator/srv.rs
+++ b/src/program/config/operator/srv.rs
@@ -25,7 +25,7 @@
 pub struct SrvConfig {
     /// The name of the service, such as `_llm._tcp.example.test`.
     pub name: String,
-    /// The name servers. Each attempt at a question goes to the next one.
+    /// The name servers. Each attempt at a query goes to the next server in this order.
     pub servers: Vec<SocketAddr>,
     /// The address families to look up, in order of preference.
     #[serde(default = "default_families")]
@@ -42,7 +42,7 @@
     /// The timeout of an attempt in the first round of all name servers; doubles with each further round.
     #[serde(default = "default_timeout")]
     pub timeout: ConfigDuration,
-    /// The number of rounds: how often each name server is tried before a question fails.
+    /// The number of rounds: how often each name server is tried before a query fails.
     #[serde(default = "default_rounds")]
     pub rounds: u32,
     /// The pause after a failed look-up, which doubles with each further failure.
@@ -57,7 +57,7 @@
     /// The largest number of targets; further ones are ignored.
     #[serde(default = "default_most_targets")]
     pub most_targets: usize,
-    /// The largest number of questions in flight.
+    /// The largest number of DNS queries in flight.
     #[serde(default = "default_most_questions")]
     pub most_questions: usize,
     /// What happens to an endpoint that the records no longer list.
--- a/src/program/config/transport_limits.rs
+++ b/src/program/config/transport_limits.rs
@@ -12,11 +12,11 @@
 
 /// The default memory limit in MiB: the memory of the smallest machine that a node runs on.
 pub(super) const DEFAULT_MEMORY_MB: u64 = 192;
-/// The lowest memory limit in MiB; with less, there is no memory for connections to both clients and replicas.
+/// The smallest accepted memory limit, in MiB; with less, there is no memory for connections to both clients and replicas.
 pub(super) const MIN_MEMORY_MB: u64 = 32;
 /// The default limit on file descriptors: that of the smallest machine that a node runs on.
 pub(super) const DEFAULT_FILE_DESCRIPTORS: u64 = 1024;
-/// The lowest limit on file descriptors; with fewer, none are left for connections to both clients and replicas.
+/// The smallest accepted limit on file descriptors; with fewer, none are left for connections to both clients and replicas.
 pub(super) const MIN_FILE_DESCRIPTORS: u64 = 128;
 
 /// File descriptors of the process itself: standard streams, runtime, signals, listeners, the file of the learned state,
@@ -55,12 +55,12 @@
 /// from the list meanwhile, so the next poll must be answered within 2 s of the end of the wait. A service that handles
 /// polls sequentially may take a second for each of the two.
 const SERVICE_POLL_SLACK: Duration = Duration::from_millis(1000);
-/// How long the first poll after a refused one waits at the service. A node is expected to know each update at most
+/// How long the first poll after a refusal waits at the service. A node is expected to know each update at most
 /// 6 s after the service's last answer. If the service becomes unresponsive during this poll, the wait, the slack and one
 /// more poll end within that time.
 const SERVICE_RETRY_WAIT: Duration = Duration::from_millis(2000);
-/// How much longer than its wait the poll after a failed one may take. An overloaded service takes up to 2 s to answer or
-/// refuse a poll, and a shorter timeout would waste its work.
+/// How much longer than its wait a poll may take if the previous poll failed. An overloaded service takes up to 2 s to
+/// answer or refuse a poll, and a shorter timeout would waste its work.
 const SERVICE_RETRY_SLACK: Duration = Duration::from_millis(2200);
 
 /// How long a poll waits at an agent on this machine. The agent answers at once and at no cost, and a short poll detects an
@@ -88,9 +88,9 @@
 struct PollTimes {
     wait: Duration,
     slack: Duration,
-    /// The wait of the poll after a refused one.
+    /// The wait of the first poll after a refusal.
     retry_wait: Duration,
-    /// The slack of the poll after any failed one.
+    /// The slack of a poll if the previous poll failed in any way.
     retry_slack: Duration,
 }
 
--- a/src/program/resolve.rs
+++ b/src/program/resolve.rs
@@ -29,7 +29,7 @@
 const LONG_POLL_WAIT: Duration = Duration::from_millis(1000);
 /// How much longer than [`LONG_POLL_WAIT`] the answer to a poll may take.
 const POLL_SLACK: Duration = Duration::from_millis(1500);
-/// The pause before polls of the list resume after a failed one.
+/// The pause between a failed poll of the list and the next poll.
 const RETRY_PAUSE: Duration = Duration::from_secs(2);
 /// How long to sleep if the registry has no pending timer; an update ends the sleep early.
 const SLEEP_WITHOUT_TIMER: Duration = Duration::from_secs(3600);
--- a/src/transport/client/connection/disconnect.rs
+++ b/src/transport/client/connection/disconnect.rs
@@ -45,8 +45,8 @@
                     () = wait_for_close(&mut self.http) => Err(ClientDisconnected),
                 };
             }
-            // Reading is cancel-safe: the codec keeps what it has read. The operation is only borrowed, and continues in the
-            // next iteration if a part has been read.
+            // Reading is cancel-safe: the codec keeps what it has read. The operation is only borrowed: if `select!` ends
+            // with a part of the next request instead, the operation continues in the next iteration.
             tokio::select! {
                 biased;
                 output = &mut operation => return Ok(output),
--- a/src/transport/coordination/log_writer/mod.rs
+++ b/src/transport/coordination/log_writer/mod.rs
@@ -2,8 +2,8 @@
 //! loop.
 //!
 //! The thread processes writes in order, makes all queued writes durable with one sync, and reports the number of the last
-//! one. After a failed write or sync it reports the error and ends: no later write counts as durable. It also ends when the
-//! [`LogWriter`] is dropped, which releases the lock on the folder.
+//! write. After a failed write or sync it reports the error and ends: no later write counts as durable. It also ends when
+//! the [`LogWriter`] is dropped, which releases the lock on the folder.
 
 mod error;
 #[cfg(test)]
--- a/src/transport/coordination/outlier_probing.rs
+++ b/src/transport/coordination/outlier_probing.rs
@@ -90,7 +90,7 @@
                 }
             }
             ProbingMessage::Verdicts { epoch, verdicts } => {
-                // The task ends once the dispatcher has received the advice.
+                // The task ends once the dispatcher has received the verdicts.
                 spawn_local(self.clone().follow_verdicts(epoch, verdicts));
             }
         }
--- a/src/transport/coordination/report.rs
+++ b/src/transport/coordination/report.rs
@@ -25,7 +25,7 @@
 pub const LEASE_TASK: &str = "report";
 /// For tests only: error of this process's wall clock, in seconds.
 const TEST_WALL_CLOCK_VARIABLE: &str = "POPPYKEEL_TEST_WALL_S";
-/// How long the other nodes' figures are awaited, or a quarter of the interval if that is less.
+/// How long the other nodes' figures are awaited, or a quarter of the report interval if that is less.
 const FIGURES_TIMEOUT: Duration = Duration::from_millis(250);
 /// How many times per timeout it is checked whether all figures have arrived.
 const CHECKS_PER_TIMEOUT: u32 = 20;
@@ -102,7 +102,7 @@
 }
 
 /// How far a clock is behind the median of all clocks, in microseconds. The median keeps a clock that is wrong by a year
-/// from determining the interval.
+/// from determining the number of the report interval.
 fn lag_behind_median(own: u64, figures: &FiguresByNode) -> i64 {
     let mut clocks: Vec<u64> = figures.values().map(|node| node.wall_clock).collect();
     clocks.sort_unstable();
@@ -157,7 +157,7 @@
                     status,
                     epoch = epoch.0,
                     slot,
-                    "the collector refused the fleet's report; the next one follows after the interval"
+                    "the collector rejected the fleet's report; the next report is sent at the regular interval"
                 );
                 self.report.count(|outcomes| outcomes.refused += 1);
             }
--- a/src/transport/coordination/status.rs
+++ b/src/transport/coordination/status.rs
@@ -132,13 +132,13 @@
     let standing = if has_log_failed {
         "disk failed".to_string()
     } else {
-        recovery_text(&server.recovery, now)
+        format_recovery(&server.recovery, now)
     };
     let table: Vec<Value> = server.table.iter().map(table_entry_status).collect();
     json!({"standing": standing, "table": table})
 }
 
-fn recovery_text(recovery: &RecoveryState, now: Micros) -> String {
+fn format_recovery(recovery: &RecoveryState, now: Micros) -> String {
     match recovery {
         RecoveryState::Recovering { answered, blank } => format!(
             "asking the other keepers ({} answered, {} with no memory)",
--- a/src/transport/dispatcher/logging.rs
+++ b/src/transport/dispatcher/logging.rs
@@ -92,7 +92,7 @@
             replica,
             is_healthy,
         } => {
-            tracing::debug!(replica = %replica.0, is_healthy, "outlier advice received");
+            tracing::debug!(replica = %replica.0, is_healthy, "outlier verdict on a replica received from the fleet");
         }
     }
 }
@@ -105,25 +105,25 @@
             replica,
             deadline,
         } => {
-            tracing::debug!(%request, attempt, replica = %replica.0, deadline, "start attempt");
+            tracing::debug!(%request, attempt, replica = %replica.0, deadline, "starting an attempt");
         }
         RouterCommand::AbandonAttempt { request, attempt } => {
-            tracing::debug!(%request, attempt, "abandon attempt");
+            tracing::debug!(%request, attempt, "abandoning an attempt");
         }
         RouterCommand::BindStream { request, attempt } => {
-            tracing::debug!(%request, attempt, "bind stream to client");
+            tracing::debug!(%request, attempt, "binding a stream to the client");
         }
         RouterCommand::Reject {
             request,
             retry_after,
         } => {
-            tracing::debug!(%request, retry_after, "reject request");
+            tracing::debug!(%request, retry_after, "rejecting the request");
         }
-        RouterCommand::Fail { request } => tracing::debug!(%request, "fail request"),
+        RouterCommand::Fail { request } => tracing::debug!(%request, "failing the request"),
         RouterCommand::Probe { replica } => {
-            tracing::debug!(replica = %replica.0, "start probe");
+            tracing::debug!(replica = %replica.0, "starting a probe");
         }
-        RouterCommand::WatchEndpoints => tracing::debug!("start polling the endpoint list"),
+        RouterCommand::WatchEndpoints => tracing::debug!("starting to poll the endpoint list"),
     }
 }
 
--- a/src/transport/mod.rs
+++ b/src/transport/mod.rs
@@ -56,9 +56,10 @@
     pub long_poll_wait: Duration,
     /// How much longer than `long_poll_wait` the answer to a long poll may take. Also the connect timeout of polls.
     pub long_poll_slack: Duration,
-    /// How long discovery may delay its answer to the poll after a refused one.
+    /// How long discovery may delay its answer to a short poll, the poll after a refusal.
     pub short_poll_wait: Duration,
-    /// How long the answer to the poll after a failed one may take, in addition to the delay that the poll allows.
+    /// How much longer than the delay that the poll allows its answer may take, if the previous poll was refused or timed
+    /// out.
     pub short_poll_slack: Duration,
     /// How long connections are accepted and requests admitted after the shutdown signal.
     pub drain_duration: Duration,
--- a/src/transport/replica/attempts.rs
+++ b/src/transport/replica/attempts.rs
@@ -47,9 +47,9 @@
     pub(super) site: Rc<SiteSettings>,
     pub(super) limits: Rc<TransportLimits>,
     stream_monitor: Rc<StreamMonitor>,
-    /// Number of attempts that have been written completely since the start.
+    /// Number of attempts since the start whose request has been written completely.
     sent_count: Rc<Cell<u64>>,
-    /// Completely written attempts to replicas in another zone.
+    /// Counts the attempts at replicas in another zone whose request has been written completely.
     cross_zone_traffic: Rc<RefCell<CrossZoneTraffic>>,
     /// Whether the endpoint list is known to be current.
     is_list_confirmed: Rc<Cell<bool>>,
@@ -154,12 +154,12 @@
         self.pool.open_count()
     }
 
-    /// Number of attempts that have been written completely since the start.
+    /// Number of attempts since the start whose request has been written completely.
     pub fn sent_count(&self) -> u64 {
         self.sent_count.get()
     }
 
-    /// Completely written attempts to replicas in another zone.
+    /// Counts of the attempts at replicas in another zone whose request has been written completely.
     pub fn cross_zone_traffic(&self) -> Ref<'_, CrossZoneTraffic> {
         self.cross_zone_traffic.borrow()
     }
