--- a/benches/endpoints/main.rs
+++ b/benches/endpoints/main.rs
@@ -54,8 +54,8 @@
     }
 }
 
-/// The text of an operator file with these sources of endpoints and this minimum TTL.
-fn operator_text(dns: &StubDnsServer, sources: &str, ttl_floor: &str) -> String {
+/// Formats an operator file with these endpoint sources and this minimum TTL.
+fn format_operator_file(dns: &StubDnsServer, sources: &str, ttl_floor: &str) -> String {
     format!(
         "[membership]\nsources = {sources}\nhold = 0\n[membership.srv]\nname = \"{SERVICE}\"\n\
          servers = [\"{}\"]\nttl_floor = \"{ttl_floor}\"\nflap_hold = 0\n",
@@ -89,7 +89,7 @@
     let available = available_endpoints(&addrs);
     discovery.set_endpoints(&available);
     let dns = start_dns(Script::service(SERVICE, 0, &addrs));
-    let operator = operator_text(&dns, LIST_AND_SRV, "50ms");
+    let operator = format_operator_file(&dns, LIST_AND_SRV, "50ms");
     let node = Node::start(discovery_addr, Some(&operator));
     let clients = Clients::start(node.addr, 16, Duration::ZERO);
     thread::sleep(Duration::from_secs(1));
@@ -128,7 +128,7 @@
     let (_discovery, discovery_addr) = Discovery::start();
     for ttl_s in [1, 2] {
         let dns = start_dns(Script::service(SERVICE, ttl_s, &addrs[..1]));
-        let operator = operator_text(&dns, SRV_ALONE, "1s");
+        let operator = format_operator_file(&dns, SRV_ALONE, "1s");
         let node = Node::start(discovery_addr, Some(&operator));
         let clients = Clients::start(node.addr, 4, Duration::from_millis(1));
         thread::sleep(Duration::from_millis(1500));
@@ -211,7 +211,7 @@
         ("1% changed per second", Some(20)),
     ] {
         let dns = start_dns(large_zone(0, changing_count.unwrap_or(0), replica.addr));
-        let operator = changing_count.map(|_| operator_text(&dns, SRV_ALONE, "1s"));
+        let operator = changing_count.map(|_| format_operator_file(&dns, SRV_ALONE, "1s"));
         let node = Node::start(discovery_addr, operator.as_deref());
         thread::sleep(Duration::from_secs(5));
         let before = node.usage();
@@ -240,10 +240,13 @@
     discovery.set_endpoints(&available_endpoints(&addrs));
     let small_zone = start_dns(Script::service(SERVICE, 1, &addrs));
     let large_zone = start_dns(large_zone(0, 0, addrs[0]));
-    let small = operator_text(&small_zone, LIST_AND_SRV, "1s");
+    let small = format_operator_file(&small_zone, LIST_AND_SRV, "1s");
     // Nothing listens at the addresses of the large zone: with `standby`, all requests go to the endpoints of the list.
-    let large =
-        operator_text(&large_zone, LIST_AND_SRV, "1s").replacen("hold", "standby = true\nhold", 1);
+    let large = format_operator_file(&large_zone, LIST_AND_SRV, "1s").replacen(
+        "hold",
+        "standby = true\nhold",
+        1,
+    );
     for _ in 0..2 {
         for (label, operator) in [
             ("list", None),
--- a/benches/leases.rs
+++ b/benches/leases.rs
@@ -51,8 +51,8 @@
 }
 
 impl Durability {
-    /// Number of grants between two checks of the elapsed time; with [`Durability::SyncEach`] of 64 or more, also between
-    /// syncs.
+    /// Number of grants between two checks of the elapsed time. With `SyncEach(n)` for an `n` from 64 to 512, this is also
+    /// the number of grants between two syncs.
     fn batch_size(self) -> usize {
         match self {
             Durability::SyncEach(grants) => grants.clamp(64, 512),
@@ -94,7 +94,7 @@
     std::env::temp_dir().join(format!("bench-{name}-{}", std::process::id()))
 }
 
-/// Removes a folder. An error is ignored, because it does not affect the figures.
+/// Removes a folder. Errors are ignored, because they do not affect the measurements.
 fn remove_folder(folder: PathBuf) {
     let _ = std::fs::remove_dir_all(folder);
 }
@@ -178,10 +178,10 @@
     /// Totals since the start of a node; `None` if the node does not report them.
     fn sent_by(node: &Node) -> Option<Traffic> {
         let status = fleet_status(admin_address(node)?)?;
-        let figure = |key: &str| status["messages"][key].as_f64().unwrap_or(0.0);
+        let counter = |key: &str| status["messages"][key].as_f64().unwrap_or(0.0);
         Some(Traffic {
-            messages: figure("sent"),
-            bytes: figure("sent_bytes"),
+            messages: counter("sent"),
+            bytes: counter("sent_bytes"),
         })
     }
 
--- a/crates/testbed/src/emulator/description/mod.rs
+++ b/crates/testbed/src/emulator/description/mod.rs
@@ -209,7 +209,7 @@
     pub part: f64,
     /// The priority weight of an answer that meets the latency objectives.
     pub worth: f64,
-    /// The fraction of that weight that a late answer earns.
+    /// The fraction of `worth` that a late answer earns.
     pub late_worth: f64,
     /// The objective for the time to first token, in seconds.
     pub aim_s: f64,
@@ -221,11 +221,11 @@
     pub repeats: RepeatSafety,
     /// New prompt tokens of a request: the median of a log-normal distribution.
     pub prompt_tokens: f64,
-    /// The sigma of that distribution.
+    /// The sigma of the distribution of new prompt tokens.
     pub prompt_sigma: f64,
     /// Tokens of an answer: the median of a log-normal distribution.
     pub answer_tokens: f64,
-    /// The sigma of that distribution.
+    /// The sigma of the distribution of answer tokens.
     pub answer_sigma: f64,
     /// Maximum number of tokens of an answer, as stated in requests.
     pub answer_limit: u32,
--- a/crates/testbed/src/emulator/policies/baseline/replicas.rs
+++ b/crates/testbed/src/emulator/policies/baseline/replicas.rs
@@ -20,7 +20,8 @@
 const LOAD_BOUND: f64 = 1.25;
 /// Limits how many eligible points of the hash ring one choice examines: this many for each replica in the table.
 const RING_CANDIDATES_PER_REPLICA: usize = 4;
-/// A table with fewer replicas than this counts as having this many when that limit is computed.
+/// A table with fewer replicas than this counts as having this many when the limit of
+/// [`RING_CANDIDATES_PER_REPLICA`] is computed.
 const RING_CANDIDATES_MIN_REPLICAS: usize = 16;
 /// Random draws before all replicas are scanned.
 const QUICK_DRAWS: usize = 8;
--- a/crates/testbed/src/emulator/policies/mod.rs
+++ b/crates/testbed/src/emulator/policies/mod.rs
@@ -21,7 +21,7 @@
     RoundRobin,
     /// The replica with the fewest requests of this node in flight.
     LeastOutstanding,
-    /// The one of two random replicas with fewer requests in flight (Mitzenmacher, 2001).
+    /// Of two random replicas, the one with fewer requests in flight (Mitzenmacher, 2001).
     TwoChoices,
     /// The replica that reported the fewest queued prompt tokens.
     LeastReported,
--- a/crates/testbed/src/emulator/simulation/event.rs
+++ b/crates/testbed/src/emulator/simulation/event.rs
@@ -1,8 +1,8 @@
 //! The events of a simulation.
 //!
 //! An event describes what happens at its time and not its consequences. Events for a process of a node carry its generation
-//! and are dropped once another process has replaced it. Timers of servers carry the number of the plan of steps and
-//! are dropped once there is a newer plan.
+//! and are dropped once another process has replaced it. Timers of servers carry the number of the server's step plan and
+//! are dropped once the server has a newer plan.
 
 use super::super::clients::ClientRequest;
 use super::super::coordination::{CoordinationEvent, ProcessNumber};
@@ -118,7 +118,7 @@
     },
     /// The cancellation of an attempt reaches a server.
     CancelAtServer { server: usize, key: AttemptKey },
-    /// The planned steps of a server end. Dropped if it has a newer plan.
+    /// The planned steps of a server end. Dropped if the server has a newer plan.
     ServerTimer { server: usize, plan: u32 },
     /// A step of a fault.
     Fault(FaultEvent),
--- a/crates/testbed/src/emulator/simulation/servers.rs
+++ b/crates/testbed/src/emulator/simulation/servers.rs
@@ -32,7 +32,7 @@
     pub(super) listed_state: EndpointState,
     last_report: ReportedLoad,
     last_report_at: Micros,
-    /// The number of the current plan of steps. Timers of earlier plans are dropped.
+    /// The number of the current step plan. Timers of earlier plans are dropped.
     plan: u32,
 }
 
--- a/crates/testbed/src/experiment/confidence.rs
+++ b/crates/testbed/src/experiment/confidence.rs
@@ -22,7 +22,7 @@
 
 impl ConfidenceInterval {
     /// Computes the mean of the values and its interval. The mean is NaN without values.
-    pub fn of(values: &[f64]) -> ConfidenceInterval {
+    pub fn for_mean_of(values: &[f64]) -> ConfidenceInterval {
         let n = values.len() as f64;
         let mean = values.iter().sum::<f64>() / n;
         if values.len() < 2 {
--- a/crates/testbed/src/experiment/results_folder.rs
+++ b/crates/testbed/src/experiment/results_folder.rs
@@ -102,7 +102,7 @@
     }
 }
 
-/// The number of the point in a file's name; names without one sort last.
+/// The number of the point in a file's name; names without a number sort last.
 fn point_number(path: &Path) -> usize {
     let name = path.file_name().unwrap_or_default().to_string_lossy();
     let number = name
--- a/crates/testbed/src/experiment/table.rs
+++ b/crates/testbed/src/experiment/table.rs
@@ -20,7 +20,7 @@
 
 impl<'a> TableAxes<'a> {
     /// The axes that cover all of the results.
-    pub fn of(results: &'a [RunResult]) -> Self {
+    pub fn from_results(results: &'a [RunResult]) -> Self {
         let mut labels = Vec::new();
         let mut policies = Vec::new();
         for result in results {
@@ -73,12 +73,12 @@
 
 /// Renders the table of one metric.
 pub fn render_table(results: &[RunResult], metric: Metric) -> String {
-    TableAxes::of(results).render(|label, policy| {
+    TableAxes::from_results(results).render(|label, policy| {
         let values = cell_values(results, label, policy, metric);
         if values.is_empty() {
             EMPTY_CELL.to_string()
         } else {
-            ConfidenceInterval::of(&values).to_string()
+            ConfidenceInterval::for_mean_of(&values).to_string()
         }
     })
 }
@@ -86,7 +86,7 @@
 /// Renders the changes between two sets of results: the mean difference of runs with the same label, policy and seed. A
 /// change larger than its confidence interval is marked with a star.
 pub fn render_comparison(before: &[RunResult], after: &[RunResult], metric: Metric) -> String {
-    TableAxes::of(after).render(|label, policy| {
+    TableAxes::from_results(after).render(|label, policy| {
         let mut changes = Vec::new();
         for result in cell_results(after, label, policy) {
             let same_seed =
@@ -103,7 +103,7 @@
     if changes.is_empty() {
         return EMPTY_CELL.to_string();
     }
-    let change = ConfidenceInterval::of(changes);
+    let change = ConfidenceInterval::for_mean_of(changes);
     let is_significant = change.mean.abs() > change.half_width;
     if !is_significant {
         return change.to_string();
@@ -118,8 +118,8 @@
 }
 
 impl Row {
-    /// The row as a line, with the label left-aligned and cells right-aligned.
-    fn line(&self, label_width: usize, widths: &[usize]) -> String {
+    /// Formats the row as a line, with the label left-aligned and cells right-aligned.
+    fn format_line(&self, label_width: usize, widths: &[usize]) -> String {
         let mut line = format!("{:<label_width$}", self.label);
         for (cell, width) in self.cells.iter().zip(widths) {
             line.push_str(&format!("{cell:>width$}"));
@@ -138,9 +138,9 @@
         let cell_width = cell_widths.max().unwrap_or(0);
         widths.push(cell_width.max(title.len()) + COLUMN_GAP);
     }
-    let mut text = head.line(label_width, &widths);
+    let mut text = head.format_line(label_width, &widths);
     for row in rows {
-        text.push_str(&row.line(label_width, &widths));
+        text.push_str(&row.format_line(label_width, &widths));
     }
     text
 }
--- a/crates/testbed/src/fault_injection/budget_verdict.rs
+++ b/crates/testbed/src/fault_injection/budget_verdict.rs
@@ -7,7 +7,7 @@
 use crate::Micros;
 use std::collections::BTreeSet;
 
-/// Tolerance for transit times: a request may take this much longer to reach a server than the one before it, in
+/// Tolerance for transit times: a request may take this much longer to reach a server than the previous request, in
 /// seconds.
 const ARRIVAL_SLACK_S: f64 = 0.05;
 /// A request's id shifted right by this many bits is the number of the node that first received it, counted from 1.
--- a/crates/testbed/src/fault_injection/lease_verdict.rs
+++ b/crates/testbed/src/fault_injection/lease_verdict.rs
@@ -79,7 +79,7 @@
 struct ActionChecker<'a> {
     /// The first process that acted under each epoch.
     holders: BTreeMap<u64, &'a ProcessName>,
-    /// Actions that arrived after one with a higher epoch, by epoch and process.
+    /// Actions that arrived after an action with a higher epoch, by epoch and process.
     late_counts: BTreeMap<(u64, &'a ProcessName), usize>,
     highest_epoch: u64,
     last_accepted_at: Option<Micros>,
--- a/crates/testbed/src/fault_injection/leases.rs
+++ b/crates/testbed/src/fault_injection/leases.rs
@@ -50,7 +50,7 @@
     /// The number of completed rounds.
     pub rounds: usize,
     /// The longest gap between accepted actions in each round, in microseconds. A round lasts from its fault to the
-    /// next one.
+    /// next fault.
     pub longest_gaps: Vec<Micros>,
     /// How far the report intervals deviate from the clock: the largest difference, over consecutive accepted actions,
     /// between the increase of the interval number and the number of intervals that elapsed.
--- a/crates/testbed/src/fault_injection/link_relay.rs
+++ b/crates/testbed/src/fault_injection/link_relay.rs
@@ -74,7 +74,7 @@
 }
 
 impl LinkRelay {
-    /// Starts a relay to this address, whose random faults are drawn from `seed`.
+    /// Starts a relay to `target`. Its random faults are drawn from `seed`.
     pub(super) async fn start(
         target: SocketAddr,
         seed: u64,
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -301,9 +301,9 @@
     figures: Figures,
 }
 
-fn metric_title(figure: Metric) -> String {
+fn metric_title(metric: Metric) -> String {
     use clap::ValueEnum;
-    let value = figure.to_possible_value();
+    let value = metric.to_possible_value();
     value
         .and_then(|v| v.get_help().map(|h| h.to_string()))
         .unwrap_or_default()
@@ -358,11 +358,11 @@
 }
 
 fn print_tables(results: &[RunResult], figures: &Figures) {
-    for figure in &figures.figures {
+    for metric in &figures.figures {
         println!(
             "\n{}\n{}",
-            metric_title(*figure),
-            render_table(results, *figure)
+            metric_title(*metric),
+            render_table(results, *metric)
         );
     }
 }
@@ -370,11 +370,11 @@
 impl Compare {
     fn run(&self) -> Result<(), String> {
         let (before, after) = (read_results(&self.before)?, read_results(&self.after)?);
-        for figure in &self.figures.figures {
+        for metric in &self.figures.figures {
             println!(
                 "\n{}: by how much it has changed\n{}",
-                metric_title(*figure),
-                render_comparison(&before, &after, *figure)
+                metric_title(*metric),
+                render_comparison(&before, &after, *metric)
             );
         }
         Ok(())
--- a/crates/testbed/src/report/mod.rs
+++ b/crates/testbed/src/report/mod.rs
@@ -40,7 +40,7 @@
 
 /// Returns the page as HTML, with the name of the experiment as its title.
 pub fn render_page(name: &str, results: &[RunResult]) -> Result<String, String> {
-    let TableAxes { labels, policies } = TableAxes::of(results);
+    let TableAxes { labels, policies } = TableAxes::from_results(results);
     let mut html = String::new();
     let seeds = results
         .iter()
@@ -161,7 +161,7 @@
             .map(|p| {
                 Some(cell_values(results, label, *p, metric))
                     .filter(|v| !v.is_empty())
-                    .map(|v| ConfidenceInterval::of(&v))
+                    .map(|v| ConfidenceInterval::for_mean_of(&v))
             })
             .collect();
         let best = means
--- a/crates/testbed/src/report/plots.rs
+++ b/crates/testbed/src/report/plots.rs
@@ -71,7 +71,7 @@
     (name, fault.at_s, fault.at_s + duration)
 }
 
-/// Draws the served worth over time, one line for each policy.
+/// Draws the served fraction of the priority weight over time, one line for each policy.
 pub(super) fn worth_chart(cells: &[Cell]) -> Result<String, String> {
     let slice_s = cells
         .iter()
@@ -215,7 +215,7 @@
     })
 }
 
-/// Draws the served worth of each class and tenant, one bar for each policy.
+/// Draws the served fraction of the priority weight of each class and tenant, one bar for each policy.
 pub(super) fn class_and_tenant_chart(cells: &[Cell]) -> Result<String, String> {
     let names: Vec<String> = match cells.first().and_then(|c| c.results.first()) {
         Some(f) => f
@@ -355,7 +355,8 @@
     })
 }
 
-/// Draws the served worth of each point with confidence intervals. Returns `None` if there is only one point.
+/// Draws the served fraction of the priority weight of each point with confidence intervals. Returns `None` if
+/// there is only one point.
 pub(super) fn points_chart(
     results: &[RunResult],
     labels: &[&str],
@@ -384,7 +385,12 @@
             let x_offset = (k as f64 / policies.len() as f64 - 0.5) * 0.5;
             let means = labels.iter().enumerate().filter_map(|(n, label)| {
                 let values = cell_values(results, label, *policy, Metric::Worth);
-                (!values.is_empty()).then(|| (n as f64 + x_offset, ConfidenceInterval::of(&values)))
+                (!values.is_empty()).then(|| {
+                    (
+                        n as f64 + x_offset,
+                        ConfidenceInterval::for_mean_of(&values),
+                    )
+                })
             });
             let means: Vec<(f64, ConfidenceInterval)> = means.collect();
             let (colour, width) = (policy_colour(*policy), policy_line_width(*policy));
--- a/crates/testbed/tests/experiment.rs
+++ b/crates/testbed/tests/experiment.rs
@@ -215,10 +215,10 @@
 #[test]
 fn confidence_intervals_use_students_t() {
     // For two values 1 apart half the width is 12.706 times 0.5.
-    let mean = ConfidenceInterval::of(&[1.0, 2.0]);
+    let mean = ConfidenceInterval::for_mean_of(&[1.0, 2.0]);
     assert!(
         (mean.mean - 1.5).abs() < 1e-9 && (mean.half_width - 6.353).abs() < 1e-3,
         "{mean:?}"
     );
-    assert!(ConfidenceInterval::of(&[1.0]).half_width.is_nan());
+    assert!(ConfidenceInterval::for_mean_of(&[1.0]).half_width.is_nan());
 }
--- a/crates/testbed/tests/golden.rs
+++ b/crates/testbed/tests/golden.rs
@@ -15,9 +15,8 @@
 
 /// The experiment description.
 const EXPERIMENT: &str = "day.toml";
-/// The folder of results, one file for each run. The files were read and written again before they were committed: the
-/// JSON parser may read a number that the emulator wrote with a different last bit, but reads a number that it has
-/// already read and written without a change.
+/// The folder of results, one file for each run. Before a file is committed, it must be parsed and written once more: the
+/// first parsing may change the last bit of a number that the emulator has written; later parsings don't.
 const RESULTS: &str = "results";
 /// The tables of those results.
 const TABLES: &str = "tables.txt";
--- a/tests/admin.rs
+++ b/tests/admin.rs
@@ -81,10 +81,10 @@
     let node = Node::builder("evacuate").replicas(server.addrs()).start();
     let admin = admin_address(&node);
     assert_eq!(
-        (call(admin, "GET /api/ready").0, health_check(&node).1),
+        (call(admin, "GET /api/ready").0, send_health_check(&node).1),
         (200, 200)
     );
-    let (mut idle, _) = health_check(&node);
+    let (mut idle, _) = send_health_check(&node);
     assert_eq!(call(admin, "POST /api/evacuate").0, 200);
     assert_eq!(
         (call(admin, "GET /api/ready").0, health_status(&node)),
@@ -94,7 +94,7 @@
     assert_eq!(idle.read(&mut [0]).unwrap(), 0);
     assert_eq!(call(admin, "POST /api/rejoin").0, 200);
     assert_eq!(
-        (call(admin, "GET /api/ready").0, health_check(&node).1),
+        (call(admin, "GET /api/ready").0, send_health_check(&node).1),
         (200, 200)
     );
     let (id, mut stream) = send_request(&node, "after the drain", 5);
@@ -105,7 +105,7 @@
 }
 
 /// Sends `GET /healthz` on a new connection. Returns the connection, which stays open, and the status.
-fn health_check(node: &Node) -> (TcpStream, u16) {
+fn send_health_check(node: &Node) -> (TcpStream, u16) {
     let mut stream = TcpStream::connect(node.addr).unwrap();
     stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     stream
@@ -128,7 +128,7 @@
         ..ReplyScript::default()
     }])
     .unwrap();
-    let node = Node::builder("figures").replicas(server.addrs()).start();
+    let node = Node::builder("metrics").replicas(server.addrs()).start();
     let admin = admin_address(&node);
     // Admin callers that send only part of a request do not delay others.
     let silent: Vec<_> = (0..40)
--- a/tests/delayed_replica_connections.rs
+++ b/tests/delayed_replica_connections.rs
@@ -120,7 +120,7 @@
     expect_no_request(&delayed);
 }
 
-/// The list reports another address of the replica while the attempt is connecting. The attempt goes to the new address, and
+/// Discovery reports another address of the replica while the attempt is connecting. The attempt goes to the new address, and
 /// the old one gets no bytes.
 #[test]
 fn unsent_attempt_follows_its_replica_to_another_address() {
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -59,7 +59,10 @@
         listeners: 2,
         threads: 1,
     };
-    assert_eq!(ProcessResources::of(node.child.id()), without_fleet);
+    assert_eq!(
+        ProcessResources::for_process(node.child.id()),
+        without_fleet
+    );
     let folder = test_folder("disk");
     let address = free_address();
     let section = fleet_section(address, address, &folder.display().to_string());
@@ -72,7 +75,7 @@
         listeners: 3,
         threads: 2,
     };
-    assert_eq!(ProcessResources::of(node.child.id()), in_fleet);
+    assert_eq!(ProcessResources::for_process(node.child.id()), in_fleet);
     assert!(folder.join("lock").exists());
     drop(node);
     std::fs::remove_dir_all(folder).unwrap();
--- a/tests/operator.rs
+++ b/tests/operator.rs
@@ -39,7 +39,7 @@
         .collect()
 }
 
-fn operator_text(dns: &StubDnsServer, sources: &str) -> String {
+fn format_operator_file(dns: &StubDnsServer, sources: &str) -> String {
     format!(
         "[membership]\nsources = {sources}\n[membership.srv]\nname = \"{SERVICE}\"\nservers = [\"{}\"]\n\
          timeout = \"2s\"\nrounds = 1\n",
@@ -138,7 +138,10 @@
 #[test]
 fn resolve_prints_the_list_with_reasons_and_fails_without_usable_servers() {
     let dns = start_dns_server(Script::service(SERVICE, 30, &server_addrs(3)));
-    let path = write_operator_file("resolve", &operator_text(&dns, "[\"list\", \"srv\"]"));
+    let path = write_operator_file(
+        "resolve",
+        &format_operator_file(&dns, "[\"list\", \"srv\"]"),
+    );
     let out = run(&["resolve", "--json"], &path);
     let value: Value = serde_json::from_slice(&out.stdout).unwrap();
     assert!(out.status.success(), "{value}");
--- a/tests/soak/plan.rs
+++ b/tests/soak/plan.rs
@@ -49,7 +49,7 @@
 pub enum ProcessAction {
     /// SIGKILL, and a restart half a second later.
     Kill,
-    /// SIGTERM, SIGKILL as soon as the platform may send it, and a restart.
+    /// SIGTERM, SIGKILL as soon as the platform's grace period is over, and a restart.
     Terminate,
     /// Like `Terminate`, but with SIGTERM, SIGHUP and SIGTERM again.
     TerminateRepeatedly,
--- a/tests/soak/records.rs
+++ b/tests/soak/records.rs
@@ -42,7 +42,7 @@
     pub is_declined: bool,
 }
 
-/// A change of the endpoint list: from `at` on, this replica drains, and `version` of the list reports it.
+/// The drain of a replica. It starts at `at` and is part of the endpoint list from `version` on.
 #[derive(Clone, Copy, Debug)]
 pub struct Drain {
     pub version: u64,
--- a/tests/support/process_resources.rs
+++ b/tests/support/process_resources.rs
@@ -15,7 +15,7 @@
 
 impl ProcessResources {
     /// Counts the current resources of the process with this id.
-    pub fn of(process: u32) -> ProcessResources {
+    pub fn for_process(process: u32) -> ProcessResources {
         let threads = std::fs::read_dir(format!("/proc/{process}/task")).unwrap();
         ProcessResources {
             datagram_sockets: count_sockets(process, "udp", None),
--- a/tests/support/watcher.rs
+++ b/tests/support/watcher.rs
@@ -41,8 +41,8 @@
     })
 }
 
-/// Receives the next poll, on the given connection or, without one, on a new connection. Returns the connection and the head
-/// of the poll.
+/// Receives the next poll, on `connection` or, if that is `None`, on a new connection. Returns the connection and the
+/// head of the poll.
 pub async fn next_poll(
     service: &TcpListener,
     connection: Option<TcpStream>,
@@ -87,11 +87,11 @@
         .expect("the watcher has stopped")
 }
 
-/// Starts a watcher that has version 41 of the list. If `is_pushed` is set, its service is the local agent of a pushed list.
-/// Returns the listener of the service, the watcher, and the receiver of the watcher's messages to the dispatcher.
+/// Starts a watcher that has version 41 of the list. If `has_pushed_list` is set, its service is the local agent of a pushed
+/// list. Returns the listener of the service, the watcher, and the receiver of the watcher's messages to the dispatcher.
 pub async fn start_watcher(
     slack: Duration,
-    is_pushed: bool,
+    has_pushed_list: bool,
 ) -> (
     TcpListener,
     EndpointWatcher,
@@ -106,7 +106,7 @@
         Clock::start(),
     );
     watcher.set_known_version(41);
-    let watcher = if is_pushed {
+    let watcher = if has_pushed_list {
         watcher.into_pushed()
     } else {
         watcher
--- a/tests/wall_clock.rs
+++ b/tests/wall_clock.rs
@@ -18,9 +18,9 @@
 const UNIX_START_US: i64 = 1_700_000_000_000_000;
 const SECOND_US: i64 = 1_000_000;
 const HOUR_S: i64 = 3_600;
-/// Age of the new replica when the list reports it.
+/// Age of the new replica when discovery reports it.
 const AGE_S: i64 = 1;
-/// When the list reports the replica, in seconds after the start of the process.
+/// When discovery reports the replica, in seconds after the start of the process.
 const REPORTED_AT_S: i64 = 10;
 
 fn directory() -> EndpointDirectory {
@@ -53,7 +53,7 @@
 }
 
 /// The start time that the directory derives for a replica of age `age_s`. The wall clock is ahead by `before_s` at the start
-/// of the process and by `after_s` when the list reports the replica.
+/// of the process and by `after_s` when discovery reports the replica.
 fn started_at(age_s: i64, before_s: i64, after_s: i64) -> Seconds {
     let mut directory = directory();
     let empty = SourceUpdate::FullList(Vec::new());
