--- a/crates/testbed/src/fault_injection/collector.rs
+++ b/crates/testbed/src/fault_injection/collector.rs
@@ -12,9 +12,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::spawn_local;
 
-/// The maximum size of a request.
 const MAX_REQUEST_BYTES: usize = 64 * 1024;
-/// The size of the read buffer.
 const READ_BYTES: usize = 4096;
 
 /// The stub. Clones share the record of actions.
--- a/crates/testbed/src/fault_injection/ports.rs
+++ b/crates/testbed/src/fault_injection/ports.rs
@@ -7,11 +7,11 @@
 use std::sync::OnceLock;
 use tokio::net::{TcpListener, UdpSocket};
 
-/// The maximum number of attempts to find a port that is free for both.
+/// The maximum number of attempts to find a port that is free for both TCP and UDP.
 const MAX_ATTEMPTS: usize = 50;
 /// The first port for processes that restart on the same port. These ports are below the range of ephemeral ports.
 const FIRST_RESTART_PORT: u16 = 10_000;
-/// The number of ports for such processes.
+/// The number of ports for processes that restart on the same port.
 const RESTART_PORT_COUNT: u16 = 20_000;
 
 /// A port that stays bound until this value is dropped.
--- a/crates/testbed/src/fault_injection/test_fleet/mod.rs
+++ b/crates/testbed/src/fault_injection/test_fleet/mod.rs
@@ -117,7 +117,6 @@
         self.arrivals.clone()
     }
 
-    /// The number of model servers.
     pub(super) fn server_count(&self) -> usize {
         self.servers.len()
     }
