--- a/crates/coordination/src/budget/allocator/mod.rs
+++ b/crates/coordination/src/budget/allocator/mod.rs
@@ -64,7 +64,7 @@
 }
 
 impl InheritedRates<'_> {
-    fn of(&self, budget: &str) -> u64 {
+    fn rate_of(&self, budget: &str) -> u64 {
         let rate = self.rates.and_then(|rates| rates.get(budget));
         rate.copied().unwrap_or(0)
     }
@@ -158,7 +158,7 @@
         if now >= self.predecessor_grants_end_at {
             free
         } else if is_new_node {
-            inherited.of(budget).min(free)
+            inherited.rate_of(budget).min(free)
         } else {
             self.nodes[process].rate_in_use(budget, now).min(free)
         }
--- a/crates/coordination/src/budget/messages.rs
+++ b/crates/coordination/src/budget/messages.rs
@@ -40,7 +40,7 @@
     pub request_number: u64,
     /// The grant in force at the node; `None` after a start or once the grant has ended.
     pub current_grant: Option<GrantId>,
-    /// The rates of that grant; empty without one.
+    /// The rates of the grant in `current_grant`; empty if that is `None`.
     pub rates: Rates,
     /// The node's demands, by budget name.
     pub demands: BTreeMap<String, Demand>,
--- a/crates/coordination/src/budget/tests/model.rs
+++ b/crates/coordination/src/budget/tests/model.rs
@@ -26,7 +26,7 @@
 pub(super) enum Safeguard {
     /// A new allocator waits until the grants of its predecessor have expired.
     WaitForOldGrants,
-    /// The allocator counts a grant until its node has confirmed a newer one.
+    /// The allocator counts a grant against the limit until its node has confirmed a newer grant.
     CountUntilConfirmed,
     /// A node reduces the duration of a grant by the drift.
     DriftMargin,
@@ -193,7 +193,7 @@
                     request.current_grant = Some(newest_grant(request.epoch));
                 }
                 if self.lacks(Safeguard::AccountOfPreviousProcess) {
-                    // All processes of a name are treated as one node.
+                    // Without the safeguard, successive processes with the same node name are not distinguished.
                     request.requester.incarnation = Incarnation(0);
                     request.current_grant = Some(newest_grant(request.epoch));
                 }
--- a/crates/coordination/src/envelope.rs
+++ b/crates/coordination/src/envelope.rs
@@ -34,7 +34,7 @@
     LeaseResponse(LeaseResponse),
     /// A message of the membership protocol, as encoded by its library.
     Gossip(Vec<u8>),
-    /// Requests a node's figures for a report.
+    /// Requests a node's statistics for a report.
     RequestFigures {
         /// The number of the report; returned in the response.
         report_number: u64,
@@ -43,7 +43,7 @@
     Figures {
         /// The report number of the request.
         report_number: u64,
-        /// The node's figures.
+        /// The node's statistics.
         figures: NodeFigures,
     },
     /// A message of a rolling restart.
--- a/crates/coordination/src/lease/client/mod.rs
+++ b/crates/coordination/src/lease/client/mod.rs
@@ -194,10 +194,10 @@
         random: u64,
     ) -> Vec<LeaseRequest> {
         if response.requester() != self.process.incarnation {
-            // The response is for another process of this name, such as the one before a restart.
+            // The response is for another process with this node name, such as the process before a restart.
             return Vec::new();
         }
-        self.learn_from_refusal(response);
+        self.record_refusal(response);
         let epoch = self.epoch;
         let Some(round) = self.current_round(response) else {
             return Vec::new();
@@ -253,7 +253,7 @@
     }
 
     /// Records the holder and the epoch of a refusal.
-    fn learn_from_refusal(&mut self, response: &LeaseResponse) {
+    fn record_refusal(&mut self, response: &LeaseResponse) {
         let LeaseResponse::Refused { epoch, holder, .. } = response else {
             return;
         };
--- a/crates/coordination/src/lease/messages.rs
+++ b/crates/coordination/src/lease/messages.rs
@@ -116,7 +116,7 @@
         /// The process that this server last granted the lease to, possibly expired; `None` after a release, or if this
         /// server knows no grant of the task.
         holder: Option<ProcessId>,
-        /// The remaining time of that grant by this server's clock, in microseconds; 0 if it has expired.
+        /// The remaining time of the grant to `holder` by this server's clock, in microseconds; 0 if it has expired.
         remaining: Micros,
     },
 }
--- a/crates/coordination/src/lease/server/grant_table.rs
+++ b/crates/coordination/src/lease/server/grant_table.rs
@@ -100,7 +100,7 @@
 
     /// Records an epoch reported by another server, if it is higher than the known one. The returned record must be
     /// durable before the recovery completes.
-    pub(super) fn learn_epoch(&mut self, reported: TaskEpoch) -> Option<GrantRecord> {
+    pub(super) fn record_reported_epoch(&mut self, reported: TaskEpoch) -> Option<GrantRecord> {
         let TaskEpoch { task, epoch } = reported;
         let known_epoch = self.epoch_of(&task);
         let is_full = self.grants.len() >= MAX_TASKS;
--- a/crates/coordination/src/lease/server/recovery.rs
+++ b/crates/coordination/src/lease/server/recovery.rs
@@ -110,7 +110,7 @@
         if !self.is_other_server(requester.server) {
             return LeaseServerOutput::default();
         }
-        let record = self.learn_incarnation(requester);
+        let record = self.record_incarnation(requester);
         let newest_requester = self
             .incarnations
             .get(&requester.server)
@@ -163,11 +163,11 @@
             self.restart_recovery(response.newest_requester);
             return LeaseServerOutput::default();
         }
-        let mut log_records = self.learn_incarnations(&response);
+        let mut log_records = self.record_incarnations(&response);
         self.record_responder(&response);
         for reported in response.epochs {
-            let learned = self.grants.learn_epoch(reported);
-            log_records.extend(learned.map(LeaseLogRecord::Grant));
+            let grant_record = self.grants.record_reported_epoch(reported);
+            log_records.extend(grant_record.map(LeaseLogRecord::Grant));
         }
         // The responding server has completed the first start of the fleet before this one.
         self.is_founder |= response.is_founder;
@@ -205,7 +205,7 @@
     }
 
     /// Records the incarnation of another server and those that it knows.
-    fn learn_incarnations(&mut self, response: &RecoveryResponse) -> Vec<LeaseLogRecord> {
+    fn record_incarnations(&mut self, response: &RecoveryResponse) -> Vec<LeaseLogRecord> {
         let responder = ServerIncarnation {
             server: response.server,
             incarnation: response.responder,
@@ -213,14 +213,14 @@
         let mut records = Vec::new();
         for reported in response.incarnations.iter().chain([&responder]) {
             if self.is_other_server(reported.server) {
-                records.extend(self.learn_incarnation(*reported));
+                records.extend(self.record_incarnation(*reported));
             }
         }
         records
     }
 
     /// Records an incarnation of another server, if it is newer than the known one.
-    fn learn_incarnation(&mut self, reported: ServerIncarnation) -> Option<LeaseLogRecord> {
+    fn record_incarnation(&mut self, reported: ServerIncarnation) -> Option<LeaseLogRecord> {
         let known = self.incarnations.get(&reported.server);
         if known.is_some_and(|known| *known >= reported.incarnation) {
             return None;
--- a/crates/coordination/src/node/hosted_server.rs
+++ b/crates/coordination/src/node/hosted_server.rs
@@ -78,7 +78,7 @@
         self.server.advance(now)
     }
 
-    /// The recovery request to send to the other lease servers, if one is due. The next one is due `interval`
+    /// The recovery request to send to the other lease servers, if it is due. The next request is due `interval`
     /// microseconds later.
     pub(super) fn due_recovery_request(
         &mut self,
--- a/crates/coordination/src/rolling_restart/messages.rs
+++ b/crates/coordination/src/rolling_restart/messages.rs
@@ -27,7 +27,7 @@
     pub return_after: Micros,
 }
 
-/// The progress of a node in an order.
+/// The progress of a node in a rolling restart.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum NodeProgress {
     /// Has not been commanded to leave yet.
--- a/crates/coordination/src/rolling_restart/mod.rs
+++ b/crates/coordination/src/rolling_restart/mod.rs
@@ -31,5 +31,5 @@
 };
 pub use participant::RestartParticipant;
 
-/// The maximum number of nodes in an order. Participants ignore larger orders.
+/// The maximum number of nodes that a restart order may name. Participants ignore larger orders.
 pub const MAX_NODES: usize = 4096;
--- a/crates/coordination/tests/golden.rs
+++ b/crates/coordination/tests/golden.rs
@@ -80,8 +80,8 @@
 }
 
 /// The messages of a short exchange between two members, in sending order: one member announces itself, the other
-/// responds with its members, both probe for a while, and the first one leaves.
-fn membership_exchange() -> Vec<Vec<u8>> {
+/// responds with its members, both probe for a while, and the first member leaves.
+fn exchange_membership_messages() -> Vec<Vec<u8>> {
     let mut joining = Membership::new(joining_member(), PROBE_INTERVAL, 1);
     let mut existing = Membership::new(existing_member(), PROBE_INTERVAL, 2);
     let mut sent = Vec::new();
@@ -129,7 +129,7 @@
 /// The samples of the membership protocol, numbered in sending order.
 fn membership_samples() -> Vec<(String, MessageBody)> {
     let number = |(index, bytes)| (format!("gossip-{index:02}"), MessageBody::Gossip(bytes));
-    membership_exchange()
+    exchange_membership_messages()
         .into_iter()
         .enumerate()
         .map(number)
--- a/crates/coordination/tests/nodes.rs
+++ b/crates/coordination/tests/nodes.rs
@@ -155,7 +155,7 @@
     }
     cluster.run_seconds(6);
     assert_eq!(cluster.holders().len(), 1);
-    // The new server grants: without it, there is no majority after another of the old servers is killed.
+    // The new server must grant leases: once another old server is killed, there is no majority without it.
     cluster.kill(0);
     cluster.run_seconds(5);
     assert_eq!(cluster.holders().len(), 1);
--- a/crates/dns-resolver/src/config.rs
+++ b/crates/dns-resolver/src/config.rs
@@ -24,7 +24,7 @@
 pub struct ResolverConfig {
     /// The name of the service's SRV records, such as `_llm._tcp.example.test`.
     pub name: String,
-    /// The name servers. Each attempt at a question goes to the next one.
+    /// The name servers. Each attempt at a question goes to the next server.
     pub servers: Vec<SocketAddr>,
     /// The address families in order of preference. Only the first family in which a target has addresses is used.
     pub families: Vec<AddressFamily>,
--- a/crates/dns-resolver/src/message.rs
+++ b/crates/dns-resolver/src/message.rs
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Whether the record's type is the one that this question queries.
+    /// Whether the record has the queried type.
     pub fn is_answered_by(&self, data: &RecordData) -> bool {
         match (self, data) {
             (Question::Srv(_), RecordData::Srv { .. }) => true,
--- a/crates/durable-log/src/fault_injecting_disk.rs
+++ b/crates/durable-log/src/fault_injecting_disk.rs
@@ -26,7 +26,7 @@
 }
 
 impl FaultInjectingDisk {
-    /// Wraps `folder`. `request_file` need not exist; without one, no faults are injected.
+    /// Wraps `folder`. No faults are injected if `request_file` is `None` or while the file does not exist.
     pub fn new(folder: FolderDisk, request_file: Option<PathBuf>) -> FaultInjectingDisk {
         FaultInjectingDisk {
             folder,
--- a/crates/durable-log/src/simulated_disk.rs
+++ b/crates/durable-log/src/simulated_disk.rs
@@ -63,7 +63,7 @@
         state.operation_count = 0;
     }
 
-    /// Makes one sync fail: the one with this number, counting from 0 and from now. `None` cancels the failure.
+    /// Makes the sync with this number fail, counting from 0 at the next sync. `None` cancels the failure.
     pub fn fail_sync(&self, sync: Option<usize>) {
         let mut state = self.0.borrow_mut();
         state.failing_sync = sync;
--- a/crates/endpoints/src/lib.rs
+++ b/crates/endpoints/src/lib.rs
@@ -35,7 +35,7 @@
 //! let record = ListedEndpoint::new("s1.example.test:8000", addr);
 //! let changes = registry.apply_update(0, 1, SourceUpdate::FullList(vec![record]));
 //! assert_eq!(changes[0].status, EndpointStatus::InService);
-//! // The list reports the same address as draining under another name: both are one endpoint, and the drain prevails.
+//! // The list source reports the same address as draining under another name: both names are one draining endpoint.
 //! let drained = ListedEndpoint { state: ListedState::Draining, ..ListedEndpoint::new("s-1", addr) };
 //! registry.apply_update(1_000, 0, SourceUpdate::FullList(vec![drained]));
 //! let endpoints = registry.endpoints();
--- a/crates/endpoints/src/listing.rs
+++ b/crates/endpoints/src/listing.rs
@@ -36,7 +36,7 @@
 
 impl<'a> ListingKeyRef<'a> {
     /// The key of an endpoint in a source with this `identity`.
-    pub(crate) fn of(endpoint: &'a ListedEndpoint, identity: EndpointIdentity) -> Self {
+    pub(crate) fn from_endpoint(endpoint: &'a ListedEndpoint, identity: EndpointIdentity) -> Self {
         ListingKeyRef {
             name: &endpoint.name,
             addr: (identity == EndpointIdentity::ByAddress).then_some(endpoint.addr),
@@ -237,7 +237,7 @@
     ) -> Unlisted {
         let listed_keys: HashSet<ListingKeyRef<'_>> = endpoints
             .iter()
-            .map(|endpoint| ListingKeyRef::of(endpoint, identity))
+            .map(|endpoint| ListingKeyRef::from_endpoint(endpoint, identity))
             .collect();
         let mut available_count = 0;
         let mut draining = Vec::new();
--- a/crates/endpoints/src/settings.rs
+++ b/crates/endpoints/src/settings.rs
@@ -39,7 +39,7 @@
 /// requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FlapLimits {
-    /// The number of returns within `window` that are tolerated; the next one suppresses the address.
+    /// The number of returns within `window` that are tolerated; the next return suppresses the address.
     pub free_return_count: u32,
     /// A return counts as repeated if it follows the previous one within this time. The count restarts for an address
     /// that is unchanged for longer.
--- a/crates/endpoints/src/source_state.rs
+++ b/crates/endpoints/src/source_state.rs
@@ -229,7 +229,7 @@
 
     /// Applies one endpoint of an update: unchanged, removed, changed, or new.
     fn apply_endpoint(&mut self, now: MonotonicMicros, listed: ListedEndpoint) {
-        let key = ListingKeyRef::of(&listed, self.settings.identity).to_key();
+        let key = ListingKeyRef::from_endpoint(&listed, self.settings.identity).to_key();
         let previous = self.listing.get(&key);
         if previous.is_some_and(|known| known.missing.is_none() && *known.listed == listed) {
             return;
--- a/crates/endpoints/tests/invariants.rs
+++ b/crates/endpoints/tests/invariants.rs
@@ -30,11 +30,11 @@
 /// One generated event. Endpoints are identified by number.
 #[derive(Clone, Debug)]
 enum Step {
-    /// The list reports the state of one endpoint.
+    /// The list source reports the state of one endpoint.
     StateChange(u16, ListedState),
-    /// The list reports a new start of one endpoint.
+    /// The list source reports that one endpoint has restarted.
     NewStart(u16),
-    /// The list reports all of its endpoints.
+    /// The list source reports its full list.
     FullList(BTreeSet<u16>),
     /// DNS answers; each endpoint may be listed under either or both of two names.
     DnsAnswer {
@@ -49,7 +49,7 @@
 
 #[derive(Clone, Debug, Default)]
 struct Model {
-    /// The endpoints that the list has drained or removed explicitly and has not listed again.
+    /// The endpoints that the list source has explicitly reported as draining or removed and has not listed again.
     blocked: BTreeSet<u16>,
     starts: BTreeMap<u16, i64>,
 }
--- a/crates/endpoints/tests/support/mod.rs
+++ b/crates/endpoints/tests/support/mod.rs
@@ -23,12 +23,12 @@
     SocketAddr::from(([127, 0, 0, 1], 8000 + n))
 }
 
-/// The endpoint with this number in the list's form.
+/// The endpoint with this number, as the list source reports it: its name is an id.
 pub fn endpoint_with_id(n: u16) -> ListedEndpoint {
     ListedEndpoint::new(format!("s-{n}"), endpoint_addr(n))
 }
 
-/// The same endpoint in DNS's form.
+/// The same endpoint, as DNS reports it: its name is a host name and a port.
 pub fn dns_target(n: u16) -> ListedEndpoint {
     ListedEndpoint {
         priority: Some(10),
--- a/crates/stub-dns-server/src/script.rs
+++ b/crates/stub-dns-server/src/script.rs
@@ -96,7 +96,7 @@
     /// The reply has this response code, such as 2 for SERVFAIL, and no records.
     #[serde(rename = "code")]
     ResponseCode(u16),
-    /// The queried name is an alias of another name, which is an alias of the queried one.
+    /// The queried name is an alias of another name, which is an alias of the queried name.
     #[serde(rename = "loop")]
     AliasLoop,
     /// Over TCP only the first half of the reply is sent, and the connection stays open.
