--- a/crates/coordination/src/budget/allocator/mod.rs
+++ b/crates/coordination/src/budget/allocator/mod.rs
@@ -52,7 +52,7 @@
     last_grant: u64,
     grant_duration: Micros,
     drift_ppm: u32,
-    /// Until then, grants of earlier allocators that this one does not know may be in force.
+    /// Until this time, grants of earlier allocators that are unknown to this allocator may be in force.
     predecessor_grants_end_at: Micros,
     limits: BTreeMap<String, BudgetLimit>,
     nodes: BTreeMap<ProcessId, NodeAccount>,
--- a/crates/coordination/src/lease/client/mod.rs
+++ b/crates/coordination/src/lease/client/mod.rs
@@ -294,7 +294,7 @@
     }
 
     /// Starts a round under a new epoch. An epoch is never reused, since grants of an earlier round must not contribute
-    /// to the majority of this one.
+    /// to the majority of this round.
     fn acquire(&mut self, now: Micros) -> LeaseRequest {
         self.epoch = self.highest_known_epoch.max(self.epoch).next();
         let round = self.start_round(now);
--- a/crates/coordination/src/lease/server/grant_table.rs
+++ b/crates/coordination/src/lease/server/grant_table.rs
@@ -42,7 +42,7 @@
 /// The response to an acquire request, with the record to write before it.
 pub(super) struct AcquireOutcome {
     pub(super) response: LeaseResponse,
-    /// Must be durable before the response is sent.
+    /// Must be durable before the response is sent; `None` if the grant is refused or already logged.
     pub(super) record: Option<GrantRecord>,
 }
 
--- a/crates/coordination/src/lease/server/mod.rs
+++ b/crates/coordination/src/lease/server/mod.rs
@@ -51,9 +51,9 @@
 pub struct LeaseServerOutput {
     /// Must be durable before the other outputs are executed.
     pub log_records: Vec<LeaseLogRecord>,
-    /// The response to the requesting node.
+    /// The response to the requesting node; `None` if nothing is to be sent.
     pub response: Option<LeaseResponse>,
-    /// The response to the requesting lease server.
+    /// The response to the requesting lease server; `None` if nothing is to be sent.
     pub peer_message: Option<PeerMessage>,
 }
 
--- a/crates/coordination/src/lease/server/recovery.rs
+++ b/crates/coordination/src/lease/server/recovery.rs
@@ -91,8 +91,8 @@
 
     /// Completes the recovery and starts the wait for old grants.
     ///
-    /// The wait starts here and not at the start of the process: if this server replaces another one, that one may have
-    /// granted until the responding servers switched to the new server list.
+    /// The wait starts here and not at the start of the process: if this server replaces another server, the replaced
+    /// server may have granted leases until the responding servers switched to the new server list.
     fn complete_recovery(&mut self, now: Micros) -> Option<LeaseLogRecord> {
         // The configured lease duration may have been longer before the restart.
         let longest = self.config.max_duration.max(self.grants.longest_duration());
@@ -169,7 +169,7 @@
             let grant_record = self.grants.record_reported_epoch(reported);
             log_records.extend(grant_record.map(LeaseLogRecord::Grant));
         }
-        // The responding server has completed the first start of the fleet before this one.
+        // The responding server has completed the first start of the fleet before this server.
         self.is_founder |= response.is_founder;
         log_records.extend(self.advance(now));
         if !self.recovery.is_recovering() {
--- a/crates/coordination/src/node/mod.rs
+++ b/crates/coordination/src/node/mod.rs
@@ -12,8 +12,8 @@
 //! - Messages from senders with another version of the lease server list are dropped, except those of the membership
 //!   protocol.
 //!
-//! Messages about budgets, rolling restarts, outlier probing and node statistics are not handled here. The driver passes
-//! them to the respective state machines and sends their messages with [`CoordinationNode::message_to`].
+//! Messages about budgets, rolling restarts, outlier probing and node statistics are not handled here. The driver
+//! passes them to the respective state machines and sends their messages with [`CoordinationNode::message_to`].
 
 mod address_book;
 mod hosted_server;
--- a/crates/coordination/src/outlier_probing/participant.rs
+++ b/crates/coordination/src/outlier_probing/participant.rs
@@ -47,7 +47,7 @@
         followed
     }
 
-    /// Updates the trust in verdicts on a replica that is ejected here, and returns whether to follow this one.
+    /// Updates the trust in verdicts on a replica that is ejected here, and returns whether to follow this verdict.
     fn accept_verdict(
         &mut self,
         verdict: &Verdict,
--- a/crates/coordination/tests/budget.rs
+++ b/crates/coordination/tests/budget.rs
@@ -147,8 +147,8 @@
         }
         fleet.deliver_all();
     };
-    // After a reduction, a node's previous, higher grant counts against the limit until the node has confirmed the lower
-    // grant.
+    // After a reduction, a node's previous, higher grant counts against the limit until the node has confirmed
+    // the lower grant.
     for _ in 0..3 {
         request_all(&mut fleet, &[0, 1], 20_000);
     }
--- a/crates/coordination/tests/rolling_restart.rs
+++ b/crates/coordination/tests/rolling_restart.rs
@@ -180,7 +180,7 @@
         });
     }
 
-    /// Delivers the delayed messages that are due, and lets nodes return on their own.
+    /// Delivers the delayed messages that are due, then returns the nodes whose `return_after` has passed.
     fn advance_to(&mut self, now: u64) {
         let (due, delayed): (Vec<_>, Vec<_>) = std::mem::take(&mut self.delayed)
             .into_iter()
--- a/crates/stub-model-server/src/server/state.rs
+++ b/crates/stub-model-server/src/server/state.rs
@@ -48,7 +48,7 @@
     pub plan: ResponsePlan,
     /// Index of the record in [`State::served`]; `None` if the request is not recorded.
     pub record_index: Option<usize>,
-    /// An idle connection on which the same bytes are sent.
+    /// An idle connection on which the same bytes are sent; `None` if they are sent only once.
     pub duplicate: Option<UnsolicitedSender>,
 }
 
