--- a/crates/coordination/src/budget/allocator/mod.rs
+++ b/crates/coordination/src/budget/allocator/mod.rs
@@ -236,7 +236,7 @@
         });
     }
 
-    /// The allocation of each budget at `now`.
+    /// What is allocated of each budget that has a limit, in total and by node, at `now`.
     pub fn status(&self, now: Micros) -> Vec<BudgetAllocation> {
         let limits = self.limits.iter();
         limits
--- a/crates/coordination/src/budget/messages.rs
+++ b/crates/coordination/src/budget/messages.rs
@@ -52,7 +52,7 @@
     /// The requesting incarnation. Needed because messages are addressed by node name, and two processes of the same
     /// name use the same request numbers.
     pub requester: Incarnation,
-    /// The id of this grant.
+    /// Higher than the id of any earlier grant to any node.
     pub id: GrantId,
     /// The number of the request that this grant answers.
     pub request_number: u64,
--- a/crates/coordination/src/budget/participant.rs
+++ b/crates/coordination/src/budget/participant.rs
@@ -54,7 +54,7 @@
 pub struct AllocatorStatus {
     /// The epoch of the allocator.
     pub epoch: Epoch,
-    /// The allocation of each budget.
+    /// One for each budget that has a limit.
     pub budgets: Vec<BudgetAllocation>,
 }
 
@@ -138,7 +138,7 @@
         }
     }
 
-    /// The quota of a budget at `now`.
+    /// What this process may spend of a budget at `now`; the burst is 0 if the budget has no limit.
     pub fn quota(&self, budget: &str, now: Micros) -> Quota {
         let granted = self.quotas.rate(budget, now);
         let limit = self.settings.limits.get(budget);
--- a/crates/coordination/src/envelope.rs
+++ b/crates/coordination/src/envelope.rs
@@ -46,9 +46,9 @@
         /// The node's statistics.
         figures: NodeFigures,
     },
-    /// A message of a rolling restart.
+    /// Distributes a restart order, or carries a query, answer or command about it.
     RollingRestart(RestartMessage),
-    /// A message of outlier probing.
+    /// Carries a node's ejected replicas to the coordinator, or the coordinator's verdicts on them.
     OutlierProbing(ProbingMessage),
     /// A message about budgets.
     Budget(BudgetMessage),
--- a/crates/coordination/src/lease/server/mod.rs
+++ b/crates/coordination/src/lease/server/mod.rs
@@ -42,7 +42,7 @@
 pub struct PeerMessage {
     /// The index of the recipient.
     pub server: usize,
-    /// The message.
+    /// Sent once the log records of the same output are durable.
     pub message: LeaseRequest,
 }
 
--- a/crates/coordination/src/rolling_restart/coordinator.rs
+++ b/crates/coordination/src/rolling_restart/coordinator.rs
@@ -33,12 +33,12 @@
     }
 }
 
-/// A query to one node.
+/// Repeated under the same id until the node has answered it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct NodeQuery {
     /// The node's name.
     pub node: String,
-    /// The message to it.
+    /// Always a [`RestartMessage::Query`].
     pub message: RestartMessage,
 }
 
--- a/crates/coordination/src/rolling_restart/messages.rs
+++ b/crates/coordination/src/rolling_restart/messages.rs
@@ -15,7 +15,7 @@
 /// A rolling restart as ordered by an operator.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RestartOrder {
-    /// The id of this order.
+    /// Higher than the id of any order that was known where this one was given.
     pub id: OrderId,
     /// The names of the nodes to be taken out.
     pub nodes: Vec<String>,
@@ -89,7 +89,7 @@
     Order(RestartOrder),
     /// From the coordinator: requests the node's progress.
     Query {
-        /// The id of this query.
+        /// The same as in the last query to the node if the node has not answered that one.
         query: QueryId,
         /// The order whose progress is requested.
         order: OrderId,
--- a/crates/dns-resolver/src/answer.rs
+++ b/crates/dns-resolver/src/answer.rs
@@ -7,7 +7,6 @@
 /// Limit on the length of a chain of aliases.
 pub(crate) const MAX_ALIASES: usize = 8;
 
-/// The content of an answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum AnswerContent {
     /// Records of the queried type.
--- a/crates/dns-resolver/src/attempt.rs
+++ b/crates/dns-resolver/src/attempt.rs
@@ -17,7 +17,7 @@
 pub enum Transmit {
     /// Send a datagram from a new UDP socket.
     Udp {
-        /// The id of the new socket.
+        /// [`Transmit::Close`] names the new socket by this id.
         socket: SocketId,
         /// The destination address.
         server: SocketAddr,
--- a/crates/dns-resolver/src/exchange.rs
+++ b/crates/dns-resolver/src/exchange.rs
@@ -20,7 +20,6 @@
 /// response take longer than one datagram each way.
 const TCP_TIMEOUT_FACTOR: Micros = 4;
 
-/// The outcome of an exchange.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum ExchangeOutcome {
     /// A server has answered with NOERROR or NXDOMAIN.
--- a/crates/dns-resolver/src/lookup.rs
+++ b/crates/dns-resolver/src/lookup.rs
@@ -76,7 +76,6 @@
     Failed(#[from] QuestionError),
 }
 
-/// The progress of a lookup.
 #[derive(Debug)]
 pub(crate) enum LookupProgress {
     /// These questions must be answered first.
--- a/crates/dns-resolver/src/message.rs
+++ b/crates/dns-resolver/src/message.rs
@@ -138,7 +138,6 @@
 
 /// The response codes that the resolver distinguishes.
 pub(crate) mod response_code {
-    /// No error.
     pub(crate) const NO_ERROR: u16 = 0;
     /// The server could not interpret the query; it may not support EDNS.
     pub(crate) const FORMAT_ERROR: u16 = 1;
--- a/crates/durable-log/src/segment.rs
+++ b/crates/durable-log/src/segment.rs
@@ -28,7 +28,6 @@
     digits.parse().ok()
 }
 
-/// The contents of a segment.
 #[derive(Debug)]
 pub(crate) struct SegmentContents {
     /// The records' payloads, oldest first.
--- a/crates/endpoints/src/settings.rs
+++ b/crates/endpoints/src/settings.rs
@@ -51,7 +51,7 @@
     pub max_hold: DurationMicros,
 }
 
-/// Settings of one source.
+/// How the registry treats what one source lists.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SourceSettings {
     /// The name of the source, shown in reasons and logs.
@@ -79,7 +79,7 @@
     }
 }
 
-/// Settings of the registry.
+/// The sources, and the rules that apply to the endpoints of all of them.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RegistrySettings {
     /// The sources. If several describe one endpoint, the description of the first one is used.
--- a/crates/endpoints/src/source_state.rs
+++ b/crates/endpoints/src/source_state.rs
@@ -27,7 +27,6 @@
     Only(BTreeSet<SocketAddr>),
 }
 
-/// The state of one source.
 #[derive(Debug)]
 pub(crate) struct SourceState {
     settings: SourceSettings,
--- a/crates/endpoints/src/update.rs
+++ b/crates/endpoints/src/update.rs
@@ -63,7 +63,7 @@
     }
 }
 
-/// One update from a source.
+/// What a source lists, or that it can't be reached.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SourceUpdate {
     /// All endpoints of the source. An endpoint that it listed before and no longer lists is withdrawn.
--- a/crates/scheduler/src/types/learned_state.rs
+++ b/crates/scheduler/src/types/learned_state.rs
@@ -45,7 +45,7 @@
 /// The prefill time of replicas of one host type.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PrefillTime {
-    /// The host type.
+    /// Number of the type of machine, as in the replicas' endpoints.
     pub host_type: usize,
     /// Number of first tokens that the mean is based on, up to a maximum.
     pub samples: f64,
@@ -56,7 +56,7 @@
 /// The service time of replicas of one host type.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ServiceTime {
-    /// The host type.
+    /// Number of the type of machine, as in the replicas' endpoints.
     pub host_type: usize,
     /// Mean time from the start of an attempt to its end.
     pub mean: Seconds,
@@ -65,7 +65,7 @@
 /// The batch size of replicas of one host type.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct BatchSize {
-    /// The host type.
+    /// Number of the type of machine, as in the replicas' endpoints.
     pub host_type: usize,
     /// Number of requests that run at the same time.
     pub requests: f64,
--- a/crates/scheduler/src/types/request.rs
+++ b/crates/scheduler/src/types/request.rs
@@ -31,7 +31,7 @@
     pub expected_work: Option<Seconds>,
     /// Prompt tokens, including the shared prefix.
     pub prompt_tokens: u64,
-    /// Tokens of the shared prefix.
+    /// Length of the shared prefix in tokens, a part of `prompt_tokens`.
     pub shared_prefix_tokens: u64,
     /// Maximum number of tokens of the answer.
     pub max_output_tokens: u64,
--- a/crates/site-settings/src/lib.rs
+++ b/crates/site-settings/src/lib.rs
@@ -17,10 +17,10 @@
 use poppykeel_scheduler::{LoadReport, SchedulerSettings};
 use report_fields::ReportField;
 
-/// The settings of a site.
+/// The settings of a site, which a reload replaces as a whole.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SiteSettings {
-    /// Settings of the scheduler.
+    /// Passed to the scheduler, which knows classes and tenants only by their positions in `names`.
     pub scheduler: SchedulerSettings,
     /// Names and connection limits, which the scheduler does not need.
     pub names: SiteNames,
--- a/crates/stream-recovery/src/stall_detection.rs
+++ b/crates/stream-recovery/src/stall_detection.rs
@@ -2,7 +2,7 @@
 
 use crate::Micros;
 
-/// The state of a stream.
+/// How regularly the events of a stream arrive, or how it has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StreamState {
     /// The last and the current gap are not longer than the replica's long gap.
@@ -87,7 +87,7 @@
         is_watched.then(|| self.last_event_at.saturating_add(self.silence_limit))
     }
 
-    /// The state at `now`.
+    /// The final state once the stream has ended; before that, the gap up to `now` counts too.
     pub fn state(&self, now: Micros) -> StreamState {
         if let Some(end) = self.end {
             return end;
--- a/crates/stub-dns-server/src/script.rs
+++ b/crates/stub-dns-server/src/script.rs
@@ -11,7 +11,7 @@
 #[derive(Clone, Debug, Default, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields, expecting = "struct Script")]
 pub struct Script {
-    /// The records of the zone.
+    /// In TOML, one `[[record]]` table each; empty if there is none.
     #[serde(default, rename = "record")]
     pub records: Vec<ZoneRecord>,
     /// The fault rules. All rules that match a question are applied, in order.
@@ -33,7 +33,7 @@
     true
 }
 
-/// A record of the zone.
+/// A `[[record]]` table of a script.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields, expecting = "struct Record")]
 pub struct ZoneRecord {
--- a/crates/stub-model-server/src/checker.rs
+++ b/crates/stub-model-server/src/checker.rs
@@ -28,7 +28,7 @@
 pub struct ClientObservation {
     /// The request's id.
     pub id: String,
-    /// The prompt.
+    /// Compared with the servers' records to find the attempts of this request.
     pub prompt: String,
     /// Number of tokens of the complete answer.
     pub expected_token_count: usize,
--- a/crates/stub-model-server/src/response_plan.rs
+++ b/crates/stub-model-server/src/response_plan.rs
@@ -52,10 +52,10 @@
     }
 }
 
-/// One step of a plan.
+/// Executed by the server in the order of the plan; the first `Send` writes the head too.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PlanStep {
-    /// Wait for this duration.
+    /// Send nothing for this duration.
     Wait(Duration),
     /// Send these bytes of the body, chunk framing included.
     Send(Vec<u8>),
@@ -66,7 +66,7 @@
     },
 }
 
-/// The plan of a response.
+/// How a server answers one request, including the faults that it injects.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ResponsePlan {
     /// The HTTP status. Responses with a status other than 200 have no stream.
--- a/crates/stub-model-server/src/server/mod.rs
+++ b/crates/stub-model-server/src/server/mod.rs
@@ -24,7 +24,7 @@
     pub server: usize,
     /// The value of the request's `req-id` header; empty if there is none.
     pub id: String,
-    /// The prompt.
+    /// The prompt, without the partial answer that the request continued.
     pub prompt: String,
     /// Number of tokens in the partial answer that the request continued.
     pub tokens_before: usize,
--- a/src/program/config/operator/budgets.rs
+++ b/src/program/config/operator/budgets.rs
@@ -36,7 +36,7 @@
     /// How long a node may spend its share of a budget before it needs a new grant.
     #[serde(default = "default_share")]
     pub share: ConfigDuration,
-    /// The budget of retries.
+    /// For attempts after the first one of a request.
     pub retries: Option<BudgetConfig>,
     /// The budget of hedged attempts.
     pub copies: Option<BudgetConfig>,
--- a/src/program/config/operator/fleet.rs
+++ b/src/program/config/operator/fleet.rs
@@ -50,7 +50,7 @@
     /// Whether a lease server trusts its log after a restart. If not, it recovers its grants from the other lease servers.
     #[serde(default)]
     pub trust_disk: bool,
-    /// The duration of a lease.
+    /// From 100 ms to 10 minutes; a task whose holder has failed waits about this long.
     #[serde(default = "default_lease")]
     pub lease: ConfigDuration,
     /// The largest drift of a node's clock, in parts per million.
--- a/src/program/streams/mod.rs
+++ b/src/program/streams/mod.rs
@@ -22,7 +22,7 @@
     /// The log can't be read.
     #[error("cannot read the log {}: {source}", log.display())]
     Read {
-        /// The path of the log.
+        /// As given on the command line; "-" stands for standard input.
         log: PathBuf,
         /// The error of the operating system.
         source: io::Error,
@@ -30,7 +30,7 @@
     /// The log has no summary of streams.
     #[error("log {}: no summary of streams; expected the log of `poppykeel serve --log-format json`", log.display())]
     NoSummary {
-        /// The path of the log.
+        /// As given on the command line; "-" stands for standard input.
         log: PathBuf,
     },
 }
--- a/src/protocol/admin/metrics.rs
+++ b/src/protocol/admin/metrics.rs
@@ -7,7 +7,7 @@
 /// The metrics of a node since its start.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct NodeMetrics {
-    /// Responses by class.
+    /// One entry for each class name.
     pub responses: Vec<ClassResponses>,
     /// Attempts whose request was sent completely to a replica.
     pub attempts_sent: u64,
--- a/src/protocol/discovery.rs
+++ b/src/protocol/discovery.rs
@@ -23,7 +23,7 @@
     MissingText {
         /// The endpoint's index in the list.
         index: usize,
-        /// The key.
+        /// Spelled as in the endpoint's object.
         key: &'static str,
     },
     /// The state of an endpoint is unknown.
--- a/src/routing/statistics.rs
+++ b/src/routing/statistics.rs
@@ -5,7 +5,7 @@
 /// A counted attempt outcome with its name in metrics.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CountedOutcome {
-    /// The outcome of the attempt.
+    /// How the attempts ended that are counted under `name`.
     pub outcome: AttemptOutcome,
     /// Value of the `outcome` label in metrics.
     pub name: &'static str,
--- a/src/transport/client/connection/mod.rs
+++ b/src/transport/client/connection/mod.rs
@@ -53,7 +53,7 @@
 }
 use log_lifecycle;
 
-/// The connection of one client.
+/// Reads the requests of one client in turn and writes the responses.
 pub struct ClientConnection {
     http: HttpConnection,
     registry: Rc<ConnectionRegistry>,
--- a/src/transport/client/registry.rs
+++ b/src/transport/client/registry.rs
@@ -98,7 +98,7 @@
         self.site.replace(site);
     }
 
-    /// The limits of the transport.
+    /// Limits such as the timeouts for reading from clients and writing to them.
     pub fn limits(&self) -> &TransportLimits {
         &self.limits
     }
--- a/src/transport/coordination/budgets.rs
+++ b/src/transport/coordination/budgets.rs
@@ -37,7 +37,7 @@
 /// Coordination expresses a demand's weight in hundredths.
 const WEIGHT_SCALE: f64 = 100.0;
 
-/// The budgets of a fleet.
+/// Made from `[fleet.budgets]` and the names of the site's tenants.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FleetBudgets {
     /// The limits of the budgets.
--- a/src/transport/coordination/mod.rs
+++ b/src/transport/coordination/mod.rs
@@ -86,7 +86,7 @@
     /// The node can't listen on its address.
     #[error("fleet.listen: {address}: {source}")]
     Listen {
-        /// The address.
+        /// Used for UDP and TCP; either may have failed.
         address: SocketAddr,
         /// The system's error.
         source: std::io::Error,
--- a/src/transport/replica/attempts.rs
+++ b/src/transport/replica/attempts.rs
@@ -60,7 +60,7 @@
 
 /// An attempt to be made.
 pub struct AttemptRequest {
-    /// The request.
+    /// Identifies the attempt, together with `attempt`.
     pub request: RequestId,
     /// The attempt's number within the request.
     pub attempt: usize,
--- a/src/transport/replica/pool.rs
+++ b/src/transport/replica/pool.rs
@@ -22,7 +22,7 @@
 /// address of a removed one, and a replica may move to another address; neither may reuse the earlier connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ReplicaAddress {
-    /// The replica.
+    /// Stays the same if the replica moves to another address.
     pub replica: ReplicaId,
     /// The address where it listens.
     pub addr: SocketAddr,
--- a/tests/golden.rs
+++ b/tests/golden.rs
@@ -18,7 +18,6 @@
 use std::process::Command;
 use support::Node;
 
-/// A record of learned state.
 const LEARNED_STATE: &str = "learned-state.record";
 /// The log of a node, written by `serve --log-format json`.
 const NODE_LOG: &str = "node-log.jsonl";
--- a/tests/soak/plan.rs
+++ b/tests/soak/plan.rs
@@ -44,7 +44,6 @@
     pub ends: Duration,
 }
 
-/// An action on the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProcessAction {
     /// SIGKILL, and a restart half a second later.
--- a/tests/soak/records.rs
+++ b/tests/soak/records.rs
@@ -101,7 +101,6 @@
     pub max_scheduling_delay: Mutex<Duration>,
 }
 
-/// The clock of a run.
 #[derive(Clone, Copy)]
 pub struct RunClock {
     start: Instant,
