--- a/crates/testbed/src/emulator/clients.rs
+++ b/crates/testbed/src/emulator/clients.rs
@@ -22,9 +22,9 @@
     pub session: u64,
     /// The beginning of the prompt, which other sessions share.
     pub prefix: SharedPrefix,
-    /// Tokens of the prompt.
+    /// Prompt length in tokens, with the session's earlier turns and the shared prefix.
     pub prompt_tokens: u32,
-    /// Tokens of the answer.
+    /// Answer length in tokens, drawn before the request is sent.
     pub answer_tokens: u32,
     /// When the client first sent it.
     pub first_sent_at: Micros,
--- a/crates/testbed/src/emulator/coordination/mod.rs
+++ b/crates/testbed/src/emulator/coordination/mod.rs
@@ -80,7 +80,7 @@
         to: usize,
         envelope: Box<Envelope>,
     },
-    /// Set the budget grants of a node.
+    /// Pass a node its grants: those it holds, or an equal part.
     SetBudgetGrants { node: usize, grants: BudgetGrants },
 }
 
--- a/crates/testbed/src/emulator/coordination/process.rs
+++ b/crates/testbed/src/emulator/coordination/process.rs
@@ -93,7 +93,6 @@
         vec![self.node.message_to(holder, None, body)]
     }
 
-    /// Runs the timers that are due.
     pub(super) fn run_due_timers(&mut self, now: Micros) -> Vec<NodeOutput> {
         let is_due = self.node.next_deadline().is_some_and(|due| due <= now);
         if is_due {
--- a/crates/testbed/src/emulator/description/mod.rs
+++ b/crates/testbed/src/emulator/description/mod.rs
@@ -203,7 +203,7 @@
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
 #[serde(deny_unknown_fields, default)]
 pub struct ClassDescription {
-    /// Its name.
+    /// The name under which outcomes and the configuration of nodes list it.
     pub name: String,
     /// Its weight in the load, relative to other classes.
     pub part: f64,
@@ -251,11 +251,11 @@
     }
 }
 
-/// One tenant.
+/// An entry of the tenants in a run description.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
 #[serde(deny_unknown_fields, default)]
 pub struct TenantDescription {
-    /// Its name.
+    /// The name under which outcomes and the configuration of nodes list it.
     pub name: String,
     /// Its quota, relative to other tenants.
     pub share: f64,
@@ -304,11 +304,11 @@
     Deploys,
 }
 
-/// One fault.
+/// An entry of the faults in a run description.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct FaultDescription {
-    /// Its kind.
+    /// Decides what happens to the affected part, and the meaning of `size`.
     pub what: FaultKind,
     /// When it begins, in seconds since the start of the run.
     pub at_s: f64,
--- a/crates/testbed/src/emulator/description/validation.rs
+++ b/crates/testbed/src/emulator/description/validation.rs
@@ -21,7 +21,7 @@
     NotPositive {
         /// The key with its table.
         key: &'static str,
-        /// Its value.
+        /// The value as given in the run description.
         value: f64,
     },
     /// There are more servers or nodes than the emulator supports.
@@ -49,7 +49,7 @@
     ClassOutOfRange {
         /// The index of the class.
         index: usize,
-        /// Its name.
+        /// The name of the class at that index, for the message.
         name: String,
     },
     /// The weights of all classes or tenants do not add up to a positive number.
--- a/crates/testbed/src/emulator/model_server/mod.rs
+++ b/crates/testbed/src/emulator/model_server/mod.rs
@@ -68,7 +68,7 @@
 /// One attempt of one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct AttemptKey {
-    /// The request.
+    /// The request's id; several attempts may have the same.
     pub request: RequestId,
     /// The index of the attempt among those of the request.
     pub attempt: usize,
@@ -86,15 +86,15 @@
 /// The work of an attempt on a server.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServerJob {
-    /// The attempt.
+    /// Identifies the job in the outputs of the server.
     pub key: AttemptKey,
     /// The id of the session. The prompt begins with its earlier turns.
     pub session: u64,
     /// The prompt prefix shared with other sessions.
     pub prefix: SharedPrefix,
-    /// Tokens of the prompt.
+    /// Prompt length in tokens, cached or not; the server raises 0 to 1.
     pub prompt_tokens: u32,
-    /// Tokens of the answer.
+    /// Answer length in tokens; the server raises 0 to 1.
     pub answer_tokens: u32,
 }
 
@@ -105,7 +105,7 @@
     FirstToken(AttemptKey),
     /// The last token has been generated.
     Completed {
-        /// The attempt.
+        /// The key of the completed job.
         key: AttemptKey,
         /// Prompt tokens that were in the prefix cache.
         cached_tokens: u32,
@@ -140,7 +140,7 @@
 /// The progress of an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct GeneratedTokens {
-    /// The attempt.
+    /// The key of the job that the answer belongs to.
     pub key: AttemptKey,
     /// Tokens generated so far.
     pub tokens: u32,
@@ -203,7 +203,7 @@
     }
 }
 
-/// A model server.
+/// A server that runs queued jobs in batches, with a prefix cache; its callers pass it the time.
 #[derive(Clone, Debug)]
 pub struct ModelServer {
     profile: ServerProfile,
--- a/crates/testbed/src/emulator/outcome.rs
+++ b/crates/testbed/src/emulator/outcome.rs
@@ -168,7 +168,7 @@
     }
 }
 
-/// The outcome of a run.
+/// What one run measured, as written to results files.
 #[derive(Clone, Debug, Default, Deserialize, Serialize, PartialEq)]
 pub struct RunOutcome {
     /// All requests.
@@ -213,7 +213,7 @@
     pub heat: Vec<Vec<f32>>,
     /// The faults of the run, for the time axis of plots.
     pub faults: Vec<FaultDescription>,
-    /// Violations of invariants.
+    /// Counts of broken invariants; all zero if the nodes work correctly.
     pub broken: InvariantViolations,
     /// Measurements of the coordination; `None` for runs without it.
     #[serde(default, skip_serializing_if = "Option::is_none")]
--- a/crates/testbed/src/emulator/simulation/submissions.rs
+++ b/crates/testbed/src/emulator/simulation/submissions.rs
@@ -7,7 +7,6 @@
 use crate::Micros;
 use poppykeel_scheduler::RequestId;
 
-/// The progress of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum AttemptProgress {
     /// No server has accepted it.
@@ -18,7 +17,6 @@
     Streaming,
 }
 
-/// An attempt at a server.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ServerAttempt {
     pub(super) server: usize,
--- a/crates/testbed/src/experiment/confidence.rs
+++ b/crates/testbed/src/experiment/confidence.rs
@@ -14,7 +14,7 @@
 /// A mean with its 95% confidence interval.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ConfidenceInterval {
-    /// The mean.
+    /// The middle of the interval; NaN without values.
     pub mean: f64,
     /// Half the width of the interval; NaN for fewer than two values.
     pub half_width: f64,
--- a/crates/testbed/src/experiment/description/sweep.rs
+++ b/crates/testbed/src/experiment/description/sweep.rs
@@ -18,7 +18,6 @@
     /// The path of the parameter, separated by dots, with indexes from 0 in lists: "fleet.servers", `class.0.aim_s`, or
     /// "fault" for the whole list.
     key: String,
-    /// The values.
     values: Vec<Value>,
     /// The labels of the values; by default `part=value`, with the last part of the key.
     #[serde(default)]
--- a/crates/testbed/src/experiment/error.rs
+++ b/crates/testbed/src/experiment/error.rs
@@ -33,7 +33,7 @@
     /// The name is not valid as that of a folder.
     #[error("name: expected letters, digits, - and _, not '{name}'")]
     Name {
-        /// The name.
+        /// The invalid name, as given.
         name: String,
     },
     /// There is no policy or no seed.
@@ -83,7 +83,7 @@
     /// A folder or file of results cannot be read or written.
     #[error("results {}: {source}", path.display())]
     ResultsFile {
-        /// Its path.
+        /// The folder or file that was accessed.
         path: PathBuf,
         /// The cause.
         source: io::Error,
@@ -91,7 +91,7 @@
     /// A results file has invalid content.
     #[error("results {}: {source}", path.display())]
     ResultsFormat {
-        /// Its path.
+        /// The results file with the invalid content.
         path: PathBuf,
         /// The cause.
         source: serde_json::Error,
@@ -102,7 +102,7 @@
     /// A folder contains no results.
     #[error("results {}: the folder has no result files", folder.display())]
     NoResults {
-        /// The folder.
+        /// The folder that was searched.
         folder: PathBuf,
     },
     /// A run failed.
--- a/crates/testbed/src/experiment/results_folder.rs
+++ b/crates/testbed/src/experiment/results_folder.rs
@@ -15,18 +15,18 @@
 /// Compression level: the default of zstd.
 const COMPRESSION_LEVEL: i32 = 3;
 
-/// The result of one run.
+/// The content of a results file: the outcome of a run and what produced it.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
 pub struct RunResult {
     /// The label of the point.
     pub label: String,
-    /// The policy.
+    /// The policy that the run was executed with.
     pub policy: Policy,
-    /// The seed.
+    /// The seed that the simulation was given.
     pub seed: u64,
-    /// The description of the run.
+    /// The description at the point, with the values of its sweeps.
     pub run: RunDescription,
-    /// Its outcome.
+    /// What the run measured, from its start to its end.
     pub outcome: RunOutcome,
 }
 
--- a/crates/testbed/src/experiment/table.rs
+++ b/crates/testbed/src/experiment/table.rs
@@ -71,7 +71,7 @@
         .collect()
 }
 
-/// Renders the table of one metric.
+/// Renders a row per label and a column per policy; a cell is the mean of its runs with the 95% confidence interval.
 pub fn render_table(results: &[RunResult], metric: Metric) -> String {
     TableAxes::from_results(results).render(|label, policy| {
         let values = cell_values(results, label, policy, metric);
--- a/crates/testbed/src/fault_injection/admin_client.rs
+++ b/crates/testbed/src/fault_injection/admin_client.rs
@@ -6,7 +6,6 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// The timeout of one call.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1500);
 /// The status of an accepted call, and of the readiness check of a ready node.
 pub(super) const STATUS_OK: u16 = 200;
--- a/crates/testbed/src/fault_injection/budgets.rs
+++ b/crates/testbed/src/fault_injection/budgets.rs
@@ -27,7 +27,6 @@
 
 /// The interval of requests to a node that receives the mean load.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(30);
-/// The timeout of a request.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(4);
 /// If the budget is divided equally, the rate of each part is multiplied by this factor, because clocks may run fast.
 const EQUAL_RATE_FACTOR: f64 = 0.9;
--- a/crates/testbed/src/fault_injection/test_fleet/mod.rs
+++ b/crates/testbed/src/fault_injection/test_fleet/mod.rs
@@ -33,7 +33,7 @@
     pub zones: usize,
     /// The number of lease servers; these are the first nodes.
     pub lease_servers: usize,
-    /// The duration of leases.
+    /// How long a lease lasts; scenarios scale their waits and network delays by it.
     pub lease_duration: Duration,
     /// The clock drift that the nodes are configured to tolerate, in parts per million.
     pub allowed_drift_ppm: u32,
@@ -210,7 +210,6 @@
     }
 }
 
-/// The index of the node with this name.
 pub(super) fn node_index(name: &str) -> Option<usize> {
     name.strip_prefix(NODE_NAME_PREFIX)?.parse().ok()
 }
--- a/crates/testbed/src/sockets/error.rs
+++ b/crates/testbed/src/sockets/error.rs
@@ -21,7 +21,7 @@
     /// The node's program cannot be started.
     #[error("node: the program {} cannot be started: {source}", program.display())]
     StartNode {
-        /// The program.
+        /// The path that was executed.
         program: PathBuf,
         /// The system's error.
         source: io::Error,
@@ -55,13 +55,13 @@
     /// A stub model server cannot listen at its old address after a restart.
     #[error("stub model server cannot restart: its address {address} is in use")]
     AddressTaken {
-        /// The address.
+        /// The address the server listened at before the restart.
         address: SocketAddr,
     },
     /// The run has a fault that needs an emulated network.
     #[error("fault {kind:?} is not supported on loopback sockets")]
     UnsupportedFault {
-        /// The kind.
+        /// The kind of the first unsupported fault in the run description.
         kind: FaultKind,
     },
     /// The fleet has no node.
--- a/crates/testbed/src/sockets/stub_model_server/mod.rs
+++ b/crates/testbed/src/sockets/stub_model_server/mod.rs
@@ -78,7 +78,7 @@
     }
 }
 
-/// A stub model server.
+/// A handle to a server process simulated in real time over HTTP.
 #[derive(Clone)]
 pub struct StubModelServer {
     address: SocketAddr,
--- a/crates/testbed/src/view/state/mod.rs
+++ b/crates/testbed/src/view/state/mod.rs
@@ -48,7 +48,7 @@
     pub rate: Option<f64>,
 }
 
-/// The queue of a tenant.
+/// How many requests of one tenant wait, at the last update.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TenantQueue {
     /// The tenant's name.
@@ -109,7 +109,7 @@
         &self.counts
     }
 
-    /// The queues of the tenants.
+    /// Queued requests by tenant, as of the last update; empty before the first.
     pub fn queues(&self) -> &[TenantQueue] {
         &self.queues
     }
--- a/crates/testbed/src/view/terminal.rs
+++ b/crates/testbed/src/view/terminal.rs
@@ -34,7 +34,6 @@
     },
 }
 
-/// The action of a key.
 enum KeyAction {
     Quit,
     ScrollDown(usize),
