--- a/crates/coordination/src/budget/allocator/mod.rs
+++ b/crates/coordination/src/budget/allocator/mod.rs
@@ -236,7 +236,7 @@
         });
     }
 
-    /// What is allocated of each budget that has a limit, in total and by node, at `now`.
+    /// The allocation at `now` of each budget that has a limit, in total and by node.
     pub fn status(&self, now: Micros) -> Vec<BudgetAllocation> {
         let limits = self.limits.iter();
         limits
--- a/crates/coordination/src/budget/participant.rs
+++ b/crates/coordination/src/budget/participant.rs
@@ -138,7 +138,7 @@
         }
     }
 
-    /// What this process may spend of a budget at `now`; the burst is 0 if the budget has no limit.
+    /// The quota of this process in a budget at `now`; the burst is 0 if the budget has no limit.
     pub fn quota(&self, budget: &str, now: Micros) -> Quota {
         let granted = self.quotas.rate(budget, now);
         let limit = self.settings.limits.get(budget);
--- a/crates/endpoints/src/settings.rs
+++ b/crates/endpoints/src/settings.rs
@@ -51,7 +51,7 @@
     pub max_hold: DurationMicros,
 }
 
-/// How the registry treats what one source lists.
+/// The rules of the registry for the endpoints of one source.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SourceSettings {
     /// The name of the source, shown in reasons and logs.
--- a/crates/endpoints/src/update.rs
+++ b/crates/endpoints/src/update.rs
@@ -63,7 +63,7 @@
     }
 }
 
-/// What a source lists, or that it can't be reached.
+/// An answer of an endpoint source, or its failure to answer.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SourceUpdate {
     /// All endpoints of the source. An endpoint that it listed before and no longer lists is withdrawn.
--- a/crates/scheduler/src/types/settings.rs
+++ b/crates/scheduler/src/types/settings.rs
@@ -29,7 +29,7 @@
     pub endpoint_list_mode: EndpointListMode,
 }
 
-/// What all requests of a class have in common: weights, objectives, and how they may be repeated and answered.
+/// The weights, objectives and retry rules that all requests of a class share.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestClass {
     /// The value of an answer within the latency objective.
@@ -93,7 +93,7 @@
 /// The rate limit of tenants for which no limit is configured, in requests per second.
 pub const UNLIMITED_RATE: f64 = 1e9;
 
-/// What a tenant is entitled to.
+/// The guaranteed share and the rate limit of a tenant.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
     /// Its share of the service; only the ratios between tenants matter.
--- a/crates/stream-recovery/src/recovery.rs
+++ b/crates/stream-recovery/src/recovery.rs
@@ -37,7 +37,7 @@
     /// The request is not idempotent, so repeating it could cause side effects twice.
     #[error("a repeat might do something twice")]
     NotIdempotent,
-    /// Nobody is left to whom a continuation could be sent.
+    /// The client has disconnected, so there is no receiver for a continuation.
     #[error("the client has gone")]
     ClientDisconnected,
     /// The node is shutting down.
--- a/crates/stream-recovery/src/stall_detection.rs
+++ b/crates/stream-recovery/src/stall_detection.rs
@@ -87,7 +87,7 @@
         is_watched.then(|| self.last_event_at.saturating_add(self.silence_limit))
     }
 
-    /// The final state once the stream has ended; before that, the gap up to `now` counts too.
+    /// The state at `now`, which includes the current gap; the final state if the stream has ended.
     pub fn state(&self, now: Micros) -> StreamState {
         if let Some(end) = self.end {
             return end;
--- a/crates/stub-model-server/src/tokens.rs
+++ b/crates/stub-model-server/src/tokens.rs
@@ -23,7 +23,7 @@
     })
 }
 
-/// [`TOKEN_LENGTH`] bytes: letters that depend on the prompt and the index, and a space. The first index is 0.
+/// `TOKEN_LENGTH` bytes: letters that depend on the prompt and the index, and a space. The first index is 0.
 pub fn answer_token(prompt: &str, index: usize) -> String {
     let mut bits = mix_bits(hash_text(prompt) ^ mix_bits(index as u64 + 1));
     let mut token = String::with_capacity(TOKEN_LENGTH);
--- a/crates/testbed/src/emulator/description/mod.rs
+++ b/crates/testbed/src/emulator/description/mod.rs
@@ -308,7 +308,7 @@
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct FaultDescription {
-    /// Decides what happens to the affected part, and the meaning of `size`.
+    /// The kind determines the effect on the affected part, and the meaning of `size`.
     pub what: FaultKind,
     /// When it begins, in seconds since the start of the run.
     pub at_s: f64,
--- a/crates/testbed/src/emulator/outcome.rs
+++ b/crates/testbed/src/emulator/outcome.rs
@@ -168,7 +168,7 @@
     }
 }
 
-/// What one run measured, as written to results files.
+/// The measurements of one run, as written to results files.
 #[derive(Clone, Debug, Default, Deserialize, Serialize, PartialEq)]
 pub struct RunOutcome {
     /// All requests.
--- a/crates/testbed/src/experiment/results_folder.rs
+++ b/crates/testbed/src/experiment/results_folder.rs
@@ -26,7 +26,7 @@
     pub seed: u64,
     /// The description at the point, with the values of its sweeps.
     pub run: RunDescription,
-    /// What the run measured, from its start to its end.
+    /// The measurements of the whole run.
     pub outcome: RunOutcome,
 }
 
--- a/crates/testbed/src/fault_injection/injected_fault.rs
+++ b/crates/testbed/src/fault_injection/injected_fault.rs
@@ -86,11 +86,11 @@
     ];
 }
 
-/// A fault of a scenario: what is injected, for how long and into which node.
+/// A fault of a scenario: its kind, duration and target node.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct InjectedFault {
-    /// Decides what is injected, and whether `size` is used.
+    /// The kind determines what is injected, and whether `size` is used.
     pub kind: InjectedFaultKind,
     /// How long it lasts, in milliseconds.
     pub for_ms: u64,
--- a/src/transport/messages.rs
+++ b/src/transport/messages.rs
@@ -126,14 +126,14 @@
     pub count: u64,
 }
 
-/// What the other parts of the node report to the dispatcher or ask of it.
+/// An event, command or query from another part of the node to the dispatcher.
 pub enum DispatcherMessage {
     /// A client's request has been read.
     ClientRequest(ClientRequest),
     /// The client that waited for this request has disconnected. A request with the same id from another client is not
     /// affected.
     ClientDisconnected {
-        /// Told apart by `owner` from another client's request with the same id.
+        /// `owner` distinguishes it from a request of another client with the same id.
         request: RequestId,
         /// The wait that has ended.
         owner: RequestOwner,
@@ -182,7 +182,7 @@
     ImportLearnedState(Box<LearnedState>),
     /// Apply new site settings.
     UpdateSettings {
-        /// Sent by a reload; they replace the previous ones as a whole.
+        /// The settings after a reload, which replace the previous settings completely.
         settings: Rc<SiteSettings>,
         /// Replied to once the settings are in force, or rejected as invalid.
         applied: Reply<()>,
