--- a/benches/endpoints/load.rs
+++ b/benches/endpoints/load.rs
@@ -10,7 +10,7 @@
 /// A client that receives no bytes for this long fails the run.
 const READ_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// The id of the next request of all clients.
+/// The id of the next request; all clients share the counter.
 static NEXT_REQUEST_ID: AtomicU64 = AtomicU64::new(1);
 
 /// Clients that send one request after the other until they are stopped.
--- a/crates/coordination/src/gossip/membership.rs
+++ b/crates/coordination/src/gossip/membership.rs
@@ -137,7 +137,7 @@
     }
 }
 
-/// The configuration of the library; all times are derived from the probe interval.
+/// The configuration of the gossip library; all times are derived from the probe interval.
 fn configuration(probe_interval: Duration) -> Config {
     let to_two_members = |frequency| {
         Some(PeriodicParams {
--- a/crates/coordination/src/node/lease_messages.rs
+++ b/crates/coordination/src/node/lease_messages.rs
@@ -21,7 +21,7 @@
         outputs
     }
 
-    /// Advances the recovery of the lease server.
+    /// Advances the recovery of this node's lease server, if it has one.
     pub(super) fn run_server(&mut self, now: Micros) -> Vec<NodeOutput> {
         let Some(server) = &mut self.server else {
             return Vec::new();
--- a/crates/coordination/src/rolling_restart/coordinator.rs
+++ b/crates/coordination/src/rolling_restart/coordinator.rs
@@ -66,7 +66,7 @@
 /// The progress of an order, in numbers of nodes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RestartProgress {
-    /// Nodes that have been out and are back.
+    /// Nodes that have left service and returned.
     pub done: usize,
     /// Nodes that have answered a query and have not been commanded to leave yet.
     pub waiting: usize,
--- a/crates/dns-resolver/src/resolver.rs
+++ b/crates/dns-resolver/src/resolver.rs
@@ -139,7 +139,7 @@
 
     /// Handles a datagram received on this socket from this address.
     pub fn on_datagram(&mut self, now: Micros, socket: SocketId, from: SocketAddr, bytes: &[u8]) {
-        if let Some(question) = self.owner(socket) {
+        if let Some(question) = self.question_for_socket(socket) {
             self.update_exchange(now, &question, |exchange, context| {
                 exchange.on_datagram(now, socket, from, bytes, context)
             });
@@ -149,7 +149,7 @@
 
     /// Handles bytes received on this connection.
     pub fn on_stream_bytes(&mut self, now: Micros, socket: SocketId, bytes: &[u8]) {
-        if let Some(question) = self.owner(socket) {
+        if let Some(question) = self.question_for_socket(socket) {
             self.update_exchange(now, &question, |exchange, context| {
                 exchange.on_stream_bytes(now, socket, bytes, context)
             });
@@ -159,7 +159,7 @@
 
     /// Fails the attempt whose socket has failed or whose connection has closed. `reason` becomes part of the error.
     pub fn on_closed(&mut self, now: Micros, socket: SocketId, reason: &str) {
-        if let Some(question) = self.owner(socket) {
+        if let Some(question) = self.question_for_socket(socket) {
             self.update_exchange(now, &question, |exchange, context| {
                 exchange.on_closed(now, socket, reason, context)
             });
@@ -168,7 +168,7 @@
     }
 
     /// The question of the exchange that owns this socket; `None` if it is closed already.
-    fn owner(&self, socket: SocketId) -> Option<Question> {
+    fn question_for_socket(&self, socket: SocketId) -> Option<Question> {
         self.exchanges
             .iter()
             .find(|(_, exchange)| exchange.owns(socket))
--- a/crates/durable-log/src/log.rs
+++ b/crates/durable-log/src/log.rs
@@ -184,7 +184,7 @@
         Ok(())
     }
 
-    /// Encodes a segment that contains these records, as a compaction.
+    /// Encodes the segment that a compaction writes: a header, these records, and a record that ends the compaction.
     fn encode_segment(&mut self, payloads: &[Vec<u8>]) -> Result<Vec<u8>, LogError> {
         let mut bytes = record::header().to_vec();
         for payload in payloads {
--- a/crates/endpoints/tests/damping.rs
+++ b/crates/endpoints/tests/damping.rs
@@ -13,7 +13,7 @@
 };
 
 #[test]
-fn empty_list_is_held_until_hold_time_and_answer_count_confirm_it() {
+fn empty_list_is_applied_only_after_hold_time_and_enough_answers() {
     let mut registry = EndpointRegistry::new(two_sources());
     registry.apply_update(0, SRV, listed_targets(1..=4));
     registry.apply_update(SECOND, SRV, listed_targets([]));
--- a/crates/site-settings/src/parse.rs
+++ b/crates/site-settings/src/parse.rs
@@ -19,7 +19,7 @@
 pub(crate) fn parse(text: &str) -> Result<SiteSettings, SettingsParseError> {
     let value: Value = serde_json::from_str(text)?;
     let site = Section(&value);
-    let scheduler = scheduler_settings(site)?;
+    let scheduler = parse_scheduler_settings(site)?;
     scheduler.check()?;
     Ok(SiteSettings {
         scheduler,
@@ -29,7 +29,7 @@
     })
 }
 
-fn scheduler_settings(site: Section<'_>) -> Result<SchedulerSettings, SettingsParseError> {
+fn parse_scheduler_settings(site: Section<'_>) -> Result<SchedulerSettings, SettingsParseError> {
     let classes = classes(site)?;
     let tenants = tenants(site)?;
     Ok(SchedulerSettings {
--- a/crates/testbed/src/emulator/policies/baseline/replicas.rs
+++ b/crates/testbed/src/emulator/policies/baseline/replicas.rs
@@ -177,7 +177,7 @@
             Policy::TwoChoices => self.choose_better_of_two(eligibility),
             Policy::RoundRobin => self.choose_next_in_turn(eligibility),
             Policy::LeastOutstanding => self.choose_least_outstanding(eligibility),
-            Policy::LeastReported => self.choose_least_reported(eligibility),
+            Policy::LeastReported => self.choose_least_reported_tokens(eligibility),
             Policy::PrefixAffine => self.choose_on_ring(eligibility, affinity_key),
         }
     }
@@ -244,8 +244,8 @@
             .min_by_key(|index| self.replicas[*index].in_flight)
     }
 
-    /// Starts at a random replica, so that ties do not all go to the first one.
-    fn choose_least_reported(&mut self, eligibility: Eligibility) -> Option<ReplicaIndex> {
+    /// The search starts at a random replica, so that ties do not all go to the first one.
+    fn choose_least_reported_tokens(&mut self, eligibility: Eligibility) -> Option<ReplicaIndex> {
         let start = self.random_index();
         self.eligible_from(start, eligibility)
             .min_by(|first, second| {
--- a/crates/testbed/src/emulator/simulation/mod.rs
+++ b/crates/testbed/src/emulator/simulation/mod.rs
@@ -185,7 +185,7 @@
         queued
     }
 
-    /// All servers, in order.
+    /// The status of every server, in the order of their indices.
     pub fn servers(&self) -> impl Iterator<Item = ServerStatus> + '_ {
         self.servers.iter().map(ServerProcess::status)
     }
--- a/crates/testbed/src/fault_injection/injected_fault.rs
+++ b/crates/testbed/src/fault_injection/injected_fault.rs
@@ -18,7 +18,7 @@
     KillNode,
     /// SIGKILL of a random keeper; its disk stays.
     KillKeeper,
-    /// SIGKILL of the holder and a keeper.
+    /// SIGKILL of the holder and a lease server.
     KillBoth,
     /// SIGKILL of all keepers at once.
     KillKeepers,
@@ -28,13 +28,13 @@
     StopHolder,
     /// SIGSTOP of a keeper.
     StopKeeper,
-    /// SIGKILL of a keeper, which restarts with its disk as of the beginning of the run.
+    /// SIGKILL of a lease server, which restarts with its disk as of the beginning of the run.
     OldDisk,
-    /// SIGKILL of a keeper, which restarts with an empty disk.
+    /// SIGKILL of a lease server, which restarts with an empty disk.
     EmptyDisk,
-    /// The links from a random keeper to all other nodes are cut; those to it work.
+    /// The links from a random lease server to all other nodes are cut; those to it work.
     CutOneWay,
-    /// The links from the holder to the keepers are cut; those to it work.
+    /// The links from the holder to the lease servers are cut; those to it work.
     CutHolder,
     /// A network partition into two halves, which differ by at most one node.
     Split,
@@ -50,9 +50,9 @@
     HalfLeave,
     /// All nodes shut down gracefully and restart, one after the other.
     Rolling,
-    /// A keeper's disk is full, and the holder is killed, so that a new grant has to be written.
+    /// A lease server's disk is full, and the holder is killed, so that a new grant has to be written.
     FullDisk,
-    /// A keeper's disk fails to sync, and the holder is killed, so that a new grant has to be written.
+    /// A lease server's disk fails to sync, and the holder is killed, so that a new grant has to be written.
     FailedSync,
     /// A second process runs under a node's name, with its own disk and addresses; each message to that name reaches
     /// one of the two.
--- a/crates/testbed/src/view/terminal.rs
+++ b/crates/testbed/src/view/terminal.rs
@@ -48,8 +48,8 @@
     skipped_rows: usize,
 }
 
-/// Runs a simulation at `speed` times real time and shows it until a key quits the view, also after the simulation's
-/// end.
+/// Runs a simulation at `speed` times real time and shows it until a key quits the view. The view stays open after the
+/// simulation's end.
 ///
 /// # Errors
 ///
--- a/crates/testbed/tests/fault_injection/verdicts.rs
+++ b/crates/testbed/tests/fault_injection/verdicts.rs
@@ -70,7 +70,7 @@
             id,
         }
     };
-    // Allowed: a burst of 2, 2 per second, and a tolerance of 0.1 for late arrivals.
+    // Allowed: a burst of 2, 2 per second, and a tolerance of 0.1 arrivals, which is 0.05 s at that rate.
     let checked = |arrivals: &[Arrival]| {
         check_budgets(
             arrivals,
--- a/src/program/config/error.rs
+++ b/src/program/config/error.rs
@@ -51,7 +51,7 @@
     InvalidSeed,
     /// A reread configuration lacks a key that the current one has, so the file was probably truncated.
     #[error(
-        "{path}: expected this key, which the current configuration has; the file may be truncated"
+        "{path}: missing, although the current configuration has this key; the file may be truncated"
     )]
     MissingKey {
         /// The path of the key from the root of the document, which is called `config`.
--- a/src/program/serve/listeners.rs
+++ b/src/program/serve/listeners.rs
@@ -37,7 +37,7 @@
             None => None,
         };
         Ok(Listeners {
-            client: with_address(CLIENT_KEY, client)?,
+            client: to_bound_listener(CLIENT_KEY, client)?,
             admin,
         })
     }
@@ -48,10 +48,13 @@
 /// # Errors
 /// If the local address can't be determined.
 pub(super) fn admin_with_address(listener: TcpListener) -> Result<BoundListener, ServeError> {
-    with_address(ADMIN_KEY, listener)
+    to_bound_listener(ADMIN_KEY, listener)
 }
 
-fn with_address(key: &'static str, listener: TcpListener) -> Result<BoundListener, ServeError> {
+fn to_bound_listener(
+    key: &'static str,
+    listener: TcpListener,
+) -> Result<BoundListener, ServeError> {
     match listener.local_addr() {
         Ok(address) => Ok(BoundListener { listener, address }),
         Err(source) => Err(ServeError::LocalAddress { key, source }),
--- a/src/protocol/request/write.rs
+++ b/src/protocol/request/write.rs
@@ -87,7 +87,7 @@
 ) -> Bytes {
     let phrase = reason_phrase(status);
     let retry_after = retry_after_field(retry_after_us);
-    let allow = allow_field(status, reason);
+    let allow = format_allow_field(status, reason);
     let connection = connection_field(closes_connection);
     let body = response_body(status, reason);
     let length = body.len();
@@ -122,7 +122,7 @@
 }
 
 /// The `Allow` field of a 405 response. The allowed method is taken from the reason.
-fn allow_field(status: u16, reason: &str) -> &'static str {
+fn format_allow_field(status: u16, reason: &str) -> &'static str {
     if status != 405 {
         ""
     } else if reason.contains("POST") {
--- a/src/routing/learned_state.rs
+++ b/src/routing/learned_state.rs
@@ -37,7 +37,7 @@
     #[error("record written by this process itself")]
     WrittenByThisProcess,
     /// The record was written this many milliseconds ago; negative if it is dated in the future.
-    #[error("record is {0} ms old, expected from -{MAX_CLOCK_SKEW_MS} to {MAX_AGE_MS} ms")]
+    #[error("record is {0} ms old, expected at most {MAX_AGE_MS} ms, or up to {MAX_CLOCK_SKEW_MS} ms in the future")]
     AgeOutOfRange(i64),
     /// The record's host types, classes or zones differ from those of this site.
     #[error("host types, classes or zones differ from this site's")]
--- a/src/transport/coordination/mod.rs
+++ b/src/transport/coordination/mod.rs
@@ -95,7 +95,9 @@
     #[error(transparent)]
     OpenLog(#[from] OpenLogError),
     /// The settings have a different list of lease servers under the number of the list in force.
-    #[error("fleet.keepers_number: expected more than {number}, since fleet.keepers has changed")]
+    #[error(
+        "fleet.keepers_number: expected a list number greater than {number}, because the list fleet.keepers has changed"
+    )]
     SameServerListNumber {
         /// The number in force.
         number: u32,
--- a/tests/connection_edge_cases.rs
+++ b/tests/connection_edge_cases.rs
@@ -331,7 +331,8 @@
         }
         max_descriptor_count = max_descriptor_count.max(descriptor_count(&node));
         if n % 64 == 63 {
-            // While idle connections use up its limit, the node may close new ones unread; the client then tries again.
+            // While idle connections use up the node's connection limit, it may close new ones unread; the client then
+            // tries again.
             wait_until("a response among idle clients", || {
                 let (id, mut client) = send_request(&node, "among idle ones", 3);
                 read_response(id, "among idle ones", 3, &mut client).outcome
--- a/tests/endpoint_watcher.rs
+++ b/tests/endpoint_watcher.rs
@@ -135,7 +135,7 @@
 /// Each form of answer sets the version from which the next poll continues: no changes, a full list in answer to a poll for
 /// changes, and a full list of an earlier version from a service that has lost its version counter.
 #[tokio::test]
-async fn next_poll_continues_from_the_version_of_any_form_of_answer() {
+async fn next_poll_continues_from_the_version_of_changes_and_of_a_full_list() {
     let full_list = DRAIN.replace("false", "true");
     let older_list = full_list.replace("42", "7");
     let test = async {
